--- a/lab/src/main/java/basaltlever/lab/Demo.java
+++ b/lab/src/main/java/basaltlever/lab/Demo.java
@@ -12,46 +12,55 @@
 import java.util.List;
 
 /**
- * Stand-ins, discovery and a router on loopback that stay up, for a newcomer with psql; words on the
- * keyboard upset them.
+ * Stand-ins, discovery and a router on loopback that stay up, for a newcomer with psql; words on
+ * the keyboard upset them.
  */
 @Parameters(commandDescription = "Starts stand-ins and a router on loopback, to be tried by hand")
 final class Demo {
-    @Parameter(names = "--port", description = "where the router listens on 127.0.0.1")
-    private int port = 15_432;
+  @Parameter(names = "--port", description = "where the router listens on 127.0.0.1")
+  private int port = 15_432;
 
-    int run() throws Exception {
-        Scenario scenario = Scenario.read(Scenario.text("quiet"), List.of("routers=1", "groups=1",
-            "members=3"));
-        try (SocketRun run = new SocketRun(scenario, 1, null, "[change]\ntable = basaltlever_change\n",
-            port)) {
-            System.out.println("""
+  int run() throws Exception {
+    Scenario scenario =
+        Scenario.read(Scenario.text("quiet"), List.of("routers=1", "groups=1", "members=3"));
+    try (SocketRun run =
+        new SocketRun(scenario, 1, null, "[change]\ntable = basaltlever_change\n", port)) {
+      System.out.println(
+          """
                 A primary and two replicas (simulated), and a router before them at 127.0.0.1:%1$d. In another terminal:
                   psql -h 127.0.0.1 -p %1$d -U app shop -c "/* id=r1,c=balance-view,d=1500,cluster=1 */ SELECT doc FROM items WHERE id = 'a'"
                   psql -h 127.0.0.1 -p %1$d -U app shop -c "/* id=w1,c=fare-post,d=1500,cluster=1 */ INSERT INTO items (id, doc) VALUES ('a', 'x') RETURNING doc"
                 Each statement takes a new id. Here: status, switch, die, hang, commit-hang, demote, drain, quit.
-                During a change a write waits at the router and is answered by the new primary.""".formatted(port));
-            BufferedReader keys = new BufferedReader(new InputStreamReader(System.in));
-            for (String word = keys.readLine(); word != null && !word.trim()
-                .equals("quit"); word = keys.readLine()) {
-                String said = word.trim();
-                Faults.Kind kind = Faults.Kind.named(said);
-                Shard group = run.world().groups().get(0);
-                run.loop().submit(() -> {
-                    if (kind != null) {
-                        run.faults().act(kind, group);
-                    }
-                    for (Server server : group.members()) {
-                        System.out.printf("%-6s %-8s %-11s %s%n", server.id, server.saysPrimary()
-                            ? "primary" : "replica",
-                            server.listed(), !server.isUp() ? "down" : server.isHung() ? "hangs" : "up");
-                    }
-                    if (group.note() != null) {
-                        System.out.println("table: " + group.note().text());
-                    }
-                }).get();
-            }
-        }
-        return 0;
+                During a change a write waits at the router and is answered by the new primary."""
+              .formatted(port));
+      BufferedReader keys = new BufferedReader(new InputStreamReader(System.in));
+      for (String word = keys.readLine();
+          word != null && !word.trim().equals("quit");
+          word = keys.readLine()) {
+        String said = word.trim();
+        Faults.Kind kind = Faults.Kind.named(said);
+        Shard group = run.world().groups().get(0);
+        run.loop()
+            .submit(
+                () -> {
+                  if (kind != null) {
+                    run.faults().act(kind, group);
+                  }
+                  for (Server server : group.members()) {
+                    System.out.printf(
+                        "%-6s %-8s %-11s %s%n",
+                        server.id,
+                        server.saysPrimary() ? "primary" : "replica",
+                        server.listed(),
+                        !server.isUp() ? "down" : server.isHung() ? "hangs" : "up");
+                  }
+                  if (group.note() != null) {
+                    System.out.println("table: " + group.note().text());
+                  }
+                })
+            .get();
+      }
     }
+    return 0;
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/Figures.java
+++ b/lab/src/main/java/basaltlever/lab/Figures.java
@@ -11,41 +11,40 @@
 
 /** What an experiment found, as one line of JSON. */
 final class Figures {
-    private Figures() {
-    }
+  private Figures() {}
 
-    /** To standard output, and to the file where one is named. */
-    static void tell(Map<String, Object> figures, String file) throws IOException {
-        StringWriter text = new StringWriter();
-        try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
-            write(out, figures);
-        }
-        System.out.println(text);
-        if (file != null) {
-            Files.writeString(Path.of(file), text + "\n");
-        }
+  /** To standard output, and to the file where one is named. */
+  static void tell(Map<String, Object> figures, String file) throws IOException {
+    StringWriter text = new StringWriter();
+    try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
+      write(out, figures);
+    }
+    System.out.println(text);
+    if (file != null) {
+      Files.writeString(Path.of(file), text + "\n");
     }
+  }
 
-    private static void write(JsonGenerator out, Object value) throws IOException {
-        if (value instanceof Map<?, ?> members) {
-            out.writeStartObject();
-            for (Map.Entry<?, ?> member : members.entrySet()) {
-                out.writeFieldName(String.valueOf(member.getKey()));
-                write(out, member.getValue());
-            }
-            out.writeEndObject();
-        } else if (value instanceof List<?> items) {
-            out.writeStartArray();
-            for (Object item : items) {
-                write(out, item);
-            }
-            out.writeEndArray();
-        } else if (value instanceof Integer || value instanceof Long) {
-            out.writeNumber(((Number) value).longValue());
-        } else if (value instanceof Number number) {
-            out.writeNumber(Math.round(number.doubleValue() * 10_000) / 10_000.0);
-        } else {
-            out.writeString(String.valueOf(value));
-        }
+  private static void write(JsonGenerator out, Object value) throws IOException {
+    if (value instanceof Map<?, ?> members) {
+      out.writeStartObject();
+      for (Map.Entry<?, ?> member : members.entrySet()) {
+        out.writeFieldName(String.valueOf(member.getKey()));
+        write(out, member.getValue());
+      }
+      out.writeEndObject();
+    } else if (value instanceof List<?> items) {
+      out.writeStartArray();
+      for (Object item : items) {
+        write(out, item);
+      }
+      out.writeEndArray();
+    } else if (value instanceof Integer || value instanceof Long) {
+      out.writeNumber(((Number) value).longValue());
+    } else if (value instanceof Number number) {
+      out.writeNumber(Math.round(number.doubleValue() * 10_000) / 10_000.0);
+    } else {
+      out.writeString(String.valueOf(value));
     }
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/KillState.java
+++ b/lab/src/main/java/basaltlever/lab/KillState.java
@@ -26,134 +26,162 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Processes that write one view after the other, each ended by SIGKILL at a random moment; what their
- * folders then hold is judged against what the number of a view says must be in it, and against what the
- * process had told to be kept.
+ * Processes that write one view after the other, each ended by SIGKILL at a random moment; what
+ * their folders then hold is judged against what the number of a view says must be in it, and
+ * against what the process had told to be kept.
  */
-@Parameters(commandDescription = "Ends processes by SIGKILL while they write views, and judges what is left")
+@Parameters(
+    commandDescription =
+        "Ends processes by SIGKILL while they write views, and judges what is left")
 final class KillState {
-    static final int NODES = 200;
-    private static final int AT_ONCE = 6;
-    private static final long LATEST_NANOS = 12_000_000;
-    private static final double CONDITION_SECONDS = 120;
+  static final int NODES = 200;
+  private static final int AT_ONCE = 6;
+  private static final long LATEST_NANOS = 12_000_000;
+  private static final double CONDITION_SECONDS = 120;
 
-    @Parameter(names = "--kills", description = "how many")
-    private int kills = 200;
-    @Parameter(names = "--seed", description = "of the moments")
-    private long seed = 1;
-    @Parameter(names = "--json", description = "file for the figures")
-    private String json;
+  @Parameter(names = "--kills", description = "how many")
+  private int kills = 200;
 
-    enum Left { NEWEST, OLDER, CORRUPT, UNAGED, LOST }
+  @Parameter(names = "--seed", description = "of the moments")
+  private long seed = 1;
 
-    /** The process that is killed. */
-    @Parameters(hidden = true, commandDescription = "Writes views into a folder until it is killed")
-    static final class Writer {
-        @Parameter(description = "DIR", required = true)
-        private String folder;
+  @Parameter(names = "--json", description = "file for the figures")
+  private String json;
 
-        void run() throws IOException {
-            try (Folder to = new Folder(Path.of(folder))) {
-                if (!to.take()) {
-                    throw new IOException("the folder is held");
-                }
-                Generations generations = new Generations(to);
-                // Where nobody reads any more, whoever was to kill it has gone, and it ends by itself.
-                for (long number = generations.newest().number() + 1; !System.out.checkError(); number++) {
-                    generations.store(MadeViews.view(number, NODES), 1 << 20);
-                    System.out.println(number);
-                }
-            }
-        }
-    }
+  enum Left {
+    NEWEST,
+    OLDER,
+    CORRUPT,
+    UNAGED,
+    LOST
+  }
 
-    int run() throws Exception {
-        Map<Left, Integer> counts = kills(kills, seed);
-        Map<String, Object> figures = new LinkedHashMap<>();
-        figures.put("kills", kills);
-        figures.put("loaded_newest", counts.getOrDefault(Left.NEWEST, 0));
-        figures.put("loaded_older", counts.getOrDefault(Left.OLDER, 0));
-        figures.put("corrupt_loaded", counts.getOrDefault(Left.CORRUPT, 0));
-        figures.put("unaged_loaded", counts.getOrDefault(Left.UNAGED, 0));
-        figures.put("lost_all", counts.getOrDefault(Left.LOST, 0));
-        Figures.tell(figures, json);
-        return counts.keySet().stream().anyMatch(left -> left.ordinal() >= Left.CORRUPT.ordinal()) ? 1 : 0;
-    }
+  /** The process that is killed. */
+  @Parameters(hidden = true, commandDescription = "Writes views into a folder until it is killed")
+  static final class Writer {
+    @Parameter(description = "DIR", required = true)
+    private String folder;
 
-    static Map<Left, Integer> kills(int kills, long seed) throws Exception {
-        SplittableRandom chance = new SplittableRandom(seed);
-        ExecutorService threads = Executors.newFixedThreadPool(AT_ONCE, Fleet::daemon);
-        List<Future<Left>> all = new ArrayList<>();
-        for (int i = 0; i < kills; i++) {
-            SplittableRandom own = chance.split();
-            all.add(threads.submit((Callable<Left>) () -> kill(own)));
+    void run() throws IOException {
+      try (Folder to = new Folder(Path.of(folder))) {
+        if (!to.take()) {
+          throw new IOException("the folder is held");
         }
-        Map<Left, Integer> counts = new EnumMap<>(Left.class);
-        for (Future<Left> one : all) {
-            counts.merge(one.get(), 1, Integer::sum);
+        Generations generations = new Generations(to);
+        // Where nobody reads any more, whoever was to kill it has gone, and it ends by itself.
+        for (long number = generations.newest().number() + 1; !System.out.checkError(); number++) {
+          generations.store(MadeViews.view(number, NODES), 1 << 20);
+          System.out.println(number);
         }
-        threads.shutdown();
-        return counts;
+      }
     }
+  }
 
-    private static Left kill(SplittableRandom chance) throws Exception {
-        Path folder = Files.createTempDirectory("kill-state");
-        Process process = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-Xshare:auto",
-            "-Xmx64m",
-            "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"),
-            Main.class.getName(),
-            "write-views", folder.toString()).redirectError(ProcessBuilder.Redirect.INHERIT).start();
-        long told = 0;
-        try (BufferedReader lines = process.inputReader()) {
-            String line = lines.readLine();
-            if (line == null) {
-                throw new IOException("the writer wrote nothing");
-            }
-            long until = System.nanoTime() + chance.nextLong(LATEST_NANOS);
-            while (System.nanoTime() < until) {
-                Thread.onSpinWait();
-            }
-            // Ended through its handle, what it has told can still be read.
-            process.toHandle().destroyForcibly();
-            for (; line != null; line = lines.readLine()) {
-                // A last line that is cut short is a smaller number.
-                told = line.isEmpty() ? told : Math.max(told, Long.parseLong(line));
-            }
-        }
-        process.waitFor(10, TimeUnit.SECONDS);
-        Left left = judge(folder, told, chance.nextLong(1, 600_000_000L));
-        if (left == Left.NEWEST) {
-            try (var files = Files.list(folder)) {
-                for (Path file : files.toList()) {
-                    Files.delete(file);
-                }
-            }
-            Files.delete(folder);
-        }
-        return left;
+  int run() throws Exception {
+    Map<Left, Integer> counts = kills(kills, seed);
+    Map<String, Object> figures = new LinkedHashMap<>();
+    figures.put("kills", kills);
+    figures.put("loaded_newest", counts.getOrDefault(Left.NEWEST, 0));
+    figures.put("loaded_older", counts.getOrDefault(Left.OLDER, 0));
+    figures.put("corrupt_loaded", counts.getOrDefault(Left.CORRUPT, 0));
+    figures.put("unaged_loaded", counts.getOrDefault(Left.UNAGED, 0));
+    figures.put("lost_all", counts.getOrDefault(Left.LOST, 0));
+    Figures.tell(figures, json);
+    return counts.keySet().stream().anyMatch(left -> left.ordinal() >= Left.CORRUPT.ordinal())
+        ? 1
+        : 0;
+  }
+
+  static Map<Left, Integer> kills(int kills, long seed) throws Exception {
+    SplittableRandom chance = new SplittableRandom(seed);
+    ExecutorService threads = Executors.newFixedThreadPool(AT_ONCE, Fleet::daemon);
+    List<Future<Left>> all = new ArrayList<>();
+    for (int i = 0; i < kills; i++) {
+      SplittableRandom own = chance.split();
+      all.add(threads.submit((Callable<Left>) () -> kill(own)));
+    }
+    Map<Left, Integer> counts = new EnumMap<>(Left.class);
+    for (Future<Left> one : all) {
+      counts.merge(one.get(), 1, Integer::sum);
     }
+    threads.shutdown();
+    return counts;
+  }
 
-    static Left judge(Path folder, long told, long later) throws IOException {
-        View view = new Generations(new Folder(folder)).newest().view();
-        if (view == null) {
-            return Left.LOST;
-        }
-        List<Known> made = MadeViews.nodes(view.number(), NODES);
-        // Little-telling nodes may stand behind the others.
-        if (view.nodes().size() != NODES || !view.nodes().containsAll(made)
-            || view.listed() != view.number()) {
-            return Left.CORRUPT;
-        }
-        Recollection offered = Recollection.of(view, MadeViews.DEPLOYMENT, MadeViews.ROUTER,
-            view.writtenAt() + later, view.steady() + later, Machine.boot());
-        for (Known known : made) {
-            NodeView aged = offered.of(known.id(), known.address(), known.view().listedStart(), 0, true);
-            double was = known.view().silent() ? 1 : known.view().failing();
-            if (aged == null
-                || Math.abs(aged.failing() - was * Math.exp(-later / 1e6 / CONDITION_SECONDS)) > 1e-9) {
-                return Left.UNAGED;
-            }
+  private static Left kill(SplittableRandom chance) throws Exception {
+    Path folder = Files.createTempDirectory("kill-state");
+    Process process =
+        new ProcessBuilder(
+                System.getProperty("java.home") + "/bin/java",
+                "-Xshare:auto",
+                "-Xmx64m",
+                "-XX:TieredStopAtLevel=1",
+                "-XX:+UseSerialGC",
+                "-cp",
+                System.getProperty("java.class.path"),
+                Main.class.getName(),
+                "write-views",
+                folder.toString())
+            .redirectError(ProcessBuilder.Redirect.INHERIT)
+            .start();
+    long told = 0;
+    try (BufferedReader lines = process.inputReader()) {
+      String line = lines.readLine();
+      if (line == null) {
+        throw new IOException("the writer wrote nothing");
+      }
+      long until = System.nanoTime() + chance.nextLong(LATEST_NANOS);
+      while (System.nanoTime() < until) {
+        Thread.onSpinWait();
+      }
+      // Ended through its handle, what it has told can still be read.
+      process.toHandle().destroyForcibly();
+      for (; line != null; line = lines.readLine()) {
+        // A last line that is cut short is a smaller number.
+        told = line.isEmpty() ? told : Math.max(told, Long.parseLong(line));
+      }
+    }
+    process.waitFor(10, TimeUnit.SECONDS);
+    Left left = judge(folder, told, chance.nextLong(1, 600_000_000L));
+    if (left == Left.NEWEST) {
+      try (var files = Files.list(folder)) {
+        for (Path file : files.toList()) {
+          Files.delete(file);
         }
-        return view.number() >= told ? Left.NEWEST : Left.OLDER;
+      }
+      Files.delete(folder);
+    }
+    return left;
+  }
+
+  static Left judge(Path folder, long told, long later) throws IOException {
+    View view = new Generations(new Folder(folder)).newest().view();
+    if (view == null) {
+      return Left.LOST;
+    }
+    List<Known> made = MadeViews.nodes(view.number(), NODES);
+    // Little-telling nodes may stand behind the others.
+    if (view.nodes().size() != NODES
+        || !view.nodes().containsAll(made)
+        || view.listed() != view.number()) {
+      return Left.CORRUPT;
+    }
+    Recollection offered =
+        Recollection.of(
+            view,
+            MadeViews.DEPLOYMENT,
+            MadeViews.ROUTER,
+            view.writtenAt() + later,
+            view.steady() + later,
+            Machine.boot());
+    for (Known known : made) {
+      NodeView aged = offered.of(known.id(), known.address(), known.view().listedStart(), 0, true);
+      double was = known.view().silent() ? 1 : known.view().failing();
+      if (aged == null
+          || Math.abs(aged.failing() - was * Math.exp(-later / 1e6 / CONDITION_SECONDS)) > 1e-9) {
+        return Left.UNAGED;
+      }
     }
+    return view.number() >= told ? Left.NEWEST : Left.OLDER;
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/Scenarios.java
+++ b/lab/src/main/java/basaltlever/lab/Scenarios.java
@@ -7,12 +7,21 @@
 /** The scenarios that come with the program. */
 @Parameters(commandDescription = "Names the scenarios that come with the program")
 final class Scenarios {
-    static final List<String> NAMES = List.of("primary-changes", "planned-switches", "quiet",
-        "settings-switch", "third-lost", "agreement", "lists", "held-up", "majority-lost");
+  static final List<String> NAMES =
+      List.of(
+          "primary-changes",
+          "planned-switches",
+          "quiet",
+          "settings-switch",
+          "third-lost",
+          "agreement",
+          "lists",
+          "held-up",
+          "majority-lost");
 
-    void run() throws Scenario.Fault {
-        for (String name : NAMES) {
-            System.out.printf("%-18s %s%n", name, Scenario.read(Scenario.text(name), List.of()).title);
-        }
+  void run() throws Scenario.Fault {
+    for (String name : NAMES) {
+      System.out.printf("%-18s %s%n", name, Scenario.read(Scenario.text(name), List.of()).title);
     }
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/ViewCost.java
+++ b/lab/src/main/java/basaltlever/lab/ViewCost.java
@@ -24,94 +24,131 @@
 /** How long the loop is held by an export, what a load takes, and how many bytes a node costs. */
 @Parameters(commandDescription = "Measures what a view costs the loop, a start and the disk")
 final class ViewCost {
-    /** As the router does it. */
-    private static final int NODES_A_TURN = 32;
+  /** As the router does it. */
+  private static final int NODES_A_TURN = 32;
 
-    @Parameter(names = "--nodes", description = "how many")
-    private int nodes = 1_000;
-    @Parameter(names = "--runs", description = "exports timed")
-    private int runs = 3_000;
-    @Parameter(names = "--start", description = "a start file, for its settings")
-    private String start = "deploy/example.json";
-    @Parameter(names = "--json", description = "file for the figures")
-    private String json;
+  @Parameter(names = "--nodes", description = "how many")
+  private int nodes = 1_000;
 
-    int run() throws Exception {
-        Moment now = new Moment(Machine.now());
-        Core<String> core = core(now);
-        List<Known> made = MadeViews.nodes(1, nodes);
-        core.listBegins();
-        for (Known known : made) {
-            core.listed(now, known.id(), Listing.READY, known.view().group(), 0, 1,
-                new Moment(known.view().listedStart()));
-            core.recalled(now, known.id(), known.view());
-        }
-        core.listEnds(now, true, true);
-        Histogram held = new Histogram(3);
-        View view = null;
-        for (int i = 0; i < runs; i++) {
-            List<Known> out = new ArrayList<>();
-            boolean more = true;
-            for (int from = 0; more; from += NODES_A_TURN) {
-                long before = System.nanoTime();
-                more = core.learned(now, from, NODES_A_TURN,
-                    (id, learned) -> out.add(new Known(id, "127.0.0.1:1024", learned)));
-                if (!more) {
-                    view = new View(MadeViews.DEPLOYMENT, MadeViews.ROUTER, 1, Machine.now(),
-                        Machine.steady(),
-                        "", 1, out, core.learnedOfGroups(now));
-                }
-                held.recordValue((System.nanoTime() - before) / 1_000);
-            }
-        }
-        byte[] file = ViewFile.write(view, ViewFile.LARGEST);
-        long heap = used();
+  @Parameter(names = "--runs", description = "exports timed")
+  private int runs = 3_000;
+
+  @Parameter(names = "--start", description = "a start file, for its settings")
+  private String start = "deploy/example.json";
+
+  @Parameter(names = "--json", description = "file for the figures")
+  private String json;
+
+  int run() throws Exception {
+    Moment now = new Moment(Machine.now());
+    Core<String> core = core(now);
+    List<Known> made = MadeViews.nodes(1, nodes);
+    core.listBegins();
+    for (Known known : made) {
+      core.listed(
+          now,
+          known.id(),
+          Listing.READY,
+          known.view().group(),
+          0,
+          1,
+          new Moment(known.view().listedStart()));
+      core.recalled(now, known.id(), known.view());
+    }
+    core.listEnds(now, true, true);
+    Histogram held = new Histogram(3);
+    View view = null;
+    for (int i = 0; i < runs; i++) {
+      List<Known> out = new ArrayList<>();
+      boolean more = true;
+      for (int from = 0; more; from += NODES_A_TURN) {
         long before = System.nanoTime();
-        Recollection offered = Recollection.of(ViewFile.read(file), MadeViews.DEPLOYMENT, MadeViews.ROUTER,
-            Machine.now(),
-            Machine.steady(), Machine.boot());
-        double firstLoad = (System.nanoTime() - before) / 1e6;
-        before = System.nanoTime();
-        ViewFile.read(file);
-        double load = (System.nanoTime() - before) / 1e6;
-        long taken = used() - heap;
-        Core<String> fresh = core(now);
-        before = System.nanoTime();
-        fresh.listBegins();
-        for (Known known : view.nodes()) {
-            fresh.listed(now, known.id(), Listing.READY, known.view().group(), 0, 1,
-                new Moment(known.view().listedStart()));
-            NodeView learned = offered.of(known.id(), known.address(), known.view().listedStart(), 2, true);
-            if (learned == null) {
-                throw new IllegalStateException("a node was not known again");
-            }
-            fresh.recalled(now, known.id(), learned);
+        more =
+            core.learned(
+                now,
+                from,
+                NODES_A_TURN,
+                (id, learned) -> out.add(new Known(id, "127.0.0.1:1024", learned)));
+        if (!more) {
+          view =
+              new View(
+                  MadeViews.DEPLOYMENT,
+                  MadeViews.ROUTER,
+                  1,
+                  Machine.now(),
+                  Machine.steady(),
+                  "",
+                  1,
+                  out,
+                  core.learnedOfGroups(now));
         }
-        fresh.listEnds(now, true, true);
-        Map<String, Object> figures = new LinkedHashMap<>();
-        figures.put("nodes", nodes);
-        figures.put("export_p50_us", held.getValueAtPercentile(50));
-        figures.put("export_p99_us", held.getValueAtPercentile(99));
-        figures.put("export_p999_us", held.getValueAtPercentile(99.9));
-        figures.put("export_max_us", held.getMaxValue());
-        figures.put("first_load_ms", firstLoad);
-        figures.put("load_ms", load);
-        figures.put("take_over_ms", (System.nanoTime() - before) / 1e6);
-        figures.put("bytes_a_node", (double) file.length / nodes);
-        figures.put("heap_bytes_a_node", (double) taken / nodes);
-        Figures.tell(figures, json);
-        return held.getValueAtPercentile(99.9) < 1_000 && load < 50 ? 0 : 1;
+        held.recordValue((System.nanoTime() - before) / 1_000);
+      }
     }
-
-    private Core<String> core(Moment now) throws Exception {
-        @SuppressWarnings("unchecked")
-        Outside<String> nobody = (Outside<String>) Proxy.newProxyInstance(getClass().getClassLoader(),
-            new Class<?>[] {Outside.class}, (proxy, method, arguments) -> null);
-        return new Core<>(nobody, StartFile.read(Path.of(start)).values().balance(1, now));
+    byte[] file = ViewFile.write(view, ViewFile.LARGEST);
+    long heap = used();
+    long before = System.nanoTime();
+    Recollection offered =
+        Recollection.of(
+            ViewFile.read(file),
+            MadeViews.DEPLOYMENT,
+            MadeViews.ROUTER,
+            Machine.now(),
+            Machine.steady(),
+            Machine.boot());
+    double firstLoad = (System.nanoTime() - before) / 1e6;
+    before = System.nanoTime();
+    ViewFile.read(file);
+    double load = (System.nanoTime() - before) / 1e6;
+    long taken = used() - heap;
+    Core<String> fresh = core(now);
+    before = System.nanoTime();
+    fresh.listBegins();
+    for (Known known : view.nodes()) {
+      fresh.listed(
+          now,
+          known.id(),
+          Listing.READY,
+          known.view().group(),
+          0,
+          1,
+          new Moment(known.view().listedStart()));
+      NodeView learned =
+          offered.of(known.id(), known.address(), known.view().listedStart(), 2, true);
+      if (learned == null) {
+        throw new IllegalStateException("a node was not known again");
+      }
+      fresh.recalled(now, known.id(), learned);
     }
+    fresh.listEnds(now, true, true);
+    Map<String, Object> figures = new LinkedHashMap<>();
+    figures.put("nodes", nodes);
+    figures.put("export_p50_us", held.getValueAtPercentile(50));
+    figures.put("export_p99_us", held.getValueAtPercentile(99));
+    figures.put("export_p999_us", held.getValueAtPercentile(99.9));
+    figures.put("export_max_us", held.getMaxValue());
+    figures.put("first_load_ms", firstLoad);
+    figures.put("load_ms", load);
+    figures.put("take_over_ms", (System.nanoTime() - before) / 1e6);
+    figures.put("bytes_a_node", (double) file.length / nodes);
+    figures.put("heap_bytes_a_node", (double) taken / nodes);
+    Figures.tell(figures, json);
+    return held.getValueAtPercentile(99.9) < 1_000 && load < 50 ? 0 : 1;
+  }
 
-    private static long used() {
-        System.gc();
-        return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-    }
+  private Core<String> core(Moment now) throws Exception {
+    @SuppressWarnings("unchecked")
+    Outside<String> nobody =
+        (Outside<String>)
+            Proxy.newProxyInstance(
+                getClass().getClassLoader(),
+                new Class<?>[] {Outside.class},
+                (proxy, method, arguments) -> null);
+    return new Core<>(nobody, StartFile.read(Path.of(start)).values().balance(1, now));
+  }
+
+  private static long used() {
+    System.gc();
+    return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/endtoend/Crowd.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/Crowd.java
@@ -11,64 +11,72 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 
-/** Connections that say nothing and come back as soon as they are sent away; on a loop of its own. */
+/**
+ * Connections that say nothing and come back as soon as they are sent away; on a loop of its own.
+ */
 final class Crowd {
-    private static final int RETRY_MILLIS = 20;
-    private final EventLoop loop;
-    private final InetSocketAddress address;
-    private final ChannelGroup open;
-    private boolean over;
-    private int made;
+  private static final int RETRY_MILLIS = 20;
+  private final EventLoop loop;
+  private final InetSocketAddress address;
+  private final ChannelGroup open;
+  private boolean over;
+  private int made;
 
-    Crowd(EventLoop loop, InetSocketAddress address) {
-        this.loop = loop;
-        this.address = address;
-        open = new DefaultChannelGroup(loop);
-    }
+  Crowd(EventLoop loop, InetSocketAddress address) {
+    this.loop = loop;
+    this.address = address;
+    open = new DefaultChannelGroup(loop);
+  }
 
-    /** They come within so many milliseconds, in even steps. */
-    void come(int size, int withinMillis) {
-        for (int i = 0; i < size; i++) {
-            loop.schedule(this::connect, 1_000L * withinMillis * i / size, TimeUnit.MICROSECONDS);
-        }
+  /** They come within so many milliseconds, in even steps. */
+  void come(int size, int withinMillis) {
+    for (int i = 0; i < size; i++) {
+      loop.schedule(this::connect, 1_000L * withinMillis * i / size, TimeUnit.MICROSECONDS);
     }
+  }
 
-    private void connect() {
-        if (over) {
-            return;
-        }
-        ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .handler(new ChannelInboundHandlerAdapter() {
-                @Override
-                public void channelActive(ChannelHandlerContext context) {
+  private void connect() {
+    if (over) {
+      return;
+    }
+    ChannelFuture connecting =
+        new Bootstrap()
+            .group(loop)
+            .channel(NioSocketChannel.class)
+            .handler(
+                new ChannelInboundHandlerAdapter() {
+                  @Override
+                  public void channelActive(ChannelHandlerContext context) {
                     made++;
                     open.add(context.channel());
-                }
+                  }
 
-                @Override
-                public void channelInactive(ChannelHandlerContext context) {
+                  @Override
+                  public void channelInactive(ChannelHandlerContext context) {
                     connect();
-                }
+                  }
 
-                @Override
-                public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+                  @Override
+                  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
                     context.close();
-                }
-            }).connect(address);
-        connecting.addListener(done -> {
-            if (!done.isSuccess()) {
-                loop.schedule(this::connect, RETRY_MILLIS, TimeUnit.MILLISECONDS);
-            }
+                  }
+                })
+            .connect(address);
+    connecting.addListener(
+        done -> {
+          if (!done.isSuccess()) {
+            loop.schedule(this::connect, RETRY_MILLIS, TimeUnit.MILLISECONDS);
+          }
         });
-    }
+  }
 
-    /** Connections made by now; on its loop only. */
-    int made() {
-        return made;
-    }
+  /** Connections made by now; on its loop only. */
+  int made() {
+    return made;
+  }
 
-    void leave() {
-        over = true;
-        open.close();
-    }
+  void leave() {
+    over = true;
+    open.close();
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/endtoend/DaySettings.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/DaySettings.java
@@ -7,82 +7,167 @@
 import java.util.stream.Collectors;
 
 /** What one day's routers are told: the classes of statements, and the rules' figures. */
-record DaySettings(List<StatementClass> classes, long drainGraceMillis, double coldFrom, long coldMillis,
-                   double fallMultiple, long idleCloseMillis, int maxAttempts, boolean secondCopies, boolean cancels,
-                   double pollPrice) {
-    static final long FALL_MILLIS = 1_000;
-    private static final int MICROS = 1_000;
+record DaySettings(
+    List<StatementClass> classes,
+    long drainGraceMillis,
+    double coldFrom,
+    long coldMillis,
+    double fallMultiple,
+    long idleCloseMillis,
+    int maxAttempts,
+    boolean secondCopies,
+    boolean cancels,
+    double pollPrice) {
+  static final long FALL_MILLIS = 1_000;
+  private static final int MICROS = 1_000;
 
-    /** A deployment with reads of two kinds and writes that may run once. */
-    static DaySettings usual() {
-        return new DaySettings(List.of(
-            new StatementClass("view", 0.45, 600, 2_500, 60, Effect.IDEMPOTENT, 0, "bounded", 200, 1),
+  /** A deployment with reads of two kinds and writes that may run once. */
+  static DaySettings usual() {
+    return new DaySettings(
+        List.of(
+            new StatementClass(
+                "view", 0.45, 600, 2_500, 60, Effect.IDEMPOTENT, 0, "bounded", 200, 1),
             new StatementClass("own", 0.40, 300, 1_200, 30, Effect.IDEMPOTENT, 0, "session", 0, 2),
-            new StatementClass("post", 0.15, 1_000, 2_000, 60, Effect.AT_MOST_ONCE, 0, "write", 0, 4)),
-            250, 0.25, 9_000, 4, 15_000, 8, true, true, 0.01);
-    }
+            new StatementClass(
+                "post", 0.15, 1_000, 2_000, 60, Effect.AT_MOST_ONCE, 0, "write", 0, 4)),
+        250,
+        0.25,
+        9_000,
+        4,
+        15_000,
+        8,
+        true,
+        true,
+        0.01);
+  }
 
-    /** Other effects, shorter deadlines and windows, and other limits, by chance. */
-    static DaySettings drawn(SplittableRandom random) {
-        String[] reads = {"any", "bounded", "session", "fresh", "write"};
-        List<StatementClass> classes = new ArrayList<>();
-        int count = 2 + random.nextInt(4);
-        double left = 1;
-        for (int i = 0; i < count; i++) {
-            double share = i == count - 1 ? left : left * (0.2 + 0.4 * random.nextDouble());
-            left -= share;
-            String read = i == count - 1 ? "write" : reads[random.nextInt(reads.length)];
-            long deadline = 300 + random.nextInt(2_500);
-            double work = 5 + 30 * random.nextDouble();
-            classes.add(new StatementClass("c" + i, share, Math.max(100, deadline / 2), deadline, work,
-                Effect.values()[random.nextInt(3)], 100 + random.nextInt(1_500), read, 200 + random.nextInt(800),
-                1 + random.nextInt(4)));
-        }
-        return new DaySettings(classes, 200 + random.nextInt(300), 0.1 + 0.3 * random.nextDouble(),
-            4_000 + random.nextInt(8_000), 2 + 2 * random.nextDouble(), 2_000 + random.nextInt(14_000),
-            2 + random.nextInt(7), random.nextBoolean(), random.nextBoolean(), random.nextBoolean() ? 0.01 : 0);
+  /** Other effects, shorter deadlines and windows, and other limits, by chance. */
+  static DaySettings drawn(SplittableRandom random) {
+    String[] reads = {"any", "bounded", "session", "fresh", "write"};
+    List<StatementClass> classes = new ArrayList<>();
+    int count = 2 + random.nextInt(4);
+    double left = 1;
+    for (int i = 0; i < count; i++) {
+      double share = i == count - 1 ? left : left * (0.2 + 0.4 * random.nextDouble());
+      left -= share;
+      String read = i == count - 1 ? "write" : reads[random.nextInt(reads.length)];
+      long deadline = 300 + random.nextInt(2_500);
+      double work = 5 + 30 * random.nextDouble();
+      classes.add(
+          new StatementClass(
+              "c" + i,
+              share,
+              Math.max(100, deadline / 2),
+              deadline,
+              work,
+              Effect.values()[random.nextInt(3)],
+              100 + random.nextInt(1_500),
+              read,
+              200 + random.nextInt(800),
+              1 + random.nextInt(4)));
     }
+    return new DaySettings(
+        classes,
+        200 + random.nextInt(300),
+        0.1 + 0.3 * random.nextDouble(),
+        4_000 + random.nextInt(8_000),
+        2 + 2 * random.nextDouble(),
+        2_000 + random.nextInt(14_000),
+        2 + random.nextInt(7),
+        random.nextBoolean(),
+        random.nextBoolean(),
+        random.nextBoolean() ? 0.01 : 0);
+  }
 
-    /** The same with servers that take so long for each statement in the mean; as it is where that is 0. */
-    DaySettings withWork(int millis) {
-        List<StatementClass> changed = classes.stream().map(each -> millis == 0 ? each : new StatementClass(each.key(),
-            each.share(), each.sloMillis(), each.deadlineMillis(), millis, each.effect(), each.windowMillis(), each.read(),
-            each.boundMillis(), each.worth())).toList();
-        return new DaySettings(changed, drainGraceMillis, coldFrom, coldMillis, fallMultiple, idleCloseMillis, maxAttempts,
-            secondCopies, cancels, pollPrice);
-    }
+  /**
+   * The same with servers that take so long for each statement in the mean; as it is where that is
+   * 0.
+   */
+  DaySettings withWork(int millis) {
+    List<StatementClass> changed =
+        classes.stream()
+            .map(
+                each ->
+                    millis == 0
+                        ? each
+                        : new StatementClass(
+                            each.key(),
+                            each.share(),
+                            each.sloMillis(),
+                            each.deadlineMillis(),
+                            millis,
+                            each.effect(),
+                            each.windowMillis(),
+                            each.read(),
+                            each.boundMillis(),
+                            each.worth()))
+            .toList();
+    return new DaySettings(
+        changed,
+        drainGraceMillis,
+        coldFrom,
+        coldMillis,
+        fallMultiple,
+        idleCloseMillis,
+        maxAttempts,
+        secondCopies,
+        cancels,
+        pollPrice);
+  }
 
-    StatementClass draw(SplittableRandom random) {
-        double draw = random.nextDouble();
-        for (StatementClass each : classes) {
-            draw -= each.share();
-            if (draw < 0) {
-                return each;
-            }
-        }
-        return classes.get(classes.size() - 1);
+  StatementClass draw(SplittableRandom random) {
+    double draw = random.nextDouble();
+    for (StatementClass each : classes) {
+      draw -= each.share();
+      if (draw < 0) {
+        return each;
+      }
     }
+    return classes.get(classes.size() - 1);
+  }
 
-    long longestDeadlineMillis() {
-        return classes.stream().mapToLong(StatementClass::deadlineMillis).max().orElse(0);
-    }
+  long longestDeadlineMillis() {
+    return classes.stream().mapToLong(StatementClass::deadlineMillis).max().orElse(0);
+  }
 
-    /** The settings object of a router's start file. */
-    String text(int router, int routers) {
-        return "{\"Balancers\":" + routers + ",\"Me\":" + router + ",\"Zone\":" + router % 2
-            + ",\"Zones\":[\"east\",\"west\"],\"Discovery\":\"on_request\",\"Bounds\":{\"Cancel\":" + cancels
-            + ",\"ConnectTimeout\":250000,\"IdleClose\":" + idleCloseMillis * MICROS + ",\"MaxAttempts\":" + maxAttempts
-            + ",\"MaxOpen\":5000,\"MaxRetryAfter\":1000000,\"MayDuplicate\":" + secondCopies
-            + ",\"MayProbe\":true,\"RetryAfter\":true,\"StreamsPerConn\":1},\"Classes\":["
-            + classes.stream().map(StatementClass::settings).collect(Collectors.joining(","))
-            + "],\"Costs\":{\"Probe\":" + pollPrice + ",\"CrossZone\":0.02},"
-            + "\"Reporting\":{\"How\":\"probe\",\"Fields\":[\"x0\",\"x1\",\"utilization\"]},"
-            + "\"FamilyInfo\":{\"Checks\":\"wait\",\"ClassRead\":["
-            + classes.stream().map(each -> '"' + each.read() + '"').collect(Collectors.joining(","))
-            + "],\"LagAllowed\":["
-            + classes.stream().map(each -> "" + each.boundMillis() * MICROS).collect(Collectors.joining(","))
-            + "],\"ProgressTold\":true,\"SessionMarks\":\"carried\"},\"Rules\":{\"AnswerSlack\":20000,\"Cold\":"
-            + coldMillis * MICROS + ",\"ColdFrom\":" + coldFrom + ",\"FallMultiple\":" + fallMultiple + ",\"Fall\":"
-            + FALL_MILLIS * MICROS + ",\"DrainGrace\":" + drainGraceMillis * MICROS + ",\"MustAskIn\":10000000}}";
-    }
+  /** The settings object of a router's start file. */
+  String text(int router, int routers) {
+    return "{\"Balancers\":"
+        + routers
+        + ",\"Me\":"
+        + router
+        + ",\"Zone\":"
+        + router % 2
+        + ",\"Zones\":[\"east\",\"west\"],\"Discovery\":\"on_request\",\"Bounds\":{\"Cancel\":"
+        + cancels
+        + ",\"ConnectTimeout\":250000,\"IdleClose\":"
+        + idleCloseMillis * MICROS
+        + ",\"MaxAttempts\":"
+        + maxAttempts
+        + ",\"MaxOpen\":5000,\"MaxRetryAfter\":1000000,\"MayDuplicate\":"
+        + secondCopies
+        + ",\"MayProbe\":true,\"RetryAfter\":true,\"StreamsPerConn\":1},\"Classes\":["
+        + classes.stream().map(StatementClass::settings).collect(Collectors.joining(","))
+        + "],\"Costs\":{\"Probe\":"
+        + pollPrice
+        + ",\"CrossZone\":0.02},"
+        + "\"Reporting\":{\"How\":\"probe\",\"Fields\":[\"x0\",\"x1\",\"utilization\"]},"
+        + "\"FamilyInfo\":{\"Checks\":\"wait\",\"ClassRead\":["
+        + classes.stream().map(each -> '"' + each.read() + '"').collect(Collectors.joining(","))
+        + "],\"LagAllowed\":["
+        + classes.stream()
+            .map(each -> "" + each.boundMillis() * MICROS)
+            .collect(Collectors.joining(","))
+        + "],\"ProgressTold\":true,\"SessionMarks\":\"carried\"},\"Rules\":{\"AnswerSlack\":20000,\"Cold\":"
+        + coldMillis * MICROS
+        + ",\"ColdFrom\":"
+        + coldFrom
+        + ",\"FallMultiple\":"
+        + fallMultiple
+        + ",\"Fall\":"
+        + FALL_MILLIS * MICROS
+        + ",\"DrainGrace\":"
+        + drainGraceMillis * MICROS
+        + ",\"MustAskIn\":10000000}}";
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/endtoend/InvalidOption.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/InvalidOption.java
@@ -2,9 +2,9 @@
 
 /** An option that can't be used; the message names the key, the value and what the key takes. */
 public final class InvalidOption extends Exception {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    InvalidOption(String message) {
-        super(message);
-    }
+  InvalidOption(String message) {
+    super(message);
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/endtoend/NewClientsOptions.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/NewClientsOptions.java
@@ -3,38 +3,77 @@
 import java.util.List;
 import java.util.Map;
 
-/** The options of a day on which clients are new; every value is checked before anything is started. */
-public record NewClientsOptions(int routers, int servers, int sockets, double rate, double seconds, int burst, int burstMillis,
-                                int crowd, int heldUpMillis, int heldUpTimes, int slowMillis, int acceptFailsMillis,
-                                int closesAfterMillis) {
-    private static final NumberOptions OPTIONS = new NumberOptions("new-clients")
-        .with("routers", 1, 8, 1)
-        .with("servers", 2, 120, 10)
-        .with("sockets", 64, 65_536, 512)
-        .with("rate", 0.1, 1_000, 30)
-        .with("seconds", 1, 60, 3)
-        .with("burst", 0, 5_000, 300)
-        .with("burst_ms", 1, 10_000, 1_000)
-        .with("crowd", 0, 5_000, 0)
-        .with("held_up_ms", 0, 150, 0)
-        .with("held_up_times", 0, 100, 4)
-        .with("slow_ms", 0, 1_000, 0)
-        .with("accept_fails_ms", 0, 5_000, 0)
-        .with("closes_after_ms", 0, 2_000, 0);
+/**
+ * The options of a day on which clients are new; every value is checked before anything is started.
+ */
+public record NewClientsOptions(
+    int routers,
+    int servers,
+    int sockets,
+    double rate,
+    double seconds,
+    int burst,
+    int burstMillis,
+    int crowd,
+    int heldUpMillis,
+    int heldUpTimes,
+    int slowMillis,
+    int acceptFailsMillis,
+    int closesAfterMillis) {
+  private static final NumberOptions OPTIONS =
+      new NumberOptions("new-clients")
+          .with("routers", 1, 8, 1)
+          .with("servers", 2, 120, 10)
+          .with("sockets", 64, 65_536, 512)
+          .with("rate", 0.1, 1_000, 30)
+          .with("seconds", 1, 60, 3)
+          .with("burst", 0, 5_000, 300)
+          .with("burst_ms", 1, 10_000, 1_000)
+          .with("crowd", 0, 5_000, 0)
+          .with("held_up_ms", 0, 150, 0)
+          .with("held_up_times", 0, 100, 4)
+          .with("slow_ms", 0, 1_000, 0)
+          .with("accept_fails_ms", 0, 5_000, 0)
+          .with("closes_after_ms", 0, 2_000, 0);
 
-    /** Reads KEY=VALUE pairs; keys that are not given have their defaults. */
-    public static NewClientsOptions parse(List<String> pairs) throws InvalidOption {
-        Map<String, Double> values = OPTIONS.parse(pairs);
-        return new NewClientsOptions(values.get("routers").intValue(), values.get("servers").intValue(),
-            values.get("sockets").intValue(), values.get("rate"), values.get("seconds"), values.get("burst").intValue(),
-            values.get("burst_ms").intValue(), values.get("crowd").intValue(), values.get("held_up_ms").intValue(),
-            values.get("held_up_times").intValue(), values.get("slow_ms").intValue(), values.get("accept_fails_ms").intValue(),
-            values.get("closes_after_ms").intValue());
-    }
+  /** Reads KEY=VALUE pairs; keys that are not given have their defaults. */
+  public static NewClientsOptions parse(List<String> pairs) throws InvalidOption {
+    Map<String, Double> values = OPTIONS.parse(pairs);
+    return new NewClientsOptions(
+        values.get("routers").intValue(),
+        values.get("servers").intValue(),
+        values.get("sockets").intValue(),
+        values.get("rate"),
+        values.get("seconds"),
+        values.get("burst").intValue(),
+        values.get("burst_ms").intValue(),
+        values.get("crowd").intValue(),
+        values.get("held_up_ms").intValue(),
+        values.get("held_up_times").intValue(),
+        values.get("slow_ms").intValue(),
+        values.get("accept_fails_ms").intValue(),
+        values.get("closes_after_ms").intValue());
+  }
 
-    /** The same deployment as a day of the others' kind: groups of five servers, nothing drains. */
-    DayOptions day() {
-        return new DayOptions(servers, routers, Math.min(servers, 5), rate, seconds, sockets, 0, 0, 0, 0, 0.02, 0, 1 << 16, 0,
-            false, 100, 0);
-    }
+  /** The same deployment as a day of the others' kind: groups of five servers, nothing drains. */
+  DayOptions day() {
+    return new DayOptions(
+        servers,
+        routers,
+        Math.min(servers, 5),
+        rate,
+        seconds,
+        sockets,
+        0,
+        0,
+        0,
+        0,
+        0.02,
+        0,
+        1 << 16,
+        0,
+        false,
+        100,
+        0);
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/endtoend/RouterUnderTest.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/RouterUnderTest.java
@@ -12,186 +12,210 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One router as a process of its own, with the memory options of the deploy file, and what it uses. */
+/**
+ * One router as a process of its own, with the memory options of the deploy file, and what it uses.
+ */
 final class RouterUnderTest implements AutoCloseable {
-    private static final long READY_MILLIS = 60_000;
-    private static final String OVERDUE = "event=overdue ";
-    /** As the build of the deploy file leaves it beside the jar. */
-    private static final String CLASS_ARCHIVE = "basaltlever.jsa";
-    private static final List<String> OPTIONS = List.of("-Xmx48m", "-Xms48m", "-XX:+UseSerialGC",
-        "-XX:TieredStopAtLevel=1", "-XX:MaxDirectMemorySize=32m", "-Dio.netty.maxDirectMemory=33554432",
-        "-XX:MaxMetaspaceSize=28m", "-XX:ReservedCodeCacheSize=16m", "-Xss256k", "-XX:-UsePerfData", "-Xshare:auto",
-        "-Dio.netty.machineId=00:00:00:00:00:00:00:01", "-Dio.netty.processId=1");
-
-    private final List<String> command = new ArrayList<>();
-    private final InetSocketAddress address;
-    private final Path log;
-    private final Path startFilePath;
-    private FaultShim shim;
-    private Process process;
-    private int descriptorsMost;
-    private long memoryMostKb;
-    private double cpuSecondsOfFormer;
-    private long readyMillis;
-
-    RouterUnderTest(Path folder, int number, int port, Path jar, String startFile) throws IOException {
-        address = new InetSocketAddress("127.0.0.1", port);
-        log = folder.resolve("n" + number + ".log");
-        Path file = Files.writeString(folder.resolve("n" + number + ".json"), startFile);
-        command.add(System.getProperty("java.home") + "/bin/java");
-        command.addAll(OPTIONS);
-        if (jar != null && Files.exists(jar.resolveSibling(CLASS_ARCHIVE))) {
-            command.add("-XX:SharedArchiveFile=" + jar.resolveSibling(CLASS_ARCHIVE));
-        }
-        command.addAll(jar != null ? List.of("-jar", jar.toString())
+  private static final long READY_MILLIS = 60_000;
+  private static final String OVERDUE = "event=overdue ";
+
+  /** As the build of the deploy file leaves it beside the jar. */
+  private static final String CLASS_ARCHIVE = "basaltlever.jsa";
+
+  private static final List<String> OPTIONS =
+      List.of(
+          "-Xmx48m",
+          "-Xms48m",
+          "-XX:+UseSerialGC",
+          "-XX:TieredStopAtLevel=1",
+          "-XX:MaxDirectMemorySize=32m",
+          "-Dio.netty.maxDirectMemory=33554432",
+          "-XX:MaxMetaspaceSize=28m",
+          "-XX:ReservedCodeCacheSize=16m",
+          "-Xss256k",
+          "-XX:-UsePerfData",
+          "-Xshare:auto",
+          "-Dio.netty.machineId=00:00:00:00:00:00:00:01",
+          "-Dio.netty.processId=1");
+
+  private final List<String> command = new ArrayList<>();
+  private final InetSocketAddress address;
+  private final Path log;
+  private final Path startFilePath;
+  private FaultShim shim;
+  private Process process;
+  private int descriptorsMost;
+  private long memoryMostKb;
+  private double cpuSecondsOfFormer;
+  private long readyMillis;
+
+  RouterUnderTest(Path folder, int number, int port, Path jar, String startFile)
+      throws IOException {
+    address = new InetSocketAddress("127.0.0.1", port);
+    log = folder.resolve("n" + number + ".log");
+    Path file = Files.writeString(folder.resolve("n" + number + ".json"), startFile);
+    command.add(System.getProperty("java.home") + "/bin/java");
+    command.addAll(OPTIONS);
+    if (jar != null && Files.exists(jar.resolveSibling(CLASS_ARCHIVE))) {
+      command.add("-XX:SharedArchiveFile=" + jar.resolveSibling(CLASS_ARCHIVE));
+    }
+    command.addAll(
+        jar != null
+            ? List.of("-jar", jar.toString())
             : List.of("-cp", System.getProperty("java.class.path"), "basaltlever.cli.Main"));
-        command.addAll(List.of("serve", "--file", file.toString()));
-        startFilePath = file;
-    }
-
-    /** Runs under a shim from its next start on. */
-    void runUnder(FaultShim next) {
-        shim = next;
-    }
-
-    FaultShim shim() {
-        return shim;
-    }
-
-    /** Logs the life of each statement that takes longer, from its next start on. */
-    void follow(long millis) {
-        command.addAll(List.of("--follow", "" + millis));
-    }
-
-    /** Keeps what it learns in the folder from its next start on. */
-    void keepsIn(Path folder) throws IOException {
-        Path operator = Files.writeString(startFilePath.resolveSibling(startFilePath.getFileName() + ".ini"),
+    command.addAll(List.of("serve", "--file", file.toString()));
+    startFilePath = file;
+  }
+
+  /** Runs under a shim from its next start on. */
+  void runUnder(FaultShim next) {
+    shim = next;
+  }
+
+  FaultShim shim() {
+    return shim;
+  }
+
+  /** Logs the life of each statement that takes longer, from its next start on. */
+  void follow(long millis) {
+    command.addAll(List.of("--follow", "" + millis));
+  }
+
+  /** Keeps what it learns in the folder from its next start on. */
+  void keepsIn(Path folder) throws IOException {
+    Path operator =
+        Files.writeString(
+            startFilePath.resolveSibling(startFilePath.getFileName() + ".ini"),
             "[state]\nfolder = " + folder + "\nperiod_ms = 500\n");
-        command.addAll(List.of("--operator", operator.toString()));
-    }
-
-    /** In one piece, as an operator would replace it. */
-    void startFile(String text) throws IOException {
-        Path next = Files.writeString(startFilePath.resolveSibling(startFilePath.getFileName() + ".new"), text);
-        Files.move(next, startFilePath, StandardCopyOption.ATOMIC_MOVE);
-    }
-
-    void signal(String name) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + name, "" + process.pid()).start().waitFor();
-    }
-
-    boolean endsWithin(long millis) throws InterruptedException {
-        return process.waitFor(millis, TimeUnit.MILLISECONDS);
-    }
-
-    /** SIGKILL, if it still runs. */
-    void kill() throws InterruptedException {
-        process.destroyForcibly();
-        process.waitFor();
-    }
-
-    void start() throws IOException {
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
+    command.addAll(List.of("--operator", operator.toString()));
+  }
+
+  /** In one piece, as an operator would replace it. */
+  void startFile(String text) throws IOException {
+    Path next =
+        Files.writeString(startFilePath.resolveSibling(startFilePath.getFileName() + ".new"), text);
+    Files.move(next, startFilePath, StandardCopyOption.ATOMIC_MOVE);
+  }
+
+  void signal(String name) throws IOException, InterruptedException {
+    new ProcessBuilder("kill", "-" + name, "" + process.pid()).start().waitFor();
+  }
+
+  boolean endsWithin(long millis) throws InterruptedException {
+    return process.waitFor(millis, TimeUnit.MILLISECONDS);
+  }
+
+  /** SIGKILL, if it still runs. */
+  void kill() throws InterruptedException {
+    process.destroyForcibly();
+    process.waitFor();
+  }
+
+  void start() throws IOException {
+    ProcessBuilder builder =
+        new ProcessBuilder(command)
+            .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
-        if (shim != null) {
-            builder.environment().putAll(shim.environment());
-        }
-        Process started = builder.start();
-        process = started;
-        // A laboratory that is ended in the middle of a day leaves no routers behind.
-        Runtime.getRuntime().addShutdownHook(new Thread(started::destroyForcibly));
-    }
-
-    InetSocketAddress address() {
-        return address;
-    }
-
-    void awaitReady(long sinceNanos) throws IOException, InterruptedException {
-        while (process.isAlive() && System.nanoTime() < sinceNanos + READY_MILLIS * 1_000_000) {
-            try (Socket socket = new Socket()) {
-                socket.connect(address, 500);
-                readyMillis = (System.nanoTime() - sinceNanos) / 1_000_000;
-                return;
-            } catch (IOException notYet) {
-                Thread.sleep(10);
-            }
-        }
-        throw new IOException("a router did not begin to serve:\n" + Files.readString(log));
-    }
-
-    long readyMillis() {
-        return readyMillis;
-    }
-
-    /** Reads what the process uses by now. */
-    void sample() {
-        String[] descriptors = new File("/proc/" + process.pid() + "/fd").list();
-        if (descriptors != null) {
-            descriptorsMost = Math.max(descriptorsMost, descriptors.length);
-        }
-        try {
-            for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
-                if (line.startsWith("VmHWM:")) {
-                    memoryMostKb = Math.max(memoryMostKb, Long.parseLong(line.replaceAll("[^0-9]", "")));
-                }
-            }
-        } catch (IOException ended) {
-            // What was read before stands.
-        }
-    }
-
-    int descriptorsMost() {
-        return descriptorsMost;
-    }
-
-    double memoryMegabytes() {
-        return memoryMostKb / 1_024.0;
-    }
-
-    double cpuSeconds() {
-        return cpuSecondsOfFormer + process.info().totalCpuDuration().map(used -> used.toNanos() / 1e9).orElse(0.0);
-    }
-
-    boolean isAlive() {
-        return process.isAlive();
-    }
-
-    /** Statements that its decisions had forgotten, by its log. */
-    int overdue() {
-        return log().split(OVERDUE, -1).length - 1;
-    }
-
-    /** All that its processes have logged so far. */
-    String log() {
-        try {
-            return Files.exists(log) ? Files.readString(log) : "";
-        } catch (IOException unreadable) {
-            throw new UncheckedIOException(unreadable);
+    if (shim != null) {
+      builder.environment().putAll(shim.environment());
+    }
+    Process started = builder.start();
+    process = started;
+    // A laboratory that is ended in the middle of a day leaves no routers behind.
+    Runtime.getRuntime().addShutdownHook(new Thread(started::destroyForcibly));
+  }
+
+  InetSocketAddress address() {
+    return address;
+  }
+
+  void awaitReady(long sinceNanos) throws IOException, InterruptedException {
+    while (process.isAlive() && System.nanoTime() < sinceNanos + READY_MILLIS * 1_000_000) {
+      try (Socket socket = new Socket()) {
+        socket.connect(address, 500);
+        readyMillis = (System.nanoTime() - sinceNanos) / 1_000_000;
+        return;
+      } catch (IOException notYet) {
+        Thread.sleep(10);
+      }
+    }
+    throw new IOException("a router did not begin to serve:\n" + Files.readString(log));
+  }
+
+  long readyMillis() {
+    return readyMillis;
+  }
+
+  /** Reads what the process uses by now. */
+  void sample() {
+    String[] descriptors = new File("/proc/" + process.pid() + "/fd").list();
+    if (descriptors != null) {
+      descriptorsMost = Math.max(descriptorsMost, descriptors.length);
+    }
+    try {
+      for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
+        if (line.startsWith("VmHWM:")) {
+          memoryMostKb = Math.max(memoryMostKb, Long.parseLong(line.replaceAll("[^0-9]", "")));
         }
-    }
-
-    /** SIGTERM, its end, and a new process in its place. */
-    void restart() throws IOException, InterruptedException {
-        double used = cpuSeconds();
-        end();
-        cpuSecondsOfFormer = used;
-        start();
-    }
-
-    private void end() throws InterruptedException {
-        process.destroy();
-        if (!process.waitFor(8, TimeUnit.SECONDS)) {
-            process.destroyForcibly();
-        }
-    }
-
-    @Override
-    public void close() {
-        try {
-            end();
-        } catch (InterruptedException e) {
-            process.destroyForcibly();
-            Thread.currentThread().interrupt();
-        }
-    }
+      }
+    } catch (IOException ended) {
+      // What was read before stands.
+    }
+  }
+
+  int descriptorsMost() {
+    return descriptorsMost;
+  }
+
+  double memoryMegabytes() {
+    return memoryMostKb / 1_024.0;
+  }
+
+  double cpuSeconds() {
+    return cpuSecondsOfFormer
+        + process.info().totalCpuDuration().map(used -> used.toNanos() / 1e9).orElse(0.0);
+  }
+
+  boolean isAlive() {
+    return process.isAlive();
+  }
+
+  /** Statements that its decisions had forgotten, by its log. */
+  int overdue() {
+    return log().split(OVERDUE, -1).length - 1;
+  }
+
+  /** All that its processes have logged so far. */
+  String log() {
+    try {
+      return Files.exists(log) ? Files.readString(log) : "";
+    } catch (IOException unreadable) {
+      throw new UncheckedIOException(unreadable);
+    }
+  }
+
+  /** SIGTERM, its end, and a new process in its place. */
+  void restart() throws IOException, InterruptedException {
+    double used = cpuSeconds();
+    end();
+    cpuSecondsOfFormer = used;
+    start();
+  }
+
+  private void end() throws InterruptedException {
+    process.destroy();
+    if (!process.waitFor(8, TimeUnit.SECONDS)) {
+      process.destroyForcibly();
+    }
+  }
+
+  @Override
+  public void close() {
+    try {
+      end();
+    } catch (InterruptedException e) {
+      process.destroyForcibly();
+      Thread.currentThread().interrupt();
+    }
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/fleet/FleetScale.java
+++ b/lab/src/main/java/basaltlever/lab/fleet/FleetScale.java
@@ -30,327 +30,379 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A large fleet's talk in virtual time: the routers' and the leader's own decisions, with messages that take a
- * while and get lost, clocks that drift, routers that stop and start anew. The engine is stood in for by one
- * register that answers after a fixed while. What the leader's decisions cost is measured as they run.
+ * A large fleet's talk in virtual time: the routers' and the leader's own decisions, with messages
+ * that take a while and get lost, clocks that drift, routers that stop and start anew. The engine
+ * is stood in for by one register that answers after a fixed while. What the leader's decisions
+ * cost is measured as they run.
  */
-@Parameters(commandDescription = "Plays the talk of large fleets in virtual time: times, messages, the leader's load")
+@Parameters(
+    commandDescription =
+        "Plays the talk of large fleets in virtual time: times, messages, the leader's load")
 public final class FleetScale {
-    private static final Span LEASE = Span.ofMillis(400);
-    private static final Span STATED = Span.ofMillis(1_000);
-    private static final Span ASSIGNED = Span.ofMillis(30_000);
-    private static final double DRIFT = 0.02;
-    private static final int GROUPS = 20;
-    private static final long LOG_MICROS = 3_000;
-    private static final double LOST = 0.01;
+  private static final Span LEASE = Span.ofMillis(400);
+  private static final Span STATED = Span.ofMillis(1_000);
+  private static final Span ASSIGNED = Span.ofMillis(30_000);
+  private static final double DRIFT = 0.02;
+  private static final int GROUPS = 20;
+  private static final long LOG_MICROS = 3_000;
+  private static final double LOST = 0.01;
 
-    @Parameter(names = "--routers", description = "sizes of fleets, with commas")
-    private List<Integer> sizes = List.of(50, 100, 200, 500);
-    @Parameter(names = "--members", description = "of the list")
-    private int memberCount = 200;
-    @Parameter(names = "--seconds", description = "of virtual time for each fleet")
-    private int seconds = 30;
-    @Parameter(names = "--seeds", description = "how many runs of each size")
-    private int seeds = 1;
+  @Parameter(names = "--routers", description = "sizes of fleets, with commas")
+  private List<Integer> sizes = List.of(50, 100, 200, 500);
 
-    private record Due(long at, long order, Runnable what) { }
+  @Parameter(names = "--members", description = "of the list")
+  private int memberCount = 200;
 
-    /** What is waited for until every router has it. */
-    private record Awaited(long since, Histogram into, BooleanSupplier holds) { }
+  @Parameter(names = "--seconds", description = "of virtual time for each fleet")
+  private int seconds = 30;
 
-    private final class Instance {
-        final Follower follower = new Follower();
-        final Roll roll = new Roll(STATED, ASSIGNED);
-        final double speed = 1 + DRIFT / 2 * (2 * chance.nextDouble() - 1);
-        final long offset = chance.nextInt(1_000_000);
-        final String name;
-        long stoppedUntil;
+  @Parameter(names = "--seeds", description = "how many runs of each size")
+  private int seeds = 1;
 
-        Instance(String name) {
-            this.name = name;
-        }
+  private record Due(long at, long order, Runnable what) {}
 
-        Moment clock() {
-            return new Moment(offset + (long) (now * speed));
-        }
-    }
+  /** What is waited for until every router has it. */
+  private record Awaited(long since, Histogram into, BooleanSupplier holds) {}
 
-    private SplittableRandom chance;
-    private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::at)
-        .thenComparingLong(Due::order));
-    private final List<Instance> routers = new ArrayList<>();
-    private final List<Awaited> awaited = new ArrayList<>();
-    private Register register;
-    private Leases leases;
-    private Census census;
-    private TreeMap<String, Said> list;
-    private final Histogram inForce = new Histogram(600_000_000L, 3);
-    private final Histogram everywhere = new Histogram(600_000_000L, 3);
-    private final Histogram drained = new Histogram(600_000_000L, 3);
-    private final Histogram moved = new Histogram(600_000_000L, 3);
-    private long generation;
-    private long now;
-    private long orders;
-    private long beats;
-    private long leaderNanos;
-    private int contradictions;
-    private boolean stepping;
+  private final class Instance {
+    final Follower follower = new Follower();
+    final Roll roll = new Roll(STATED, ASSIGNED);
+    final double speed = 1 + DRIFT / 2 * (2 * chance.nextDouble() - 1);
+    final long offset = chance.nextInt(1_000_000);
+    final String name;
+    long stoppedUntil;
 
-    /** The figures of each size; contradictions count pairs that acted on versions neither of which keeps. */
-    public List<Map<String, Object>> play() {
-        List<Map<String, Object>> all = new ArrayList<>();
-        for (int size : sizes) {
-            inForce.reset();
-            everywhere.reset();
-            drained.reset();
-            moved.reset();
-            beats = 0;
-            leaderNanos = 0;
-            contradictions = 0;
-            for (int seed = 1; seed <= seeds; seed++) {
-                play(size, seed);
-            }
-            Map<String, Object> told = new LinkedHashMap<>();
-            double virtual = (double) seconds * seeds;
-            told.put("routers", size);
-            told.put("members", memberCount);
-            told.put("contradictions", contradictions);
-            tell(told, "in_force_ms", inForce);
-            tell(told, "known_everywhere_ms", everywhere);
-            tell(told, "drain_known_ms", drained);
-            tell(told, "moved_ms", moved);
-            told.put("beats_a_router_s", beats / virtual / size);
-            told.put("messages_at_leader_s", 2 * beats / virtual);
-            told.put("leader_us_a_beat", leaderNanos / 1e3 / Math.max(1, beats));
-            told.put("leader_share_of_a_core", leaderNanos / 1e9 / virtual);
-            all.add(told);
-        }
-        return all;
+    Instance(String name) {
+      this.name = name;
     }
 
-    private static void tell(Map<String, Object> told, String name, Histogram times) {
-        told.put(name + "_p50", times.getValueAtPercentile(50) / 1e3);
-        told.put(name + "_most", times.getMaxValue() / 1e3);
-        told.put(name + "_count", times.getTotalCount());
+    Moment clock() {
+      return new Moment(offset + (long) (now * speed));
     }
+  }
 
-    private void play(int size, long seed) {
-        chance = new SplittableRandom(seed);
-        due.clear();
-        routers.clear();
-        awaited.clear();
-        now = 0;
-        stepping = false;
-        generation = 1;
-        register = new Register();
-        leases = new Leases(LEASE, DRIFT);
-        List<String> names = new ArrayList<>();
-        for (int i = 0; i < size; i++) {
-            names.add("n" + i);
-            routers.add(new Instance("n" + i));
-        }
-        census = new Census(leases, names, ASSIGNED);
-        list = new TreeMap<>();
-        for (int i = 0; i < memberCount; i++) {
-            list.put("db-" + i, new Said(Listing.READY, 1 + i % GROUPS));
-        }
-        leases.elected(new Moment(0));
-        census.elected(new Moment(0), seed);
-        for (Instance router : routers) {
-            tell(router, generation, list);
-            after(chance.nextInt(100_000), () -> beat(router));
-        }
-        after(1_000, this::pulse);
-        after(3_000_000, this::propose);
-        after(3_500_000, this::drain);
-        after(4_000_000, this::move);
-        after(2_000_000, this::trouble);
-        long ends = seconds * 1_000_000L;
-        while (!due.isEmpty() && due.peek().at <= ends) {
-            Due next = due.poll();
-            now = next.at;
-            next.what.run();
-        }
+  private SplittableRandom chance;
+  private final PriorityQueue<Due> due =
+      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+  private final List<Instance> routers = new ArrayList<>();
+  private final List<Awaited> awaited = new ArrayList<>();
+  private Register register;
+  private Leases leases;
+  private Census census;
+  private TreeMap<String, Said> list;
+  private final Histogram inForce = new Histogram(600_000_000L, 3);
+  private final Histogram everywhere = new Histogram(600_000_000L, 3);
+  private final Histogram drained = new Histogram(600_000_000L, 3);
+  private final Histogram moved = new Histogram(600_000_000L, 3);
+  private long generation;
+  private long now;
+  private long orders;
+  private long beats;
+  private long leaderNanos;
+  private int contradictions;
+  private boolean stepping;
+
+  /**
+   * The figures of each size; contradictions count pairs that acted on versions neither of which
+   * keeps.
+   */
+  public List<Map<String, Object>> play() {
+    List<Map<String, Object>> all = new ArrayList<>();
+    for (int size : sizes) {
+      inForce.reset();
+      everywhere.reset();
+      drained.reset();
+      moved.reset();
+      beats = 0;
+      leaderNanos = 0;
+      contradictions = 0;
+      for (int seed = 1; seed <= seeds; seed++) {
+        play(size, seed);
+      }
+      Map<String, Object> told = new LinkedHashMap<>();
+      double virtual = (double) seconds * seeds;
+      told.put("routers", size);
+      told.put("members", memberCount);
+      told.put("contradictions", contradictions);
+      tell(told, "in_force_ms", inForce);
+      tell(told, "known_everywhere_ms", everywhere);
+      tell(told, "drain_known_ms", drained);
+      tell(told, "moved_ms", moved);
+      told.put("beats_a_router_s", beats / virtual / size);
+      told.put("messages_at_leader_s", 2 * beats / virtual);
+      told.put("leader_us_a_beat", leaderNanos / 1e3 / Math.max(1, beats));
+      told.put("leader_share_of_a_core", leaderNanos / 1e9 / virtual);
+      all.add(told);
     }
+    return all;
+  }
 
-    private void after(long micros, Runnable what) {
-        due.add(new Due(now + micros, orders++, what));
+  private static void tell(Map<String, Object> told, String name, Histogram times) {
+    told.put(name + "_p50", times.getValueAtPercentile(50) / 1e3);
+    told.put(name + "_most", times.getMaxValue() / 1e3);
+    told.put(name + "_count", times.getTotalCount());
+  }
+
+  private void play(int size, long seed) {
+    chance = new SplittableRandom(seed);
+    due.clear();
+    routers.clear();
+    awaited.clear();
+    now = 0;
+    stepping = false;
+    generation = 1;
+    register = new Register();
+    leases = new Leases(LEASE, DRIFT);
+    List<String> names = new ArrayList<>();
+    for (int i = 0; i < size; i++) {
+      names.add("n" + i);
+      routers.add(new Instance("n" + i));
+    }
+    census = new Census(leases, names, ASSIGNED);
+    list = new TreeMap<>();
+    for (int i = 0; i < memberCount; i++) {
+      list.put("db-" + i, new Said(Listing.READY, 1 + i % GROUPS));
+    }
+    leases.elected(new Moment(0));
+    census.elected(new Moment(0), seed);
+    for (Instance router : routers) {
+      tell(router, generation, list);
+      after(chance.nextInt(100_000), () -> beat(router));
+    }
+    after(1_000, this::pulse);
+    after(3_000_000, this::propose);
+    after(3_500_000, this::drain);
+    after(4_000_000, this::move);
+    after(2_000_000, this::trouble);
+    long ends = seconds * 1_000_000L;
+    while (!due.isEmpty() && due.peek().at <= ends) {
+      Due next = due.poll();
+      now = next.at;
+      next.what.run();
     }
+  }
 
-    private void sends(Runnable what) {
-        if (chance.nextDouble() >= LOST) {
-            after(200 + chance.nextInt(2_000), what);
-        }
+  private void after(long micros, Runnable what) {
+    due.add(new Due(now + micros, orders++, what));
+  }
+
+  private void sends(Runnable what) {
+    if (chance.nextDouble() >= LOST) {
+      after(200 + chance.nextInt(2_000), what);
     }
+  }
 
-    private void beat(Instance router) {
-        after(80_000 + chance.nextInt(40_000), () -> beat(router));
-        if (now < router.stoppedUntil) {
-            return;
-        }
-        Follower follower = router.follower;
-        follower.hasJustEnded(router.clock());
-        long number = follower.beat(router.clock());
-        long force = follower.inForce() == null ? 0 : follower.inForce().number();
-        long keeps = follower.keepsTo();
-        boolean holds = !follower.isCareful();
-        Report report = router.roll.report(router.clock(), member -> true);
-        sends(() -> {
-            beats++;
-            long started = System.nanoTime();
-            Grant grant = leases.beat(new Moment(now), router.name, 1, number, force, keeps, 0, "", holds,
-                register);
-            Sight sight = census.beat(new Moment(now), router.name, report, register);
-            leaderNanos += System.nanoTime() - started;
-            sends(() -> {
+  private void beat(Instance router) {
+    after(80_000 + chance.nextInt(40_000), () -> beat(router));
+    if (now < router.stoppedUntil) {
+      return;
+    }
+    Follower follower = router.follower;
+    follower.hasJustEnded(router.clock());
+    long number = follower.beat(router.clock());
+    long force = follower.inForce() == null ? 0 : follower.inForce().number();
+    long keeps = follower.keepsTo();
+    boolean holds = !follower.isCareful();
+    Report report = router.roll.report(router.clock(), member -> true);
+    sends(
+        () -> {
+          beats++;
+          long started = System.nanoTime();
+          Grant grant =
+              leases.beat(
+                  new Moment(now), router.name, 1, number, force, keeps, 0, "", holds, register);
+          Sight sight = census.beat(new Moment(now), router.name, report, register);
+          leaderNanos += System.nanoTime() - started;
+          sends(
+              () -> {
                 if (now >= router.stoppedUntil) {
-                    router.roll.heard(router.clock(), sight);
-                    follower.granted(router.clock(), grant);
-                    if (grant.lasts().micros() > 0) {
-                        router.roll.leased(follower.leaseEnds());
-                    }
+                  router.roll.heard(router.clock(), sight);
+                  follower.granted(router.clock(), grant);
+                  if (grant.lasts().micros() > 0) {
+                    router.roll.leased(follower.leaseEnds());
+                  }
                 }
-            });
+              });
         });
-    }
+  }
 
-    /** The leader's own: what a majority has confirmed, and the step that follows. */
-    private void pulse() {
-        after(LEASE.micros() / 4, this::pulse);
-        Moment sent = new Moment(now);
-        after(LOG_MICROS, () -> {
-            leases.confirmed(sent);
-            if (stepping) {
-                return;
-            }
-            long started = System.nanoTime();
-            Leases.Step step = leases.next(new Moment(now), register);
-            Census.Step lists = census.next(new Moment(now), register);
-            leaderNanos += System.nanoTime() - started;
-            stepping = true;
-            after(LOG_MICROS, () -> {
+  /** The leader's own: what a majority has confirmed, and the step that follows. */
+  private void pulse() {
+    after(LEASE.micros() / 4, this::pulse);
+    Moment sent = new Moment(now);
+    after(
+        LOG_MICROS,
+        () -> {
+          leases.confirmed(sent);
+          if (stepping) {
+            return;
+          }
+          long started = System.nanoTime();
+          Leases.Step step = leases.next(new Moment(now), register);
+          Census.Step lists = census.next(new Moment(now), register);
+          leaderNanos += System.nanoTime() - started;
+          stepping = true;
+          after(
+              LOG_MICROS,
+              () -> {
                 stepping = false;
                 carryOut(step, lists);
-            });
+              });
         });
-        check();
-    }
+    check();
+  }
 
-    private void carryOut(Leases.Step step, Census.Step lists) {
-        switch (step.kind()) {
-            case BRING_INTO_FORCE -> register.bringIntoForce(step.number());
-            case WITHDRAW -> register.withdraw(step.number(), step.reason());
-            case COUNT_ROUTERS -> register.propose(step.number(), register.inForce().text(), step.routers(),
-                "fleet", "", 0);
-            default -> {
-                switch (lists.kind()) {
-                    case SEAT -> lists.seats().forEach(seat -> register.seat(seat.member(), seat.group(),
-                        seat.at()));
-                    case CLEAR -> lists.seats().forEach(seat -> register.clear(seat.member()));
-                    case COUNT_ANEW -> register.countAnew(register.era());
-                    default -> { }
-                }
-            }
+  private void carryOut(Leases.Step step, Census.Step lists) {
+    switch (step.kind()) {
+      case BRING_INTO_FORCE -> register.bringIntoForce(step.number());
+      case WITHDRAW -> register.withdraw(step.number(), step.reason());
+      case COUNT_ROUTERS ->
+          register.propose(
+              step.number(), register.inForce().text(), step.routers(), "fleet", "", 0);
+      default -> {
+        switch (lists.kind()) {
+          case SEAT ->
+              lists.seats().forEach(seat -> register.seat(seat.member(), seat.group(), seat.at()));
+          case CLEAR -> lists.seats().forEach(seat -> register.clear(seat.member()));
+          case COUNT_ANEW -> register.countAnew(register.era());
+          default -> {}
         }
+      }
     }
+  }
 
-    private void await(Histogram into, BooleanSupplier holds) {
-        awaited.add(new Awaited(now, into, holds));
-    }
+  private void await(Histogram into, BooleanSupplier holds) {
+    awaited.add(new Awaited(now, into, holds));
+  }
 
-    private boolean isActing(Instance router) {
-        return now >= router.stoppedUntil && !router.follower.isCareful();
-    }
+  private boolean isActing(Instance router) {
+    return now >= router.stoppedUntil && !router.follower.isCareful();
+  }
 
-    private void check() {
-        awaited.removeIf(one -> {
-            boolean holds = one.holds.getAsBoolean();
-            if (holds) {
-                one.into.recordValue(Math.max(1, now - one.since));
-            }
-            return holds;
+  private void check() {
+    awaited.removeIf(
+        one -> {
+          boolean holds = one.holds.getAsBoolean();
+          if (holds) {
+            one.into.recordValue(Math.max(1, now - one.since));
+          }
+          return holds;
         });
-        Set<List<Long>> acted = new HashSet<>();
-        for (Instance router : routers) {
-            router.follower.hasJustEnded(router.clock());
-            if (isActing(router)) {
-                Version prepared = router.follower.prepared();
-                acted.add(List.of(router.follower.inForce().number(), prepared == null ? -1 : prepared.number()));
-            }
-        }
-        for (List<Long> one : acted) {
-            for (List<Long> other : acted) {
-                boolean kept = one.get(0).equals(other.get(0)) || one.get(1).equals(other.get(0))
-                    || other.get(1).equals(one.get(0));
-                contradictions += kept ? 0 : 1;
-            }
-        }
+    Set<List<Long>> acted = new HashSet<>();
+    for (Instance router : routers) {
+      router.follower.hasJustEnded(router.clock());
+      if (isActing(router)) {
+        Version prepared = router.follower.prepared();
+        acted.add(
+            List.of(router.follower.inForce().number(), prepared == null ? -1 : prepared.number()));
+      }
     }
-
-    private void propose() {
-        after(2_000_000, this::propose);
-        if (register.propose(register.inForce().number(), "v" + orders, register.inForce().routers(), "operator", "",
-            0).isEmpty()) {
-            long number = register.last();
-            await(inForce, () -> register.inForce().number() >= number);
-            await(everywhere, () -> routers.stream().allMatch(router -> !isActing(router)
-                || router.follower.inForce().number() >= number));
-        }
+    for (List<Long> one : acted) {
+      for (List<Long> other : acted) {
+        boolean kept =
+            one.get(0).equals(other.get(0))
+                || one.get(1).equals(other.get(0))
+                || other.get(1).equals(one.get(0));
+        contradictions += kept ? 0 : 1;
+      }
     }
+  }
 
-    private void tell(Instance router, long of, TreeMap<String, Said> told) {
-        router.roll.told(router.clock(), true, of, told);
+  private void propose() {
+    after(2_000_000, this::propose);
+    if (register
+        .propose(
+            register.inForce().number(),
+            "v" + orders,
+            register.inForce().routers(),
+            "operator",
+            "",
+            0)
+        .isEmpty()) {
+      long number = register.last();
+      await(inForce, () -> register.inForce().number() >= number);
+      await(
+          everywhere,
+          () ->
+              routers.stream()
+                  .allMatch(
+                      router -> !isActing(router) || router.follower.inForce().number() >= number));
     }
+  }
 
-    private void change(String member, Said said) {
-        list = new TreeMap<>(list);
-        list.put(member, said);
-        generation++;
-    }
+  private void tell(Instance router, long of, TreeMap<String, Said> told) {
+    router.roll.told(router.clock(), true, of, told);
+  }
 
-    private String ready() {
-        List<String> ready = list.entrySet().stream().filter(entry -> entry.getValue().listing() == Listing.READY)
-            .map(Map.Entry::getKey).toList();
-        return ready.get(chance.nextInt(ready.size()));
-    }
+  private void change(String member, Said said) {
+    list = new TreeMap<>(list);
+    list.put(member, said);
+    generation++;
+  }
 
-    /** One router hears of a drain at once, the others seconds later. */
-    private void drain() {
-        after(3_000_000, this::drain);
-        String member = ready();
-        change(member, new Said(Listing.DRAINING, list.get(member).group()));
-        long of = generation;
-        TreeMap<String, Said> told = list;
-        boolean first = true;
-        for (Instance router : routers) {
-            if (first && isActing(router)) {
-                first = false;
-                tell(router, of, told);
-            } else {
-                after(1_500_000, () -> tell(router, of, told));
-            }
-        }
-        await(drained, () -> routers.stream().noneMatch(router -> isActing(router)
-            && router.roll.use(router.clock(), member).listing() == Listing.READY));
+  private String ready() {
+    List<String> ready =
+        list.entrySet().stream()
+            .filter(entry -> entry.getValue().listing() == Listing.READY)
+            .map(Map.Entry::getKey)
+            .toList();
+    return ready.get(chance.nextInt(ready.size()));
+  }
+
+  /** One router hears of a drain at once, the others seconds later. */
+  private void drain() {
+    after(3_000_000, this::drain);
+    String member = ready();
+    change(member, new Said(Listing.DRAINING, list.get(member).group()));
+    long of = generation;
+    TreeMap<String, Said> told = list;
+    boolean first = true;
+    for (Instance router : routers) {
+      if (first && isActing(router)) {
+        first = false;
+        tell(router, of, told);
+      } else {
+        after(1_500_000, () -> tell(router, of, told));
+      }
     }
+    await(
+        drained,
+        () ->
+            routers.stream()
+                .noneMatch(
+                    router ->
+                        isActing(router)
+                            && router.roll.use(router.clock(), member).listing() == Listing.READY));
+  }
 
-    private void move() {
-        after(6_000_000, this::move);
-        String member = ready();
-        int group = 1 + list.get(member).group() % GROUPS;
-        change(member, new Said(Listing.READY, group));
-        long of = generation;
-        TreeMap<String, Said> told = list;
-        routers.forEach(router -> after(chance.nextInt(50_000), () -> tell(router, of, told)));
-        await(moved, () -> {
-            Seat seat = register.seat(member);
-            return seat.cleared() && seat.group() == group && routers.stream().allMatch(router -> !isActing(router)
-                || router.roll.use(router.clock(), member).equals(new Roll.Use(Listing.READY, group)));
+  private void move() {
+    after(6_000_000, this::move);
+    String member = ready();
+    int group = 1 + list.get(member).group() % GROUPS;
+    change(member, new Said(Listing.READY, group));
+    long of = generation;
+    TreeMap<String, Said> told = list;
+    routers.forEach(router -> after(chance.nextInt(50_000), () -> tell(router, of, told)));
+    await(
+        moved,
+        () -> {
+          Seat seat = register.seat(member);
+          return seat.cleared()
+              && seat.group() == group
+              && routers.stream()
+                  .allMatch(
+                      router ->
+                          !isActing(router)
+                              || router
+                                  .roll
+                                  .use(router.clock(), member)
+                                  .equals(new Roll.Use(Listing.READY, group)));
         });
-    }
+  }
 
-    private void trouble() {
-        after(1_000_000, this::trouble);
-        routers.get(chance.nextInt(routers.size())).stoppedUntil = now + 200_000 + chance.nextInt(600_000);
-    }
+  private void trouble() {
+    after(1_000_000, this::trouble);
+    routers.get(chance.nextInt(routers.size())).stoppedUntil =
+        now + 200_000 + chance.nextInt(600_000);
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/report/Report.java
+++ b/lab/src/main/java/basaltlever/lab/report/Report.java
@@ -28,114 +28,128 @@
  * executions.
  */
 public final class Report {
-    private static final int WIDTH = 1_000;
-    private static final int HEIGHT = 340;
+  private static final int WIDTH = 1_000;
+  private static final int HEIGHT = 340;
 
-    private Report() {
-    }
+  private Report() {}
 
-    public static Path write(Path folder, String title, Map<String, Object> figures, World world)
-            throws IOException {
-        Files.createDirectories(folder);
-        Map<String, Object> page = new HashMap<>();
-        page.put("title", title);
-        page.put("seed", figures.get("seed"));
-        List<?> broken = (List<?>) figures.get("broken");
-        page.put("held", broken.isEmpty());
-        page.put("broken", broken);
-        page.put("told", figures.get("told"));
-        List<Map<String, Object>> rows = new ArrayList<>();
-        figures.forEach((name, value) -> {
-            if (value instanceof Number number) {
-                rows.add(Map.of("name", name, "value", number instanceof Double
-                    ? String.format(java.util.Locale.ROOT, "%.2f", number.doubleValue())
-                    : number.toString()));
-            }
+  public static Path write(Path folder, String title, Map<String, Object> figures, World world)
+      throws IOException {
+    Files.createDirectories(folder);
+    Map<String, Object> page = new HashMap<>();
+    page.put("title", title);
+    page.put("seed", figures.get("seed"));
+    List<?> broken = (List<?>) figures.get("broken");
+    page.put("held", broken.isEmpty());
+    page.put("broken", broken);
+    page.put("told", figures.get("told"));
+    List<Map<String, Object>> rows = new ArrayList<>();
+    figures.forEach(
+        (name, value) -> {
+          if (value instanceof Number number) {
+            rows.add(
+                Map.of(
+                    "name",
+                    name,
+                    "value",
+                    number instanceof Double
+                        ? String.format(java.util.Locale.ROOT, "%.2f", number.doubleValue())
+                        : number.toString()));
+          }
         });
-        page.put("figures", rows);
-        List<Map<String, Object>> marks = new ArrayList<>();
-        world.series().marks().forEach((at, what) -> marks.add(Map.of("at",
-            String.format(java.util.Locale.ROOT, "%.2f", at), "what", what)));
-        page.put("marks", marks);
-        page.put("charts", List.of(svg(overTime(world.series())), svg(times(world.ledger.times())),
+    page.put("figures", rows);
+    List<Map<String, Object>> marks = new ArrayList<>();
+    world
+        .series()
+        .marks()
+        .forEach(
+            (at, what) ->
+                marks.add(
+                    Map.of("at", String.format(java.util.Locale.ROOT, "%.2f", at), "what", what)));
+    page.put("marks", marks);
+    page.put(
+        "charts",
+        List.of(
+            svg(overTime(world.series())),
+            svg(times(world.ledger.times())),
             svg(executions(world.series().executions()))));
-        Path file = folder.resolve("report.html");
-        try (Writer out = Files.newBufferedWriter(file)) {
-            new DefaultMustacheFactory("report").compile("report.mustache").execute(out, page);
-        }
-        return file;
+    Path file = folder.resolve("report.html");
+    try (Writer out = Files.newBufferedWriter(file)) {
+      new DefaultMustacheFactory("report").compile("report.mustache").execute(out, page);
     }
+    return file;
+  }
 
-    private static XYChart overTime(Series series) {
-        XYChart chart = new XYChart(WIDTH, HEIGHT);
-        chart.setTitle("Answers a second and open statements over time; lines mark faults");
-        chart.setXAxisTitle("seconds");
-        List<int[]> steps = series.steps();
-        double[] at = new double[steps.size()];
-        double[][] values = new double[4][steps.size()];
-        double top = 1;
-        for (int i = 0; i < steps.size(); i++) {
-            at[i] = i * Series.stepSeconds();
-            for (int k = 0; k < 4; k++) {
-                values[k][i] = steps.get(i)[k] / (k < 3 ? Series.stepSeconds() : 1);
-                top = Math.max(top, values[k][i]);
-            }
-        }
-        String[] names = {"completed", "rejected", "aborted or unanswered", "open"};
-        for (int k = 0; k < 4; k++) {
-            chart.addSeries(names[k], at, values[k]).setMarker(SeriesMarkers.NONE);
-        }
-        int number = 0;
-        for (double mark : series.marks().keySet()) {
-            if (number++ < 200) {
-                var line = chart.addSeries("m" + number, new double[] {mark, mark}, new double[] {0, top});
-                line.setMarker(SeriesMarkers.NONE).setShowInLegend(false);
-                line.setLineColor(new java.awt.Color(0xcc, 0x44, 0x44, 70)).setLineWidth(1);
-            }
-        }
-        chart.getStyler().setDefaultSeriesRenderStyle(XYSeriesRenderStyle.Line);
-        return chart;
+  private static XYChart overTime(Series series) {
+    XYChart chart = new XYChart(WIDTH, HEIGHT);
+    chart.setTitle("Answers a second and open statements over time; lines mark faults");
+    chart.setXAxisTitle("seconds");
+    List<int[]> steps = series.steps();
+    double[] at = new double[steps.size()];
+    double[][] values = new double[4][steps.size()];
+    double top = 1;
+    for (int i = 0; i < steps.size(); i++) {
+      at[i] = i * Series.stepSeconds();
+      for (int k = 0; k < 4; k++) {
+        values[k][i] = steps.get(i)[k] / (k < 3 ? Series.stepSeconds() : 1);
+        top = Math.max(top, values[k][i]);
+      }
     }
-
-    private static XYChart times(Histogram histogram) {
-        XYChart chart = new XYChart(WIDTH, HEIGHT);
-        chart.setTitle("Response time by percentile, from when a statement should have been sent");
-        chart.setXAxisTitle("1 / (1 - percentile): 10 is p90, 1000 is p99.9");
-        chart.setYAxisTitle("ms");
-        List<Double> at = new ArrayList<>();
-        List<Double> millis = new ArrayList<>();
-        for (HistogramIterationValue value : histogram.percentiles(5)) {
-            if (value.getPercentileLevelIteratedTo() < 99.999) {
-                at.add(1 / (1 - value.getPercentileLevelIteratedTo() / 100));
-                millis.add(Math.max(0.01, value.getValueIteratedTo() / 1e3));
-            }
-        }
-        if (at.isEmpty()) {
-            at.add(1.0);
-            millis.add(0.01);
-        }
-        chart.addSeries("all completed", at, millis).setMarker(SeriesMarkers.NONE);
-        chart.getStyler().setXAxisLogarithmic(true);
-        chart.getStyler().setYAxisLogarithmic(true);
-        return chart;
+    String[] names = {"completed", "rejected", "aborted or unanswered", "open"};
+    for (int k = 0; k < 4; k++) {
+      chart.addSeries(names[k], at, values[k]).setMarker(SeriesMarkers.NONE);
     }
-
-    private static CategoryChart executions(Map<String, Integer> counts) {
-        CategoryChart chart = new CategoryChart(WIDTH, HEIGHT);
-        chart.setTitle("Executions that reached each node");
-        List<String> names = counts.isEmpty() ? List.of("none") : List.copyOf(counts.keySet());
-        chart.addSeries("executions", names, names.stream().map(name -> counts.getOrDefault(name, 0))
-            .toList());
-        chart.getStyler().setXAxisLabelRotation(60);
-        chart.getStyler().setLegendVisible(false);
-        return chart;
+    int number = 0;
+    for (double mark : series.marks().keySet()) {
+      if (number++ < 200) {
+        var line = chart.addSeries("m" + number, new double[] {mark, mark}, new double[] {0, top});
+        line.setMarker(SeriesMarkers.NONE).setShowInLegend(false);
+        line.setLineColor(new java.awt.Color(0xcc, 0x44, 0x44, 70)).setLineWidth(1);
+      }
     }
+    chart.getStyler().setDefaultSeriesRenderStyle(XYSeriesRenderStyle.Line);
+    return chart;
+  }
 
-    private static String svg(Chart<?, ?> chart) throws IOException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        VectorGraphicsEncoder.saveVectorGraphic(chart, out, VectorGraphicsFormat.SVG);
-        String text = out.toString(StandardCharsets.UTF_8);
-        // Into the page itself, so that one file is all there is.
-        return text.substring(text.indexOf("<svg"));
+  private static XYChart times(Histogram histogram) {
+    XYChart chart = new XYChart(WIDTH, HEIGHT);
+    chart.setTitle("Response time by percentile, from when a statement should have been sent");
+    chart.setXAxisTitle("1 / (1 - percentile): 10 is p90, 1000 is p99.9");
+    chart.setYAxisTitle("ms");
+    List<Double> at = new ArrayList<>();
+    List<Double> millis = new ArrayList<>();
+    for (HistogramIterationValue value : histogram.percentiles(5)) {
+      if (value.getPercentileLevelIteratedTo() < 99.999) {
+        at.add(1 / (1 - value.getPercentileLevelIteratedTo() / 100));
+        millis.add(Math.max(0.01, value.getValueIteratedTo() / 1e3));
+      }
     }
+    if (at.isEmpty()) {
+      at.add(1.0);
+      millis.add(0.01);
+    }
+    chart.addSeries("all completed", at, millis).setMarker(SeriesMarkers.NONE);
+    chart.getStyler().setXAxisLogarithmic(true);
+    chart.getStyler().setYAxisLogarithmic(true);
+    return chart;
+  }
+
+  private static CategoryChart executions(Map<String, Integer> counts) {
+    CategoryChart chart = new CategoryChart(WIDTH, HEIGHT);
+    chart.setTitle("Executions that reached each node");
+    List<String> names = counts.isEmpty() ? List.of("none") : List.copyOf(counts.keySet());
+    chart.addSeries(
+        "executions", names, names.stream().map(name -> counts.getOrDefault(name, 0)).toList());
+    chart.getStyler().setXAxisLabelRotation(60);
+    chart.getStyler().setLegendVisible(false);
+    return chart;
+  }
+
+  private static String svg(Chart<?, ?> chart) throws IOException {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    VectorGraphicsEncoder.saveVectorGraphic(chart, out, VectorGraphicsFormat.SVG);
+    String text = out.toString(StandardCharsets.UTF_8);
+    // Into the page itself, so that one file is all there is.
+    return text.substring(text.indexOf("<svg"));
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/sockets/Echo.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/Echo.java
@@ -20,128 +20,154 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One primary that answers every statement at once, and discovery that lists it: what is left is what a
- * router costs.
+ * One primary that answers every statement at once, and discovery that lists it: what is left is
+ * what a router costs.
  */
 public final class Echo implements AutoCloseable {
-    public static final String SETTINGS = "{\"Balancers\":1,\"Zone\":0,\"Zones\":[\"a\"],\"Discovery\":\"on_request\","
-        + "\"Bounds\":{\"Cancel\":true,\"ConnectTimeout\":250000,\"IdleClose\":15000000,\"MaxAttempts\":4,"
-        + "\"MaxOpen\":5000,\"MaxRetryAfter\":1000000,\"MayDuplicate\":true,\"MayProbe\":true,\"RetryAfter\":true,"
-        + "\"StreamsPerConn\":1},\"Classes\":[{\"Name\":\"view\",\"Repeat\":\"idempotent\",\"Slo\":2000000,"
-        + "\"HardLimit\":5000000,\"Worth\":1}],\"Costs\":{\"Probe\":0.01},\"Reporting\":{\"How\":\"probe\","
-        + "\"Fields\":[\"x0\",\"x1\",\"utilization\"]},\"FamilyInfo\":{\"Checks\":\"refuse\",\"ClassRead\":[\"fresh\"],"
-        + "\"LagAllowed\":[0],\"ProgressTold\":true,\"SessionMarks\":\"carried\"},\"Rules\":{\"AnswerSlack\":20000,"
-        + "\"Cold\":10000000,\"ColdFrom\":0.3,\"FallMultiple\":3,\"Fall\":1000000,\"MustAskIn\":10000000}}";
-
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-        NioIoHandler.newFactory());
-    private final Channel node = listen(Node::new);
-    private final Channel discovery = listen(List::new);
-
-    private interface Made {
-        ChannelInboundHandlerAdapter by(Echo echo);
-    }
+  public static final String SETTINGS =
+      "{\"Balancers\":1,\"Zone\":0,\"Zones\":[\"a\"],\"Discovery\":\"on_request\","
+          + "\"Bounds\":{\"Cancel\":true,\"ConnectTimeout\":250000,\"IdleClose\":15000000,\"MaxAttempts\":4,"
+          + "\"MaxOpen\":5000,\"MaxRetryAfter\":1000000,\"MayDuplicate\":true,\"MayProbe\":true,\"RetryAfter\":true,"
+          + "\"StreamsPerConn\":1},\"Classes\":[{\"Name\":\"view\",\"Repeat\":\"idempotent\",\"Slo\":2000000,"
+          + "\"HardLimit\":5000000,\"Worth\":1}],\"Costs\":{\"Probe\":0.01},\"Reporting\":{\"How\":\"probe\","
+          + "\"Fields\":[\"x0\",\"x1\",\"utilization\"]},\"FamilyInfo\":{\"Checks\":\"refuse\",\"ClassRead\":[\"fresh\"],"
+          + "\"LagAllowed\":[0],\"ProgressTold\":true,\"SessionMarks\":\"carried\"},\"Rules\":{\"AnswerSlack\":20000,"
+          + "\"Cold\":10000000,\"ColdFrom\":0.3,\"FallMultiple\":3,\"Fall\":1000000,\"MustAskIn\":10000000}}";
+
+  private final MultiThreadIoEventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final Channel node = listen(Node::new);
+  private final Channel discovery = listen(List::new);
+
+  private interface Made {
+    ChannelInboundHandlerAdapter by(Echo echo);
+  }
+
+  private Channel listen(Made made) {
+    return new ServerBootstrap()
+        .group(group)
+        .channel(NioServerSocketChannel.class)
+        .childOption(ChannelOption.TCP_NODELAY, true)
+        .childHandler(
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(Channel channel) {
+                channel.pipeline().addLast(made.by(Echo.this));
+              }
+            })
+        .bind("127.0.0.1", 0)
+        .syncUninterruptibly()
+        .channel();
+  }
+
+  public InetSocketAddress address() {
+    return (InetSocketAddress) node.localAddress();
+  }
+
+  public int listPort() {
+    return ((InetSocketAddress) discovery.localAddress()).getPort();
+  }
+
+  public String list() {
+    return "{\"generation\":1,\"reset\":true,\"instances\":[{\"instanceId\":\"db-1\",\"hostPort\":\"127.0.0.1:"
+        + address().getPort()
+        + "\",\"zone\":\"a\",\"cell\":1,\"lifecycle\":\"in_service\",\"weight\":1,"
+        + "\"startedAtMs\":0}]}";
+  }
+
+  private static final class Node extends ChannelInboundHandlerAdapter {
+    private final Frames frames = new Frames(1 << 18, new Budget(Long.MAX_VALUE));
+    private boolean started;
+
+    Node(Echo echo) {}
 
-    private Channel listen(Made made) {
-        return new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-            .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(made.by(Echo.this));
-                }
-            }).bind("127.0.0.1", 0).syncUninterruptibly().channel();
+    @Override
+    public void channelRead(ChannelHandlerContext context, Object in) throws PgFault {
+      frames.add((ByteBuf) in);
+      ByteBuf out = context.alloc().buffer();
+      for (ByteBuf m = next(); m != null; m = next()) {
+        if (!started) {
+          started = true;
+          Write.welcome(out);
+        } else {
+          long now = System.currentTimeMillis();
+          boolean poll = m.getByte(m.readerIndex() + Frames.HEAD) == 'S';
+          Rows.row(
+              out,
+              poll
+                  ? "x0="
+                      + now / 1_000
+                      + "."
+                      + String.valueOf(1_000 + now % 1_000).substring(1)
+                      + ",x1=1,utilization=0.1"
+                  : "v");
+          Write.status(out, "part", "master");
+          Write.ready(out);
+        }
+      }
+      context.writeAndFlush(out);
     }
 
-    public InetSocketAddress address() {
-        return (InetSocketAddress) node.localAddress();
+    private ByteBuf next() throws PgFault {
+      return started ? frames.next() : frames.nextUntyped();
     }
 
-    public int listPort() {
-        return ((InetSocketAddress) discovery.localAddress()).getPort();
+    @Override
+    public void channelInactive(ChannelHandlerContext context) {
+      frames.release();
     }
 
-    public String list() {
-        return "{\"generation\":1,\"reset\":true,\"instances\":[{\"instanceId\":\"db-1\",\"hostPort\":\"127.0.0.1:"
-            + address().getPort() + "\",\"zone\":\"a\",\"cell\":1,\"lifecycle\":\"in_service\",\"weight\":1,"
-            + "\"startedAtMs\":0}]}";
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+      context.close();
     }
+  }
 
-    private static final class Node extends ChannelInboundHandlerAdapter {
-        private final Frames frames = new Frames(1 << 18, new Budget(Long.MAX_VALUE));
-        private boolean started;
-
-        Node(Echo echo) {
-        }
-
-        @Override
-        public void channelRead(ChannelHandlerContext context, Object in) throws PgFault {
-            frames.add((ByteBuf) in);
-            ByteBuf out = context.alloc().buffer();
-            for (ByteBuf m = next(); m != null; m = next()) {
-                if (!started) {
-                    started = true;
-                    Write.welcome(out);
-                } else {
-                    long now = System.currentTimeMillis();
-                    boolean poll = m.getByte(m.readerIndex() + Frames.HEAD) == 'S';
-                    Rows.row(out, poll ? "x0=" + now / 1_000 + "." + String.valueOf(1_000 + now % 1_000)
-                        .substring(1)
-                        + ",x1=1,utilization=0.1" : "v");
-                    Write.status(out, "part", "master");
-                    Write.ready(out);
-                }
-            }
-            context.writeAndFlush(out);
-        }
-
-        private ByteBuf next() throws PgFault {
-            return started ? frames.next() : frames.nextUntyped();
-        }
-
-        @Override
-        public void channelInactive(ChannelHandlerContext context) {
-            frames.release();
-        }
+  private static final class List extends ChannelInboundHandlerAdapter {
+    private final Echo echo;
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            context.close();
-        }
+    List(Echo echo) {
+      this.echo = echo;
     }
 
-    private static final class List extends ChannelInboundHandlerAdapter {
-        private final Echo echo;
-
-        List(Echo echo) {
-            this.echo = echo;
-        }
-
-        @Override
-        public void channelRead(ChannelHandlerContext context, Object in) {
-            ((ByteBuf) in).release();
-            String line = echo.list() + "\n";
-            context.writeAndFlush(Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n", StandardCharsets.US_ASCII));
-            still(context);
-        }
+    @Override
+    public void channelRead(ChannelHandlerContext context, Object in) {
+      ((ByteBuf) in).release();
+      String line = echo.list() + "\n";
+      context.writeAndFlush(
+          Unpooled.copiedBuffer(
+              "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                  + Integer.toHexString(line.length())
+                  + "\r\n"
+                  + line
+                  + "\r\n",
+              StandardCharsets.US_ASCII));
+      still(context);
+    }
 
-        private void still(ChannelHandlerContext context) {
-            context.executor().schedule(() -> {
+    private void still(ChannelHandlerContext context) {
+      context
+          .executor()
+          .schedule(
+              () -> {
                 if (context.channel().isActive()) {
-                    context.writeAndFlush(Unpooled.copiedBuffer("1\r\n\n\r\n", StandardCharsets.US_ASCII));
-                    still(context);
+                  context.writeAndFlush(
+                      Unpooled.copiedBuffer("1\r\n\n\r\n", StandardCharsets.US_ASCII));
+                  still(context);
                 }
-            }, 2, TimeUnit.SECONDS);
-        }
-
-        @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            context.close();
-        }
+              },
+              2,
+              TimeUnit.SECONDS);
     }
 
     @Override
-    public void close() {
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+      context.close();
     }
+  }
+
+  @Override
+  public void close() {
+    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/sockets/LoopTime.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/LoopTime.java
@@ -9,27 +9,30 @@
 
 /** Real time on one event loop: stand-ins and clients need no locks. Microseconds of Unix time. */
 final class LoopTime implements Timeline {
-    private final EventLoop loop;
-    private final long start = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
-    private final long steady = System.nanoTime();
+  private final EventLoop loop;
+  private final long start = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
+  private final long steady = System.nanoTime();
 
-    LoopTime(EventLoop loop) {
-        this.loop = loop;
-    }
+  LoopTime(EventLoop loop) {
+    this.loop = loop;
+  }
 
-    @Override
-    public Moment now() {
-        return new Moment(start + (System.nanoTime() - steady) / 1_000);
-    }
+  @Override
+  public Moment now() {
+    return new Moment(start + (System.nanoTime() - steady) / 1_000);
+  }
 
-    @Override
-    public void at(Moment when, Runnable act) {
-        loop.schedule(() -> {
-            try {
-                act.run();
-            } catch (RuntimeException fault) {
-                fault.printStackTrace();
-            }
-        }, Math.max(0, when.since(now()).micros()), TimeUnit.MICROSECONDS);
-    }
+  @Override
+  public void at(Moment when, Runnable act) {
+    loop.schedule(
+        () -> {
+          try {
+            act.run();
+          } catch (RuntimeException fault) {
+            fault.printStackTrace();
+          }
+        },
+        Math.max(0, when.since(now()).micros()),
+        TimeUnit.MICROSECONDS);
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/sockets/Rows.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/Rows.java
@@ -6,17 +6,27 @@
 
 /** What a server says that a router never does: a row of one column. */
 public final class Rows {
-    private static final byte[] COLUMN = "doc\0".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] COLUMN = "doc\0".getBytes(StandardCharsets.US_ASCII);
 
-    private Rows() {
-    }
+  private Rows() {}
 
-    public static void row(ByteBuf out, String value) {
-        byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
-        out.writeByte('T').writeInt(28).writeShort(1).writeBytes(COLUMN).writeInt(0).writeShort(0)
-            .writeInt(17)
-            .writeShort(-1).writeInt(-1).writeShort(1);
-        out.writeByte('D').writeInt(10 + bytes.length).writeShort(1).writeInt(bytes.length).writeBytes(bytes);
-        Write.complete(out, "SELECT 1");
-    }
+  public static void row(ByteBuf out, String value) {
+    byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
+    out.writeByte('T')
+        .writeInt(28)
+        .writeShort(1)
+        .writeBytes(COLUMN)
+        .writeInt(0)
+        .writeShort(0)
+        .writeInt(17)
+        .writeShort(-1)
+        .writeInt(-1)
+        .writeShort(1);
+    out.writeByte('D')
+        .writeInt(10 + bytes.length)
+        .writeShort(1)
+        .writeInt(bytes.length)
+        .writeBytes(bytes);
+    Write.complete(out, "SELECT 1");
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/virtual/VirtualRouter.java
+++ b/lab/src/main/java/basaltlever/lab/virtual/VirtualRouter.java
@@ -21,344 +21,482 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** A router without sockets: the same core and decisions, with a network of short delays in virtual time. */
+/**
+ * A router without sockets: the same core and decisions, with a network of short delays in virtual
+ * time.
+ */
 final class VirtualRouter implements Outside<String> {
-    private static final Span OPENING = Span.ofMillis(0.4);
-    private static final Span READS = Span.ofMillis(1_000);
-    private static final Span POLL_TIMEOUT = Span.ofMillis(250);
-    private final int number;
-    private final World world;
-    private final SplittableRandom chance;
-    private final Map<String, Server> servers = new HashMap<>();
-    private final Map<Long, Taken> taken = new HashMap<>();
-    private final Bug bug;
-    private final java.util.Set<String> wasPrimary = new java.util.HashSet<>();
-    private boolean onlyOne;
-    private int answers;
-    private int reads;
-    private final Core<String> core;
-    private long tickets;
-    /** What the core wants is done after it has decided, as on sockets. */
-    private final List<Runnable> acts = new ArrayList<>();
-
-    private static final class Taken {
-        final Ask ask;
-        final Front.Told told;
-        final Moment leaves;
-        final List<Out> out = new ArrayList<>(1);
-        int open;
-        boolean answered;
-        boolean mute;
-
-        Taken(Ask ask, Front.Told told, Moment leaves) {
-            this.ask = ask;
-            this.told = told;
-            this.leaves = leaves;
-        }
+  private static final Span OPENING = Span.ofMillis(0.4);
+  private static final Span READS = Span.ofMillis(1_000);
+  private static final Span POLL_TIMEOUT = Span.ofMillis(250);
+  private final int number;
+  private final World world;
+  private final SplittableRandom chance;
+  private final Map<String, Server> servers = new HashMap<>();
+  private final Map<Long, Taken> taken = new HashMap<>();
+  private final Bug bug;
+  private final java.util.Set<String> wasPrimary = new java.util.HashSet<>();
+  private boolean onlyOne;
+  private int answers;
+  private int reads;
+  private final Core<String> core;
+  private long tickets;
+
+  /** What the core wants is done after it has decided, as on sockets. */
+  private final List<Runnable> acts = new ArrayList<>();
+
+  private static final class Taken {
+    final Ask ask;
+    final Front.Told told;
+    final Moment leaves;
+    final List<Out> out = new ArrayList<>(1);
+    int open;
+    boolean answered;
+    boolean mute;
+
+    Taken(Ask ask, Front.Told told, Moment leaves) {
+      this.ask = ask;
+      this.told = told;
+      this.leaves = leaves;
     }
-
-    private static final class Out {
-        boolean over;
-        Runnable takeBack = () -> { };
+  }
+
+  private static final class Out {
+    boolean over;
+    Runnable takeBack = () -> {};
+  }
+
+  VirtualRouter(int number, World world, StartValues values, boolean tellsChanges, Bug bug) {
+    this.bug = bug;
+    this.number = number;
+    this.world = world;
+    chance = world.chance.split();
+    world.servers().forEach(server -> servers.put(server.id, server));
+    core = new Core<>(this, values.balance(chance.nextLong(), world.now()));
+    world.onListChange(() -> world.time().after(hop().times(20), this::list));
+    turn(() -> core.woken(world.now()));
+    if (tellsChanges) {
+      world.time().after(READS.times(chance.nextDouble()), this::readTables);
     }
-
-    VirtualRouter(int number, World world, StartValues values, boolean tellsChanges, Bug bug) {
-        this.bug = bug;
-        this.number = number;
-        this.world = world;
-        chance = world.chance.split();
-        world.servers().forEach(server -> servers.put(server.id, server));
-        core = new Core<>(this, values.balance(chance.nextLong(), world.now()));
-        world.onListChange(() -> world.time().after(hop().times(20), this::list));
-        turn(() -> core.woken(world.now()));
-        if (tellsChanges) {
-            world.time().after(READS.times(chance.nextDouble()), this::readTables);
-        }
+  }
+
+  /** Other settings, as after a reload. */
+  void agree(StartValues values, boolean oneOut) {
+    onlyOne = oneOut;
+    for (Map.Entry<Long, Taken> entry : Map.copyOf(taken).entrySet()) {
+      Taken of = entry.getValue();
+      of.mute |= bug == Bug.SWITCH_FORGETS;
+      for (int i = 0; bug == Bug.SWITCH_REPEATS && i < of.out.size(); i++) {
+        ends(
+            entry.getKey(),
+            of,
+            of.out.get(i),
+            i,
+            Ending.NO_CONNECTION,
+            Role.UNTOLD,
+            Moment.LONG_AGO,
+            null);
+      }
     }
-
-    /** Other settings, as after a reload. */
-    void agree(StartValues values, boolean oneOut) {
-        onlyOne = oneOut;
-        for (Map.Entry<Long, Taken> entry : Map.copyOf(taken).entrySet()) {
-            Taken of = entry.getValue();
-            of.mute |= bug == Bug.SWITCH_FORGETS;
-            for (int i = 0; bug == Bug.SWITCH_REPEATS && i < of.out.size(); i++) {
-                ends(entry.getKey(), of, of.out.get(i), i, Ending.NO_CONNECTION, Role.UNTOLD,
-                    Moment.LONG_AGO, null);
-            }
-        }
-        turn(() -> core.agree(world.now(), values.agreement(world.now())));
-    }
-
-    private Span hop() {
-        return Span.ofMillis(0.15 + 0.3 * chance.nextDouble());
-    }
-
-    private void turn(Runnable input) {
-        input.run();
-        while (!acts.isEmpty()) {
-            List<Runnable> due = new ArrayList<>(acts);
-            acts.clear();
-            due.forEach(Runnable::run);
-        }
+    turn(() -> core.agree(world.now(), values.agreement(world.now())));
+  }
+
+  private Span hop() {
+    return Span.ofMillis(0.15 + 0.3 * chance.nextDouble());
+  }
+
+  private void turn(Runnable input) {
+    input.run();
+    while (!acts.isEmpty()) {
+      List<Runnable> due = new ArrayList<>(acts);
+      acts.clear();
+      due.forEach(Runnable::run);
     }
-
-    private void list() {
-        turn(() -> {
-            Moment now = world.now();
-            core.listBegins();
-            for (Server server : world.servers()) {
-                server.drainWasTold(number, now);
-                core.listed(now, server.id, server.listed().equals("in_service")
-                    || bug == Bug.IGNORES_DRAINS ? Listing.READY : Listing.DRAINING,
-                    server.group().number, 0, 1, server.startedMillis() == 0 ? Moment.LONG_AGO
-                        : new Moment(server.startedMillis() * 1_000));
-            }
-            core.listEnds(now, true, true);
+  }
+
+  private void list() {
+    turn(
+        () -> {
+          Moment now = world.now();
+          core.listBegins();
+          for (Server server : world.servers()) {
+            server.drainWasTold(number, now);
+            core.listed(
+                now,
+                server.id,
+                server.listed().equals("in_service") || bug == Bug.IGNORES_DRAINS
+                    ? Listing.READY
+                    : Listing.DRAINING,
+                server.group().number,
+                0,
+                1,
+                server.startedMillis() == 0
+                    ? Moment.LONG_AGO
+                    : new Moment(server.startedMillis() * 1_000));
+          }
+          core.listEnds(now, true, true);
         });
+  }
+
+  // ---- Clients.
+
+  void ask(Ask ask, Front.Told told) {
+    long ticket = ++tickets;
+    taken.put(ticket, new Taken(ask, told, ask.leaves));
+    turn(
+        () ->
+            core.taken(
+                world.now(),
+                ticket,
+                ask.kind.number(),
+                ask.group,
+                ask.session + 1,
+                ask.leaves,
+                ask.after == 0 ? Moment.LONG_AGO : new Moment(ask.after * 1_000),
+                100));
+  }
+
+  void leave(Ask ask) {
+    for (Map.Entry<Long, Taken> entry : Map.copyOf(taken).entrySet()) {
+      if (entry.getValue().ask == ask) {
+        entry.getValue().answered = true;
+        turn(() -> core.clientLeft(world.now(), entry.getKey()));
+        forget(entry.getKey(), entry.getValue());
+      }
     }
+  }
 
-    // ---- Clients.
-
-    void ask(Ask ask, Front.Told told) {
-        long ticket = ++tickets;
-        taken.put(ticket, new Taken(ask, told, ask.leaves));
-        turn(() -> core.taken(world.now(), ticket, ask.kind.number(), ask.group, ask.session + 1, ask.leaves,
-            ask.after == 0 ? Moment.LONG_AGO : new Moment(ask.after * 1_000), 100));
-    }
-
-    void leave(Ask ask) {
-        for (Map.Entry<Long, Taken> entry : Map.copyOf(taken).entrySet()) {
-            if (entry.getValue().ask == ask) {
-                entry.getValue().answered = true;
-                turn(() -> core.clientLeft(world.now(), entry.getKey()));
-                forget(entry.getKey(), entry.getValue());
-            }
-        }
-    }
-
-    private void forget(long ticket, Taken of) {
-        if (of.answered && of.open == 0) {
-            taken.remove(ticket);
-        }
+  private void forget(long ticket, Taken of) {
+    if (of.answered && of.open == 0) {
+      taken.remove(ticket);
     }
-
-    private void answer(long ticket, java.util.function.Consumer<Front.Told> what) {
-        Taken of = taken.get(ticket);
-        if (of != null && !of.answered) {
-            of.answered = true;
-            world.time().after(hop(), () -> {
-                if (of.mute || of.ask.isLeft() || ++answers % 100 == 0 && bug == Bug.DROPS_ANSWERS) {
-                    return;
+  }
+
+  private void answer(long ticket, java.util.function.Consumer<Front.Told> what) {
+    Taken of = taken.get(ticket);
+    if (of != null && !of.answered) {
+      of.answered = true;
+      world
+          .time()
+          .after(
+              hop(),
+              () -> {
+                if (of.mute
+                    || of.ask.isLeft()
+                    || ++answers % 100 == 0 && bug == Bug.DROPS_ANSWERS) {
+                  return;
                 }
                 what.accept(of.told);
                 if (answers % 100 == 0 && bug == Bug.ANSWERS_TWICE) {
-                    what.accept(of.told);
+                  what.accept(of.told);
                 }
-            });
-            forget(ticket, of);
-        }
+              });
+      forget(ticket, of);
     }
-
-    // ---- What the decisions want.
-
-    @Override
-    public void execute(long ticket, int execution, String node, Span timeout, Moment sendBy) {
-        Taken of = taken.get(ticket);
-        Out out = new Out();
-        of.out.add(out);
-        of.open++;
-        if (onlyOne && of.open > 1) {
-            world.ledger.copied(of.ask);
-        }
-        Server server = servers.get(node);
-        Span left = of.leaves.since(world.now());
-        Span limit = timeout.micros() == 0 ? left : timeout.shorter(left);
-        acts.add(() -> {
-            if (of.answered || limit.micros() <= 0) {
-                ends(ticket, of, out, execution, Ending.NEVER_SENT, Role.UNTOLD, Moment.LONG_AGO, null);
-                return;
-            }
-            world.time().after(limit, () -> {
-                out.takeBack.run();
-                ends(ticket, of, out, execution, Ending.TIMED_OUT, Role.UNTOLD, Moment.LONG_AGO, null);
-            });
-            world.time().after(hop().plus(OPENING), () -> reach(ticket, of, out, execution, server));
-        });
+  }
+
+  // ---- What the decisions want.
+
+  @Override
+  public void execute(long ticket, int execution, String node, Span timeout, Moment sendBy) {
+    Taken of = taken.get(ticket);
+    Out out = new Out();
+    of.out.add(out);
+    of.open++;
+    if (onlyOne && of.open > 1) {
+      world.ledger.copied(of.ask);
     }
-
-    private void reach(long ticket, Taken of, Out out, int execution, Server server) {
-        if (out.over || world.isCut(number, server)) {
+    Server server = servers.get(node);
+    Span left = of.leaves.since(world.now());
+    Span limit = timeout.micros() == 0 ? left : timeout.shorter(left);
+    acts.add(
+        () -> {
+          if (of.answered || limit.micros() <= 0) {
+            ends(ticket, of, out, execution, Ending.NEVER_SENT, Role.UNTOLD, Moment.LONG_AGO, null);
             return;
-        }
-        if (!server.isUp() || server.isRefusing() && chance.nextInt(4) == 0) {
-            // Most have a connection that is open.
-            world.time().after(hop(), () -> ends(ticket, of, out, execution, Ending.NO_CONNECTION,
-                Role.UNTOLD,
-                Moment.LONG_AGO, null));
-            return;
-        }
-        int life = server.life();
-        out.takeBack = server.ask(of.ask, new Server.Reply() {
-            @Override
-            public void answer(String code, String value, boolean primary, long position) {
-                if (!world.isCut(number, server)) {
-                    Ending ending = code == null ? value == null ? Ending.UNKNOWN : Ending.COMPLETED
-                        : code.equals("53300") ? Ending.FULL : Ending.MISS;
-                    world.time().after(hop(), () -> ends(ticket, of, out, execution, ending,
-                        primary || wasPrimary.contains(server.id) ? Role.PRIMARY : Role.REPLICA,
-                        position == 0 ? Moment.LONG_AGO : new Moment(position * 1_000), value));
-                }
-            }
-
-            @Override
-            public void breaks() {
-                world.time().after(hop(), () -> ends(ticket, of, out, execution, Ending.RESET, Role.UNTOLD,
-                    Moment.LONG_AGO, null));
-            }
-        });
-        server.listens(new Server.Listener() {
-            @Override
-            public void died() {
-                if (!out.over && server.life() == life + 1) {
-                    world.time().after(hop(), () -> ends(ticket, of, out, execution, Ending.RESET,
+          }
+          world
+              .time()
+              .after(
+                  limit,
+                  () -> {
+                    out.takeBack.run();
+                    ends(
+                        ticket,
+                        of,
+                        out,
+                        execution,
+                        Ending.TIMED_OUT,
                         Role.UNTOLD,
-                        Moment.LONG_AGO, null));
+                        Moment.LONG_AGO,
+                        null);
+                  });
+          world.time().after(hop().plus(OPENING), () -> reach(ticket, of, out, execution, server));
+        });
+  }
+
+  private void reach(long ticket, Taken of, Out out, int execution, Server server) {
+    if (out.over || world.isCut(number, server)) {
+      return;
+    }
+    if (!server.isUp() || server.isRefusing() && chance.nextInt(4) == 0) {
+      // Most have a connection that is open.
+      world
+          .time()
+          .after(
+              hop(),
+              () ->
+                  ends(
+                      ticket,
+                      of,
+                      out,
+                      execution,
+                      Ending.NO_CONNECTION,
+                      Role.UNTOLD,
+                      Moment.LONG_AGO,
+                      null));
+      return;
+    }
+    int life = server.life();
+    out.takeBack =
+        server.ask(
+            of.ask,
+            new Server.Reply() {
+              @Override
+              public void answer(String code, String value, boolean primary, long position) {
+                if (!world.isCut(number, server)) {
+                  Ending ending =
+                      code == null
+                          ? value == null ? Ending.UNKNOWN : Ending.COMPLETED
+                          : code.equals("53300") ? Ending.FULL : Ending.MISS;
+                  world
+                      .time()
+                      .after(
+                          hop(),
+                          () ->
+                              ends(
+                                  ticket,
+                                  of,
+                                  out,
+                                  execution,
+                                  ending,
+                                  primary || wasPrimary.contains(server.id)
+                                      ? Role.PRIMARY
+                                      : Role.REPLICA,
+                                  position == 0 ? Moment.LONG_AGO : new Moment(position * 1_000),
+                                  value));
                 }
+              }
+
+              @Override
+              public void breaks() {
+                world
+                    .time()
+                    .after(
+                        hop(),
+                        () ->
+                            ends(
+                                ticket,
+                                of,
+                                out,
+                                execution,
+                                Ending.RESET,
+                                Role.UNTOLD,
+                                Moment.LONG_AGO,
+                                null));
+              }
+            });
+    server.listens(
+        new Server.Listener() {
+          @Override
+          public void died() {
+            if (!out.over && server.life() == life + 1) {
+              world
+                  .time()
+                  .after(
+                      hop(),
+                      () ->
+                          ends(
+                              ticket,
+                              of,
+                              out,
+                              execution,
+                              Ending.RESET,
+                              Role.UNTOLD,
+                              Moment.LONG_AGO,
+                              null));
             }
+          }
 
-            @Override
-            public boolean isOver() {
-                return out.over;
-            }
+          @Override
+          public boolean isOver() {
+            return out.over;
+          }
         });
+  }
+
+  private void ends(
+      long ticket,
+      Taken of,
+      Out out,
+      int execution,
+      Ending ending,
+      Role role,
+      Moment position,
+      String value) {
+    if (out.over) {
+      return;
     }
-
-    private void ends(long ticket, Taken of, Out out, int execution, Ending ending, Role role,
-        Moment position,
-                      String value) {
-        if (out.over) {
-            return;
-        }
-        out.over = true;
-        of.open--;
-        Ending heard = ending == Ending.RESET && bug == Bug.RESET_PROVES_NOT_RUN ? Ending.NEVER_SENT : ending;
-        turn(() -> {
-            if (core.ended(world.now(), ticket, execution, heard, role, position, false)) {
-                answer(ticket, told -> told.completed(value));
-            }
+    out.over = true;
+    of.open--;
+    Ending heard =
+        ending == Ending.RESET && bug == Bug.RESET_PROVES_NOT_RUN ? Ending.NEVER_SENT : ending;
+    turn(
+        () -> {
+          if (core.ended(world.now(), ticket, execution, heard, role, position, false)) {
+            answer(ticket, told -> told.completed(value));
+          }
         });
-        forget(ticket, of);
-    }
-
-    @Override
-    public void cancel(long ticket, int execution) {
-        Taken of = taken.get(ticket);
-        Out out = of.out.get(execution);
-        acts.add(() -> {
-            out.takeBack.run();
-            ends(ticket, of, out, execution, Ending.CANCELLED, Role.UNTOLD, Moment.LONG_AGO, null);
+    forget(ticket, of);
+  }
+
+  @Override
+  public void cancel(long ticket, int execution) {
+    Taken of = taken.get(ticket);
+    Out out = of.out.get(execution);
+    acts.add(
+        () -> {
+          out.takeBack.run();
+          ends(ticket, of, out, execution, Ending.CANCELLED, Role.UNTOLD, Moment.LONG_AGO, null);
         });
-    }
-
-    @Override
-    public void reject(long ticket, Span comeBackAfter, Refusal why) {
-        acts.add(() -> answer(ticket, told -> told.rejected(comeBackAfter)));
-    }
-
-    @Override
-    public void abort(long ticket) {
-        acts.add(() -> answer(ticket, Front.Told::aborted));
-    }
-
-    @Override
-    public void poll(String node) {
-        Server server = servers.get(node);
-        polls++;
-        boolean[] over = new boolean[1];
-        world.time().after(POLL_TIMEOUT, () -> polled(over, node, Ending.TIMED_OUT, Role.UNTOLD,
-            Moment.LONG_AGO, 0));
-        world.time().after(hop(), () -> {
-            if (world.isCut(number, server) || server.isHung()) {
+  }
+
+  @Override
+  public void reject(long ticket, Span comeBackAfter, Refusal why) {
+    acts.add(() -> answer(ticket, told -> told.rejected(comeBackAfter)));
+  }
+
+  @Override
+  public void abort(long ticket) {
+    acts.add(() -> answer(ticket, Front.Told::aborted));
+  }
+
+  @Override
+  public void poll(String node) {
+    Server server = servers.get(node);
+    polls++;
+    boolean[] over = new boolean[1];
+    world
+        .time()
+        .after(
+            POLL_TIMEOUT,
+            () -> polled(over, node, Ending.TIMED_OUT, Role.UNTOLD, Moment.LONG_AGO, 0));
+    world
+        .time()
+        .after(
+            hop(),
+            () -> {
+              if (world.isCut(number, server) || server.isHung()) {
                 return;
-            }
-            boolean up = server.isUp();
-            if (server.saysPrimary() && bug == Bug.OLD_PRIMARY_CLAIMS) {
+              }
+              boolean up = server.isUp();
+              if (server.saysPrimary() && bug == Bug.OLD_PRIMARY_CLAIMS) {
                 wasPrimary.add(server.id);
-            }
-            boolean stillClaims = wasPrimary.contains(server.id);
-            Role role = server.saysPrimary() || stillClaims ? Role.PRIMARY : Role.REPLICA;
-            Moment position = stillClaims ? world.now()
-                : new Moment((long) (server.position(world.now()) * 1e6) - 1);
-            double util = server.util();
-            world.time().after(hop(), () -> {
-                polled(over, node, up ? Ending.COMPLETED : Ending.NO_CONNECTION, up ? role : Role.UNTOLD,
-                    up ? position : Moment.LONG_AGO, util);
+              }
+              boolean stillClaims = wasPrimary.contains(server.id);
+              Role role = server.saysPrimary() || stillClaims ? Role.PRIMARY : Role.REPLICA;
+              Moment position =
+                  stillClaims
+                      ? world.now()
+                      : new Moment((long) (server.position(world.now()) * 1e6) - 1);
+              double util = server.util();
+              world
+                  .time()
+                  .after(
+                      hop(),
+                      () -> {
+                        polled(
+                            over,
+                            node,
+                            up ? Ending.COMPLETED : Ending.NO_CONNECTION,
+                            up ? role : Role.UNTOLD,
+                            up ? position : Moment.LONG_AGO,
+                            util);
+                      });
             });
-        });
-    }
-
-    /** Every member's table within 3 s, as on sockets. */
-    private void readTables() {
-        for (Server server : world.servers()) {
-            if ((server.number + reads) % 3 == 0 && server.isUp() && !server.isHung()
-                && !world.isCut(number, server)) {
-                Note note = server.group().note();
-                if (note != null) {
-                    turn(() -> core.announced(world.now(), server.id, note.number(), note.target(),
-                        new Moment(note.atMillis() * 1_000), note.off()));
-                }
-            }
-        }
-        reads++;
-        world.time().after(READS, this::readTables);
-    }
-
-    private void polled(boolean[] over, String node, Ending ending, Role role, Moment position, double util) {
-        if (!over[0]) {
-            over[0] = true;
-            turn(() -> core.polled(world.now(), node, ending, role, position, util, Double.NaN));
+  }
+
+  /** Every member's table within 3 s, as on sockets. */
+  private void readTables() {
+    for (Server server : world.servers()) {
+      if ((server.number + reads) % 3 == 0
+          && server.isUp()
+          && !server.isHung()
+          && !world.isCut(number, server)) {
+        Note note = server.group().note();
+        if (note != null) {
+          turn(
+              () ->
+                  core.announced(
+                      world.now(),
+                      server.id,
+                      note.number(),
+                      note.target(),
+                      new Moment(note.atMillis() * 1_000),
+                      note.off()));
         }
+      }
     }
-
-    private long polls;
-
-    long polls() {
-        return polls;
-    }
-
-    @Override
-    public void letGo(String node) {
-        // Connections cost nothing here.
-    }
-
-    @Override
-    public void forget(String node) {
-        // Names stay.
-    }
-
-    @Override
-    public void watch() {
-        world.time().after(hop().times(4), this::list);
-    }
-
-    @Override
-    public void wake(Span fromNow) {
-        world.time().after(fromNow.longer(new Span(1)), () -> turn(() -> core.woken(world.now())));
-    }
-
-    @Override
-    public void prepare(String node, int connections) {
-        // As above.
-    }
-
-    @Override
-    public void change(int group, Change.Phase phase, String target) {
-        // The world knows better.
-    }
-
-    @Override
-    public void primary(int group, String node, boolean found) {
-        // The world knows better.
+    reads++;
+    world.time().after(READS, this::readTables);
+  }
+
+  private void polled(
+      boolean[] over, String node, Ending ending, Role role, Moment position, double util) {
+    if (!over[0]) {
+      over[0] = true;
+      turn(() -> core.polled(world.now(), node, ending, role, position, util, Double.NaN));
     }
+  }
+
+  private long polls;
+
+  long polls() {
+    return polls;
+  }
+
+  @Override
+  public void letGo(String node) {
+    // Connections cost nothing here.
+  }
+
+  @Override
+  public void forget(String node) {
+    // Names stay.
+  }
+
+  @Override
+  public void watch() {
+    world.time().after(hop().times(4), this::list);
+  }
+
+  @Override
+  public void wake(Span fromNow) {
+    world.time().after(fromNow.longer(new Span(1)), () -> turn(() -> core.woken(world.now())));
+  }
+
+  @Override
+  public void prepare(String node, int connections) {
+    // As above.
+  }
+
+  @Override
+  public void change(int group, Change.Phase phase, String target) {
+    // The world knows better.
+  }
+
+  @Override
+  public void primary(int group, String node, boolean found) {
+    // The world knows better.
+  }
 }
--- a/lab/src/main/java/basaltlever/lab/world/Kind.java
+++ b/lab/src/main/java/basaltlever/lab/world/Kind.java
@@ -11,9 +11,19 @@
  * @param work what one takes of a core
  * @param bound how old its data may be, where it is bounded
  */
-public record Kind(int number, String name, String needs, String repeat, double rate, Span work, Span bound,
-                   Span slo, Span timeout, double importance, double late) {
-    public boolean isWrite() {
-        return needs.equals("write");
-    }
+public record Kind(
+    int number,
+    String name,
+    String needs,
+    String repeat,
+    double rate,
+    Span work,
+    Span bound,
+    Span slo,
+    Span timeout,
+    double importance,
+    double late) {
+  public boolean isWrite() {
+    return needs.equals("write");
+  }
 }
--- a/lab/src/test/java/basaltlever/lab/KillStateTest.java
+++ b/lab/src/test/java/basaltlever/lab/KillStateTest.java
@@ -12,39 +12,58 @@
 
 /** Real processes, and proof that their judge can find against them. */
 class KillStateTest {
-    @Example
-    void twoHundredKillsLoseAndSpoilNothing() throws Exception {
-        Map<KillState.Left, Integer> expected = new EnumMap<>(Map.of(KillState.Left.NEWEST, 200));
-        Map<KillState.Left, Integer> found = KillState.kills(200, 17);
-        if (!found.equals(expected)) {
-            throw new AssertionError("" + found);
-        }
+  @Example
+  void twoHundredKillsLoseAndSpoilNothing() throws Exception {
+    Map<KillState.Left, Integer> expected = new EnumMap<>(Map.of(KillState.Left.NEWEST, 200));
+    Map<KillState.Left, Integer> found = KillState.kills(200, 17);
+    if (!found.equals(expected)) {
+      throw new AssertionError("" + found);
     }
+  }
 
-    private static void expect(KillState.Left left, Path folder, long told) throws Exception {
-        KillState.Left found = KillState.judge(folder, told, 1_000_000);
-        if (found != left) {
-            throw new AssertionError(found + " where " + left + " was planted");
-        }
+  private static void expect(KillState.Left left, Path folder, long told) throws Exception {
+    KillState.Left found = KillState.judge(folder, told, 1_000_000);
+    if (found != left) {
+      throw new AssertionError(found + " where " + left + " was planted");
     }
+  }
 
-    @Example
-    void theJudgeFindsWhatIsPlanted() throws Exception {
-        Path folder = Files.createTempDirectory("judged");
-        expect(KillState.Left.LOST, folder, 0);
-        Generations generations = new Generations(new Folder(folder));
-        generations.store(MadeViews.view(1, KillState.NODES), 1 << 20);
-        expect(KillState.Left.NEWEST, folder, 1);
-        expect(KillState.Left.OLDER, folder, 2);
-        View mixed = MadeViews.view(2, KillState.NODES);
-        generations.store(new View(mixed.deployment(), mixed.router(), 3, mixed.writtenAt(), mixed.steady(),
-            mixed.boot(), 3, mixed.nodes(), List.of()), 1 << 20);
-        expect(KillState.Left.CORRUPT, folder, 1);
-        // Another router's counts for nothing, so its weights are not those of the curve.
-        View today = MadeViews.view(4, KillState.NODES);
-        generations.store(new View(today.deployment(), "another", 4, today.writtenAt(), today.steady(),
-            today.boot(), 4,
-            today.nodes(), List.of()), 1 << 20);
-        expect(KillState.Left.UNAGED, folder, 4);
-    }
+  @Example
+  void theJudgeFindsWhatIsPlanted() throws Exception {
+    Path folder = Files.createTempDirectory("judged");
+    expect(KillState.Left.LOST, folder, 0);
+    Generations generations = new Generations(new Folder(folder));
+    generations.store(MadeViews.view(1, KillState.NODES), 1 << 20);
+    expect(KillState.Left.NEWEST, folder, 1);
+    expect(KillState.Left.OLDER, folder, 2);
+    View mixed = MadeViews.view(2, KillState.NODES);
+    generations.store(
+        new View(
+            mixed.deployment(),
+            mixed.router(),
+            3,
+            mixed.writtenAt(),
+            mixed.steady(),
+            mixed.boot(),
+            3,
+            mixed.nodes(),
+            List.of()),
+        1 << 20);
+    expect(KillState.Left.CORRUPT, folder, 1);
+    // Another router's counts for nothing, so its weights are not those of the curve.
+    View today = MadeViews.view(4, KillState.NODES);
+    generations.store(
+        new View(
+            today.deployment(),
+            "another",
+            4,
+            today.writtenAt(),
+            today.steady(),
+            today.boot(),
+            4,
+            today.nodes(),
+            List.of()),
+        1 << 20);
+    expect(KillState.Left.UNAGED, folder, 4);
+  }
 }
--- a/router/src/main/java/basaltlever/Recall.java
+++ b/router/src/main/java/basaltlever/Recall.java
@@ -10,102 +10,125 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** What the decisions have learned, as records that outlive them, and what such records do to fresh ones. */
+/**
+ * What the decisions have learned, as records that outlive them, and what such records do to fresh
+ * ones.
+ */
 public final class Recall {
-    private final Balance balance;
+  private final Balance balance;
 
-    Recall(Balance balance) {
-        this.balance = balance;
-    }
+  Recall(Balance balance) {
+    this.balance = balance;
+  }
 
-    /** What has been learned of a node by now, without a word on who it is. */
-    public NodeView learned(Moment at, int id) {
-        balance.now = at;
-        Moment now = at;
-        Node node = balance.node(id);
-        Group home = node.group;
-        Moment denied = home.lost == node ? node.denied.later(home.holdSince) : node.denied;
-        boolean cold = balance.warmth(node) < 1;
-        return new NodeView(home.number, Math.max(0, node.listedStart.micros()), !balance.listedForUse(node),
-            home.primary == node, ago(node.startedAt), ago(denied), node.silent,
-            node.down ? ago(node.downSince) : NodeView.NEVER, Math.min(1, balance.failing(node)),
-            node.strained.at(now, Balance.FORGIVEN), node.room, node.fullInRow,
-            node.restsUntil.since(now).longer(Span.NONE), balance.lag(node),
-            cold ? node.coldWork / balance.typicalOfAll : 0, cold ? ago(node.coldAt) : NodeView.NEVER);
-    }
+  /** What has been learned of a node by now, without a word on who it is. */
+  public NodeView learned(Moment at, int id) {
+    balance.now = at;
+    Moment now = at;
+    Node node = balance.node(id);
+    Group home = node.group;
+    Moment denied = home.lost == node ? node.denied.later(home.holdSince) : node.denied;
+    boolean cold = balance.warmth(node) < 1;
+    return new NodeView(
+        home.number,
+        Math.max(0, node.listedStart.micros()),
+        !balance.listedForUse(node),
+        home.primary == node,
+        ago(node.startedAt),
+        ago(denied),
+        node.silent,
+        node.down ? ago(node.downSince) : NodeView.NEVER,
+        Math.min(1, balance.failing(node)),
+        node.strained.at(now, Balance.FORGIVEN),
+        node.room,
+        node.fullInRow,
+        node.restsUntil.since(now).longer(Span.NONE),
+        balance.lag(node),
+        cold ? node.coldWork / balance.typicalOfAll : 0,
+        cold ? ago(node.coldAt) : NodeView.NEVER);
+  }
 
-    /** Executions that are out at it. */
-    public int out(int id) {
-        return balance.node(id).out;
-    }
+  /** Executions that are out at it. */
+  public int out(int id) {
+    return balance.node(id).out;
+  }
 
-    private Span ago(Moment then) {
-        return then.isAfter(Moment.LONG_AGO) ? balance.now.since(then) : NodeView.NEVER;
-    }
+  private Span ago(Moment then) {
+    return then.isAfter(Moment.LONG_AGO) ? balance.now.since(then) : NodeView.NEVER;
+  }
 
-    public List<GroupView> learnedOfGroups(Moment at) {
-        balance.now = at;
-        Moment now = at;
-        return balance.groups.values().stream().sorted(Comparator.comparingInt(group -> group.number))
-            .map(group -> new GroupView(group.number, group.jam.at(now, Balance.REMEMBERED),
-                group.primaryJam.at(now, Balance.REMEMBERED))).toList();
-    }
+  public List<GroupView> learnedOfGroups(Moment at) {
+    balance.now = at;
+    Moment now = at;
+    return balance.groups.values().stream()
+        .sorted(Comparator.comparingInt(group -> group.number))
+        .map(
+            group ->
+                new GroupView(
+                    group.number,
+                    group.jam.at(now, Balance.REMEMBERED),
+                    group.primaryJam.at(now, Balance.REMEMBERED)))
+        .toList();
+  }
 
-    /**
-     * What another process learned of a node that was listed just now, aged by the caller. It only ever makes
-     * for more care: no position, role or warmth of it is believed, and of each bound the tighter one holds.
-     */
-    public void recalled(Moment at, int id, NodeView view) {
-        balance.now = at;
-        Moment now = at;
-        Node node = balance.node(id);
-        node.denied = node.denied.later(then(view.deniedAgo()).earlier(now.plus(Balance.SECOND)));
-        node.failing.set(now, Math.max(balance.failing(node), view.failing()));
-        node.strained.set(now, Math.max(node.strained.at(now, Balance.FORGIVEN), view.strained()));
-        node.room = Math.max(Balance.LEAST_ROOM, Math.min(node.room, view.room()));
-        node.fullInRow = Math.min(5, Math.max(node.fullInRow, view.turnedAway()));
-        node.restsUntil = node.restsUntil.later(now.plus(view.rests().shorter(Balance.SECOND)));
-        balance.sight(node, balance.lag(node).longer(view.lag()));
-        if (view.silent() && !node.silent) {
-            balance.fallSilent(node);
-        }
-        if (view.isDown() && !node.down) {
-            balance.goDown(node);
-            node.downSince = then(view.downFor());
-        }
-        balance.starts(node, then(view.startedAgo()));
-        if (balance.warmth(node) < 1) {
-            // Of what has come back since, only what the least rate gives: the yardstick is not known yet.
-            Moment since = then(view.coldAgo()).later(Moment.LONG_AGO).earlier(now);
-            double back = balance.coldRate(node) * (1 - Balance.COLD_BURST) * now.since(since)
-                .over(Balance.SECOND);
-            node.coldWork = Math.max(balance.coldLevel(node), view.coldSpent() * balance.typicalOfAll - back);
-            node.coldAt = now;
-            // What the earlier process sent counts as this one's: a restart is no fresh budget.
-            node.coldUntried &= view.coldSpent() <= 0;
-        }
-        if (view.drains() && node.listing != Listing.GONE) {
-            node.drainSeen = true;
-            balance.relist(node, Listing.DRAINING);
-        }
-        if (view.primary() && balance.agreed.allowance().polls() && !node.pollOut) {
-            // Asked before all others, in whatever order the list names them.
-            balance.poll(node);
-        }
+  /**
+   * What another process learned of a node that was listed just now, aged by the caller. It only
+   * ever makes for more care: no position, role or warmth of it is believed, and of each bound the
+   * tighter one holds.
+   */
+  public void recalled(Moment at, int id, NodeView view) {
+    balance.now = at;
+    Moment now = at;
+    Node node = balance.node(id);
+    node.denied = node.denied.later(then(view.deniedAgo()).earlier(now.plus(Balance.SECOND)));
+    node.failing.set(now, Math.max(balance.failing(node), view.failing()));
+    node.strained.set(now, Math.max(node.strained.at(now, Balance.FORGIVEN), view.strained()));
+    node.room = Math.max(Balance.LEAST_ROOM, Math.min(node.room, view.room()));
+    node.fullInRow = Math.min(5, Math.max(node.fullInRow, view.turnedAway()));
+    node.restsUntil = node.restsUntil.later(now.plus(view.rests().shorter(Balance.SECOND)));
+    balance.sight(node, balance.lag(node).longer(view.lag()));
+    if (view.silent() && !node.silent) {
+      balance.fallSilent(node);
     }
-
-    private Moment then(Span ago) {
-        return ago.isShorterThan(NodeView.NEVER) ? balance.now.minus(ago) : Moment.LONG_AGO;
+    if (view.isDown() && !node.down) {
+      balance.goDown(node);
+      node.downSince = then(view.downFor());
+    }
+    balance.starts(node, then(view.startedAgo()));
+    if (balance.warmth(node) < 1) {
+      // Of what has come back since, only what the least rate gives: the yardstick is not known
+      // yet.
+      Moment since = then(view.coldAgo()).later(Moment.LONG_AGO).earlier(now);
+      double back =
+          balance.coldRate(node) * (1 - Balance.COLD_BURST) * now.since(since).over(Balance.SECOND);
+      node.coldWork =
+          Math.max(balance.coldLevel(node), view.coldSpent() * balance.typicalOfAll - back);
+      node.coldAt = now;
+      // What the earlier process sent counts as this one's: a restart is no fresh budget.
+      node.coldUntried &= view.coldSpent() <= 0;
+    }
+    if (view.drains() && node.listing != Listing.GONE) {
+      node.drainSeen = true;
+      balance.relist(node, Listing.DRAINING);
     }
+    if (view.primary() && balance.agreed.allowance().polls() && !node.pollOut) {
+      // Asked before all others, in whatever order the list names them.
+      balance.poll(node);
+    }
+  }
+
+  private Moment then(Span ago) {
+    return ago.isShorterThan(NodeView.NEVER) ? balance.now.minus(ago) : Moment.LONG_AGO;
+  }
 
-    public void recalled(Moment at, GroupView view) {
-        balance.now = at;
-        Moment now = at;
-        Group group = balance.groups.get(view.group());
-        if (group != null) {
-            group.jam.set(now, Math.max(group.jam.at(now, Balance.REMEMBERED), view.jam()));
-            group.primaryJam.set(now, Math.max(group.primaryJam.at(now, Balance.REMEMBERED),
-                view.primaryJam()));
-        }
+  public void recalled(Moment at, GroupView view) {
+    balance.now = at;
+    Moment now = at;
+    Group group = balance.groups.get(view.group());
+    if (group != null) {
+      group.jam.set(now, Math.max(group.jam.at(now, Balance.REMEMBERED), view.jam()));
+      group.primaryJam.set(
+          now, Math.max(group.primaryJam.at(now, Balance.REMEMBERED), view.primaryJam()));
     }
+  }
 }
--- a/router/src/main/java/basaltlever/adapter/Instance.java
+++ b/router/src/main/java/basaltlever/adapter/Instance.java
@@ -16,170 +16,196 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** One router on the simulator's wire: each event's fields go into the core, each act into a record. */
+/**
+ * One router on the simulator's wire: each event's fields go into the core, each act into a record.
+ */
 final class Instance implements Outside<Long> {
-    static final int ENTRY = 28;
-    private static final Ending[] ENDINGS = new Ending[15];
-
-    static {
-        Arrays.fill(ENDINGS, Ending.UNKNOWN);
-        ENDINGS[0] = Ending.COMPLETED;
-        ENDINGS[1] = Ending.CANCELLED;
-        ENDINGS[4] = Ending.TIMED_OUT;
-        ENDINGS[5] = Ending.MISS;
-        ENDINGS[8] = Ending.FULL;
-        ENDINGS[9] = Ending.NEVER_SENT;
-        ENDINGS[10] = Ending.RESET;
-        ENDINGS[13] = Ending.ERROR;
-        ENDINGS[14] = Ending.NO_CONNECTION;
-    }
-
-    private final int number;
-    private final Reply reply;
-    private final Core<Long> core;
-    private final Gauges gauges;
-
-    Instance(int number, Reply reply, long seed, String settings, Moment now) throws StartFault {
-        this.number = number;
-        this.reply = reply;
-        StartValues start = StartValues.ofLines(settings);
-        gauges = start.gauges(start.origin());
-        core = new Core<>(this, start.balance(seed, now));
-    }
-
-    void list(Moment now, int kind, ByteBuffer entries) {
-        if (kind == 0 || entries == null) {
-            core.listFailed(now);
-            return;
-        }
-        core.listBegins();
-        for (int at = 0; at + ENTRY <= entries.limit(); at += ENTRY) {
-            int state = entries.get(at);
-            Listing listing = state == 3 ? Listing.READY : state == 1 ? Listing.DRAINING : Listing.GONE;
-            long startedAt = entries.getLong(at + 17);
-            core.listed(now, address(entries, at + 7), listing, entries.getShort(at + 26) & 0xffff,
-                entries.getShort(at + 5) & 0xffff, entries.getFloat(at + 13),
-                startedAt == 0 ? Moment.LONG_AGO : new Moment(startedAt));
-        }
-        core.listEnds(now, kind != 1, kind != 2);
-    }
-
-    void incoming(Moment now, ByteBuffer in, int at) throws WireFault {
-        long ticket = in.getInt(at) & 0xffffffffL;
-        // A float holds the token only nearly: the next smaller one puts the commit later, never earlier.
-        float token = in.getFloat(at + 33);
-        Moment committed = token > 0
-            ? now.minus(Span.ofMillis(Math.nextDown(token))).plus(new Span(1)) : Moment.LONG_AGO;
-        if (!core.taken(now, ticket, in.get(at + 4) & 0xff, (int) in.getFloat(at + 29), in.getLong(at + 9),
-            new Moment(in.getLong(at + 17)), committed, 0)) {
-            throw new WireFault("request " + ticket + " came twice");
-        }
-    }
-
-    void outcome(Moment now, ByteBuffer in, int at) {
-        long stand = in.getInt(at + 11) & 0xffffffffL;
-        core.ended(now, in.getInt(at) & 0xffffffffL, in.get(at + 4) & 0xff, ending(in.getShort(at + 9)),
-            (stand & 3) == 1 ? Role.PRIMARY : (stand & 3) == 2 ? Role.REPLICA : Role.UNTOLD,
-            gauges.afterMillis(stand >> 2), in.get(at + 21) != 0);
-    }
-
-    void polled(Moment now, ByteBuffer in, int at) {
-        int count = in.get(at + 12) & 0xff;
-        float position = value(in, at + 13, count, gauges.position);
-        core.polled(now, address(in, at), ending(in.getShort(at + 6)),
-            gauges.role(value(in, at + 13, count, gauges.primary)),
-            gauges.position(Math.nextDown(position)), value(in, at + 13, count, gauges.util),
-            value(in, at + 13, count, gauges.queue));
-    }
-
-    private static Ending ending(short code) {
-        return code >= 0 && code < ENDINGS.length ? ENDINGS[code] : Ending.UNKNOWN;
-    }
-
-    private static float value(ByteBuffer in, int at, int count, int field) {
-        return field >= 0 && field < count ? in.getFloat(at + 4 * field) : Float.NaN;
-    }
-
-    void clientLeft(Moment now, ByteBuffer in, int at) {
-        core.clientLeft(now, in.getInt(at) & 0xffffffffL);
-    }
-
-    void woken(Moment now) {
-        core.woken(now);
-    }
-
-    private static long address(ByteBuffer in, int at) {
-        return in.getInt(at) & 0xffffffffL | (in.getShort(at + 4) & 0xffffL) << 32;
-    }
-
-    private ByteBuffer putNode(ByteBuffer out, long node) {
-        return out.putInt((int) node).putShort((short) (node >> 32));
-    }
-
-    /** The simulator sends at once. */
-    @Override
-    public void execute(long ticket, int execution, Long node, Span timeout, Moment sendBy) {
-        putNode(reply.record(number, 7, 14).putInt((int) ticket), node).putInt((int) timeout.micros());
-    }
-
-    @Override
-    public void cancel(long ticket, int execution) {
-        reply.record(number, 12, 5).putInt((int) ticket).put((byte) execution);
-    }
-
-    @Override
-    public void reject(long ticket, Span comeBackAfter, Refusal why) {
-        reply.record(number, 9, 8).putInt((int) ticket).putInt((int) comeBackAfter.micros());
-    }
-
-    @Override
-    public void abort(long ticket) {
-        reply.record(number, 11, 4).putInt((int) ticket);
-    }
-
-    @Override
-    public void poll(Long node) {
-        putNode(reply.record(number, 6, 6), node);
-    }
-
-    @Override
-    public void forget(Long node) {
-        // The wire has no word for it.
-    }
-
-    @Override
-    public void letGo(Long node) {
-        putNode(reply.record(number, 1, 6), node);
-    }
-
-    @Override
-    public void watch() {
-        reply.record(number, 13, 1).put((byte) 1);
-    }
-
-    @Override
-    public void wake(Span fromNow) {
-        reply.record(number, 4, 8).putInt((int) Math.max(1, fromNow.micros())).putInt(0);
-    }
-
-    @Override
-    public void prepare(Long node, int connections) {
-        // The simulator announces no change.
-    }
-
-    @Override
-    public void change(int group, Change.Phase phase, Long target) {
-        // As above.
-    }
-
-    @Override
-    public void primary(int group, Long node, boolean found) {
-        // The simulator tells of every change of primary itself.
-    }
-
-    void broken(String cause) {
-        byte[] words = cause.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(words.length, 500);
-        reply.record(number, 10, 2 + length).putShort((short) length).put(words, 0, length);
-    }
+  static final int ENTRY = 28;
+  private static final Ending[] ENDINGS = new Ending[15];
+
+  static {
+    Arrays.fill(ENDINGS, Ending.UNKNOWN);
+    ENDINGS[0] = Ending.COMPLETED;
+    ENDINGS[1] = Ending.CANCELLED;
+    ENDINGS[4] = Ending.TIMED_OUT;
+    ENDINGS[5] = Ending.MISS;
+    ENDINGS[8] = Ending.FULL;
+    ENDINGS[9] = Ending.NEVER_SENT;
+    ENDINGS[10] = Ending.RESET;
+    ENDINGS[13] = Ending.ERROR;
+    ENDINGS[14] = Ending.NO_CONNECTION;
+  }
+
+  private final int number;
+  private final Reply reply;
+  private final Core<Long> core;
+  private final Gauges gauges;
+
+  Instance(int number, Reply reply, long seed, String settings, Moment now) throws StartFault {
+    this.number = number;
+    this.reply = reply;
+    StartValues start = StartValues.ofLines(settings);
+    gauges = start.gauges(start.origin());
+    core = new Core<>(this, start.balance(seed, now));
+  }
+
+  void list(Moment now, int kind, ByteBuffer entries) {
+    if (kind == 0 || entries == null) {
+      core.listFailed(now);
+      return;
+    }
+    core.listBegins();
+    for (int at = 0; at + ENTRY <= entries.limit(); at += ENTRY) {
+      int state = entries.get(at);
+      Listing listing = state == 3 ? Listing.READY : state == 1 ? Listing.DRAINING : Listing.GONE;
+      long startedAt = entries.getLong(at + 17);
+      core.listed(
+          now,
+          address(entries, at + 7),
+          listing,
+          entries.getShort(at + 26) & 0xffff,
+          entries.getShort(at + 5) & 0xffff,
+          entries.getFloat(at + 13),
+          startedAt == 0 ? Moment.LONG_AGO : new Moment(startedAt));
+    }
+    core.listEnds(now, kind != 1, kind != 2);
+  }
+
+  void incoming(Moment now, ByteBuffer in, int at) throws WireFault {
+    long ticket = in.getInt(at) & 0xffffffffL;
+    // A float holds the token only nearly: the next smaller one puts the commit later, never
+    // earlier.
+    float token = in.getFloat(at + 33);
+    Moment committed =
+        token > 0
+            ? now.minus(Span.ofMillis(Math.nextDown(token))).plus(new Span(1))
+            : Moment.LONG_AGO;
+    if (!core.taken(
+        now,
+        ticket,
+        in.get(at + 4) & 0xff,
+        (int) in.getFloat(at + 29),
+        in.getLong(at + 9),
+        new Moment(in.getLong(at + 17)),
+        committed,
+        0)) {
+      throw new WireFault("request " + ticket + " came twice");
+    }
+  }
+
+  void outcome(Moment now, ByteBuffer in, int at) {
+    long stand = in.getInt(at + 11) & 0xffffffffL;
+    core.ended(
+        now,
+        in.getInt(at) & 0xffffffffL,
+        in.get(at + 4) & 0xff,
+        ending(in.getShort(at + 9)),
+        (stand & 3) == 1 ? Role.PRIMARY : (stand & 3) == 2 ? Role.REPLICA : Role.UNTOLD,
+        gauges.afterMillis(stand >> 2),
+        in.get(at + 21) != 0);
+  }
+
+  void polled(Moment now, ByteBuffer in, int at) {
+    int count = in.get(at + 12) & 0xff;
+    float position = value(in, at + 13, count, gauges.position);
+    core.polled(
+        now,
+        address(in, at),
+        ending(in.getShort(at + 6)),
+        gauges.role(value(in, at + 13, count, gauges.primary)),
+        gauges.position(Math.nextDown(position)),
+        value(in, at + 13, count, gauges.util),
+        value(in, at + 13, count, gauges.queue));
+  }
+
+  private static Ending ending(short code) {
+    return code >= 0 && code < ENDINGS.length ? ENDINGS[code] : Ending.UNKNOWN;
+  }
+
+  private static float value(ByteBuffer in, int at, int count, int field) {
+    return field >= 0 && field < count ? in.getFloat(at + 4 * field) : Float.NaN;
+  }
+
+  void clientLeft(Moment now, ByteBuffer in, int at) {
+    core.clientLeft(now, in.getInt(at) & 0xffffffffL);
+  }
+
+  void woken(Moment now) {
+    core.woken(now);
+  }
+
+  private static long address(ByteBuffer in, int at) {
+    return in.getInt(at) & 0xffffffffL | (in.getShort(at + 4) & 0xffffL) << 32;
+  }
+
+  private ByteBuffer putNode(ByteBuffer out, long node) {
+    return out.putInt((int) node).putShort((short) (node >> 32));
+  }
+
+  /** The simulator sends at once. */
+  @Override
+  public void execute(long ticket, int execution, Long node, Span timeout, Moment sendBy) {
+    putNode(reply.record(number, 7, 14).putInt((int) ticket), node).putInt((int) timeout.micros());
+  }
+
+  @Override
+  public void cancel(long ticket, int execution) {
+    reply.record(number, 12, 5).putInt((int) ticket).put((byte) execution);
+  }
+
+  @Override
+  public void reject(long ticket, Span comeBackAfter, Refusal why) {
+    reply.record(number, 9, 8).putInt((int) ticket).putInt((int) comeBackAfter.micros());
+  }
+
+  @Override
+  public void abort(long ticket) {
+    reply.record(number, 11, 4).putInt((int) ticket);
+  }
+
+  @Override
+  public void poll(Long node) {
+    putNode(reply.record(number, 6, 6), node);
+  }
+
+  @Override
+  public void forget(Long node) {
+    // The wire has no word for it.
+  }
+
+  @Override
+  public void letGo(Long node) {
+    putNode(reply.record(number, 1, 6), node);
+  }
+
+  @Override
+  public void watch() {
+    reply.record(number, 13, 1).put((byte) 1);
+  }
+
+  @Override
+  public void wake(Span fromNow) {
+    reply.record(number, 4, 8).putInt((int) Math.max(1, fromNow.micros())).putInt(0);
+  }
+
+  @Override
+  public void prepare(Long node, int connections) {
+    // The simulator announces no change.
+  }
+
+  @Override
+  public void change(int group, Change.Phase phase, Long target) {
+    // As above.
+  }
+
+  @Override
+  public void primary(int group, Long node, boolean found) {
+    // The simulator tells of every change of primary itself.
+  }
+
+  void broken(String cause) {
+    byte[] words = cause.getBytes(StandardCharsets.UTF_8);
+    int length = Math.min(words.length, 500);
+    reply.record(number, 10, 2 + length).putShort((short) length).put(words, 0, length);
+  }
 }
--- a/router/src/main/java/basaltlever/agree/Grant.java
+++ b/router/src/main/java/basaltlever/agree/Grant.java
@@ -11,5 +11,4 @@
  * @param prepared the version on its way, or null
  * @param changes of the voters' register when it was given: a leader that was replaced knows fewer
  */
-public record Grant(long beat, Span lasts, Version inForce, Version prepared, long changes) {
-}
+public record Grant(long beat, Span lasts, Version inForce, Version prepared, long changes) {}
--- a/router/src/main/java/basaltlever/agree/Report.java
+++ b/router/src/main/java/basaltlever/agree/Report.java
@@ -16,9 +16,18 @@
  * @param read up to which place of that book
  * @param seatsRead number of the table of seats that it has
  */
-public record Report(Stamp at, long digest, Doubt doubt, List<Mark> marks, long marksEnd, List<Seat> wanted,
-                     List<String> free, long book, long read, long seatsRead) {
-    /** Of a router that has heard of no list. */
-    public static final Report NONE = new Report(Stamp.NEVER, 0, Doubt.NONE, List.of(), 0, List.of(), List.of(),
-        0, 0, -1);
+public record Report(
+    Stamp at,
+    long digest,
+    Doubt doubt,
+    List<Mark> marks,
+    long marksEnd,
+    List<Seat> wanted,
+    List<String> free,
+    long book,
+    long read,
+    long seatsRead) {
+  /** Of a router that has heard of no list. */
+  public static final Report NONE =
+      new Report(Stamp.NEVER, 0, Doubt.NONE, List.of(), 0, List.of(), List.of(), 0, 0, -1);
 }
--- a/router/src/main/java/basaltlever/agree/Roll.java
+++ b/router/src/main/java/basaltlever/agree/Roll.java
@@ -20,334 +20,410 @@
 import java.util.function.Predicate;
 
 /**
- * Which members one router may use and in which group, by its own lists and its fleet's word. What a list forbids
- * binds at once, whoever's list it is; what it allows waits until most routers hold the same list, or until
- * nobody has contradicted it for the stated time. A list that goes back, empties or shrinks at once is held off:
- * what it forbids by name binds, the rest is used for nothing.
+ * Which members one router may use and in which group, by its own lists and its fleet's word. What
+ * a list forbids binds at once, whoever's list it is; what it allows waits until most routers hold
+ * the same list, or until nobody has contradicted it for the stated time. A list that goes back,
+ * empties or shrinks at once is held off: what it forbids by name binds, the rest is used for
+ * nothing.
  */
 public final class Roll {
-    /** A list that names less than this share of the members in service at once is held off. */
-    private static final double LEAST_LEFT = 0.5;
-    private static final int MOST_MARKS = 5_000;
-    private static final int MARKS_A_BEAT = 500;
-    private static final int SEATS_A_BEAT = 500;
-    /** Lists that nobody has confirmed; of more the oldest counts for nothing, the strictest of it is kept. */
-    private static final int MOST_UNSETTLED = 32;
-
-    /** What may be done with a member: its listing, and the group in which it may be used. */
-    public record Use(Listing listing, int group) { }
-
-    /** A list that was taken. */
-    private static final class Copy {
-        final SortedMap<String, Said> list;
-        final Stamp at;
-        final long digest;
-        final Moment since;
-        Verdict verdict = Verdict.UNTOLD;
-        Moment seenSince = Moment.NEVER;
-
-        Copy(SortedMap<String, Said> list, Stamp at, long digest, Moment since) {
-            this.list = list;
-            this.at = at;
-            this.digest = digest;
-            this.since = since;
-        }
+  /** A list that names less than this share of the members in service at once is held off. */
+  private static final double LEAST_LEFT = 0.5;
+
+  private static final int MOST_MARKS = 5_000;
+  private static final int MARKS_A_BEAT = 500;
+  private static final int SEATS_A_BEAT = 500;
+
+  /**
+   * Lists that nobody has confirmed; of more the oldest counts for nothing, the strictest of it is
+   * kept.
+   */
+  private static final int MOST_UNSETTLED = 32;
+
+  /** What may be done with a member: its listing, and the group in which it may be used. */
+  public record Use(Listing listing, int group) {}
+
+  /** A list that was taken. */
+  private static final class Copy {
+    final SortedMap<String, Said> list;
+    final Stamp at;
+    final long digest;
+    final Moment since;
+    Verdict verdict = Verdict.UNTOLD;
+    Moment seenSince = Moment.NEVER;
+
+    Copy(SortedMap<String, Said> list, Stamp at, long digest, Moment since) {
+      this.list = list;
+      this.at = at;
+      this.digest = digest;
+      this.since = since;
     }
-
-    private final Span stated;
-    private final Span assigned;
-    /** What discovery told last, held off or not; null before the first list. */
-    private Copy told;
-    private Doubt doubt = Doubt.NONE;
-    /** The list that is taken, and those since the last one that is settled, oldest first, this one too. */
-    private Copy own = new Copy(new TreeMap<>(), Stamp.NEVER, 0, Moment.LONG_AGO);
-    private final ArrayDeque<Copy> unsettled = new ArrayDeque<>();
-    private SortedMap<String, Said> settled = new TreeMap<>();
-    private Stamp settledAt = Stamp.NEVER;
-    private final Map<String, Mark> marks = new HashMap<>();
-    /** What the leader may lack, and how many went before these. */
-    private final ArrayDeque<Mark> unsent = new ArrayDeque<>();
-    private long sent;
-    private final Map<String, Seat> seats = new TreeMap<>();
-    /** Below 0 before the first word: a fresh process knows of no member in which group others use it. */
-    private long seatsNumber = -1;
-    private long book;
-    private long place;
-    private long era;
-    private Moment wordUntil = Moment.LONG_AGO;
-    private long revision;
-
-    /**
-     * Within the stated time nobody acts on an older version; for as long as assigned a router that hears nothing
-     * may go on using members in the groups that it knows.
-     */
-    public Roll(Span stated, Span assigned) {
-        this.stated = stated;
-        this.assigned = assigned;
+  }
+
+  private final Span stated;
+  private final Span assigned;
+
+  /** What discovery told last, held off or not; null before the first list. */
+  private Copy told;
+
+  private Doubt doubt = Doubt.NONE;
+
+  /**
+   * The list that is taken, and those since the last one that is settled, oldest first, this one
+   * too.
+   */
+  private Copy own = new Copy(new TreeMap<>(), Stamp.NEVER, 0, Moment.LONG_AGO);
+
+  private final ArrayDeque<Copy> unsettled = new ArrayDeque<>();
+  private SortedMap<String, Said> settled = new TreeMap<>();
+  private Stamp settledAt = Stamp.NEVER;
+  private final Map<String, Mark> marks = new HashMap<>();
+
+  /** What the leader may lack, and how many went before these. */
+  private final ArrayDeque<Mark> unsent = new ArrayDeque<>();
+
+  private long sent;
+  private final Map<String, Seat> seats = new TreeMap<>();
+
+  /**
+   * Below 0 before the first word: a fresh process knows of no member in which group others use it.
+   */
+  private long seatsNumber = -1;
+
+  private long book;
+  private long place;
+  private long era;
+  private Moment wordUntil = Moment.LONG_AGO;
+  private long revision;
+
+  /**
+   * Within the stated time nobody acts on an older version; for as long as assigned a router that
+   * hears nothing may go on using members in the groups that it knows.
+   */
+  public Roll(Span stated, Span assigned) {
+    this.stated = stated;
+    this.assigned = assigned;
+  }
+
+  // ---- What discovery tells.
+
+  /**
+   * A whole list, or entries that have changed since the one before. Tells whether it is held off,
+   * and why.
+   */
+  public Doubt told(Moment now, boolean whole, long generation, Map<String, Said> entries) {
+    TreeMap<String, Said> list = whole || told == null ? new TreeMap<>() : new TreeMap<>(told.list);
+    list.putAll(entries);
+    revision++;
+    boolean back = own.at.era() == era && generation < own.at.generation();
+    told = new Copy(list, new Stamp(era, generation), digest(list, generation), now);
+    doubt = back ? Doubt.BACK : doubt();
+    heed();
+    return doubt;
+  }
+
+  private void heed() {
+    if (doubt != Doubt.BACK) {
+      // Of a list that is held off as well: what it says by name is no slip of its length.
+      told.list.forEach(
+          (member, said) -> {
+            if (said.listing() != Listing.READY) {
+              mark(new Mark(member, told.at, said.listing() == Listing.GONE), true);
+            }
+          });
     }
-
-    // ---- What discovery tells.
-
-    /** A whole list, or entries that have changed since the one before. Tells whether it is held off, and why. */
-    public Doubt told(Moment now, boolean whole, long generation, Map<String, Said> entries) {
-        TreeMap<String, Said> list = whole || told == null ? new TreeMap<>() : new TreeMap<>(told.list);
-        list.putAll(entries);
-        revision++;
-        boolean back = own.at.era() == era && generation < own.at.generation();
-        told = new Copy(list, new Stamp(era, generation), digest(list, generation), now);
-        doubt = back ? Doubt.BACK : doubt();
-        heed();
-        return doubt;
+    if (doubt == Doubt.NONE) {
+      take();
     }
+  }
 
-    private void heed() {
-        if (doubt != Doubt.BACK) {
-            // Of a list that is held off as well: what it says by name is no slip of its length.
-            told.list.forEach((member, said) -> {
-                if (said.listing() != Listing.READY) {
-                    mark(new Mark(member, told.at, said.listing() == Listing.GONE), true);
-                }
-            });
-        }
-        if (doubt == Doubt.NONE) {
-            take();
-        }
+  private Doubt doubt() {
+    if (told.list.values().stream().allMatch(said -> said.listing() == Listing.GONE)) {
+      return Doubt.EMPTY;
     }
-
-    private Doubt doubt() {
-        if (told.list.values().stream().allMatch(said -> said.listing() == Listing.GONE)) {
-            return Doubt.EMPTY;
-        }
-        long serving = own.list.values().stream().filter(said -> said.listing() == Listing.READY).count();
-        long named = own.list.entrySet().stream().filter(entry -> entry.getValue().listing() == Listing.READY
-            && told.list.containsKey(entry.getKey())).count();
-        return named < LEAST_LEFT * serving ? Doubt.SHRUNK : Doubt.NONE;
+    long serving =
+        own.list.values().stream().filter(said -> said.listing() == Listing.READY).count();
+    long named =
+        own.list.entrySet().stream()
+            .filter(
+                entry ->
+                    entry.getValue().listing() == Listing.READY
+                        && told.list.containsKey(entry.getKey()))
+            .count();
+    return named < LEAST_LEFT * serving ? Doubt.SHRUNK : Doubt.NONE;
+  }
+
+  private void take() {
+    revision++;
+    for (String member : own.list.keySet()) {
+      if (!told.list.containsKey(member)) {
+        mark(new Mark(member, told.at, true), true);
+      }
     }
-
-    private void take() {
-        revision++;
-        for (String member : own.list.keySet()) {
-            if (!told.list.containsKey(member)) {
-                mark(new Mark(member, told.at, true), true);
-            }
-        }
-        own = told;
-        unsettled.add(own);
-        if (unsettled.size() > MOST_UNSETTLED) {
-            // Whom it alone names nobody has borne out.
-            SortedMap<String, Said> strictest = new TreeMap<>(settled);
-            unsettled.removeFirst().list.forEach((member, said) -> strictest.computeIfPresent(member, (m, known) ->
-                said.listing().compareTo(known.listing()) > 0 ? said : known));
-            settled = strictest;
-        }
-    }
-
-    private void mark(Mark mark, boolean isOwn) {
-        if (mark.outdoes(marks.get(mark.member()))) {
-            marks.put(mark.member(), mark);
-            revision++;
-            if (isOwn && unsent.size() < MOST_MARKS) {
-                unsent.add(mark);
-            }
-            if (marks.size() > MOST_MARKS) {
-                marks.values().stream().min(Comparator.comparing(Mark::at)).ifPresent(oldest ->
-                    marks.remove(oldest.member()));
-            }
-        }
+    own = told;
+    unsettled.add(own);
+    if (unsettled.size() > MOST_UNSETTLED) {
+      // Whom it alone names nobody has borne out.
+      SortedMap<String, Said> strictest = new TreeMap<>(settled);
+      unsettled
+          .removeFirst()
+          .list
+          .forEach(
+              (member, said) ->
+                  strictest.computeIfPresent(
+                      member,
+                      (m, known) -> said.listing().compareTo(known.listing()) > 0 ? said : known));
+      settled = strictest;
     }
-
-    /** Of what routers may contradict each other by; addresses may differ by network. */
-    private static long digest(SortedMap<String, Said> list, long generation) {
-        try {
-            MessageDigest sum = MessageDigest.getInstance("SHA-256");
-            list.forEach((member, said) -> {
-                if (said.listing() != Listing.GONE) {
-                    sum.update((member + '\0' + said.listing() + '\0' + said.group() + '\n').getBytes(
-                        StandardCharsets.UTF_8));
-                }
-            });
-            sum.update(ByteBuffer.allocate(Long.BYTES).putLong(generation).array());
-            long digest = ByteBuffer.wrap(sum.digest()).getLong();
-            return digest == 0 ? 1 : digest;
-        } catch (NoSuchAlgorithmException impossible) {
-            throw new IllegalStateException(impossible);
-        }
+  }
+
+  private void mark(Mark mark, boolean isOwn) {
+    if (mark.outdoes(marks.get(mark.member()))) {
+      marks.put(mark.member(), mark);
+      revision++;
+      if (isOwn && unsent.size() < MOST_MARKS) {
+        unsent.add(mark);
+      }
+      if (marks.size() > MOST_MARKS) {
+        marks.values().stream()
+            .min(Comparator.comparing(Mark::at))
+            .ifPresent(oldest -> marks.remove(oldest.member()));
+      }
     }
-
-    // ---- What the fleet tells.
-
-    /** To be taken in before the grant that it comes with. */
-    public void heard(Moment now, Sight sight) {
-        if (sight.book() != book) {
-            // Another leader: all that this router knows may be news to it.
-            book = sight.book();
-            place = 0;
-            sent += unsent.size();
-            unsent.clear();
-            unsent.addAll(marks.values());
-        } else {
-            while (sent < sight.marksEnd() && !unsent.isEmpty()) {
-                unsent.removeFirst();
-                sent++;
+  }
+
+  /** Of what routers may contradict each other by; addresses may differ by network. */
+  private static long digest(SortedMap<String, Said> list, long generation) {
+    try {
+      MessageDigest sum = MessageDigest.getInstance("SHA-256");
+      list.forEach(
+          (member, said) -> {
+            if (said.listing() != Listing.GONE) {
+              sum.update(
+                  (member + '\0' + said.listing() + '\0' + said.group() + '\n')
+                      .getBytes(StandardCharsets.UTF_8));
             }
-        }
-        sight.marks().forEach(mark -> mark(mark, false));
-        place = Math.max(place, sight.place());
-        if (sight.seatsNumber() > seatsNumber) {
-            // One that was replaced without knowing it tells an older table.
-            sight.seats().forEach(seat -> seats.put(seat.member(), seat));
-            seatsNumber = sight.seatsNumber();
-            revision++;
-        }
-        // Which of the lists that it has were counted before nobody knows: discovery has to tell them once more.
-        era = Math.max(era, sight.era());
-        if (told != null && sight.at().equals(told.at) && sight.digest() == told.digest) {
-            // Another leader may not know any more who contradicted it.
-            told.verdict = told.verdict == Verdict.DISPUTED && sight.verdict() != Verdict.SEEN
-                && sight.verdict() != Verdict.PASSED ? told.verdict
-                : sight.verdict();
-            // For so long that, did it go back for most, they would have agreed to count anew.
-            told.seenSince = told.verdict == Verdict.SEEN ? told.seenSince.earlier(now) : Moment.NEVER;
-            boolean holds = now.since(told.seenSince).isLongerThan(stated);
-            if (holds && (doubt == Doubt.SHRUNK || doubt == Doubt.BACK)) {
-                // Most hold it: theirs was no slip, or what this one came to hold before was one.
-                doubt = Doubt.NONE;
-                heed();
-            }
-        }
-        settle(now);
+          });
+      sum.update(ByteBuffer.allocate(Long.BYTES).putLong(generation).array());
+      long digest = ByteBuffer.wrap(sum.digest()).getLong();
+      return digest == 0 ? 1 : digest;
+    } catch (NoSuchAlgorithmException impossible) {
+      throw new IllegalStateException(impossible);
     }
-
-    // The newest that most hold, or that nobody has contradicted for so long; what came before it is over.
-    private void settle(Moment now) {
-        Copy newest = null;
-        for (Copy copy : unsettled) {
-            // One that was replaced since is judged no more: who would contradict it may not have spoken yet. One
-            // that is older than what most hold allows nothing: a newer one is on its way here too.
-            boolean stands = copy.verdict == Verdict.SEEN || copy.verdict == Verdict.PASSED || copy == told
-                && copy.verdict == Verdict.AHEAD && now.since(copy.since).isLongerThan(stated);
-            newest = stands ? copy : newest;
-        }
-        while (newest != null && !unsettled.isEmpty() && settled != newest.list) {
-            Copy next = unsettled.removeFirst();
-            settled = next.list;
-            settledAt = next.at;
-            revision++;
-        }
+  }
+
+  // ---- What the fleet tells.
+
+  /** To be taken in before the grant that it comes with. */
+  public void heard(Moment now, Sight sight) {
+    if (sight.book() != book) {
+      // Another leader: all that this router knows may be news to it.
+      book = sight.book();
+      place = 0;
+      sent += unsent.size();
+      unsent.clear();
+      unsent.addAll(marks.values());
+    } else {
+      while (sent < sight.marksEnd() && !unsent.isEmpty()) {
+        unsent.removeFirst();
+        sent++;
+      }
     }
-
-    /** It has its fleet's word up to this moment. */
-    public void leased(Moment ends) {
-        wordUntil = wordUntil.later(ends);
+    sight.marks().forEach(mark -> mark(mark, false));
+    place = Math.max(place, sight.place());
+    if (sight.seatsNumber() > seatsNumber) {
+      // One that was replaced without knowing it tells an older table.
+      sight.seats().forEach(seat -> seats.put(seat.member(), seat));
+      seatsNumber = sight.seatsNumber();
+      revision++;
     }
-
-    /** Whether it has heard nothing for so long that members may serve other groups by now. */
-    public boolean isAdrift(Moment now) {
-        return seatsNumber < 0 || now.since(wordUntil).isLongerThan(assigned);
+    // Which of the lists that it has were counted before nobody knows: discovery has to tell them
+    // once more.
+    era = Math.max(era, sight.era());
+    if (told != null && sight.at().equals(told.at) && sight.digest() == told.digest) {
+      // Another leader may not know any more who contradicted it.
+      told.verdict =
+          told.verdict == Verdict.DISPUTED
+                  && sight.verdict() != Verdict.SEEN
+                  && sight.verdict() != Verdict.PASSED
+              ? told.verdict
+              : sight.verdict();
+      // For so long that, did it go back for most, they would have agreed to count anew.
+      told.seenSince = told.verdict == Verdict.SEEN ? told.seenSince.earlier(now) : Moment.NEVER;
+      boolean holds = now.since(told.seenSince).isLongerThan(stated);
+      if (holds && (doubt == Doubt.SHRUNK || doubt == Doubt.BACK)) {
+        // Most hold it: theirs was no slip, or what this one came to hold before was one.
+        doubt = Doubt.NONE;
+        heed();
+      }
     }
-
-    // ---- What follows.
-
-    /** Another number whenever some member may have another use. */
-    public long revision(Moment now) {
-        return 2 * revision + (isAdrift(now) ? 1 : 0);
+    settle(now);
+  }
+
+  // The newest that most hold, or that nobody has contradicted for so long; what came before it is
+  // over.
+  private void settle(Moment now) {
+    Copy newest = null;
+    for (Copy copy : unsettled) {
+      // One that was replaced since is judged no more: who would contradict it may not have spoken
+      // yet. One
+      // that is older than what most hold allows nothing: a newer one is on its way here too.
+      boolean stands =
+          copy.verdict == Verdict.SEEN
+              || copy.verdict == Verdict.PASSED
+              || copy == told
+                  && copy.verdict == Verdict.AHEAD
+                  && now.since(copy.since).isLongerThan(stated);
+      newest = stands ? copy : newest;
     }
-
-    /** Every member that has to be told to the decisions. */
-    public Set<String> members() {
-        Set<String> all = new TreeSet<>(own.list.keySet());
-        all.addAll(settled.keySet());
-        unsettled.forEach(copy -> all.addAll(copy.list.keySet()));
-        return all;
+    while (newest != null && !unsettled.isEmpty() && settled != newest.list) {
+      Copy next = unsettled.removeFirst();
+      settled = next.list;
+      settledAt = next.at;
+      revision++;
     }
-
-    /** The strictest of what is known at this moment. */
-    public Use use(Moment now, String member) {
-        Said mine = own.list.get(member);
-        Listing listing = mine == null ? Listing.GONE : mine.listing();
-        if (!unsettled.isEmpty()) {
-            // Known to no settled list: nobody needs it at once, and most may know nothing of it.
-            Said before = settled.get(member);
-            listing = stricter(listing, before != null ? before.listing() : Listing.DRAINING);
-            for (Copy copy : unsettled) {
-                Said once = copy.list.get(member);
-                listing = stricter(listing, once == null ? Listing.DRAINING : once.listing());
-            }
-        }
-        if (doubt == Doubt.BACK && told.list.containsKey(member)) {
-            // Older, so it is no news for others; yet this router was told.
-            listing = stricter(listing, told.list.get(member).listing());
-        }
-        Mark mark = marks.get(member);
-        // A newer list undoes it once it is settled: by then most hold it, or nobody contradicts it.
-        if (mark != null && !settledAt.isNewerThan(mark.at())) {
-            listing = stricter(listing, mark.gone() ? Listing.GONE : Listing.DRAINING);
-        }
-        Seat seat = seats.get(member);
-        // Its own list may be older than where the member went, or newer than what is agreed: neither is used.
-        boolean waits = seat == null || !seat.cleared() || mine != null && mine.group() != seat.group()
-            || isAdrift(now);
-        return new Use(waits ? stricter(listing, Listing.DRAINING) : listing, seat != null ? seat.group()
-            : mine != null ? mine.group() : 0);
+  }
+
+  /** It has its fleet's word up to this moment. */
+  public void leased(Moment ends) {
+    wordUntil = wordUntil.later(ends);
+  }
+
+  /** Whether it has heard nothing for so long that members may serve other groups by now. */
+  public boolean isAdrift(Moment now) {
+    return seatsNumber < 0 || now.since(wordUntil).isLongerThan(assigned);
+  }
+
+  // ---- What follows.
+
+  /** Another number whenever some member may have another use. */
+  public long revision(Moment now) {
+    return 2 * revision + (isAdrift(now) ? 1 : 0);
+  }
+
+  /** Every member that has to be told to the decisions. */
+  public Set<String> members() {
+    Set<String> all = new TreeSet<>(own.list.keySet());
+    all.addAll(settled.keySet());
+    unsettled.forEach(copy -> all.addAll(copy.list.keySet()));
+    return all;
+  }
+
+  /** The strictest of what is known at this moment. */
+  public Use use(Moment now, String member) {
+    Said mine = own.list.get(member);
+    Listing listing = mine == null ? Listing.GONE : mine.listing();
+    if (!unsettled.isEmpty()) {
+      // Known to no settled list: nobody needs it at once, and most may know nothing of it.
+      Said before = settled.get(member);
+      listing = stricter(listing, before != null ? before.listing() : Listing.DRAINING);
+      for (Copy copy : unsettled) {
+        Said once = copy.list.get(member);
+        listing = stricter(listing, once == null ? Listing.DRAINING : once.listing());
+      }
     }
-
-    private static Listing stricter(Listing one, Listing other) {
-        return one.compareTo(other) >= 0 ? one : other;
+    if (doubt == Doubt.BACK && told.list.containsKey(member)) {
+      // Older, so it is no news for others; yet this router was told.
+      listing = stricter(listing, told.list.get(member).listing());
     }
-
-    /** What its own list says of a member's group where that is not agreed; null where it is. */
-    private Seat wants(String member, Said said) {
-        Seat seat = seats.get(member);
-        return seat == null || seat.cleared() && said.group() != seat.group() && own.at.isNewerThan(seat.at())
-            ? new Seat(member, said.group(), own.at, false) : null;
+    Mark mark = marks.get(member);
+    // A newer list undoes it once it is settled: by then most hold it, or nobody contradicts it.
+    if (mark != null && !settledAt.isNewerThan(mark.at())) {
+      listing = stricter(listing, mark.gone() ? Listing.GONE : Listing.DRAINING);
     }
-
-    /** For the next beat; nothing is out at a member where the test says so. */
-    public Report report(Moment now, Predicate<String> nothingOut) {
-        List<Seat> wanted = new ArrayList<>();
-        own.list.forEach((member, said) -> {
-            // Of a list that is held off nothing is wanted, and who holds it off reports no other.
-            Seat wants = seatsNumber < 0 || doubt != Doubt.NONE || said.listing() == Listing.GONE || wanted.size() >= SEATS_A_BEAT ? null
-                : wants(member, said);
-            if (wants != null) {
-                wanted.add(wants);
-            }
+    Seat seat = seats.get(member);
+    // Its own list may be older than where the member went, or newer than what is agreed: neither
+    // is used.
+    boolean waits =
+        seat == null
+            || !seat.cleared()
+            || mine != null && mine.group() != seat.group()
+            || isAdrift(now);
+    return new Use(
+        waits ? stricter(listing, Listing.DRAINING) : listing,
+        seat != null ? seat.group() : mine != null ? mine.group() : 0);
+  }
+
+  private static Listing stricter(Listing one, Listing other) {
+    return one.compareTo(other) >= 0 ? one : other;
+  }
+
+  /** What its own list says of a member's group where that is not agreed; null where it is. */
+  private Seat wants(String member, Said said) {
+    Seat seat = seats.get(member);
+    return seat == null
+            || seat.cleared() && said.group() != seat.group() && own.at.isNewerThan(seat.at())
+        ? new Seat(member, said.group(), own.at, false)
+        : null;
+  }
+
+  /** For the next beat; nothing is out at a member where the test says so. */
+  public Report report(Moment now, Predicate<String> nothingOut) {
+    List<Seat> wanted = new ArrayList<>();
+    own.list.forEach(
+        (member, said) -> {
+          // Of a list that is held off nothing is wanted, and who holds it off reports no other.
+          Seat wants =
+              seatsNumber < 0
+                      || doubt != Doubt.NONE
+                      || said.listing() == Listing.GONE
+                      || wanted.size() >= SEATS_A_BEAT
+                  ? null
+                  : wants(member, said);
+          if (wants != null) {
+            wanted.add(wants);
+          }
         });
-        List<Mark> some = unsent.stream().limit(MARKS_A_BEAT).toList();
-        List<String> free = seats.values().stream().filter(seat -> !seat.cleared() && nothingOut.test(
-            seat.member())).map(Seat::member).toList();
-        return new Report(told == null ? Stamp.NEVER : told.at, told == null ? 0 : told.digest, doubt, some,
-            sent + some.size(), wanted, free, book, place, seatsNumber);
-    }
-
-    /** Whether all that its own list allows holds by now. */
-    public boolean isSettled() {
-        return told != null && doubt == Doubt.NONE && unsettled.isEmpty() && own.list.entrySet().stream()
+    List<Mark> some = unsent.stream().limit(MARKS_A_BEAT).toList();
+    List<String> free =
+        seats.values().stream()
+            .filter(seat -> !seat.cleared() && nothingOut.test(seat.member()))
+            .map(Seat::member)
+            .toList();
+    return new Report(
+        told == null ? Stamp.NEVER : told.at,
+        told == null ? 0 : told.digest,
+        doubt,
+        some,
+        sent + some.size(),
+        wanted,
+        free,
+        book,
+        place,
+        seatsNumber);
+  }
+
+  /** Whether all that its own list allows holds by now. */
+  public boolean isSettled() {
+    return told != null
+        && doubt == Doubt.NONE
+        && unsettled.isEmpty()
+        && own.list.entrySet().stream()
             .allMatch(entry -> wants(entry.getKey(), entry.getValue()) == null);
-    }
-
-    /** Whether its list was counted in a former era: discovery has to tell it once more. */
-    public boolean wantsList() {
-        return told != null && told.at.era() < era;
-    }
-
-    /** In which lists are counted. */
-    public long era() {
-        return era;
-    }
-
-    /** What the fleet made of the latest list. */
-    public Verdict verdict() {
-        return told == null ? Verdict.UNTOLD : told.verdict;
-    }
-
-    /** Of the list that is taken. */
-    Stamp ownAt() {
-        return own.at;
-    }
-
-    /** Of the latest list, taken or held off. */
-    public Stamp at() {
-        return told == null ? Stamp.NEVER : told.at;
-    }
+  }
+
+  /** Whether its list was counted in a former era: discovery has to tell it once more. */
+  public boolean wantsList() {
+    return told != null && told.at.era() < era;
+  }
+
+  /** In which lists are counted. */
+  public long era() {
+    return era;
+  }
+
+  /** What the fleet made of the latest list. */
+  public Verdict verdict() {
+    return told == null ? Verdict.UNTOLD : told.verdict;
+  }
+
+  /** Of the list that is taken. */
+  Stamp ownAt() {
+    return own.at;
+  }
+
+  /** Of the latest list, taken or held off. */
+  public Stamp at() {
+    return told == null ? Stamp.NEVER : told.at;
+  }
 }
