--- a/router/src/main/java/basaltlever/agree/Said.java
+++ b/router/src/main/java/basaltlever/agree/Said.java
@@ -3,9 +3,8 @@
 import basaltlever.gateway.Listing;
 
 /**
- * What a list says of one member, as far as routers may contradict each other by it. When it started is not of
- * that kind: lists of one generation that differ in it alone were taken for a fork, and a router that was started
- * then waited for its first grant in vain.
+ * What a list says of one member, as far as routers may contradict each other by it. When it
+ * started is not of that kind: lists of one generation that differ in it alone were taken for a
+ * fork, and a router that was started then waited for its first grant in vain.
  */
-public record Said(Listing listing, int group) {
-}
+public record Said(Listing listing, int group) {}
--- a/router/src/main/java/basaltlever/agree/Sight.java
+++ b/router/src/main/java/basaltlever/agree/Sight.java
@@ -16,6 +16,14 @@
  * @param seatsNumber of the table of seats as these bring it
  * @param seats that have changed since the number that the router has
  */
-public record Sight(long book, long place, List<Mark> marks, long marksEnd, Verdict verdict, Stamp at,
-                    long digest, long era, long seatsNumber, List<Seat> seats) {
-}
+public record Sight(
+    long book,
+    long place,
+    List<Mark> marks,
+    long marksEnd,
+    Verdict verdict,
+    Stamp at,
+    long digest,
+    long era,
+    long seatsNumber,
+    List<Seat> seats) {}
--- a/router/src/main/java/basaltlever/agree/Verdict.java
+++ b/router/src/main/java/basaltlever/agree/Verdict.java
@@ -1,8 +1,15 @@
 package basaltlever.agree;
 
 /**
- * What the fleet makes of a router's list: most hold the very same; most held it and
- * have gone on; it is newer than what most hold; it is older;
- * most hold another of the same generation, so that discovery tells two things.
+ * What the fleet makes of a router's list: most hold the very same; most held it and have gone on;
+ * it is newer than what most hold; it is older; most hold another of the same generation, so that
+ * discovery tells two things.
  */
-public enum Verdict { UNTOLD, SEEN, PASSED, AHEAD, BEHIND, DISPUTED }
+public enum Verdict {
+  UNTOLD,
+  SEEN,
+  PASSED,
+  AHEAD,
+  BEHIND,
+  DISPUTED
+}
--- a/router/src/main/java/basaltlever/agree/Version.java
+++ b/router/src/main/java/basaltlever/agree/Version.java
@@ -1,8 +1,8 @@
 package basaltlever.agree;
 
 /**
- * One content of the settings. Numbers count up and are never given again; 0 is the start file's own content,
- * before the fleet agreed on any.
+ * One content of the settings. Numbers count up and are never given again; 0 is the start file's
+ * own content, before the fleet agreed on any.
  *
  * @param text the settings as JSON
  * @param routers how many routers share the whole, at least 1
@@ -10,5 +10,5 @@
  * @param why in the proposer's words
  * @param atMillis Unix time at the proposer
  */
-public record Version(long number, String text, int routers, String who, String why, long atMillis) {
-}
+public record Version(
+    long number, String text, int routers, String who, String why, long atMillis) {}
--- a/router/src/main/java/basaltlever/change/Change.java
+++ b/router/src/main/java/basaltlever/change/Change.java
@@ -4,158 +4,183 @@
 import basaltlever.time.Span;
 
 /**
- * The planned change of one group's primary, as announced by its members: named phases of one record, which
- * are those of the source (the post's status table). Free of I/O; {@code Balance} asks it and tells it what
- * it sees. A router never believes an announcement more than a claim: it only holds for it, for a bounded
- * time, and the target gets nothing before it reports itself primary.
+ * The planned change of one group's primary, as announced by its members: named phases of one
+ * record, which are those of the source (the post's status table). Free of I/O; {@code Balance}
+ * asks it and tells it what it sees. A router never believes an announcement more than a claim: it
+ * only holds for it, for a bounded time, and the target gets nothing before it reports itself
+ * primary.
  */
 public final class Change {
-    /**
-     * In their order; an announcement that ends without its target as primary is called off from any of
-     * them.
-     */
-    public enum Phase { NOT_CREATED, CREATED, PREPARATION, IN_PROGRESS, POST, COMPLETED, CALLED_OFF }
-
-    /** The post's plugin had 2.9 s in this phase; time for a few polls and connections is what is needed. */
-    static final Span PREPARES = Span.ofMillis(2_000);
-    /** Held for longer, statements would run out of time for a change that may never come. */
-    static final Span LONGEST = Span.ofMillis(3_000);
-    /** How long the members are watched closely afterwards: the old primary may come back with old claims. */
-    static final Span WATCHED = Span.ofMillis(5_000);
-    /** Announced for a time that is over by more than this, it has happened or never will. */
-    static final Span LATEST = Span.ofMillis(1_000);
-    static final Span FURTHEST = Span.ofMillis(24 * 3_600_000.0);
-
-    /** Where a member is not known; members go by the small indices that the decisions use. */
-    public static final int NOBODY = -1;
-
-    /** Hears of each phase as it is entered. */
-    public interface Listener {
-        void entered(Phase phase, int target);
+  /**
+   * In their order; an announcement that ends without its target as primary is called off from any
+   * of them.
+   */
+  public enum Phase {
+    NOT_CREATED,
+    CREATED,
+    PREPARATION,
+    IN_PROGRESS,
+    POST,
+    COMPLETED,
+    CALLED_OFF
+  }
+
+  /**
+   * The post's plugin had 2.9 s in this phase; time for a few polls and connections is what is
+   * needed.
+   */
+  static final Span PREPARES = Span.ofMillis(2_000);
+
+  /** Held for longer, statements would run out of time for a change that may never come. */
+  static final Span LONGEST = Span.ofMillis(3_000);
+
+  /**
+   * How long the members are watched closely afterwards: the old primary may come back with old
+   * claims.
+   */
+  static final Span WATCHED = Span.ofMillis(5_000);
+
+  /** Announced for a time that is over by more than this, it has happened or never will. */
+  static final Span LATEST = Span.ofMillis(1_000);
+
+  static final Span FURTHEST = Span.ofMillis(24 * 3_600_000.0);
+
+  /** Where a member is not known; members go by the small indices that the decisions use. */
+  public static final int NOBODY = -1;
+
+  /** Hears of each phase as it is entered. */
+  public interface Listener {
+    void entered(Phase phase, int target);
+  }
+
+  private final Listener listener;
+  private Phase phase = Phase.NOT_CREATED;
+  private long number;
+  private int target = NOBODY;
+  private int from = NOBODY;
+  private Moment at = Moment.NEVER;
+  private Moment since = Moment.LONG_AGO;
+
+  public Change(Listener listener) {
+    this.listener = listener;
+  }
+
+  public Phase phase() {
+    return phase;
+  }
+
+  public int target() {
+    return target;
+  }
+
+  private boolean isOpen() {
+    return phase.ordinal() >= Phase.CREATED.ordinal()
+        && phase.ordinal() <= Phase.IN_PROGRESS.ordinal();
+  }
+
+  /** New statements for the primary wait, whatever the old one still says. */
+  public boolean holds() {
+    return phase == Phase.IN_PROGRESS;
+  }
+
+  /** The members are polled often. */
+  public boolean watches() {
+    return phase == Phase.PREPARATION || phase == Phase.IN_PROGRESS || phase == Phase.POST;
+  }
+
+  /** While the change goes on, what the old primary claims is its past. */
+  public boolean bars(int member) {
+    return phase == Phase.IN_PROGRESS && member == from;
+  }
+
+  /**
+   * What a member's table says: a number that rises with each announcement, whom it names and from
+   * when on. True where anything changed. Members may lag behind each other: an older number says
+   * nothing any more.
+   */
+  public boolean told(Moment now, long told, int named, Moment when, boolean off) {
+    if (off) {
+      return told == number && isOpen() && enter(now, Phase.CALLED_OFF);
     }
-
-    private final Listener listener;
-    private Phase phase = Phase.NOT_CREATED;
-    private long number;
-    private int target = NOBODY;
-    private int from = NOBODY;
-    private Moment at = Moment.NEVER;
-    private Moment since = Moment.LONG_AGO;
-
-    public Change(Listener listener) {
-        this.listener = listener;
-    }
-
-    public Phase phase() {
-        return phase;
-    }
-
-    public int target() {
-        return target;
+    if (named == NOBODY
+        || told <= number
+        || now.since(when).isLongerThan(LATEST)
+        || when.since(now).isLongerThan(FURTHEST)) {
+      return false;
     }
-
-    private boolean isOpen() {
-        return phase.ordinal() >= Phase.CREATED.ordinal() && phase.ordinal() <= Phase.IN_PROGRESS.ordinal();
-    }
-
-    /** New statements for the primary wait, whatever the old one still says. */
-    public boolean holds() {
-        return phase == Phase.IN_PROGRESS;
+    // A later one takes the place of an earlier, also of one that is held for: it has not come to
+    // its
+    // end.
+    number = told;
+    target = named;
+    at = when;
+    return enter(now, Phase.CREATED);
+  }
+
+  /**
+   * Moves on by the clock and by what the router sees: its primary, NOBODY where it knows none, and
+   * whether it would send the target anything.
+   */
+  public void step(Moment now, int primary, boolean targetIsFit) {
+    while (stepped(now, primary, targetIsFit)) {
+      // Several phases may be over at once.
     }
-
-    /** The members are polled often. */
-    public boolean watches() {
-        return phase == Phase.PREPARATION || phase == Phase.IN_PROGRESS || phase == Phase.POST;
-    }
-
-    /** While the change goes on, what the old primary claims is its past. */
-    public boolean bars(int member) {
-        return phase == Phase.IN_PROGRESS && member == from;
-    }
-
-    /**
-     * What a member's table says: a number that rises with each announcement, whom it names and from when
-     * on. True where anything changed. Members may lag behind each other: an older number says nothing any
-     * more.
-     */
-    public boolean told(Moment now, long told, int named, Moment when, boolean off) {
-        if (off) {
-            return told == number && isOpen() && enter(now, Phase.CALLED_OFF);
+  }
+
+  private boolean stepped(Moment now, int primary, boolean targetIsFit) {
+    switch (phase) {
+      case CREATED, PREPARATION -> {
+        if (primary != NOBODY && primary == target) {
+          // It came before its time.
+          return enter(now, Phase.POST);
         }
-        if (named == NOBODY || told <= number || now.since(when).isLongerThan(LATEST) || when.since(now)
-            .isLongerThan(FURTHEST)) {
-            return false;
+        if (!targetIsFit) {
+          return enter(now, Phase.CALLED_OFF);
         }
-        // A later one takes the place of an earlier, also of one that is held for: it has not come to its
-        // end.
-        number = told;
-        target = named;
-        at = when;
-        return enter(now, Phase.CREATED);
-    }
-
-    /**
-     * Moves on by the clock and by what the router sees: its primary, NOBODY where it knows none, and
-     * whether it would send the target anything.
-     */
-    public void step(Moment now, int primary, boolean targetIsFit) {
-        while (stepped(now, primary, targetIsFit)) {
-            // Several phases may be over at once.
+        if (!now.isBefore(at)) {
+          // Where one change takes the place of another the old primary is out of use already.
+          from = primary == NOBODY ? from : primary;
+          return enter(now, Phase.IN_PROGRESS);
         }
-    }
-
-    private boolean stepped(Moment now, int primary, boolean targetIsFit) {
-        switch (phase) {
-            case CREATED, PREPARATION -> {
-                if (primary != NOBODY && primary == target) {
-                    // It came before its time.
-                    return enter(now, Phase.POST);
-                }
-                if (!targetIsFit) {
-                    return enter(now, Phase.CALLED_OFF);
-                }
-                if (!now.isBefore(at)) {
-                    // Where one change takes the place of another the old primary is out of use already.
-                    from = primary == NOBODY ? from : primary;
-                    return enter(now, Phase.IN_PROGRESS);
-                }
-                return phase == Phase.CREATED && !now.isBefore(at.minus(PREPARES))
-                    && enter(now, Phase.PREPARATION);
-            }
-            case IN_PROGRESS -> {
-                if (primary != NOBODY && primary == target) {
-                    return enter(now, Phase.POST);
-                }
-                boolean another = primary != NOBODY && primary != from;
-                return (another || !targetIsFit || now.since(since).isLongerThan(LONGEST))
-                    && enter(now, Phase.CALLED_OFF);
-            }
-            case POST -> {
-                return now.since(since).isLongerThan(WATCHED) && enter(now, Phase.COMPLETED);
-            }
-            default -> {
-                return false;
-            }
+        return phase == Phase.CREATED
+            && !now.isBefore(at.minus(PREPARES))
+            && enter(now, Phase.PREPARATION);
+      }
+      case IN_PROGRESS -> {
+        if (primary != NOBODY && primary == target) {
+          return enter(now, Phase.POST);
         }
+        boolean another = primary != NOBODY && primary != from;
+        return (another || !targetIsFit || now.since(since).isLongerThan(LONGEST))
+            && enter(now, Phase.CALLED_OFF);
+      }
+      case POST -> {
+        return now.since(since).isLongerThan(WATCHED) && enter(now, Phase.COMPLETED);
+      }
+      default -> {
+        return false;
+      }
     }
+  }
 
-    /** When it has to be looked at next by the clock alone. */
-    public Moment due() {
-        Moment step = switch (phase) {
-            case CREATED -> at.minus(PREPARES);
-            case PREPARATION -> at;
-            case IN_PROGRESS -> since.plus(LONGEST);
-            case POST -> since.plus(WATCHED);
-            default -> Moment.NEVER;
+  /** When it has to be looked at next by the clock alone. */
+  public Moment due() {
+    Moment step =
+        switch (phase) {
+          case CREATED -> at.minus(PREPARES);
+          case PREPARATION -> at;
+          case IN_PROGRESS -> since.plus(LONGEST);
+          case POST -> since.plus(WATCHED);
+          default -> Moment.NEVER;
         };
-        // Past the limits above, not at them.
-        return phase.ordinal() >= Phase.IN_PROGRESS.ordinal() ? step.plus(new Span(1)) : step;
-    }
-
-    private boolean enter(Moment now, Phase next) {
-        phase = next;
-        since = now;
-        listener.entered(phase, target);
-        return true;
-    }
+    // Past the limits above, not at them.
+    return phase.ordinal() >= Phase.IN_PROGRESS.ordinal() ? step.plus(new Span(1)) : step;
+  }
+
+  private boolean enter(Moment now, Phase next) {
+    phase = next;
+    since = now;
+    listener.entered(phase, target);
+    return true;
+  }
 }
--- a/router/src/main/java/basaltlever/change/Note.java
+++ b/router/src/main/java/basaltlever/change/Note.java
@@ -12,33 +12,58 @@
  * @param atMillis from when on, in milliseconds of Unix time
  */
 public record Note(long number, String target, long atMillis, boolean off) {
-    private static final Pattern FORM = Pattern.compile("number=([0-9]{1,15}),"
-        + "target=([A-Za-z0-9_.:-]{1,100}),"
-        + "at=([0-9]{1,15}),state=(announced|off)");
+  private static final Pattern FORM =
+      Pattern.compile(
+          "number=([0-9]{1,15}),"
+              + "target=([A-Za-z0-9_.:-]{1,100}),"
+              + "at=([0-9]{1,15}),state=(announced|off)");
 
-    /** Null where the text is none. */
-    public static Note read(String text) {
-        Matcher match = FORM.matcher(text);
-        return match.matches() ? new Note(Long.parseLong(match.group(1)), match.group(2),
-            Long.parseLong(match.group(3)), match.group(4).equals("off")) : null;
-    }
+  /** Null where the text is none. */
+  public static Note read(String text) {
+    Matcher match = FORM.matcher(text);
+    return match.matches()
+        ? new Note(
+            Long.parseLong(match.group(1)),
+            match.group(2),
+            Long.parseLong(match.group(3)),
+            match.group(4).equals("off"))
+        : null;
+  }
 
-    /** The latest announcement of a member's own group as one text; an empty one where there is none. */
-    public static String query(String table) {
-        return "SELECT coalesce((SELECT 'number=' || number || ',target=' || target || ',at=' || at"
-            + " || ',state=' || state"
-            + " FROM " + table + " ORDER BY number DESC, state DESC LIMIT 1), '')";
-    }
+  /**
+   * The latest announcement of a member's own group as one text; an empty one where there is none.
+   */
+  public static String query(String table) {
+    return "SELECT coalesce((SELECT 'number=' || number || ',target=' || target || ',at=' || at"
+        + " || ',state=' || state"
+        + " FROM "
+        + table
+        + " ORDER BY number DESC, state DESC LIMIT 1), '')";
+  }
 
-    /** What writes it: a row of its own also where it takes an earlier one back. */
-    public String insert(String table) {
-        return "INSERT INTO " + table + " (number, target, at, state) VALUES (" + number + ", '" + target
-            + "', "
-            + atMillis + ", '" + (off ? "off" : "announced") + "')";
-    }
+  /** What writes it: a row of its own also where it takes an earlier one back. */
+  public String insert(String table) {
+    return "INSERT INTO "
+        + table
+        + " (number, target, at, state) VALUES ("
+        + number
+        + ", '"
+        + target
+        + "', "
+        + atMillis
+        + ", '"
+        + (off ? "off" : "announced")
+        + "')";
+  }
 
-    public String text() {
-        return "number=" + number + ",target=" + target + ",at=" + atMillis + ",state=" + (off ? "off"
-            : "announced");
-    }
+  public String text() {
+    return "number="
+        + number
+        + ",target="
+        + target
+        + ",at="
+        + atMillis
+        + ",state="
+        + (off ? "off" : "announced");
+  }
 }
--- a/router/src/main/java/basaltlever/cli/NodeCall.java
+++ b/router/src/main/java/basaltlever/cli/NodeCall.java
@@ -14,60 +14,60 @@
 
 /** A connection of a command to one node: one query after the other, each waited for. */
 final class NodeCall implements AutoCloseable {
-    private static final int PATIENCE_MILLIS = 3_000;
-    private static final int LARGEST = 1 << 16;
-    private final Socket socket = new Socket();
-    private final DataInputStream in;
+  private static final int PATIENCE_MILLIS = 3_000;
+  private static final int LARGEST = 1 << 16;
+  private final Socket socket = new Socket();
+  private final DataInputStream in;
 
-    NodeCall(InetSocketAddress address) throws IOException {
-        try {
-            socket.connect(address, PATIENCE_MILLIS);
-            socket.setSoTimeout(PATIENCE_MILLIS);
-            in = new DataInputStream(socket.getInputStream());
-            ByteBuf out = Unpooled.buffer();
-            Write.startup(out, "app", "shop");
-            send(out);
-            while (message().getByte(0) != Pg.READY) {
-                // Parameters and keys mean nothing here.
-            }
-        } catch (IOException fault) {
-            socket.close();
-            throw fault;
-        }
+  NodeCall(InetSocketAddress address) throws IOException {
+    try {
+      socket.connect(address, PATIENCE_MILLIS);
+      socket.setSoTimeout(PATIENCE_MILLIS);
+      in = new DataInputStream(socket.getInputStream());
+      ByteBuf out = Unpooled.buffer();
+      Write.startup(out, "app", "shop");
+      send(out);
+      while (message().getByte(0) != Pg.READY) {
+        // Parameters and keys mean nothing here.
+      }
+    } catch (IOException fault) {
+      socket.close();
+      throw fault;
     }
+  }
 
-    Answer ask(String query) throws IOException {
-        ByteBuf out = Unpooled.buffer();
-        Write.query(out, query);
-        send(out);
-        try {
-            Answer answer = new Answer();
-            while (!answer.add(message())) {
-                // Until it is whole.
-            }
-            return answer;
-        } catch (PgFault fault) {
-            throw new IOException(fault.getMessage());
-        }
+  Answer ask(String query) throws IOException {
+    ByteBuf out = Unpooled.buffer();
+    Write.query(out, query);
+    send(out);
+    try {
+      Answer answer = new Answer();
+      while (!answer.add(message())) {
+        // Until it is whole.
+      }
+      return answer;
+    } catch (PgFault fault) {
+      throw new IOException(fault.getMessage());
     }
+  }
 
-    private void send(ByteBuf out) throws IOException {
-        socket.getOutputStream().write(ByteBufUtil.getBytes(out));
-    }
+  private void send(ByteBuf out) throws IOException {
+    socket.getOutputStream().write(ByteBufUtil.getBytes(out));
+  }
 
-    private ByteBuf message() throws IOException {
-        byte type = in.readByte();
-        int length = in.readInt();
-        if (length < 4 || length > LARGEST) {
-            throw new IOException("a message states a length of " + length);
-        }
-        byte[] body = new byte[length - 4];
-        in.readFully(body);
-        return Unpooled.buffer(length + 1).writeByte(type).writeInt(length).writeBytes(body);
+  private ByteBuf message() throws IOException {
+    byte type = in.readByte();
+    int length = in.readInt();
+    if (length < 4 || length > LARGEST) {
+      throw new IOException("a message states a length of " + length);
     }
+    byte[] body = new byte[length - 4];
+    in.readFully(body);
+    return Unpooled.buffer(length + 1).writeByte(type).writeInt(length).writeBytes(body);
+  }
 
-    @Override
-    public void close() throws IOException {
-        socket.close();
-    }
+  @Override
+  public void close() throws IOException {
+    socket.close();
+  }
 }
--- a/router/src/main/java/basaltlever/config/StartFault.java
+++ b/router/src/main/java/basaltlever/config/StartFault.java
@@ -4,9 +4,9 @@
 
 /** What was given at start can't be used; one line for each faulty key. */
 public final class StartFault extends Exception {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    public StartFault(List<String> lines) {
-        super(String.join("\n", lines));
-    }
+  public StartFault(List<String> lines) {
+    super(String.join("\n", lines));
+  }
 }
--- a/router/src/main/java/basaltlever/config/Terms.java
+++ b/router/src/main/java/basaltlever/config/Terms.java
@@ -14,8 +14,14 @@
  * @param folder what a voter keeps its term, vote and log in
  * @param lease how long a router acts on what it was told
  * @param stated within which a router that can't be reached has ceased to act on an older version
- * @param assigned for how long a router that hears nothing goes on using members in the groups that it knows
+ * @param assigned for how long a router that hears nothing goes on using members in the groups that
+ *     it knows
  */
-public record Terms(String name, Map<String, InetSocketAddress> peers, Map<String, InetSocketAddress> voters,
-                    Path folder, Span lease, Span stated, Span assigned) {
-}
+public record Terms(
+    String name,
+    Map<String, InetSocketAddress> peers,
+    Map<String, InetSocketAddress> voters,
+    Path folder,
+    Span lease,
+    Span stated,
+    Span assigned) {}
--- a/router/src/main/java/basaltlever/core/Core.java
+++ b/router/src/main/java/basaltlever/core/Core.java
@@ -22,299 +22,324 @@
 import java.util.function.Function;
 
 /**
- * One router without its I/O: turns the outside's ids into small indices, counts the executions that are out
- * and sees to it that each statement gets one final answer. Sockets and the simulator both stand on it.
+ * One router without its I/O: turns the outside's ids into small indices, counts the executions
+ * that are out and sees to it that each statement gets one final answer. Sockets and the simulator
+ * both stand on it.
  */
 public final class Core<N> implements Outbound {
-    private static final int FIRST = 256;
-
-    private final Outside<N> outside;
-    private final Balance balance;
-
-    private final Map<N, Integer> nodeIndices = new HashMap<>();
-    private final List<N> nodes = new ArrayList<>();
-    private final ArrayDeque<Integer> freeNodes = new ArrayDeque<>();
-
-    private final Indices slots = new Indices();
-    private long[] tickets = new long[FIRST];
-    /** Executions still out, and one more while the final answer is owed: at zero the slot is free again. */
-    private int[] pending = new int[FIRST];
-    private int[] executions = new int[FIRST];
-    private boolean[] answered = new boolean[FIRST];
-    private int[] free = new int[FIRST];
-    private int freeCount;
-    private int slotCount;
-
-    public Core(Outside<N> outside, Function<Outbound, Balance> balance) {
-        this.outside = outside;
-        this.balance = balance.apply(this);
-    }
-
-    // ---- What is heard from outside.
-
-    /** Other values for the decisions, as agreed from now on. */
-    public void agree(Moment now, Consumer<Balance> values) {
-        values.accept(balance);
-        balance.woken(now);
-    }
-
-    public void listBegins() {
-        balance.listBegins();
-    }
-
-    public void listed(Moment now, N node, Listing listing, int group, int zone, double size,
-                       Moment startedAt) {
-        Integer known = nodeIndices.get(node);
-        boolean first = known == null;
-        if (first) {
-            if (freeNodes.isEmpty()) {
-                freeNodes.push(nodes.size());
-                nodes.add(null);
-            }
-            known = freeNodes.pop();
-            nodes.set(known, node);
-            nodeIndices.put(node, known);
-        }
-        balance.listed(now, known, listing, group, zone, size, startedAt);
-        if (first) {
-            // Spread by the odd multiplier of Knuth's multiplicative hash: ids may share their low bits.
-            balance.ranked(known, node.hashCode() * 0x9E3779B1);
-        }
-    }
-
-    /** What was learned of members' positions came by a clock that was wrong. */
-    public void forgetPositions(Moment now) {
-        balance.forgetPositions(now);
-    }
-
-    /** Tells on-call how much of the list is polled regularly, where that has changed. */
-    public void reportWatched() {
-        balance.reportWatched();
-    }
-
-    /** Members there are, and those gone that a rule may still ask for. */
-    public int nodesKnown() {
-        return nodeIndices.size();
-    }
-
-    /** Whether no execution is out at it; so it is where nobody knows it. */
-    public boolean isIdle(N node) {
-        Integer known = nodeIndices.get(node);
-        return known == null || balance.recall.out(known) == 0;
-    }
-
-    /** What was known of a node before this process, right after it is listed. */
-    public void recalled(Moment now, N node, NodeView view) {
-        balance.recall.recalled(now, nodeIndices.get(node), view);
-    }
-
-    public void recalled(Moment now, List<GroupView> groups) {
-        groups.forEach(group -> balance.recall.recalled(now, group));
-    }
-
-    /**
-     * What has been learned of some nodes by now: those of so many places from the given one on. False where
-     * no place is left. A fleet told in one go would hold up the loop.
-     */
-    public boolean learned(Moment now, int from, int places, BiConsumer<N, NodeView> each) {
-        int end = Math.min(nodes.size(), from + places);
-        for (int index = from; index < end; index++) {
-            if (nodes.get(index) != null) {
-                each.accept(nodes.get(index), balance.recall.learned(now, index));
-            }
-        }
-        return end < nodes.size();
-    }
-
-    public List<GroupView> learnedOfGroups(Moment now) {
-        return balance.recall.learnedOfGroups(now);
-    }
-
-    public void listEnds(Moment now, boolean complete, boolean asked) {
-        balance.listEnds(now, complete, asked);
-    }
-
-    public void listFailed(Moment now) {
-        balance.listFailed(now);
-    }
-
-    /** False where a statement with this ticket is still here. */
-    public boolean taken(Moment now, long ticket, int workload, int group, long session, Moment clientLeaves,
-                         Moment committed, int bytes) {
-        if (slots.find(ticket) >= 0) {
-            return false;
-        }
-        int slot = freeCount > 0 ? free[--freeCount] : slotCount++;
-        if (slot >= tickets.length) {
-            int size = 2 * tickets.length;
-            tickets = Arrays.copyOf(tickets, size);
-            pending = Arrays.copyOf(pending, size);
-            executions = Arrays.copyOf(executions, size);
-            answered = Arrays.copyOf(answered, size);
-            free = Arrays.copyOf(free, size);
-        }
-        slots.put(ticket, slot);
-        tickets[slot] = ticket;
-        pending[slot] = 1;
-        executions[slot] = 0;
-        answered[slot] = false;
-        balance.taken(now, slot, workload, group, session, clientLeaves, committed, bytes);
-        return true;
-    }
-
-    /**
-     * True where this is the statement's final answer. Where the outside ends statements by itself it says so
-     * with {@code finished}.
-     */
-    public boolean ended(Moment now, long ticket, int execution, Ending ending, Role role, Moment position,
-                         boolean finished) {
-        int slot = slots.find(ticket);
-        if (slot < 0) {
-            return false;
-        }
-        // What has to be current, and came from a node that says it is a replica, may lack what it had to
-        // see.
-        Ending heard = ending == Ending.COMPLETED && role == Role.REPLICA && balance.needsFresh(slot)
+  private static final int FIRST = 256;
+
+  private final Outside<N> outside;
+  private final Balance balance;
+
+  private final Map<N, Integer> nodeIndices = new HashMap<>();
+  private final List<N> nodes = new ArrayList<>();
+  private final ArrayDeque<Integer> freeNodes = new ArrayDeque<>();
+
+  private final Indices slots = new Indices();
+  private long[] tickets = new long[FIRST];
+
+  /**
+   * Executions still out, and one more while the final answer is owed: at zero the slot is free
+   * again.
+   */
+  private int[] pending = new int[FIRST];
+
+  private int[] executions = new int[FIRST];
+  private boolean[] answered = new boolean[FIRST];
+  private int[] free = new int[FIRST];
+  private int freeCount;
+  private int slotCount;
+
+  public Core(Outside<N> outside, Function<Outbound, Balance> balance) {
+    this.outside = outside;
+    this.balance = balance.apply(this);
+  }
+
+  // ---- What is heard from outside.
+
+  /** Other values for the decisions, as agreed from now on. */
+  public void agree(Moment now, Consumer<Balance> values) {
+    values.accept(balance);
+    balance.woken(now);
+  }
+
+  public void listBegins() {
+    balance.listBegins();
+  }
+
+  public void listed(
+      Moment now, N node, Listing listing, int group, int zone, double size, Moment startedAt) {
+    Integer known = nodeIndices.get(node);
+    boolean first = known == null;
+    if (first) {
+      if (freeNodes.isEmpty()) {
+        freeNodes.push(nodes.size());
+        nodes.add(null);
+      }
+      known = freeNodes.pop();
+      nodes.set(known, node);
+      nodeIndices.put(node, known);
+    }
+    balance.listed(now, known, listing, group, zone, size, startedAt);
+    if (first) {
+      // Spread by the odd multiplier of Knuth's multiplicative hash: ids may share their low bits.
+      balance.ranked(known, node.hashCode() * 0x9E3779B1);
+    }
+  }
+
+  /** What was learned of members' positions came by a clock that was wrong. */
+  public void forgetPositions(Moment now) {
+    balance.forgetPositions(now);
+  }
+
+  /** Tells on-call how much of the list is polled regularly, where that has changed. */
+  public void reportWatched() {
+    balance.reportWatched();
+  }
+
+  /** Members there are, and those gone that a rule may still ask for. */
+  public int nodesKnown() {
+    return nodeIndices.size();
+  }
+
+  /** Whether no execution is out at it; so it is where nobody knows it. */
+  public boolean isIdle(N node) {
+    Integer known = nodeIndices.get(node);
+    return known == null || balance.recall.out(known) == 0;
+  }
+
+  /** What was known of a node before this process, right after it is listed. */
+  public void recalled(Moment now, N node, NodeView view) {
+    balance.recall.recalled(now, nodeIndices.get(node), view);
+  }
+
+  public void recalled(Moment now, List<GroupView> groups) {
+    groups.forEach(group -> balance.recall.recalled(now, group));
+  }
+
+  /**
+   * What has been learned of some nodes by now: those of so many places from the given one on.
+   * False where no place is left. A fleet told in one go would hold up the loop.
+   */
+  public boolean learned(Moment now, int from, int places, BiConsumer<N, NodeView> each) {
+    int end = Math.min(nodes.size(), from + places);
+    for (int index = from; index < end; index++) {
+      if (nodes.get(index) != null) {
+        each.accept(nodes.get(index), balance.recall.learned(now, index));
+      }
+    }
+    return end < nodes.size();
+  }
+
+  public List<GroupView> learnedOfGroups(Moment now) {
+    return balance.recall.learnedOfGroups(now);
+  }
+
+  public void listEnds(Moment now, boolean complete, boolean asked) {
+    balance.listEnds(now, complete, asked);
+  }
+
+  public void listFailed(Moment now) {
+    balance.listFailed(now);
+  }
+
+  /** False where a statement with this ticket is still here. */
+  public boolean taken(
+      Moment now,
+      long ticket,
+      int workload,
+      int group,
+      long session,
+      Moment clientLeaves,
+      Moment committed,
+      int bytes) {
+    if (slots.find(ticket) >= 0) {
+      return false;
+    }
+    int slot = freeCount > 0 ? free[--freeCount] : slotCount++;
+    if (slot >= tickets.length) {
+      int size = 2 * tickets.length;
+      tickets = Arrays.copyOf(tickets, size);
+      pending = Arrays.copyOf(pending, size);
+      executions = Arrays.copyOf(executions, size);
+      answered = Arrays.copyOf(answered, size);
+      free = Arrays.copyOf(free, size);
+    }
+    slots.put(ticket, slot);
+    tickets[slot] = ticket;
+    pending[slot] = 1;
+    executions[slot] = 0;
+    answered[slot] = false;
+    balance.taken(now, slot, workload, group, session, clientLeaves, committed, bytes);
+    return true;
+  }
+
+  /**
+   * True where this is the statement's final answer. Where the outside ends statements by itself it
+   * says so with {@code finished}.
+   */
+  public boolean ended(
+      Moment now,
+      long ticket,
+      int execution,
+      Ending ending,
+      Role role,
+      Moment position,
+      boolean finished) {
+    int slot = slots.find(ticket);
+    if (slot < 0) {
+      return false;
+    }
+    // What has to be current, and came from a node that says it is a replica, may lack what it had
+    // to
+    // see.
+    Ending heard =
+        ending == Ending.COMPLETED && role == Role.REPLICA && balance.needsFresh(slot)
             ? Ending.MISS
             : ending;
-        boolean completes = heard == Ending.COMPLETED && !answered[slot];
-        boolean over = finished || completes || answered[slot];
-        boolean known = balance.ended(now, slot, execution, heard, role, position, over);
-        if (over) {
-            settle(slot);
-        }
-        if (known) {
-            release(slot);
-        }
-        return known && completes;
-    }
-
-    public void polled(Moment now, N node, Ending ending, Role role, Moment position, double util,
-                       double queue) {
-        Integer known = nodeIndices.get(node);
-        if (known != null) {
-            balance.polled(now, known, ending, role, position, util, queue);
-        }
-    }
-
-    /**
-     * A member's word on a planned change of its group's primary; false where it names nobody that is known.
-     */
-    public boolean announced(Moment now, N member, long number, N target, Moment at, boolean off) {
-        Integer from = nodeIndices.get(member);
-        Integer named = nodeIndices.get(target);
-        return from != null && named != null && balance.announced(now, from, number, named, at, off);
-    }
-
-    public void clientLeft(Moment now, long ticket) {
-        int slot = slots.find(ticket);
-        if (slot >= 0) {
-            balance.clientLeft(now, slot);
-            settle(slot);
-        }
-    }
-
-    /** The time of a statement is over: the decisions give their final answer now, if they have not yet. */
-    public void timeIsOver(Moment now, long ticket) {
-        int slot = slots.find(ticket);
-        if (slot >= 0) {
-            balance.timeIsOver(now, slot);
-            settle(slot);
-        }
-    }
-
-    public void woken(Moment now) {
-        balance.woken(now);
-    }
-
-    private void settle(int slot) {
-        if (!answered[slot]) {
-            answered[slot] = true;
-            release(slot);
-        }
-    }
-
-    private void release(int slot) {
-        if (--pending[slot] == 0) {
-            slots.remove(tickets[slot]);
-            free[freeCount++] = slot;
-        }
-    }
-
-    // ---- What the decisions do.
-
-    @Override
-    public void execute(int statement, int node, Span timeout, Moment sendBy) {
-        pending[statement]++;
-        outside.execute(tickets[statement], executions[statement]++, nodes.get(node), timeout, sendBy);
-    }
-
-    @Override
-    public void cancel(int statement, int execution) {
-        outside.cancel(tickets[statement], execution);
-    }
-
-    @Override
-    public void reject(int statement, Span comeBackAfter, Refusal why) {
-        if (!answered[statement]) {
-            outside.reject(tickets[statement], comeBackAfter, why);
-            settle(statement);
-        }
-    }
-
-    @Override
-    public void abort(int statement) {
-        if (!answered[statement]) {
-            outside.abort(tickets[statement]);
-            settle(statement);
-        }
-    }
-
-    @Override
-    public void poll(int node) {
-        outside.poll(nodes.get(node));
-    }
-
-    @Override
-    public void letGo(int node) {
-        outside.letGo(nodes.get(node));
-    }
-
-    @Override
-    public void forget(int node) {
-        N name = nodes.set(node, null);
-        nodeIndices.remove(name);
-        freeNodes.push(node);
-        outside.forget(name);
-    }
-
-    @Override
-    public void watch() {
-        outside.watch();
-    }
-
-    @Override
-    public void wake(Span fromNow) {
-        outside.wake(fromNow);
-    }
-
-    @Override
-    public void prepare(int node, int connections) {
-        outside.prepare(nodes.get(node), connections);
-    }
-
-    @Override
-    public void change(int group, Change.Phase phase, int target) {
-        outside.change(group, phase, nodes.get(target));
-    }
-
-    @Override
-    public void watched(int groups, int members, int listed) {
-        outside.watched(groups, members, listed);
-    }
-
-    @Override
-    public void primary(int group, int node, boolean found) {
-        outside.primary(group, nodes.get(node), found);
-    }
+    boolean completes = heard == Ending.COMPLETED && !answered[slot];
+    boolean over = finished || completes || answered[slot];
+    boolean known = balance.ended(now, slot, execution, heard, role, position, over);
+    if (over) {
+      settle(slot);
+    }
+    if (known) {
+      release(slot);
+    }
+    return known && completes;
+  }
+
+  public void polled(
+      Moment now, N node, Ending ending, Role role, Moment position, double util, double queue) {
+    Integer known = nodeIndices.get(node);
+    if (known != null) {
+      balance.polled(now, known, ending, role, position, util, queue);
+    }
+  }
+
+  /**
+   * A member's word on a planned change of its group's primary; false where it names nobody that is
+   * known.
+   */
+  public boolean announced(Moment now, N member, long number, N target, Moment at, boolean off) {
+    Integer from = nodeIndices.get(member);
+    Integer named = nodeIndices.get(target);
+    return from != null && named != null && balance.announced(now, from, number, named, at, off);
+  }
+
+  public void clientLeft(Moment now, long ticket) {
+    int slot = slots.find(ticket);
+    if (slot >= 0) {
+      balance.clientLeft(now, slot);
+      settle(slot);
+    }
+  }
+
+  /**
+   * The time of a statement is over: the decisions give their final answer now, if they have not
+   * yet.
+   */
+  public void timeIsOver(Moment now, long ticket) {
+    int slot = slots.find(ticket);
+    if (slot >= 0) {
+      balance.timeIsOver(now, slot);
+      settle(slot);
+    }
+  }
+
+  public void woken(Moment now) {
+    balance.woken(now);
+  }
+
+  private void settle(int slot) {
+    if (!answered[slot]) {
+      answered[slot] = true;
+      release(slot);
+    }
+  }
+
+  private void release(int slot) {
+    if (--pending[slot] == 0) {
+      slots.remove(tickets[slot]);
+      free[freeCount++] = slot;
+    }
+  }
+
+  // ---- What the decisions do.
+
+  @Override
+  public void execute(int statement, int node, Span timeout, Moment sendBy) {
+    pending[statement]++;
+    outside.execute(tickets[statement], executions[statement]++, nodes.get(node), timeout, sendBy);
+  }
+
+  @Override
+  public void cancel(int statement, int execution) {
+    outside.cancel(tickets[statement], execution);
+  }
+
+  @Override
+  public void reject(int statement, Span comeBackAfter, Refusal why) {
+    if (!answered[statement]) {
+      outside.reject(tickets[statement], comeBackAfter, why);
+      settle(statement);
+    }
+  }
+
+  @Override
+  public void abort(int statement) {
+    if (!answered[statement]) {
+      outside.abort(tickets[statement]);
+      settle(statement);
+    }
+  }
+
+  @Override
+  public void poll(int node) {
+    outside.poll(nodes.get(node));
+  }
+
+  @Override
+  public void letGo(int node) {
+    outside.letGo(nodes.get(node));
+  }
+
+  @Override
+  public void forget(int node) {
+    N name = nodes.set(node, null);
+    nodeIndices.remove(name);
+    freeNodes.push(node);
+    outside.forget(name);
+  }
+
+  @Override
+  public void watch() {
+    outside.watch();
+  }
+
+  @Override
+  public void wake(Span fromNow) {
+    outside.wake(fromNow);
+  }
+
+  @Override
+  public void prepare(int node, int connections) {
+    outside.prepare(nodes.get(node), connections);
+  }
+
+  @Override
+  public void change(int group, Change.Phase phase, int target) {
+    outside.change(group, phase, nodes.get(target));
+  }
+
+  @Override
+  public void watched(int groups, int members, int listed) {
+    outside.watched(groups, members, listed);
+  }
+
+  @Override
+  public void primary(int group, int node, boolean found) {
+    outside.primary(group, nodes.get(node), found);
+  }
 }
--- a/router/src/main/java/basaltlever/core/Outside.java
+++ b/router/src/main/java/basaltlever/core/Outside.java
@@ -1,38 +1,45 @@
 package basaltlever.core;
 
 import basaltlever.change.Change;
-import basaltlever.time.Moment;
 import basaltlever.gateway.Refusal;
+import basaltlever.time.Moment;
 import basaltlever.time.Span;
 
-/** What carries out decisions, in the ids of the outside: tickets for statements, names for nodes. */
+/**
+ * What carries out decisions, in the ids of the outside: tickets for statements, names for nodes.
+ */
 public interface Outside<N> {
-    /** A span of zero lasts as long as the client waits; what can't be sent by the moment must not be. */
-    void execute(long ticket, int execution, N node, Span timeout, Moment sendBy);
+  /**
+   * A span of zero lasts as long as the client waits; what can't be sent by the moment must not be.
+   */
+  void execute(long ticket, int execution, N node, Span timeout, Moment sendBy);
 
-    void cancel(long ticket, int execution);
+  void cancel(long ticket, int execution);
 
-    void reject(long ticket, Span comeBackAfter, Refusal why);
+  void reject(long ticket, Span comeBackAfter, Refusal why);
 
-    void abort(long ticket);
+  void abort(long ticket);
 
-    void poll(N node);
+  void poll(N node);
 
-    void letGo(N node);
+  void letGo(N node);
 
-    /** The node is gone; should it be listed again, it comes as a new one. */
-    void forget(N node);
+  /** The node is gone; should it be listed again, it comes as a new one. */
+  void forget(N node);
 
-    void watch();
+  void watch();
 
-    void wake(Span fromNow);
+  void wake(Span fromNow);
 
-    void prepare(N node, int connections);
+  void prepare(N node, int connections);
 
-    void change(int group, Change.Phase phase, N target);
+  void change(int group, Change.Phase phase, N target);
 
-    void primary(int group, N node, boolean found);
+  void primary(int group, N node, boolean found);
 
-    /** Tells on-call how many groups and members are polled regularly, of how many members that are listed. */
-    default void watched(int groups, int members, int listed) { }
+  /**
+   * Tells on-call how many groups and members are polled regularly, of how many members that are
+   * listed.
+   */
+  default void watched(int groups, int members, int listed) {}
 }
--- a/router/src/main/java/basaltlever/discovery/MemberList.java
+++ b/router/src/main/java/basaltlever/discovery/MemberList.java
@@ -30,277 +30,327 @@
 
 /** Takes in lists of members and changes of them, from discovery or as held at the last start. */
 public final class MemberList {
-    private static final Logger LOG = LoggerFactory.getLogger(MemberList.class);
-    private final Core<String> core;
-    private final List<String> zones;
-    private final BiConsumer<String, InetSocketAddress> addresses;
-    /** What the fleet makes of this list; null where this router is of none, and the list holds as it is told. */
-    private Roll roll;
-    /** By the fleet only: the latest entry of each member, and what the decisions were told of it last. */
-    private final Map<String, MemberEntry> latest = new LinkedHashMap<>();
-    private final Map<String, Roll.Use> used = new HashMap<>();
-    private final Map<String, MemberEntry> told = new HashMap<>();
-    /** The members as the decisions were told of them, but for those that are gone; unused by a fleet's router. */
-    private final Map<String, MemberEntry> current = new LinkedHashMap<>();
-    private long applied = -1;
-    private Tally heldOff;
-    private ClockOffset clockOffset = new ClockOffset();
-    private long generation;
-    private Recollection recollection = Recollection.NONE;
-    private Consumer<String> absent = node -> { };
+  private static final Logger LOG = LoggerFactory.getLogger(MemberList.class);
+  private final Core<String> core;
+  private final List<String> zones;
+  private final BiConsumer<String, InetSocketAddress> addresses;
 
-    /** Hands each member's address on as it comes. */
-    public MemberList(Core<String> core, List<String> zones,
-                      BiConsumer<String, InetSocketAddress> addresses) {
-        this.core = core;
-        this.zones = zones;
-        this.addresses = addresses;
-    }
+  /**
+   * What the fleet makes of this list; null where this router is of none, and the list holds as it
+   * is told.
+   */
+  private Roll roll;
 
-    /** The version to ask for changes after. */
-    public long generation() {
-        return generation;
-    }
+  /**
+   * By the fleet only: the latest entry of each member, and what the decisions were told of it
+   * last.
+   */
+  private final Map<String, MemberEntry> latest = new LinkedHashMap<>();
 
-    /** The next call brings the whole list. */
-    public void forget() {
-        generation = 0;
-    }
+  private final Map<String, Roll.Use> used = new HashMap<>();
+  private final Map<String, MemberEntry> told = new HashMap<>();
 
-    /**
-     * What an earlier process knew of the members, until a list that was asked for has come; those that it
-     * had no answers from are told on.
-     */
-    public void recalls(Recollection from, Consumer<String> absentOnes) {
-        recollection = from;
-        absent = absentOnes;
-    }
+  /**
+   * The members as the decisions were told of them, but for those that are gone; unused by a
+   * fleet's router.
+   */
+  private final Map<String, MemberEntry> current = new LinkedHashMap<>();
 
-    /**
-     * Where no list is at hand yet: the members of an earlier process are connected to and polled meanwhile.
-     * They are held to drain until a list names them, so that nothing is sent to one on the word of a file.
-     */
-    public void expect(Moment now) {
-        core.listBegins();
-        for (Known known : recollection.members()) {
-            InetSocketAddress address = Addresses.parse(known.address());
-            if (address != null) {
-                NodeView view = known.view();
-                addresses.accept(known.id(), address);
-                MemberEntry expected = new MemberEntry(known.id(), address, null, view.group(), 1,
-                    view.listedStart() / 1_000, Listing.DRAINING);
-                if (roll == null) {
-                    current.put(known.id(), expected);
-                } else {
-                    latest.put(known.id(), expected);
-                    used.put(known.id(), new Roll.Use(Listing.DRAINING, view.group()));
-                }
-                core.listed(now, known.id(), Listing.DRAINING, view.group(), -1, 1,
-                    view.listedStart() == 0 ? Moment.LONG_AGO : new Moment(view.listedStart()));
-                if (view.silent() || view.isDown()) {
-                    absent.accept(known.id());
-                }
-            }
-        }
-        core.listEnds(now, false, false);
-    }
+  private long applied = -1;
+  private Tally heldOff;
+  private ClockOffset clockOffset = new ClockOffset();
+  private long generation;
+  private Recollection recollection = Recollection.NONE;
+  private Consumer<String> absent = node -> {};
 
-    public static MemberUpdate parse(String line) throws ListFault {
-        return MemberUpdate.of(MemberUpdate.object(line));
-    }
+  /** Hands each member's address on as it comes. */
+  public MemberList(
+      Core<String> core, List<String> zones, BiConsumer<String, InetSocketAddress> addresses) {
+    this.core = core;
+    this.zones = zones;
+    this.addresses = addresses;
+  }
 
-    /** Throws before anything is taken in where the list does not belong to the one that is held. */
-    public void take(Moment now, MemberUpdate update, boolean asked) throws ListFault {
-        if (update.generation() < generation && !update.whole()) {
-            // A service that lost its state counts anew: its changes don't belong to the list held here.
-            throw new ListFault("the list's generation went from " + generation + " back to " + update.generation());
-        }
-        generation = update.generation();
-        if (roll != null) {
-            heed(now, update, asked);
-            return;
-        }
-        core.listBegins();
-        boolean drainsBind = false;
-        for (MemberEntry entry : changedBy(update)) {
-            boolean bindsStill = list(now, entry, new Roll.Use(entry.listing(), entry.group()), generation, asked);
-            drainsBind |= bindsStill;
-            hold(bindsStill && entry.listing() == Listing.READY ? entry.in(Listing.DRAINING) : entry);
-        }
-        ends(now, drainsBind, asked);
-    }
+  /** The version to ask for changes after. */
+  public long generation() {
+    return generation;
+  }
+
+  /** The next call brings the whole list. */
+  public void forget() {
+    generation = 0;
+  }
+
+  /**
+   * What an earlier process knew of the members, until a list that was asked for has come; those
+   * that it had no answers from are told on.
+   */
+  public void recalls(Recollection from, Consumer<String> absentOnes) {
+    recollection = from;
+    absent = absentOnes;
+  }
 
-    /**
-     * What one entry of a list says that has not come whole yet: a member that drains or is gone gets nothing from here
-     * on. All else waits for the rest of the list.
-     */
-    public void takeEarly(Moment now, List<MemberEntry> entries) {
-        boolean begun = false;
-        for (MemberEntry entry : entries) {
-            MemberEntry before = current.get(entry.id());
-            if (roll != null || entry.listing() == Listing.READY || before == null
-                || before.listing() != Listing.READY) {
-                continue;
-            }
-            MemberEntry drained = before.in(entry.listing());
-            begun = true;
-            tell(now, drained, drained.listing(), drained.group());
-            hold(drained);
+  /**
+   * Where no list is at hand yet: the members of an earlier process are connected to and polled
+   * meanwhile. They are held to drain until a list names them, so that nothing is sent to one on
+   * the word of a file.
+   */
+  public void expect(Moment now) {
+    core.listBegins();
+    for (Known known : recollection.members()) {
+      InetSocketAddress address = Addresses.parse(known.address());
+      if (address != null) {
+        NodeView view = known.view();
+        addresses.accept(known.id(), address);
+        MemberEntry expected =
+            new MemberEntry(
+                known.id(),
+                address,
+                null,
+                view.group(),
+                1,
+                view.listedStart() / 1_000,
+                Listing.DRAINING);
+        if (roll == null) {
+          current.put(known.id(), expected);
+        } else {
+          latest.put(known.id(), expected);
+          used.put(known.id(), new Roll.Use(Listing.DRAINING, view.group()));
         }
-        if (begun) {
-            core.listEnds(now, false, false);
+        core.listed(
+            now,
+            known.id(),
+            Listing.DRAINING,
+            view.group(),
+            -1,
+            1,
+            view.listedStart() == 0 ? Moment.LONG_AGO : new Moment(view.listedStart()));
+        if (view.silent() || view.isDown()) {
+          absent.accept(known.id());
         }
+      }
     }
+    core.listEnds(now, false, false);
+  }
 
-    /** Entries that differ from what is held, those first to which nothing may go any more. */
-    private List<MemberEntry> changedBy(MemberUpdate update) {
-        Set<String> named = new HashSet<>();
-        List<MemberEntry> binding = new ArrayList<>();
-        List<MemberEntry> others = new ArrayList<>();
-        for (MemberEntry entry : update.entries()) {
-            named.add(entry.id());
-            MemberEntry before = current.get(entry.id());
-            if (!entry.equals(before) || !recollection.members().isEmpty()) {
-                (entry.listing() == Listing.READY ? others : binding).add(entry.withAddressOf(before));
-            }
-        }
-        if (update.whole()) {
-            for (MemberEntry held : current.values()) {
-                if (!named.contains(held.id())) {
-                    binding.add(held.in(Listing.GONE));
-                }
-            }
-        }
-        binding.addAll(others);
-        return binding;
+  public static MemberUpdate parse(String line) throws ListFault {
+    return MemberUpdate.of(MemberUpdate.object(line));
+  }
+
+  /** Throws before anything is taken in where the list does not belong to the one that is held. */
+  public void take(Moment now, MemberUpdate update, boolean asked) throws ListFault {
+    if (update.generation() < generation && !update.whole()) {
+      // A service that lost its state counts anew: its changes don't belong to the list held here.
+      throw new ListFault(
+          "the list's generation went from " + generation + " back to " + update.generation());
+    }
+    generation = update.generation();
+    if (roll != null) {
+      heed(now, update, asked);
+      return;
+    }
+    core.listBegins();
+    boolean drainsBind = false;
+    for (MemberEntry entry : changedBy(update)) {
+      boolean bindsStill =
+          list(now, entry, new Roll.Use(entry.listing(), entry.group()), generation, asked);
+      drainsBind |= bindsStill;
+      hold(bindsStill && entry.listing() == Listing.READY ? entry.in(Listing.DRAINING) : entry);
     }
+    ends(now, drainsBind, asked);
+  }
 
-    private void hold(MemberEntry entry) {
-        if (entry.listing() == Listing.GONE) {
-            current.remove(entry.id());
-        } else {
-            current.put(entry.id(), entry);
-        }
+  /**
+   * What one entry of a list says that has not come whole yet: a member that drains or is gone gets
+   * nothing from here on. All else waits for the rest of the list.
+   */
+  public void takeEarly(Moment now, List<MemberEntry> entries) {
+    boolean begun = false;
+    for (MemberEntry entry : entries) {
+      MemberEntry before = current.get(entry.id());
+      if (roll != null
+          || entry.listing() == Listing.READY
+          || before == null
+          || before.listing() != Listing.READY) {
+        continue;
+      }
+      MemberEntry drained = before.in(entry.listing());
+      begun = true;
+      tell(now, drained, drained.listing(), drained.group());
+      hold(drained);
+    }
+    if (begun) {
+      core.listEnds(now, false, false);
     }
+  }
 
-    private void ends(Moment now, boolean drainsBind, boolean asked) {
-        core.recalled(now, recollection.groups());
-        if (drainsBind) {
-            // Only the whole list says whether that is over: changes after this version may not name the
-            // node.
-            forget();
-        }
-        if (asked) {
-            recollection = Recollection.NONE;
+  /** Entries that differ from what is held, those first to which nothing may go any more. */
+  private List<MemberEntry> changedBy(MemberUpdate update) {
+    Set<String> named = new HashSet<>();
+    List<MemberEntry> binding = new ArrayList<>();
+    List<MemberEntry> others = new ArrayList<>();
+    for (MemberEntry entry : update.entries()) {
+      named.add(entry.id());
+      MemberEntry before = current.get(entry.id());
+      if (!entry.equals(before) || !recollection.members().isEmpty()) {
+        (entry.listing() == Listing.READY ? others : binding).add(entry.withAddressOf(before));
+      }
+    }
+    if (update.whole()) {
+      for (MemberEntry held : current.values()) {
+        if (!named.contains(held.id())) {
+          binding.add(held.in(Listing.GONE));
         }
-        core.listEnds(now, false, asked);
+      }
     }
+    binding.addAll(others);
+    return binding;
+  }
 
-    private void tell(Moment now, MemberEntry entry, Listing listing, int group) {
-        core.listed(now, entry.id(), listing, group, entry.zone() == null ? -1 : zones.indexOf(entry.zone()),
-            entry.weight(), entry.startedAtMillis() == 0 ? Moment.LONG_AGO
-                : clockOffset.started(new Moment(entry.startedAtMillis() * 1_000)));
+  private void hold(MemberEntry entry) {
+    if (entry.listing() == Listing.GONE) {
+      current.remove(entry.id());
+    } else {
+      current.put(entry.id(), entry);
     }
+  }
 
-    /** Starts are told in the servers' time, which may not be that of this process. */
-    public void startsBy(ClockOffset offset) {
-        clockOffset = offset;
+  private void ends(Moment now, boolean drainsBind, boolean asked) {
+    core.recalled(now, recollection.groups());
+    if (drainsBind) {
+      // Only the whole list says whether that is over: changes after this version may not name the
+      // node.
+      forget();
+    }
+    if (asked) {
+      recollection = Recollection.NONE;
     }
+    core.listEnds(now, false, asked);
+  }
 
-    /** What is known of the clock has changed: members' starts are told to the decisions again. */
-    public void tellStarts(Moment now) {
-        core.listBegins();
-        for (MemberEntry entry : current.values()) {
-            if (entry.startedAtMillis() != 0) {
-                tell(now, entry, entry.listing(), entry.group());
-            }
-        }
-        core.listEnds(now, false, false);
+  private void tell(Moment now, MemberEntry entry, Listing listing, int group) {
+    core.listed(
+        now,
+        entry.id(),
+        listing,
+        group,
+        entry.zone() == null ? -1 : zones.indexOf(entry.zone()),
+        entry.weight(),
+        entry.startedAtMillis() == 0
+            ? Moment.LONG_AGO
+            : clockOffset.started(new Moment(entry.startedAtMillis() * 1_000)));
+  }
+
+  /** Starts are told in the servers' time, which may not be that of this process. */
+  public void startsBy(ClockOffset offset) {
+    clockOffset = offset;
+  }
+
+  /** What is known of the clock has changed: members' starts are told to the decisions again. */
+  public void tellStarts(Moment now) {
+    core.listBegins();
+    for (MemberEntry entry : current.values()) {
+      if (entry.startedAtMillis() != 0) {
+        tell(now, entry, entry.listing(), entry.group());
+      }
     }
+    core.listEnds(now, false, false);
+  }
 
-    /** True where what an earlier process knew of the member keeps it from being used. */
-    private boolean list(Moment now, MemberEntry entry, Roll.Use use, long version, boolean asked) {
-        if (entry.address() != null) {
-            addresses.accept(entry.id(), entry.address());
-        }
-        tell(now, entry, use.listing(), use.group());
-        NodeView known = entry.address() == null ? null : recollection.of(entry.id(), Addresses.text(entry.address()),
-            entry.startedAtMillis() * 1_000, version, asked);
-        if (known == null) {
-            return false;
-        }
-        core.recalled(now, entry.id(), known);
-        if (known.silent() || known.isDown()) {
-            absent.accept(entry.id());
-        }
-        return known.drains();
+  /** True where what an earlier process knew of the member keeps it from being used. */
+  private boolean list(Moment now, MemberEntry entry, Roll.Use use, long version, boolean asked) {
+    if (entry.address() != null) {
+      addresses.accept(entry.id(), entry.address());
+    }
+    tell(now, entry, use.listing(), use.group());
+    NodeView known =
+        entry.address() == null
+            ? null
+            : recollection.of(
+                entry.id(),
+                Addresses.text(entry.address()),
+                entry.startedAtMillis() * 1_000,
+                version,
+                asked);
+    if (known == null) {
+      return false;
+    }
+    core.recalled(now, entry.id(), known);
+    if (known.silent() || known.isDown()) {
+      absent.accept(entry.id());
     }
+    return known.drains();
+  }
 
-    // ---- Lists on which a fleet agrees.
+  // ---- Lists on which a fleet agrees.
 
-    /** From here on each list is taken as far as the fleet bears it out. */
-    public void agreeBy(Roll fleet, Supplier<Moment> clock) {
-        roll = fleet;
-        heldOff = new Tally(LOG, Event.LIST_HELD, clock);
-    }
+  /** From here on each list is taken as far as the fleet bears it out. */
+  public void agreeBy(Roll fleet, Supplier<Moment> clock) {
+    roll = fleet;
+    heldOff = new Tally(LOG, Event.LIST_HELD, clock);
+  }
 
-    private void heed(Moment now, MemberUpdate update, boolean asked) {
-        Map<String, Said> said = new LinkedHashMap<>();
-        for (MemberEntry entry : update.entries()) {
-            said.put(entry.id(), new Said(entry.listing(), entry.group()));
-            // One that is gone may be named without its address: it stays as it was told.
-            if (entry.address() != null || !latest.containsKey(entry.id())) {
-                latest.put(entry.id(), entry);
-            }
-        }
-        Doubt doubt = roll.told(now, update.whole(), update.generation(), said);
-        if (doubt != Doubt.NONE) {
-            heldOff.note(update.generation(), doubt.name());
-        }
-        apply(now, update.generation(), asked);
+  private void heed(Moment now, MemberUpdate update, boolean asked) {
+    Map<String, Said> said = new LinkedHashMap<>();
+    for (MemberEntry entry : update.entries()) {
+      said.put(entry.id(), new Said(entry.listing(), entry.group()));
+      // One that is gone may be named without its address: it stays as it was told.
+      if (entry.address() != null || !latest.containsKey(entry.id())) {
+        latest.put(entry.id(), entry);
+      }
     }
+    Doubt doubt = roll.told(now, update.whole(), update.generation(), said);
+    if (doubt != Doubt.NONE) {
+      heldOff.note(update.generation(), doubt.name());
+    }
+    apply(now, update.generation(), asked);
+  }
 
-    /** Tells the decisions what has changed in what the fleet bears out; all of it is told at the first call. */
-    public void apply(Moment now) {
-        if (roll.revision(now) == applied) {
-            return;
-        }
-        apply(now, generation, false);
+  /**
+   * Tells the decisions what has changed in what the fleet bears out; all of it is told at the
+   * first call.
+   */
+  public void apply(Moment now) {
+    if (roll.revision(now) == applied) {
+      return;
     }
+    apply(now, generation, false);
+  }
 
-    private void apply(Moment now, long version, boolean asked) {
-        applied = roll.revision(now);
-        Set<String> members = roll.members();
-        members.addAll(used.keySet());
-        boolean begun = asked;
-        boolean drainsBind = false;
-        if (asked) {
-            core.listBegins();
-        }
-        for (String id : members) {
-            Roll.Use use = roll.use(now, id);
-            MemberEntry entry = latest.get(id);
-            boolean isNew = entry != told.put(id, entry);
-            Roll.Use before = used.get(id);
-            if (entry == null || use.equals(before) && !isNew || before == null
-                && use.listing() == Listing.GONE) {
-                continue;
-            }
-            if (!begun) {
-                core.listBegins();
-                begun = true;
-            }
-            if (before != null && before.group() != use.group()) {
-                Event.MEMBER_MOVES.log(LOG, Level.INFO, "", id, use.group(), use.listing());
-            }
-            drainsBind |= list(now, entry, use, version, asked);
-            used.put(id, use);
-        }
-        if (begun) {
-            ends(now, drainsBind, asked);
-        }
-        used.values().removeIf(use -> use.listing() == Listing.GONE);
-        told.keySet().retainAll(used.keySet());
-        latest.keySet().retainAll(members);
+  private void apply(Moment now, long version, boolean asked) {
+    applied = roll.revision(now);
+    Set<String> members = roll.members();
+    members.addAll(used.keySet());
+    boolean begun = asked;
+    boolean drainsBind = false;
+    if (asked) {
+      core.listBegins();
+    }
+    for (String id : members) {
+      Roll.Use use = roll.use(now, id);
+      MemberEntry entry = latest.get(id);
+      boolean isNew = entry != told.put(id, entry);
+      Roll.Use before = used.get(id);
+      if (entry == null
+          || use.equals(before) && !isNew
+          || before == null && use.listing() == Listing.GONE) {
+        continue;
+      }
+      if (!begun) {
+        core.listBegins();
+        begun = true;
+      }
+      if (before != null && before.group() != use.group()) {
+        Event.MEMBER_MOVES.log(LOG, Level.INFO, "", id, use.group(), use.listing());
+      }
+      drainsBind |= list(now, entry, use, version, asked);
+      used.put(id, use);
+    }
+    if (begun) {
+      ends(now, drainsBind, asked);
     }
+    used.values().removeIf(use -> use.listing() == Listing.GONE);
+    told.keySet().retainAll(used.keySet());
+    latest.keySet().retainAll(members);
+  }
 }
--- a/router/src/main/java/basaltlever/endpoints/PollSchedule.java
+++ b/router/src/main/java/basaltlever/endpoints/PollSchedule.java
@@ -9,50 +9,53 @@
 import java.util.TreeSet;
 
 /**
- * Which servers are polled next. Only servers for which a poll is due or under way are in it, so each step costs the
- * logarithm of how many those are, whatever the size of the list.
+ * Which servers are polled next. Only servers for which a poll is due or under way are in it, so
+ * each step costs the logarithm of how many those are, whatever the size of the list.
  */
 public final class PollSchedule {
-    private static final Comparator<Node> BY_ID = Comparator.comparingInt(node -> node.id);
-    private static final Comparator<Node> BY_WAKE =
-        Comparator.comparingLong((Node node) -> node.pollWake.micros()).thenComparing(BY_ID);
-    private final TreeSet<Node> scheduled = new TreeSet<>(BY_WAKE);
-    /** After this long without an answer a poll counts as missed. */
-    private final Span timeout;
-
-    public PollSchedule(Span timeout) {
-        this.timeout = timeout;
+  private static final Comparator<Node> BY_ID = Comparator.comparingInt(node -> node.id);
+  private static final Comparator<Node> BY_WAKE =
+      Comparator.comparingLong((Node node) -> node.pollWake.micros()).thenComparing(BY_ID);
+  private final TreeSet<Node> scheduled = new TreeSet<>(BY_WAKE);
+
+  /** After this long without an answer a poll counts as missed. */
+  private final Span timeout;
+
+  public PollSchedule(Span timeout) {
+    this.timeout = timeout;
+  }
+
+  /**
+   * To be called whenever a poll of the server was sent, was answered or is due at another time.
+   */
+  public void update(Node node) {
+    scheduled.remove(node);
+    node.pollWake = node.pollOut ? node.pollSent.plus(timeout) : node.pollDue;
+    if (node.pollWake.isBefore(Moment.NEVER)) {
+      scheduled.add(node);
     }
-
-    /** To be called whenever a poll of the server was sent, was answered or is due at another time. */
-    public void update(Node node) {
-        scheduled.remove(node);
-        node.pollWake = node.pollOut ? node.pollSent.plus(timeout) : node.pollDue;
-        if (node.pollWake.isBefore(Moment.NEVER)) {
-            scheduled.add(node);
-        }
-    }
-
-    public void remove(Node node) {
-        scheduled.remove(node);
-    }
-
-    /** When something is to be done next; never where nothing is scheduled. */
-    public Moment next() {
-        return scheduled.isEmpty() ? Moment.NEVER : scheduled.first().pollWake;
-    }
-
-    /** Takes out those that are due or have timed out, in the order of their ids. */
-    public List<Node> takeDue(Moment now) {
-        List<Node> due = new ArrayList<>();
-        while (!scheduled.isEmpty() && !now.isBefore(scheduled.first().pollWake)) {
-            due.add(scheduled.pollFirst());
-        }
-        due.sort(BY_ID);
-        return due;
+  }
+
+  public void remove(Node node) {
+    scheduled.remove(node);
+  }
+
+  /** When something is to be done next; never where nothing is scheduled. */
+  public Moment next() {
+    return scheduled.isEmpty() ? Moment.NEVER : scheduled.first().pollWake;
+  }
+
+  /** Takes out those that are due or have timed out, in the order of their ids. */
+  public List<Node> takeDue(Moment now) {
+    List<Node> due = new ArrayList<>();
+    while (!scheduled.isEmpty() && !now.isBefore(scheduled.first().pollWake)) {
+      due.add(scheduled.pollFirst());
     }
+    due.sort(BY_ID);
+    return due;
+  }
 
-    public int size() {
-        return scheduled.size();
-    }
+  public int size() {
+    return scheduled.size();
+  }
 }
--- a/router/src/main/java/basaltlever/endpoints/PrimarySearch.java
+++ b/router/src/main/java/basaltlever/endpoints/PrimarySearch.java
@@ -9,40 +9,42 @@
 import java.util.function.Predicate;
 
 /**
- * Which members to ask next for the primary of a group that this router does not poll regularly, or that is large: a few
- * at a time, each router beginning at its own place, until one reports itself primary. A round that found none is followed by another.
+ * Which members to ask next for the primary of a group that this router does not poll regularly, or
+ * that is large: a few at a time, each router beginning at its own place, until one reports itself
+ * primary. A round that found none is followed by another.
  */
 public final class PrimarySearch {
-    /** Asked at one time where no primary was known yet: most are found among the first few. */
-    private static final int AT_FIRST = 2;
-    /** Asked at one time where a primary was lost, and its successor is waited for. */
-    private static final int AFTER_LOSS = 8;
-    /** A member that has not answered for so long no longer keeps the next one from being asked. */
-    private static final Span STALLED = Span.ofMillis(50);
+  /** Asked at one time where no primary was known yet: most are found among the first few. */
+  private static final int AT_FIRST = 2;
 
-    private PrimarySearch() {
-    }
+  /** Asked at one time where a primary was lost, and its successor is waited for. */
+  private static final int AFTER_LOSS = 8;
+
+  /** A member that has not answered for so long no longer keeps the next one from being asked. */
+  private static final Span STALLED = Span.ofMillis(50);
 
-    /** The members to poll now; their polls must be sent before this is asked again. */
-    public static List<Node> next(Group group, Moment now, Span betweenRounds, int startPlace,
-                                  Predicate<Node> mayBeAsked) {
-        List<Node> asked = group.searching;
-        asked.removeIf(node -> !node.pollOut || now.since(node.pollSent).isLongerThan(STALLED));
-        boolean roundOver = group.searchCursor >= group.members.size();
-        if (roundOver && asked.isEmpty() && !now.since(group.searchFrom).isShorterThan(betweenRounds)) {
-            group.searchRounds++;
-            group.searchCursor = 0;
-            group.searchFrom = now;
-        }
-        int atOnce = group.lost == null ? AT_FIRST : AFTER_LOSS;
-        List<Node> next = new ArrayList<>(atOnce);
-        while (asked.size() < atOnce && group.searchCursor < group.members.size()) {
-            Node member = group.members.get((startPlace + group.searchCursor++) % group.members.size());
-            if (mayBeAsked.test(member) && !member.pollOut) {
-                asked.add(member);
-                next.add(member);
-            }
-        }
-        return next;
+  private PrimarySearch() {}
+
+  /** The members to poll now; their polls must be sent before this is asked again. */
+  public static List<Node> next(
+      Group group, Moment now, Span betweenRounds, int startPlace, Predicate<Node> mayBeAsked) {
+    List<Node> asked = group.searching;
+    asked.removeIf(node -> !node.pollOut || now.since(node.pollSent).isLongerThan(STALLED));
+    boolean roundOver = group.searchCursor >= group.members.size();
+    if (roundOver && asked.isEmpty() && !now.since(group.searchFrom).isShorterThan(betweenRounds)) {
+      group.searchRounds++;
+      group.searchCursor = 0;
+      group.searchFrom = now;
+    }
+    int atOnce = group.lost == null ? AT_FIRST : AFTER_LOSS;
+    List<Node> next = new ArrayList<>(atOnce);
+    while (asked.size() < atOnce && group.searchCursor < group.members.size()) {
+      Node member = group.members.get((startPlace + group.searchCursor++) % group.members.size());
+      if (mayBeAsked.test(member) && !member.pollOut) {
+        asked.add(member);
+        next.add(member);
+      }
     }
+    return next;
+  }
 }
--- a/router/src/main/java/basaltlever/endpoints/ReplicaSubset.java
+++ b/router/src/main/java/basaltlever/endpoints/ReplicaSubset.java
@@ -10,77 +10,85 @@
 import java.util.function.Predicate;
 
 /**
- * Deterministic subsetting: the members of a large group that one router sends reads to. All routers know the same
- * order of the members; router number {@code index} of {@code routers} begins at its own place on that ring, the places
- * evenly apart, so that each member is in as many subsets as any other, give or take one. Groups of up to
- * {@link #LEAST} members are used whole.
+ * Deterministic subsetting: the members of a large group that one router sends reads to. All
+ * routers know the same order of the members; router number {@code index} of {@code routers} begins
+ * at its own place on that ring, the places evenly apart, so that each member is in as many subsets
+ * as any other, give or take one. Groups of up to {@link #LEAST} members are used whole.
  */
 public final class ReplicaSubset {
-    /** A subset has at least so many members, where the group has. */
-    public static final int LEAST = 8;
-    /** Together the routers' subsets hold each member so many times at least. */
-    private static final double COVERAGE = 2;
-    /** A large group's ring is not looked through more often than this. */
-    private static final Span APART = Span.ofMillis(100);
-    private static final Comparator<Node> BY_RANK =
-        Comparator.comparingInt((Node node) -> node.rank).thenComparingInt(node -> node.id);
+  /** A subset has at least so many members, where the group has. */
+  public static final int LEAST = 8;
 
-    private ReplicaSubset() {
-    }
+  /** Together the routers' subsets hold each member so many times at least. */
+  private static final double COVERAGE = 2;
 
-    /** The members to choose among; looked up anew where the group has changed. */
-    public static List<Node> of(Group group, Moment now, int routers, int index, Predicate<Node> mayBeUsed) {
-        if (group.members.size() <= LEAST) {
-            return group.members;
-        }
-        boolean due = !now.since(group.subsetAt).isShorterThan(APART);
-        if (group.subset == null || group.subsetStale && due) {
-            group.subset = choose(group, routers, index, mayBeUsed);
-            group.subsetAt = now;
-            group.subsetStale = false;
-        }
-        return group.subset;
-    }
+  /** A large group's ring is not looked through more often than this. */
+  private static final Span APART = Span.ofMillis(100);
 
-    /** How many members a subset has before any widening. */
-    public static int width(int members, int routers) {
-        return Math.min(members, Math.max(LEAST, (int) Math.ceil(COVERAGE * members / Math.max(1, routers))));
-    }
+  private static final Comparator<Node> BY_RANK =
+      Comparator.comparingInt((Node node) -> node.rank).thenComparingInt(node -> node.id);
+
+  private ReplicaSubset() {}
 
-    /** Takes in half as many again, where those of the subset have no room or were lost. */
-    public static void widen(Group group, int routers) {
-        int most = group.members.size();
-        int width = Math.min(most, width(most, routers) + group.subsetExtra);
-        if (width < most) {
-            group.subsetExtra += Math.max(1, width / 2);
-            group.subsetStale = true;
-        }
+  /** The members to choose among; looked up anew where the group has changed. */
+  public static List<Node> of(
+      Group group, Moment now, int routers, int index, Predicate<Node> mayBeUsed) {
+    if (group.members.size() <= LEAST) {
+      return group.members;
     }
+    boolean due = !now.since(group.subsetAt).isShorterThan(APART);
+    if (group.subset == null || group.subsetStale && due) {
+      group.subset = choose(group, routers, index, mayBeUsed);
+      group.subsetAt = now;
+      group.subsetStale = false;
+    }
+    return group.subset;
+  }
+
+  /** How many members a subset has before any widening. */
+  public static int width(int members, int routers) {
+    return Math.min(
+        members, Math.max(LEAST, (int) Math.ceil(COVERAGE * members / Math.max(1, routers))));
+  }
 
-    /** Gives up what it was widened by. */
-    public static void narrow(Group group) {
-        group.subsetExtra = 0;
-        group.subsetStale = true;
+  /** Takes in half as many again, where those of the subset have no room or were lost. */
+  public static void widen(Group group, int routers) {
+    int most = group.members.size();
+    int width = Math.min(most, width(most, routers) + group.subsetExtra);
+    if (width < most) {
+      group.subsetExtra += Math.max(1, width / 2);
+      group.subsetStale = true;
     }
+  }
 
-    private static List<Node> choose(Group group, int routers, int index, Predicate<Node> mayBeUsed) {
-        List<Node> ring = new ArrayList<>(group.members.size());
-        for (Node member : group.members) {
-            if (mayBeUsed.test(member)) {
-                ring.add(member);
-            }
-        }
-        ring.sort(BY_RANK);
-        int width = Math.min(ring.size(), width(ring.size(), routers) + group.subsetExtra);
-        int start = (int) ((long) Math.floorMod(index, Math.max(1, routers)) * ring.size() / Math.max(1, routers));
-        List<Node> chosen = new ArrayList<>(width);
-        // One that is lost keeps its place, and the next one on the ring stands in for it.
-        int sound = 0;
-        for (int i = 0; i < ring.size() && sound < width; i++) {
-            Node next = ring.get((start + i) % ring.size());
-            chosen.add(next);
-            sound += next.down || next.silent ? 0 : 1;
-        }
-        return chosen;
+  /** Gives up what it was widened by. */
+  public static void narrow(Group group) {
+    group.subsetExtra = 0;
+    group.subsetStale = true;
+  }
+
+  private static List<Node> choose(Group group, int routers, int index, Predicate<Node> mayBeUsed) {
+    List<Node> ring = new ArrayList<>(group.members.size());
+    for (Node member : group.members) {
+      if (mayBeUsed.test(member)) {
+        ring.add(member);
+      }
+    }
+    ring.sort(BY_RANK);
+    int width = Math.min(ring.size(), width(ring.size(), routers) + group.subsetExtra);
+    int start =
+        (int)
+            ((long) Math.floorMod(index, Math.max(1, routers))
+                * ring.size()
+                / Math.max(1, routers));
+    List<Node> chosen = new ArrayList<>(width);
+    // One that is lost keeps its place, and the next one on the ring stands in for it.
+    int sound = 0;
+    for (int i = 0; i < ring.size() && sound < width; i++) {
+      Node next = ring.get((start + i) % ring.size());
+      chosen.add(next);
+      sound += next.down || next.silent ? 0 : 1;
     }
+    return chosen;
+  }
 }
--- a/router/src/main/java/basaltlever/endpoints/WatchedGroups.java
+++ b/router/src/main/java/basaltlever/endpoints/WatchedGroups.java
@@ -9,104 +9,116 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The groups whose members are polled all the time. A short list is watched whole; of a long one the groups with the most
- * traffic of this router are. Members of the others are polled only when a statement needs it, so that what a
- * router polls follows its traffic and not the length of the list.
+ * The groups whose members are polled all the time. A short list is watched whole; of a long one
+ * the groups with the most traffic of this router are. Members of the others are polled only when a
+ * statement needs it, so that what a router polls follows its traffic and not the length of the
+ * list.
  */
 public final class WatchedGroups {
-    /** So many members in service at most are polled regularly. */
-    public static final int MOST_MEMBERS = 96;
-    /** So many are polled once at the start where the list is longer than that. */
-    public static final int FIRST_LOOK = 16;
-    /** A group takes another's place only with clearly more traffic, or two alike would take turns. */
-    private static final double CLEARLY_MORE = 1.5;
+  /** So many members in service at most are polled regularly. */
+  public static final int MOST_MEMBERS = 96;
 
-    private final List<Group> watched = new ArrayList<>();
-    private int members;
+  /** So many are polled once at the start where the list is longer than that. */
+  public static final int FIRST_LOOK = 16;
 
-    /** Members of the group that count against the bound. */
-    private static int size(Group group) {
-        int inService = 0;
-        for (int i = 0; i < group.members.size() && inService < ReplicaSubset.LEAST; i++) {
-            Node member = group.members.get(i);
-            inService += member.isInService() ? 1 : 0;
-        }
-        return inService;
-    }
+  /**
+   * A group takes another's place only with clearly more traffic, or two alike would take turns.
+   */
+  private static final double CLEARLY_MORE = 1.5;
+
+  private final List<Group> watched = new ArrayList<>();
+  private int members;
 
-    /** Watches all of them where there is room for all; false where there is not, and nothing has changed. */
-    public boolean admitAll(Collection<Group> groups) {
-        int more = 0;
-        for (Group group : groups) {
-            more += group.watched ? 0 : size(group);
-            if (members + more > MOST_MEMBERS) {
-                return false;
-            }
-        }
-        for (Group group : groups) {
-            if (!group.watched) {
-                add(group);
-            }
-        }
-        return true;
+  /** Members of the group that count against the bound. */
+  private static int size(Group group) {
+    int inService = 0;
+    for (int i = 0; i < group.members.size() && inService < ReplicaSubset.LEAST; i++) {
+      Node member = group.members.get(i);
+      inService += member.isInService() ? 1 : 0;
     }
+    return inService;
+  }
 
-    /**
-     * Takes in a group that has traffic now, in place of one with much less. Returns the one that had to go; empty where
-     * there was room, or where the group was not taken in.
-     */
-    public List<Group> admitByTraffic(Group group, ToDoubleFunction<Group> rate) {
-        if (members + size(group) <= MOST_MEMBERS) {
-            add(group);
-            return List.of();
-        }
-        Group least = Collections.min(watched, (a, b) -> Double.compare(rate.applyAsDouble(a), rate.applyAsDouble(b)));
-        if (rate.applyAsDouble(group) <= CLEARLY_MORE * rate.applyAsDouble(least)
-            || members - size(least) + size(group) > MOST_MEMBERS) {
-            return List.of();
-        }
-        remove(least);
+  /**
+   * Watches all of them where there is room for all; false where there is not, and nothing has
+   * changed.
+   */
+  public boolean admitAll(Collection<Group> groups) {
+    int more = 0;
+    for (Group group : groups) {
+      more += group.watched ? 0 : size(group);
+      if (members + more > MOST_MEMBERS) {
+        return false;
+      }
+    }
+    for (Group group : groups) {
+      if (!group.watched) {
         add(group);
-        return List.of(least);
+      }
     }
+    return true;
+  }
 
-    /** Counts anew once members have come or gone; returns groups for which there is no room any more. */
-    public List<Group> recount() {
-        List<Group> left = new ArrayList<>();
-        List<Group> former = List.copyOf(watched);
-        watched.clear();
-        members = 0;
-        for (Group group : former) {
-            boolean stays = !group.members.isEmpty() && members + size(group) <= MOST_MEMBERS;
-            group.watched = false;
-            if (stays) {
-                add(group);
-            } else {
-                left.add(group);
-            }
-        }
-        return left;
+  /**
+   * Takes in a group that has traffic now, in place of one with much less. Returns the one that had
+   * to go; empty where there was room, or where the group was not taken in.
+   */
+  public List<Group> admitByTraffic(Group group, ToDoubleFunction<Group> rate) {
+    if (members + size(group) <= MOST_MEMBERS) {
+      add(group);
+      return List.of();
     }
-
-    private void add(Group group) {
-        group.watched = true;
-        watched.add(group);
-        members += size(group);
+    Group least =
+        Collections.min(
+            watched, (a, b) -> Double.compare(rate.applyAsDouble(a), rate.applyAsDouble(b)));
+    if (rate.applyAsDouble(group) <= CLEARLY_MORE * rate.applyAsDouble(least)
+        || members - size(least) + size(group) > MOST_MEMBERS) {
+      return List.of();
     }
+    remove(least);
+    add(group);
+    return List.of(least);
+  }
 
-    private void remove(Group group) {
-        group.watched = false;
-        watched.remove(group);
-        members -= size(group);
+  /**
+   * Counts anew once members have come or gone; returns groups for which there is no room any more.
+   */
+  public List<Group> recount() {
+    List<Group> left = new ArrayList<>();
+    List<Group> former = List.copyOf(watched);
+    watched.clear();
+    members = 0;
+    for (Group group : former) {
+      boolean stays = !group.members.isEmpty() && members + size(group) <= MOST_MEMBERS;
+      group.watched = false;
+      if (stays) {
+        add(group);
+      } else {
+        left.add(group);
+      }
     }
+    return left;
+  }
 
-    /** Groups that are watched now. */
-    public int size() {
-        return watched.size();
-    }
+  private void add(Group group) {
+    group.watched = true;
+    watched.add(group);
+    members += size(group);
+  }
 
-    /** Members in service of those. */
-    public int members() {
-        return members;
-    }
+  private void remove(Group group) {
+    group.watched = false;
+    watched.remove(group);
+    members -= size(group);
+  }
+
+  /** Groups that are watched now. */
+  public int size() {
+    return watched.size();
+  }
+
+  /** Members in service of those. */
+  public int members() {
+    return members;
+  }
 }
--- a/router/src/main/java/basaltlever/fleet/Engine.java
+++ b/router/src/main/java/basaltlever/fleet/Engine.java
@@ -30,12 +30,13 @@
 import org.slf4j.event.Level;
 
 /**
- * One voter: JGroups with its Raft (docs/agreement.md says why). Term, vote and log stand in the folder; the
- * register is what the log comes to. Commands come from the engine's own threads, one after the other; who
- * reads the register meanwhile holds its lock.
+ * One voter: JGroups with its Raft (docs/agreement.md says why). Term, vote and log stand in the
+ * folder; the register is what the log comes to. Commands come from the engine's own threads, one
+ * after the other; who reads the register meanwhile holds its lock.
  */
 final class Engine implements StateMachine, AutoCloseable {
-    private static final String STACK = """
+  private static final String STACK =
+      """
         <config xmlns="urn:org:jgroups">
           <TCP bind_addr="%s" bind_port="%d" port_range="0" sock_conn_timeout="300" diag.enabled="false"
                thread_pool.min_threads="1" thread_pool.max_threads="8" thread_pool.keep_alive_time="5000"
@@ -59,208 +60,262 @@
           <raft.REDIRECT/>
         </config>
         """;
-    /** Ports that the failure detector listens on lie this far above the voters' own. */
-    private static final int DETECTOR = 1_000;
-    private static final long JOINS_AGAIN_MILLIS = 300;
-    private static final int KEPT_TEXTS = 2;
-    private static final Logger LOG = LoggerFactory.getLogger(Engine.class);
 
-    /** For readers outside the engine's threads too: hold its lock. */
-    final Register register = new Register();
-    private final JChannel channel;
-    private final RaftHandle raft;
-    private final Consumer<Boolean> leads;
-    private volatile boolean closed;
+  /** Ports that the failure detector listens on lie this far above the voters' own. */
+  private static final int DETECTOR = 1_000;
 
-    /**
-     * Joins the others, or waits for them. Members vote at first, this one among them; voters are where they may
-     * be met. Suspicion comes after the span; leads is told whenever this voter begins or ceases to lead, on the
-     * engine's thread.
-     */
-    Engine(String fleet, String name, Map<String, InetSocketAddress> voters, List<String> members, Path folder,
-           long suspectMillis, Consumer<Boolean> leads) throws Exception {
-        this.leads = leads;
-        InetSocketAddress own = voters.get(name);
-        String hosts = voters.values().stream().map(at -> at.getHostString() + "[" + at.getPort() + "]")
+  private static final long JOINS_AGAIN_MILLIS = 300;
+  private static final int KEPT_TEXTS = 2;
+  private static final Logger LOG = LoggerFactory.getLogger(Engine.class);
+
+  /** For readers outside the engine's threads too: hold its lock. */
+  final Register register = new Register();
+
+  private final JChannel channel;
+  private final RaftHandle raft;
+  private final Consumer<Boolean> leads;
+  private volatile boolean closed;
+
+  /**
+   * Joins the others, or waits for them. Members vote at first, this one among them; voters are
+   * where they may be met. Suspicion comes after the span; leads is told whenever this voter begins
+   * or ceases to lead, on the engine's thread.
+   */
+  Engine(
+      String fleet,
+      String name,
+      Map<String, InetSocketAddress> voters,
+      List<String> members,
+      Path folder,
+      long suspectMillis,
+      Consumer<Boolean> leads)
+      throws Exception {
+    this.leads = leads;
+    InetSocketAddress own = voters.get(name);
+    String hosts =
+        voters.values().stream()
+            .map(at -> at.getHostString() + "[" + at.getPort() + "]")
             .collect(Collectors.joining(","));
-        String stack = STACK.formatted(own.getHostString(), own.getPort(), hosts,
-            own.getHostString(), DETECTOR, suspectMillis,
-            Math.max(50, suspectMillis / 4), String.join(",", members), name,
-            folder.toAbsolutePath(), name);
-        channel = new JChannel(new ByteArrayInputStream(stack.getBytes(StandardCharsets.UTF_8)));
-        channel.setName(name);
-        raft = new RaftHandle(channel, this).raftId(name);
-        raft.addRoleListener(this::role);
-        Thread joins = new Thread(() -> join(fleet), "joins");
-        joins.setDaemon(true);
-        joins.start();
-    }
+    String stack =
+        STACK.formatted(
+            own.getHostString(),
+            own.getPort(),
+            hosts,
+            own.getHostString(),
+            DETECTOR,
+            suspectMillis,
+            Math.max(50, suspectMillis / 4),
+            String.join(",", members),
+            name,
+            folder.toAbsolutePath(),
+            name);
+    channel = new JChannel(new ByteArrayInputStream(stack.getBytes(StandardCharsets.UTF_8)));
+    channel.setName(name);
+    raft = new RaftHandle(channel, this).raftId(name);
+    raft.addRoleListener(this::role);
+    Thread joins = new Thread(() -> join(fleet), "joins");
+    joins.setDaemon(true);
+    joins.start();
+  }
 
-    /**
-     * A voter that was ended and is back at once is turned away for as long as the others have not noticed
-     * that it was gone: it asks again, and its router serves meanwhile.
-     */
-    private void join(String fleet) {
-        while (!closed) {
-            try {
-                channel.connect(fleet);
-                return;
-            } catch (Exception turnedAway) {
-                Event.FLEET_JOINS.log(LOG, Level.WARN, "asks again", turnedAway);
-            }
-            try {
-                Thread.sleep(JOINS_AGAIN_MILLIS);
-            } catch (InterruptedException ended) {
-                return;
-            }
-        }
+  /**
+   * A voter that was ended and is back at once is turned away for as long as the others have not
+   * noticed that it was gone: it asks again, and its router serves meanwhile.
+   */
+  private void join(String fleet) {
+    while (!closed) {
+      try {
+        channel.connect(fleet);
+        return;
+      } catch (Exception turnedAway) {
+        Event.FLEET_JOINS.log(LOG, Level.WARN, "asks again", turnedAway);
+      }
+      try {
+        Thread.sleep(JOINS_AGAIN_MILLIS);
+      } catch (InterruptedException ended) {
+        return;
+      }
     }
+  }
 
-    private void role(Role role) {
-        leads.accept(role == Role.Leader);
-    }
+  private void role(Role role) {
+    leads.accept(role == Role.Leader);
+  }
 
-    /** Empty where nobody leads. */
-    String leader() {
-        Address leader = raft.leader();
-        String name = leader == null ? null : NameCache.get(leader);
-        return name == null ? "" : name;
-    }
+  /** Empty where nobody leads. */
+  String leader() {
+    Address leader = raft.leader();
+    String name = leader == null ? null : NameCache.get(leader);
+    return name == null ? "" : name;
+  }
 
-    /** Who votes, as far as this one knows. */
-    List<String> members() {
-        return List.copyOf(raft.raft().members());
-    }
+  /** Who votes, as far as this one knows. */
+  List<String> members() {
+    return List.copyOf(raft.raft().members());
+  }
 
-    /** Takes a voter in, or out; one change at a time, and only where this one leads. */
-    CompletableFuture<byte[]> change(String voter, boolean in) {
-        try {
-            return in ? raft.raft().addServer(voter) : raft.raft().removeServer(voter);
-        } catch (Exception refused) {
-            return CompletableFuture.failedFuture(refused);
-        }
+  /** Takes a voter in, or out; one change at a time, and only where this one leads. */
+  CompletableFuture<byte[]> change(String voter, boolean in) {
+    try {
+      return in ? raft.raft().addServer(voter) : raft.raft().removeServer(voter);
+    } catch (Exception refused) {
+      return CompletableFuture.failedFuture(refused);
     }
+  }
 
-    /** How far its log has come, for status. */
-    String standing() {
-        RAFT protocol = raft.raft();
-        return protocol.role().toLowerCase(java.util.Locale.ROOT) + ", term " + raft.currentTerm()
-            + ", applied " + raft.lastApplied() + " of " + raft.commitIndex();
-    }
+  /** How far its log has come, for status. */
+  String standing() {
+    RAFT protocol = raft.raft();
+    return protocol.role().toLowerCase(java.util.Locale.ROOT)
+        + ", term "
+        + raft.currentTerm()
+        + ", applied "
+        + raft.lastApplied()
+        + " of "
+        + raft.commitIndex();
+  }
 
-    /** The answer of the register once a majority has the command; fails where there is none. */
-    CompletableFuture<String> submit(Map<String, Object> command) {
-        byte[] bytes = Message.write(command);
-        try {
-            return raft.setAsync(bytes, 0, bytes.length, Options.create(false)).thenApply(answer ->
-                answer == null ? "" : new String(answer, StandardCharsets.UTF_8));
-        } catch (Exception refused) {
-            return CompletableFuture.failedFuture(refused);
-        }
+  /** The answer of the register once a majority has the command; fails where there is none. */
+  CompletableFuture<String> submit(Map<String, Object> command) {
+    byte[] bytes = Message.write(command);
+    try {
+      return raft.setAsync(bytes, 0, bytes.length, Options.create(false))
+          .thenApply(answer -> answer == null ? "" : new String(answer, StandardCharsets.UTF_8));
+    } catch (Exception refused) {
+      return CompletableFuture.failedFuture(refused);
     }
+  }
 
-    // ---- What the engine asks of the register.
+  // ---- What the engine asks of the register.
 
-    @Override
-    public byte[] apply(byte[] data, int offset, int length, boolean serialize) throws IOException {
-        Map<String, Object> command = Message.read(data, offset, length);
-        String answer;
-        synchronized (register) {
-            long number = Message.number(command, "number");
-            answer = switch (Message.text(command, "do")) {
-                case "propose" -> register.propose(number, Message.text(command, "text"), (int) Math.max(1,
-                    Message.number(command, "routers")), Message.text(command, "who"), Message.text(command,
-                        "why"), Message.number(command, "at"));
-                case "force" -> register.bringIntoForce(number) ? "" : "it is not on its way";
-                case "withdraw" -> register.withdraw(number, Message.text(command, "why")) ? ""
+  @Override
+  public byte[] apply(byte[] data, int offset, int length, boolean serialize) throws IOException {
+    Map<String, Object> command = Message.read(data, offset, length);
+    String answer;
+    synchronized (register) {
+      long number = Message.number(command, "number");
+      answer =
+          switch (Message.text(command, "do")) {
+            case "propose" ->
+                register.propose(
+                    number,
+                    Message.text(command, "text"),
+                    (int) Math.max(1, Message.number(command, "routers")),
+                    Message.text(command, "who"),
+                    Message.text(command, "why"),
+                    Message.number(command, "at"));
+            case "force" -> register.bringIntoForce(number) ? "" : "it is not on its way";
+            case "withdraw" ->
+                register.withdraw(number, Message.text(command, "why"))
+                    ? ""
                     : "it is not on its way";
-                case "seat" -> {
-                    Lists.seats(command.get("seats")).forEach(seat -> register.seat(seat.member(), seat.group(),
-                        seat.at()));
-                    yield "";
-                }
-                case "clear" -> {
-                    Lists.seats(command.get("seats")).forEach(seat -> register.clear(seat.member()));
-                    yield "";
-                }
-                case "seal" -> register.seal(Message.text(command, "voter"), Message.text(command, "folder")) ? ""
+            case "seat" -> {
+              Lists.seats(command.get("seats"))
+                  .forEach(seat -> register.seat(seat.member(), seat.group(), seat.at()));
+              yield "";
+            }
+            case "clear" -> {
+              Lists.seats(command.get("seats")).forEach(seat -> register.clear(seat.member()));
+              yield "";
+            }
+            case "seal" ->
+                register.seal(Message.text(command, "voter"), Message.text(command, "folder"))
+                    ? ""
                     : "its folder is known";
-                case "unseal" -> {
-                    register.unseal(Message.text(command, "voter"));
-                    yield "";
-                }
-                case "count_anew" -> register.countAnew(number) ? "" : "it is counted anew already";
-                case "charter" -> {
-                    // Once: whoever leads submits it until it has begun.
-                    if (Register.charter(Message.number(command, "changes")) > register.charter()) {
-                        restore(command);
-                    }
-                    yield "";
-                }
-                // A pulse, or what a later release knows: order is all that matters of it.
-                default -> "";
-            };
-        }
-        return answer.getBytes(StandardCharsets.UTF_8);
+            case "unseal" -> {
+              register.unseal(Message.text(command, "voter"));
+              yield "";
+            }
+            case "count_anew" -> register.countAnew(number) ? "" : "it is counted anew already";
+            case "charter" -> {
+              // Once: whoever leads submits it until it has begun.
+              if (Register.charter(Message.number(command, "changes")) > register.charter()) {
+                restore(command);
+              }
+              yield "";
+            }
+            // A pulse, or what a later release knows: order is all that matters of it.
+            default -> "";
+          };
     }
+    return answer.getBytes(StandardCharsets.UTF_8);
+  }
 
-    @Override
-    public void writeContentTo(DataOutput out) throws IOException {
-        byte[] bytes = Message.write(content(register));
-        out.writeInt(bytes.length);
-        out.write(bytes);
-    }
+  @Override
+  public void writeContentTo(DataOutput out) throws IOException {
+    byte[] bytes = Message.write(content(register));
+    out.writeInt(bytes.length);
+    out.write(bytes);
+  }
 
-    /** All of a register that a snapshot or a seed holds. */
-    static Map<String, Object> content(Register register) {
-        Map<String, Object> all = new LinkedHashMap<>();
-        synchronized (register) {
-            all.put("force", Message.of(register.inForce()));
-            all.put("prepared", Message.of(register.prepared()));
-            all.put("last", register.last());
-            all.put("changes", register.changes());
-            all.put("era", register.era());
-            all.put("seats_number", register.seatsNumber());
-            all.put("seats", register.seats(-1).stream().map(Lists::of).toList());
-            all.put("seals", new LinkedHashMap<>(register.seals()));
-            all.put("ended", List.copyOf(register.ended()));
-            // The texts of old versions would make a snapshot large: revert needs the latest few only.
-            List<Chapter> history = register.history();
-            all.put("history", history.stream().map(chapter -> {
-                boolean old = history.indexOf(chapter) < history.size() - KEPT_TEXTS;
-                Version v = chapter.version();
-                return Message.of(old ? new Chapter(new Version(v.number(), "", v.routers(), v.who(), v.why(),
-                    v.atMillis()), chapter.end(), chapter.reason()) : chapter);
-            }).toList());
-        }
-        return all;
+  /** All of a register that a snapshot or a seed holds. */
+  static Map<String, Object> content(Register register) {
+    Map<String, Object> all = new LinkedHashMap<>();
+    synchronized (register) {
+      all.put("force", Message.of(register.inForce()));
+      all.put("prepared", Message.of(register.prepared()));
+      all.put("last", register.last());
+      all.put("changes", register.changes());
+      all.put("era", register.era());
+      all.put("seats_number", register.seatsNumber());
+      all.put("seats", register.seats(-1).stream().map(Lists::of).toList());
+      all.put("seals", new LinkedHashMap<>(register.seals()));
+      all.put("ended", List.copyOf(register.ended()));
+      // The texts of old versions would make a snapshot large: revert needs the latest few only.
+      List<Chapter> history = register.history();
+      all.put(
+          "history",
+          history.stream()
+              .map(
+                  chapter -> {
+                    boolean old = history.indexOf(chapter) < history.size() - KEPT_TEXTS;
+                    Version v = chapter.version();
+                    return Message.of(
+                        old
+                            ? new Chapter(
+                                new Version(
+                                    v.number(), "", v.routers(), v.who(), v.why(), v.atMillis()),
+                                chapter.end(),
+                                chapter.reason())
+                            : chapter);
+                  })
+              .toList());
     }
+    return all;
+  }
 
-    @Override
-    public void readContentFrom(DataInput in) throws IOException {
-        byte[] bytes = new byte[Math.min(Math.max(0, in.readInt()), Message.LARGEST)];
-        in.readFully(bytes);
-        restore(Message.read(bytes, 0, bytes.length));
-    }
+  @Override
+  public void readContentFrom(DataInput in) throws IOException {
+    byte[] bytes = new byte[Math.min(Math.max(0, in.readInt()), Message.LARGEST)];
+    in.readFully(bytes);
+    restore(Message.read(bytes, 0, bytes.length));
+  }
 
-    private void restore(Map<String, Object> all) {
-        synchronized (register) {
-            register.restore(Message.version(all.get("force")), Message.version(all.get("prepared")),
-                Message.number(all, "last"), Message.number(all, "changes"), all.get("history") instanceof List<?> lines ? lines.stream()
-                    .map(line -> Message.chapter((Map<?, ?>) line)).toList() : List.of());
-            register.restore(Message.number(all, "era"), Message.number(all, "seats_number"),
-                Lists.seats(all.get("seats")));
-            Map<String, String> seals = new LinkedHashMap<>();
-            if (all.get("seals") instanceof Map<?, ?> told) {
-                told.forEach((voter, folder) -> seals.put("" + voter, "" + folder));
-            }
-            register.restore(seals, Message.texts(all, "ended"));
-        }
+  private void restore(Map<String, Object> all) {
+    synchronized (register) {
+      register.restore(
+          Message.version(all.get("force")),
+          Message.version(all.get("prepared")),
+          Message.number(all, "last"),
+          Message.number(all, "changes"),
+          all.get("history") instanceof List<?> lines
+              ? lines.stream().map(line -> Message.chapter((Map<?, ?>) line)).toList()
+              : List.of());
+      register.restore(
+          Message.number(all, "era"),
+          Message.number(all, "seats_number"),
+          Lists.seats(all.get("seats")));
+      Map<String, String> seals = new LinkedHashMap<>();
+      if (all.get("seals") instanceof Map<?, ?> told) {
+        told.forEach((voter, folder) -> seals.put("" + voter, "" + folder));
+      }
+      register.restore(seals, Message.texts(all, "ended"));
     }
+  }
 
-    @Override
-    public void close() {
-        closed = true;
-        channel.close();
-    }
+  @Override
+  public void close() {
+    closed = true;
+    channel.close();
+  }
 }
--- a/router/src/main/java/basaltlever/fleet/Fleet.java
+++ b/router/src/main/java/basaltlever/fleet/Fleet.java
@@ -1,9 +1,9 @@
 package basaltlever.fleet;
 
-import basaltlever.config.Terms;
 import basaltlever.agree.Grant;
 import basaltlever.agree.Report;
 import basaltlever.agree.Sight;
+import basaltlever.config.Terms;
 import basaltlever.log.Event;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -18,72 +18,109 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.event.Level;
 
-/** One instance's part in its fleet: its link, and its voter where it is one. On a loop of its own. */
+/**
+ * One instance's part in its fleet: its link, and its voter where it is one. On a loop of its own.
+ */
 public final class Fleet implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-        NioIoHandler.newFactory());
-    private final EventLoop loop = group.next();
-    private final Voter voter;
-    private final Link link;
-    private final String name;
-    private final Terms terms;
-    private final Papers papers;
-    /** Of this process. */
-    private final long incarnation = System.currentTimeMillis();
+  private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+  private final MultiThreadIoEventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoop loop = group.next();
+  private final Voter voter;
+  private final Link link;
+  private final String name;
+  private final Terms terms;
+  private final Papers papers;
+
+  /** Of this process. */
+  private final long incarnation = System.currentTimeMillis();
 
-    /**
-     * Beats is run on this fleet's loop when a beat is due, granted with each answer. Throws where the voter
-     * can't be started: its folder or its ports.
-     */
-    public Fleet(Terms terms, String name, Papers papers, SplittableRandom chance, Runnable beats,
-                 BiConsumer<Grant, Sight> granted) throws Exception {
-        this.terms = terms;
-        this.papers = papers;
-        this.name = name;
-        Voter own = null;
-        try {
-            own = terms.voters().containsKey(name) ? new Voter(terms, name, loop, papers) : null;
-        } finally {
-            if (own == null && terms.voters().containsKey(name)) {
-                group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
-            }
-        }
-        voter = own;
-        link = new Link(terms, papers, loop, chance, beats, granted);
+  /**
+   * Beats is run on this fleet's loop when a beat is due, granted with each answer. Throws where
+   * the voter can't be started: its folder or its ports.
+   */
+  public Fleet(
+      Terms terms,
+      String name,
+      Papers papers,
+      SplittableRandom chance,
+      Runnable beats,
+      BiConsumer<Grant, Sight> granted)
+      throws Exception {
+    this.terms = terms;
+    this.papers = papers;
+    this.name = name;
+    Voter own = null;
+    try {
+      own = terms.voters().containsKey(name) ? new Voter(terms, name, loop, papers) : null;
+    } finally {
+      if (own == null && terms.voters().containsKey(name)) {
+        group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+      }
     }
+    voter = own;
+    link = new Link(terms, papers, loop, chance, beats, granted);
+  }
 
-    /** What a router says of itself and of its list; from any thread. */
-    public void beat(long number, long charter, long force, long keeps, long refused, String refusal, boolean holds,
-                     Report report) {
-        Map<String, Object> beat = new LinkedHashMap<>(Map.of("do", "beat", "fleet", terms.name(), "from", name,
-            "incarnation", incarnation, "beat", number, "force", force, "keeps", keeps, "refused", refused,
-            "refusal", refusal, "holds", holds));
-        beat.put("lists", Lists.of(report));
-        beat.put("charter", charter);
-        beat.put("folder", voter == null ? "" : voter.folder());
-        loop.execute(() -> {
-            try {
-                papers.isTold(charter);
-            } catch (IOException fault) {
-                Event.FLEET_STANDS.log(LOG, Level.ERROR, "", "can't write", fault.getMessage());
-            }
-            link.send(beat);
+  /** What a router says of itself and of its list; from any thread. */
+  public void beat(
+      long number,
+      long charter,
+      long force,
+      long keeps,
+      long refused,
+      String refusal,
+      boolean holds,
+      Report report) {
+    Map<String, Object> beat =
+        new LinkedHashMap<>(
+            Map.of(
+                "do",
+                "beat",
+                "fleet",
+                terms.name(),
+                "from",
+                name,
+                "incarnation",
+                incarnation,
+                "beat",
+                number,
+                "force",
+                force,
+                "keeps",
+                keeps,
+                "refused",
+                refused,
+                "refusal",
+                refusal,
+                "holds",
+                holds));
+    beat.put("lists", Lists.of(report));
+    beat.put("charter", charter);
+    beat.put("folder", voter == null ? "" : voter.folder());
+    loop.execute(
+        () -> {
+          try {
+            papers.isTold(charter);
+          } catch (IOException fault) {
+            Event.FLEET_STANDS.log(LOG, Level.ERROR, "", "can't write", fault.getMessage());
+          }
+          link.send(beat);
         });
-    }
+  }
 
-    @Override
-    public void close() {
-        try {
-            loop.submit(link::end).await(500);
-            if (voter != null) {
-                voter.close();
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        } catch (IOException ended) {
-            // It ends in any case.
-        }
-        group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+  @Override
+  public void close() {
+    try {
+      loop.submit(link::end).await(500);
+      if (voter != null) {
+        voter.close();
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    } catch (IOException ended) {
+      // It ends in any case.
     }
+    group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+  }
 }
--- a/router/src/main/java/basaltlever/fleet/Link.java
+++ b/router/src/main/java/basaltlever/fleet/Link.java
@@ -1,9 +1,9 @@
 package basaltlever.fleet;
 
-import basaltlever.config.Terms;
 import basaltlever.agree.Grant;
 import basaltlever.agree.Sight;
 import basaltlever.agree.Version;
+import basaltlever.config.Terms;
 import basaltlever.log.Event;
 import basaltlever.time.Span;
 import io.netty.bootstrap.Bootstrap;
@@ -23,187 +23,216 @@
 import org.slf4j.event.Level;
 
 /**
- * A router's side of the talk: one connection to whichever voter leads, found by asking one after the other.
- * What a beat says and what a grant means is the follower's; here it is carried.
+ * A router's side of the talk: one connection to whichever voter leads, found by asking one after
+ * the other. What a beat says and what a grant means is the follower's; here it is carried.
  */
 final class Link {
-    private static final Logger LOG = LoggerFactory.getLogger(Link.class);
-    private static final int BEATS_A_LEASE = 4;
-    /** Beats without an answer after which another voter is asked. */
-    private static final int PATIENCE = 2;
-
-    private final Terms terms;
-    private final Papers papers;
-    private final EventLoop loop;
-    private final SplittableRandom chance;
-    private final Runnable beats;
-    private final BiConsumer<Grant, Sight> granted;
-    private final List<String> voters;
-    private int asks;
-    private int unanswered;
-    private ChannelHandlerContext open;
-    private boolean connecting;
-    private boolean ended;
-    private Version force;
-    private Version prepared;
-
-    /** Beats is run when one is due, and has to bring it by {@link #send}; both on the link's loop. */
-    Link(Terms terms, Papers papers, EventLoop loop, SplittableRandom chance, Runnable beats,
-         BiConsumer<Grant, Sight> granted) {
-        this.terms = terms;
-        this.papers = papers;
-        this.loop = loop;
-        this.chance = chance;
-        this.beats = beats;
-        this.granted = granted;
-        voters = new ArrayList<>(terms.voters().keySet());
-        papers.voters().forEach(this::mayAsk);
-        asks = chance.nextInt(voters.size());
-        loop.schedule(this::due, 1, TimeUnit.MILLISECONDS);
-    }
+  private static final Logger LOG = LoggerFactory.getLogger(Link.class);
+  private static final int BEATS_A_LEASE = 4;
 
-    /** Taken in since this router's file was written. */
-    private void mayAsk(String voter) {
-        if (terms.peers().containsKey(voter) && !voters.contains(voter)) {
-            voters.add(voter);
-        }
+  /** Beats without an answer after which another voter is asked. */
+  private static final int PATIENCE = 2;
+
+  private final Terms terms;
+  private final Papers papers;
+  private final EventLoop loop;
+  private final SplittableRandom chance;
+  private final Runnable beats;
+  private final BiConsumer<Grant, Sight> granted;
+  private final List<String> voters;
+  private int asks;
+  private int unanswered;
+  private ChannelHandlerContext open;
+  private boolean connecting;
+  private boolean ended;
+  private Version force;
+  private Version prepared;
+
+  /**
+   * Beats is run when one is due, and has to bring it by {@link #send}; both on the link's loop.
+   */
+  Link(
+      Terms terms,
+      Papers papers,
+      EventLoop loop,
+      SplittableRandom chance,
+      Runnable beats,
+      BiConsumer<Grant, Sight> granted) {
+    this.terms = terms;
+    this.papers = papers;
+    this.loop = loop;
+    this.chance = chance;
+    this.beats = beats;
+    this.granted = granted;
+    voters = new ArrayList<>(terms.voters().keySet());
+    papers.voters().forEach(this::mayAsk);
+    asks = chance.nextInt(voters.size());
+    loop.schedule(this::due, 1, TimeUnit.MILLISECONDS);
+  }
+
+  /** Taken in since this router's file was written. */
+  private void mayAsk(String voter) {
+    if (terms.peers().containsKey(voter) && !voters.contains(voter)) {
+      voters.add(voter);
     }
+  }
 
-    private void due() {
-        if (ended) {
-            return;
-        }
-        // Spread, so that hundreds of followers do not beat in step.
-        long period = (long) (terms.lease().micros() / BEATS_A_LEASE * (0.8 + 0.4 * chance.nextDouble()));
-        loop.schedule(this::due, period, TimeUnit.MICROSECONDS);
-        if (open == null) {
-            connect();
-        } else if (++unanswered > PATIENCE) {
-            elsewhere();
-        } else {
-            beats.run();
-        }
+  private void due() {
+    if (ended) {
+      return;
+    }
+    // Spread, so that hundreds of followers do not beat in step.
+    long period =
+        (long) (terms.lease().micros() / BEATS_A_LEASE * (0.8 + 0.4 * chance.nextDouble()));
+    loop.schedule(this::due, period, TimeUnit.MICROSECONDS);
+    if (open == null) {
+      connect();
+    } else if (++unanswered > PATIENCE) {
+      elsewhere();
+    } else {
+      beats.run();
     }
+  }
 
-    private void elsewhere() {
-        asks = (asks + 1) % voters.size();
-        unanswered = 0;
-        if (open != null) {
-            open.close();
-            open = null;
-        }
-        connect();
+  private void elsewhere() {
+    asks = (asks + 1) % voters.size();
+    unanswered = 0;
+    if (open != null) {
+      open.close();
+      open = null;
     }
+    connect();
+  }
 
-    private void connect() {
-        if (connecting || ended) {
-            return;
-        }
-        connecting = true;
-        Talk talk = new Talk();
-        new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(50, terms.lease().micros() / 2_000))
-            .handler(talk).connect(terms.peers().get(voters.get(asks))).addListener(done -> {
-                connecting = false;
-                if (!done.isSuccess()) {
-                    asks = (asks + 1) % voters.size();
-                }
-            });
+  private void connect() {
+    if (connecting || ended) {
+      return;
     }
+    connecting = true;
+    Talk talk = new Talk();
+    new Bootstrap()
+        .group(loop)
+        .channel(NioSocketChannel.class)
+        .option(ChannelOption.TCP_NODELAY, true)
+        .option(
+            ChannelOption.CONNECT_TIMEOUT_MILLIS,
+            (int) Math.max(50, terms.lease().micros() / 2_000))
+        .handler(talk)
+        .connect(terms.peers().get(voters.get(asks)))
+        .addListener(
+            done -> {
+              connecting = false;
+              if (!done.isSuccess()) {
+                asks = (asks + 1) % voters.size();
+              }
+            });
+  }
 
-    void send(Map<String, Object> beat) {
-        if (open != null) {
-            Wire.send(open, beat);
-        }
+  void send(Map<String, Object> beat) {
+    if (open != null) {
+      Wire.send(open, beat);
     }
+  }
 
-    void end() {
-        ended = true;
-        if (open != null) {
-            open.close();
-        }
+  void end() {
+    ended = true;
+    if (open != null) {
+      open.close();
     }
+  }
 
-    private final class Talk extends Wire {
-        private boolean answered;
+  private final class Talk extends Wire {
+    private boolean answered;
 
-        @Override
-        public void channelActive(ChannelHandlerContext context) {
-            if (ended) {
-                context.close();
-                return;
-            }
-            open = context;
-            unanswered = 0;
-            beats.run();
-        }
+    @Override
+    public void channelActive(ChannelHandlerContext context) {
+      if (ended) {
+        context.close();
+        return;
+      }
+      open = context;
+      unanswered = 0;
+      beats.run();
+    }
 
-        @Override
-        public void channelInactive(ChannelHandlerContext context) {
-            if (open == context) {
-                open = null;
-                // Taken and closed without a word, by a relay before it or for want of room: asked again at once
-                // and for ever, it kept this router from the one that leads.
-                asks = answered ? asks : (asks + 1) % voters.size();
-            }
-        }
+    @Override
+    public void channelInactive(ChannelHandlerContext context) {
+      if (open == context) {
+        open = null;
+        // Taken and closed without a word, by a relay before it or for want of room: asked again at
+        // once
+        // and for ever, it kept this router from the one that leads.
+        asks = answered ? asks : (asks + 1) % voters.size();
+      }
+    }
 
-        @Override
-        void heard(ChannelHandlerContext from, Map<String, Object> message) {
-            if (from != open) {
-                return;
+    @Override
+    void heard(ChannelHandlerContext from, Map<String, Object> message) {
+      if (from != open) {
+        return;
+      }
+      answered = true;
+      switch (Message.text(message, "do")) {
+        case "grant" -> {
+          unanswered = 0;
+          List<String> members = Message.texts(message, "members");
+          members.forEach(Link.this::mayAsk);
+          force = filled(Message.version(message.get("force")), force, prepared);
+          prepared = filled(Message.version(message.get("prepared")), prepared, force);
+          try {
+            papers.areTold(members);
+            if (force != null && Message.number(message, "lasts") > 0) {
+              // Who gives no lease may have been replaced: what it tells is no word of the fleet.
+              papers.isTold(force);
             }
-            answered = true;
-            switch (Message.text(message, "do")) {
-                case "grant" -> {
-                    unanswered = 0;
-                    List<String> members = Message.texts(message, "members");
-                    members.forEach(Link.this::mayAsk);
-                    force = filled(Message.version(message.get("force")), force, prepared);
-                    prepared = filled(Message.version(message.get("prepared")), prepared, force);
-                    try {
-                        papers.areTold(members);
-                        if (force != null && Message.number(message, "lasts") > 0) {
-                            // Who gives no lease may have been replaced: what it tells is no word of the fleet.
-                            papers.isTold(force);
-                        }
-                    } catch (IOException fault) {
-                        Event.FLEET_STANDS.log(LOG, Level.ERROR, "", "can't write", fault.getMessage());
-                    }
-                    if (force != null) {
-                        granted.accept(new Grant(Message.number(message, "beat"),
-                            new Span(Message.number(message, "lasts")), force, prepared,
-                            Message.number(message, "changes")),
-                            Lists.sight(message.get("lists")));
-                    }
-                }
-                case "follows" -> {
-                    String leader = Message.text(message, "leader");
-                    mayAsk(leader);
-                    asks = voters.contains(leader) ? voters.indexOf(leader) : (asks + 1) % voters.size();
-                    loop.schedule(() -> {
-                        if (from == open) {
-                            from.close();
-                            open = null;
-                            connect();
-                        }
-                    }, 20, TimeUnit.MILLISECONDS);
-                }
-                default -> {
-                    Event.FLEET_REFUSED.log(LOG, Level.ERROR, "", voters.get(asks), Message.text(message, "why"));
-                    asks = (asks + 1) % voters.size();
+          } catch (IOException fault) {
+            Event.FLEET_STANDS.log(LOG, Level.ERROR, "", "can't write", fault.getMessage());
+          }
+          if (force != null) {
+            granted.accept(
+                new Grant(
+                    Message.number(message, "beat"),
+                    new Span(Message.number(message, "lasts")),
+                    force,
+                    prepared,
+                    Message.number(message, "changes")),
+                Lists.sight(message.get("lists")));
+          }
+        }
+        case "follows" -> {
+          String leader = Message.text(message, "leader");
+          mayAsk(leader);
+          asks = voters.contains(leader) ? voters.indexOf(leader) : (asks + 1) % voters.size();
+          loop.schedule(
+              () -> {
+                if (from == open) {
+                  from.close();
+                  open = null;
+                  connect();
                 }
-            }
+              },
+              20,
+              TimeUnit.MILLISECONDS);
         }
-
-        /** A text that it has told before stands for itself. */
-        private Version filled(Version told, Version known, Version other) {
-            if (told == null || !told.text().isEmpty()) {
-                return told;
-            }
-            String text = known != null && known.number() == told.number() ? known.text()
-                : other != null && other.number() == told.number() ? other.text() : "";
-            return new Version(told.number(), text, told.routers(), told.who(), told.why(), told.atMillis());
+        default -> {
+          Event.FLEET_REFUSED.log(
+              LOG, Level.ERROR, "", voters.get(asks), Message.text(message, "why"));
+          asks = (asks + 1) % voters.size();
         }
+      }
+    }
+
+    /** A text that it has told before stands for itself. */
+    private Version filled(Version told, Version known, Version other) {
+      if (told == null || !told.text().isEmpty()) {
+        return told;
+      }
+      String text =
+          known != null && known.number() == told.number()
+              ? known.text()
+              : other != null && other.number() == told.number() ? other.text() : "";
+      return new Version(
+          told.number(), text, told.routers(), told.who(), told.why(), told.atMillis());
     }
+  }
 }
--- a/router/src/main/java/basaltlever/gateway/Allowance.java
+++ b/router/src/main/java/basaltlever/gateway/Allowance.java
@@ -3,6 +3,10 @@
 import basaltlever.time.Span;
 
 /** What a router may do for one statement. */
-public record Allowance(int executions, boolean secondCopies, boolean cancels, boolean polls,
-                        Span longestComeBack, Span answerSlack) {
-}
+public record Allowance(
+    int executions,
+    boolean secondCopies,
+    boolean cancels,
+    boolean polls,
+    Span longestComeBack,
+    Span answerSlack) {}
--- a/router/src/main/java/basaltlever/gateway/Ending.java
+++ b/router/src/main/java/basaltlever/gateway/Ending.java
@@ -2,19 +2,27 @@
 
 /** How an execution or a poll ended. */
 public enum Ending {
-    COMPLETED(false, true), ERROR(false, true), FULL(true, true), TIMED_OUT(false, false),
-    NO_CONNECTION(true, false), RESET(false, false), CANCELLED(false, false), NEVER_SENT(true, false),
-    /** This router had no descriptor for it: tells nothing of the node. */
-    NO_DESCRIPTOR(true, false),
-    MISS(true, true), UNKNOWN(false, false);
+  COMPLETED(false, true),
+  ERROR(false, true),
+  FULL(true, true),
+  TIMED_OUT(false, false),
+  NO_CONNECTION(true, false),
+  RESET(false, false),
+  CANCELLED(false, false),
+  NEVER_SENT(true, false),
+  /** This router had no descriptor for it: tells nothing of the node. */
+  NO_DESCRIPTOR(true, false),
+  MISS(true, true),
+  UNKNOWN(false, false);
 
-    /** True where the ending itself proves that nothing ran. */
-    public final boolean provesNotRun;
-    /** True where it is an answer of the node. */
-    public final boolean answered;
+  /** True where the ending itself proves that nothing ran. */
+  public final boolean provesNotRun;
 
-    Ending(boolean provesNotRun, boolean answered) {
-        this.provesNotRun = provesNotRun;
-        this.answered = answered;
-    }
+  /** True where it is an answer of the node. */
+  public final boolean answered;
+
+  Ending(boolean provesNotRun, boolean answered) {
+    this.provesNotRun = provesNotRun;
+    this.answered = answered;
+  }
 }
--- a/router/src/main/java/basaltlever/gateway/Listing.java
+++ b/router/src/main/java/basaltlever/gateway/Listing.java
@@ -1,4 +1,8 @@
 package basaltlever.gateway;
 
 /** What the member list says of a node. */
-public enum Listing { READY, DRAINING, GONE }
+public enum Listing {
+  READY,
+  DRAINING,
+  GONE
+}
--- a/router/src/main/java/basaltlever/gateway/Role.java
+++ b/router/src/main/java/basaltlever/gateway/Role.java
@@ -1,4 +1,8 @@
 package basaltlever.gateway;
 
 /** What a member says it is. */
-public enum Role { UNTOLD, PRIMARY, REPLICA }
+public enum Role {
+  UNTOLD,
+  PRIMARY,
+  REPLICA
+}
--- a/router/src/main/java/basaltlever/gateway/Standing.java
+++ b/router/src/main/java/basaltlever/gateway/Standing.java
@@ -1,16 +1,16 @@
 package basaltlever.gateway;
 
 /**
- * Where this router stands among the others: how many there are, its own number from 0 on, its zone, and what a poll and
- * a crossing between zones cost, as shares of a statement's worth.
+ * Where this router stands among the others: how many there are, its own number from 0 on, its
+ * zone, and what a poll and a crossing between zones cost, as shares of a statement's worth.
  */
 public record Standing(int routers, int index, int zone, double pollPrice, double crossingPrice) {
-    /** The first of them, where the number does not matter. */
-    public Standing(int routers, int zone, double pollPrice, double crossingPrice) {
-        this(routers, 0, zone, pollPrice, crossingPrice);
-    }
+  /** The first of them, where the number does not matter. */
+  public Standing(int routers, int zone, double pollPrice, double crossingPrice) {
+    this(routers, 0, zone, pollPrice, crossingPrice);
+  }
 
-    public boolean isPricedTo(int other) {
-        return other != zone && crossingPrice > 0;
-    }
+  public boolean isPricedTo(int other) {
+    return other != zone && crossingPrice > 0;
+  }
 }
--- a/router/src/main/java/basaltlever/json/JsonFault.java
+++ b/router/src/main/java/basaltlever/json/JsonFault.java
@@ -2,9 +2,9 @@
 
 /** The text is not JSON, or more of it than is taken. */
 public final class JsonFault extends Exception {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    JsonFault(String what, int at) {
-        super(what + " at character " + at);
-    }
+  JsonFault(String what, int at) {
+    super(what + " at character " + at);
+  }
 }
--- a/router/src/main/java/basaltlever/keep/Generations.java
+++ b/router/src/main/java/basaltlever/keep/Generations.java
@@ -7,63 +7,68 @@
 import java.util.List;
 
 /**
- * The views of a folder. Each is written aside, synced, given its name, and the folder synced; only then the
- * third newest goes. So two whole ones are there at any time, but for the first, and the newest name that is
- * whole wins.
+ * The views of a folder. Each is written aside, synced, given its name, and the folder synced; only
+ * then the third newest goes. So two whole ones are there at any time, but for the first, and the
+ * newest name that is whole wins.
  */
 public final class Generations {
-    private static final String ASIDE = "view.new";
-    /** Numbers stay so far from the end that the next one always sorts behind all there are. */
-    private static final String NAME = "view-[0-3][0-9a-f]{15}\\.blv";
-    private static final int KEPT = 2;
+  private static final String ASIDE = "view.new";
 
-    private final Disk disk;
+  /** Numbers stay so far from the end that the next one always sorts behind all there are. */
+  private static final String NAME = "view-[0-3][0-9a-f]{15}\\.blv";
 
-    public Generations(Disk disk) {
-        this.disk = disk;
-    }
+  private static final int KEPT = 2;
 
-    /** What was found: the view is null where none is whole. The number is the highest of all names. */
-    public record Found(View view, String name, long number, List<String> faults) {
-    }
+  private final Disk disk;
 
-    public static String name(long number) {
-        return String.format("view-%016x.blv", number);
-    }
+  public Generations(Disk disk) {
+    this.disk = disk;
+  }
 
-    /** Names of views, the newest first. */
-    public static List<String> names(Disk disk) throws IOException {
-        return disk.names().stream().filter(name -> name.matches(NAME)).sorted(Comparator.reverseOrder())
-            .toList();
-    }
+  /**
+   * What was found: the view is null where none is whole. The number is the highest of all names.
+   */
+  public record Found(View view, String name, long number, List<String> faults) {}
 
-    public Found newest() throws IOException {
-        List<String> faults = new ArrayList<>();
-        long number = 0;
-        for (String name : names(disk)) {
-            long named = Long.parseLong(name.substring(5, 21), 16);
-            number = Math.max(number, named);
-            try {
-                View view = ViewFile.read(disk.read(name, ViewFile.LARGEST));
-                if (view.number() != named) {
-                    throw new ViewFault("it is number " + view.number() + ", under another's name");
-                }
-                return new Found(view, name, number, faults);
-            } catch (ViewFault | IOException fault) {
-                faults.add(name + ": " + fault.getMessage());
-            }
+  public static String name(long number) {
+    return String.format("view-%016x.blv", number);
+  }
+
+  /** Names of views, the newest first. */
+  public static List<String> names(Disk disk) throws IOException {
+    return disk.names().stream()
+        .filter(name -> name.matches(NAME))
+        .sorted(Comparator.reverseOrder())
+        .toList();
+  }
+
+  public Found newest() throws IOException {
+    List<String> faults = new ArrayList<>();
+    long number = 0;
+    for (String name : names(disk)) {
+      long named = Long.parseLong(name.substring(5, 21), 16);
+      number = Math.max(number, named);
+      try {
+        View view = ViewFile.read(disk.read(name, ViewFile.LARGEST));
+        if (view.number() != named) {
+          throw new ViewFault("it is number " + view.number() + ", under another's name");
         }
-        return new Found(null, "", number, faults);
+        return new Found(view, name, number, faults);
+      } catch (ViewFault | IOException fault) {
+        faults.add(name + ": " + fault.getMessage());
+      }
     }
+    return new Found(null, "", number, faults);
+  }
 
-    public void store(View view, int most) throws IOException {
-        disk.write(ASIDE, ViewFile.write(view, most));
-        disk.sync(ASIDE);
-        disk.rename(ASIDE, name(view.number()));
-        disk.syncFolder();
-        List<String> names = names(disk);
-        for (String old : names.subList(Math.min(KEPT, names.size()), names.size())) {
-            disk.delete(old);
-        }
+  public void store(View view, int most) throws IOException {
+    disk.write(ASIDE, ViewFile.write(view, most));
+    disk.sync(ASIDE);
+    disk.rename(ASIDE, name(view.number()));
+    disk.syncFolder();
+    List<String> names = names(disk);
+    for (String old : names.subList(Math.min(KEPT, names.size()), names.size())) {
+      disk.delete(old);
     }
+  }
 }
--- a/router/src/main/java/basaltlever/keep/Keeper.java
+++ b/router/src/main/java/basaltlever/keep/Keeper.java
@@ -21,191 +21,223 @@
 import org.slf4j.event.Level;
 
 /**
- * Reads the view of a folder at start and writes one each period, on a thread of its own: however slow the
- * disk is, nobody waits for it but this thread, and the start and the end for a stated while.
+ * Reads the view of a folder at start and writes one each period, on a thread of its own: however
+ * slow the disk is, nobody waits for it but this thread, and the start and the end for a stated
+ * while.
  */
 public final class Keeper {
-    private static final Logger LOG = LoggerFactory.getLogger(Keeper.class);
-    /** A disk that takes longer to be read would cost a start more than the view is worth. */
-    private static final Span READ_WITHIN = Span.ofMillis(1_000);
-    private static final Span LAST_WITHIN = Span.ofMillis(1_000);
-    /** So that routers started together don't go on writing together. */
-    private static final double JITTER = 0.25;
-
-    /** What a router has learned by now; null where it can't say any more. Called on the keeper's thread. */
-    public interface Source {
-        View view() throws InterruptedException;
+  private static final Logger LOG = LoggerFactory.getLogger(Keeper.class);
+
+  /** A disk that takes longer to be read would cost a start more than the view is worth. */
+  private static final Span READ_WITHIN = Span.ofMillis(1_000);
+
+  private static final Span LAST_WITHIN = Span.ofMillis(1_000);
+
+  /** So that routers started together don't go on writing together. */
+  private static final double JITTER = 0.25;
+
+  /**
+   * What a router has learned by now; null where it can't say any more. Called on the keeper's
+   * thread.
+   */
+  public interface Source {
+    View view() throws InterruptedException;
+  }
+
+  private final Folder folder;
+  private final Generations generations;
+  private final String deployment;
+  private final String router;
+  private final SplittableRandom chance;
+  private final Source source;
+  private final Tally failures;
+  private final ScheduledThreadPoolExecutor thread;
+  private final Future<Recollection> reading;
+  private volatile Span period;
+  private volatile int most;
+  private boolean held;
+  private boolean told;
+  private boolean read;
+  private long number;
+
+  public Keeper(
+      Path folder,
+      String deployment,
+      String router,
+      Span period,
+      int most,
+      SplittableRandom chance,
+      Source source) {
+    this.folder = new Folder(folder);
+    this.deployment = deployment;
+    this.router = router;
+    this.period = period;
+    this.most = most;
+    this.chance = chance;
+    this.source = source;
+    generations = new Generations(this.folder);
+    failures = new Tally(LOG, Event.VIEW_NOT_KEPT, () -> new Moment(Machine.steady()));
+    thread =
+        new ScheduledThreadPoolExecutor(
+            1,
+            work -> {
+              Thread worker = new Thread(work, "view");
+              worker.setDaemon(true);
+              return worker;
+            });
+    reading = thread.submit(this::read);
+  }
+
+  /**
+   * What the folder's view is worth, read since this was made; never fails, and takes a second at
+   * most.
+   */
+  public Recollection recall() throws InterruptedException {
+    try {
+      return reading.get(READ_WITHIN.micros(), TimeUnit.MICROSECONDS);
+    } catch (TimeoutException slow) {
+      Event.VIEW_LEFT_OUT.log(
+          LOG, Level.WARN, "", "reading " + folder + " takes more than a second");
+    } catch (ExecutionException fault) {
+      Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault.getCause());
     }
-
-    private final Folder folder;
-    private final Generations generations;
-    private final String deployment;
-    private final String router;
-    private final SplittableRandom chance;
-    private final Source source;
-    private final Tally failures;
-    private final ScheduledThreadPoolExecutor thread;
-    private final Future<Recollection> reading;
-    private volatile Span period;
-    private volatile int most;
-    private boolean held;
-    private boolean told;
-    private boolean read;
-    private long number;
-
-    public Keeper(Path folder, String deployment, String router, Span period, int most,
-        SplittableRandom chance,
-                  Source source) {
-        this.folder = new Folder(folder);
-        this.deployment = deployment;
-        this.router = router;
-        this.period = period;
-        this.most = most;
-        this.chance = chance;
-        this.source = source;
-        generations = new Generations(this.folder);
-        failures = new Tally(LOG, Event.VIEW_NOT_KEPT, () -> new Moment(Machine.steady()));
-        thread = new ScheduledThreadPoolExecutor(1, work -> {
-            Thread worker = new Thread(work, "view");
-            worker.setDaemon(true);
-            return worker;
-        });
-        reading = thread.submit(this::read);
-    }
-
-    /** What the folder's view is worth, read since this was made; never fails, and takes a second at most. */
-    public Recollection recall() throws InterruptedException {
-        try {
-            return reading.get(READ_WITHIN.micros(), TimeUnit.MICROSECONDS);
-        } catch (TimeoutException slow) {
-            Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", "reading " + folder + " takes more than a second");
-        } catch (ExecutionException fault) {
-            Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault.getCause());
-        }
-        return Recollection.NONE;
-    }
-
-    /** Each period from now on, and a random part of it sooner or later. */
-    public void keeps() {
-        long wait = period.times(1 - JITTER + 2 * JITTER * chance.nextDouble()).micros();
-        try {
-            thread.schedule(() -> {
-                writeAnother();
-                keeps();
-            }, wait, TimeUnit.MICROSECONDS);
-        } catch (RejectedExecutionException ended) {
-            // The last one has been written.
-        }
-    }
-
-    public void adjust(Span newPeriod, int newMost) {
-        period = newPeriod;
-        most = newMost;
-    }
-
-    public Path folder() {
-        return folder.path();
+    return Recollection.NONE;
+  }
+
+  /** Each period from now on, and a random part of it sooner or later. */
+  public void keeps() {
+    long wait = period.times(1 - JITTER + 2 * JITTER * chance.nextDouble()).micros();
+    try {
+      thread.schedule(
+          () -> {
+            writeAnother();
+            keeps();
+          },
+          wait,
+          TimeUnit.MICROSECONDS);
+    } catch (RejectedExecutionException ended) {
+      // The last one has been written.
     }
-
-    /** One view more, or none where it is null, then the folder is let go. Returns at once. */
-    public void ends(View last) {
-        thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        thread.execute(() -> {
-            if (last != null) {
-                write(last);
-            }
-            close();
+  }
+
+  public void adjust(Span newPeriod, int newMost) {
+    period = newPeriod;
+    most = newMost;
+  }
+
+  public Path folder() {
+    return folder.path();
+  }
+
+  /** One view more, or none where it is null, then the folder is let go. Returns at once. */
+  public void ends(View last) {
+    thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+    thread.execute(
+        () -> {
+          if (last != null) {
+            write(last);
+          }
+          close();
         });
-        thread.shutdown();
-    }
+    thread.shutdown();
+  }
 
-    /** For the last write, a second at most: an exit is not held up any longer by a slow disk. */
-    public void awaitEnd() throws InterruptedException {
-        if (!thread.awaitTermination(LAST_WITHIN.micros(), TimeUnit.MICROSECONDS)) {
-            failures.note(folder, "the last view did not reach the disk in time");
-        }
+  /** For the last write, a second at most: an exit is not held up any longer by a slow disk. */
+  public void awaitEnd() throws InterruptedException {
+    if (!thread.awaitTermination(LAST_WITHIN.micros(), TimeUnit.MICROSECONDS)) {
+      failures.note(folder, "the last view did not reach the disk in time");
     }
+  }
 
-    private Recollection read() {
-        try {
-            if (!take()) {
-                return Recollection.NONE;
-            }
-            Generations.Found found = newest();
-            found.faults().stream().limit(2).forEach(fault -> Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "",
-                fault));
-            if (found.view() == null) {
-                return Recollection.NONE;
-            }
-            Recollection recollection = Recollection.of(found.view(), deployment, router, Machine.now(),
-                Machine.steady(), Machine.boot());
-            if (!recollection.worthless().isEmpty()) {
-                Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", found.name() + ": " + recollection.worthless());
-            } else {
-                Event.VIEW_TAKEN.log(LOG, Level.INFO, "", found.name(), recollection.age().micros() / 1_000,
-                    recollection.nodesLeft(), String.format("%.4f", Aging.weight(recollection.age())));
-            }
-            return recollection;
-        } catch (IOException fault) {
-            Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault);
-            return Recollection.NONE;
-        }
-    }
-
-    private Generations.Found newest() throws IOException {
-        Generations.Found found = generations.newest();
-        number = Math.max(number, found.number());
-        read = true;
-        return found;
+  private Recollection read() {
+    try {
+      if (!take()) {
+        return Recollection.NONE;
+      }
+      Generations.Found found = newest();
+      found.faults().stream()
+          .limit(2)
+          .forEach(fault -> Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault));
+      if (found.view() == null) {
+        return Recollection.NONE;
+      }
+      Recollection recollection =
+          Recollection.of(
+              found.view(), deployment, router, Machine.now(), Machine.steady(), Machine.boot());
+      if (!recollection.worthless().isEmpty()) {
+        Event.VIEW_LEFT_OUT.log(
+            LOG, Level.WARN, "", found.name() + ": " + recollection.worthless());
+      } else {
+        Event.VIEW_TAKEN.log(
+            LOG,
+            Level.INFO,
+            "",
+            found.name(),
+            recollection.age().micros() / 1_000,
+            recollection.nodesLeft(),
+            String.format("%.4f", Aging.weight(recollection.age())));
+      }
+      return recollection;
+    } catch (IOException fault) {
+      Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault);
+      return Recollection.NONE;
     }
-
-    private boolean take() throws IOException {
-        held = folder.take();
-        if (!held && !told) {
-            told = true;
-            Event.VIEW_FOLDER_HELD.log(LOG, Level.WARN, "another process writes here; it is left alone",
-                folder);
-        }
-        return held;
+  }
+
+  private Generations.Found newest() throws IOException {
+    Generations.Found found = generations.newest();
+    number = Math.max(number, found.number());
+    read = true;
+    return found;
+  }
+
+  private boolean take() throws IOException {
+    held = folder.take();
+    if (!held && !told) {
+      told = true;
+      Event.VIEW_FOLDER_HELD.log(
+          LOG, Level.WARN, "another process writes here; it is left alone", folder);
     }
-
-    private void writeAnother() {
-        try {
-            View view = source.view();
-            if (view != null) {
-                write(view);
-            }
-        } catch (InterruptedException ended) {
-            Thread.currentThread().interrupt();
-        } catch (RuntimeException fault) {
-            failures.note(folder, String.valueOf(fault));
-        }
+    return held;
+  }
+
+  private void writeAnother() {
+    try {
+      View view = source.view();
+      if (view != null) {
+        write(view);
+      }
+    } catch (InterruptedException ended) {
+      Thread.currentThread().interrupt();
+    } catch (RuntimeException fault) {
+      failures.note(folder, String.valueOf(fault));
     }
-
-    /** A folder that vanished and came back is taken again; numbers go on from what is there. */
-    private void write(View view) {
-        try {
-            if (!held && !take()) {
-                return;
-            }
-            if (!read) {
-                newest();
-            }
-            generations.store(view.numbered(number + 1), most);
-            number++;
-        } catch (IOException | RuntimeException fault) {
-            failures.note(folder, String.valueOf(fault));
-            close();
-            read = false;
-        }
+  }
+
+  /** A folder that vanished and came back is taken again; numbers go on from what is there. */
+  private void write(View view) {
+    try {
+      if (!held && !take()) {
+        return;
+      }
+      if (!read) {
+        newest();
+      }
+      generations.store(view.numbered(number + 1), most);
+      number++;
+    } catch (IOException | RuntimeException fault) {
+      failures.note(folder, String.valueOf(fault));
+      close();
+      read = false;
     }
-
-    private void close() {
-        held = false;
-        try {
-            folder.close();
-        } catch (IOException fault) {
-            failures.note(folder, String.valueOf(fault));
-        }
+  }
+
+  private void close() {
+    held = false;
+    try {
+      folder.close();
+    } catch (IOException fault) {
+      failures.note(folder, String.valueOf(fault));
     }
+  }
 }
--- a/router/src/main/java/basaltlever/log/Event.java
+++ b/router/src/main/java/basaltlever/log/Event.java
@@ -5,77 +5,78 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Every line that a router logs above debug, by its event's name and the names of its fields; docs/events.md
- * lists them and a test holds the two together. Text may change, these may not.
+ * Every line that a router logs above debug, by its event's name and the names of its fields;
+ * docs/events.md lists them and a test holds the two together. Text may change, these may not.
  */
 public enum Event {
-    PHASE("phase", "phase", "after"),
-    SERVES("serves", "router", "address"),
-    SIGNAL_IGNORED("signal_ignored", "signal"),
-    RELOADED("reloaded", "discovery"),
-    RELOAD_REFUSED("reload_refused", "cause"),
-    NEEDS_RESTART("needs_restart", "key"),
-    SETTINGS_TAKEN("settings_taken", "open"),
-    SETTINGS_LEFT("settings_left", "keys"),
-    KNOWN_LEFT_OUT("known_left_out", "cause"),
-    PRIMARY_FOUND("primary_found", "group", "node"),
-    PRIMARY_LOST("primary_lost", "group", "node"),
-    CHANGE("change", "group", "phase", "target"),
-    WATCH_FAILED("watch_failed", "cause"),
-    NODE_BAD("node_bad", "node", "cause", "more"),
-    CLIENT_BAD("client_bad", "client", "cause", "more"),
-    FAULT("fault", "doing"),
-    STATEMENT("statement", "id", "how", "took_ms", "time_ms", "more", "steps"),
-    OVERDUE("overdue", "id", "executions", "out"),
-    LOOP_LATE("loop_late", "by_ms"),
-    CLIENT_ENDED("client_ended", "connection", "client", "reason", "bytes"),
-    CLIENT_LEFT("client_left", "client", "reason", "bytes"),
-    ACCEPT_PAUSED("accept_paused", "cause", "detail", "more"),
-    LISTEN_QUEUE("listen_queue", "length", "asked"),
-    COUNTERS("counters", "grown"),
-    DESCRIPTORS("descriptors", "allowed", "open", "clients", "resting", "lingering", "nodes", "idle_nodes"),
-    CLOCK_OFF("clock_off", "behind_ms", "ahead_ms"),
-    WATCHED("watched", "groups", "members", "listed"),
-    TURN_SLOW("turn_slow", "took_ms", "cause", "more"),
-    FLEET_JOINS("fleet_joins", "cause"),
-    FLEET_LEADER("fleet_leader", "voter"),
-    FLEET_STANDS("fleet_stands", "voter", "cause"),
-    FLEET_STEP("fleet_step", "step", "version", "cause"),
-    FLEET_REFUSED("fleet_refused", "voter", "cause"),
-    FLEET_KEEPS("fleet_keeps", "force", "prepared", "careful"),
-    FLEET_LISTS("fleet_lists", "step", "members", "some"),
-    FLEET_FORK("fleet_fork", "generation", "routers", "more"),
-    LIST_HELD("list_held", "generation", "cause", "more"),
-    MEMBER_MOVES("member_moves", "member", "group", "listing"),
-    ADRIFT("adrift", "for_ms"),
-    FLEET_TURNED_DOWN("fleet_turned_down", "version", "cause"),
-    VIEW_TAKEN("view_taken", "file", "age_ms", "nodes", "weight"),
-    VIEW_LEFT_OUT("view_left_out", "cause"),
-    VIEW_NOT_KEPT("view_not_kept", "folder", "cause", "more"),
-    VIEW_FOLDER_HELD("view_folder_held", "folder");
+  PHASE("phase", "phase", "after"),
+  SERVES("serves", "router", "address"),
+  SIGNAL_IGNORED("signal_ignored", "signal"),
+  RELOADED("reloaded", "discovery"),
+  RELOAD_REFUSED("reload_refused", "cause"),
+  NEEDS_RESTART("needs_restart", "key"),
+  SETTINGS_TAKEN("settings_taken", "open"),
+  SETTINGS_LEFT("settings_left", "keys"),
+  KNOWN_LEFT_OUT("known_left_out", "cause"),
+  PRIMARY_FOUND("primary_found", "group", "node"),
+  PRIMARY_LOST("primary_lost", "group", "node"),
+  CHANGE("change", "group", "phase", "target"),
+  WATCH_FAILED("watch_failed", "cause"),
+  NODE_BAD("node_bad", "node", "cause", "more"),
+  CLIENT_BAD("client_bad", "client", "cause", "more"),
+  FAULT("fault", "doing"),
+  STATEMENT("statement", "id", "how", "took_ms", "time_ms", "more", "steps"),
+  OVERDUE("overdue", "id", "executions", "out"),
+  LOOP_LATE("loop_late", "by_ms"),
+  CLIENT_ENDED("client_ended", "connection", "client", "reason", "bytes"),
+  CLIENT_LEFT("client_left", "client", "reason", "bytes"),
+  ACCEPT_PAUSED("accept_paused", "cause", "detail", "more"),
+  LISTEN_QUEUE("listen_queue", "length", "asked"),
+  COUNTERS("counters", "grown"),
+  DESCRIPTORS(
+      "descriptors", "allowed", "open", "clients", "resting", "lingering", "nodes", "idle_nodes"),
+  CLOCK_OFF("clock_off", "behind_ms", "ahead_ms"),
+  WATCHED("watched", "groups", "members", "listed"),
+  TURN_SLOW("turn_slow", "took_ms", "cause", "more"),
+  FLEET_JOINS("fleet_joins", "cause"),
+  FLEET_LEADER("fleet_leader", "voter"),
+  FLEET_STANDS("fleet_stands", "voter", "cause"),
+  FLEET_STEP("fleet_step", "step", "version", "cause"),
+  FLEET_REFUSED("fleet_refused", "voter", "cause"),
+  FLEET_KEEPS("fleet_keeps", "force", "prepared", "careful"),
+  FLEET_LISTS("fleet_lists", "step", "members", "some"),
+  FLEET_FORK("fleet_fork", "generation", "routers", "more"),
+  LIST_HELD("list_held", "generation", "cause", "more"),
+  MEMBER_MOVES("member_moves", "member", "group", "listing"),
+  ADRIFT("adrift", "for_ms"),
+  FLEET_TURNED_DOWN("fleet_turned_down", "version", "cause"),
+  VIEW_TAKEN("view_taken", "file", "age_ms", "nodes", "weight"),
+  VIEW_LEFT_OUT("view_left_out", "cause"),
+  VIEW_NOT_KEPT("view_not_kept", "folder", "cause", "more"),
+  VIEW_FOLDER_HELD("view_folder_held", "folder");
 
-    public final String key;
-    public final String[] fields;
+  public final String key;
+  public final String[] fields;
 
-    Event(String key, String... fields) {
-        this.key = key;
-        this.fields = fields;
-    }
+  Event(String key, String... fields) {
+    this.key = key;
+    this.fields = fields;
+  }
 
-    /** One line, with the values of the event's fields in their order. */
-    public void log(Logger log, Level level, String text, Object... values) {
-        line(log, level, values).log(text);
-    }
+  /** One line, with the values of the event's fields in their order. */
+  public void log(Logger log, Level level, String text, Object... values) {
+    line(log, level, values).log(text);
+  }
 
-    public void fault(Logger log, String text, Throwable cause, Object... values) {
-        line(log, Level.ERROR, values).setCause(cause).log(text);
-    }
+  public void fault(Logger log, String text, Throwable cause, Object... values) {
+    line(log, Level.ERROR, values).setCause(cause).log(text);
+  }
 
-    private LoggingEventBuilder line(Logger log, Level level, Object... values) {
-        LoggingEventBuilder line = log.atLevel(level).addKeyValue("event", key);
-        for (int i = 0; i < fields.length; i++) {
-            line = line.addKeyValue(fields[i], String.valueOf(values[i]));
-        }
-        return line;
+  private LoggingEventBuilder line(Logger log, Level level, Object... values) {
+    LoggingEventBuilder line = log.atLevel(level).addKeyValue("event", key);
+    for (int i = 0; i < fields.length; i++) {
+      line = line.addKeyValue(fields[i], String.valueOf(values[i]));
     }
+    return line;
+  }
 }
--- a/router/src/main/java/basaltlever/log/Tally.java
+++ b/router/src/main/java/basaltlever/log/Tally.java
@@ -6,30 +6,32 @@
 import org.slf4j.Logger;
 import org.slf4j.event.Level;
 
-/** Log lines that others can cause at will: one a second at most, which says how many it stands for. */
+/**
+ * Log lines that others can cause at will: one a second at most, which says how many it stands for.
+ */
 public final class Tally {
-    private static final Span APART = Span.ofMillis(1_000);
-    private final Logger log;
-    private final Event event;
-    private final Supplier<Moment> clock;
-    private Moment last = Moment.LONG_AGO;
-    private int passedOver;
+  private static final Span APART = Span.ofMillis(1_000);
+  private final Logger log;
+  private final Event event;
+  private final Supplier<Moment> clock;
+  private Moment last = Moment.LONG_AGO;
+  private int passedOver;
 
-    /** The event has three fields: whose line it is, what happened, how many more there were. */
-    public Tally(Logger log, Event event, Supplier<Moment> clock) {
-        this.log = log;
-        this.event = event;
-        this.clock = clock;
-    }
+  /** The event has three fields: whose line it is, what happened, how many more there were. */
+  public Tally(Logger log, Event event, Supplier<Moment> clock) {
+    this.log = log;
+    this.event = event;
+    this.clock = clock;
+  }
 
-    public void note(Object whose, String what) {
-        Moment now = clock.get();
-        if (now.since(last).isShorterThan(APART)) {
-            passedOver++;
-        } else {
-            event.log(log, Level.INFO, "", whose, what, passedOver);
-            last = now;
-            passedOver = 0;
-        }
+  public void note(Object whose, String what) {
+    Moment now = clock.get();
+    if (now.since(last).isShorterThan(APART)) {
+      passedOver++;
+    } else {
+      event.log(log, Level.INFO, "", whose, what, passedOver);
+      last = now;
+      passedOver = 0;
     }
+  }
 }
--- a/router/src/main/java/basaltlever/model/Fading.java
+++ b/router/src/main/java/basaltlever/model/Fading.java
@@ -5,28 +5,28 @@
 
 /** A value that fades by itself; how fast is said by who reads it. */
 public final class Fading {
-    private double value;
-    private Moment since = Moment.LONG_AGO;
+  private double value;
+  private Moment since = Moment.LONG_AGO;
 
-    public double at(Moment now, Span span) {
-        return value == 0 ? 0 : value * Math.exp(-now.since(since).over(span));
-    }
+  public double at(Moment now, Span span) {
+    return value == 0 ? 0 : value * Math.exp(-now.since(since).over(span));
+  }
 
-    public void set(Moment now, double value) {
-        this.value = value;
-        since = now;
-    }
+  public void set(Moment now, double value) {
+    this.value = value;
+    since = now;
+  }
 
-    public void add(Moment now, Span span, double more) {
-        set(now, at(now, span) + more);
-    }
+  public void add(Moment now, Span span, double more) {
+    set(now, at(now, span) + more);
+  }
 
-    /** Moves what has faded some of the way to the target. */
-    public void move(Moment now, Span span, double weight, double target) {
-        add(now, span, weight * (target - at(now, span)));
-    }
+  /** Moves what has faded some of the way to the target. */
+  public void move(Moment now, Span span, double weight, double target) {
+    add(now, span, weight * (target - at(now, span)));
+  }
 
-    public Moment since() {
-        return since;
-    }
+  public Moment since() {
+    return since;
+  }
 }
--- a/router/src/main/java/basaltlever/model/Held.java
+++ b/router/src/main/java/basaltlever/model/Held.java
@@ -10,109 +10,112 @@
 
 /**
  * The statements of one group that wait for its primary: the most important first, among equals the
- * earliest, and those of one session always in the order in which they came. Each step costs the logarithm
- * of how many there are.
+ * earliest, and those of one session always in the order in which they came. Each step costs the
+ * logarithm of how many there are.
  */
 public final class Held {
-    private static final Comparator<Statement> ORDER =
-        Comparator.comparingDouble((Statement statement) -> -statement.rank)
-            .thenComparingLong(statement -> statement.takenAt.micros())
-            .thenComparingInt(statement -> statement.id);
-
-    private final TreeSet<Statement> order = new TreeSet<>(ORDER);
-    /** Of each session those that are held, the earliest first; a session commonly has one. */
-    private final Map<Long, ArrayDeque<Statement>> sessions = new HashMap<>();
-    private int[] ofWorkload;
-    private long bytes;
-
-    public Held(int workloads) {
-        ofWorkload = new int[workloads];
-    }
+  private static final Comparator<Statement> ORDER =
+      Comparator.comparingDouble((Statement statement) -> -statement.rank)
+          .thenComparingLong(statement -> statement.takenAt.micros())
+          .thenComparingInt(statement -> statement.id);
 
-    public boolean isEmpty() {
-        return order.isEmpty();
-    }
+  private final TreeSet<Statement> order = new TreeSet<>(ORDER);
 
-    public int size() {
-        return order.size();
-    }
+  /** Of each session those that are held, the earliest first; a session commonly has one. */
+  private final Map<Long, ArrayDeque<Statement>> sessions = new HashMap<>();
 
-    public long bytes() {
-        return bytes;
-    }
+  private int[] ofWorkload;
+  private long bytes;
 
-    public int size(int workload) {
-        return workload < ofWorkload.length ? ofWorkload[workload] : 0;
-    }
+  public Held(int workloads) {
+    ofWorkload = new int[workloads];
+  }
 
-    /** Null where there is none. */
-    public Statement first() {
-        return order.isEmpty() ? null : order.first();
-    }
+  public boolean isEmpty() {
+    return order.isEmpty();
+  }
 
-    /** The one to go where there is no room for all; null where there is none. */
-    public Statement last() {
-        return order.isEmpty() ? null : order.last();
-    }
+  public int size() {
+    return order.size();
+  }
 
-    /** The last of one workload. */
-    public Statement last(int workload) {
-        for (Iterator<Statement> each = order.descendingIterator(); each.hasNext();) {
-            Statement next = each.next();
-            if (next.workload == workload) {
-                return next;
-            }
-        }
-        return null;
+  public long bytes() {
+    return bytes;
+  }
+
+  public int size(int workload) {
+    return workload < ofWorkload.length ? ofWorkload[workload] : 0;
+  }
+
+  /** Null where there is none. */
+  public Statement first() {
+    return order.isEmpty() ? null : order.first();
+  }
+
+  /** The one to go where there is no room for all; null where there is none. */
+  public Statement last() {
+    return order.isEmpty() ? null : order.last();
+  }
+
+  /** The last of one workload. */
+  public Statement last(int workload) {
+    for (Iterator<Statement> each = order.descendingIterator(); each.hasNext(); ) {
+      Statement next = each.next();
+      if (next.workload == workload) {
+        return next;
+      }
     }
+    return null;
+  }
 
-    public void add(Statement statement) {
-        statement.rank = statement.terms.importance();
-        if (statement.session != 0) {
-            ArrayDeque<Statement> own = sessions.computeIfAbsent(statement.session, id ->
-                new ArrayDeque<>(2));
-            ArrayDeque<Statement> later = new ArrayDeque<>(0);
-            while (!own.isEmpty() && isLater(own.peekLast(), statement)) {
-                // It was sent before and has come back: those that came after it stay behind it.
-                later.push(own.pollLast());
-                statement.rank = Math.max(statement.rank, later.peek().rank);
-            }
-            if (!own.isEmpty()) {
-                statement.rank = Math.min(statement.rank, own.peekLast().rank);
-                for (Statement behind : later) {
-                    order.remove(behind);
-                    behind.rank = Math.min(behind.rank, statement.rank);
-                    order.add(behind);
-                }
-            }
-            own.add(statement);
-            own.addAll(later);
+  public void add(Statement statement) {
+    statement.rank = statement.terms.importance();
+    if (statement.session != 0) {
+      ArrayDeque<Statement> own =
+          sessions.computeIfAbsent(statement.session, id -> new ArrayDeque<>(2));
+      ArrayDeque<Statement> later = new ArrayDeque<>(0);
+      while (!own.isEmpty() && isLater(own.peekLast(), statement)) {
+        // It was sent before and has come back: those that came after it stay behind it.
+        later.push(own.pollLast());
+        statement.rank = Math.max(statement.rank, later.peek().rank);
+      }
+      if (!own.isEmpty()) {
+        statement.rank = Math.min(statement.rank, own.peekLast().rank);
+        for (Statement behind : later) {
+          order.remove(behind);
+          behind.rank = Math.min(behind.rank, statement.rank);
+          order.add(behind);
         }
-        order.add(statement);
-        if (statement.workload >= ofWorkload.length) {
-            // Settings may bring workloads while this group holds others.
-            ofWorkload = Arrays.copyOf(ofWorkload, statement.workload + 1);
-        }
-        ofWorkload[statement.workload]++;
-        bytes += statement.bytes;
+      }
+      own.add(statement);
+      own.addAll(later);
     }
-
-    private static boolean isLater(Statement one, Statement other) {
-        return one.takenAt.isAfter(other.takenAt) || one.takenAt.equals(other.takenAt) && one.id > other.id;
+    order.add(statement);
+    if (statement.workload >= ofWorkload.length) {
+      // Settings may bring workloads while this group holds others.
+      ofWorkload = Arrays.copyOf(ofWorkload, statement.workload + 1);
     }
+    ofWorkload[statement.workload]++;
+    bytes += statement.bytes;
+  }
 
-    public void remove(Statement statement) {
-        if (!order.remove(statement)) {
-            return;
-        }
-        ofWorkload[statement.workload]--;
-        bytes -= statement.bytes;
-        ArrayDeque<Statement> own = sessions.get(statement.session);
-        if (own != null) {
-            own.remove(statement);
-            if (own.isEmpty()) {
-                sessions.remove(statement.session);
-            }
-        }
+  private static boolean isLater(Statement one, Statement other) {
+    return one.takenAt.isAfter(other.takenAt)
+        || one.takenAt.equals(other.takenAt) && one.id > other.id;
+  }
+
+  public void remove(Statement statement) {
+    if (!order.remove(statement)) {
+      return;
+    }
+    ofWorkload[statement.workload]--;
+    bytes -= statement.bytes;
+    ArrayDeque<Statement> own = sessions.get(statement.session);
+    if (own != null) {
+      own.remove(statement);
+      if (own.isEmpty()) {
+        sessions.remove(statement.session);
+      }
     }
+  }
 }
--- a/router/src/main/java/basaltlever/model/Sessions.java
+++ b/router/src/main/java/basaltlever/model/Sessions.java
@@ -6,26 +6,26 @@
 
 /** When each session last wrote through this router, of as many sessions as are kept. */
 public final class Sessions {
-    private final int most;
-    private final LinkedHashMap<Long, Moment> writes = new LinkedHashMap<>();
-    private Moment forgotten = Moment.LONG_AGO;
+  private final int most;
+  private final LinkedHashMap<Long, Moment> writes = new LinkedHashMap<>();
+  private Moment forgotten = Moment.LONG_AGO;
 
-    public Sessions(int most) {
-        this.most = most;
-    }
+  public Sessions(int most) {
+    this.most = most;
+  }
 
-    public Moment lastWrite(long session) {
-        return writes.getOrDefault(session, forgotten);
-    }
+  public Moment lastWrite(long session) {
+    return writes.getOrDefault(session, forgotten);
+  }
 
-    public void wrote(long session, Moment commit) {
-        Moment earlier = writes.remove(session);
-        writes.put(session, earlier == null ? commit : commit.later(earlier));
-        if (writes.size() > most) {
-            // A forgotten session's reads must still see its write, so all unknown ones must see as much.
-            Map.Entry<Long, Moment> oldest = writes.entrySet().iterator().next();
-            forgotten = forgotten.later(oldest.getValue());
-            writes.remove(oldest.getKey());
-        }
+  public void wrote(long session, Moment commit) {
+    Moment earlier = writes.remove(session);
+    writes.put(session, earlier == null ? commit : commit.later(earlier));
+    if (writes.size() > most) {
+      // A forgotten session's reads must still see its write, so all unknown ones must see as much.
+      Map.Entry<Long, Moment> oldest = writes.entrySet().iterator().next();
+      forgotten = forgotten.later(oldest.getValue());
+      writes.remove(oldest.getKey());
     }
+  }
 }
--- a/router/src/main/java/basaltlever/net/AcceptHandler.java
+++ b/router/src/main/java/basaltlever/net/AcceptHandler.java
@@ -17,240 +17,271 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Accepts clients' connections, no more in one look than there is room for: the others stay in the listen queue, where
- * nothing of theirs is lost. Where there is none, idle connections make room; where none is idle, new ones are told so, as
- * many at a time as can be kept until they have taken note. A fault of the system pauses accepting for some milliseconds
- * (Netty's own acceptor, behind this, would stop for a second).
+ * Accepts clients' connections, no more in one look than there is room for: the others stay in the
+ * listen queue, where nothing of theirs is lost. Where there is none, idle connections make room;
+ * where none is idle, new ones are told so, as many at a time as can be kept until they have taken
+ * note. A fault of the system pauses accepting for some milliseconds (Netty's own acceptor, behind
+ * this, would stop for a second).
  */
 final class AcceptHandler extends ChannelInboundHandlerAdapter {
-    /** Without a pause a listener for which there is no descriptor would take the whole loop. */
-    private static final Span PAUSE = Span.ofMillis(10);
-    /** So many are accepted in one look, then what they and others sent has its turn. */
-    static final int MOST_IN_ONE_LOOK = 16;
-    /** Room is made for so many at a time, and in the mean for so many a second: a crowd must not take the loop. */
-    private static final int ROOM_AT_ONCE = 8;
-    private static final int MOST_ROOM_AT_ONCE = 64;
-    private static final double ROOM_A_SECOND = 6_400;
-    /** Until room is looked for again, where none could be made. */
-    private static final Span LOOKS_FOR_ROOM = Span.ofMillis(3);
-    private static final Span SECOND = Span.ofMillis(1_000);
-
-    private final Turn turn;
-    private final Descriptors descriptors;
-    private final ListenQueue queue;
-    private final Tally pauses;
-    private Channel listener;
-    private int accepted;
-    /** How many may be accepted and told that there is no room, where none can be made. */
-    private int turnsAway;
-    private boolean paused;
-    private boolean resumes;
-    private boolean retries;
-    private boolean stoppedByLimit;
-    private Moment roomMadeAt = Moment.LONG_AGO;
-    /** For how many more room may be made by now. */
-    private double allowance = MOST_ROOM_AT_ONCE;
-
-    AcceptHandler(Turn turn, Descriptors descriptors, int queueLength, Tally pauses) {
-        this.turn = turn;
-        this.descriptors = descriptors;
-        this.pauses = pauses;
-        queue = new ListenQueue(queueLength);
-        descriptors.onFreed(this::resumeSoon);
+  /** Without a pause a listener for which there is no descriptor would take the whole loop. */
+  private static final Span PAUSE = Span.ofMillis(10);
+
+  /** So many are accepted in one look, then what they and others sent has its turn. */
+  static final int MOST_IN_ONE_LOOK = 16;
+
+  /**
+   * Room is made for so many at a time, and in the mean for so many a second: a crowd must not take
+   * the loop.
+   */
+  private static final int ROOM_AT_ONCE = 8;
+
+  private static final int MOST_ROOM_AT_ONCE = 64;
+  private static final double ROOM_A_SECOND = 6_400;
+
+  /** Until room is looked for again, where none could be made. */
+  private static final Span LOOKS_FOR_ROOM = Span.ofMillis(3);
+
+  private static final Span SECOND = Span.ofMillis(1_000);
+
+  private final Turn turn;
+  private final Descriptors descriptors;
+  private final ListenQueue queue;
+  private final Tally pauses;
+  private Channel listener;
+  private int accepted;
+
+  /** How many may be accepted and told that there is no room, where none can be made. */
+  private int turnsAway;
+
+  private boolean paused;
+  private boolean resumes;
+  private boolean retries;
+  private boolean stoppedByLimit;
+  private Moment roomMadeAt = Moment.LONG_AGO;
+
+  /** For how many more room may be made by now. */
+  private double allowance = MOST_ROOM_AT_ONCE;
+
+  AcceptHandler(Turn turn, Descriptors descriptors, int queueLength, Tally pauses) {
+    this.turn = turn;
+    this.descriptors = descriptors;
+    this.pauses = pauses;
+    queue = new ListenQueue(queueLength);
+    descriptors.onFreed(this::resumeSoon);
+  }
+
+  /** Since when the connection that is being accepted may have waited. */
+  Moment queuedSince() {
+    return queue.accepts(turn.arrival(), turn.clock().now());
+  }
+
+  /** For the listener, so that no more are accepted at once than there is room for. */
+  RecvByteBufAllocator limitedReads() {
+    return new DefaultMaxMessagesRecvByteBufAllocator(MOST_IN_ONE_LOOK) {
+      @Override
+      public Handle newHandle() {
+        return new LimitedReads();
+      }
+    };
+  }
+
+  /** Counts connections where Netty's handles count bytes. */
+  private final class LimitedReads implements RecvByteBufAllocator.ExtendedHandle {
+    private int read;
+
+    @Override
+    public void reset(ChannelConfig config) {
+      read = 0;
+      stoppedByLimit = false;
     }
 
-    /** Since when the connection that is being accepted may have waited. */
-    Moment queuedSince() {
-        return queue.accepts(turn.arrival(), turn.clock().now());
+    @Override
+    public boolean continueReading() {
+      stoppedByLimit = read >= Math.min(MOST_IN_ONE_LOOK, limit());
+      return !stoppedByLimit;
     }
 
-    /** For the listener, so that no more are accepted at once than there is room for. */
-    RecvByteBufAllocator limitedReads() {
-        return new DefaultMaxMessagesRecvByteBufAllocator(MOST_IN_ONE_LOOK) {
-            @Override
-            public Handle newHandle() {
-                return new LimitedReads();
-            }
-        };
+    @Override
+    public boolean continueReading(UncheckedBooleanSupplier maybeMoreDataSupplier) {
+      return continueReading();
     }
 
-    /** Counts connections where Netty's handles count bytes. */
-    private final class LimitedReads implements RecvByteBufAllocator.ExtendedHandle {
-        private int read;
-
-        @Override
-        public void reset(ChannelConfig config) {
-            read = 0;
-            stoppedByLimit = false;
-        }
-
-        @Override
-        public boolean continueReading() {
-            stoppedByLimit = read >= Math.min(MOST_IN_ONE_LOOK, limit());
-            return !stoppedByLimit;
-        }
-
-        @Override
-        public boolean continueReading(UncheckedBooleanSupplier maybeMoreDataSupplier) {
-            return continueReading();
-        }
-
-        @Override
-        public void incMessagesRead(int connections) {
-            read += connections;
-        }
-
-        @Override
-        public ByteBuf allocate(ByteBufAllocator allocator) {
-            throw new UnsupportedOperationException("a listener reads no bytes");
-        }
-
-        @Override
-        public int guess() {
-            return 1;
-        }
-
-        @Override
-        public void lastBytesRead(int bytes) {
-            // A listener reads connections.
-        }
-
-        @Override
-        public int lastBytesRead() {
-            return 0;
-        }
-
-        @Override
-        public void attemptedBytesRead(int bytes) {
-            // A listener reads connections.
-        }
-
-        @Override
-        public int attemptedBytesRead() {
-            return 0;
-        }
-
-        @Override
-        public void readComplete() {
-            // What is to be done is done where the pipeline hears of it.
-        }
+    @Override
+    public void incMessagesRead(int connections) {
+      read += connections;
     }
 
-    private int limit() {
-        int room = descriptors.roomForClients();
-        return room > 0 ? room : turnsAway;
+    @Override
+    public ByteBuf allocate(ByteBufAllocator allocator) {
+      throw new UnsupportedOperationException("a listener reads no bytes");
     }
 
     @Override
-    public void handlerAdded(ChannelHandlerContext context) {
-        listener = context.channel();
+    public int guess() {
+      return 1;
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object connection) {
-        accepted++;
-        turn.load().accepts();
-        turnsAway = Math.max(0, turnsAway - 1);
-        context.fireChannelRead(connection);
+    public void lastBytesRead(int bytes) {
+      // A listener reads connections.
     }
 
     @Override
-    public void channelReadComplete(ChannelHandlerContext context) {
-        queue.looked(!stoppedByLimit, turn.arrival());
-        if (limit() == 0) {
-            pause("no descriptor is free");
-            resumeSoon();
-        }
-        context.fireChannelReadComplete();
+    public int lastBytesRead() {
+      return 0;
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        queue.lookFailed(turn.arrival());
-        pause(cause.toString());
-        resumeLater(PAUSE);
+    public void attemptedBytesRead(int bytes) {
+      // A listener reads connections.
     }
 
-    private void pause(String why) {
-        if (!paused) {
-            paused = true;
-            turn.counters().add(Counter.ACCEPT_PAUSED);
-            pauses.note("listener", why);
-        }
-        // From here on nobody looks.
-        queue.looked(false, turn.arrival());
-        listener.config().setAutoRead(false);
+    @Override
+    public int attemptedBytesRead() {
+      return 0;
     }
 
-    /** Behind all that this turn has read: who makes room may turn out to be in use. */
-    private void resumeSoon() {
-        if (paused && !resumes) {
-            resumes = true;
-            turn.hear(now -> turn.act(() -> {
-                resumes = false;
-                resume();
-            }));
-        }
+    @Override
+    public void readComplete() {
+      // What is to be done is done where the pipeline hears of it.
     }
+  }
+
+  private int limit() {
+    int room = descriptors.roomForClients();
+    return room > 0 ? room : turnsAway;
+  }
 
-    private void resume() {
-        if (!paused || listener == null || !listener.isOpen()) {
-            return;
-        }
-        if (descriptors.roomForClients() == 0) {
-            makeRoom();
-        }
-        if (limit() > 0) {
-            paused = false;
-            listener.config().setAutoRead(true);
-        } else {
-            resumeLater(LOOKS_FOR_ROOM);
-        }
+  @Override
+  public void handlerAdded(ChannelHandlerContext context) {
+    listener = context.channel();
+  }
+
+  @Override
+  public void channelRead(ChannelHandlerContext context, Object connection) {
+    accepted++;
+    turn.load().accepts();
+    turnsAway = Math.max(0, turnsAway - 1);
+    context.fireChannelRead(connection);
+  }
+
+  @Override
+  public void channelReadComplete(ChannelHandlerContext context) {
+    queue.looked(!stoppedByLimit, turn.arrival());
+    if (limit() == 0) {
+      pause("no descriptor is free");
+      resumeSoon();
     }
+    context.fireChannelReadComplete();
+  }
 
-    private void resumeLater(Span after) {
-        if (!retries) {
-            retries = true;
-            listener.eventLoop().schedule(() -> {
+  @Override
+  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+    queue.lookFailed(turn.arrival());
+    pause(cause.toString());
+    resumeLater(PAUSE);
+  }
+
+  private void pause(String why) {
+    if (!paused) {
+      paused = true;
+      turn.counters().add(Counter.ACCEPT_PAUSED);
+      pauses.note("listener", why);
+    }
+    // From here on nobody looks.
+    queue.looked(false, turn.arrival());
+    listener.config().setAutoRead(false);
+  }
+
+  /** Behind all that this turn has read: who makes room may turn out to be in use. */
+  private void resumeSoon() {
+    if (paused && !resumes) {
+      resumes = true;
+      turn.hear(
+          now ->
+              turn.act(
+                  () -> {
+                    resumes = false;
+                    resume();
+                  }));
+    }
+  }
+
+  private void resume() {
+    if (!paused || listener == null || !listener.isOpen()) {
+      return;
+    }
+    if (descriptors.roomForClients() == 0) {
+      makeRoom();
+    }
+    if (limit() > 0) {
+      paused = false;
+      listener.config().setAutoRead(true);
+    } else {
+      resumeLater(LOOKS_FOR_ROOM);
+    }
+  }
+
+  private void resumeLater(Span after) {
+    if (!retries) {
+      retries = true;
+      listener
+          .eventLoop()
+          .schedule(
+              () -> {
                 retries = false;
                 resume();
-            }, after.micros(), TimeUnit.MICROSECONDS);
-        }
+              },
+              after.micros(),
+              TimeUnit.MICROSECONDS);
     }
+  }
 
-    private void makeRoom() {
-        Moment now = turn.clock().now();
-        allowance = Math.min(MOST_ROOM_AT_ONCE, allowance + ROOM_A_SECOND * now.since(roomMadeAt).over(SECOND));
-        roomMadeAt = now;
-        boolean made = true;
-        int before = -1;
-        while (made && allowance >= 1 && descriptors.roomForClients() < ROOM_AT_ONCE
-            && descriptors.roomForClients() > before) {
-            before = descriptors.roomForClients();
-            made = descriptors.makeRoomForClient(now);
-            allowance -= made ? 1 : 0;
-        }
-        turnsAway = made || descriptors.roomForClients() > 0 ? 0 : descriptors.roomToTurnAway();
+  private void makeRoom() {
+    Moment now = turn.clock().now();
+    allowance =
+        Math.min(MOST_ROOM_AT_ONCE, allowance + ROOM_A_SECOND * now.since(roomMadeAt).over(SECOND));
+    roomMadeAt = now;
+    boolean made = true;
+    int before = -1;
+    while (made
+        && allowance >= 1
+        && descriptors.roomForClients() < ROOM_AT_ONCE
+        && descriptors.roomForClients() > before) {
+      before = descriptors.roomForClients();
+      made = descriptors.makeRoomForClient(now);
+      allowance -= made ? 1 : 0;
     }
+    turnsAway = made || descriptors.roomForClients() > 0 ? 0 : descriptors.roomToTurnAway();
+  }
 
-    /**
-     * Closed over a connection that the machine has accepted and this loop has not, a listener resets it. So it
-     * is closed behind a look at all sockets that has found none, however many came at once.
-     */
-    void closeOnceQuiet(Runnable then) {
-        SingleThreadEventLoop loop = (SingleThreadEventLoop) listener.eventLoop();
-        int before = accepted;
-        // By way of a task: what is put behind an iteration from behind it would run in it.
-        loop.executeAfterEventLoopIteration(() -> loop.execute(() -> loop.executeAfterEventLoopIteration(() -> {
-            if (paused) {
-                loop.schedule(() -> closeOnceQuiet(then), PAUSE.micros(), TimeUnit.MICROSECONDS);
-            } else if (accepted != before) {
-                closeOnceQuiet(then);
-            } else {
-                listener.close();
-                // Its socket is closed in the loop's next look: whoever is told to go before comes back to be reset.
-                loop.execute(then);
-            }
-        })));
-    }
+  /**
+   * Closed over a connection that the machine has accepted and this loop has not, a listener resets
+   * it. So it is closed behind a look at all sockets that has found none, however many came at
+   * once.
+   */
+  void closeOnceQuiet(Runnable then) {
+    SingleThreadEventLoop loop = (SingleThreadEventLoop) listener.eventLoop();
+    int before = accepted;
+    // By way of a task: what is put behind an iteration from behind it would run in it.
+    loop.executeAfterEventLoopIteration(
+        () ->
+            loop.execute(
+                () ->
+                    loop.executeAfterEventLoopIteration(
+                        () -> {
+                          if (paused) {
+                            loop.schedule(
+                                () -> closeOnceQuiet(then), PAUSE.micros(), TimeUnit.MICROSECONDS);
+                          } else if (accepted != before) {
+                            closeOnceQuiet(then);
+                          } else {
+                            listener.close();
+                            // Its socket is closed in the loop's next look: whoever is told to go
+                            // before comes back to be reset.
+                            loop.execute(then);
+                          }
+                        })));
+  }
 }
--- a/router/src/main/java/basaltlever/net/ClientHost.java
+++ b/router/src/main/java/basaltlever/net/ClientHost.java
@@ -9,46 +9,53 @@
 
 /** What a client's connection needs of the router that it is connected to. */
 interface ClientHost {
-    Moment now();
+  Moment now();
 
-    /** No earlier than this can the bytes have come that are read now. */
-    Moment arrival();
+  /** No earlier than this can the bytes have come that are read now. */
+  Moment arrival();
 
-    Counters counters();
+  Counters counters();
 
-    Descriptors descriptors();
+  Descriptors descriptors();
 
-    Lives lives();
+  Lives lives();
 
-    /** The place of the query's class among the workloads; a fault where none has that name. */
-    int workload(Query query) throws PgFault;
+  /** The place of the query's class among the workloads; a fault where none has that name. */
+  int workload(Query query) throws PgFault;
 
-    /** Takes a statement over, with its text, which came whole at that moment; the answer comes later. */
-    Taken take(ClientConnection client, ByteBuf text, Query query, int workload, Moment arrived);
+  /**
+   * Takes a statement over, with its text, which came whole at that moment; the answer comes later.
+   */
+  Taken take(ClientConnection client, ByteBuf text, Query query, int workload, Moment arrived);
 
-    /** The client waits for nothing any more, if it did for this statement; null for none. */
-    void left(ClientConnection connection, Taken taken);
+  /** The client waits for nothing any more, if it did for this statement; null for none. */
+  void left(ClientConnection connection, Taken taken);
 
-    /** The system has closed the connection. */
-    void closed(ClientConnection connection);
+  /** The system has closed the connection. */
+  void closed(ClientConnection connection);
 
-    /** This router ends the connection, for this reason, with so many bytes of a message that had not come whole. */
-    void ends(long connection, Object client, CloseReason why, int bytes);
+  /**
+   * This router ends the connection, for this reason, with so many bytes of a message that had not
+   * come whole.
+   */
+  void ends(long connection, Object client, CloseReason why, int bytes);
 
-    /** The client sent what can't be used. */
-    void spoilt(Object client, String what);
+  /** The client sent what can't be used. */
+  void spoilt(Object client, String what);
 
-    void messageRead();
+  void messageRead();
 
-    /** Runs the step in the turn behind all reads of this look at the sockets. */
-    void later(Runnable step);
+  /** Runs the step in the turn behind all reads of this look at the sockets. */
+  void later(Runnable step);
 
-    /** Whether idle connections end, since the router does. */
-    boolean closesIdle();
+  /** Whether idle connections end, since the router does. */
+  boolean closesIdle();
 
-    /** Whether the decisions have answered for the last time. */
-    boolean refusesAll();
+  /** Whether the decisions have answered for the last time. */
+  boolean refusesAll();
 
-    /** When a client that is turned away may come back; 0 where the settings do not let it be told. */
-    long comeBackMillis();
+  /**
+   * When a client that is turned away may come back; 0 where the settings do not let it be told.
+   */
+  long comeBackMillis();
 }
--- a/router/src/main/java/basaltlever/net/ClientSocket.java
+++ b/router/src/main/java/basaltlever/net/ClientSocket.java
@@ -4,38 +4,44 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 
-/** What a client's connection asks of its socket. What is read is told to {@link ClientConnection#received}. */
+/**
+ * What a client's connection asks of its socket. What is read is told to {@link
+ * ClientConnection#received}.
+ */
 interface ClientSocket {
-    ByteBufAllocator alloc();
+  ByteBufAllocator alloc();
 
-    /** Hands bytes over to be written with the next flush. */
-    void write(ByteBuf out);
+  /** Hands bytes over to be written with the next flush. */
+  void write(ByteBuf out);
 
-    /** As write and flush; the callback is told whether the system has taken all of it. */
-    void writeAndFlush(ByteBuf out, java.util.function.Consumer<Boolean> written);
+  /** As write and flush; the callback is told whether the system has taken all of it. */
+  void writeAndFlush(ByteBuf out, java.util.function.Consumer<Boolean> written);
 
-    void flush();
+  void flush();
 
-    /** False while its peer does not take what was written. */
-    boolean isWritable();
+  /** False while its peer does not take what was written. */
+  boolean isWritable();
 
-    /** Whether the system has taken all that was written. */
-    boolean isAllWritten();
+  /** Whether the system has taken all that was written. */
+  boolean isAllWritten();
 
-    /** Reads at once all that the machine has received by now; never from within a read of the same socket. */
-    void readReceived();
+  /**
+   * Reads at once all that the machine has received by now; never from within a read of the same
+   * socket.
+   */
+  void readReceived();
 
-    /** Whether it is read as something comes. */
-    void setReading(boolean reads);
+  /** Whether it is read as something comes. */
+  void setReading(boolean reads);
 
-    /** Ends this side's sending behind all that was written. */
-    void endSending();
+  /** Ends this side's sending behind all that was written. */
+  void endSending();
 
-    void close();
+  void close();
 
-    /** Runs a task later, and not before the sockets have been looked at again. */
-    void schedule(Span after, Runnable task);
+  /** Runs a task later, and not before the sockets have been looked at again. */
+  void schedule(Span after, Runnable task);
 
-    /** The peer's address, for the log. */
-    Object peer();
+  /** The peer's address, for the log. */
+  Object peer();
 }
