--- a/router/src/main/java/basaltlever/net/Job.java
+++ b/router/src/main/java/basaltlever/net/Job.java
@@ -6,85 +6,96 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.util.concurrent.Future;
 
-/** One query to one node: an execution or a poll. It ends once, with an answer or with the loss of it. */
+/**
+ * One query to one node: an execution or a poll. It ends once, with an answer or with the loss of
+ * it.
+ */
 abstract class Job {
-    private NodeConnection connection;
-    private Future<?> limit;
-    /** Whether its last byte was written: before, it is proven that nothing ran. */
-    private boolean written;
-    private boolean over;
+  private NodeConnection connection;
+  private Future<?> limit;
 
-    abstract void write(ByteBuf out);
+  /** Whether its last byte was written: before, it is proven that nothing ran. */
+  private boolean written;
 
-    /** What a connection opened for it is used for. */
-    abstract Descriptors.Use use();
+  private boolean over;
 
-    /** Whether it must no longer be sent. */
-    boolean isTooLate(Moment now) {
-        return false;
-    }
+  abstract void write(ByteBuf out);
 
-    /** The answer is the job's to release. */
-    abstract void answered(Answer answer);
+  /** What a connection opened for it is used for. */
+  abstract Descriptors.Use use();
 
-    abstract void lost(Ending ending);
+  /** Whether it must no longer be sent. */
+  boolean isTooLate(Moment now) {
+    return false;
+  }
 
-    final void on(NodeConnection connection) {
-        this.connection = connection;
-    }
+  /** The answer is the job's to release. */
+  abstract void answered(Answer answer);
 
-    final void endsBy(Future<?> limit) {
-        this.limit = limit;
-    }
+  abstract void lost(Ending ending);
 
-    final void wasWritten() {
-        written = true;
-    }
+  final void on(NodeConnection connection) {
+    this.connection = connection;
+  }
 
-    final boolean isOver() {
-        return over;
-    }
+  final void endsBy(Future<?> limit) {
+    this.limit = limit;
+  }
 
-    final void endAnswered(Answer answer) {
-        if (end()) {
-            answered(answer);
-        } else {
-            answer.release();
-        }
-    }
+  final void wasWritten() {
+    written = true;
+  }
 
-    final void endLost(Ending before, Ending after) {
-        if (end()) {
-            lost(written ? after : before);
-        }
-    }
+  final boolean isOver() {
+    return over;
+  }
 
-    /** Its time is over. A loop that was held up may come to this before it reads an answer that has come in time. */
-    final void timeIsOver() {
-        if (connection != null) {
-            connection.readReceived();
-        }
-        giveUp(Ending.TIMED_OUT);
+  final void endAnswered(Answer answer) {
+    if (end()) {
+      answered(answer);
+    } else {
+      answer.release();
     }
+  }
 
-    /** Stops waiting: a connection that carries it can't be used again, since the answer may still come. */
-    final void giveUp(Ending after) {
-        NodeConnection in = connection;
-        endLost(Ending.NEVER_SENT, after);
-        if (in != null) {
-            in.abandon();
-        }
+  final void endLost(Ending before, Ending after) {
+    if (end()) {
+      lost(written ? after : before);
+    }
+  }
+
+  /**
+   * Its time is over. A loop that was held up may come to this before it reads an answer that has
+   * come in time.
+   */
+  final void timeIsOver() {
+    if (connection != null) {
+      connection.readReceived();
     }
+    giveUp(Ending.TIMED_OUT);
+  }
+
+  /**
+   * Stops waiting: a connection that carries it can't be used again, since the answer may still
+   * come.
+   */
+  final void giveUp(Ending after) {
+    NodeConnection in = connection;
+    endLost(Ending.NEVER_SENT, after);
+    if (in != null) {
+      in.abandon();
+    }
+  }
 
-    private boolean end() {
-        if (over) {
-            return false;
-        }
-        over = true;
-        connection = null;
-        if (limit != null) {
-            limit.cancel(false);
-        }
-        return true;
+  private boolean end() {
+    if (over) {
+      return false;
+    }
+    over = true;
+    connection = null;
+    if (limit != null) {
+      limit.cancel(false);
     }
+    return true;
+  }
 }
--- a/router/src/main/java/basaltlever/net/Keeping.java
+++ b/router/src/main/java/basaltlever/net/Keeping.java
@@ -21,183 +21,219 @@
 import org.slf4j.event.Level;
 
 /**
- * What this router keeps to by its fleet's word, on the router's loop. Looked at before every turn and before
- * every write to a node: a process that was stopped finds its lease over before it does anything else, and
- * what was decided under another stance is not sent any more but decided anew.
+ * What this router keeps to by its fleet's word, on the router's loop. Looked at before every turn
+ * and before every write to a node: a process that was stopped finds its lease over before it does
+ * anything else, and what was decided under another stance is not sent any more but decided anew.
  */
 final class Keeping {
-    private static final Logger LOG = LoggerFactory.getLogger(Keeping.class);
-
-    private static final int NONE = -1;
-
-    private final Follower follower = new Follower();
-    private final StartFile own;
-    private final Span widestBound;
-    private final Roll roll;
-    private final MemberList list;
-    private final BiConsumer<StartFile, Agreed> keepTo;
-    /** Asks discovery for the whole list. */
-    private final Runnable asksAnew;
-    private boolean adrift = true;
-    private long era;
-    private int stance;
-    private StartFile force;
-    private long refused;
-    private String refusal = "";
-
-    /** Own is the start file as installed; roll and list are this router's; keepTo is given the file in force and what holds for now. */
-    Keeping(StartFile own, Span widestBound, Roll roll, MemberList list, Runnable asksAnew,
-            BiConsumer<StartFile, Agreed> keepTo) {
-        this.own = own;
-        this.roll = roll;
-        this.list = list;
-        this.asksAnew = asksAnew;
-        this.widestBound = widestBound;
-        this.keepTo = keepTo;
-        force = own;
+  private static final Logger LOG = LoggerFactory.getLogger(Keeping.class);
+
+  private static final int NONE = -1;
+
+  private final Follower follower = new Follower();
+  private final StartFile own;
+  private final Span widestBound;
+  private final Roll roll;
+  private final MemberList list;
+  private final BiConsumer<StartFile, Agreed> keepTo;
+
+  /** Asks discovery for the whole list. */
+  private final Runnable asksAnew;
+
+  private boolean adrift = true;
+  private long era;
+  private int stance;
+  private StartFile force;
+  private long refused;
+  private String refusal = "";
+
+  /**
+   * Own is the start file as installed; roll and list are this router's; keepTo is given the file
+   * in force and what holds for now.
+   */
+  Keeping(
+      StartFile own,
+      Span widestBound,
+      Roll roll,
+      MemberList list,
+      Runnable asksAnew,
+      BiConsumer<StartFile, Agreed> keepTo) {
+    this.own = own;
+    this.roll = roll;
+    this.list = list;
+    this.asksAnew = asksAnew;
+    this.widestBound = widestBound;
+    this.keepTo = keepTo;
+    force = own;
+  }
+
+  Follower follower() {
+    return follower;
+  }
+
+  long refused() {
+    return refused;
+  }
+
+  String refusal() {
+    return refusal;
+  }
+
+  /**
+   * Before the first grant nothing is known to hold. The stricter of the start file and of what an
+   * earlier process of this router was told last bounds what no care can: how many share a cold
+   * node's budget, how long it takes to warm, how long a list may be kept.
+   */
+  void begin(Version told) {
+    Agreed holds = own.values().agreed();
+    if (told != null) {
+      // As any version: by place, other names would give one workload the times of another.
+      String fault = fault(told);
+      if (fault.isEmpty()) {
+        holds = Meet.of(holds, agreed(told));
+      } else {
+        Event.FLEET_TURNED_DOWN.log(
+            LOG,
+            Level.WARN,
+            "left out: the start file is kept to, with care",
+            told.number(),
+            fault);
+      }
     }
-
-    Follower follower() {
-        return follower;
+    Event.FLEET_KEEPS.log(
+        LOG,
+        Level.INFO,
+        "until its fleet is heard",
+        told == null ? "none" : told.number(),
+        "none",
+        true);
+    keepTo.accept(own, Meet.careful(holds));
+  }
+
+  /**
+   * Counts up with every other thing that is kept to; none where what is kept to is over by now.
+   */
+  int stance(Moment now) {
+    return follower.isOver(now) || roll.isAdrift(now) != adrift ? NONE : stance;
+  }
+
+  /** At the beginning of a turn. */
+  void look(Moment now) {
+    if (follower.hasJustEnded(now)) {
+      keep();
     }
-
-    long refused() {
-        return refused;
+    if (roll.isAdrift(now) != adrift) {
+      drifts(now);
     }
-
-    String refusal() {
-        return refusal;
+  }
+
+  /**
+   * Without a word for so long that any member may serve another group: none is used until one
+   * comes.
+   */
+  private void drifts(Moment now) {
+    adrift = roll.isAdrift(now);
+    stance++;
+    Event.ADRIFT.log(
+        LOG,
+        Level.WARN,
+        adrift ? "no member is used" : "members are used again",
+        now.since(follower.leaseEnds()).micros() / 1_000);
+    list.apply(now);
+  }
+
+  /** With what the fleet makes of lists; null where its leader says nothing of them. */
+  void granted(Moment now, Grant grant, Sight sight) {
+    if (sight != null) {
+      roll.heard(now, sight);
     }
-
-    /**
-     * Before the first grant nothing is known to hold. The stricter of the start file and of what an earlier
-     * process of this router was told last bounds what no care can: how many share a cold node's budget, how long
-     * it takes to warm, how long a list may be kept.
-     */
-    void begin(Version told) {
-        Agreed holds = own.values().agreed();
-        if (told != null) {
-            // As any version: by place, other names would give one workload the times of another.
-            String fault = fault(told);
-            if (fault.isEmpty()) {
-                holds = Meet.of(holds, agreed(told));
-            } else {
-                Event.FLEET_TURNED_DOWN.log(LOG, Level.WARN, "left out: the start file is kept to, with care",
-                    told.number(), fault);
-            }
-        }
-        Event.FLEET_KEEPS.log(LOG, Level.INFO, "until its fleet is heard", told == null ? "none" : told.number(),
-            "none", true);
-        keepTo.accept(own, Meet.careful(holds));
+    if (grant.prepared() != null && grant.prepared().number() != refused) {
+      String fault = fault(grant.prepared());
+      if (!fault.isEmpty()) {
+        refused = grant.prepared().number();
+        refusal = fault;
+        Event.FLEET_TURNED_DOWN.log(LOG, Level.WARN, "", refused, refusal);
+      }
     }
-
-    /** Counts up with every other thing that is kept to; none where what is kept to is over by now. */
-    int stance(Moment now) {
-        return follower.isOver(now) || roll.isAdrift(now) != adrift ? NONE : stance;
+    // A version that this router can't hold is not kept to either; the leader withdraws it for all.
+    boolean takes = grant.prepared() == null || grant.prepared().number() != refused;
+    if (follower.granted(
+        now,
+        takes
+            ? grant
+            : new Grant(grant.beat(), grant.lasts(), grant.inForce(), null, grant.changes()))) {
+      keep();
     }
-
-    /** At the beginning of a turn. */
-    void look(Moment now) {
-        if (follower.hasJustEnded(now)) {
-            keep();
-        }
-        if (roll.isAdrift(now) != adrift) {
-            drifts(now);
-        }
+    if (grant.lasts().micros() > 0) {
+      // One that was replaced without knowing it goes on answering, with nothing to give.
+      roll.leased(follower.leaseEnds());
     }
-
-    /** Without a word for so long that any member may serve another group: none is used until one comes. */
-    private void drifts(Moment now) {
-        adrift = roll.isAdrift(now);
-        stance++;
-        Event.ADRIFT.log(LOG, Level.WARN, adrift ? "no member is used" : "members are used again",
-            now.since(follower.leaseEnds()).micros() / 1_000);
-        list.apply(now);
+    if (roll.isAdrift(now) != adrift) {
+      drifts(now);
+    } else if (sight != null) {
+      list.apply(now);
     }
-
-    /** With what the fleet makes of lists; null where its leader says nothing of them. */
-    void granted(Moment now, Grant grant, Sight sight) {
-        if (sight != null) {
-            roll.heard(now, sight);
-        }
-        if (grant.prepared() != null && grant.prepared().number() != refused) {
-            String fault = fault(grant.prepared());
-            if (!fault.isEmpty()) {
-                refused = grant.prepared().number();
-                refusal = fault;
-                Event.FLEET_TURNED_DOWN.log(LOG, Level.WARN, "", refused, refusal);
-            }
-        }
-        // A version that this router can't hold is not kept to either; the leader withdraws it for all.
-        boolean takes = grant.prepared() == null || grant.prepared().number() != refused;
-        if (follower.granted(now, takes ? grant : new Grant(grant.beat(), grant.lasts(), grant.inForce(),
-            null, grant.changes()))) {
-            keep();
-        }
-        if (grant.lasts().micros() > 0) {
-            // One that was replaced without knowing it goes on answering, with nothing to give.
-            roll.leased(follower.leaseEnds());
-        }
-        if (roll.isAdrift(now) != adrift) {
-            drifts(now);
-        } else if (sight != null) {
-            list.apply(now);
-        }
-        if (roll.wantsList() && era != roll.era()) {
-            era = roll.era();
-            asksAnew.run();
-        }
-    }
-
-    private String fault(Version version) {
-        try {
-            StartFile next = file(version);
-            List<String> fixed = next.fixedInFleet(own);
-            if (!fixed.isEmpty()) {
-                return String.join(", ", fixed) + ": takes a restart";
-            }
-            return String.join("; ", Ceilings.brokenBy(next.values().agreed(), own.values().agreed(),
-                widestBound));
-        } catch (StartFault fault) {
-            return fault.getMessage().replace('\n', ';');
-        }
+    if (roll.wantsList() && era != roll.era()) {
+      era = roll.era();
+      asksAnew.run();
     }
-
-    /** Of one that is free of faults. */
-    private Agreed agreed(Version version) {
-        try {
-            return file(version).values().agreed();
-        } catch (StartFault impossible) {
-            throw new IllegalStateException(impossible);
-        }
+  }
+
+  private String fault(Version version) {
+    try {
+      StartFile next = file(version);
+      List<String> fixed = next.fixedInFleet(own);
+      if (!fixed.isEmpty()) {
+        return String.join(", ", fixed) + ": takes a restart";
+      }
+      return String.join(
+          "; ", Ceilings.brokenBy(next.values().agreed(), own.values().agreed(), widestBound));
+    } catch (StartFault fault) {
+      return fault.getMessage().replace('\n', ';');
     }
-
-    private StartFile file(Version version) throws StartFault {
-        return own.with(version.text(), version.routers());
+  }
+
+  /** Of one that is free of faults. */
+  private Agreed agreed(Version version) {
+    try {
+      return file(version).values().agreed();
+    } catch (StartFault impossible) {
+      throw new IllegalStateException(impossible);
     }
-
-    private void keep() {
-        stance++;
-        Version known = follower.inForce();
-        Version next = follower.prepared();
-        Agreed holds;
-        try {
-            force = known == null ? own : file(known);
-            holds = force.values().agreed();
-            if (follower.isCareful()) {
-                holds = Meet.careful(holds);
-            } else if (next != null) {
-                holds = Meet.of(holds, file(next).values().agreed());
-            }
-        } catch (StartFault impossible) {
-            // It was checked before it came into force, by this build or by another: whoever can't read what
-            // all others act on acts on nothing that could contradict it.
-            Event.FLEET_TURNED_DOWN.log(LOG, Level.ERROR, "kept to with care", known.number(),
-                impossible.getMessage());
-            holds = Meet.careful(own.values().agreed());
-        }
-        Event.FLEET_KEEPS.log(LOG, Level.INFO, "", known == null ? "none" : known.number(),
-            next == null ? "none" : next.number(), follower.isCareful());
-        keepTo.accept(force, holds);
+  }
+
+  private StartFile file(Version version) throws StartFault {
+    return own.with(version.text(), version.routers());
+  }
+
+  private void keep() {
+    stance++;
+    Version known = follower.inForce();
+    Version next = follower.prepared();
+    Agreed holds;
+    try {
+      force = known == null ? own : file(known);
+      holds = force.values().agreed();
+      if (follower.isCareful()) {
+        holds = Meet.careful(holds);
+      } else if (next != null) {
+        holds = Meet.of(holds, file(next).values().agreed());
+      }
+    } catch (StartFault impossible) {
+      // It was checked before it came into force, by this build or by another: whoever can't read
+      // what
+      // all others act on acts on nothing that could contradict it.
+      Event.FLEET_TURNED_DOWN.log(
+          LOG, Level.ERROR, "kept to with care", known.number(), impossible.getMessage());
+      holds = Meet.careful(own.values().agreed());
     }
+    Event.FLEET_KEEPS.log(
+        LOG,
+        Level.INFO,
+        "",
+        known == null ? "none" : known.number(),
+        next == null ? "none" : next.number(),
+        follower.isCareful());
+    keepTo.accept(force, holds);
+  }
 }
--- a/router/src/main/java/basaltlever/net/NodeConnection.java
+++ b/router/src/main/java/basaltlever/net/NodeConnection.java
@@ -23,227 +23,249 @@
 
 /** One connection to a node, with one query on it at a time. */
 final class NodeConnection extends ChannelInboundHandlerAdapter implements Descriptors.Idle {
-    private static final Logger LOG = LoggerFactory.getLogger(NodeConnection.class);
-    /** Values of up to 400 KB were met, though 64 KiB are agreed: a bound on memory, not on what is right. */
-    private static final int LARGEST = 1 << 20;
-
-    private enum State { OPENING, IDLE, BUSY, CLOSED }
-
-    private final NodeLink link;
-    private final InetSocketAddress address;
-    private final Frames frames;
-    private Channel channel;
-    private State state = State.OPENING;
-    private Job job;
-    private Answer answer;
-    private Future<?> upBy;
-    private Moment idleSince;
-    /** Whether what came could not be read: the node lives and the statement may have run. */
-    private boolean spoilt;
-    /** Whether it could carry its job by now. */
-    private boolean welcomed;
-
-    /** Opens it for the job, which is its own until the job is over. */
-    NodeConnection(NodeLink link, InetSocketAddress address, Budget budget, Job job) {
-        this.link = link;
-        this.address = address;
-        frames = new Frames(LARGEST, budget);
-        this.job = job;
-        job.on(this);
-    }
-
-    void opens(Channel opening, long micros) {
-        channel = opening;
-        upBy = opening.eventLoop().schedule(() -> {
-            if (state == State.OPENING) {
-                link.count(Counter.NODE_CONNECT_TIMED_OUT);
-                close();
-            }
-        }, micros, TimeUnit.MICROSECONDS);
-    }
-
-    @Override
-    public Moment idleSince() {
-        return idleSince;
-    }
-
-    /** The job that it was opened for, which may be over by now; null where this connection is. */
-    Job first() {
-        if (state != State.OPENING) {
-            return null;
-        }
-        Job first = job;
-        idle();
-        return first;
-    }
-
-    void run(Job next) {
-        state = State.BUSY;
-        job = next;
-        next.on(this);
-        answer = new Answer();
-        ByteBuf out = channel.alloc().buffer();
-        next.write(out);
-        channel.writeAndFlush(out).addListener(done -> {
-            if (done.isSuccess()) {
+  private static final Logger LOG = LoggerFactory.getLogger(NodeConnection.class);
+
+  /**
+   * Values of up to 400 KB were met, though 64 KiB are agreed: a bound on memory, not on what is
+   * right.
+   */
+  private static final int LARGEST = 1 << 20;
+
+  private enum State {
+    OPENING,
+    IDLE,
+    BUSY,
+    CLOSED
+  }
+
+  private final NodeLink link;
+  private final InetSocketAddress address;
+  private final Frames frames;
+  private Channel channel;
+  private State state = State.OPENING;
+  private Job job;
+  private Answer answer;
+  private Future<?> upBy;
+  private Moment idleSince;
+
+  /** Whether what came could not be read: the node lives and the statement may have run. */
+  private boolean spoilt;
+
+  /** Whether it could carry its job by now. */
+  private boolean welcomed;
+
+  /** Opens it for the job, which is its own until the job is over. */
+  NodeConnection(NodeLink link, InetSocketAddress address, Budget budget, Job job) {
+    this.link = link;
+    this.address = address;
+    frames = new Frames(LARGEST, budget);
+    this.job = job;
+    job.on(this);
+  }
+
+  void opens(Channel opening, long micros) {
+    channel = opening;
+    upBy =
+        opening
+            .eventLoop()
+            .schedule(
+                () -> {
+                  if (state == State.OPENING) {
+                    link.count(Counter.NODE_CONNECT_TIMED_OUT);
+                    close();
+                  }
+                },
+                micros,
+                TimeUnit.MICROSECONDS);
+  }
+
+  @Override
+  public Moment idleSince() {
+    return idleSince;
+  }
+
+  /** The job that it was opened for, which may be over by now; null where this connection is. */
+  Job first() {
+    if (state != State.OPENING) {
+      return null;
+    }
+    Job first = job;
+    idle();
+    return first;
+  }
+
+  void run(Job next) {
+    state = State.BUSY;
+    job = next;
+    next.on(this);
+    answer = new Answer();
+    ByteBuf out = channel.alloc().buffer();
+    next.write(out);
+    channel
+        .writeAndFlush(out)
+        .addListener(
+            done -> {
+              if (done.isSuccess()) {
                 next.wasWritten();
-            }
-        });
-    }
-
-    @Override
-    public void channelActive(ChannelHandlerContext context) {
-        ByteBuf out = context.alloc().buffer();
-        Write.startup(out, "app", "shop");
-        context.writeAndFlush(out);
-    }
-
-    @Override
-    public void channelRead(ChannelHandlerContext context, Object in) throws PgFault {
-        if (state == State.CLOSED) {
-            ((ByteBuf) in).release();
-            return;
-        }
-        frames.add((ByteBuf) in);
-        for (ByteBuf m = frames.next(); m != null && state != State.CLOSED; m = frames.next()) {
-            message(m);
-        }
-        if ((state == State.IDLE || state == State.OPENING && welcomed) && frames.size() > 0) {
-            // Its rest would be taken for the beginning of the next query's answer.
-            throw new PgFault(Pg.VIOLATION, "half a message that nobody asked for");
-        }
-    }
-
-    private void message(ByteBuf message) throws PgFault {
-        byte type = message.getByte(message.readerIndex());
-        if (state == State.BUSY) {
-            if (answer.add(message)) {
-                finished();
-            } else if (answer.isHopeless()) {
-                throw new PgFault(Pg.VIOLATION, "an answer is no row, or goes on without end");
-            }
-        } else if (type == Pg.READY && state == State.OPENING && !welcomed) {
-            if (frames.size() > 0) {
-                throw new PgFault(Pg.VIOLATION, "more than a welcome");
-            }
-            upBy.cancel(false);
-            welcomed = true;
-            link.welcomed(this);
-        } else if (type == Pg.ERROR && state == State.OPENING) {
-            LOG.debug("{} turned a connection away: {}", link, Answer.field(message, 'C'));
-            close();
-        } else if (type == Pg.ERROR && state == State.IDLE) {
-            close();
-        } else if (type != Pg.STATUS && type != Pg.NOTICE && type != Pg.KEY
-            && !(type == Pg.AUTHENTICATION && state == State.OPENING && isAdmission(message))) {
-            throw new PgFault(Pg.VIOLATION, "a message of type " + type + " that nobody asked for");
-        }
-    }
-
-    private static boolean isAdmission(ByteBuf message) {
-        return message.readableBytes() == Frames.HEAD + 4
-            && message.getInt(message.readerIndex() + Frames.HEAD) == 0;
-    }
-
-    private void finished() {
-        Job done = job;
-        Answer whole = answer;
-        answer = null;
-        if (frames.size() == 0 && (whole.isRow() || whole.error() != null)) {
-            idle();
-            done.endAnswered(whole);
-            link.free(this);
-        } else {
-            // A good answer stands, but what follows it unasked would be taken for the next one's.
-            link.spoilt("an answer to a query is none, or more than one");
-            done.endAnswered(whole);
-            close();
-        }
-    }
-
-    private void idle() {
-        state = State.IDLE;
-        job = null;
-        idleSince = link.now();
-    }
-
-    InetSocketAddress address() {
-        return address;
-    }
-
-    /** Reads at once what the machine has received; never from within a read of the same socket. */
-    void readReceived() {
-        if (state == State.BUSY && channel.isActive()) {
-            ((AbstractNioChannel) channel).unsafe().read();
-        }
-    }
-
-    /** One that is still being opened may serve another query. */
-    void abandon() {
-        if (state != State.OPENING) {
-            link.count(Counter.NODE_CONNECTION_ABANDONED);
-            close();
-        }
-    }
-
-    @Override
-    public boolean endIdle(CloseReason why) {
-        link.count(Counter.NODE_CONNECTION_EVICTED);
-        close();
-        return true;
-    }
-
-    void close() {
-        if (channel != null) {
-            channel.close();
-        }
-        gone();
-    }
-
-    @Override
-    public void channelInactive(ChannelHandlerContext context) {
-        if (state != State.CLOSED) {
-            link.count(Counter.NODE_CONNECTION_LOST);
-        }
-        gone();
-    }
-
-    @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        if (cause instanceof PgFault) {
-            spoilt = true;
-            link.spoilt(cause.getMessage());
-        } else if (!(cause instanceof java.io.IOException)) {
-            Event.FAULT.fault(LOG, "", cause, "talking to node " + link);
-        }
-        close();
-    }
-
-    /** Once, however the connection ended. */
-    void gone() {
-        if (state == State.CLOSED) {
-            return;
-        }
-        state = State.CLOSED;
-        if (upBy != null) {
-            upBy.cancel(false);
-        }
-        frames.release();
-        link.closed(this);
-        Job lost = job;
-        job = null;
-        Answer cut = answer;
-        answer = null;
-        if (lost != null && cut != null && cut.error() != null && !spoilt) {
-            // A fatal error needs no ReadyForQuery: what it says was proven before the end.
-            lost.endAnswered(cut);
-            return;
-        }
-        if (lost != null) {
-            lost.endLost(Ending.NO_CONNECTION, spoilt ? Ending.UNKNOWN : Ending.RESET);
-        }
-        if (cut != null) {
-            cut.release();
-        }
+              }
+            });
+  }
+
+  @Override
+  public void channelActive(ChannelHandlerContext context) {
+    ByteBuf out = context.alloc().buffer();
+    Write.startup(out, "app", "shop");
+    context.writeAndFlush(out);
+  }
+
+  @Override
+  public void channelRead(ChannelHandlerContext context, Object in) throws PgFault {
+    if (state == State.CLOSED) {
+      ((ByteBuf) in).release();
+      return;
+    }
+    frames.add((ByteBuf) in);
+    for (ByteBuf m = frames.next(); m != null && state != State.CLOSED; m = frames.next()) {
+      message(m);
+    }
+    if ((state == State.IDLE || state == State.OPENING && welcomed) && frames.size() > 0) {
+      // Its rest would be taken for the beginning of the next query's answer.
+      throw new PgFault(Pg.VIOLATION, "half a message that nobody asked for");
+    }
+  }
+
+  private void message(ByteBuf message) throws PgFault {
+    byte type = message.getByte(message.readerIndex());
+    if (state == State.BUSY) {
+      if (answer.add(message)) {
+        finished();
+      } else if (answer.isHopeless()) {
+        throw new PgFault(Pg.VIOLATION, "an answer is no row, or goes on without end");
+      }
+    } else if (type == Pg.READY && state == State.OPENING && !welcomed) {
+      if (frames.size() > 0) {
+        throw new PgFault(Pg.VIOLATION, "more than a welcome");
+      }
+      upBy.cancel(false);
+      welcomed = true;
+      link.welcomed(this);
+    } else if (type == Pg.ERROR && state == State.OPENING) {
+      LOG.debug("{} turned a connection away: {}", link, Answer.field(message, 'C'));
+      close();
+    } else if (type == Pg.ERROR && state == State.IDLE) {
+      close();
+    } else if (type != Pg.STATUS
+        && type != Pg.NOTICE
+        && type != Pg.KEY
+        && !(type == Pg.AUTHENTICATION && state == State.OPENING && isAdmission(message))) {
+      throw new PgFault(Pg.VIOLATION, "a message of type " + type + " that nobody asked for");
+    }
+  }
+
+  private static boolean isAdmission(ByteBuf message) {
+    return message.readableBytes() == Frames.HEAD + 4
+        && message.getInt(message.readerIndex() + Frames.HEAD) == 0;
+  }
+
+  private void finished() {
+    Job done = job;
+    Answer whole = answer;
+    answer = null;
+    if (frames.size() == 0 && (whole.isRow() || whole.error() != null)) {
+      idle();
+      done.endAnswered(whole);
+      link.free(this);
+    } else {
+      // A good answer stands, but what follows it unasked would be taken for the next one's.
+      link.spoilt("an answer to a query is none, or more than one");
+      done.endAnswered(whole);
+      close();
+    }
+  }
+
+  private void idle() {
+    state = State.IDLE;
+    job = null;
+    idleSince = link.now();
+  }
+
+  InetSocketAddress address() {
+    return address;
+  }
+
+  /** Reads at once what the machine has received; never from within a read of the same socket. */
+  void readReceived() {
+    if (state == State.BUSY && channel.isActive()) {
+      ((AbstractNioChannel) channel).unsafe().read();
+    }
+  }
+
+  /** One that is still being opened may serve another query. */
+  void abandon() {
+    if (state != State.OPENING) {
+      link.count(Counter.NODE_CONNECTION_ABANDONED);
+      close();
+    }
+  }
+
+  @Override
+  public boolean endIdle(CloseReason why) {
+    link.count(Counter.NODE_CONNECTION_EVICTED);
+    close();
+    return true;
+  }
+
+  void close() {
+    if (channel != null) {
+      channel.close();
+    }
+    gone();
+  }
+
+  @Override
+  public void channelInactive(ChannelHandlerContext context) {
+    if (state != State.CLOSED) {
+      link.count(Counter.NODE_CONNECTION_LOST);
+    }
+    gone();
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+    if (cause instanceof PgFault) {
+      spoilt = true;
+      link.spoilt(cause.getMessage());
+    } else if (!(cause instanceof java.io.IOException)) {
+      Event.FAULT.fault(LOG, "", cause, "talking to node " + link);
+    }
+    close();
+  }
+
+  /** Once, however the connection ended. */
+  void gone() {
+    if (state == State.CLOSED) {
+      return;
+    }
+    state = State.CLOSED;
+    if (upBy != null) {
+      upBy.cancel(false);
+    }
+    frames.release();
+    link.closed(this);
+    Job lost = job;
+    job = null;
+    Answer cut = answer;
+    answer = null;
+    if (lost != null && cut != null && cut.error() != null && !spoilt) {
+      // A fatal error needs no ReadyForQuery: what it says was proven before the end.
+      lost.endAnswered(cut);
+      return;
+    }
+    if (lost != null) {
+      lost.endLost(Ending.NO_CONNECTION, spoilt ? Ending.UNKNOWN : Ending.RESET);
+    }
+    if (cut != null) {
+      cut.release();
     }
+  }
 }
--- a/router/src/main/java/basaltlever/net/NodeLink.java
+++ b/router/src/main/java/basaltlever/net/NodeLink.java
@@ -14,194 +14,216 @@
 import java.util.ArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** The connections to one node: those idle are used again, the longest idle first, and closed in time. */
+/**
+ * The connections to one node: those idle are used again, the longest idle first, and closed in
+ * time.
+ */
 final class NodeLink {
-    private final String name;
-    private final Bootstrap bootstrap;
-    private final EventLoop loop;
-    private final Turn turn;
-    private final Descriptors descriptors;
-    private final Budget budget;
-    private Span connectTimeout;
-    private Span keptFor;
-    private final Tally bad;
-    private final ArrayDeque<NodeConnection> idle = new ArrayDeque<>();
-    private InetSocketAddress address;
-    private int opening;
-    private boolean sweeping;
-
-    /** An idle connection is closed a connect time-out before the node may: a path can take that long. */
-    NodeLink(String name, Bootstrap bootstrap, EventLoop loop, Turn turn, Descriptors descriptors,
-             Budget budget, Span connectTimeout, Span idleClose, Tally bad) {
-        this.name = name;
-        this.bootstrap = bootstrap;
-        this.loop = loop;
-        this.turn = turn;
-        this.descriptors = descriptors;
-        this.budget = budget;
-        this.bad = bad;
-        within(connectTimeout, idleClose);
-    }
-
-    void within(Span connects, Span idleClose) {
-        connectTimeout = connects;
-        keptFor = idleClose.minus(connects).longer(Span.NONE);
-    }
-
-    /** Null where the list has not named one. */
-    InetSocketAddress address() {
-        return address;
-    }
-
-    void spoilt(String what) {
-        bad.note(this, what);
-    }
-
-    void count(Counter counter) {
-        turn.counters().add(counter);
-    }
-
-    Moment now() {
-        return turn.clock().now();
-    }
-
-    void at(InetSocketAddress now) {
-        if (!now.equals(address)) {
-            letGo();
-            address = now;
-        }
-    }
-
-    void start(Job job) {
-        // What a node sends unasked right behind an answer, or that it closes then, has shown by now on the
-        // longest idle; on the latest it would meet the next query.
-        closeStale();
-        NodeConnection next = idle.peekLast();
-        if (next == null) {
-            open(job);
-        } else {
-            idle.removeLast();
-            descriptors.busy(next);
-            run(next, job);
-        }
-    }
-
-    /** How many more connections it takes until so many stand idle. */
-    int missing(int wanted) {
-        closeStale();
-        return wanted - idle.size() - opening;
-    }
-
-    private void closeStale() {
-        while (!idle.isEmpty() && !now().since(idle.peekLast().idleSince()).isShorterThan(keptFor)) {
-            turn.counters().add(Counter.NODE_CONNECTION_EXPIRED);
-            idle.peekLast().close();
-        }
-    }
-
-    private void open(Job job) {
-        if (address == null) {
-            job.endLost(Ending.NO_CONNECTION, Ending.RESET);
-            return;
-        }
-        switch (descriptors.admitsNode(job.use())) {
-            case OPEN -> connect(job);
-            case WAIT -> descriptors.await(() -> openIfWanted(job));
-            default -> {
-                turn.counters().add(job.use() == Descriptors.Use.EXECUTION ? Counter.EXECUTION_WITHOUT_DESCRIPTOR
+  private final String name;
+  private final Bootstrap bootstrap;
+  private final EventLoop loop;
+  private final Turn turn;
+  private final Descriptors descriptors;
+  private final Budget budget;
+  private Span connectTimeout;
+  private Span keptFor;
+  private final Tally bad;
+  private final ArrayDeque<NodeConnection> idle = new ArrayDeque<>();
+  private InetSocketAddress address;
+  private int opening;
+  private boolean sweeping;
+
+  /**
+   * An idle connection is closed a connect time-out before the node may: a path can take that long.
+   */
+  NodeLink(
+      String name,
+      Bootstrap bootstrap,
+      EventLoop loop,
+      Turn turn,
+      Descriptors descriptors,
+      Budget budget,
+      Span connectTimeout,
+      Span idleClose,
+      Tally bad) {
+    this.name = name;
+    this.bootstrap = bootstrap;
+    this.loop = loop;
+    this.turn = turn;
+    this.descriptors = descriptors;
+    this.budget = budget;
+    this.bad = bad;
+    within(connectTimeout, idleClose);
+  }
+
+  void within(Span connects, Span idleClose) {
+    connectTimeout = connects;
+    keptFor = idleClose.minus(connects).longer(Span.NONE);
+  }
+
+  /** Null where the list has not named one. */
+  InetSocketAddress address() {
+    return address;
+  }
+
+  void spoilt(String what) {
+    bad.note(this, what);
+  }
+
+  void count(Counter counter) {
+    turn.counters().add(counter);
+  }
+
+  Moment now() {
+    return turn.clock().now();
+  }
+
+  void at(InetSocketAddress now) {
+    if (!now.equals(address)) {
+      letGo();
+      address = now;
+    }
+  }
+
+  void start(Job job) {
+    // What a node sends unasked right behind an answer, or that it closes then, has shown by now on
+    // the
+    // longest idle; on the latest it would meet the next query.
+    closeStale();
+    NodeConnection next = idle.peekLast();
+    if (next == null) {
+      open(job);
+    } else {
+      idle.removeLast();
+      descriptors.busy(next);
+      run(next, job);
+    }
+  }
+
+  /** How many more connections it takes until so many stand idle. */
+  int missing(int wanted) {
+    closeStale();
+    return wanted - idle.size() - opening;
+  }
+
+  private void closeStale() {
+    while (!idle.isEmpty() && !now().since(idle.peekLast().idleSince()).isShorterThan(keptFor)) {
+      turn.counters().add(Counter.NODE_CONNECTION_EXPIRED);
+      idle.peekLast().close();
+    }
+  }
+
+  private void open(Job job) {
+    if (address == null) {
+      job.endLost(Ending.NO_CONNECTION, Ending.RESET);
+      return;
+    }
+    switch (descriptors.admitsNode(job.use())) {
+      case OPEN -> connect(job);
+      case WAIT -> descriptors.await(() -> openIfWanted(job));
+      default -> {
+        turn.counters()
+            .add(
+                job.use() == Descriptors.Use.EXECUTION
+                    ? Counter.EXECUTION_WITHOUT_DESCRIPTOR
                     : Counter.POLL_WITHOUT_DESCRIPTOR);
-                job.endLost(Ending.NO_DESCRIPTOR, Ending.NO_DESCRIPTOR);
-            }
-        }
-    }
-
-    /** While it waited for a descriptor its time may have passed, or a connection become free. */
-    private void openIfWanted(Job job) {
-        if (job.isOver() || job.isTooLate(now())) {
-            job.endLost(Ending.NEVER_SENT, Ending.NEVER_SENT);
-        } else {
-            start(job);
-        }
-    }
-
-    private void connect(Job job) {
-        NodeConnection connection = new NodeConnection(this, address, budget, job);
-        ChannelFuture connecting = bootstrap.clone().handler(connection).connect(address);
-        if (connecting.isDone() && !connecting.isSuccess()) {
-            // No socket was to be had, or no way leads there: such a channel may belong to no loop.
+        job.endLost(Ending.NO_DESCRIPTOR, Ending.NO_DESCRIPTOR);
+      }
+    }
+  }
+
+  /** While it waited for a descriptor its time may have passed, or a connection become free. */
+  private void openIfWanted(Job job) {
+    if (job.isOver() || job.isTooLate(now())) {
+      job.endLost(Ending.NEVER_SENT, Ending.NEVER_SENT);
+    } else {
+      start(job);
+    }
+  }
+
+  private void connect(Job job) {
+    NodeConnection connection = new NodeConnection(this, address, budget, job);
+    ChannelFuture connecting = bootstrap.clone().handler(connection).connect(address);
+    if (connecting.isDone() && !connecting.isSuccess()) {
+      // No socket was to be had, or no way leads there: such a channel may belong to no loop.
+      connection.gone();
+      return;
+    }
+    connection.opens(connecting.channel(), connectTimeout.micros());
+    opening++;
+    turn.counters().add(Counter.NODE_CONNECTION_OPENED);
+    connecting.addListener(
+        done -> {
+          opening--;
+          if (!done.isSuccess()) {
             connection.gone();
-            return;
-        }
-        connection.opens(connecting.channel(), connectTimeout.micros());
-        opening++;
-        turn.counters().add(Counter.NODE_CONNECTION_OPENED);
-        connecting.addListener(done -> {
-            opening--;
-            if (!done.isSuccess()) {
-                connection.gone();
-            }
+          }
         });
-    }
-
-    /**
-     * Not at once: what else is read in this look at the sockets may be that the client has gone. After a turn
-     * that took long both have waited, and a statement went out for a client that had left long before.
-     */
-    void welcomed(NodeConnection connection) {
-        turn.hear(now -> turn.act(() -> {
-            Job first = connection.first();
-            if (first != null) {
-                run(connection, first);
-            }
-        }));
-    }
-
-    /** Its job may have ended while the connection came up. */
-    void run(NodeConnection connection, Job job) {
-        if (job.isOver() || job.isTooLate(now())) {
-            job.endLost(Ending.NEVER_SENT, Ending.NEVER_SENT);
-            free(connection);
-        } else {
-            connection.run(job);
-        }
-    }
-
-    void free(NodeConnection connection) {
-        if (!connection.address().equals(address)) {
-            connection.close();
-            return;
-        }
-        idle.addFirst(connection);
-        descriptors.idleNode(connection);
-        sweepLater();
-    }
-
-    void closed(NodeConnection connection) {
-        idle.remove(connection);
-        descriptors.busy(connection);
-        descriptors.nodeClosed();
-    }
-
-    void letGo() {
-        new ArrayList<>(idle).forEach(NodeConnection::close);
-    }
-
-    private void sweepLater() {
-        if (!sweeping && !idle.isEmpty()) {
-            sweeping = true;
-            long left = keptFor.minus(now().since(idle.peekLast().idleSince())).micros();
-            loop.schedule(this::sweep, Math.max(1_000, left), TimeUnit.MICROSECONDS);
-        }
-    }
-
-    private void sweep() {
-        sweeping = false;
-        closeStale();
-        sweepLater();
-    }
-
-    @Override
-    public String toString() {
-        return name + " at " + address;
-    }
+  }
+
+  /**
+   * Not at once: what else is read in this look at the sockets may be that the client has gone.
+   * After a turn that took long both have waited, and a statement went out for a client that had
+   * left long before.
+   */
+  void welcomed(NodeConnection connection) {
+    turn.hear(
+        now ->
+            turn.act(
+                () -> {
+                  Job first = connection.first();
+                  if (first != null) {
+                    run(connection, first);
+                  }
+                }));
+  }
+
+  /** Its job may have ended while the connection came up. */
+  void run(NodeConnection connection, Job job) {
+    if (job.isOver() || job.isTooLate(now())) {
+      job.endLost(Ending.NEVER_SENT, Ending.NEVER_SENT);
+      free(connection);
+    } else {
+      connection.run(job);
+    }
+  }
+
+  void free(NodeConnection connection) {
+    if (!connection.address().equals(address)) {
+      connection.close();
+      return;
+    }
+    idle.addFirst(connection);
+    descriptors.idleNode(connection);
+    sweepLater();
+  }
+
+  void closed(NodeConnection connection) {
+    idle.remove(connection);
+    descriptors.busy(connection);
+    descriptors.nodeClosed();
+  }
+
+  void letGo() {
+    new ArrayList<>(idle).forEach(NodeConnection::close);
+  }
+
+  private void sweepLater() {
+    if (!sweeping && !idle.isEmpty()) {
+      sweeping = true;
+      long left = keptFor.minus(now().since(idle.peekLast().idleSince())).micros();
+      loop.schedule(this::sweep, Math.max(1_000, left), TimeUnit.MICROSECONDS);
+    }
+  }
+
+  private void sweep() {
+    sweeping = false;
+    closeStale();
+    sweepLater();
+  }
+
+  @Override
+  public String toString() {
+    return name + " at " + address;
+  }
 }
--- a/router/src/main/java/basaltlever/net/Phase.java
+++ b/router/src/main/java/basaltlever/net/Phase.java
@@ -1,4 +1,11 @@
 package basaltlever.net;
 
 /** The phases of a router's life, in their order; none is entered twice. */
-public enum Phase { READING, LOOKING, LISTENING, SERVING, DRAINING, STOPPED }
+public enum Phase {
+  READING,
+  LOOKING,
+  LISTENING,
+  SERVING,
+  DRAINING,
+  STOPPED
+}
--- a/router/src/main/java/basaltlever/net/Router.java
+++ b/router/src/main/java/basaltlever/net/Router.java
@@ -8,13 +8,13 @@
 import basaltlever.config.StartFault;
 import basaltlever.config.StartFile;
 import basaltlever.config.StartValues;
+import basaltlever.config.Terms;
 import basaltlever.core.Core;
 import basaltlever.discovery.ListFault;
 import basaltlever.discovery.MemberList;
 import basaltlever.discovery.MemberUpdate;
 import basaltlever.fleet.Fleet;
 import basaltlever.fleet.Papers;
-import basaltlever.config.Terms;
 import basaltlever.hold.HoldBudget;
 import basaltlever.keep.Keeper;
 import basaltlever.keep.Machine;
@@ -60,607 +60,777 @@
 
 /** One router from its start file to its exit; its phase says how far it is. */
 public final class Router {
-    private static final Logger LOG = LoggerFactory.getLogger(Router.class);
-    /** After the signal to end, new connections keep coming for up to 0.4 s. */
-    private static final Span STILL_LISTENS = Span.ofMillis(500);
-    /** Not before this long after the signal and the longest statement timeout is a process killed. */
-    private static final Span SPARED = Span.ofMillis(700);
-    /** A longest statement timeout of more counts as this much there. */
-    private static final Span LONGEST_SPARED = Span.ofMillis(3_000);
-    /** By so much sooner all is answered, and by the other it ends though clients keep their side open. */
-    private static final Span ANSWERS_BEFORE = Span.ofMillis(120);
-    private static final Span ENDS_BEFORE = Span.ofMillis(40);
-    private static final Span SWEEPS = Span.ofMillis(200);
-    private static final Span READS = Span.ofMillis(1_000);
-    private static final int READ_IN = 3;
-    private static final Span REPORTS = Span.ofMillis(5_000);
-    private static final Span LONGEST_LOOK = Span.ofMillis(1_000);
-    /** For the first list to come; a process is held to what discovery knows before it has asked. */
-    private static final Span LONGEST_CALL = Span.ofMillis(2_000);
-    private static final int NODES_A_TURN = 32;
-    private static final Span LONGEST_EXPORT = Span.ofMillis(1_000);
-    private static final Span LOOK_AGAIN = Span.ofMillis(10);
-    /**
-     * Sockets of the loop, the listener and discovery, and files that the runtime opens late. Clients are accepted only
-     * where there is room for them.
-     */
-    private static final int RESERVED = 24;
-    private static final int PAGE = 8_192;
-    private static final int CHUNK_ORDER = 6;
-    /**
-     * Connections that may wait to be accepted; the system may allow fewer. Where it overflows Linux answers by SYN cookies,
-     * and resets connections that their clients take to be established.
-     */
-    private static final int LISTEN_QUEUE = 4_096;
-    private static final Span JOINS = Span.ofMillis(4_000);
-
-    private final SystemListenQueue listenQueue = new SystemListenQueue(LISTEN_QUEUE);
-    private final CountDownLatch stopped = new CountDownLatch(1);
-    private final Map<String, NodeLink> links = new LinkedHashMap<>();
-    private Phase phase = Phase.READING;
-    private Path file;
-    private StartFile start;
-    /** The file whose settings hold. */
-    private StartFile inForce;
-    private volatile OperatorFile operator;
-    /** Set by the thread that starts and reloads, ended by the loop. */
-    private volatile Keeper keeper;
-    private Turn turn;
-    private Core<String> core;
-    private MemberList list;
-    private Watch watch;
-    private Descriptors descriptors;
-    private Bootstrap outwards;
-    private int reserved;
-    private int reads;
-    private MultiThreadIoEventLoopGroup group;
-    /** Read by the thread that hears the signal to end. */
-    private volatile SingleThreadEventLoop loop;
-    private volatile Channel listener;
-    private AcceptHandler accepting;
-    private Clock clock;
-    private LookClock looks;
-    private Clients clients;
-    private Places places;
-    private Tally badClients;
-    private Carrier carrier;
-    private HoldBudget holds;
-    private Span longestTimeout;
-    /** Statements that take longer are followed in the log; null for none. */
-    private Span follows;
-    private Lives lives;
-    private Moment swept;
-    private volatile Fleet fleet;
-    private Keeping keeping;
-    private Roll roll;
-    private PooledByteBufAllocator buffers;
-
-    /** To be said before it starts: the life of each statement that takes longer goes to the log. */
-    public void follow(Span over) {
-        follows = over;
-    }
-
-    /** Reads, listens, and returns once it serves. The operator's file is null where there is none. */
-    public void start(Path from, OperatorFile with) throws StartFault, InterruptedException {
-        file = from;
-        start = StartFile.read(from);
-        inForce = start;
-        operator = with;
-        keeper = keeper();
-        Span longest = start.values().longestTimeout();
-        if (with != null && with.fleet() != null && with.fleet().assigned().isShorterThan(longest.plus(
-            with.fleet().stated()))) {
-            throw new StartFault(List.of("fleet.assigned_ms is " + with.fleet().assigned().micros() / 1_000
-                + ", less than fleet.stated_ms and the longest HardLimit together: what is out at a member then"
-                + " would not be over"));
-        }
-        enter(Phase.LOOKING);
-        clock = new Clock();
-        looks = new LookClock(clock::now);
-        group = new MultiThreadIoEventLoopGroup(1, Waiting.newFactory(looks));
-        loop = (SingleThreadEventLoop) group.next();
-        loop.submit(this::build).sync();
-        // Read meanwhile, on the keeper's thread: what it loads first would else be added to the start.
-        Recollection recollection = keeper == null ? Recollection.NONE : keeper.recall();
-        loop.submit(() -> begin(recollection)).sync();
-        joinFleet();
-        Promise<Void> looked = loop.newPromise();
-        loop.execute(() -> lookAround(looked, System.nanoTime()));
-        looked.sync();
-        ChannelFuture bound = loop.submit(this::listen).sync().getNow();
-        if (!bound.await().isSuccess()) {
-            endUnserved();
-            if (keeper != null) {
-                keeper.ends(null);
-            }
-            throw new StartFault(List.of("listen: " + start.listen() + " can't be bound: "
-                + bound.cause().getMessage()));
-        }
-        listener = bound.channel();
-        loop.submit(() -> {
-            carrier.serves();
-            enter(Phase.SERVING);
-        }).sync();
-        Event.SERVES.log(LOG, Level.INFO, "", start.name(), address());
-        if (keeper != null) {
-            keeper.keeps();
-        }
-    }
-
-    /**
-     * Reads both files again, off the loop, so that a slow disk holds nobody; where one is faulty both are
-     * left.
-     */
-    public void reload() throws InterruptedException {
-        StartFile next;
-        OperatorFile nextOperator;
-        try {
-            next = StartFile.read(file);
-            next.releaseKnown();
-            nextOperator = operator == null ? null : OperatorFile.read(operator.path());
-        } catch (StartFault fault) {
-            Event.RELOAD_REFUSED.log(LOG, Level.ERROR, "all stays as it was", fault.getMessage());
-            return;
-        }
-        loop.execute(() -> {
-            Event.RELOADED.log(LOG, Level.INFO, "", next.discovery());
-            next.restartsFor(start).forEach(this::needsRestart);
-            descriptors.most(next.sockets() - reserved);
-            watch.moveTo(next.discovery());
-            agree(next);
-            heed(nextOperator);
+  private static final Logger LOG = LoggerFactory.getLogger(Router.class);
+
+  /** After the signal to end, new connections keep coming for up to 0.4 s. */
+  private static final Span STILL_LISTENS = Span.ofMillis(500);
+
+  /**
+   * Not before this long after the signal and the longest statement timeout is a process killed.
+   */
+  private static final Span SPARED = Span.ofMillis(700);
+
+  /** A longest statement timeout of more counts as this much there. */
+  private static final Span LONGEST_SPARED = Span.ofMillis(3_000);
+
+  /**
+   * By so much sooner all is answered, and by the other it ends though clients keep their side
+   * open.
+   */
+  private static final Span ANSWERS_BEFORE = Span.ofMillis(120);
+
+  private static final Span ENDS_BEFORE = Span.ofMillis(40);
+  private static final Span SWEEPS = Span.ofMillis(200);
+  private static final Span READS = Span.ofMillis(1_000);
+  private static final int READ_IN = 3;
+  private static final Span REPORTS = Span.ofMillis(5_000);
+  private static final Span LONGEST_LOOK = Span.ofMillis(1_000);
+
+  /** For the first list to come; a process is held to what discovery knows before it has asked. */
+  private static final Span LONGEST_CALL = Span.ofMillis(2_000);
+
+  private static final int NODES_A_TURN = 32;
+  private static final Span LONGEST_EXPORT = Span.ofMillis(1_000);
+  private static final Span LOOK_AGAIN = Span.ofMillis(10);
+
+  /**
+   * Sockets of the loop, the listener and discovery, and files that the runtime opens late. Clients
+   * are accepted only where there is room for them.
+   */
+  private static final int RESERVED = 24;
+
+  private static final int PAGE = 8_192;
+  private static final int CHUNK_ORDER = 6;
+
+  /**
+   * Connections that may wait to be accepted; the system may allow fewer. Where it overflows Linux
+   * answers by SYN cookies, and resets connections that their clients take to be established.
+   */
+  private static final int LISTEN_QUEUE = 4_096;
+
+  private static final Span JOINS = Span.ofMillis(4_000);
+
+  private final SystemListenQueue listenQueue = new SystemListenQueue(LISTEN_QUEUE);
+  private final CountDownLatch stopped = new CountDownLatch(1);
+  private final Map<String, NodeLink> links = new LinkedHashMap<>();
+  private Phase phase = Phase.READING;
+  private Path file;
+  private StartFile start;
+
+  /** The file whose settings hold. */
+  private StartFile inForce;
+
+  private volatile OperatorFile operator;
+
+  /** Set by the thread that starts and reloads, ended by the loop. */
+  private volatile Keeper keeper;
+
+  private Turn turn;
+  private Core<String> core;
+  private MemberList list;
+  private Watch watch;
+  private Descriptors descriptors;
+  private Bootstrap outwards;
+  private int reserved;
+  private int reads;
+  private MultiThreadIoEventLoopGroup group;
+
+  /** Read by the thread that hears the signal to end. */
+  private volatile SingleThreadEventLoop loop;
+
+  private volatile Channel listener;
+  private AcceptHandler accepting;
+  private Clock clock;
+  private LookClock looks;
+  private Clients clients;
+  private Places places;
+  private Tally badClients;
+  private Carrier carrier;
+  private HoldBudget holds;
+  private Span longestTimeout;
+
+  /** Statements that take longer are followed in the log; null for none. */
+  private Span follows;
+
+  private Lives lives;
+  private Moment swept;
+  private volatile Fleet fleet;
+  private Keeping keeping;
+  private Roll roll;
+  private PooledByteBufAllocator buffers;
+
+  /** To be said before it starts: the life of each statement that takes longer goes to the log. */
+  public void follow(Span over) {
+    follows = over;
+  }
+
+  /**
+   * Reads, listens, and returns once it serves. The operator's file is null where there is none.
+   */
+  public void start(Path from, OperatorFile with) throws StartFault, InterruptedException {
+    file = from;
+    start = StartFile.read(from);
+    inForce = start;
+    operator = with;
+    keeper = keeper();
+    Span longest = start.values().longestTimeout();
+    if (with != null
+        && with.fleet() != null
+        && with.fleet().assigned().isShorterThan(longest.plus(with.fleet().stated()))) {
+      throw new StartFault(
+          List.of(
+              "fleet.assigned_ms is "
+                  + with.fleet().assigned().micros() / 1_000
+                  + ", less than fleet.stated_ms and the longest HardLimit together: what is out at a member then"
+                  + " would not be over"));
+    }
+    enter(Phase.LOOKING);
+    clock = new Clock();
+    looks = new LookClock(clock::now);
+    group = new MultiThreadIoEventLoopGroup(1, Waiting.newFactory(looks));
+    loop = (SingleThreadEventLoop) group.next();
+    loop.submit(this::build).sync();
+    // Read meanwhile, on the keeper's thread: what it loads first would else be added to the start.
+    Recollection recollection = keeper == null ? Recollection.NONE : keeper.recall();
+    loop.submit(() -> begin(recollection)).sync();
+    joinFleet();
+    Promise<Void> looked = loop.newPromise();
+    loop.execute(() -> lookAround(looked, System.nanoTime()));
+    looked.sync();
+    ChannelFuture bound = loop.submit(this::listen).sync().getNow();
+    if (!bound.await().isSuccess()) {
+      endUnserved();
+      if (keeper != null) {
+        keeper.ends(null);
+      }
+      throw new StartFault(
+          List.of("listen: " + start.listen() + " can't be bound: " + bound.cause().getMessage()));
+    }
+    listener = bound.channel();
+    loop.submit(
+            () -> {
+              carrier.serves();
+              enter(Phase.SERVING);
+            })
+        .sync();
+    Event.SERVES.log(LOG, Level.INFO, "", start.name(), address());
+    if (keeper != null) {
+      keeper.keeps();
+    }
+  }
+
+  /**
+   * Reads both files again, off the loop, so that a slow disk holds nobody; where one is faulty
+   * both are left.
+   */
+  public void reload() throws InterruptedException {
+    StartFile next;
+    OperatorFile nextOperator;
+    try {
+      next = StartFile.read(file);
+      next.releaseKnown();
+      nextOperator = operator == null ? null : OperatorFile.read(operator.path());
+    } catch (StartFault fault) {
+      Event.RELOAD_REFUSED.log(LOG, Level.ERROR, "all stays as it was", fault.getMessage());
+      return;
+    }
+    loop.execute(
+        () -> {
+          Event.RELOADED.log(LOG, Level.INFO, "", next.discovery());
+          next.restartsFor(start).forEach(this::needsRestart);
+          descriptors.most(next.sockets() - reserved);
+          watch.moveTo(next.discovery());
+          agree(next);
+          heed(nextOperator);
         });
-        if (nextOperator != null) {
-            nextOperator.restartsFor(operator).forEach(this::needsRestart);
-            keepBy(nextOperator);
-        }
-    }
-
-    /**
-     * All of the settings or none. What was taken goes on: the decisions keep its terms, its executions and
-     * who owes what, and see to it that the new rules hold for all that is sent from here on.
-     */
-    private void agree(StartFile next) {
-        if (next.hasSettingsOf(fleet == null ? inForce : start)) {
-            return;
-        }
-        if (fleet != null) {
-            Event.SETTINGS_LEFT.log(LOG, Level.ERROR, "this fleet agrees on its settings: propose a version",
-                "settings");
-            return;
-        }
-        List<String> fixed = next.fixedFor(inForce);
-        if (!fixed.isEmpty()) {
-            Event.SETTINGS_LEFT.log(LOG, Level.ERROR, "these need a restart; all settings stay as they were",
-                String.join(",", fixed));
-            return;
-        }
-        Places room = places.with(next.values().workloadNames());
-        if (room.size() > Places.MOST) {
-            Event.SETTINGS_LEFT.log(LOG, Level.ERROR, "more names than one run has room for: this needs a restart; all "
-                + "settings stay as they were", "settings.Classes[].Name");
-            return;
-        }
-        adopt(next);
-        // In one step: what was read before this is heard before it, what is read from here on goes by both.
-        places = room;
-        clients.goBy(room);
-        turn.hear(now -> core.agree(now, balance -> balance.agree(now, room.arrange(next.values().agreed(),
-            next.values().workloadNames()))));
-        Event.SETTINGS_TAKEN.log(LOG, Level.INFO, "", carrier.open());
-    }
-
-    /** What of the settings is not the decisions'. */
-    private void adopt(StartFile next) {
-        inForce = next;
-        StartValues values = next.values();
-        longestTimeout = longestTimeout.longer(values.longestTimeout());
-        carrier.reads(values.gauges(0), values.connectTimeout());
-        clients.comeBackWithin(values.agreed().allowance().longestComeBack());
-        connectWithin(values.connectTimeout());
-        links.values().forEach(link -> link.within(values.connectTimeout(), values.idleClose()));
-    }
-
-    private void connectWithin(Span timeout) {
-        outwards.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (timeout.micros() / 1_000));
-    }
-
-    private void needsRestart(String key) {
-        Event.NEEDS_RESTART.log(LOG, Level.WARN, "takes effect at the next start", key);
-    }
-
-    // ---- What outlives the process.
-
-    private Keeper keeper() {
-        return operator == null || operator.folder() == null ? null
-            : new Keeper(operator.folder(), operator.deployment(), start.name(), operator.period(),
-                operator.mostBytes(), new SplittableRandom(start.seed()).split(), this::learnedOffLoop);
-    }
-
-    private void keepBy(OperatorFile next) throws InterruptedException {
-        boolean same = Objects.equals(next.folder(), operator.folder());
-        operator = next;
-        if (same && keeper != null) {
-            keeper.adjust(next.period(), next.mostBytes());
-        } else if (!same) {
-            Keeper former = keeper;
-            keeper = keeper();
-            if (former != null) {
-                former.ends(null);
-                former.awaitEnd();
-            }
-            if (keeper != null) {
-                // For the folder's lock and number: what this router has learned itself is newer than its
-                // view.
-                keeper.recall();
-                keeper.keeps();
-            }
-        }
-    }
-
-    private View learnedOffLoop() throws InterruptedException {
-        Promise<View> told = loop.newPromise();
-        List<Known> nodes = new ArrayList<>();
-        loop.execute(() -> turn.hear(now -> learnedOfSome(now, 0, nodes, told)));
-        return told.await(LONGEST_EXPORT.micros(), TimeUnit.MICROSECONDS) ? told.getNow() : null;
-    }
-
-    /** A few a turn: between them statements go on. Ages are told to the turn of each node, some ms apart. */
-    private void learnedOfSome(Moment now, int from, List<Known> nodes, Promise<View> told) {
-        if (learnedFrom(now, from, NODES_A_TURN, nodes)) {
-            loop.execute(() -> turn.hear(next -> learnedOfSome(next, from + NODES_A_TURN, nodes, told)));
-        } else {
-            told.trySuccess(learned(now, nodes));
-        }
-    }
-
-    private boolean learnedFrom(Moment now, int from, int places, List<Known> nodes) {
-        return core.learned(now, from, places, (node, view) -> {
-            NodeLink link = links.get(node);
-            if (link != null && link.address() != null) {
-                nodes.add(new Known(node, Addresses.text(link.address()), view));
-            }
+    if (nextOperator != null) {
+      nextOperator.restartsFor(operator).forEach(this::needsRestart);
+      keepBy(nextOperator);
+    }
+  }
+
+  /**
+   * All of the settings or none. What was taken goes on: the decisions keep its terms, its
+   * executions and who owes what, and see to it that the new rules hold for all that is sent from
+   * here on.
+   */
+  private void agree(StartFile next) {
+    if (next.hasSettingsOf(fleet == null ? inForce : start)) {
+      return;
+    }
+    if (fleet != null) {
+      Event.SETTINGS_LEFT.log(
+          LOG, Level.ERROR, "this fleet agrees on its settings: propose a version", "settings");
+      return;
+    }
+    List<String> fixed = next.fixedFor(inForce);
+    if (!fixed.isEmpty()) {
+      Event.SETTINGS_LEFT.log(
+          LOG,
+          Level.ERROR,
+          "these need a restart; all settings stay as they were",
+          String.join(",", fixed));
+      return;
+    }
+    Places room = places.with(next.values().workloadNames());
+    if (room.size() > Places.MOST) {
+      Event.SETTINGS_LEFT.log(
+          LOG,
+          Level.ERROR,
+          "more names than one run has room for: this needs a restart; all "
+              + "settings stay as they were",
+          "settings.Classes[].Name");
+      return;
+    }
+    adopt(next);
+    // In one step: what was read before this is heard before it, what is read from here on goes by
+    // both.
+    places = room;
+    clients.goBy(room);
+    turn.hear(
+        now ->
+            core.agree(
+                now,
+                balance ->
+                    balance.agree(
+                        now, room.arrange(next.values().agreed(), next.values().workloadNames()))));
+    Event.SETTINGS_TAKEN.log(LOG, Level.INFO, "", carrier.open());
+  }
+
+  /** What of the settings is not the decisions'. */
+  private void adopt(StartFile next) {
+    inForce = next;
+    StartValues values = next.values();
+    longestTimeout = longestTimeout.longer(values.longestTimeout());
+    carrier.reads(values.gauges(0), values.connectTimeout());
+    clients.comeBackWithin(values.agreed().allowance().longestComeBack());
+    connectWithin(values.connectTimeout());
+    links.values().forEach(link -> link.within(values.connectTimeout(), values.idleClose()));
+  }
+
+  private void connectWithin(Span timeout) {
+    outwards.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (timeout.micros() / 1_000));
+  }
+
+  private void needsRestart(String key) {
+    Event.NEEDS_RESTART.log(LOG, Level.WARN, "takes effect at the next start", key);
+  }
+
+  // ---- What outlives the process.
+
+  private Keeper keeper() {
+    return operator == null || operator.folder() == null
+        ? null
+        : new Keeper(
+            operator.folder(),
+            operator.deployment(),
+            start.name(),
+            operator.period(),
+            operator.mostBytes(),
+            new SplittableRandom(start.seed()).split(),
+            this::learnedOffLoop);
+  }
+
+  private void keepBy(OperatorFile next) throws InterruptedException {
+    boolean same = Objects.equals(next.folder(), operator.folder());
+    operator = next;
+    if (same && keeper != null) {
+      keeper.adjust(next.period(), next.mostBytes());
+    } else if (!same) {
+      Keeper former = keeper;
+      keeper = keeper();
+      if (former != null) {
+        former.ends(null);
+        former.awaitEnd();
+      }
+      if (keeper != null) {
+        // For the folder's lock and number: what this router has learned itself is newer than its
+        // view.
+        keeper.recall();
+        keeper.keeps();
+      }
+    }
+  }
+
+  private View learnedOffLoop() throws InterruptedException {
+    Promise<View> told = loop.newPromise();
+    List<Known> nodes = new ArrayList<>();
+    loop.execute(() -> turn.hear(now -> learnedOfSome(now, 0, nodes, told)));
+    return told.await(LONGEST_EXPORT.micros(), TimeUnit.MICROSECONDS) ? told.getNow() : null;
+  }
+
+  /**
+   * A few a turn: between them statements go on. Ages are told to the turn of each node, some ms
+   * apart.
+   */
+  private void learnedOfSome(Moment now, int from, List<Known> nodes, Promise<View> told) {
+    if (learnedFrom(now, from, NODES_A_TURN, nodes)) {
+      loop.execute(() -> turn.hear(next -> learnedOfSome(next, from + NODES_A_TURN, nodes, told)));
+    } else {
+      told.trySuccess(learned(now, nodes));
+    }
+  }
+
+  private boolean learnedFrom(Moment now, int from, int places, List<Known> nodes) {
+    return core.learned(
+        now,
+        from,
+        places,
+        (node, view) -> {
+          NodeLink link = links.get(node);
+          if (link != null && link.address() != null) {
+            nodes.add(new Known(node, Addresses.text(link.address()), view));
+          }
         });
-    }
-
-    private View learned(Moment now, List<Known> nodes) {
-        return new View(operator.deployment(), start.name(), 0, Machine.now(), Machine.steady(),
-            Machine.boot(),
-            list.generation(), nodes, core.learnedOfGroups(now));
-    }
-
-    /**
-     * Clients come once it listens: without a first look at the members their first statements would wait for
-     * connections and for a primary; without a list that was asked for they might go to a member that drains.
-     * One look at each: a second one comes when a poll is due, which in a router without traffic is in half a
-     * minute, so that each start waited for its longest.
-     */
-    private void lookAround(Promise<Void> looked, long since) {
-        long took = (System.nanoTime() - since) / 1_000;
-        boolean seen = carrier.hasLookedAround() || took > LONGEST_LOOK.micros();
-        if (seen && !watch.isFirst() || took > LONGEST_CALL.micros()) {
-            looked.setSuccess(null);
-        } else {
-            loop.schedule(() -> lookAround(looked, since), LOOK_AGAIN.micros(), TimeUnit.MICROSECONDS);
-        }
-    }
-
-    /** Waits for its first grant, for as long as an election takes; then it serves with care. */
-    private void joinFleet() throws StartFault, InterruptedException {
-        Terms terms = operator == null ? null : operator.fleet();
-        if (terms == null) {
-            return;
-        }
-        Promise<Void> granted = loop.newPromise();
-        loop.submit(() -> {
-            keeping = new Keeping(start, operator.widestBound(), roll, list, () -> {
-                list.forget();
-                watch.start();
-            }, (file, holds) -> {
-                if (file != inForce) {
-                    adopt(file);
-                }
-                core.agree(turn.clock().now(), balance -> balance.agree(turn.clock().now(), holds));
-            });
-            turn.first(keeping::look);
-            carrier.keepsTo(keeping::stance);
-        }).sync();
-        try {
-            Papers papers = Papers.read(terms.folder(), terms.name(), start.name());
-            loop.submit(() -> {
+  }
+
+  private View learned(Moment now, List<Known> nodes) {
+    return new View(
+        operator.deployment(),
+        start.name(),
+        0,
+        Machine.now(),
+        Machine.steady(),
+        Machine.boot(),
+        list.generation(),
+        nodes,
+        core.learnedOfGroups(now));
+  }
+
+  /**
+   * Clients come once it listens: without a first look at the members their first statements would
+   * wait for connections and for a primary; without a list that was asked for they might go to a
+   * member that drains. One look at each: a second one comes when a poll is due, which in a router
+   * without traffic is in half a minute, so that each start waited for its longest.
+   */
+  private void lookAround(Promise<Void> looked, long since) {
+    long took = (System.nanoTime() - since) / 1_000;
+    boolean seen = carrier.hasLookedAround() || took > LONGEST_LOOK.micros();
+    if (seen && !watch.isFirst() || took > LONGEST_CALL.micros()) {
+      looked.setSuccess(null);
+    } else {
+      loop.schedule(() -> lookAround(looked, since), LOOK_AGAIN.micros(), TimeUnit.MICROSECONDS);
+    }
+  }
+
+  /** Waits for its first grant, for as long as an election takes; then it serves with care. */
+  private void joinFleet() throws StartFault, InterruptedException {
+    Terms terms = operator == null ? null : operator.fleet();
+    if (terms == null) {
+      return;
+    }
+    Promise<Void> granted = loop.newPromise();
+    loop.submit(
+            () -> {
+              keeping =
+                  new Keeping(
+                      start,
+                      operator.widestBound(),
+                      roll,
+                      list,
+                      () -> {
+                        list.forget();
+                        watch.start();
+                      },
+                      (file, holds) -> {
+                        if (file != inForce) {
+                          adopt(file);
+                        }
+                        core.agree(
+                            turn.clock().now(),
+                            balance -> balance.agree(turn.clock().now(), holds));
+                      });
+              turn.first(keeping::look);
+              carrier.keepsTo(keeping::stance);
+            })
+        .sync();
+    try {
+      Papers papers = Papers.read(terms.folder(), terms.name(), start.name());
+      loop.submit(
+              () -> {
                 keeping.follower().knows(papers.knows());
                 keeping.begin(papers.told());
-            }).sync();
-            fleet = new Fleet(terms, start.name(), papers, new SplittableRandom(start.seed()).split(),
-                () -> loop.execute(this::beat), (grant, sight) -> loop.execute(() -> turn.hear(now -> {
-                    keeping.granted(now, grant, sight);
-                    if (!keeping.follower().isCareful() && roll.isSettled()) {
-                        granted.trySuccess(null);
-                    }
-                })));
-        } catch (Exception fault) {
-            endUnserved();
-            Throwable cause = fault;
-            while (cause.getCause() != null) {
-                cause = cause.getCause();
-            }
-            throw new StartFault(List.of("fleet: " + start.name() + " can't take part: " + cause));
-        }
-        granted.await(JOINS.longer(terms.lease().times(4)).micros(), TimeUnit.MICROSECONDS);
-    }
-
-    private void beat() {
-        Follower follower = keeping.follower();
-        Moment now = turn.clock().now();
-        boolean holds = !follower.isCareful() && !follower.isOver(now);
-        fleet.beat(follower.beat(now), follower.charter(), follower.inForce() == null ? 0 : follower.inForce().number(), holds
-            ? follower.keepsTo() : 0, keeping.refused(), keeping.refusal(), holds, roll.report(now, core::isIdle));
-    }
-
-    private void build() {
-        StartValues values = start.values();
-        turn = new Turn(loop, clock, looks);
-        lives = new Lives(follows, clock::now);
-        swept = clock.now();
-        buffers = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER,
+              })
+          .sync();
+      fleet =
+          new Fleet(
+              terms,
+              start.name(),
+              papers,
+              new SplittableRandom(start.seed()).split(),
+              () -> loop.execute(this::beat),
+              (grant, sight) ->
+                  loop.execute(
+                      () ->
+                          turn.hear(
+                              now -> {
+                                keeping.granted(now, grant, sight);
+                                if (!keeping.follower().isCareful() && roll.isSettled()) {
+                                  granted.trySuccess(null);
+                                }
+                              })));
+    } catch (Exception fault) {
+      endUnserved();
+      Throwable cause = fault;
+      while (cause.getCause() != null) {
+        cause = cause.getCause();
+      }
+      throw new StartFault(List.of("fleet: " + start.name() + " can't take part: " + cause));
+    }
+    granted.await(JOINS.longer(terms.lease().times(4)).micros(), TimeUnit.MICROSECONDS);
+  }
+
+  private void beat() {
+    Follower follower = keeping.follower();
+    Moment now = turn.clock().now();
+    boolean holds = !follower.isCareful() && !follower.isOver(now);
+    fleet.beat(
+        follower.beat(now),
+        follower.charter(),
+        follower.inForce() == null ? 0 : follower.inForce().number(),
+        holds ? follower.keepsTo() : 0,
+        keeping.refused(),
+        keeping.refusal(),
+        holds,
+        roll.report(now, core::isIdle));
+  }
+
+  private void build() {
+    StartValues values = start.values();
+    turn = new Turn(loop, clock, looks);
+    lives = new Lives(follows, clock::now);
+    swept = clock.now();
+    buffers =
+        new PooledByteBufAllocator(
+            true,
+            0,
+            1,
+            PAGE,
+            CHUNK_ORDER,
             PooledByteBufAllocator.defaultSmallCacheSize(),
-            PooledByteBufAllocator.defaultNormalCacheSize(), true);
-        // Half of what buffers may take: the other half is for what is being read and written right now.
-        Budget budget = new Budget(PlatformDependent.maxDirectMemory() / 2);
-        reserved = inUse() + RESERVED;
-        descriptors = new Descriptors(start.sockets() - reserved, this::afterNextLook);
-        outwards = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.ALLOCATOR, buffers);
-        connectWithin(values.connectTimeout());
-        Tally badNodes = new Tally(LoggerFactory.getLogger(NodeLink.class), Event.NODE_BAD, clock::now);
-        Function<String, NodeLink> linkTo = node -> links.computeIfAbsent(node, name -> new NodeLink(name,
-            outwards, loop, turn, descriptors, budget, inForce.values().connectTimeout(),
-            inForce.values().idleClose(), badNodes));
-        carrier = new Carrier(turn, loop, linkTo, this::forget, values.gauges(0),
-            values.connectTimeout(), budget, lives);
-        badClients = new Tally(LoggerFactory.getLogger(Clients.class), Event.CLIENT_BAD, clock::now);
-        places = Places.of(values.workloadNames());
-        clients = new Clients(turn, descriptors, places, values.mostOpen(), budget,
-            badClients, lives);
-        clients.comeBackWithin(values.agreed().allowance().longestComeBack());
-        turn.last(descriptors::endLongestIdle);
-        longestTimeout = values.longestTimeout();
-        holds = values.holds();
-        core = new Core<>(carrier, values.balance(start.seed(), turn.now(), holds));
-        heed(operator);
-        list = new MemberList(core, values.zones(),
-            (node, address) -> linkTo.apply(node).at(address));
-        if (operator != null && operator.fleet() != null) {
-            // What was begun before it lets go of a member is over when others may use it in another group.
-            roll = new Roll(operator.fleet().stated(), operator.fleet().assigned().minus(values.longestTimeout()));
-            list.agreeBy(roll, clock::now);
-        }
-        watch = new Watch(outwards, start.discovery(), turn, list, core);
-        list.startsBy(turn.clockOffset());
-        carrier.onClockMoved(list::tellStarts);
-        clients.serve(core, carrier);
-        carrier.serve(core, watch::start);
-        every(SWEEPS, "sweeping", this::sweep);
-        every(READS, "reading tables", this::readTables);
-        every(REPORTS, "reporting counters", this::report);
-    }
-
-    /** By way of a task: what is put behind this iteration from behind it would run in it. */
-    private void afterNextLook(Runnable task) {
-        loop.executeAfterEventLoopIteration(() -> loop.execute(task));
-    }
-
-    /** A task that is repeated would never run again after one fault. */
-    private void every(Span period, String what, Runnable step) {
-        loop.scheduleWithFixedDelay(() -> {
-            try {
-                step.run();
-            } catch (RuntimeException fault) {
-                Event.FAULT.fault(LOG, "", fault, what);
-            }
-        }, period.micros(), period.micros(), TimeUnit.MICROSECONDS);
-    }
-
-    private void sweep() {
-        Moment now = turn.clock().now();
-        lives.loopWas(now.since(swept).minus(SWEEPS));
-        swept = now;
-        clients.sweep();
-    }
-
-    private void report() {
-        turn.counters().add(Counter.LISTEN_OVERFLOWS, listenQueue.newOverflows());
-        turn.counters().report();
-        descriptors.report();
-        core.reportWatched();
-    }
-
-    /** The table of each member in use every third time: all tell the same, so a group is asked about once a second. */
-    private void readTables() {
-        reads++;
-        int place = 0;
-        for (String node : List.copyOf(carrier.polledLately())) {
-            if ((place++ + reads) % READ_IN == 0) {
-                carrier.readTable(node);
-            }
-        }
-    }
-
-    /** What the operator says of holds and planned changes; nothing where there is no file. */
-    private void heed(OperatorFile by) {
-        if (by != null) {
-            carrier.asksFor(by.changeTable());
-            holds.limit(by.heldStatements() > 0 ? by.heldStatements() : Math.max(1, start.values()
-                .mostOpen() / 2),
-                by.heldBytes());
-        }
-    }
-
-    private void begin(Recollection recollection) {
-        list.recalls(recollection, carrier::isAbsent);
-        turn.hear(now -> {
-            try {
-                if (start.hasKnown()) {
-                    list.take(now, MemberUpdate.of(start.releaseKnown()), false);
-                    return;
-                }
-            } catch (ListFault fault) {
-                Event.KNOWN_LEFT_OUT.log(LOG, Level.WARN, "", fault.getMessage());
+            PooledByteBufAllocator.defaultNormalCacheSize(),
+            true);
+    // Half of what buffers may take: the other half is for what is being read and written right
+    // now.
+    Budget budget = new Budget(PlatformDependent.maxDirectMemory() / 2);
+    reserved = inUse() + RESERVED;
+    descriptors = new Descriptors(start.sockets() - reserved, this::afterNextLook);
+    outwards =
+        new Bootstrap()
+            .group(loop)
+            .channel(NioSocketChannel.class)
+            .option(ChannelOption.TCP_NODELAY, true)
+            .option(ChannelOption.ALLOCATOR, buffers);
+    connectWithin(values.connectTimeout());
+    Tally badNodes = new Tally(LoggerFactory.getLogger(NodeLink.class), Event.NODE_BAD, clock::now);
+    Function<String, NodeLink> linkTo =
+        node ->
+            links.computeIfAbsent(
+                node,
+                name ->
+                    new NodeLink(
+                        name,
+                        outwards,
+                        loop,
+                        turn,
+                        descriptors,
+                        budget,
+                        inForce.values().connectTimeout(),
+                        inForce.values().idleClose(),
+                        badNodes));
+    carrier =
+        new Carrier(
+            turn,
+            loop,
+            linkTo,
+            this::forget,
+            values.gauges(0),
+            values.connectTimeout(),
+            budget,
+            lives);
+    badClients = new Tally(LoggerFactory.getLogger(Clients.class), Event.CLIENT_BAD, clock::now);
+    places = Places.of(values.workloadNames());
+    clients = new Clients(turn, descriptors, places, values.mostOpen(), budget, badClients, lives);
+    clients.comeBackWithin(values.agreed().allowance().longestComeBack());
+    turn.last(descriptors::endLongestIdle);
+    longestTimeout = values.longestTimeout();
+    holds = values.holds();
+    core = new Core<>(carrier, values.balance(start.seed(), turn.now(), holds));
+    heed(operator);
+    list = new MemberList(core, values.zones(), (node, address) -> linkTo.apply(node).at(address));
+    if (operator != null && operator.fleet() != null) {
+      // What was begun before it lets go of a member is over when others may use it in another
+      // group.
+      roll =
+          new Roll(
+              operator.fleet().stated(),
+              operator.fleet().assigned().minus(values.longestTimeout()));
+      list.agreeBy(roll, clock::now);
+    }
+    watch = new Watch(outwards, start.discovery(), turn, list, core);
+    list.startsBy(turn.clockOffset());
+    carrier.onClockMoved(list::tellStarts);
+    clients.serve(core, carrier);
+    carrier.serve(core, watch::start);
+    every(SWEEPS, "sweeping", this::sweep);
+    every(READS, "reading tables", this::readTables);
+    every(REPORTS, "reporting counters", this::report);
+  }
+
+  /** By way of a task: what is put behind this iteration from behind it would run in it. */
+  private void afterNextLook(Runnable task) {
+    loop.executeAfterEventLoopIteration(() -> loop.execute(task));
+  }
+
+  /** A task that is repeated would never run again after one fault. */
+  private void every(Span period, String what, Runnable step) {
+    loop.scheduleWithFixedDelay(
+        () -> {
+          try {
+            step.run();
+          } catch (RuntimeException fault) {
+            Event.FAULT.fault(LOG, "", fault, what);
+          }
+        },
+        period.micros(),
+        period.micros(),
+        TimeUnit.MICROSECONDS);
+  }
+
+  private void sweep() {
+    Moment now = turn.clock().now();
+    lives.loopWas(now.since(swept).minus(SWEEPS));
+    swept = now;
+    clients.sweep();
+  }
+
+  private void report() {
+    turn.counters().add(Counter.LISTEN_OVERFLOWS, listenQueue.newOverflows());
+    turn.counters().report();
+    descriptors.report();
+    core.reportWatched();
+  }
+
+  /**
+   * The table of each member in use every third time: all tell the same, so a group is asked about
+   * once a second.
+   */
+  private void readTables() {
+    reads++;
+    int place = 0;
+    for (String node : List.copyOf(carrier.polledLately())) {
+      if ((place++ + reads) % READ_IN == 0) {
+        carrier.readTable(node);
+      }
+    }
+  }
+
+  /** What the operator says of holds and planned changes; nothing where there is no file. */
+  private void heed(OperatorFile by) {
+    if (by != null) {
+      carrier.asksFor(by.changeTable());
+      holds.limit(
+          by.heldStatements() > 0
+              ? by.heldStatements()
+              : Math.max(1, start.values().mostOpen() / 2),
+          by.heldBytes());
+    }
+  }
+
+  private void begin(Recollection recollection) {
+    list.recalls(recollection, carrier::isAbsent);
+    turn.hear(
+        now -> {
+          try {
+            if (start.hasKnown()) {
+              list.take(now, MemberUpdate.of(start.releaseKnown()), false);
+              return;
             }
-            list.expect(now);
+          } catch (ListFault fault) {
+            Event.KNOWN_LEFT_OUT.log(LOG, Level.WARN, "", fault.getMessage());
+          }
+          list.expect(now);
         });
-    }
-
-    private ChannelFuture listen() {
-        enter(Phase.LISTENING);
-        int queueLength = listenQueue.length();
-        accepting = new AcceptHandler(turn, descriptors, queueLength, new Tally(LoggerFactory.getLogger(AcceptHandler.class),
-            Event.ACCEPT_PAUSED, clock::now));
-        return new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, queueLength).option(ChannelOption.SO_REUSEADDR, true)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, accepting.limitedReads())
-            .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.ALLOCATOR, buffers)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, new ClientReads())
-            .handler(accepting)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new ClientChannel(clients.admit(accepting.queuedSince())));
-                }
-            }).bind(start.listen());
-    }
-
-    private void forget(String node) {
-        NodeLink link = links.remove(node);
-        if (link != null) {
-            link.letGo();
-        }
-    }
-
-    /** Open descriptors now; where that can't be seen, as many as a runtime commonly holds. */
-    private static int inUse() {
-        String[] open = new File("/proc/self/fd").list();
-        return open == null ? RESERVED : open.length;
-    }
-
-    private void enter(Phase next) {
-        if (next.ordinal() > phase.ordinal()) {
-            Event.PHASE.log(LOG, Level.INFO, "", next, phase);
-            phase = next;
-        }
-    }
-
-    /** Goes on serving while clients may still come, then answers what it took and stops. */
-    public void drain() {
-        if (loop == null) {
-            stopped.countDown();
-        }
-        if (stopped.getCount() == 0) {
-            return;
-        }
-        try {
-            loop.execute(this::beginDrain);
-        } catch (RejectedExecutionException ended) {
-            stopped.countDown();
-        }
-    }
-
-    private void beginDrain() {
-        if (phase == Phase.SERVING || phase == Phase.LISTENING) {
-            enter(Phase.DRAINING);
-            Span left = SPARED.plus(longestTimeout.shorter(LONGEST_SPARED)).minus(ANSWERS_BEFORE);
-            clients.endBy(turn.clock().now().plus(left));
-            loop.schedule(() -> accepting.closeOnceQuiet(() -> {
-                clients.closeIdle();
-                stopOnceAnswered();
-            }), STILL_LISTENS.micros(), TimeUnit.MICROSECONDS);
-            loop.schedule(this::stop, left.micros(), TimeUnit.MICROSECONDS);
-        } else if (phase != Phase.DRAINING) {
-            stop();
-        }
-    }
-
-    /** It could not be set up: nothing is owed, and a signal to end that comes just then waits for nothing. */
-    private void endUnserved() {
-        group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
-        stopped.countDown();
-    }
-
-    private void stopOnceAnswered() {
-        if (clients.areGone() && carrier.open() == 0) {
-            stop();
-        } else if (phase == Phase.DRAINING) {
-            loop.schedule(this::stopOnceAnswered, LOOK_AGAIN.micros(), TimeUnit.MICROSECONDS);
-        }
-    }
-
-    private void stop() {
-        if (phase == Phase.STOPPED) {
-            return;
-        }
-        enter(Phase.STOPPED);
-        if (turn == null) {
-            end();
-            return;
-        }
-        report();
-        clients.refuseAll();
-        turn.hear(carrier::answerAll);
-        turn.hear(now -> turn.act(() -> {
-            if (listener != null) {
-                listener.close();
-            }
-            clients.endAll();
-        }));
-        if (keeper != null && core != null) {
-            turn.hear(now -> {
-                List<Known> nodes = new ArrayList<>();
-                learnedFrom(now, 0, Integer.MAX_VALUE / 2, nodes);
-                keeper.ends(learned(now, nodes));
-                turn.act(() -> endOnceLeft(Moment.NEVER));
-            });
-        } else {
-            turn.hear(now -> turn.act(() -> endOnceLeft(Moment.NEVER)));
-        }
-    }
-
-    /** Its last answers are on their way: a process that ends over unread bytes would take them back. */
-    private void endOnceLeft(Moment by) {
-        Moment now = turn.clock().now();
-        Moment latest = by.earlier(now.plus(ANSWERS_BEFORE.minus(ENDS_BEFORE)));
-        if (clients.areGone() || !now.isBefore(latest)) {
-            end();
-        } else {
-            loop.schedule(() -> endOnceLeft(latest), LOOK_AGAIN.micros(), TimeUnit.MICROSECONDS);
-        }
-    }
-
-    private void end() {
-        if (fleet != null) {
-            Thread leaves = new Thread(fleet::close, "leaves");
-            leaves.setDaemon(true);
-            leaves.start();
-        }
-        group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
-        stopped.countDown();
-    }
-
-    /** Where it listens; the port is its own choice where the start file gives 0. */
-    public InetSocketAddress address() {
-        return (InetSocketAddress) listener.localAddress();
-    }
-
-    /** Buffers that a stopped router has not released; none where every owner did its part. */
-    public long buffersHeld() throws InterruptedException {
-        group.terminationFuture().await();
-        return buffers.metric().directArenas().stream().mapToLong(arena -> arena.numActiveAllocations())
-            .sum();
-    }
-
-    public void awaitStop() throws InterruptedException {
-        stopped.await();
-        if (keeper != null) {
-            keeper.awaitEnd();
-        }
-    }
+  }
+
+  private ChannelFuture listen() {
+    enter(Phase.LISTENING);
+    int queueLength = listenQueue.length();
+    accepting =
+        new AcceptHandler(
+            turn,
+            descriptors,
+            queueLength,
+            new Tally(
+                LoggerFactory.getLogger(AcceptHandler.class), Event.ACCEPT_PAUSED, clock::now));
+    return new ServerBootstrap()
+        .group(loop, loop)
+        .channel(NioServerSocketChannel.class)
+        .option(ChannelOption.SO_BACKLOG, queueLength)
+        .option(ChannelOption.SO_REUSEADDR, true)
+        .option(ChannelOption.RECVBUF_ALLOCATOR, accepting.limitedReads())
+        .childOption(ChannelOption.TCP_NODELAY, true)
+        .childOption(ChannelOption.ALLOCATOR, buffers)
+        .childOption(ChannelOption.RECVBUF_ALLOCATOR, new ClientReads())
+        .handler(accepting)
+        .childHandler(
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(Channel channel) {
+                channel
+                    .pipeline()
+                    .addLast(new ClientChannel(clients.admit(accepting.queuedSince())));
+              }
+            })
+        .bind(start.listen());
+  }
+
+  private void forget(String node) {
+    NodeLink link = links.remove(node);
+    if (link != null) {
+      link.letGo();
+    }
+  }
+
+  /** Open descriptors now; where that can't be seen, as many as a runtime commonly holds. */
+  private static int inUse() {
+    String[] open = new File("/proc/self/fd").list();
+    return open == null ? RESERVED : open.length;
+  }
+
+  private void enter(Phase next) {
+    if (next.ordinal() > phase.ordinal()) {
+      Event.PHASE.log(LOG, Level.INFO, "", next, phase);
+      phase = next;
+    }
+  }
+
+  /** Goes on serving while clients may still come, then answers what it took and stops. */
+  public void drain() {
+    if (loop == null) {
+      stopped.countDown();
+    }
+    if (stopped.getCount() == 0) {
+      return;
+    }
+    try {
+      loop.execute(this::beginDrain);
+    } catch (RejectedExecutionException ended) {
+      stopped.countDown();
+    }
+  }
+
+  private void beginDrain() {
+    if (phase == Phase.SERVING || phase == Phase.LISTENING) {
+      enter(Phase.DRAINING);
+      Span left = SPARED.plus(longestTimeout.shorter(LONGEST_SPARED)).minus(ANSWERS_BEFORE);
+      clients.endBy(turn.clock().now().plus(left));
+      loop.schedule(
+          () ->
+              accepting.closeOnceQuiet(
+                  () -> {
+                    clients.closeIdle();
+                    stopOnceAnswered();
+                  }),
+          STILL_LISTENS.micros(),
+          TimeUnit.MICROSECONDS);
+      loop.schedule(this::stop, left.micros(), TimeUnit.MICROSECONDS);
+    } else if (phase != Phase.DRAINING) {
+      stop();
+    }
+  }
+
+  /**
+   * It could not be set up: nothing is owed, and a signal to end that comes just then waits for
+   * nothing.
+   */
+  private void endUnserved() {
+    group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+    stopped.countDown();
+  }
+
+  private void stopOnceAnswered() {
+    if (clients.areGone() && carrier.open() == 0) {
+      stop();
+    } else if (phase == Phase.DRAINING) {
+      loop.schedule(this::stopOnceAnswered, LOOK_AGAIN.micros(), TimeUnit.MICROSECONDS);
+    }
+  }
+
+  private void stop() {
+    if (phase == Phase.STOPPED) {
+      return;
+    }
+    enter(Phase.STOPPED);
+    if (turn == null) {
+      end();
+      return;
+    }
+    report();
+    clients.refuseAll();
+    turn.hear(carrier::answerAll);
+    turn.hear(
+        now ->
+            turn.act(
+                () -> {
+                  if (listener != null) {
+                    listener.close();
+                  }
+                  clients.endAll();
+                }));
+    if (keeper != null && core != null) {
+      turn.hear(
+          now -> {
+            List<Known> nodes = new ArrayList<>();
+            learnedFrom(now, 0, Integer.MAX_VALUE / 2, nodes);
+            keeper.ends(learned(now, nodes));
+            turn.act(() -> endOnceLeft(Moment.NEVER));
+          });
+    } else {
+      turn.hear(now -> turn.act(() -> endOnceLeft(Moment.NEVER)));
+    }
+  }
+
+  /**
+   * Its last answers are on their way: a process that ends over unread bytes would take them back.
+   */
+  private void endOnceLeft(Moment by) {
+    Moment now = turn.clock().now();
+    Moment latest = by.earlier(now.plus(ANSWERS_BEFORE.minus(ENDS_BEFORE)));
+    if (clients.areGone() || !now.isBefore(latest)) {
+      end();
+    } else {
+      loop.schedule(() -> endOnceLeft(latest), LOOK_AGAIN.micros(), TimeUnit.MICROSECONDS);
+    }
+  }
+
+  private void end() {
+    if (fleet != null) {
+      Thread leaves = new Thread(fleet::close, "leaves");
+      leaves.setDaemon(true);
+      leaves.start();
+    }
+    group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+    stopped.countDown();
+  }
+
+  /** Where it listens; the port is its own choice where the start file gives 0. */
+  public InetSocketAddress address() {
+    return (InetSocketAddress) listener.localAddress();
+  }
+
+  /** Buffers that a stopped router has not released; none where every owner did its part. */
+  public long buffersHeld() throws InterruptedException {
+    group.terminationFuture().await();
+    return buffers.metric().directArenas().stream()
+        .mapToLong(arena -> arena.numActiveAllocations())
+        .sum();
+  }
+
+  public void awaitStop() throws InterruptedException {
+    stopped.await();
+    if (keeper != null) {
+      keeper.awaitEnd();
+    }
+  }
 }
--- a/router/src/main/java/basaltlever/net/Taken.java
+++ b/router/src/main/java/basaltlever/net/Taken.java
@@ -9,28 +9,38 @@
 
 /** A statement taken from a client, with its text until nothing needs that any more. */
 final class Taken {
-    final long ticket;
-    final ClientConnection client;
-    final ByteBuf text;
-    final Query query;
-    /** Null where nobody follows it. */
-    final Lives.Life life;
-    /** By the count that the decisions give them. */
-    final List<Job> executions = new ArrayList<>(2);
-    /** Its last byte had come by then at the latest, and its answer goes out by then. */
-    final Moment arrived;
-    Moment owedBy;
-    int out;
-    boolean answered;
-    boolean forgotten;
+  final long ticket;
+  final ClientConnection client;
+  final ByteBuf text;
+  final Query query;
 
-    /** Takes the text over. */
-    Taken(long ticket, ClientConnection client, ByteBuf text, Query query, Moment arrived, Lives.Life life) {
-        this.ticket = ticket;
-        this.client = client;
-        this.text = text;
-        this.query = query;
-        this.arrived = arrived;
-        this.life = life;
-    }
+  /** Null where nobody follows it. */
+  final Lives.Life life;
+
+  /** By the count that the decisions give them. */
+  final List<Job> executions = new ArrayList<>(2);
+
+  /** Its last byte had come by then at the latest, and its answer goes out by then. */
+  final Moment arrived;
+
+  Moment owedBy;
+  int out;
+  boolean answered;
+  boolean forgotten;
+
+  /** Takes the text over. */
+  Taken(
+      long ticket,
+      ClientConnection client,
+      ByteBuf text,
+      Query query,
+      Moment arrived,
+      Lives.Life life) {
+    this.ticket = ticket;
+    this.client = client;
+    this.text = text;
+    this.query = query;
+    this.arrived = arrived;
+    this.life = life;
+  }
 }
--- a/router/src/main/java/basaltlever/net/TimedReads.java
+++ b/router/src/main/java/basaltlever/net/TimedReads.java
@@ -5,36 +5,37 @@
 import io.netty.channel.FixedRecvByteBufAllocator;
 
 /**
- * Reads all that has come, for a limited time in each turn of the loop: what waits unread in the socket may say that a
- * server drains, and what takes long to read must not keep everybody else waiting.
+ * Reads all that has come, for a limited time in each turn of the loop: what waits unread in the
+ * socket may say that a server drains, and what takes long to read must not keep everybody else
+ * waiting.
  */
 final class TimedReads extends FixedRecvByteBufAllocator {
-    private static final int MOST_READS = 64;
-    private final long nanos;
+  private static final int MOST_READS = 64;
+  private final long nanos;
 
-    /** So many bytes a read, and the first read behind that time is the last one of its turn. */
-    TimedReads(int bytes, Span limit) {
-        super(bytes);
-        nanos = limit.micros() * 1_000;
-        maxMessagesPerRead(MOST_READS);
-    }
+  /** So many bytes a read, and the first read behind that time is the last one of its turn. */
+  TimedReads(int bytes, Span limit) {
+    super(bytes);
+    nanos = limit.micros() * 1_000;
+    maxMessagesPerRead(MOST_READS);
+  }
 
-    @Override
-    @SuppressWarnings("deprecation")
-    public Handle newHandle() {
-        return new DelegatingHandle(super.newHandle()) {
-            private long since;
+  @Override
+  @SuppressWarnings("deprecation")
+  public Handle newHandle() {
+    return new DelegatingHandle(super.newHandle()) {
+      private long since;
 
-            @Override
-            public void reset(ChannelConfig config) {
-                super.reset(config);
-                since = System.nanoTime();
-            }
+      @Override
+      public void reset(ChannelConfig config) {
+        super.reset(config);
+        since = System.nanoTime();
+      }
 
-            @Override
-            public boolean continueReading() {
-                return super.continueReading() && System.nanoTime() - since < nanos;
-            }
-        };
-    }
+      @Override
+      public boolean continueReading() {
+        return super.continueReading() && System.nanoTime() - since < nanos;
+      }
+    };
+  }
 }
--- a/router/src/main/java/basaltlever/net/TurnLoad.java
+++ b/router/src/main/java/basaltlever/net/TurnLoad.java
@@ -2,46 +2,51 @@
 
 /** What one turn of the loop had to do, for the log line of a slow one. */
 final class TurnLoad {
-    private static final long KILOBYTE = 1 << 10;
-    private int accepted;
-    private int messages;
-    private long heapAtStart;
-
-    TurnLoad() {
-        begins();
-    }
-
-    void begins() {
-        accepted = 0;
-        messages = 0;
-        heapAtStart = heapUsed();
-    }
-
-    void accepts() {
-        accepted++;
-    }
-
-    void reads() {
-        messages++;
-    }
-
-    int accepted() {
-        return accepted;
-    }
-
-    int messages() {
-        return messages;
-    }
-
-    private static long heapUsed() {
-        return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-    }
-
-    /** A heap that holds less than at the start of the turn has been collected in it. */
-    @Override
-    public String toString() {
-        long grown = (heapUsed() - heapAtStart) / KILOBYTE;
-        return accepted + " accepted, " + messages + " messages read, heap " + (grown < 0 ? "collected " : "grown ")
-            + Math.abs(grown) + " KB";
-    }
+  private static final long KILOBYTE = 1 << 10;
+  private int accepted;
+  private int messages;
+  private long heapAtStart;
+
+  TurnLoad() {
+    begins();
+  }
+
+  void begins() {
+    accepted = 0;
+    messages = 0;
+    heapAtStart = heapUsed();
+  }
+
+  void accepts() {
+    accepted++;
+  }
+
+  void reads() {
+    messages++;
+  }
+
+  int accepted() {
+    return accepted;
+  }
+
+  int messages() {
+    return messages;
+  }
+
+  private static long heapUsed() {
+    return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+  }
+
+  /** A heap that holds less than at the start of the turn has been collected in it. */
+  @Override
+  public String toString() {
+    long grown = (heapUsed() - heapAtStart) / KILOBYTE;
+    return accepted
+        + " accepted, "
+        + messages
+        + " messages read, heap "
+        + (grown < 0 ? "collected " : "grown ")
+        + Math.abs(grown)
+        + " KB";
+  }
 }
--- a/router/src/main/java/basaltlever/pg/PgFault.java
+++ b/router/src/main/java/basaltlever/pg/PgFault.java
@@ -2,11 +2,11 @@
 
 /** The other side sent something that the protocol does not allow. */
 public final class PgFault extends Exception {
-    private static final long serialVersionUID = 1L;
-    public final String code;
+  private static final long serialVersionUID = 1L;
+  public final String code;
 
-    public PgFault(String code, String message) {
-        super(message);
-        this.code = code;
-    }
+  public PgFault(String code, String message) {
+    super(message);
+    this.code = code;
+  }
 }
--- a/router/src/main/java/basaltlever/view/Recollection.java
+++ b/router/src/main/java/basaltlever/view/Recollection.java
@@ -7,108 +7,132 @@
 import java.util.Map;
 
 /**
- * A view offered to a fresh router: aged once, then matched with the members as the list names them. What
- * was learned counts only for the same start under the same id at the same address; all else is new. A
- * decision of its own, free of I/O.
+ * A view offered to a fresh router: aged once, then matched with the members as the list names
+ * them. What was learned counts only for the same start under the same id at the same address; all
+ * else is new. A decision of its own, free of I/O.
  */
 public final class Recollection {
-    /** For a router that has nothing to go by. */
-    public static final Recollection NONE = new Recollection("there is none", Span.NONE, 0, List.of(),
-        List.of());
-    /** How far the system's clock may stray from the steady one before neither is believed. */
-    private static final Span STRAYS = Span.ofMillis(2_000);
-    private static final double STRAYS_BY = 0.001;
+  /** For a router that has nothing to go by. */
+  public static final Recollection NONE =
+      new Recollection("there is none", Span.NONE, 0, List.of(), List.of());
 
-    private final String why;
-    private final Span age;
-    private final long listed;
-    private final Map<String, Known> nodes = new LinkedHashMap<>();
-    private List<GroupView> groups;
+  /** How far the system's clock may stray from the steady one before neither is believed. */
+  private static final Span STRAYS = Span.ofMillis(2_000);
 
-    private Recollection(String why, Span age, long listed, List<Known> nodes, List<GroupView> groups) {
-        this.why = why;
-        this.age = age;
-        this.listed = listed;
-        this.groups = groups;
-        nodes.forEach(known -> this.nodes.put(known.id(), known));
-    }
+  private static final double STRAYS_BY = 0.001;
 
-    /** What the view is worth now, by the system's clock and the steady one, in microseconds. */
-    public static Recollection of(View view, String deployment, String router, long now, long steady,
-        String boot) {
-        Span age = new Span(now - view.writtenAt());
-        if (!view.deployment().equals(deployment) || !view.router().equals(router)) {
-            return nothing("it is of deployment '" + view.deployment() + "', router '" + view.router() + "'");
-        }
-        if (age.micros() < 0) {
-            return nothing("it was written in the future, by this machine's clock");
-        }
-        if (!boot.isEmpty() && boot.equals(view.boot())) {
-            Span steadily = new Span(steady - view.steady());
-            Span strayed = new Span(Math.abs(steadily.minus(age).micros()));
-            if (steadily.micros() < 0 || strayed.isLongerThan(STRAYS.plus(steadily.times(STRAYS_BY)))) {
-                return nothing("the clock was set since it was written");
-            }
-            age = steadily;
-        }
-        List<Known> aged = new ArrayList<>(view.nodes().size());
-        for (Known known : view.nodes()) {
-            aged.add(new Known(known.id(), known.address(), Aging.aged(known.view(), age)));
-        }
-        Span since = age;
-        return new Recollection("", age, view.listed(), aged,
-            view.groups().stream().map(group -> Aging.aged(group, since)).toList());
-    }
+  private final String why;
+  private final Span age;
+  private final long listed;
+  private final Map<String, Known> nodes = new LinkedHashMap<>();
+  private List<GroupView> groups;
 
-    private static Recollection nothing(String why) {
-        return new Recollection(why, Span.NONE, 0, List.of(), List.of());
-    }
+  private Recollection(
+      String why, Span age, long listed, List<Known> nodes, List<GroupView> groups) {
+    this.why = why;
+    this.age = age;
+    this.listed = listed;
+    this.groups = groups;
+    nodes.forEach(known -> this.nodes.put(known.id(), known));
+  }
 
-    /** Why it counts for nothing; empty where it counts. */
-    public String worthless() {
-        return why;
+  /** What the view is worth now, by the system's clock and the steady one, in microseconds. */
+  public static Recollection of(
+      View view, String deployment, String router, long now, long steady, String boot) {
+    Span age = new Span(now - view.writtenAt());
+    if (!view.deployment().equals(deployment) || !view.router().equals(router)) {
+      return nothing(
+          "it is of deployment '" + view.deployment() + "', router '" + view.router() + "'");
     }
-
-    public Span age() {
-        return age;
+    if (age.micros() < 0) {
+      return nothing("it was written in the future, by this machine's clock");
     }
-
-    public int nodesLeft() {
-        return nodes.size();
+    if (!boot.isEmpty() && boot.equals(view.boot())) {
+      Span steadily = new Span(steady - view.steady());
+      Span strayed = new Span(Math.abs(steadily.minus(age).micros()));
+      if (steadily.micros() < 0 || strayed.isLongerThan(STRAYS.plus(steadily.times(STRAYS_BY)))) {
+        return nothing("the clock was set since it was written");
+      }
+      age = steadily;
     }
-
-    /** Those not listed yet, in the view's order: whom to ask first, and no more than that. */
-    public List<Known> members() {
-        return List.copyOf(nodes.values());
+    List<Known> aged = new ArrayList<>(view.nodes().size());
+    for (Known known : view.nodes()) {
+      aged.add(new Known(known.id(), known.address(), Aging.aged(known.view(), age)));
     }
+    Span since = age;
+    return new Recollection(
+        "",
+        age,
+        view.listed(),
+        aged,
+        view.groups().stream().map(group -> Aging.aged(group, since)).toList());
+  }
 
-    /**
-     * What is known of a member as it is listed, once; null where it is new. A list that the router did not
-     * ask for may be older than the view: then the view's word on its start and on a drain is the later one.
-     */
-    public NodeView of(String id, String address, long listedStart, long version, boolean live) {
-        Known known = nodes.get(id);
-        boolean older = !live && version < listed;
-        if (known == null || !known.address().equals(address)
-            || known.view().listedStart() != listedStart
-                && !(older && known.view().listedStart() > listedStart)) {
-            return null;
-        }
-        nodes.remove(id);
-        NodeView view = known.view();
-        return view.drains() && !older ? withoutDrain(view) : view;
-    }
+  private static Recollection nothing(String why) {
+    return new Recollection(why, Span.NONE, 0, List.of(), List.of());
+  }
 
-    private static NodeView withoutDrain(NodeView view) {
-        return new NodeView(view.group(), view.listedStart(), false, view.primary(), view.startedAgo(),
-            view.deniedAgo(), view.silent(), view.downFor(), view.failing(), view.strained(), view.room(),
-            view.turnedAway(), view.rests(), view.lag(), view.coldSpent(), view.coldAgo());
-    }
+  /** Why it counts for nothing; empty where it counts. */
+  public String worthless() {
+    return why;
+  }
+
+  public Span age() {
+    return age;
+  }
+
+  public int nodesLeft() {
+    return nodes.size();
+  }
 
-    /** What is known of the groups, once. */
-    public List<GroupView> groups() {
-        List<GroupView> told = groups;
-        groups = List.of();
-        return told;
+  /** Those not listed yet, in the view's order: whom to ask first, and no more than that. */
+  public List<Known> members() {
+    return List.copyOf(nodes.values());
+  }
+
+  /**
+   * What is known of a member as it is listed, once; null where it is new. A list that the router
+   * did not ask for may be older than the view: then the view's word on its start and on a drain is
+   * the later one.
+   */
+  public NodeView of(String id, String address, long listedStart, long version, boolean live) {
+    Known known = nodes.get(id);
+    boolean older = !live && version < listed;
+    if (known == null
+        || !known.address().equals(address)
+        || known.view().listedStart() != listedStart
+            && !(older && known.view().listedStart() > listedStart)) {
+      return null;
     }
+    nodes.remove(id);
+    NodeView view = known.view();
+    return view.drains() && !older ? withoutDrain(view) : view;
+  }
+
+  private static NodeView withoutDrain(NodeView view) {
+    return new NodeView(
+        view.group(),
+        view.listedStart(),
+        false,
+        view.primary(),
+        view.startedAgo(),
+        view.deniedAgo(),
+        view.silent(),
+        view.downFor(),
+        view.failing(),
+        view.strained(),
+        view.room(),
+        view.turnedAway(),
+        view.rests(),
+        view.lag(),
+        view.coldSpent(),
+        view.coldAgo());
+  }
+
+  /** What is known of the groups, once. */
+  public List<GroupView> groups() {
+    List<GroupView> told = groups;
+    groups = List.of();
+    return told;
+  }
 }
--- a/router/src/main/java/basaltlever/view/View.java
+++ b/router/src/main/java/basaltlever/view/View.java
@@ -8,12 +8,21 @@
  * @param number counts the views of a folder, from 1
  * @param writtenAt microseconds of Unix time by the system's clock, which may have been set since
  * @param steady microseconds of the machine's steady clock, which starts anew with the machine
- * @param boot names the machine's run that the steady clock belongs to; empty where that can't be known
+ * @param boot names the machine's run that the steady clock belongs to; empty where that can't be
+ *     known
  * @param listed the version of the member list
  */
-public record View(String deployment, String router, long number, long writtenAt, long steady, String boot,
-                   long listed, List<Known> nodes, List<GroupView> groups) {
-    public View numbered(long next) {
-        return new View(deployment, router, next, writtenAt, steady, boot, listed, nodes, groups);
-    }
+public record View(
+    String deployment,
+    String router,
+    long number,
+    long writtenAt,
+    long steady,
+    String boot,
+    long listed,
+    List<Known> nodes,
+    List<GroupView> groups) {
+  public View numbered(long next) {
+    return new View(deployment, router, next, writtenAt, steady, boot, listed, nodes, groups);
+  }
 }
--- a/router/src/test/java/basaltlever/AdapterTest.java
+++ b/router/src/test/java/basaltlever/AdapterTest.java
@@ -12,121 +12,168 @@
 import java.nio.charset.StandardCharsets;
 import net.jqwik.api.Example;
 
-/** Frames in, frames out: what the wire page promises, and one plain message for what it does not. */
+/**
+ * Frames in, frames out: what the wire page promises, and one plain message for what it does not.
+ */
 class AdapterTest {
-    private static final String START = String.join("\n", "Balancers=2", "Zone=0", "Classes.count=1",
-        "Classes.0.Repeat=at_most_once", "Classes.0.Slo=300000", "Classes.0.HardLimit=2000000",
-        "Classes.0.Worth=4",
-        "FamilyInfo.ClassRead=write", "FamilyInfo.Checks=none", "FamilyInfo.SessionMarks=carried",
-        "FamilyInfo.OriginTime=1000000", "Discovery=pushed", "Rules.ColdFrom=0.2", "Rules.Cold=9000000",
-        "Rules.FallMultiple=2", "Rules.Fall=1000000", "Rules.AnswerSlack=20000", "Bounds.MaxAttempts=4",
-        "Bounds.MayProbe=true", "Reporting.Fields=x0,x1,utilization", "Something.New=5", "");
+  private static final String START =
+      String.join(
+          "\n",
+          "Balancers=2",
+          "Zone=0",
+          "Classes.count=1",
+          "Classes.0.Repeat=at_most_once",
+          "Classes.0.Slo=300000",
+          "Classes.0.HardLimit=2000000",
+          "Classes.0.Worth=4",
+          "FamilyInfo.ClassRead=write",
+          "FamilyInfo.Checks=none",
+          "FamilyInfo.SessionMarks=carried",
+          "FamilyInfo.OriginTime=1000000",
+          "Discovery=pushed",
+          "Rules.ColdFrom=0.2",
+          "Rules.Cold=9000000",
+          "Rules.FallMultiple=2",
+          "Rules.Fall=1000000",
+          "Rules.AnswerSlack=20000",
+          "Bounds.MaxAttempts=4",
+          "Bounds.MayProbe=true",
+          "Reporting.Fields=x0,x1,utilization",
+          "Something.New=5",
+          "");
 
-    private final ByteBuffer fields = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
-    private final ByteArrayOutputStream input = new ByteArrayOutputStream();
-    private int records;
+  private final ByteBuffer fields = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
+  private final ByteArrayOutputStream input = new ByteArrayOutputStream();
+  private int records;
 
-    private ByteBuffer record(int code, int length) {
-        records++;
-        return fields.put((byte) code).putInt(length);
-    }
+  private ByteBuffer record(int code, int length) {
+    records++;
+    return fields.put((byte) code).putInt(length);
+  }
 
-    private AdapterTest batch(long clock) {
-        ByteBuffer header = ByteBuffer.allocate(20).order(ByteOrder.LITTLE_ENDIAN);
-        header.putInt(fields.position()).putLong(clock).putInt(records).putInt(7);
-        input.writeBytes(header.array());
-        input.write(fields.array(), 0, fields.position());
-        fields.clear();
-        records = 0;
-        return this;
-    }
+  private AdapterTest batch(long clock) {
+    ByteBuffer header = ByteBuffer.allocate(20).order(ByteOrder.LITTLE_ENDIAN);
+    header.putInt(fields.position()).putLong(clock).putInt(records).putInt(7);
+    input.writeBytes(header.array());
+    input.write(fields.array(), 0, fields.position());
+    fields.clear();
+    records = 0;
+    return this;
+  }
 
-    private ByteBuffer run() throws IOException, WireFault {
-        ByteArrayOutputStream output = new ByteArrayOutputStream();
-        new Adapter(new ByteArrayInputStream(input.toByteArray()), output).run();
-        return ByteBuffer.wrap(output.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
-    }
+  private ByteBuffer run() throws IOException, WireFault {
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    new Adapter(new ByteArrayInputStream(input.toByteArray()), output).run();
+    return ByteBuffer.wrap(output.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
+  }
 
-    private String fault() throws IOException {
-        try {
-            run();
-        } catch (WireFault fault) {
-            return fault.getMessage();
-        }
-        return "";
+  private String fault() throws IOException {
+    try {
+      run();
+    } catch (WireFault fault) {
+      return fault.getMessage();
     }
+    return "";
+  }
 
-    private AdapterTest spawn(String settings) {
-        byte[] text = settings.getBytes(StandardCharsets.UTF_8);
-        record(12, 2).putShort((short) 3);
-        record(1, 12 + text.length).putLong(42).putInt(text.length).put(text);
-        return this;
-    }
+  private AdapterTest spawn(String settings) {
+    byte[] text = settings.getBytes(StandardCharsets.UTF_8);
+    record(12, 2).putShort((short) 3);
+    record(1, 12 + text.length).putLong(42).putInt(text.length).put(text);
+    return this;
+  }
 
-    private AdapterTest list() {
-        record(11, 8 + 28).putInt(5).putInt(1).put((byte) 3).putFloat(0).putShort((short) 0)
-            .putInt(0x0a000001).putShort((short) 80).putFloat(1).putLong(0).put((byte) 0).putShort((short) 4);
-        record(2, 13).put((byte) 2).putLong(1).putInt(5);
-        return this;
-    }
+  private AdapterTest list() {
+    record(11, 8 + 28)
+        .putInt(5)
+        .putInt(1)
+        .put((byte) 3)
+        .putFloat(0)
+        .putShort((short) 0)
+        .putInt(0x0a000001)
+        .putShort((short) 80)
+        .putFloat(1)
+        .putLong(0)
+        .put((byte) 0)
+        .putShort((short) 4);
+    record(2, 13).put((byte) 2).putLong(1).putInt(5);
+    return this;
+  }
 
-    private AdapterTest incoming(long leaves) {
-        record(3, 39).putInt(77).put((byte) 0).putInt(0).putLong(9).putLong(leaves)
-            .putInt(0).putFloat(4).putFloat(0).putShort((short) 4);
-        return this;
-    }
+  private AdapterTest incoming(long leaves) {
+    record(3, 39)
+        .putInt(77)
+        .put((byte) 0)
+        .putInt(0)
+        .putLong(9)
+        .putLong(leaves)
+        .putInt(0)
+        .putFloat(4)
+        .putFloat(0)
+        .putShort((short) 4);
+    return this;
+  }
 
-    @Example
-    void aWriteIsSentOnceThePrimaryAnswersItsPoll() throws Exception {
-        spawn(START).list().incoming(3_000_000).batch(2_000_000);
-        record(12, 2).putShort((short) 3);
-        record(8, 13 + 12).putInt(0x0a000001).putShort((short) 80).putShort((short) 0)
-            .putInt(900).put((byte) 3).putFloat(0.9f).putFloat(1).putFloat(0.5f);
-        record(200, 3).put(new byte[3]);
-        ByteBuffer out = batch(2_005_000).run();
-        check(out.getInt(4) == 7 && out.get(8) == 2 && out.getShort(13) == 3, "the source comes first");
-        check(out.get(15) == 6 && out.getInt(20) == 0x0a000001, "the member is polled");
-        int second = 8 + out.getInt(0) - 0;
-        check(out.get(second + 8 + 7) == 7 && out.getInt(second + 8 + 12) == 77, "then the write is sent");
-    }
+  @Example
+  void aWriteIsSentOnceThePrimaryAnswersItsPoll() throws Exception {
+    spawn(START).list().incoming(3_000_000).batch(2_000_000);
+    record(12, 2).putShort((short) 3);
+    record(8, 13 + 12)
+        .putInt(0x0a000001)
+        .putShort((short) 80)
+        .putShort((short) 0)
+        .putInt(900)
+        .put((byte) 3)
+        .putFloat(0.9f)
+        .putFloat(1)
+        .putFloat(0.5f);
+    record(200, 3).put(new byte[3]);
+    ByteBuffer out = batch(2_005_000).run();
+    check(out.getInt(4) == 7 && out.get(8) == 2 && out.getShort(13) == 3, "the source comes first");
+    check(out.get(15) == 6 && out.getInt(20) == 0x0a000001, "the member is polled");
+    int second = 8 + out.getInt(0) - 0;
+    check(
+        out.get(second + 8 + 7) == 7 && out.getInt(second + 8 + 12) == 77,
+        "then the write is sent");
+  }
 
-    @Example
-    void aKilledInstanceStartsAnewInTheSameBatch() throws Exception {
-        spawn(START).list().batch(2_000_000);
-        record(12, 2).putShort((short) 3);
-        record(10, 0);
-        spawn(START).list().incoming(3_000_000).batch(2_005_000).run();
-    }
+  @Example
+  void aKilledInstanceStartsAnewInTheSameBatch() throws Exception {
+    spawn(START).list().batch(2_000_000);
+    record(12, 2).putShort((short) 3);
+    record(10, 0);
+    spawn(START).list().incoming(3_000_000).batch(2_005_000).run();
+  }
 
-    @Example
-    void malformedFramesAreNamed() throws Exception {
-        record(12, 2).putShort((short) 9);
-        record(7, 4).putInt(1);
-        check(batch(1).fault().contains("instance 9, which is not running"), "unknown instance");
-        input.reset();
-        record(3, 4_000).putInt(1);
-        check(batch(1).fault().contains("reaches past its batch"), "length that disagrees");
-        input.reset();
-        spawn(START);
-        record(2, 13).put((byte) 3).putLong(1).putInt(9);
-        check(batch(1).fault().contains("list 9 was never given"), "unknown list");
-        input.reset();
-        spawn(START.replace("Rules.Fall=1000000", "Rules.Fall=soon"));
-        check(batch(1).fault().contains("Rules.Fall can't be read: soon"), "unreadable setting");
-        input.reset();
-        spawn(START.replace("Zone=0", ""));
-        check(batch(1).fault().contains("Zone is missing"), "missing setting");
-        input.reset();
-        input.write(1);
-        check(fault().contains("ends inside"), "truncated");
-    }
+  @Example
+  void malformedFramesAreNamed() throws Exception {
+    record(12, 2).putShort((short) 9);
+    record(7, 4).putInt(1);
+    check(batch(1).fault().contains("instance 9, which is not running"), "unknown instance");
+    input.reset();
+    record(3, 4_000).putInt(1);
+    check(batch(1).fault().contains("reaches past its batch"), "length that disagrees");
+    input.reset();
+    spawn(START);
+    record(2, 13).put((byte) 3).putLong(1).putInt(9);
+    check(batch(1).fault().contains("list 9 was never given"), "unknown list");
+    input.reset();
+    spawn(START.replace("Rules.Fall=1000000", "Rules.Fall=soon"));
+    check(batch(1).fault().contains("Rules.Fall can't be read: soon"), "unreadable setting");
+    input.reset();
+    spawn(START.replace("Zone=0", ""));
+    check(batch(1).fault().contains("Zone is missing"), "missing setting");
+    input.reset();
+    input.write(1);
+    check(fault().contains("ends inside"), "truncated");
+  }
 
-    @Example
-    void anExceptionInTheDecisionsIsReportedAsBroken() throws Exception {
-        spawn(START).list();
-        record(3, 39).putInt(77).put((byte) 250).put(new byte[34]);
-        ByteBuffer out = batch(2_000_000).run();
-        String text = new String(out.array(), StandardCharsets.UTF_8);
-        check(text.contains("ArrayIndexOutOfBounds"), "its cause is told");
-    }
+  @Example
+  void anExceptionInTheDecisionsIsReportedAsBroken() throws Exception {
+    spawn(START).list();
+    record(3, 39).putInt(77).put((byte) 250).put(new byte[34]);
+    ByteBuffer out = batch(2_000_000).run();
+    String text = new String(out.array(), StandardCharsets.UTF_8);
+    check(text.contains("ArrayIndexOutOfBounds"), "its cause is told");
+  }
 }
--- a/router/src/test/java/basaltlever/HoldBudgetTest.java
+++ b/router/src/test/java/basaltlever/HoldBudgetTest.java
@@ -19,132 +19,162 @@
 
 /** How much is held, who goes where there is no room, and in which order the rest is released. */
 class HoldBudgetTest {
-    private static final Workload[] WORKLOADS = StandIn.plain().workloads;
+  private static final Workload[] WORKLOADS = StandIn.plain().workloads;
 
-    private static Statement statement(int id, int workload, long session, int bytes) {
-        return new Statement(id, workload, WORKLOADS[workload], null, session, new Moment(1_000L * id),
-            Moment.NEVER, Moment.LONG_AGO, 4, 0, bytes);
-    }
+  private static Statement statement(int id, int workload, long session, int bytes) {
+    return new Statement(
+        id,
+        workload,
+        WORKLOADS[workload],
+        null,
+        session,
+        new Moment(1_000L * id),
+        Moment.NEVER,
+        Moment.LONG_AGO,
+        4,
+        0,
+        bytes);
+  }
 
-    @Example
-    void theMostImportantGoFirstAndSessionsKeepTheirOrder() {
-        Held held = new HoldBudget(100, 1 << 20).group(WORKLOADS.length);
-        held.add(statement(1, FRESH, 5, 10));
-        held.add(statement(2, WRITE, 5, 10));
-        held.add(statement(3, WRITE, 6, 10));
-        held.add(statement(4, FRESH, 0, 10));
-        List<Integer> order = new ArrayList<>();
-        for (Statement next = held.first(); next != null; next = held.first()) {
-            order.add(next.id);
-            held.remove(next);
-        }
-        check(order.equals(List.of(3, 1, 2, 4)), "" + order);
-        check(held.isEmpty() && held.bytes() == 0 && held.size(WRITE) == 0, "nothing is left behind");
+  @Example
+  void theMostImportantGoFirstAndSessionsKeepTheirOrder() {
+    Held held = new HoldBudget(100, 1 << 20).group(WORKLOADS.length);
+    held.add(statement(1, FRESH, 5, 10));
+    held.add(statement(2, WRITE, 5, 10));
+    held.add(statement(3, WRITE, 6, 10));
+    held.add(statement(4, FRESH, 0, 10));
+    List<Integer> order = new ArrayList<>();
+    for (Statement next = held.first(); next != null; next = held.first()) {
+      order.add(next.id);
+      held.remove(next);
     }
+    check(order.equals(List.of(3, 1, 2, 4)), "" + order);
+    check(held.isEmpty() && held.bytes() == 0 && held.size(WRITE) == 0, "nothing is left behind");
+  }
 
-    @Example
-    void aFloodOfOneGroupTakesNoRoomFromAnother() {
-        HoldBudget budget = new HoldBudget(100, 1 << 20);
-        Held quiet = budget.group(WORKLOADS.length);
-        Held flood = budget.group(WORKLOADS.length);
-        for (int i = 0; i < 30; i++) {
-            quiet.add(statement(i, WRITE, 0, 100));
-            check(budget.beyond(quiet, WRITE) == null, "room");
-        }
-        for (int i = 100; i < 5_000; i++) {
-            Statement next = statement(i, i % 3 == 0 ? WRITE : FRESH, 0, 100);
-            flood.add(next);
-            for (Statement over = budget.beyond(flood, next.workload); over != null;
-                    over = budget.beyond(flood, next.workload)) {
-                check(flood.size() > 50 || flood.size(FRESH) > 37 || flood.size(WRITE) > 37,
-                    "only what is beyond");
-                flood.remove(over);
-            }
-        }
-        check(quiet.size() == 30 && flood.size() == 50, quiet.size() + " and " + flood.size());
-        check(flood.last().workload == FRESH && flood.size(WRITE) == 37, "the least important went: "
-            + flood.size(WRITE));
+  @Example
+  void aFloodOfOneGroupTakesNoRoomFromAnother() {
+    HoldBudget budget = new HoldBudget(100, 1 << 20);
+    Held quiet = budget.group(WORKLOADS.length);
+    Held flood = budget.group(WORKLOADS.length);
+    for (int i = 0; i < 30; i++) {
+      quiet.add(statement(i, WRITE, 0, 100));
+      check(budget.beyond(quiet, WRITE) == null, "room");
     }
+    for (int i = 100; i < 5_000; i++) {
+      Statement next = statement(i, i % 3 == 0 ? WRITE : FRESH, 0, 100);
+      flood.add(next);
+      for (Statement over = budget.beyond(flood, next.workload);
+          over != null;
+          over = budget.beyond(flood, next.workload)) {
+        check(
+            flood.size() > 50 || flood.size(FRESH) > 37 || flood.size(WRITE) > 37,
+            "only what is beyond");
+        flood.remove(over);
+      }
+    }
+    check(quiet.size() == 30 && flood.size() == 50, quiet.size() + " and " + flood.size());
+    check(
+        flood.last().workload == FRESH && flood.size(WRITE) == 37,
+        "the least important went: " + flood.size(WRITE));
+  }
 
-    /** Against a plain list, gone through each time. */
-    @Property(tries = 150, seed = "31", shrinking = ShrinkingMode.OFF)
-    void bothBoundsHoldAndOrderIsThatOfAPlainList(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        HoldBudget budget = new HoldBudget(chance.nextInt(2, 40), chance.nextInt(1_000, 20_000));
-        int most = 40;
-        List<Held> groups = List.of(budget.group(WORKLOADS.length), budget.group(WORKLOADS.length),
+  /** Against a plain list, gone through each time. */
+  @Property(tries = 150, seed = "31", shrinking = ShrinkingMode.OFF)
+  void bothBoundsHoldAndOrderIsThatOfAPlainList(@ForAll long seed) {
+    SplittableRandom chance = new SplittableRandom(seed);
+    HoldBudget budget = new HoldBudget(chance.nextInt(2, 40), chance.nextInt(1_000, 20_000));
+    int most = 40;
+    List<Held> groups =
+        List.of(
+            budget.group(WORKLOADS.length),
+            budget.group(WORKLOADS.length),
             budget.group(WORKLOADS.length));
-        List<List<Statement>> plain = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
-        for (int id = 0; id < 400; id++) {
-            int group = chance.nextInt(3);
-            Held held = groups.get(group);
-            if (chance.nextInt(3) == 0 && !held.isEmpty()) {
-                Statement gone = chance.nextBoolean() ? held.first()
-                    : plain.get(group).get(chance.nextInt(plain.get(group).size()));
-                held.remove(gone);
-                plain.get(group).remove(gone);
-                if (chance.nextBoolean()) {
-                    // Sent, missed, and back: before those of its session that came after it.
-                    held.add(gone);
-                    plain.get(group).add(gone);
-                }
-            } else {
-                Statement next = statement(id, 3 + chance.nextInt(3), chance.nextInt(4),
-                    chance.nextInt(3_000));
-                held.add(next);
-                plain.get(group).add(next);
-            }
-            for (Statement over = budget.beyond(held, WRITE); over != null; over = budget.beyond(held,
-                WRITE)) {
-                int in = groups.get(0).last() == over || plain.get(0).contains(over) ? 0
-                    : plain.get(1).contains(over) ? 1 : 2;
-                groups.get(in).remove(over);
-                check(plain.get(in).remove(over), "it was held");
-            }
-            check(budget.held() <= most, "too many");
-            for (int g = 0; g < 3; g++) {
-                Held own = groups.get(g);
-                check(own.size() == plain.get(g).size() && own.bytes()
-                    == plain.get(g).stream().mapToLong(one -> one.bytes).sum(), "counted wrongly");
-                Map<Long, Integer> latest = new HashMap<>();
-                List<Statement> out = new ArrayList<>();
-                double rank = Double.MAX_VALUE;
-                for (Statement next = own.first(); next != null; next = own.first()) {
-                    check(next.rank <= rank && next.rank <= next.terms.importance() + 9, "by rank");
-                    rank = next.rank;
-                    check(next.session == 0 || latest.getOrDefault(next.session, -1) < next.id,
-                        "a session's order is broken");
-                    latest.put(next.session, next.id);
-                    out.add(next);
-                    own.remove(next);
-                }
-                out.sort((a, b) -> Integer.compare(a.id, b.id));
-                out.forEach(own::add);
-            }
+    List<List<Statement>> plain = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
+    for (int id = 0; id < 400; id++) {
+      int group = chance.nextInt(3);
+      Held held = groups.get(group);
+      if (chance.nextInt(3) == 0 && !held.isEmpty()) {
+        Statement gone =
+            chance.nextBoolean()
+                ? held.first()
+                : plain.get(group).get(chance.nextInt(plain.get(group).size()));
+        held.remove(gone);
+        plain.get(group).remove(gone);
+        if (chance.nextBoolean()) {
+          // Sent, missed, and back: before those of its session that came after it.
+          held.add(gone);
+          plain.get(group).add(gone);
+        }
+      } else {
+        Statement next =
+            statement(id, 3 + chance.nextInt(3), chance.nextInt(4), chance.nextInt(3_000));
+        held.add(next);
+        plain.get(group).add(next);
+      }
+      for (Statement over = budget.beyond(held, WRITE);
+          over != null;
+          over = budget.beyond(held, WRITE)) {
+        int in =
+            groups.get(0).last() == over || plain.get(0).contains(over)
+                ? 0
+                : plain.get(1).contains(over) ? 1 : 2;
+        groups.get(in).remove(over);
+        check(plain.get(in).remove(over), "it was held");
+      }
+      check(budget.held() <= most, "too many");
+      for (int g = 0; g < 3; g++) {
+        Held own = groups.get(g);
+        check(
+            own.size() == plain.get(g).size()
+                && own.bytes() == plain.get(g).stream().mapToLong(one -> one.bytes).sum(),
+            "counted wrongly");
+        Map<Long, Integer> latest = new HashMap<>();
+        List<Statement> out = new ArrayList<>();
+        double rank = Double.MAX_VALUE;
+        for (Statement next = own.first(); next != null; next = own.first()) {
+          check(next.rank <= rank && next.rank <= next.terms.importance() + 9, "by rank");
+          rank = next.rank;
+          check(
+              next.session == 0 || latest.getOrDefault(next.session, -1) < next.id,
+              "a session's order is broken");
+          latest.put(next.session, next.id);
+          out.add(next);
+          own.remove(next);
         }
+        out.sort((a, b) -> Integer.compare(a.id, b.id));
+        out.forEach(own::add);
+      }
     }
+  }
 
-    /**
-     * Through the decisions: what goes is rejected at once, told when to come back, and the rest is served
-     * in order.
-     */
-    @Example
-    void beyondItsBudgetTheLeastImportantIsRejectedAtOnceWithWhenToComeBack() {
-        StandIn world = StandIn.plain().list(3);
-        world.holds.limit(8, 1 << 20);
-        List<Integer> reads = new ArrayList<>();
-        for (int i = 0; i < 4; i++) {
-            reads.add(world.take(FRESH, 0, Moment.LONG_AGO, 1_000));
-        }
-        check(world.rejected.equals(reads.subList(3, 4)), "a workload has three quarters of its group's: "
-            + world.rejected);
-        int write = world.take(WRITE, 0, Moment.LONG_AGO, 1_000);
-        int another = world.take(WRITE, 0, Moment.LONG_AGO, 1_000);
-        check(world.rejected.equals(List.of(reads.get(3), reads.get(2))), "the latest read: "
-            + world.rejected);
-        check(!world.advice.isShorterThan(ms(700)), "told when to come back");
-        world.poll(0, Role.PRIMARY, world.now);
-        check(world.sent.stream().map(StandIn.Sent::statement).toList()
-            .equals(List.of(write, another, reads.get(0), reads.get(1))), "the most important first");
+  /**
+   * Through the decisions: what goes is rejected at once, told when to come back, and the rest is
+   * served in order.
+   */
+  @Example
+  void beyondItsBudgetTheLeastImportantIsRejectedAtOnceWithWhenToComeBack() {
+    StandIn world = StandIn.plain().list(3);
+    world.holds.limit(8, 1 << 20);
+    List<Integer> reads = new ArrayList<>();
+    for (int i = 0; i < 4; i++) {
+      reads.add(world.take(FRESH, 0, Moment.LONG_AGO, 1_000));
     }
+    check(
+        world.rejected.equals(reads.subList(3, 4)),
+        "a workload has three quarters of its group's: " + world.rejected);
+    int write = world.take(WRITE, 0, Moment.LONG_AGO, 1_000);
+    int another = world.take(WRITE, 0, Moment.LONG_AGO, 1_000);
+    check(
+        world.rejected.equals(List.of(reads.get(3), reads.get(2))),
+        "the latest read: " + world.rejected);
+    check(!world.advice.isShorterThan(ms(700)), "told when to come back");
+    world.poll(0, Role.PRIMARY, world.now);
+    check(
+        world.sent.stream()
+            .map(StandIn.Sent::statement)
+            .toList()
+            .equals(List.of(write, another, reads.get(0), reads.get(1))),
+        "the most important first");
+  }
 }
--- a/router/src/test/java/basaltlever/KeeperTest.java
+++ b/router/src/test/java/basaltlever/KeeperTest.java
@@ -30,303 +30,338 @@
 
 /** A folder of the file system, with its keeper and with a whole router. */
 class KeeperTest {
-    private static View view(long writtenAt) {
-        View view = KeepTest.view(1, 4);
-        return new View("fleet", "n3", 0, writtenAt, Machine.steady(), Machine.boot(), 41, view.nodes(),
-            view.groups());
-    }
+  private static View view(long writtenAt) {
+    View view = KeepTest.view(1, 4);
+    return new View(
+        "fleet",
+        "n3",
+        0,
+        writtenAt,
+        Machine.steady(),
+        Machine.boot(),
+        41,
+        view.nodes(),
+        view.groups());
+  }
 
-    private static Keeper keeper(Path folder, Keeper.Source source) {
-        return new Keeper(folder, "fleet", "n3", ms(100), 1 << 20, new SplittableRandom(3), source);
-    }
+  private static Keeper keeper(Path folder, Keeper.Source source) {
+    return new Keeper(folder, "fleet", "n3", ms(100), 1 << 20, new SplittableRandom(3), source);
+  }
 
-    private static void clear(Path folder) throws IOException {
-        if (Files.exists(folder)) {
-            try (Stream<Path> files = Files.walk(folder)) {
-                for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
-                    Files.delete(file);
-                }
-            }
+  private static void clear(Path folder) throws IOException {
+    if (Files.exists(folder)) {
+      try (Stream<Path> files = Files.walk(folder)) {
+        for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+          Files.delete(file);
         }
+      }
     }
+  }
 
-    private static View newest(Path folder) throws IOException {
-        return new Generations(new Folder(folder)).newest().view();
-    }
+  private static View newest(Path folder) throws IOException {
+    return new Generations(new Folder(folder)).newest().view();
+  }
 
-    private interface Truth {
-        boolean holds() throws Exception;
-    }
+  private interface Truth {
+    boolean holds() throws Exception;
+  }
 
-    private static void await(String what, Truth truth) throws Exception {
-        for (int i = 0; i < 300 && !truth.holds(); i++) {
-            Thread.sleep(20);
-        }
-        check(truth.holds(), what);
+  private static void await(String what, Truth truth) throws Exception {
+    for (int i = 0; i < 300 && !truth.holds(); i++) {
+      Thread.sleep(20);
     }
+    check(truth.holds(), what);
+  }
 
-    @Example
-    void aViewComesBackAndOnlyTwoGenerationsStay() throws Exception {
-        Path folder = Files.createTempDirectory("view");
-        try {
-            AtomicInteger asked = new AtomicInteger();
-            Keeper keeper = keeper(folder, () -> {
+  @Example
+  void aViewComesBackAndOnlyTwoGenerationsStay() throws Exception {
+    Path folder = Files.createTempDirectory("view");
+    try {
+      AtomicInteger asked = new AtomicInteger();
+      Keeper keeper =
+          keeper(
+              folder,
+              () -> {
                 asked.incrementAndGet();
                 return view(Machine.now());
-            });
-            check(keeper.recall() == Recollection.NONE, "none at first");
-            keeper.keeps();
-            await("it writes each period", () -> asked.get() > 4);
-            Keeper second = keeper(folder, () -> view(Machine.now()));
-            check(second.recall() == Recollection.NONE, "held by another: left alone");
-            second.ends(view(Machine.now()));
-            second.awaitEnd();
-            keeper.ends(view(Machine.now()));
-            keeper.awaitEnd();
-            check(Generations.names(new Folder(folder)).size() == 2, "two generations");
-            Keeper next = keeper(folder, () -> null);
-            Recollection recollection = next.recall();
-            check(recollection.worthless().isEmpty() && recollection.nodesLeft() == 4, "recalled");
-            next.ends(null);
-            next.awaitEnd();
-        } finally {
-            clear(folder);
-        }
+              });
+      check(keeper.recall() == Recollection.NONE, "none at first");
+      keeper.keeps();
+      await("it writes each period", () -> asked.get() > 4);
+      Keeper second = keeper(folder, () -> view(Machine.now()));
+      check(second.recall() == Recollection.NONE, "held by another: left alone");
+      second.ends(view(Machine.now()));
+      second.awaitEnd();
+      keeper.ends(view(Machine.now()));
+      keeper.awaitEnd();
+      check(Generations.names(new Folder(folder)).size() == 2, "two generations");
+      Keeper next = keeper(folder, () -> null);
+      Recollection recollection = next.recall();
+      check(recollection.worthless().isEmpty() && recollection.nodesLeft() == 4, "recalled");
+      next.ends(null);
+      next.awaitEnd();
+    } finally {
+      clear(folder);
     }
+  }
 
-    @Example
-    void aFaultyFolderCostsNothingAndIsTakenAgainWhenItIsBack() throws Exception {
-        Path folder = Files.createTempDirectory("view").resolve("mount");
-        Keeper keeper = keeper(folder, () -> view(Machine.now()));
-        check(keeper.recall() == Recollection.NONE, "no folder, no view");
-        keeper.keeps();
-        Thread.sleep(300);
-        Files.createDirectory(folder);
-        await("kept once it is there", () -> newest(folder) != null);
-        clear(folder);
-        Thread.sleep(300);
-        Files.writeString(folder, "no folder");
-        Thread.sleep(300);
-        Files.delete(folder);
-        Files.createDirectory(folder);
-        await("kept again", () -> newest(folder) != null);
-        byte[] bytes = Files.readAllBytes(folder.resolve(Generations.names(new Folder(folder)).get(0)));
-        keeper.ends(null);
-        keeper.awaitEnd();
-        bytes[60] ^= 4;
-        Files.write(folder.resolve(Generations.name(900)), bytes);
-        Files.write(folder.resolve("view-ffffffffffffffff.blv"), bytes);
-        Files.createDirectory(folder.resolve(Generations.name(901)));
-        Keeper next = keeper(folder, () -> null);
-        check(next.recall().nodesLeft() == 4, "past a broken one and a folder to the newest that is whole");
-        next.ends(view(Machine.now()));
-        next.awaitEnd();
-        check(newest(folder).number() == 902, "numbers go on");
-        clear(folder.getParent());
-    }
+  @Example
+  void aFaultyFolderCostsNothingAndIsTakenAgainWhenItIsBack() throws Exception {
+    Path folder = Files.createTempDirectory("view").resolve("mount");
+    Keeper keeper = keeper(folder, () -> view(Machine.now()));
+    check(keeper.recall() == Recollection.NONE, "no folder, no view");
+    keeper.keeps();
+    Thread.sleep(300);
+    Files.createDirectory(folder);
+    await("kept once it is there", () -> newest(folder) != null);
+    clear(folder);
+    Thread.sleep(300);
+    Files.writeString(folder, "no folder");
+    Thread.sleep(300);
+    Files.delete(folder);
+    Files.createDirectory(folder);
+    await("kept again", () -> newest(folder) != null);
+    byte[] bytes = Files.readAllBytes(folder.resolve(Generations.names(new Folder(folder)).get(0)));
+    keeper.ends(null);
+    keeper.awaitEnd();
+    bytes[60] ^= 4;
+    Files.write(folder.resolve(Generations.name(900)), bytes);
+    Files.write(folder.resolve("view-ffffffffffffffff.blv"), bytes);
+    Files.createDirectory(folder.resolve(Generations.name(901)));
+    Keeper next = keeper(folder, () -> null);
+    check(
+        next.recall().nodesLeft() == 4,
+        "past a broken one and a folder to the newest that is whole");
+    next.ends(view(Machine.now()));
+    next.awaitEnd();
+    check(newest(folder).number() == 902, "numbers go on");
+    clear(folder.getParent());
+  }
 
-    @Example
-    void aStuckSourceOrDiskHoldsUpNeitherStartNorEnd() throws Exception {
-        Path folder = Files.createTempDirectory("view");
-        Keeper keeper = keeper(folder, () -> {
-            Thread.sleep(60_000);
-            return null;
-        });
-        keeper.recall();
-        keeper.keeps();
-        Thread.sleep(200);
-        long start = System.nanoTime();
-        keeper.ends(view(Machine.now()));
-        keeper.awaitEnd();
-        check(System.nanoTime() - start < 1_500_000_000L, "bounded");
-        clear(folder);
-    }
+  @Example
+  void aStuckSourceOrDiskHoldsUpNeitherStartNorEnd() throws Exception {
+    Path folder = Files.createTempDirectory("view");
+    Keeper keeper =
+        keeper(
+            folder,
+            () -> {
+              Thread.sleep(60_000);
+              return null;
+            });
+    keeper.recall();
+    keeper.keeps();
+    Thread.sleep(200);
+    long start = System.nanoTime();
+    keeper.ends(view(Machine.now()));
+    keeper.awaitEnd();
+    check(System.nanoTime() - start < 1_500_000_000L, "bounded");
+    clear(folder);
+  }
 
-    @Example
-    void aReloadSwapsTheFolderAndAFaultyFileChangesNothing() throws Exception {
-        Path folder = Files.createTempDirectory("view");
-        Path a = Files.createDirectory(folder.resolve("a"));
-        Path b = Files.createDirectory(folder.resolve("b"));
-        Path ini = Files.writeString(folder.resolve("operator.ini"), "[state]\nfolder = " + a
-            + "\nperiod_ms = 100\n");
-        try (SocketWorld world = new SocketWorld(false)) {
-            world.router.start(world.file, OperatorFile.read(ini));
-            await("kept in a", () -> newest(a) != null);
-            Files.writeString(ini, "[state]\nfolder = " + b + "\nperiod_ms = 1\n");
-            world.router.reload();
-            long before = newest(a).number();
-            await("still in a", () -> newest(a).number() > before);
-            check(newest(b) == null, "not yet in b");
-            Files.writeString(ini, "[state]\nfolder = " + b + "\nperiod_ms = 100\n");
-            world.router.reload();
-            await("now in b", () -> newest(b) != null);
-            long last = newest(a).number();
-            Thread.sleep(300);
-            check(newest(a).number() == last && new Folder(a).take(), "a is let go");
-        } finally {
-            clear(folder);
-        }
+  @Example
+  void aReloadSwapsTheFolderAndAFaultyFileChangesNothing() throws Exception {
+    Path folder = Files.createTempDirectory("view");
+    Path a = Files.createDirectory(folder.resolve("a"));
+    Path b = Files.createDirectory(folder.resolve("b"));
+    Path ini =
+        Files.writeString(
+            folder.resolve("operator.ini"), "[state]\nfolder = " + a + "\nperiod_ms = 100\n");
+    try (SocketWorld world = new SocketWorld(false)) {
+      world.router.start(world.file, OperatorFile.read(ini));
+      await("kept in a", () -> newest(a) != null);
+      Files.writeString(ini, "[state]\nfolder = " + b + "\nperiod_ms = 1\n");
+      world.router.reload();
+      long before = newest(a).number();
+      await("still in a", () -> newest(a).number() > before);
+      check(newest(b) == null, "not yet in b");
+      Files.writeString(ini, "[state]\nfolder = " + b + "\nperiod_ms = 100\n");
+      world.router.reload();
+      await("now in b", () -> newest(b) != null);
+      long last = newest(a).number();
+      Thread.sleep(300);
+      check(newest(a).number() == last && new Folder(a).take(), "a is let go");
+    } finally {
+      clear(folder);
     }
+  }
 
-    /** The list has 20 of 2,000: they are known again, and the rest is not kept for anybody. */
-    @Example
-    void aViewOfThousandsServesAShortListAndIsGone() {
-        View view = KeepTest.view(9, 2_000);
-        Recollection recollection = Recollection.of(view, "fleet", "n3", view.writtenAt() + 9,
-            view.steady() + 9, "boot");
-        basaltlever.core.Core<String> core = SocketWorld.core();
-        MemberList list = new MemberList(core, List.of(), (node, address) -> { });
-        list.recalls(recollection, node -> { });
-        StringBuilder members = new StringBuilder();
-        for (Known known : view.nodes().subList(0, 20)) {
-            members.append(members.isEmpty() ? "" : ",").append("{\"instanceId\":\"" + known.id()
-                + "\",\"hostPort\":\"" + known.address() + "\",\"lifecycle\":\"in_service\",\"startedAtMs\":"
-                + known.view().listedStart() / 1_000 + "}");
-        }
-        try {
-            list.take(new Moment(view.writtenAt()), MemberList.parse("{\"generation\":50,\"reset\":true,"
-                + "\"instances\":[" + members + "]}"), true);
-        } catch (basaltlever.discovery.ListFault fault) {
-            throw new AssertionError(fault);
-        }
-        check(core.nodesKnown() == 20, "no node but the listed");
-        check(recollection.nodesLeft() == 1_980, "and those were known again");
+  /** The list has 20 of 2,000: they are known again, and the rest is not kept for anybody. */
+  @Example
+  void aViewOfThousandsServesAShortListAndIsGone() {
+    View view = KeepTest.view(9, 2_000);
+    Recollection recollection =
+        Recollection.of(view, "fleet", "n3", view.writtenAt() + 9, view.steady() + 9, "boot");
+    basaltlever.core.Core<String> core = SocketWorld.core();
+    MemberList list = new MemberList(core, List.of(), (node, address) -> {});
+    list.recalls(recollection, node -> {});
+    StringBuilder members = new StringBuilder();
+    for (Known known : view.nodes().subList(0, 20)) {
+      members
+          .append(members.isEmpty() ? "" : ",")
+          .append(
+              "{\"instanceId\":\""
+                  + known.id()
+                  + "\",\"hostPort\":\""
+                  + known.address()
+                  + "\",\"lifecycle\":\"in_service\",\"startedAtMs\":"
+                  + known.view().listedStart() / 1_000
+                  + "}");
     }
-
-    private static long broken(SocketWorld world) {
-        return world.ran.values().stream().flatMap(List::stream).filter(Mode.BREAKS::equals).count();
+    try {
+      list.take(
+          new Moment(view.writtenAt()),
+          MemberList.parse(
+              "{\"generation\":50,\"reset\":true," + "\"instances\":[" + members + "]}"),
+          true);
+    } catch (basaltlever.discovery.ListFault fault) {
+      throw new AssertionError(fault);
     }
+    check(core.nodesKnown() == 20, "no node but the listed");
+    check(recollection.nodesLeft() == 1_980, "and those were known again");
+  }
 
-    /** The nodes' own record of what reached them judges, not the router. */
-    @Example
-    void aRouterThatComesBackSparesTheNodeThatWasFailing() throws Exception {
-        Path folder = Files.createTempDirectory("view");
-        try {
-            int[] reached = new int[2];
-            for (int with = 0; with < 2; with++) {
-                try (SocketWorld world = new SocketWorld(false)) {
-                    world.nodes.get(1).mode = Mode.BREAKS;
-                    String ini = with == 0 ? "" : "[state]\nfolder = " + folder + "\nperiod_ms = 200\n";
-                    for (int life = 0; life < 2; life++) {
-                        basaltlever.net.Router router = life == 0 ? world.router
-                            : new basaltlever.net.Router();
-                        router.start(world.file, OperatorTest.file(ini));
-                        long before = broken(world);
-                        // At once, so that each replica gets some, and no more than one of them has room for.
-                        List<Client> clients = new ArrayList<>();
-                        for (int i = 0; i < 6; i++) {
-                            clients.add(new Client(world.port).start());
-                            clients.get(i).answer();
-                        }
-                        for (int i = 0; i < 6; i++) {
-                            clients.get(i).ask(statement("r" + life + i, "view", 900));
-                        }
-                        for (Client client : clients) {
-                            check(client.answer().startsWith("row:"), "served by another");
-                            client.close();
-                        }
-                        reached[with] = (int) (broken(world) - before);
-                        router.drain();
-                        router.awaitStop();
-                    }
-                }
+  private static long broken(SocketWorld world) {
+    return world.ran.values().stream().flatMap(List::stream).filter(Mode.BREAKS::equals).count();
+  }
+
+  /** The nodes' own record of what reached them judges, not the router. */
+  @Example
+  void aRouterThatComesBackSparesTheNodeThatWasFailing() throws Exception {
+    Path folder = Files.createTempDirectory("view");
+    try {
+      int[] reached = new int[2];
+      for (int with = 0; with < 2; with++) {
+        try (SocketWorld world = new SocketWorld(false)) {
+          world.nodes.get(1).mode = Mode.BREAKS;
+          String ini = with == 0 ? "" : "[state]\nfolder = " + folder + "\nperiod_ms = 200\n";
+          for (int life = 0; life < 2; life++) {
+            basaltlever.net.Router router = life == 0 ? world.router : new basaltlever.net.Router();
+            router.start(world.file, OperatorTest.file(ini));
+            long before = broken(world);
+            // At once, so that each replica gets some, and no more than one of them has room for.
+            List<Client> clients = new ArrayList<>();
+            for (int i = 0; i < 6; i++) {
+              clients.add(new Client(world.port).start());
+              clients.get(i).answer();
             }
-            check(reached[0] > 0 && reached[1] == 0, "with a view " + reached[1] + ", without one "
-                + reached[0]);
-            List<Known> kept = newest(folder).nodes();
-            check(kept.size() == 3 && ViewFile.write(newest(folder), 1 << 20).length < 1_500,
-                "three nodes, small");
-        } finally {
-            clear(folder);
+            for (int i = 0; i < 6; i++) {
+              clients.get(i).ask(statement("r" + life + i, "view", 900));
+            }
+            for (Client client : clients) {
+              check(client.answer().startsWith("row:"), "served by another");
+              client.close();
+            }
+            reached[with] = (int) (broken(world) - before);
+            router.drain();
+            router.awaitStop();
+          }
         }
+      }
+      check(
+          reached[0] > 0 && reached[1] == 0,
+          "with a view " + reached[1] + ", without one " + reached[0]);
+      List<Known> kept = newest(folder).nodes();
+      check(
+          kept.size() == 3 && ViewFile.write(newest(folder), 1 << 20).length < 1_500,
+          "three nodes, small");
+    } finally {
+      clear(folder);
     }
+  }
 
-    private static void serves(SocketWorld world, String id) throws Exception {
-        try (Client client = new Client(world.port).start()) {
-            client.answer();
-            long start = System.nanoTime();
-            check(client.ask(statement(id, "view", 1_500)).answer().equals("row:" + id), "served " + id);
-            check(System.nanoTime() - start < 700_000_000L, "without waiting for the disk");
-        }
+  private static void serves(SocketWorld world, String id) throws Exception {
+    try (Client client = new Client(world.port).start()) {
+      client.answer();
+      long start = System.nanoTime();
+      check(client.ask(statement(id, "view", 1_500)).answer().equals("row:" + id), "served " + id);
+      check(System.nanoTime() - start < 700_000_000L, "without waiting for the disk");
     }
+  }
 
-    /**
-     * The kernel itself fails or holds up each write: the name of the file aside is a full device, then a
-     * pipe.
-     */
-    @Example
-    void aFullDiskAndOneThatHangsDisturbNothingThatIsServed() throws Exception {
-        Path folder = Files.createTempDirectory("view");
-        Path aside = folder.resolve("view.new");
-        Files.createSymbolicLink(aside, Path.of("/dev/full"));
-        try (SocketWorld world = new SocketWorld(false)) {
-            world.router.start(world.file, OperatorTest.file("[state]\nfolder = " + folder
-                + "\nperiod_ms = 100\n"));
-            Thread.sleep(400);
-            serves(world, "full");
-            check(newest(folder) == null, "nothing is kept on a full disk");
-            Files.delete(aside);
-            await("kept once there is room", () -> newest(folder) != null);
-            boolean piped = false;
-            while (!piped) {
-                // Between two writes, when the name is free.
-                piped = new ProcessBuilder("mkfifo", aside.toString()).start().waitFor() == 0;
-            }
-            await("the next write hangs", () -> {
-                long before = newest(folder).number();
-                Thread.sleep(300);
-                return newest(folder).number() == before;
-            });
-            serves(world, "hangs");
-            long start = System.nanoTime();
-            world.router.drain();
-            world.router.awaitStop();
-            check(System.nanoTime() - start < 3_000_000_000L, "an end is not held up by more than its bound");
-            try (var reader = Files.newInputStream(aside)) {
-                check(reader.read() >= 0, "the writer was waiting on the pipe");
-            }
-        } finally {
-            clear(folder);
-        }
+  /**
+   * The kernel itself fails or holds up each write: the name of the file aside is a full device,
+   * then a pipe.
+   */
+  @Example
+  void aFullDiskAndOneThatHangsDisturbNothingThatIsServed() throws Exception {
+    Path folder = Files.createTempDirectory("view");
+    Path aside = folder.resolve("view.new");
+    Files.createSymbolicLink(aside, Path.of("/dev/full"));
+    try (SocketWorld world = new SocketWorld(false)) {
+      world.router.start(
+          world.file, OperatorTest.file("[state]\nfolder = " + folder + "\nperiod_ms = 100\n"));
+      Thread.sleep(400);
+      serves(world, "full");
+      check(newest(folder) == null, "nothing is kept on a full disk");
+      Files.delete(aside);
+      await("kept once there is room", () -> newest(folder) != null);
+      boolean piped = false;
+      while (!piped) {
+        // Between two writes, when the name is free.
+        piped = new ProcessBuilder("mkfifo", aside.toString()).start().waitFor() == 0;
+      }
+      await(
+          "the next write hangs",
+          () -> {
+            long before = newest(folder).number();
+            Thread.sleep(300);
+            return newest(folder).number() == before;
+          });
+      serves(world, "hangs");
+      long start = System.nanoTime();
+      world.router.drain();
+      world.router.awaitStop();
+      check(
+          System.nanoTime() - start < 3_000_000_000L,
+          "an end is not held up by more than its bound");
+      try (var reader = Files.newInputStream(aside)) {
+        check(reader.read() >= 0, "the writer was waiting on the pipe");
+      }
+    } finally {
+      clear(folder);
     }
+  }
 
-    /**
-     * Discovery says nothing yet: who was known is connected to and polled, and gets nothing until it is
-     * listed.
-     */
-    @Example
-    void whoWasKnownIsPolledBeforeAnyListAndSentNothing() throws Exception {
-        Path folder = Files.createTempDirectory("view");
-        OperatorFile operator = OperatorTest.file("[state]\nfolder = " + folder + "\nperiod_ms = 100\n");
-        try (SocketWorld world = new SocketWorld(false)) {
-            basaltlever.net.Router first = new basaltlever.net.Router();
-            first.start(world.file, operator);
-            await("kept", () -> newest(folder) != null && newest(folder).nodes().size() == 3);
-            first.drain();
-            first.awaitStop();
-            String start = Files.readString(world.file).replaceAll("(?s)\"known\":.*?]\\},", "");
-            check(!start.contains("known"), "no list at start");
-            Files.writeString(world.file, start);
-            world.refusesCalls = true;
-            int connections = world.nodes.get(0).open.size();
-            world.router.start(world.file, operator);
-            check(world.nodes.get(0).open.size() > connections, "connected to before it is listed");
-            try (Client client = new Client(world.port).start()) {
-                client.answer();
-                check(client.ask(statement("early", "post", 400)).answer().startsWith("error:53300"),
-                    "held, not sent");
-                world.refusesCalls = false;
-                long back = System.nanoTime();
-                String answer = "";
-                for (int i = 0; !answer.startsWith("row:")
-                    && System.nanoTime() - back < 2_500_000_000L; i++) {
-                    answer = client.ask(statement("f" + i, "view", 1_900)).answer();
-                }
-                check(answer.startsWith("row:"), "served once listed, a pause of 1.5 s later at most");
-            }
-            check(!world.ran.containsKey("early"), "nothing went to a node on the word of a file");
-        } finally {
-            clear(folder);
+  /**
+   * Discovery says nothing yet: who was known is connected to and polled, and gets nothing until it
+   * is listed.
+   */
+  @Example
+  void whoWasKnownIsPolledBeforeAnyListAndSentNothing() throws Exception {
+    Path folder = Files.createTempDirectory("view");
+    OperatorFile operator =
+        OperatorTest.file("[state]\nfolder = " + folder + "\nperiod_ms = 100\n");
+    try (SocketWorld world = new SocketWorld(false)) {
+      basaltlever.net.Router first = new basaltlever.net.Router();
+      first.start(world.file, operator);
+      await("kept", () -> newest(folder) != null && newest(folder).nodes().size() == 3);
+      first.drain();
+      first.awaitStop();
+      String start = Files.readString(world.file).replaceAll("(?s)\"known\":.*?]\\},", "");
+      check(!start.contains("known"), "no list at start");
+      Files.writeString(world.file, start);
+      world.refusesCalls = true;
+      int connections = world.nodes.get(0).open.size();
+      world.router.start(world.file, operator);
+      check(world.nodes.get(0).open.size() > connections, "connected to before it is listed");
+      try (Client client = new Client(world.port).start()) {
+        client.answer();
+        check(
+            client.ask(statement("early", "post", 400)).answer().startsWith("error:53300"),
+            "held, not sent");
+        world.refusesCalls = false;
+        long back = System.nanoTime();
+        String answer = "";
+        for (int i = 0;
+            !answer.startsWith("row:") && System.nanoTime() - back < 2_500_000_000L;
+            i++) {
+          answer = client.ask(statement("f" + i, "view", 1_900)).answer();
         }
+        check(answer.startsWith("row:"), "served once listed, a pause of 1.5 s later at most");
+      }
+      check(!world.ran.containsKey("early"), "nothing went to a node on the word of a file");
+    } finally {
+      clear(folder);
     }
+  }
 }
--- a/router/src/test/java/basaltlever/KnownRedTest.java
+++ b/router/src/test/java/basaltlever/KnownRedTest.java
@@ -11,8 +11,9 @@
 
 /** What passes over tests that are known to fail passes over nothing else. */
 class KnownRedTest {
-    private static final String RED = "basaltlever.ATest#isRed";
-    private static final String REPORT = """
+  private static final String RED = "basaltlever.ATest#isRed";
+  private static final String REPORT =
+      """
         <?xml version="1.0" encoding="UTF-8"?>
         <testsuite name="basaltlever.ATest" tests="4" failures="%d">
           <properties><property name="a" value="b"/></properties>
@@ -23,65 +24,85 @@
           </testcase>
         </testsuite>
         """;
-    private static final String FAILURE = "<failure message=\"x\" type=\"y\"><![CDATA[at z]]></failure>";
+  private static final String FAILURE =
+      "<failure message=\"x\" type=\"y\"><![CDATA[at z]]></failure>";
 
-    private static String judged(String known, String red, String other) throws IOException, InterruptedException {
-        return judged(known, red, other, "ATest");
-    }
+  private static String judged(String known, String red, String other)
+      throws IOException, InterruptedException {
+    return judged(known, red, other, "ATest");
+  }
 
-    /** The classes are those that were to run, whatever became of them. */
-    private static String judged(String known, String red, String other, String... classes)
-        throws IOException, InterruptedException {
-        Path above = Files.createTempDirectory("known");
-        Path folder = Files.createDirectory(above.resolve("surefire-reports"));
-        Path built = Files.createDirectories(above.resolve("test-classes/basaltlever"));
-        try {
-            for (String name : classes) {
-                Files.createFile(built.resolve(name + ".class"));
-            }
-            Files.writeString(folder.resolve("KNOWN-RED.txt"), known);
-            Files.writeString(folder.resolve("TEST-basaltlever.ATest.xml"), REPORT.formatted(1, red, other));
-            Path script = Path.of("").toAbsolutePath();
-            while (!Files.exists(script.resolve(".ci/known-red"))) {
-                script = script.getParent();
-            }
-            Process judge = new ProcessBuilder(List.of("bash", script.resolve(".ci/known-red").toString(),
-                folder.resolve("KNOWN-RED.txt").toString(), folder.toString())).redirectErrorStream(true).start();
-            String said = new String(judge.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            return judge.waitFor() + " " + said;
-        } finally {
-            try (var files = Files.walk(above)) {
-                for (Path file : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
-                    Files.delete(file);
-                }
-            }
+  /** The classes are those that were to run, whatever became of them. */
+  private static String judged(String known, String red, String other, String... classes)
+      throws IOException, InterruptedException {
+    Path above = Files.createTempDirectory("known");
+    Path folder = Files.createDirectory(above.resolve("surefire-reports"));
+    Path built = Files.createDirectories(above.resolve("test-classes/basaltlever"));
+    try {
+      for (String name : classes) {
+        Files.createFile(built.resolve(name + ".class"));
+      }
+      Files.writeString(folder.resolve("KNOWN-RED.txt"), known);
+      Files.writeString(
+          folder.resolve("TEST-basaltlever.ATest.xml"), REPORT.formatted(1, red, other));
+      Path script = Path.of("").toAbsolutePath();
+      while (!Files.exists(script.resolve(".ci/known-red"))) {
+        script = script.getParent();
+      }
+      Process judge =
+          new ProcessBuilder(
+                  List.of(
+                      "bash",
+                      script.resolve(".ci/known-red").toString(),
+                      folder.resolve("KNOWN-RED.txt").toString(),
+                      folder.toString()))
+              .redirectErrorStream(true)
+              .start();
+      String said = new String(judge.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+      return judge.waitFor() + " " + said;
+    } finally {
+      try (var files = Files.walk(above)) {
+        for (Path file : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
+          Files.delete(file);
         }
+      }
     }
+  }
 
-    @Example
-    void itPassesOverJustWhatIsNamedAndTellsHowThatEnded() throws Exception {
-        String line = RED + " | the cause | 34\n";
-        check(judged(line, FAILURE, "").equals("0 known red: " + RED + " failed (issue 34)\n"), "it failed");
-        check(judged(line, "", "").equals("0 known red: " + RED + " passed (issue 34)\n"), "it passed");
-        String other = judged(line, FAILURE, "<error type=\"y\">at z</error>");
-        check(other.startsWith("1 ") && other.contains("failed and not known: basaltlever.ATest#isOther"), other);
-        check(judged("\n", "", "").equals("0 "), "none is known");
-        check(judged("\n", FAILURE, "").startsWith("1 "), "and one fails");
-    }
+  @Example
+  void itPassesOverJustWhatIsNamedAndTellsHowThatEnded() throws Exception {
+    String line = RED + " | the cause | 34\n";
+    check(
+        judged(line, FAILURE, "").equals("0 known red: " + RED + " failed (issue 34)\n"),
+        "it failed");
+    check(judged(line, "", "").equals("0 known red: " + RED + " passed (issue 34)\n"), "it passed");
+    String other = judged(line, FAILURE, "<error type=\"y\">at z</error>");
+    check(
+        other.startsWith("1 ") && other.contains("failed and not known: basaltlever.ATest#isOther"),
+        other);
+    check(judged("\n", "", "").equals("0 "), "none is known");
+    check(judged("\n", FAILURE, "").startsWith("1 "), "and one fails");
+  }
 
-    @Example
-    void aClassWithoutAReportIsNoPass() throws Exception {
-        String said = judged(RED + " | the cause | 34\n", FAILURE, "", "ATest", "BrokeOffTest");
-        check(said.startsWith("1 ") && said.contains("basaltlever.BrokeOffTest has no report"), said);
-    }
+  @Example
+  void aClassWithoutAReportIsNoPass() throws Exception {
+    String said = judged(RED + " | the cause | 34\n", FAILURE, "", "ATest", "BrokeOffTest");
+    check(said.startsWith("1 ") && said.contains("basaltlever.BrokeOffTest has no report"), said);
+  }
 
-    @Example
-    void aFaultyLineIsNoExcuse() throws Exception {
-        for (String bad : List.of(RED + "\n", RED + " | cause\n", RED + " | | 34\n", RED + " | cause | \n",
-            "basaltlever.ATest | cause | 34\n", "basaltlever.ATest#isGone | cause | 34\n",
+  @Example
+  void aFaultyLineIsNoExcuse() throws Exception {
+    for (String bad :
+        List.of(
+            RED + "\n",
+            RED + " | cause\n",
+            RED + " | | 34\n",
+            RED + " | cause | \n",
+            "basaltlever.ATest | cause | 34\n",
+            "basaltlever.ATest#isGone | cause | 34\n",
             (RED + " | cause | 34\n").repeat(4))) {
-            String said = judged(bad, FAILURE, "");
-            check(said.startsWith("2 ") && said.contains("known-red: "), bad + " got " + said);
-        }
+      String said = judged(bad, FAILURE, "");
+      check(said.startsWith("2 ") && said.contains("known-red: "), bad + " got " + said);
     }
+  }
 }
