--- a/router/src/test/java/basaltlever/ParserTest.java
+++ b/router/src/test/java/basaltlever/ParserTest.java
@@ -31,336 +31,430 @@
 
 /** Every parser on whole messages cut anywhere, on nonsense, and on what each page promises. */
 class ParserTest {
-    private static ByteBuf text(String text) {
-        return Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
-    }
+  private static ByteBuf text(String text) {
+    return Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
+  }
 
-    private static ByteBuf row(String value) {
-        ByteBuf out = Unpooled.buffer();
-        SocketWorld.row(out, value);
-        return out;
-    }
+  private static ByteBuf row(String value) {
+    ByteBuf out = Unpooled.buffer();
+    SocketWorld.row(out, value);
+    return out;
+  }
 
-    @Property(tries = 200, seed = "97", shrinking = ShrinkingMode.OFF)
-    void framesAreTheSameHoweverTheyAreCut(@ForAll long seed) throws PgFault {
-        SplittableRandom chance = new SplittableRandom(seed);
-        Budget budget = new Budget(1 << 20);
-        Frames frames = new Frames(1 << 16, budget);
-        ByteBuf all = Unpooled.buffer();
-        List<String> sent = new ArrayList<>();
-        for (int i = chance.nextInt(1, 12); i > 0; i--) {
-            String query = "x".repeat(chance.nextInt(chance.nextInt(2) == 0 ? 9 : 3_000));
-            sent.add(query);
-            Write.query(all, query);
-        }
-        List<String> got = new ArrayList<>();
-        List<ByteBuf> parts = new ArrayList<>();
-        while (all.isReadable()) {
-            ByteBuf part = all.readBytes(Math.min(all.readableBytes(), chance.nextInt(1, 1_500)));
-            parts.add(part);
-            frames.add(part);
-            for (ByteBuf m = frames.next(); m != null; m = frames.next()) {
-                got.add(m.toString(m.readerIndex() + 5, m.readableBytes() - 6, StandardCharsets.UTF_8));
-            }
-        }
-        frames.release();
-        check(got.equals(sent), "the messages as they were sent");
-        check(budget.held() == 0 && parts.stream().allMatch(p -> p.refCnt() == 0), "all released");
+  @Property(tries = 200, seed = "97", shrinking = ShrinkingMode.OFF)
+  void framesAreTheSameHoweverTheyAreCut(@ForAll long seed) throws PgFault {
+    SplittableRandom chance = new SplittableRandom(seed);
+    Budget budget = new Budget(1 << 20);
+    Frames frames = new Frames(1 << 16, budget);
+    ByteBuf all = Unpooled.buffer();
+    List<String> sent = new ArrayList<>();
+    for (int i = chance.nextInt(1, 12); i > 0; i--) {
+      String query = "x".repeat(chance.nextInt(chance.nextInt(2) == 0 ? 9 : 3_000));
+      sent.add(query);
+      Write.query(all, query);
     }
+    List<String> got = new ArrayList<>();
+    List<ByteBuf> parts = new ArrayList<>();
+    while (all.isReadable()) {
+      ByteBuf part = all.readBytes(Math.min(all.readableBytes(), chance.nextInt(1, 1_500)));
+      parts.add(part);
+      frames.add(part);
+      for (ByteBuf m = frames.next(); m != null; m = frames.next()) {
+        got.add(m.toString(m.readerIndex() + 5, m.readableBytes() - 6, StandardCharsets.UTF_8));
+      }
+    }
+    frames.release();
+    check(got.equals(sent), "the messages as they were sent");
+    check(budget.held() == 0 && parts.stream().allMatch(p -> p.refCnt() == 0), "all released");
+  }
 
-    @Property(tries = 500, seed = "98", shrinking = ShrinkingMode.OFF)
-    void nonsenseEndsInAFaultOrNothing(@ForAll byte[] bytes, @ForAll long seed) throws Exception {
-        SplittableRandom chance = new SplittableRandom(seed);
-        Frames frames = new Frames(1 << 12, new Budget(1 << 16));
-        Answer answer = new Answer();
-        try {
-            frames.add(Unpooled.copiedBuffer(bytes));
-            for (ByteBuf m = frames.next(); m != null; m = frames.next()) {
-                answer.add(m);
-            }
-        } catch (PgFault expected) {
-            check(expected.code.length() == 5, "a fault has a code");
-        }
-        check(!answer.isRow() && answer.takeRow().isEmpty() || bytes.length > 20, "no row out of nothing");
-        answer.release();
-        frames.release();
-        String like = "/* id=1,c=basket,d=480,cluster=2 */ SELECT 'x'";
-        int cut = chance.nextInt(like.length());
-        String spoilt = like.substring(0, cut) + new String(bytes, StandardCharsets.ISO_8859_1)
+  @Property(tries = 500, seed = "98", shrinking = ShrinkingMode.OFF)
+  void nonsenseEndsInAFaultOrNothing(@ForAll byte[] bytes, @ForAll long seed) throws Exception {
+    SplittableRandom chance = new SplittableRandom(seed);
+    Frames frames = new Frames(1 << 12, new Budget(1 << 16));
+    Answer answer = new Answer();
+    try {
+      frames.add(Unpooled.copiedBuffer(bytes));
+      for (ByteBuf m = frames.next(); m != null; m = frames.next()) {
+        answer.add(m);
+      }
+    } catch (PgFault expected) {
+      check(expected.code.length() == 5, "a fault has a code");
+    }
+    check(
+        !answer.isRow() && answer.takeRow().isEmpty() || bytes.length > 20,
+        "no row out of nothing");
+    answer.release();
+    frames.release();
+    String like = "/* id=1,c=basket,d=480,cluster=2 */ SELECT 'x'";
+    int cut = chance.nextInt(like.length());
+    String spoilt =
+        like.substring(0, cut)
+            + new String(bytes, StandardCharsets.ISO_8859_1)
             + like.substring(chance.nextInt(cut, like.length()));
-        try {
-            Query query = Query.read(text(spoilt));
-            check(query.waitFrom < query.waitTo && query.waitMillis >= 0, "the wait has a place");
-        } catch (PgFault expected) {
-            check(!expected.getMessage().isEmpty(), "a fault says what");
-        }
-        try {
-            Json.read(spoilt.substring(chance.nextInt(spoilt.length())));
-        } catch (JsonFault expected) {
-            check(expected.getMessage().contains("at character"), "a fault says where");
-        }
-        try {
-            new ChunkReader(line -> { }).read(Unpooled.copiedBuffer(bytes));
-            new ChunkReader(line -> { }).read(text("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + new String(bytes, StandardCharsets.ISO_8859_1)));
-        } catch (ListFault expected) {
-            check(!expected.getMessage().isEmpty(), "a fault says what");
-        }
+    try {
+      Query query = Query.read(text(spoilt));
+      check(query.waitFrom < query.waitTo && query.waitMillis >= 0, "the wait has a place");
+    } catch (PgFault expected) {
+      check(!expected.getMessage().isEmpty(), "a fault says what");
     }
+    try {
+      Json.read(spoilt.substring(chance.nextInt(spoilt.length())));
+    } catch (JsonFault expected) {
+      check(expected.getMessage().contains("at character"), "a fault says where");
+    }
+    try {
+      new ChunkReader(line -> {}).read(Unpooled.copiedBuffer(bytes));
+      new ChunkReader(line -> {})
+          .read(
+              text(
+                  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                      + new String(bytes, StandardCharsets.ISO_8859_1)));
+    } catch (ListFault expected) {
+      check(!expected.getMessage().isEmpty(), "a fault says what");
+    }
+  }
 
-    @Example
-    void lengthsThatCannotBeAreFaults() throws PgFault {
-        for (int length : new int[] {-1, 0, 3, Integer.MIN_VALUE, Integer.MAX_VALUE, 5_000}) {
-            Frames frames = new Frames(4_096, new Budget(1 << 16));
-            frames.add(Unpooled.buffer().writeByte('Q').writeInt(length).writeByte(0));
-            try {
-                frames.next();
-                check(false, "a length of " + length);
-            } catch (PgFault fault) {
-                check(fault.getMessage().contains("" + length), "the length is named");
-            }
-            frames.release();
-        }
-        Frames small = new Frames(4_096, new Budget(8));
-        try {
-            small.add(Unpooled.buffer(64).writeZero(64));
-            check(false, "more than the budget holds");
-        } catch (PgFault fault) {
-            check(fault.code.equals("53300"), "turned away as too much");
-        }
-        small.release();
+  @Example
+  void lengthsThatCannotBeAreFaults() throws PgFault {
+    for (int length : new int[] {-1, 0, 3, Integer.MIN_VALUE, Integer.MAX_VALUE, 5_000}) {
+      Frames frames = new Frames(4_096, new Budget(1 << 16));
+      frames.add(Unpooled.buffer().writeByte('Q').writeInt(length).writeByte(0));
+      try {
+        frames.next();
+        check(false, "a length of " + length);
+      } catch (PgFault fault) {
+        check(fault.getMessage().contains("" + length), "the length is named");
+      }
+      frames.release();
+    }
+    Frames small = new Frames(4_096, new Budget(8));
+    try {
+      small.add(Unpooled.buffer(64).writeZero(64));
+      check(false, "more than the budget holds");
+    } catch (PgFault fault) {
+      check(fault.code.equals("53300"), "turned away as too much");
     }
+    small.release();
+  }
 
-    @Example
-    void theCommentIsReadAndOnlyItsWaitIsWritten() throws PgFault {
-        String statement = "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT doc FROM items"
+  @Example
+  void theCommentIsReadAndOnlyItsWaitIsWritten() throws PgFault {
+    String statement =
+        "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT doc FROM items"
             + " WHERE id = '7f3a9c21e0b4d655'";
-        ByteBuf text = text(statement);
-        Query query = Query.read(text);
-        check(query.workload.equals("basket") && query.waitMillis == 480 && query.group == 2
-            && query.after == 1_767_225_600_123L && query.session != 0, "its fields");
-        ByteBuf out = Unpooled.buffer();
-        Write.query(out, text, query.waitFrom, query.waitTo, 77);
-        check(out.toString(5, out.readableBytes() - 6, StandardCharsets.UTF_8)
-            .equals(statement.replace("d=480", "d=77")), "unchanged but for the wait");
-        check(out.getInt(1) == out.readableBytes() - 1, "its length");
-        for (String bad : new String[] {"SELECT 1", "/* id=1,c=a,d=5 SELECT", "/* id=1,d=5 */",
-            "/* c=a,d=5 */",
-            "/* id=1,c=a */", "/* id=1,c=a,d=5,d=6 */", "/* id=1,c=a,d=-5 */",
-            "/* id=1,c=a,d=99999999999999999999 */",
-            "/* id=1,c=a,d=5,cluster=2147483648 */", "/* id=1,c=a,d=5,x */", "/*", "/* id=,c=a,d=5 */"}) {
-            try {
-                Query.read(text(bad));
-                check(false, "taken: " + bad);
-            } catch (PgFault fault) {
-                check(fault.code.equals("08P01"), "the protocol's own error");
-            }
-        }
-        check(Query.isBlank(text(" ;\n ")) && !Query.isBlank(text("/* */")), "blank");
-        check("SET".equals(Query.idleCommand(text(" set x = 1")))
-            && Query.idleCommand(text("SETTLE")) == null,
-            "commands that do nothing");
+    ByteBuf text = text(statement);
+    Query query = Query.read(text);
+    check(
+        query.workload.equals("basket")
+            && query.waitMillis == 480
+            && query.group == 2
+            && query.after == 1_767_225_600_123L
+            && query.session != 0,
+        "its fields");
+    ByteBuf out = Unpooled.buffer();
+    Write.query(out, text, query.waitFrom, query.waitTo, 77);
+    check(
+        out.toString(5, out.readableBytes() - 6, StandardCharsets.UTF_8)
+            .equals(statement.replace("d=480", "d=77")),
+        "unchanged but for the wait");
+    check(out.getInt(1) == out.readableBytes() - 1, "its length");
+    for (String bad :
+        new String[] {
+          "SELECT 1",
+          "/* id=1,c=a,d=5 SELECT",
+          "/* id=1,d=5 */",
+          "/* c=a,d=5 */",
+          "/* id=1,c=a */",
+          "/* id=1,c=a,d=5,d=6 */",
+          "/* id=1,c=a,d=-5 */",
+          "/* id=1,c=a,d=99999999999999999999 */",
+          "/* id=1,c=a,d=5,cluster=2147483648 */",
+          "/* id=1,c=a,d=5,x */",
+          "/*",
+          "/* id=,c=a,d=5 */"
+        }) {
+      try {
+        Query.read(text(bad));
+        check(false, "taken: " + bad);
+      } catch (PgFault fault) {
+        check(fault.code.equals("08P01"), "the protocol's own error");
+      }
     }
+    check(Query.isBlank(text(" ;\n ")) && !Query.isBlank(text("/* */")), "blank");
+    check(
+        "SET".equals(Query.idleCommand(text(" set x = 1")))
+            && Query.idleCommand(text("SETTLE")) == null,
+        "commands that do nothing");
+  }
 
-    private static Answer answer(ByteBuf all) throws PgFault {
-        Frames frames = new Frames(1 << 16, new Budget(1 << 20));
-        frames.add(all);
-        Answer answer = new Answer();
-        for (ByteBuf m = frames.next(); m != null; m = frames.next()) {
-            answer.add(m);
-        }
-        frames.release();
-        return answer;
+  private static Answer answer(ByteBuf all) throws PgFault {
+    Frames frames = new Frames(1 << 16, new Budget(1 << 20));
+    frames.add(all);
+    Answer answer = new Answer();
+    for (ByteBuf m = frames.next(); m != null; m = frames.next()) {
+      answer.add(m);
     }
+    frames.release();
+    return answer;
+  }
 
-    /** A good row of one letter but for the byte at that place. */
-    private static ByteBuf spoilt(int place, int to) {
-        return row("1").setByte(place, to);
-    }
+  /** A good row of one letter but for the byte at that place. */
+  private static ByteBuf spoilt(int place, int to) {
+    return row("1").setByte(place, to);
+  }
 
-    @Example
-    void anAnswerIsARowAnErrorOrNeither() throws PgFault {
-        ByteBuf good = row("7");
-        Write.status(good, "caught_up_to", "1767225600123");
-        Write.status(good, "part", "replica");
-        Answer answer = answer(good);
-        check(answer.isRow() && answer.text().equals("7") && answer.position == 1_767_225_600_123L
-            && answer.role.equals("replica") && answer.error() == null, "a row");
-        answer.release();
-        check(good.refCnt() == 0, "the buffer it was read into is free");
-        ByteBuf error = Unpooled.buffer();
-        Write.error(error, "ERROR", "25006", "no primary", null);
-        answer = answer(error);
-        check(!answer.isRow() && answer.error().equals("25006"), "an error");
-        ByteBuf behind = row("7");
-        Write.error(behind, "ERROR", "25006", "too late", null);
-        answer = answer(behind);
-        check(!answer.isRow() && answer.error() == null, "an error behind a row proves nothing");
-        answer.release();
-        for (ByteBuf none : new ByteBuf[] {Unpooled.buffer(), row("1").writeBytes(row("2")),
-            Unpooled.buffer().writeBytes(SocketWorld.description(2)).writeBytes(SocketWorld.data(2, "1")),
-            Unpooled.buffer().writeBytes(SocketWorld.data(1, "1")), spoilt(6, 2), spoilt(10, 'x'),
-            spoilt(35, 2), spoilt(39, 2), spoilt(39, 0), spoilt(36, 255), spoilt(54, 'x'), spoilt(50, 1)}) {
-            answer = answer(none);
-            check(!answer.isRow() && answer.error() == null, "neither");
-            answer.release();
-        }
+  @Example
+  void anAnswerIsARowAnErrorOrNeither() throws PgFault {
+    ByteBuf good = row("7");
+    Write.status(good, "caught_up_to", "1767225600123");
+    Write.status(good, "part", "replica");
+    Answer answer = answer(good);
+    check(
+        answer.isRow()
+            && answer.text().equals("7")
+            && answer.position == 1_767_225_600_123L
+            && answer.role.equals("replica")
+            && answer.error() == null,
+        "a row");
+    answer.release();
+    check(good.refCnt() == 0, "the buffer it was read into is free");
+    ByteBuf error = Unpooled.buffer();
+    Write.error(error, "ERROR", "25006", "no primary", null);
+    answer = answer(error);
+    check(!answer.isRow() && answer.error().equals("25006"), "an error");
+    ByteBuf behind = row("7");
+    Write.error(behind, "ERROR", "25006", "too late", null);
+    answer = answer(behind);
+    check(!answer.isRow() && answer.error() == null, "an error behind a row proves nothing");
+    answer.release();
+    for (ByteBuf none :
+        new ByteBuf[] {
+          Unpooled.buffer(),
+          row("1").writeBytes(row("2")),
+          Unpooled.buffer()
+              .writeBytes(SocketWorld.description(2))
+              .writeBytes(SocketWorld.data(2, "1")),
+          Unpooled.buffer().writeBytes(SocketWorld.data(1, "1")),
+          spoilt(6, 2),
+          spoilt(10, 'x'),
+          spoilt(35, 2),
+          spoilt(39, 2),
+          spoilt(39, 0),
+          spoilt(36, 255),
+          spoilt(54, 'x'),
+          spoilt(50, 1)
+        }) {
+      answer = answer(none);
+      check(!answer.isRow() && answer.error() == null, "neither");
+      answer.release();
     }
+  }
 
-    @Example
-    void loadReportsAreReadByNameAndRoundedDown() {
-        Gauges gauges = new Gauges(List.of("x0", "x1", "utilization"), 0);
-        double[] values = gauges.values("utilization=0.61,x0=1767225600.123, odd, x9=4,x1=1");
-        Moment position = gauges.position(Math.nextDown(gauges.value(values, gauges.position)));
-        check(!position.isAfter(new Moment(1_767_225_600_123_000L))
-            && position.isAfter(new Moment(1_767_225_600_122_900L)), "never newer than told");
-        check(gauges.value(values, gauges.util) == 0.61, "by name");
-        check(gauges.position(gauges.value(gauges.values("x0=soon"), 0)).equals(Moment.LONG_AGO),
-            "no number");
-    }
+  @Example
+  void loadReportsAreReadByNameAndRoundedDown() {
+    Gauges gauges = new Gauges(List.of("x0", "x1", "utilization"), 0);
+    double[] values = gauges.values("utilization=0.61,x0=1767225600.123, odd, x9=4,x1=1");
+    Moment position = gauges.position(Math.nextDown(gauges.value(values, gauges.position)));
+    check(
+        !position.isAfter(new Moment(1_767_225_600_123_000L))
+            && position.isAfter(new Moment(1_767_225_600_122_900L)),
+        "never newer than told");
+    check(gauges.value(values, gauges.util) == 0.61, "by name");
+    check(
+        gauges.position(gauges.value(gauges.values("x0=soon"), 0)).equals(Moment.LONG_AGO),
+        "no number");
+  }
 
-    @Property(tries = 200, seed = "99", shrinking = ShrinkingMode.OFF)
-    void linesOfAWatchAreTheSameHoweverTheyAreCut(@ForAll long seed) throws ListFault {
-        SplittableRandom chance = new SplittableRandom(seed);
-        List<String> got = new ArrayList<>();
-        ChunkReader reader = new ChunkReader(got::add);
-        List<String> sent = new ArrayList<>();
-        StringBuilder body = new StringBuilder();
-        int lines = 0;
-        for (int i = chance.nextInt(1, 9); i > 0; i--) {
-            StringBuilder object = new StringBuilder();
-            object(chance, object, 3);
-            sent.add(object.toString());
-            body.append(chance.nextBoolean() ? "" : "  ").append(object).append(chance.nextBoolean() ? " " : "");
-            for (int blank = chance.nextInt(3); blank > 0; blank--) {
-                body.append(chance.nextBoolean() ? "\n" : "\r\n");
-                lines++;
-            }
-        }
-        boolean chunked = chance.nextBoolean();
-        StringBuilder out = new StringBuilder("HTTP/1.1 200 OK\r\n").append(chunked
-            ? "Transfer-Encoding: chunked\r\n\r\n" : "Content-Length: " + body.length() + "\r\n\r\n");
-        for (int at = 0; chunked && at < body.length();) {
-            int size = Math.min(body.length() - at, chance.nextInt(1, 300));
-            out.append(chance.nextBoolean() ? "" : "00").append(Integer.toHexString(size)).append(
-                chance.nextBoolean() ? "" : " ;more=1").append("\r\n").append(body, at, at + size).append("\r\n");
-            at += size;
-        }
-        out.append(chunked ? "0\r\n\r\n" : body);
-        for (int at = 0; at < out.length();) {
-            int size = Math.min(out.length() - at, chance.nextInt(1, 200));
-            reader.read(text(out.substring(at, at + size)));
-            at += size;
-        }
-        int blanks = lines;
-        check(got.stream().filter(String::isEmpty).count() == blanks, "each line between objects, none within");
-        got.removeIf(String::isEmpty);
-        check(got.equals(sent) && reader.isOver(), "the objects as they were sent");
+  @Property(tries = 200, seed = "99", shrinking = ShrinkingMode.OFF)
+  void linesOfAWatchAreTheSameHoweverTheyAreCut(@ForAll long seed) throws ListFault {
+    SplittableRandom chance = new SplittableRandom(seed);
+    List<String> got = new ArrayList<>();
+    ChunkReader reader = new ChunkReader(got::add);
+    List<String> sent = new ArrayList<>();
+    StringBuilder body = new StringBuilder();
+    int lines = 0;
+    for (int i = chance.nextInt(1, 9); i > 0; i--) {
+      StringBuilder object = new StringBuilder();
+      object(chance, object, 3);
+      sent.add(object.toString());
+      body.append(chance.nextBoolean() ? "" : "  ")
+          .append(object)
+          .append(chance.nextBoolean() ? " " : "");
+      for (int blank = chance.nextInt(3); blank > 0; blank--) {
+        body.append(chance.nextBoolean() ? "\n" : "\r\n");
+        lines++;
+      }
     }
-
-    /** An object over some lines, with strings that hold what ends one elsewhere. */
-    private static void object(SplittableRandom chance, StringBuilder out, int depth) {
-        String[] strings = {"a", "}", "{", "]\\\"}", "\\\\", "q\\n\\\\\\\"{"};
-        out.append('{');
-        for (int i = chance.nextInt(4); i > 0; i--) {
-            out.append("\n  ".substring(0, chance.nextInt(4))).append('"').append(strings[chance.nextInt(6)])
-                .append("\": ");
-            if (depth > 0 && chance.nextBoolean()) {
-                out.append("[ ");
-                object(chance, out, depth - 1);
-                out.append("\n ]");
-            } else {
-                out.append('"').append(strings[chance.nextInt(6)]).append('"');
-            }
-            out.append(i > 1 ? "," : "\n\n");
-        }
-        out.append('}');
+    boolean chunked = chance.nextBoolean();
+    StringBuilder out =
+        new StringBuilder("HTTP/1.1 200 OK\r\n")
+            .append(
+                chunked
+                    ? "Transfer-Encoding: chunked\r\n\r\n"
+                    : "Content-Length: " + body.length() + "\r\n\r\n");
+    for (int at = 0; chunked && at < body.length(); ) {
+      int size = Math.min(body.length() - at, chance.nextInt(1, 300));
+      out.append(chance.nextBoolean() ? "" : "00")
+          .append(Integer.toHexString(size))
+          .append(chance.nextBoolean() ? "" : " ;more=1")
+          .append("\r\n")
+          .append(body, at, at + size)
+          .append("\r\n");
+      at += size;
+    }
+    out.append(chunked ? "0\r\n\r\n" : body);
+    for (int at = 0; at < out.length(); ) {
+      int size = Math.min(out.length() - at, chance.nextInt(1, 200));
+      reader.read(text(out.substring(at, at + size)));
+      at += size;
     }
+    int blanks = lines;
+    check(
+        got.stream().filter(String::isEmpty).count() == blanks,
+        "each line between objects, none within");
+    got.removeIf(String::isEmpty);
+    check(got.equals(sent) && reader.isOver(), "the objects as they were sent");
+  }
 
-    @Example
-    void anObjectIsHandedOnWithItsLastBraceAndNoneThatBreaksOff() throws ListFault {
-        List<String> got = new ArrayList<>();
-        ChunkReader reader = new ChunkReader(got::add);
-        reader.read(text("HTTP/1.1 200 OK\r\n\r\n{\n \"a\": [\n  {}\n ]\n"));
-        check(got.isEmpty(), "lines within are no sign of life: " + got);
-        reader.read(text("}"));
-        check(got.equals(List.of("{\n \"a\": [\n  {}\n ]\n}")), "at once, with no line behind it");
-        reader.read(text("{\"a\":"));
-        check(got.size() == 1 && !reader.isOver(), "half of one");
+  /** An object over some lines, with strings that hold what ends one elsewhere. */
+  private static void object(SplittableRandom chance, StringBuilder out, int depth) {
+    String[] strings = {"a", "}", "{", "]\\\"}", "\\\\", "q\\n\\\\\\\"{"};
+    out.append('{');
+    for (int i = chance.nextInt(4); i > 0; i--) {
+      out.append("\n  ".substring(0, chance.nextInt(4)))
+          .append('"')
+          .append(strings[chance.nextInt(6)])
+          .append("\": ");
+      if (depth > 0 && chance.nextBoolean()) {
+        out.append("[ ");
+        object(chance, out, depth - 1);
+        out.append("\n ]");
+      } else {
+        out.append('"').append(strings[chance.nextInt(6)]).append('"');
+      }
+      out.append(i > 1 ? "," : "\n\n");
     }
+    out.append('}');
+  }
+
+  @Example
+  void anObjectIsHandedOnWithItsLastBraceAndNoneThatBreaksOff() throws ListFault {
+    List<String> got = new ArrayList<>();
+    ChunkReader reader = new ChunkReader(got::add);
+    reader.read(text("HTTP/1.1 200 OK\r\n\r\n{\n \"a\": [\n  {}\n ]\n"));
+    check(got.isEmpty(), "lines within are no sign of life: " + got);
+    reader.read(text("}"));
+    check(got.equals(List.of("{\n \"a\": [\n  {}\n ]\n}")), "at once, with no line behind it");
+    reader.read(text("{\"a\":"));
+    check(got.size() == 1 && !reader.isOver(), "half of one");
+  }
 
-    @Example
-    void answersOfDiscoveryThatAreNoneAreFaults() {
-        for (String bad : new String[] {"HTTP/1.1 503 Busy\r\n", "SSH-2.0\r\n",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffff\r\n",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}c\r\n",
-            "HTTP/1.1 200 OK\r\n\r\nabc", "HTTP/1.1 200 OK\r\n\r\n[1]", "HTTP/1.1 200 OK\r\n\r\n{}}",
-            "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n", "HTTP/1.1 200 OK\r\nX: " + "z".repeat(9_000)}) {
-            try {
-                new ChunkReader(line -> { }).read(text(bad));
-                check(false, "taken: " + bad);
-            } catch (ListFault fault) {
-                check(!fault.getMessage().isEmpty(), "it says what");
-            }
-        }
+  @Example
+  void answersOfDiscoveryThatAreNoneAreFaults() {
+    for (String bad :
+        new String[] {
+          "HTTP/1.1 503 Busy\r\n",
+          "SSH-2.0\r\n",
+          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffff\r\n",
+          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}c\r\n",
+          "HTTP/1.1 200 OK\r\n\r\nabc",
+          "HTTP/1.1 200 OK\r\n\r\n[1]",
+          "HTTP/1.1 200 OK\r\n\r\n{}}",
+          "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n",
+          "HTTP/1.1 200 OK\r\nX: " + "z".repeat(9_000)
+        }) {
+      try {
+        new ChunkReader(line -> {}).read(text(bad));
+        check(false, "taken: " + bad);
+      } catch (ListFault fault) {
+        check(!fault.getMessage().isEmpty(), "it says what");
+      }
     }
+  }
 
-    @Example
-    void listsAreTakenWholeOrNotAtAll() throws Exception {
-        SocketWorld.Silent outside = new SocketWorld.Silent();
-        Core<String> core = new Core<>(outside, SocketWorld.values().balance(1, new Moment(0)));
-        MemberList list = new MemberList(core, List.of("a", "b"), (node, address) -> outside.told.add(node));
-        String entry = "{\"instanceId\":\"n1\",\"hostPort\":\"127.0.0.1:5\",\"zone\":\"q\",\"cell\":1,"
+  @Example
+  void listsAreTakenWholeOrNotAtAll() throws Exception {
+    SocketWorld.Silent outside = new SocketWorld.Silent();
+    Core<String> core = new Core<>(outside, SocketWorld.values().balance(1, new Moment(0)));
+    MemberList list =
+        new MemberList(core, List.of("a", "b"), (node, address) -> outside.told.add(node));
+    String entry =
+        "{\"instanceId\":\"n1\",\"hostPort\":\"127.0.0.1:5\",\"zone\":\"q\",\"cell\":1,"
             + "\"lifecycle\":\"in_service\",\"weight\":1.0,\"startedAtMs\":0,\"more\":[1,null]}";
-        String shape = "{\"generation\":%s,\"reset\":%s,\"instances\":[%s]}";
-        list.take(new Moment(0), MemberList.parse(shape.formatted("7", "true", entry)), true);
-        check(list.generation() == 7 && outside.told.equals(List.of("n1")), "taken");
-        for (String bad : new String[] {shape.formatted("6", "false", entry),
-            shape.formatted("8", "false", "4"),
-            shape.formatted("8", "false", entry + "," + entry.replace("127.0.0.1:5", "somewhere")),
-            shape.formatted("8", "false", entry.replace("\"cell\":1", "\"cell\":\"x\"")), "{}", "[]", "{"}) {
-            try {
-                list.take(new Moment(0), MemberList.parse(bad), true);
-                check(false, "taken: " + bad);
-            } catch (ListFault fault) {
-                check(list.generation() == 7 && outside.told.size() == 1, "nothing of it is taken");
-            }
-        }
-        list.take(new Moment(0), MemberList.parse(shape.formatted("2", "true", "")), true);
-        check(list.generation() == 2, "a whole list may count anew");
+    String shape = "{\"generation\":%s,\"reset\":%s,\"instances\":[%s]}";
+    list.take(new Moment(0), MemberList.parse(shape.formatted("7", "true", entry)), true);
+    check(list.generation() == 7 && outside.told.equals(List.of("n1")), "taken");
+    for (String bad :
+        new String[] {
+          shape.formatted("6", "false", entry),
+          shape.formatted("8", "false", "4"),
+          shape.formatted("8", "false", entry + "," + entry.replace("127.0.0.1:5", "somewhere")),
+          shape.formatted("8", "false", entry.replace("\"cell\":1", "\"cell\":\"x\"")),
+          "{}",
+          "[]",
+          "{"
+        }) {
+      try {
+        list.take(new Moment(0), MemberList.parse(bad), true);
+        check(false, "taken: " + bad);
+      } catch (ListFault fault) {
+        check(list.generation() == 7 && outside.told.size() == 1, "nothing of it is taken");
+      }
     }
+    list.take(new Moment(0), MemberList.parse(shape.formatted("2", "true", "")), true);
+    check(list.generation() == 2, "a whole list may count anew");
+  }
 
-    @Example
-    void nothingIsKeptOfMembersThatAreGone() throws Exception {
-        SocketWorld.Silent outside = new SocketWorld.Silent();
-        Core<String> core = new Core<>(outside, SocketWorld.values().balance(1, new Moment(0)));
-        List<Integer> known = new ArrayList<>();
-        for (int i = 0; i < 200; i++) {
-            Moment now = new Moment(i * 1_000_000L);
-            core.listBegins();
-            core.listed(now, "n" + i, Listing.READY, 0, 0, 1, Moment.LONG_AGO);
-            core.listEnds(now, true, true);
-            core.woken(now);
-            known.add(core.nodesKnown());
-        }
-        check(known.get(199) < 30 && outside.told.contains("forget n150"), "as many as lately: " + known);
+  @Example
+  void nothingIsKeptOfMembersThatAreGone() throws Exception {
+    SocketWorld.Silent outside = new SocketWorld.Silent();
+    Core<String> core = new Core<>(outside, SocketWorld.values().balance(1, new Moment(0)));
+    List<Integer> known = new ArrayList<>();
+    for (int i = 0; i < 200; i++) {
+      Moment now = new Moment(i * 1_000_000L);
+      core.listBegins();
+      core.listed(now, "n" + i, Listing.READY, 0, 0, 1, Moment.LONG_AGO);
+      core.listEnds(now, true, true);
+      core.woken(now);
+      known.add(core.nodesKnown());
     }
+    check(
+        known.get(199) < 30 && outside.told.contains("forget n150"), "as many as lately: " + known);
+  }
 
-    @Example
-    void jsonIsReadExactlyAndItsFaultsHaveAPlace() throws JsonFault {
-        Object read = Json.read(" {\"a\":[1,-2.5e3,true,null,\"\\u00e9\\n\"],\"b\":{}} ");
-        check(read instanceof Map<?, ?> map
+  @Example
+  void jsonIsReadExactlyAndItsFaultsHaveAPlace() throws JsonFault {
+    Object read = Json.read(" {\"a\":[1,-2.5e3,true,null,\"\\u00e9\\n\"],\"b\":{}} ");
+    check(
+        read instanceof Map<?, ?> map
             && map.get("a").toString().equals("[1, -2.5E+3, true, null, é\n]"),
-            "all kinds");
-        check(Json.read("1767225600123456789").toString().equals("1767225600123456789"), "no digit is lost");
-        for (String bad : new String[] {"", "{", "[1,]", "{\"a\"}", "01", "1e9999", "\"\\x\"", "\"\u0001\"",
-            "tru", "1 2", "[".repeat(100), "9".repeat(100), "\"\\u12"}) {
-            try {
-                Json.read(bad);
-                check(false, "taken: " + bad);
-            } catch (JsonFault fault) {
-                check(fault.getMessage().contains("at character"), "a place");
-            }
-        }
+        "all kinds");
+    check(
+        Json.read("1767225600123456789").toString().equals("1767225600123456789"),
+        "no digit is lost");
+    for (String bad :
+        new String[] {
+          "",
+          "{",
+          "[1,]",
+          "{\"a\"}",
+          "01",
+          "1e9999",
+          "\"\\x\"",
+          "\"\u0001\"",
+          "tru",
+          "1 2",
+          "[".repeat(100),
+          "9".repeat(100),
+          "\"\\u12"
+        }) {
+      try {
+        Json.read(bad);
+        check(false, "taken: " + bad);
+      } catch (JsonFault fault) {
+        check(fault.getMessage().contains("at character"), "a place");
+      }
     }
+  }
 }
--- a/router/src/test/java/basaltlever/RulesTest.java
+++ b/router/src/test/java/basaltlever/RulesTest.java
@@ -11,233 +11,283 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** Seeded random runs over every mix of start values; {@link StandIn} checks the five rules at each act. */
+/**
+ * Seeded random runs over every mix of start values; {@link StandIn} checks the five rules at each
+ * act.
+ */
 class RulesTest {
-    @Property(tries = 150, seed = "4711", shrinking = ShrinkingMode.OFF)
-    void theRulesHoldThroughFailures(@ForAll boolean check, @ForAll boolean positions, @ForAll boolean tokens,
-                                     @ForAll boolean asked, @ForAll boolean copies, @ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        StandIn world = new StandIn(check, positions, tokens, asked, copies, seed % 2 == 0 ? 2 : 300, seed);
-        world.playWith(chance.split(), 3 + chance.nextInt(3));
-        for (int step = 0; step < 800; step++) {
-            world.run(chance.nextInt(1, 20));
-            for (int n = chance.nextInt(3); n > 0; n--) {
-                world.take(chance.nextInt(6), chance.nextInt(5), chance.nextInt(3) == 0 ? Moment.LONG_AGO
-                    : world.now.minus(ms(chance.nextInt(400))), 100 + chance.nextInt(1_500));
-            }
-            if (chance.nextInt(25) == 0) {
-                upset(world, chance);
-            }
-        }
-        world.run(4_000);
+  @Property(tries = 150, seed = "4711", shrinking = ShrinkingMode.OFF)
+  void theRulesHoldThroughFailures(
+      @ForAll boolean check,
+      @ForAll boolean positions,
+      @ForAll boolean tokens,
+      @ForAll boolean asked,
+      @ForAll boolean copies,
+      @ForAll long seed) {
+    SplittableRandom chance = new SplittableRandom(seed);
+    StandIn world =
+        new StandIn(check, positions, tokens, asked, copies, seed % 2 == 0 ? 2 : 300, seed);
+    world.playWith(chance.split(), 3 + chance.nextInt(3));
+    for (int step = 0; step < 800; step++) {
+      world.run(chance.nextInt(1, 20));
+      for (int n = chance.nextInt(3); n > 0; n--) {
+        world.take(
+            chance.nextInt(6),
+            chance.nextInt(5),
+            chance.nextInt(3) == 0 ? Moment.LONG_AGO : world.now.minus(ms(chance.nextInt(400))),
+            100 + chance.nextInt(1_500));
+      }
+      if (chance.nextInt(25) == 0) {
+        upset(world, chance);
+      }
     }
+    world.run(4_000);
+  }
 
-    /** Settings that rename, add and remove workloads while statements of them are open, held and out. */
-    @Property(tries = 80, seed = "3412", shrinking = ShrinkingMode.OFF)
-    void whatWasTakenEndsByItsOwnTermsThroughSettingsWithOtherWorkloads(@ForAll boolean check,
-        @ForAll boolean positions, @ForAll boolean asked, @ForAll boolean copies, @ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        StandIn world = new StandIn(check, positions, true, asked, copies, 2, seed);
-        world.playWith(chance.split(), 3);
-        Workload[] kinds = Arrays.copyOf(world.workloads, 6);
-        List<Integer> named = new ArrayList<>(List.of(0, 1, 2, 3, 4, 5));
-        for (int step = 0; step < 800; step++) {
-            world.run(chance.nextInt(1, 20));
-            for (int n = chance.nextInt(3); n > 0; n--) {
-                world.take(named.get(chance.nextInt(named.size())), chance.nextInt(5), chance.nextInt(3) == 0
-                    ? Moment.LONG_AGO : world.now.minus(ms(chance.nextInt(400))), 100 + chance.nextInt(1_500));
-            }
-            if (chance.nextInt(25) == 0) {
-                upset(world, chance);
-            }
-            if (chance.nextInt(20) == 0) {
-                Workload[] next = Arrays.copyOf(world.workloads, Math.min(14, world.workloads.length
-                    + chance.nextInt(2)));
-                named.clear();
-                for (int place = 0; place < next.length; place++) {
-                    boolean gone = place > 0 && chance.nextInt(4) == 0;
-                    next[place] = gone ? Places.GONE : kinds[chance.nextInt(kinds.length)];
-                    named.addAll(gone ? List.of() : List.of(place));
-                }
-                world.agree(next);
-            }
+  /**
+   * Settings that rename, add and remove workloads while statements of them are open, held and out.
+   */
+  @Property(tries = 80, seed = "3412", shrinking = ShrinkingMode.OFF)
+  void whatWasTakenEndsByItsOwnTermsThroughSettingsWithOtherWorkloads(
+      @ForAll boolean check,
+      @ForAll boolean positions,
+      @ForAll boolean asked,
+      @ForAll boolean copies,
+      @ForAll long seed) {
+    SplittableRandom chance = new SplittableRandom(seed);
+    StandIn world = new StandIn(check, positions, true, asked, copies, 2, seed);
+    world.playWith(chance.split(), 3);
+    Workload[] kinds = Arrays.copyOf(world.workloads, 6);
+    List<Integer> named = new ArrayList<>(List.of(0, 1, 2, 3, 4, 5));
+    for (int step = 0; step < 800; step++) {
+      world.run(chance.nextInt(1, 20));
+      for (int n = chance.nextInt(3); n > 0; n--) {
+        world.take(
+            named.get(chance.nextInt(named.size())),
+            chance.nextInt(5),
+            chance.nextInt(3) == 0 ? Moment.LONG_AGO : world.now.minus(ms(chance.nextInt(400))),
+            100 + chance.nextInt(1_500));
+      }
+      if (chance.nextInt(25) == 0) {
+        upset(world, chance);
+      }
+      if (chance.nextInt(20) == 0) {
+        Workload[] next =
+            Arrays.copyOf(
+                world.workloads, Math.min(14, world.workloads.length + chance.nextInt(2)));
+        named.clear();
+        for (int place = 0; place < next.length; place++) {
+          boolean gone = place > 0 && chance.nextInt(4) == 0;
+          next[place] = gone ? Places.GONE : kinds[chance.nextInt(kinds.length)];
+          named.addAll(gone ? List.of() : List.of(place));
         }
-        world.run(4_000);
+        world.agree(next);
+      }
     }
+    world.run(4_000);
+  }
 
-    static void upset(StandIn world, SplittableRandom chance) {
-        int id = chance.nextInt(world.members.size());
-        StandIn.Member member = world.members.get(id);
-        switch (chance.nextInt(7)) {
-            case 0 -> {
-                member.alive = !member.alive;
-                if (member.alive) {
-                    member.startedAt = world.now;
-                    member.primary = false;
-                    member.sends.clear();
-                }
-            }
-            case 1 -> member.hangs = !member.hangs;
-            case 2 -> member.failing = chance.nextBoolean() ? 0 : 0.7;
-            case 3, 4 -> {
-                if (member.alive && !member.hangs) {
-                    world.members.forEach(other -> {
-                        other.position = other.primary && other.alive ? world.now : other.position;
-                        other.primary = false;
-                    });
-                    member.primary = true;
-                    member.wasPrimary = true;
-                    member.toldReplica = false;
-                }
-            }
-            case 5 -> {
-                member.listedReady = !member.listedReady;
-                world.listAll();
-            }
-            default -> world.listAll();
+  static void upset(StandIn world, SplittableRandom chance) {
+    int id = chance.nextInt(world.members.size());
+    StandIn.Member member = world.members.get(id);
+    switch (chance.nextInt(7)) {
+      case 0 -> {
+        member.alive = !member.alive;
+        if (member.alive) {
+          member.startedAt = world.now;
+          member.primary = false;
+          member.sends.clear();
+        }
+      }
+      case 1 -> member.hangs = !member.hangs;
+      case 2 -> member.failing = chance.nextBoolean() ? 0 : 0.7;
+      case 3, 4 -> {
+        if (member.alive && !member.hangs) {
+          world.members.forEach(
+              other -> {
+                other.position = other.primary && other.alive ? world.now : other.position;
+                other.primary = false;
+              });
+          member.primary = true;
+          member.wasPrimary = true;
+          member.toldReplica = false;
         }
+      }
+      case 5 -> {
+        member.listedReady = !member.listedReady;
+        world.listAll();
+      }
+      default -> world.listAll();
     }
+  }
 
-    /** Found on kigali-cards at full size: each router's single execution at once toppled a cold node. */
-    @Property(tries = 10, seed = "1729", shrinking = ShrinkingMode.OFF)
-    void manyUnevenRoutersTogetherPushNoColdNodeOver(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        long[] cold = new long[120];
-        long warm = 0;
-        for (int router = 0; router < 150; router++) {
-            StandIn world = new StandIn(true, true, true, false, true, 150, chance.nextLong()).steady(20);
-            int every = router % 10 == 0 ? 2 : 20;
-            for (int i = chance.nextInt(every), step = 0; step < 240; step++) {
-                world.later(50).poll(0, Role.PRIMARY, world.now);
-                world.poll(1, Role.REPLICA, world.now);
-                world.poll(2, Role.REPLICA, world.now);
-                if (step == 120) {
-                    world.relist(1, Listing.READY, world.now);
-                }
-                if ((step + i) % every == 0) {
-                    world.take(StandIn.ANY);
-                }
-                if (!world.sent.isEmpty() && world.ended.add(world.last())) {
-                    warm += step >= 80 && step < 120 && world.last().node() == 2 ? 1 : 0;
-                    cold[Math.max(0, step - 120)] += step >= 120 && world.last().node() == 1 ? 1 : 0;
-                    world.end(world.last(), Ending.COMPLETED, Role.REPLICA, world.now);
-                }
-            }
+  /**
+   * Found on kigali-cards at full size: each router's single execution at once toppled a cold node.
+   */
+  @Property(tries = 10, seed = "1729", shrinking = ShrinkingMode.OFF)
+  void manyUnevenRoutersTogetherPushNoColdNodeOver(@ForAll long seed) {
+    SplittableRandom chance = new SplittableRandom(seed);
+    long[] cold = new long[120];
+    long warm = 0;
+    for (int router = 0; router < 150; router++) {
+      StandIn world = new StandIn(true, true, true, false, true, 150, chance.nextLong()).steady(20);
+      int every = router % 10 == 0 ? 2 : 20;
+      for (int i = chance.nextInt(every), step = 0; step < 240; step++) {
+        world.later(50).poll(0, Role.PRIMARY, world.now);
+        world.poll(1, Role.REPLICA, world.now);
+        world.poll(2, Role.REPLICA, world.now);
+        if (step == 120) {
+          world.relist(1, Listing.READY, world.now);
+        }
+        if ((step + i) % every == 0) {
+          world.take(StandIn.ANY);
         }
-        for (int from = 0; from + 20 <= 60; from++) {
-            long inWindow = Arrays.stream(cold, from, from + 20).sum();
-            StandIn.check(inWindow <= 2 * 0.2 * warm / 2.0, "cold node got " + inWindow + " of " + warm / 2);
+        if (!world.sent.isEmpty() && world.ended.add(world.last())) {
+          warm += step >= 80 && step < 120 && world.last().node() == 2 ? 1 : 0;
+          cold[Math.max(0, step - 120)] += step >= 120 && world.last().node() == 1 ? 1 : 0;
+          world.end(world.last(), Ending.COMPLETED, Role.REPLICA, world.now);
         }
-        StandIn.check(Arrays.stream(cold).sum() > 5, "it warms up by what it gets");
+      }
     }
-
-    /**
-     * A node whose restart only the routers saw, no list: each starts anew half-way through its budget.
-     * Without the views they would take it for warm.
-     */
-    @Property(tries = 6, seed = "1730", shrinking = ShrinkingMode.OFF)
-    void routersThatRestartTogetherPushNoColdNodeOver(@ForAll long seed) {
-        StandIn.check(coldSends(seed, true) <= 1, "with views the cold node was pushed over");
-        StandIn.check(coldSends(seed, false) > 1,
-            "the case shows nothing: it was safe without views as well");
+    for (int from = 0; from + 20 <= 60; from++) {
+      long inWindow = Arrays.stream(cold, from, from + 20).sum();
+      StandIn.check(
+          inWindow <= 2 * 0.2 * warm / 2.0, "cold node got " + inWindow + " of " + warm / 2);
     }
+    StandIn.check(Arrays.stream(cold).sum() > 5, "it warms up by what it gets");
+  }
 
-    /** The fullest window of a second on the cold node after the restart, over what topples it. */
-    private static double coldSends(long seed, boolean withViews) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        long[] cold = new long[60];
-        long warm = 0;
-        for (int router = 0; router < 150; router++) {
-            StandIn world = new StandIn(true, true, true, false, true, 150, chance.nextLong()).steady(20);
-            int every = router % 10 == 0 ? 2 : 20;
-            for (int i = chance.nextInt(every), step = 0; step < 160; step++) {
-                world.later(50).poll(0, Role.PRIMARY, world.now);
-                if (step < 80 || step > 105) {
-                    world.poll(1, Role.REPLICA, world.now);
-                } else {
-                    world.balance.polled(world.now, 1, Ending.NO_CONNECTION, Role.UNTOLD, Moment.LONG_AGO, 0,
-                        Double.NaN);
-                }
-                world.poll(2, Role.REPLICA, world.now);
-                if (step == 120) {
-                    StandIn before = world;
-                    world = new StandIn(true, true, true, false, true, 150, chance.nextLong());
-                    world.now = before.now.plus(StandIn.ms(1_000));
-                    world.balance.listBegins();
-                    for (int node = 0; node < 3; node++) {
-                        world.balance.listed(world.now, node, Listing.READY, 1, 0, 1, Moment.LONG_AGO);
-                        if (withViews) {
-                            world.balance.recall.recalled(world.now, node, Aging.aged(
-                                before.balance.recall.learned(before.now, node), StandIn.ms(1_000)));
-                        }
-                    }
-                    world.balance.listEnds(world.now, true, true);
-                    for (int node = 0; node < 3; node++) {
-                        world.poll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
-                    }
-                }
-                if ((step + i) % every == 0) {
-                    world.take(StandIn.ANY);
-                }
-                if (!world.sent.isEmpty() && world.ended.add(world.last())) {
-                    warm += step >= 40 && step < 80 && world.last().node() == 2 ? 1 : 0;
-                    cold[Math.max(0, step - 120)] += step >= 120 && world.last().node() == 1 ? 1 : 0;
-                    world.end(world.last(), Ending.COMPLETED, Role.REPLICA, world.now);
-                }
+  /**
+   * A node whose restart only the routers saw, no list: each starts anew half-way through its
+   * budget. Without the views they would take it for warm.
+   */
+  @Property(tries = 6, seed = "1730", shrinking = ShrinkingMode.OFF)
+  void routersThatRestartTogetherPushNoColdNodeOver(@ForAll long seed) {
+    StandIn.check(coldSends(seed, true) <= 1, "with views the cold node was pushed over");
+    StandIn.check(
+        coldSends(seed, false) > 1, "the case shows nothing: it was safe without views as well");
+  }
+
+  /** The fullest window of a second on the cold node after the restart, over what topples it. */
+  private static double coldSends(long seed, boolean withViews) {
+    SplittableRandom chance = new SplittableRandom(seed);
+    long[] cold = new long[60];
+    long warm = 0;
+    for (int router = 0; router < 150; router++) {
+      StandIn world = new StandIn(true, true, true, false, true, 150, chance.nextLong()).steady(20);
+      int every = router % 10 == 0 ? 2 : 20;
+      for (int i = chance.nextInt(every), step = 0; step < 160; step++) {
+        world.later(50).poll(0, Role.PRIMARY, world.now);
+        if (step < 80 || step > 105) {
+          world.poll(1, Role.REPLICA, world.now);
+        } else {
+          world.balance.polled(
+              world.now, 1, Ending.NO_CONNECTION, Role.UNTOLD, Moment.LONG_AGO, 0, Double.NaN);
+        }
+        world.poll(2, Role.REPLICA, world.now);
+        if (step == 120) {
+          StandIn before = world;
+          world = new StandIn(true, true, true, false, true, 150, chance.nextLong());
+          world.now = before.now.plus(StandIn.ms(1_000));
+          world.balance.listBegins();
+          for (int node = 0; node < 3; node++) {
+            world.balance.listed(world.now, node, Listing.READY, 1, 0, 1, Moment.LONG_AGO);
+            if (withViews) {
+              world.balance.recall.recalled(
+                  world.now,
+                  node,
+                  Aging.aged(before.balance.recall.learned(before.now, node), StandIn.ms(1_000)));
             }
+          }
+          world.balance.listEnds(world.now, true, true);
+          for (int node = 0; node < 3; node++) {
+            world.poll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
+          }
         }
-        double fullest = 0;
-        for (int from = 0; from + 20 <= 40; from++) {
-            fullest = Math.max(fullest, Arrays.stream(cold, from, from + 20).sum());
+        if ((step + i) % every == 0) {
+          world.take(StandIn.ANY);
         }
-        return fullest / (2 * 0.2 * warm / 2.0);
+        if (!world.sent.isEmpty() && world.ended.add(world.last())) {
+          warm += step >= 40 && step < 80 && world.last().node() == 2 ? 1 : 0;
+          cold[Math.max(0, step - 120)] += step >= 120 && world.last().node() == 1 ? 1 : 0;
+          world.end(world.last(), Ending.COMPLETED, Role.REPLICA, world.now);
+        }
+      }
+    }
+    double fullest = 0;
+    for (int from = 0; from + 20 <= 40; from++) {
+      fullest = Math.max(fullest, Arrays.stream(cold, from, from + 20).sum());
     }
+    return fullest / (2 * 0.2 * warm / 2.0);
+  }
 
-    /** Nothing crashes on reports that no sound node gives, and each statement gets its one answer. */
-    @Property(tries = 100, seed = "815", shrinking = ShrinkingMode.OFF)
-    void nonsenseBreaksNothing(@ForAll boolean check, @ForAll boolean tokens, @ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        StandIn world = new StandIn(check, true, tokens, true, true, chance.nextBoolean() ? 2 : 500, seed);
-        world.list(seed % 2 == 0 ? 1 : 3).later(60_000).list(3);
-        Ending[] endings = Ending.values();
-        double[] odd = {Double.NaN, Double.POSITIVE_INFINITY, -3, 0.5, 1e300};
-        for (int step = 0; step < 600; step++) {
-            world.later(chance.nextInt(10));
-            world.timeOutWhoseClientLeft();
-            if (chance.nextInt(20) == 0) {
-                world.balance.listFailed(world.now);
-            }
-            Moment when = chance.nextInt(9) == 0 ? new Moment(chance.nextLong() / 8)
-                : world.now.plus(ms(chance.nextInt(2_000) - 1_500));
-            switch (chance.nextInt(4)) {
-                case 0 -> world.take(chance.nextInt(6), chance.nextInt(3), world.now.minus(ms(50)), 400);
-                case 1 -> world.balance.polled(world.now, chance.nextInt(3),
-                    endings[chance.nextInt(endings.length)],
-                    Role.values()[chance.nextInt(3)], when, odd[chance.nextInt(odd.length)], Double.NaN);
-                case 2 -> {
-                    if (!world.sent.isEmpty()) {
-                        int back = Math.min(world.sent.size(), 1 + chance.nextInt(4));
-                        StandIn.Sent old = world.sent.get(world.sent.size() - back);
-                        // Some of these ended before: a second outcome must be passed over.
-                        StandIn.check(old.execution() < world.fates.get(old.statement()).executions,
-                            "unknown");
-                        if (!world.ended.add(old)) {
-                            StandIn.check(!world.balance.ended(world.now, old.statement(), old.execution(),
-                                Ending.MISS, Role.REPLICA, when, false), "an outcome counted twice");
-                        } else {
-                            world.end(old, endings[chance.nextInt(endings.length)],
-                                Role.values()[chance.nextInt(3)], when);
-                        }
-                    }
-                }
-                default -> world.balance.clientLeft(world.now, world.leave(chance));
+  /**
+   * Nothing crashes on reports that no sound node gives, and each statement gets its one answer.
+   */
+  @Property(tries = 100, seed = "815", shrinking = ShrinkingMode.OFF)
+  void nonsenseBreaksNothing(@ForAll boolean check, @ForAll boolean tokens, @ForAll long seed) {
+    SplittableRandom chance = new SplittableRandom(seed);
+    StandIn world =
+        new StandIn(check, true, tokens, true, true, chance.nextBoolean() ? 2 : 500, seed);
+    world.list(seed % 2 == 0 ? 1 : 3).later(60_000).list(3);
+    Ending[] endings = Ending.values();
+    double[] odd = {Double.NaN, Double.POSITIVE_INFINITY, -3, 0.5, 1e300};
+    for (int step = 0; step < 600; step++) {
+      world.later(chance.nextInt(10));
+      world.timeOutWhoseClientLeft();
+      if (chance.nextInt(20) == 0) {
+        world.balance.listFailed(world.now);
+      }
+      Moment when =
+          chance.nextInt(9) == 0
+              ? new Moment(chance.nextLong() / 8)
+              : world.now.plus(ms(chance.nextInt(2_000) - 1_500));
+      switch (chance.nextInt(4)) {
+        case 0 -> world.take(chance.nextInt(6), chance.nextInt(3), world.now.minus(ms(50)), 400);
+        case 1 ->
+            world.balance.polled(
+                world.now,
+                chance.nextInt(3),
+                endings[chance.nextInt(endings.length)],
+                Role.values()[chance.nextInt(3)],
+                when,
+                odd[chance.nextInt(odd.length)],
+                Double.NaN);
+        case 2 -> {
+          if (!world.sent.isEmpty()) {
+            int back = Math.min(world.sent.size(), 1 + chance.nextInt(4));
+            StandIn.Sent old = world.sent.get(world.sent.size() - back);
+            // Some of these ended before: a second outcome must be passed over.
+            StandIn.check(old.execution() < world.fates.get(old.statement()).executions, "unknown");
+            if (!world.ended.add(old)) {
+              StandIn.check(
+                  !world.balance.ended(
+                      world.now,
+                      old.statement(),
+                      old.execution(),
+                      Ending.MISS,
+                      Role.REPLICA,
+                      when,
+                      false),
+                  "an outcome counted twice");
+            } else {
+              world.end(
+                  old,
+                  endings[chance.nextInt(endings.length)],
+                  Role.values()[chance.nextInt(3)],
+                  when);
             }
+          }
         }
-        for (int i = 0; i < 100; i++) {
-            world.later(5);
-            world.timeOutWhoseClientLeft();
-        }
-        world.endThose(open -> true, Ending.TIMED_OUT, Role.UNTOLD);
-        StandIn.check(world.fates.stream().allMatch(fate -> fate.answered), "a statement without an answer");
+        default -> world.balance.clientLeft(world.now, world.leave(chance));
+      }
+    }
+    for (int i = 0; i < 100; i++) {
+      world.later(5);
+      world.timeOutWhoseClientLeft();
     }
+    world.endThose(open -> true, Ending.TIMED_OUT, Role.UNTOLD);
+    StandIn.check(
+        world.fates.stream().allMatch(fate -> fate.answered), "a statement without an answer");
+  }
 }
--- a/router/src/test/java/basaltlever/StandIn.java
+++ b/router/src/test/java/basaltlever/StandIn.java
@@ -12,481 +12,590 @@
 import java.util.function.Predicate;
 
 /**
- * Stands in for the world of one router: records what it does, checks the rules at each act, and can play
- * nodes.
+ * Stands in for the world of one router: records what it does, checks the rules at each act, and
+ * can play nodes.
  */
 public final class StandIn implements Outbound {
-    static final int ANY = 0;
-    static final int BOUNDED = 1;
-    static final int SESSION = 2;
-    static final int FRESH = 3;
-    static final int WRITE = 4;
-    static final int KEYED = 5;
-    static final int LATE = 6;
-    static final int LONG = 7;
-    static final Span SLACK = ms(20);
-
-    record Sent(int statement, int execution, int node, Span timeout, Moment at, Moment sendBy) {
-    }
-
-    private record Due(Moment at, int order, Runnable act) {
-    }
-
-    /** The truth about one node, which the router sees only through polls, answers and the list. */
-    static final class Member {
-        boolean alive = true;
-        boolean hangs;
-        boolean primary;
-        boolean listedReady = true;
-        boolean wasPrimary;
-        boolean toldReplica;
-        Moment position;
-        Moment startedAt = Moment.LONG_AGO;
-        Moment toldStart = Moment.LONG_AGO;
-        double failing;
-        final List<Moment> sends = new ArrayList<>();
-    }
-
-    static final class Fate {
-        Moment leaves;
-        /** As they were when it was taken. */
-        Workload terms;
-        long session;
-        Moment needed = Moment.LONG_AGO;
-        boolean answered;
-        boolean mayHaveRun;
-        Moment firstMaybe = Moment.NEVER;
-        int executions;
-        int out;
-    }
-
-    Moment now = new Moment(1_000_000_000L);
-    final Balance balance;
-    final HoldBudget holds = new HoldBudget(10_000, 1 << 20);
-    final List<Change.Phase> phases = new ArrayList<>();
-    int prepared;
-    final Agreed agreed;
-    private final Span slo;
-    Workload[] workloads;
-    final Replication replication;
-    final Allowance allowance;
-    final WarmUp warmUp = new WarmUp(0.2, ms(10_000), 2, ms(1_000));
-    final List<Sent> sent = new ArrayList<>();
-    final List<Integer> polled = new ArrayList<>();
-    final List<Integer> letGo = new ArrayList<>();
-    final List<Integer> forgotten = new ArrayList<>();
-    final List<Integer> rejected = new ArrayList<>();
-    final List<Integer> aborted = new ArrayList<>();
-    final List<Sent> cancelled = new ArrayList<>();
-    int watches;
-    Span advice;
-    final Set<Sent> ended = new HashSet<>();
-    final List<Member> members = new ArrayList<>();
-    final List<Fate> fates = new ArrayList<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>(
-        (a, b) -> a.at.equals(b.at) ? Integer.compare(a.order, b.order) : a.at.isBefore(b.at) ? -1 : 1);
-    private final Map<Long, Moment> commits = new HashMap<>();
-    private int order;
-    /** With a source of chance the nodes answer by themselves. */
-    private SplittableRandom plays;
-
-    static Span ms(double millis) {
-        return Span.ofMillis(millis);
-    }
-
-    private Workload workload(Needs needs, Repeat repeat, double importance, double late) {
-        return new Workload(needs, ms(300), repeat, Within.GROUP, ms(600), slo, ms(2_000), importance, late);
-    }
-
-    StandIn(boolean check, boolean positions, boolean tokens, boolean asked, boolean copies) {
-        this(check, positions, tokens, asked, copies, 2, 7);
-    }
-
-    StandIn(boolean check, boolean positions, boolean tokens, boolean asked, boolean copies, int routers,
-            long seed) {
-        this(check, positions, tokens, asked, copies, routers, seed, 300);
-    }
-
-    StandIn(boolean check, boolean positions, boolean tokens, boolean asked, boolean copies, int routers,
-            long seed, int sloMillis) {
-        this(check, positions, tokens, asked, copies, routers, seed, sloMillis, 0);
-    }
-
-    /** With one workload more, that any member may answer and that takes long, where the last is not 0. */
-    StandIn(boolean check, boolean positions, boolean tokens, boolean asked, boolean copies, int routers,
-            long seed, int sloMillis, int longMillis) {
-        slo = ms(sloMillis);
-        Workload[] usual = {workload(Needs.ANY, Repeat.IDEMPOTENT, 1, 0),
-            workload(Needs.BOUNDED, Repeat.IDEMPOTENT, 2, 0.2),
-            workload(Needs.SESSION, Repeat.IDEMPOTENT, 2, 0),
-            workload(Needs.FRESH, Repeat.IDEMPOTENT, 1, 0.2),
-            workload(Needs.WRITE, Repeat.NON_IDEMPOTENT, 4, 0.5),
-            workload(Needs.WRITE, Repeat.DEDUPLICATED, 3, 0.5),
-            workload(Needs.WRITE, Repeat.NON_IDEMPOTENT, 3, 0.8)};
-        workloads = longMillis == 0 ? usual : Arrays.copyOf(usual, LONG + 1);
-        if (longMillis > 0) {
-            workloads[LONG] = new Workload(Needs.ANY, ms(0), Repeat.IDEMPOTENT, Within.GROUP, ms(0),
-                ms(longMillis), ms(2 * longMillis), 4, 0);
-        }
-        replication = new Replication(check, positions, tokens);
-        allowance = new Allowance(6, copies, true, true, ms(1_000), SLACK);
-        agreed = new Agreed(new Standing(routers, 0, 0.01, 0.02), workloads, replication,
-            new Drains(asked, ms(10_000), true), warmUp, allowance, new Connections(1, ms(15_000)));
-        balance = new Balance(this, new SplittableRandom(seed), agreed, holds, now);
-    }
-
-    /** As after the move: answers tell positions, replicas check, one execution out, removals do not bind. */
-    static StandIn moved() {
-        StandIn world = new StandIn(true, true, true, false, false, 2, 7, 300, 6_000);
-        world.balance.agree(world.now, world.with(world.allowance, false));
-        return world;
-    }
-
-    Agreed with(Allowance allows, boolean removalBinds) {
-        return new Agreed(agreed.standing(), workloads, replication,
-            new Drains(false, ms(10_000), removalBinds), warmUp, allows, agreed.connections());
-    }
-
-    /** Settings with other workloads at their places: all that was taken before ends by its own. */
-    void agree(Workload[] next) {
-        workloads = next;
-        balance.agree(now, new Agreed(agreed.standing(), next, replication, agreed.drains(), warmUp, allowance,
+  static final int ANY = 0;
+  static final int BOUNDED = 1;
+  static final int SESSION = 2;
+  static final int FRESH = 3;
+  static final int WRITE = 4;
+  static final int KEYED = 5;
+  static final int LATE = 6;
+  static final int LONG = 7;
+  static final Span SLACK = ms(20);
+
+  record Sent(int statement, int execution, int node, Span timeout, Moment at, Moment sendBy) {}
+
+  private record Due(Moment at, int order, Runnable act) {}
+
+  /** The truth about one node, which the router sees only through polls, answers and the list. */
+  static final class Member {
+    boolean alive = true;
+    boolean hangs;
+    boolean primary;
+    boolean listedReady = true;
+    boolean wasPrimary;
+    boolean toldReplica;
+    Moment position;
+    Moment startedAt = Moment.LONG_AGO;
+    Moment toldStart = Moment.LONG_AGO;
+    double failing;
+    final List<Moment> sends = new ArrayList<>();
+  }
+
+  static final class Fate {
+    Moment leaves;
+
+    /** As they were when it was taken. */
+    Workload terms;
+
+    long session;
+    Moment needed = Moment.LONG_AGO;
+    boolean answered;
+    boolean mayHaveRun;
+    Moment firstMaybe = Moment.NEVER;
+    int executions;
+    int out;
+  }
+
+  Moment now = new Moment(1_000_000_000L);
+  final Balance balance;
+  final HoldBudget holds = new HoldBudget(10_000, 1 << 20);
+  final List<Change.Phase> phases = new ArrayList<>();
+  int prepared;
+  final Agreed agreed;
+  private final Span slo;
+  Workload[] workloads;
+  final Replication replication;
+  final Allowance allowance;
+  final WarmUp warmUp = new WarmUp(0.2, ms(10_000), 2, ms(1_000));
+  final List<Sent> sent = new ArrayList<>();
+  final List<Integer> polled = new ArrayList<>();
+  final List<Integer> letGo = new ArrayList<>();
+  final List<Integer> forgotten = new ArrayList<>();
+  final List<Integer> rejected = new ArrayList<>();
+  final List<Integer> aborted = new ArrayList<>();
+  final List<Sent> cancelled = new ArrayList<>();
+  int watches;
+  Span advice;
+  final Set<Sent> ended = new HashSet<>();
+  final List<Member> members = new ArrayList<>();
+  final List<Fate> fates = new ArrayList<>();
+  private final PriorityQueue<Due> due =
+      new PriorityQueue<>(
+          (a, b) ->
+              a.at.equals(b.at) ? Integer.compare(a.order, b.order) : a.at.isBefore(b.at) ? -1 : 1);
+  private final Map<Long, Moment> commits = new HashMap<>();
+  private int order;
+
+  /** With a source of chance the nodes answer by themselves. */
+  private SplittableRandom plays;
+
+  static Span ms(double millis) {
+    return Span.ofMillis(millis);
+  }
+
+  private Workload workload(Needs needs, Repeat repeat, double importance, double late) {
+    return new Workload(
+        needs, ms(300), repeat, Within.GROUP, ms(600), slo, ms(2_000), importance, late);
+  }
+
+  StandIn(boolean check, boolean positions, boolean tokens, boolean asked, boolean copies) {
+    this(check, positions, tokens, asked, copies, 2, 7);
+  }
+
+  StandIn(
+      boolean check,
+      boolean positions,
+      boolean tokens,
+      boolean asked,
+      boolean copies,
+      int routers,
+      long seed) {
+    this(check, positions, tokens, asked, copies, routers, seed, 300);
+  }
+
+  StandIn(
+      boolean check,
+      boolean positions,
+      boolean tokens,
+      boolean asked,
+      boolean copies,
+      int routers,
+      long seed,
+      int sloMillis) {
+    this(check, positions, tokens, asked, copies, routers, seed, sloMillis, 0);
+  }
+
+  /**
+   * With one workload more, that any member may answer and that takes long, where the last is not
+   * 0.
+   */
+  StandIn(
+      boolean check,
+      boolean positions,
+      boolean tokens,
+      boolean asked,
+      boolean copies,
+      int routers,
+      long seed,
+      int sloMillis,
+      int longMillis) {
+    slo = ms(sloMillis);
+    Workload[] usual = {
+      workload(Needs.ANY, Repeat.IDEMPOTENT, 1, 0),
+      workload(Needs.BOUNDED, Repeat.IDEMPOTENT, 2, 0.2),
+      workload(Needs.SESSION, Repeat.IDEMPOTENT, 2, 0),
+      workload(Needs.FRESH, Repeat.IDEMPOTENT, 1, 0.2),
+      workload(Needs.WRITE, Repeat.NON_IDEMPOTENT, 4, 0.5),
+      workload(Needs.WRITE, Repeat.DEDUPLICATED, 3, 0.5),
+      workload(Needs.WRITE, Repeat.NON_IDEMPOTENT, 3, 0.8)
+    };
+    workloads = longMillis == 0 ? usual : Arrays.copyOf(usual, LONG + 1);
+    if (longMillis > 0) {
+      workloads[LONG] =
+          new Workload(
+              Needs.ANY,
+              ms(0),
+              Repeat.IDEMPOTENT,
+              Within.GROUP,
+              ms(0),
+              ms(longMillis),
+              ms(2 * longMillis),
+              4,
+              0);
+    }
+    replication = new Replication(check, positions, tokens);
+    allowance = new Allowance(6, copies, true, true, ms(1_000), SLACK);
+    agreed =
+        new Agreed(
+            new Standing(routers, 0, 0.01, 0.02),
+            workloads,
+            replication,
+            new Drains(asked, ms(10_000), true),
+            warmUp,
+            allowance,
+            new Connections(1, ms(15_000)));
+    balance = new Balance(this, new SplittableRandom(seed), agreed, holds, now);
+  }
+
+  /**
+   * As after the move: answers tell positions, replicas check, one execution out, removals do not
+   * bind.
+   */
+  static StandIn moved() {
+    StandIn world = new StandIn(true, true, true, false, false, 2, 7, 300, 6_000);
+    world.balance.agree(world.now, world.with(world.allowance, false));
+    return world;
+  }
+
+  Agreed with(Allowance allows, boolean removalBinds) {
+    return new Agreed(
+        agreed.standing(),
+        workloads,
+        replication,
+        new Drains(false, ms(10_000), removalBinds),
+        warmUp,
+        allows,
+        agreed.connections());
+  }
+
+  /** Settings with other workloads at their places: all that was taken before ends by its own. */
+  void agree(Workload[] next) {
+    workloads = next;
+    balance.agree(
+        now,
+        new Agreed(
+            agreed.standing(),
+            next,
+            replication,
+            agreed.drains(),
+            warmUp,
+            allowance,
             agreed.connections()));
-    }
-
-    static StandIn plain() {
-        return new StandIn(false, false, false, false, true);
-    }
-
-    // ---- Driving by hand.
-
-    StandIn list(int nodes) {
-        balance.listBegins();
-        for (int i = 0; i < nodes; i++) {
-            balance.listed(now, i, Listing.READY, 1, 0, 1, Moment.LONG_AGO);
-        }
-        balance.listEnds(now, true, true);
-        return this;
-    }
-
-    void relist(int node, Listing state, Moment startedAt) {
-        balance.listBegins();
-        balance.listed(now, node, state, 1, 0, 1, startedAt);
-        balance.listEnds(now, false, true);
-    }
-
-    StandIn later(double millis) {
-        for (Moment end = now.plus(ms(millis)); now.isBefore(end);) {
-            now = now.plus(ms(5)).earlier(end);
-            balance.woken(now);
-        }
-        return this;
-    }
-
-    void poll(int node, Role role, Moment position) {
-        balance.polled(now, node, Ending.COMPLETED, role, position, 0.5, Double.NaN);
-    }
-
-    /** Three members, node 0 primary, the replicas shown at the given age. */
-    StandIn steady(double lagMillis) {
-        list(3);
-        poll(0, Role.PRIMARY, now);
-        poll(1, Role.REPLICA, now.minus(ms(lagMillis)));
-        poll(2, Role.REPLICA, now.minus(ms(lagMillis)));
-        return this;
-    }
-
-    int take(int workload) {
-        return take(workload, 9, Moment.LONG_AGO, 1_000);
-    }
-
-    int take(int workload, long session, Moment committed, double leavesMillis) {
-        Fate fate = new Fate();
-        fate.terms = workloads[workload];
-        fate.session = session;
-        fate.leaves = now.plus(ms(leavesMillis));
-        Needs needs = workloads[workload].needs();
-        fate.needed = needs == Needs.FRESH ? now : needs != Needs.SESSION ? Moment.LONG_AGO
-            : replication.sessionsCarryTokens() ? committed : commits.getOrDefault(session, Moment.LONG_AGO);
-        fates.add(fate);
-        int id = fates.size() - 1;
-        balance.taken(now, id, workload, 1, session, fate.leaves, committed, 100);
-        return id;
-    }
-
-    /** A client leaves early; the statement is an unanswered one where there is any. */
-    int leave(SplittableRandom chance) {
-        int id = fates.isEmpty() ? take(ANY) : chance.nextInt(fates.size());
-        fates.get(id).answered = true;
-        return id;
-    }
-
-    Sent last() {
-        return sent.get(sent.size() - 1);
-    }
-
-    void end(Sent execution, Ending ending, Role role) {
-        end(execution, ending, role, Moment.LONG_AGO);
-    }
-
-    void end(Sent execution, Ending ending, Role role, Moment position) {
-        Fate fate = fates.get(execution.statement);
-        fate.out--;
-        if (!ending.provesNotRun) {
-            fate.mayHaveRun = true;
-            fate.firstMaybe = fate.firstMaybe.earlier(execution.at);
-        }
-        boolean first = ending == Ending.COMPLETED && !fate.answered;
-        if (first) {
-            check(!now.isAfter(fate.leaves.plus(SLACK)), "answered late");
-            fate.answered = true;
-        }
-        if (role == Role.REPLICA && execution.node < members.size()) {
-            members.get(execution.node).toldReplica = true;
-        }
-        balance.ended(now, execution.statement, execution.execution, ending, role, position, fate.answered);
-    }
-
-    /** Ends, once each, those executions that the test picks. */
-    void endThose(Predicate<Sent> which, Ending ending, Role role) {
-        sent.stream().filter(which).filter(ended::add).toList().forEach(s -> end(s, ending, role));
-    }
-
-    /** What is still out when its client leaves times out then. */
-    void timeOutWhoseClientLeft() {
-        endThose(s -> !now.isBefore(fates.get(s.statement).leaves), Ending.TIMED_OUT, Role.UNTOLD);
-    }
-
-    boolean isOlder(Sent execution, double millis) {
-        return now.since(execution.at).isLongerThan(ms(millis));
-    }
-
-    // ---- What the router does, with the rules checked.
-
-    public static void check(boolean holds, String rule) {
-        if (!holds) {
-            throw new AssertionError(rule);
-        }
-    }
-
-    @Override
-    public void execute(int statement, int node, Span timeout, Moment sendBy) {
-        Fate fate = fates.get(statement);
-        Workload terms = fate.terms;
-        check(!fate.answered, "rule 1: sent after the final answer");
-        check(fate.executions < allowance.executions(), "too many executions");
-        check(allowance.secondCopies() || fate.out == 0, "two at once");
-        if (terms.repeat() == Repeat.NON_IDEMPOTENT) {
-            check(!fate.mayHaveRun && fate.out == 0, "rule 2: non-idempotent sent again");
-        } else if (terms.repeat() == Repeat.DEDUPLICATED && (fate.mayHaveRun || fate.out > 0)) {
-            check(now.isBefore(fate.firstMaybe.plus(terms.window()))
-                && !sendBy.isAfter(fate.firstMaybe.plus(terms.window())),
-                "rule 2: sent again outside its window, now or once a connection stands");
-        }
-        if (node < members.size()) {
-            checkNode(members.get(node), fate, terms);
-        }
-        Sent execution = new Sent(statement, fate.executions++, node, timeout, now, sendBy);
-        fate.out++;
-        sent.add(execution);
-        if (plays != null) {
-            play(execution, members.get(node), fate);
-        }
-    }
-
-    private void checkNode(Member member, Fate fate, Workload terms) {
-        check(member.listedReady, "rule 3: sent to a node known to drain or be gone");
-        if (!replication.replicasCheck() && !(member.wasPrimary && !member.toldReplica)) {
-            Moment needed = terms.needs() == Needs.BOUNDED ? now.minus(terms.bound()) : fate.needed;
-            check(!truth(member).isBefore(needed), "rule 5: stale read");
-        }
-        Span age = now.since(member.startedAt);
-        if (age.isShorterThan(warmUp.warmAfter()) && member.toldStart.equals(member.startedAt)) {
-            member.sends.add(now);
-            long recent = member.sends.stream()
-                .filter(at -> now.since(at).isShorterThan(warmUp.topplesIn())).count();
-            double able = NODE_RATE * (warmUp.coldFrom() + (1 - warmUp.coldFrom())
-                * age.over(warmUp.warmAfter()));
-            check(recent <= Math.max(2, warmUp.topplesAt() * able), "rule 4: cold node pushed over");
-        }
-    }
-
-    @Override
-    public void cancel(int statement, int execution) {
-        check(execution < fates.get(statement).executions, "cancelled what was never sent");
-        cancelled.add(new Sent(statement, execution, -1, Span.NONE, now, now));
-    }
-
-    @Override
-    public void reject(int statement, Span comeBackAfter, Refusal why) {
-        Fate fate = fates.get(statement);
-        check(!comeBackAfter.isLongerThan(allowance.longestComeBack()), "advice too long");
-        check(fate.terms.repeat() == Repeat.IDEMPOTENT || !fate.mayHaveRun && fate.out == 0,
-            "rule 2: rejected what may have run");
-        answer(fate);
-        advice = comeBackAfter;
-        rejected.add(statement);
-    }
-
-    @Override
-    public void abort(int statement) {
-        answer(fates.get(statement));
-        aborted.add(statement);
-    }
-
-    private void answer(Fate fate) {
-        check(!fate.answered, "rule 1: answered twice");
-        check(!now.isAfter(fate.leaves.plus(SLACK)), "rule 1: answered late");
-        fate.answered = true;
-    }
-
-    @Override
-    public void poll(int node) {
-        polled.add(node);
-        if (plays == null) {
-            return;
-        }
-        Member member = members.get(node);
-        Moment reported = now.minus(ms(plays.nextInt(150)));
-        boolean primary = member.primary;
-        Moment position = truth(member).earlier(reported);
-        after(plays.nextInt(1, 10), () -> {
-            if (member.alive) {
-                balance.polled(now, node, Ending.COMPLETED, primary ? Role.PRIMARY : Role.REPLICA, position,
-                    plays.nextInt(20) == 0 ? Double.NaN : plays.nextDouble(), Double.NaN);
-            } else {
-                balance.polled(now, node, plays.nextBoolean() ? Ending.TIMED_OUT : Ending.NO_CONNECTION,
-                    Role.UNTOLD, Moment.LONG_AGO, Double.NaN, Double.NaN);
-            }
+  }
+
+  static StandIn plain() {
+    return new StandIn(false, false, false, false, true);
+  }
+
+  // ---- Driving by hand.
+
+  StandIn list(int nodes) {
+    balance.listBegins();
+    for (int i = 0; i < nodes; i++) {
+      balance.listed(now, i, Listing.READY, 1, 0, 1, Moment.LONG_AGO);
+    }
+    balance.listEnds(now, true, true);
+    return this;
+  }
+
+  void relist(int node, Listing state, Moment startedAt) {
+    balance.listBegins();
+    balance.listed(now, node, state, 1, 0, 1, startedAt);
+    balance.listEnds(now, false, true);
+  }
+
+  StandIn later(double millis) {
+    for (Moment end = now.plus(ms(millis)); now.isBefore(end); ) {
+      now = now.plus(ms(5)).earlier(end);
+      balance.woken(now);
+    }
+    return this;
+  }
+
+  void poll(int node, Role role, Moment position) {
+    balance.polled(now, node, Ending.COMPLETED, role, position, 0.5, Double.NaN);
+  }
+
+  /** Three members, node 0 primary, the replicas shown at the given age. */
+  StandIn steady(double lagMillis) {
+    list(3);
+    poll(0, Role.PRIMARY, now);
+    poll(1, Role.REPLICA, now.minus(ms(lagMillis)));
+    poll(2, Role.REPLICA, now.minus(ms(lagMillis)));
+    return this;
+  }
+
+  int take(int workload) {
+    return take(workload, 9, Moment.LONG_AGO, 1_000);
+  }
+
+  int take(int workload, long session, Moment committed, double leavesMillis) {
+    Fate fate = new Fate();
+    fate.terms = workloads[workload];
+    fate.session = session;
+    fate.leaves = now.plus(ms(leavesMillis));
+    Needs needs = workloads[workload].needs();
+    fate.needed =
+        needs == Needs.FRESH
+            ? now
+            : needs != Needs.SESSION
+                ? Moment.LONG_AGO
+                : replication.sessionsCarryTokens()
+                    ? committed
+                    : commits.getOrDefault(session, Moment.LONG_AGO);
+    fates.add(fate);
+    int id = fates.size() - 1;
+    balance.taken(now, id, workload, 1, session, fate.leaves, committed, 100);
+    return id;
+  }
+
+  /** A client leaves early; the statement is an unanswered one where there is any. */
+  int leave(SplittableRandom chance) {
+    int id = fates.isEmpty() ? take(ANY) : chance.nextInt(fates.size());
+    fates.get(id).answered = true;
+    return id;
+  }
+
+  Sent last() {
+    return sent.get(sent.size() - 1);
+  }
+
+  void end(Sent execution, Ending ending, Role role) {
+    end(execution, ending, role, Moment.LONG_AGO);
+  }
+
+  void end(Sent execution, Ending ending, Role role, Moment position) {
+    Fate fate = fates.get(execution.statement);
+    fate.out--;
+    if (!ending.provesNotRun) {
+      fate.mayHaveRun = true;
+      fate.firstMaybe = fate.firstMaybe.earlier(execution.at);
+    }
+    boolean first = ending == Ending.COMPLETED && !fate.answered;
+    if (first) {
+      check(!now.isAfter(fate.leaves.plus(SLACK)), "answered late");
+      fate.answered = true;
+    }
+    if (role == Role.REPLICA && execution.node < members.size()) {
+      members.get(execution.node).toldReplica = true;
+    }
+    balance.ended(
+        now, execution.statement, execution.execution, ending, role, position, fate.answered);
+  }
+
+  /** Ends, once each, those executions that the test picks. */
+  void endThose(Predicate<Sent> which, Ending ending, Role role) {
+    sent.stream().filter(which).filter(ended::add).toList().forEach(s -> end(s, ending, role));
+  }
+
+  /** What is still out when its client leaves times out then. */
+  void timeOutWhoseClientLeft() {
+    endThose(s -> !now.isBefore(fates.get(s.statement).leaves), Ending.TIMED_OUT, Role.UNTOLD);
+  }
+
+  boolean isOlder(Sent execution, double millis) {
+    return now.since(execution.at).isLongerThan(ms(millis));
+  }
+
+  // ---- What the router does, with the rules checked.
+
+  public static void check(boolean holds, String rule) {
+    if (!holds) {
+      throw new AssertionError(rule);
+    }
+  }
+
+  @Override
+  public void execute(int statement, int node, Span timeout, Moment sendBy) {
+    Fate fate = fates.get(statement);
+    Workload terms = fate.terms;
+    check(!fate.answered, "rule 1: sent after the final answer");
+    check(fate.executions < allowance.executions(), "too many executions");
+    check(allowance.secondCopies() || fate.out == 0, "two at once");
+    if (terms.repeat() == Repeat.NON_IDEMPOTENT) {
+      check(!fate.mayHaveRun && fate.out == 0, "rule 2: non-idempotent sent again");
+    } else if (terms.repeat() == Repeat.DEDUPLICATED && (fate.mayHaveRun || fate.out > 0)) {
+      check(
+          now.isBefore(fate.firstMaybe.plus(terms.window()))
+              && !sendBy.isAfter(fate.firstMaybe.plus(terms.window())),
+          "rule 2: sent again outside its window, now or once a connection stands");
+    }
+    if (node < members.size()) {
+      checkNode(members.get(node), fate, terms);
+    }
+    Sent execution = new Sent(statement, fate.executions++, node, timeout, now, sendBy);
+    fate.out++;
+    sent.add(execution);
+    if (plays != null) {
+      play(execution, members.get(node), fate);
+    }
+  }
+
+  private void checkNode(Member member, Fate fate, Workload terms) {
+    check(member.listedReady, "rule 3: sent to a node known to drain or be gone");
+    if (!replication.replicasCheck() && !(member.wasPrimary && !member.toldReplica)) {
+      Moment needed = terms.needs() == Needs.BOUNDED ? now.minus(terms.bound()) : fate.needed;
+      check(!truth(member).isBefore(needed), "rule 5: stale read");
+    }
+    Span age = now.since(member.startedAt);
+    if (age.isShorterThan(warmUp.warmAfter()) && member.toldStart.equals(member.startedAt)) {
+      member.sends.add(now);
+      long recent =
+          member.sends.stream()
+              .filter(at -> now.since(at).isShorterThan(warmUp.topplesIn()))
+              .count();
+      double able =
+          NODE_RATE * (warmUp.coldFrom() + (1 - warmUp.coldFrom()) * age.over(warmUp.warmAfter()));
+      check(recent <= Math.max(2, warmUp.topplesAt() * able), "rule 4: cold node pushed over");
+    }
+  }
+
+  @Override
+  public void cancel(int statement, int execution) {
+    check(execution < fates.get(statement).executions, "cancelled what was never sent");
+    cancelled.add(new Sent(statement, execution, -1, Span.NONE, now, now));
+  }
+
+  @Override
+  public void reject(int statement, Span comeBackAfter, Refusal why) {
+    Fate fate = fates.get(statement);
+    check(!comeBackAfter.isLongerThan(allowance.longestComeBack()), "advice too long");
+    check(
+        fate.terms.repeat() == Repeat.IDEMPOTENT || !fate.mayHaveRun && fate.out == 0,
+        "rule 2: rejected what may have run");
+    answer(fate);
+    advice = comeBackAfter;
+    rejected.add(statement);
+  }
+
+  @Override
+  public void abort(int statement) {
+    answer(fates.get(statement));
+    aborted.add(statement);
+  }
+
+  private void answer(Fate fate) {
+    check(!fate.answered, "rule 1: answered twice");
+    check(!now.isAfter(fate.leaves.plus(SLACK)), "rule 1: answered late");
+    fate.answered = true;
+  }
+
+  @Override
+  public void poll(int node) {
+    polled.add(node);
+    if (plays == null) {
+      return;
+    }
+    Member member = members.get(node);
+    Moment reported = now.minus(ms(plays.nextInt(150)));
+    boolean primary = member.primary;
+    Moment position = truth(member).earlier(reported);
+    after(
+        plays.nextInt(1, 10),
+        () -> {
+          if (member.alive) {
+            balance.polled(
+                now,
+                node,
+                Ending.COMPLETED,
+                primary ? Role.PRIMARY : Role.REPLICA,
+                position,
+                plays.nextInt(20) == 0 ? Double.NaN : plays.nextDouble(),
+                Double.NaN);
+          } else {
+            balance.polled(
+                now,
+                node,
+                plays.nextBoolean() ? Ending.TIMED_OUT : Ending.NO_CONNECTION,
+                Role.UNTOLD,
+                Moment.LONG_AGO,
+                Double.NaN,
+                Double.NaN);
+          }
         });
-    }
-
-    @Override
-    public void forget(int node) {
-        forgotten.add(node);
-    }
-
-    @Override
-    public void letGo(int node) {
-        letGo.add(node);
-    }
-
-    @Override
-    public void watch() {
-        watches++;
-        if (plays != null) {
-            after(plays.nextInt(5, 200), () -> {
-                if (plays.nextInt(3) == 0) {
-                    balance.listFailed(now);
-                } else {
-                    listAll();
-                }
-            });
-        }
-    }
-
-    @Override
-    public void wake(Span fromNow) {
-        check(fromNow.micros() > 0, "woken in the past");
-        after(Math.max(1, fromNow.micros() / 1_000.0), () -> balance.woken(now));
-    }
-
-    @Override
-    public void primary(int group, int node, boolean found) {
-    }
-
-    @Override
-    public void prepare(int node, int connections) {
-        prepared = connections;
-    }
-
-    @Override
-    public void change(int group, Change.Phase phase, int target) {
-        phases.add(phase);
-    }
-
-    // ---- Nodes that answer by themselves.
-
-    static final double NODE_RATE = 100;
-
-    void playWith(SplittableRandom chance, int nodes) {
-        plays = chance;
-        for (int i = 0; i < nodes; i++) {
-            Member member = new Member();
-            member.primary = member.wasPrimary = i == 0;
-            member.position = now;
-            members.add(member);
-        }
-        listAll();
-    }
-
-    void listAll() {
-        balance.listBegins();
-        for (int i = 0; i < members.size(); i++) {
-            Member member = members.get(i);
-            member.toldStart = member.startedAt;
-            balance.listed(now, i, member.listedReady ? Listing.READY : Listing.DRAINING, 1, i % 2, 1,
-                member.startedAt);
-        }
-        balance.listEnds(now, true, true);
-    }
-
-    private Moment truth(Member member) {
-        return member.primary && member.alive ? now : member.position;
-    }
-
-    private void after(double millis, Runnable act) {
-        due.add(new Due(now.plus(ms(millis)), order++, act));
-    }
-
-    private void play(Sent execution, Member member, Fate fate) {
-        boolean write = fate.terms.needs() == Needs.WRITE;
-        double last = execution.timeout.micros() > 0 ? execution.timeout.micros() / 1e3 : 1e9;
-        double left = Math.max(1, Math.min(last, fate.leaves.since(now).micros() / 1e3));
-        double takes = member.alive ? 1 + plays.nextInt(40) : 3;
-        Ending ending = !member.alive ? plays.nextBoolean() ? Ending.NO_CONNECTION : Ending.RESET
-            : member.hangs ? Ending.TIMED_OUT : plays.nextDouble() < member.failing ? Ending.ERROR
-            : plays.nextInt(50) == 0 ? Ending.FULL : write && !member.primary ? Ending.MISS
-                : Ending.COMPLETED;
-        if (ending == Ending.TIMED_OUT || takes > left) {
-            takes = left;
-            ending = Ending.TIMED_OUT;
-        }
-        Ending planned = ending;
-        after(takes, () -> {
-            // A write that its node still holds when it loses the role ends in an error.
-            boolean lost = write && planned == Ending.COMPLETED && !(member.primary && member.alive);
-            Ending how = lost ? Ending.ERROR : planned;
-            boolean told = how == Ending.COMPLETED || how == Ending.MISS || how == Ending.ERROR;
-            boolean wrote = write && how == Ending.COMPLETED;
-            if (wrote && !fate.answered) {
-                commits.merge(fate.session, now, Moment::later);
+  }
+
+  @Override
+  public void forget(int node) {
+    forgotten.add(node);
+  }
+
+  @Override
+  public void letGo(int node) {
+    letGo.add(node);
+  }
+
+  @Override
+  public void watch() {
+    watches++;
+    if (plays != null) {
+      after(
+          plays.nextInt(5, 200),
+          () -> {
+            if (plays.nextInt(3) == 0) {
+              balance.listFailed(now);
+            } else {
+              listAll();
             }
-            end(execution, how, !told ? Role.UNTOLD : member.primary ? Role.PRIMARY : Role.REPLICA,
-                wrote ? now : told && replication.positionsInAnswers() ? member.position : Moment.LONG_AGO);
+          });
+    }
+  }
+
+  @Override
+  public void wake(Span fromNow) {
+    check(fromNow.micros() > 0, "woken in the past");
+    after(Math.max(1, fromNow.micros() / 1_000.0), () -> balance.woken(now));
+  }
+
+  @Override
+  public void primary(int group, int node, boolean found) {}
+
+  @Override
+  public void prepare(int node, int connections) {
+    prepared = connections;
+  }
+
+  @Override
+  public void change(int group, Change.Phase phase, int target) {
+    phases.add(phase);
+  }
+
+  // ---- Nodes that answer by themselves.
+
+  static final double NODE_RATE = 100;
+
+  void playWith(SplittableRandom chance, int nodes) {
+    plays = chance;
+    for (int i = 0; i < nodes; i++) {
+      Member member = new Member();
+      member.primary = member.wasPrimary = i == 0;
+      member.position = now;
+      members.add(member);
+    }
+    listAll();
+  }
+
+  void listAll() {
+    balance.listBegins();
+    for (int i = 0; i < members.size(); i++) {
+      Member member = members.get(i);
+      member.toldStart = member.startedAt;
+      balance.listed(
+          now,
+          i,
+          member.listedReady ? Listing.READY : Listing.DRAINING,
+          1,
+          i % 2,
+          1,
+          member.startedAt);
+    }
+    balance.listEnds(now, true, true);
+  }
+
+  private Moment truth(Member member) {
+    return member.primary && member.alive ? now : member.position;
+  }
+
+  private void after(double millis, Runnable act) {
+    due.add(new Due(now.plus(ms(millis)), order++, act));
+  }
+
+  private void play(Sent execution, Member member, Fate fate) {
+    boolean write = fate.terms.needs() == Needs.WRITE;
+    double last = execution.timeout.micros() > 0 ? execution.timeout.micros() / 1e3 : 1e9;
+    double left = Math.max(1, Math.min(last, fate.leaves.since(now).micros() / 1e3));
+    double takes = member.alive ? 1 + plays.nextInt(40) : 3;
+    Ending ending =
+        !member.alive
+            ? plays.nextBoolean() ? Ending.NO_CONNECTION : Ending.RESET
+            : member.hangs
+                ? Ending.TIMED_OUT
+                : plays.nextDouble() < member.failing
+                    ? Ending.ERROR
+                    : plays.nextInt(50) == 0
+                        ? Ending.FULL
+                        : write && !member.primary ? Ending.MISS : Ending.COMPLETED;
+    if (ending == Ending.TIMED_OUT || takes > left) {
+      takes = left;
+      ending = Ending.TIMED_OUT;
+    }
+    Ending planned = ending;
+    after(
+        takes,
+        () -> {
+          // A write that its node still holds when it loses the role ends in an error.
+          boolean lost = write && planned == Ending.COMPLETED && !(member.primary && member.alive);
+          Ending how = lost ? Ending.ERROR : planned;
+          boolean told = how == Ending.COMPLETED || how == Ending.MISS || how == Ending.ERROR;
+          boolean wrote = write && how == Ending.COMPLETED;
+          if (wrote && !fate.answered) {
+            commits.merge(fate.session, now, Moment::later);
+          }
+          end(
+              execution,
+              how,
+              !told ? Role.UNTOLD : member.primary ? Role.PRIMARY : Role.REPLICA,
+              wrote
+                  ? now
+                  : told && replication.positionsInAnswers() ? member.position : Moment.LONG_AGO);
         });
-    }
-
-    /** Lets the clock run, in the order in which things fall due, and moves the replicas along. */
-    void run(double millis) {
-        Moment end = now.plus(ms(millis));
-        while (!due.isEmpty() && !due.peek().at.isAfter(end)) {
-            Due next = due.poll();
-            now = now.later(next.at);
-            next.act.run();
-        }
-        now = end;
-        boolean led = members.stream().anyMatch(m -> m.primary && m.alive && !m.hangs);
-        for (Member member : members) {
-            if (member.primary && member.alive) {
-                member.position = now;
-            } else if (member.alive && led) {
-                member.position = member.position.later(now.minus(ms(plays.nextInt(20) == 0 ? 500 : 20)));
-            }
-        }
-        for (int i = 0; i < fates.size(); i++) {
-            check(fates.get(i).answered || !now.isAfter(fates.get(i).leaves.plus(SLACK)),
-                "rule 1: no answer in time");
-        }
-    }
+  }
+
+  /** Lets the clock run, in the order in which things fall due, and moves the replicas along. */
+  void run(double millis) {
+    Moment end = now.plus(ms(millis));
+    while (!due.isEmpty() && !due.peek().at.isAfter(end)) {
+      Due next = due.poll();
+      now = now.later(next.at);
+      next.act.run();
+    }
+    now = end;
+    boolean led = members.stream().anyMatch(m -> m.primary && m.alive && !m.hangs);
+    for (Member member : members) {
+      if (member.primary && member.alive) {
+        member.position = now;
+      } else if (member.alive && led) {
+        member.position = member.position.later(now.minus(ms(plays.nextInt(20) == 0 ? 500 : 20)));
+      }
+    }
+    for (int i = 0; i < fates.size(); i++) {
+      check(
+          fates.get(i).answered || !now.isAfter(fates.get(i).leaves.plus(SLACK)),
+          "rule 1: no answer in time");
+    }
+  }
 }
--- a/router/src/test/java/basaltlever/ViewTest.java
+++ b/router/src/test/java/basaltlever/ViewTest.java
@@ -24,182 +24,280 @@
 
 /** What of a view counts, for which node, and that it only ever makes for more care. */
 class ViewTest {
-    private static final long HOUR = 3_600_000_000L;
+  private static final long HOUR = 3_600_000_000L;
 
-    private static NodeView bad(boolean silent, boolean down, double failing) {
-        return new NodeView(0, 77, false, false, NodeView.NEVER, NodeView.NEVER, silent,
-            down ? ms(3_000) : NodeView.NEVER, failing, 0.4, 0.5, 3, ms(200), ms(900), 0, NodeView.NEVER);
-    }
+  private static NodeView bad(boolean silent, boolean down, double failing) {
+    return new NodeView(
+        0,
+        77,
+        false,
+        false,
+        NodeView.NEVER,
+        NodeView.NEVER,
+        silent,
+        down ? ms(3_000) : NodeView.NEVER,
+        failing,
+        0.4,
+        0.5,
+        3,
+        ms(200),
+        ms(900),
+        0,
+        NodeView.NEVER);
+  }
 
-    /** One reason for care and no other. */
-    private static NodeView only(boolean drains, boolean silent, boolean down, double failing,
-        double restsMillis) {
-        return new NodeView(0, 77, drains, false, NodeView.NEVER, NodeView.NEVER, silent,
-            down ? ms(3_000) : NodeView.NEVER, failing, 0, 9, 0, ms(restsMillis), Span.NONE, 0,
-            NodeView.NEVER);
-    }
+  /** One reason for care and no other. */
+  private static NodeView only(
+      boolean drains, boolean silent, boolean down, double failing, double restsMillis) {
+    return new NodeView(
+        0,
+        77,
+        drains,
+        false,
+        NodeView.NEVER,
+        NodeView.NEVER,
+        silent,
+        down ? ms(3_000) : NodeView.NEVER,
+        failing,
+        0,
+        9,
+        0,
+        ms(restsMillis),
+        Span.NONE,
+        0,
+        NodeView.NEVER);
+  }
 
-    private static NodeView drained(boolean cold) {
-        return new NodeView(0, 77, !cold, false, ms(500), NodeView.NEVER, false, NodeView.NEVER, 0, 0, 5, 0,
-            Span.NONE,
-            Span.NONE, cold ? 7 : 0, ms(100));
-    }
+  private static NodeView drained(boolean cold) {
+    return new NodeView(
+        0,
+        77,
+        !cold,
+        false,
+        ms(500),
+        NodeView.NEVER,
+        false,
+        NodeView.NEVER,
+        0,
+        0,
+        5,
+        0,
+        Span.NONE,
+        Span.NONE,
+        cold ? 7 : 0,
+        ms(100));
+  }
 
-    private static View view(NodeView node) {
-        return new View("fleet", "n3", 5, 1_000 * HOUR, 50 * HOUR, "b1", 40,
-            List.of(new Known("s-1", "127.0.0.1:7001", node)), List.of());
-    }
+  private static View view(NodeView node) {
+    return new View(
+        "fleet",
+        "n3",
+        5,
+        1_000 * HOUR,
+        50 * HOUR,
+        "b1",
+        40,
+        List.of(new Known("s-1", "127.0.0.1:7001", node)),
+        List.of());
+  }
 
-    private static Recollection after(View view, long age, long steadily, String boot) {
-        return Recollection.of(view, "fleet", "n3", view.writtenAt() + age, view.steady() + steadily, boot);
-    }
+  private static Recollection after(View view, long age, long steadily, String boot) {
+    return Recollection.of(
+        view, "fleet", "n3", view.writtenAt() + age, view.steady() + steadily, boot);
+  }
 
-    private static NodeView aged(NodeView node, long age) {
-        return after(view(node), age, age, "b1").of("s-1", "127.0.0.1:7001", 77, 41, true);
-    }
+  private static NodeView aged(NodeView node, long age) {
+    return after(view(node), age, age, "b1").of("s-1", "127.0.0.1:7001", 77, 41, true);
+  }
 
-    @Example
-    void whatWasLearnedFadesByItsCurveAndDaysOldIsNothing() {
-        NodeView node = aged(bad(true, true, 0.8), 10_000_000);
-        check(node.silent() && node.downFor().equals(ms(13_000))
+  @Example
+  void whatWasLearnedFadesByItsCurveAndDaysOldIsNothing() {
+    NodeView node = aged(bad(true, true, 0.8), 10_000_000);
+    check(
+        node.silent()
+            && node.downFor().equals(ms(13_000))
             && Math.abs(node.failing() - Math.exp(-10 / 120.0)) < 1e-9,
-            "ten seconds: the states stand");
-        check(Math.abs(node.strained() - 0.4 * Math.exp(-10 / 15.0)) < 1e-9 && node.rests()
-            .equals(Span.NONE), "load");
-        NodeView later = aged(bad(true, true, 0.8), 200_000_000);
-        check(!later.silent() && !later.isDown() && later.failing() > 0.1 && later.failing() < 0.2,
-            "minutes: a guess");
-        NodeView days = aged(bad(true, true, 1), 48 * HOUR);
-        check(days.failing() < 0.01 && days.strained() < 0.01 && days.lag().micros() < 10_000
+        "ten seconds: the states stand");
+    check(
+        Math.abs(node.strained() - 0.4 * Math.exp(-10 / 15.0)) < 1e-9
+            && node.rests().equals(Span.NONE),
+        "load");
+    NodeView later = aged(bad(true, true, 0.8), 200_000_000);
+    check(
+        !later.silent() && !later.isDown() && later.failing() > 0.1 && later.failing() < 0.2,
+        "minutes: a guess");
+    NodeView days = aged(bad(true, true, 1), 48 * HOUR);
+    check(
+        days.failing() < 0.01
+            && days.strained() < 0.01
+            && days.lag().micros() < 10_000
             && days.room() > 12,
-            "days: nothing");
-        check(Aging.weight(ms(553_000)) < 0.01 && Aging.weight(ms(83_000)) > 0.5
-            && Aging.weight(ms(-1)) == 0, "the curve");
-        check(aged(drained(false), 0).drains() == false, "a live list has the later word on a drain");
-    }
+        "days: nothing");
+    check(
+        Aging.weight(ms(553_000)) < 0.01
+            && Aging.weight(ms(83_000)) > 0.5
+            && Aging.weight(ms(-1)) == 0,
+        "the curve");
+    check(aged(drained(false), 0).drains() == false, "a live list has the later word on a drain");
+  }
 
-    @Example
-    void aViewWithoutADateOrOfAnotherCountsForNothing() {
-        View view = view(bad(true, false, 1));
-        check(after(view, 5_000_000, 5_000_000, "b1").worthless().isEmpty(), "sound");
-        check(after(view, 5_000_000, 5_000_000, "b1").age().equals(ms(5_000)), "dated");
-        check(!after(view, -1, 5, "b1").worthless().isEmpty(), "the future");
-        check(!after(view, 5_000_000, HOUR, "b1").worthless().isEmpty(),
-            "stepped back since, though not past it");
-        check(!after(view, HOUR, 5_000_000, "b1").worthless().isEmpty(), "stepped ahead");
-        check(after(view, HOUR, 5, "b2").age().micros() == HOUR,
-            "another run of the machine: the system's clock");
-        check(!Recollection.of(view, "other", "n3", 2_000 * HOUR, 0, "").worthless().isEmpty(), "deployment");
-        check(!Recollection.of(view, "fleet", "n4", 2_000 * HOUR, 0, "").worthless().isEmpty(), "router");
-    }
+  @Example
+  void aViewWithoutADateOrOfAnotherCountsForNothing() {
+    View view = view(bad(true, false, 1));
+    check(after(view, 5_000_000, 5_000_000, "b1").worthless().isEmpty(), "sound");
+    check(after(view, 5_000_000, 5_000_000, "b1").age().equals(ms(5_000)), "dated");
+    check(!after(view, -1, 5, "b1").worthless().isEmpty(), "the future");
+    check(
+        !after(view, 5_000_000, HOUR, "b1").worthless().isEmpty(),
+        "stepped back since, though not past it");
+    check(!after(view, HOUR, 5_000_000, "b1").worthless().isEmpty(), "stepped ahead");
+    check(
+        after(view, HOUR, 5, "b2").age().micros() == HOUR,
+        "another run of the machine: the system's clock");
+    check(
+        !Recollection.of(view, "other", "n3", 2_000 * HOUR, 0, "").worthless().isEmpty(),
+        "deployment");
+    check(
+        !Recollection.of(view, "fleet", "n4", 2_000 * HOUR, 0, "").worthless().isEmpty(), "router");
+  }
 
-    @Example
-    void anotherStartIdOrAddressIsNewAndAnOlderListDoesNotUndoADrain() {
-        View view = view(drained(false));
-        check(after(view, 1, 1, "b1").of("s-2", "127.0.0.1:7001", 77, 40, false) == null, "id");
-        check(after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7002", 77, 40, false) == null, "address");
-        check(after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 78, 39, false) == null, "a later start");
-        check(after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 76, 40, false) == null,
-            "an earlier one, as new");
-        check(after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 76, 39, false) != null, "an older list");
-        Recollection recollection = after(view, 1, 1, "b1");
-        check(recollection.of("s-1", "127.0.0.1:7001", 77, 39, false).drains(), "told since: binds");
-        check(recollection.of("s-1", "127.0.0.1:7001", 77, 39, false) == null, "once");
-        check(!after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 77, 40, false).drains(), "as new a list");
-    }
+  @Example
+  void anotherStartIdOrAddressIsNewAndAnOlderListDoesNotUndoADrain() {
+    View view = view(drained(false));
+    check(after(view, 1, 1, "b1").of("s-2", "127.0.0.1:7001", 77, 40, false) == null, "id");
+    check(after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7002", 77, 40, false) == null, "address");
+    check(
+        after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 78, 39, false) == null,
+        "a later start");
+    check(
+        after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 76, 40, false) == null,
+        "an earlier one, as new");
+    check(
+        after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 76, 39, false) != null,
+        "an older list");
+    Recollection recollection = after(view, 1, 1, "b1");
+    check(recollection.of("s-1", "127.0.0.1:7001", 77, 39, false).drains(), "told since: binds");
+    check(recollection.of("s-1", "127.0.0.1:7001", 77, 39, false) == null, "once");
+    check(
+        !after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 77, 40, false).drains(),
+        "as new a list");
+  }
 
-    /** A fresh router of three members, before it has heard anything else. */
-    private static StandIn fresh(NodeView... views) {
-        StandIn world = StandIn.plain();
-        world.balance.listBegins();
-        for (int i = 0; i < 3; i++) {
-            world.balance.listed(world.now, i, Listing.READY, 1, 0, 1, Moment.LONG_AGO);
-            if (i < views.length && views[i] != null) {
-                world.balance.recall.recalled(world.now, i, views[i]);
-            }
-        }
-        world.balance.listEnds(world.now, true, true);
-        return world;
+  /** A fresh router of three members, before it has heard anything else. */
+  private static StandIn fresh(NodeView... views) {
+    StandIn world = StandIn.plain();
+    world.balance.listBegins();
+    for (int i = 0; i < 3; i++) {
+      world.balance.listed(world.now, i, Listing.READY, 1, 0, 1, Moment.LONG_AGO);
+      if (i < views.length && views[i] != null) {
+        world.balance.recall.recalled(world.now, i, views[i]);
+      }
     }
+    world.balance.listEnds(world.now, true, true);
+    return world;
+  }
 
-    @Example
-    void aPrimaryOfTheViewIsAskedFirstAndNotBelieved() {
-        NodeView was = new NodeView(0, 0, false, true, NodeView.NEVER, NodeView.NEVER, false,
-            NodeView.NEVER, 0, 0,
-            1e9, 0, Span.NONE, Span.NONE, 0, NodeView.NEVER);
-        StandIn world = fresh(null, null, was);
-        check(world.polled.equals(List.of(2, 0, 1)), "asked first, and each once: " + world.polled);
-        world.take(WRITE);
-        check(world.sent.isEmpty(), "held: a role from a file is no proof");
-        world.poll(0, Role.PRIMARY, world.now);
-        check(world.sent.size() == 1 && world.last().node() == 0, "it has died since: another is believed");
-    }
+  @Example
+  void aPrimaryOfTheViewIsAskedFirstAndNotBelieved() {
+    NodeView was =
+        new NodeView(
+            0,
+            0,
+            false,
+            true,
+            NodeView.NEVER,
+            NodeView.NEVER,
+            false,
+            NodeView.NEVER,
+            0,
+            0,
+            1e9,
+            0,
+            Span.NONE,
+            Span.NONE,
+            0,
+            NodeView.NEVER);
+    StandIn world = fresh(null, null, was);
+    check(world.polled.equals(List.of(2, 0, 1)), "asked first, and each once: " + world.polled);
+    world.take(WRITE);
+    check(world.sent.isEmpty(), "held: a role from a file is no proof");
+    world.poll(0, Role.PRIMARY, world.now);
+    check(
+        world.sent.size() == 1 && world.last().node() == 0,
+        "it has died since: another is believed");
+  }
 
-    @Example
-    void silentFailingAndDrainingMembersAreSparedFromTheStart() {
-        for (NodeView view : List.of(only(true, false, false, 0, 0), only(false, true, false, 0, 0),
-            only(false, false, true, 0, 0), only(false, false, false, 0.9, 0), only(false, false, false, 0,
-            300))) {
-            StandIn world = fresh(null, view, null);
-            world.poll(0, Role.PRIMARY, world.now);
-            world.poll(2, Role.REPLICA, world.now);
-            if (!view.isDown()) {
-                world.poll(1, Role.REPLICA, world.now);
-            }
-            for (int i = 0; i < 6; i++) {
-                world.take(BOUNDED);
-                check(world.last().node() != 1, "sent to the bad one: " + view);
-                world.end(world.last(), Ending.COMPLETED, Role.REPLICA, world.now);
-            }
-        }
+  @Example
+  void silentFailingAndDrainingMembersAreSparedFromTheStart() {
+    for (NodeView view :
+        List.of(
+            only(true, false, false, 0, 0),
+            only(false, true, false, 0, 0),
+            only(false, false, true, 0, 0),
+            only(false, false, false, 0.9, 0),
+            only(false, false, false, 0, 300))) {
+      StandIn world = fresh(null, view, null);
+      world.poll(0, Role.PRIMARY, world.now);
+      world.poll(2, Role.REPLICA, world.now);
+      if (!view.isDown()) {
+        world.poll(1, Role.REPLICA, world.now);
+      }
+      for (int i = 0; i < 6; i++) {
+        world.take(BOUNDED);
+        check(world.last().node() != 1, "sent to the bad one: " + view);
+        world.end(world.last(), Ending.COMPLETED, Role.REPLICA, world.now);
+      }
     }
+  }
 
-    @Example
-    void aColdBudgetThatWasSpentIsNotSpentAgain() {
-        int[] sent = new int[2];
-        for (int with = 0; with < 2; with++) {
-            StandIn world = fresh(null, with == 1 ? drained(true) : null, null);
-            if (with == 0) {
-                world.relist(1, Listing.READY, world.now.minus(ms(500)));
-            }
-            world.poll(0, Role.REPLICA, Moment.LONG_AGO);
-            for (int step = 0; step < 400; step++) {
-                world.later(10).poll(1, Role.REPLICA, world.now);
-                world.take(BOUNDED);
-                if (!world.sent.isEmpty() && world.ended.add(world.last())) {
-                    sent[with] += world.last().node() == 1 ? 1 : 0;
-                    world.end(world.last(), Ending.COMPLETED, Role.REPLICA, world.now);
-                }
-            }
+  @Example
+  void aColdBudgetThatWasSpentIsNotSpentAgain() {
+    int[] sent = new int[2];
+    for (int with = 0; with < 2; with++) {
+      StandIn world = fresh(null, with == 1 ? drained(true) : null, null);
+      if (with == 0) {
+        world.relist(1, Listing.READY, world.now.minus(ms(500)));
+      }
+      world.poll(0, Role.REPLICA, Moment.LONG_AGO);
+      for (int step = 0; step < 400; step++) {
+        world.later(10).poll(1, Role.REPLICA, world.now);
+        world.take(BOUNDED);
+        if (!world.sent.isEmpty() && world.ended.add(world.last())) {
+          sent[with] += world.last().node() == 1 ? 1 : 0;
+          world.end(world.last(), Ending.COMPLETED, Role.REPLICA, world.now);
         }
-        check(sent[0] > 0 && sent[1] == 0, "without a view " + sent[0] + ", with one " + sent[1]);
+      }
     }
+    check(sent[0] > 0 && sent[1] == 0, "without a view " + sent[0] + ", with one " + sent[1]);
+  }
 
-    /**
-     * Whatever a view says, no rule breaks and no node is let have what a fresh router would have kept from
-     * it.
-     */
-    @Property(tries = 60, seed = "1207", shrinking = ShrinkingMode.OFF)
-    void theRulesHoldWithAnyView(@ForAll boolean positions, @ForAll boolean tokens, @ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        StandIn world = new StandIn(chance.nextBoolean(), positions, tokens, true, true, 2, seed);
-        world.playWith(chance.split(), 4);
-        world.balance.listBegins();
-        for (int i = 0; i < 4; i++) {
-            world.balance.recall.recalled(world.now, i, KeepTest.view(seed & 0xFFFF, 4).nodes().get(i)
-                .view());
-        }
-        world.listAll();
-        for (int step = 0; step < 500; step++) {
-            world.run(chance.nextInt(1, 20));
-            world.take(chance.nextInt(6), chance.nextInt(5), Moment.LONG_AGO, 100 + chance.nextInt(1_500));
-            if (chance.nextInt(25) == 0) {
-                RulesTest.upset(world, chance);
-            }
-        }
-        world.run(4_000);
-        for (int i = 0; i < 4; i++) {
-            check(world.balance.recall.learned(world.now, i) != null, "what was learned can be told");
-        }
+  /**
+   * Whatever a view says, no rule breaks and no node is let have what a fresh router would have
+   * kept from it.
+   */
+  @Property(tries = 60, seed = "1207", shrinking = ShrinkingMode.OFF)
+  void theRulesHoldWithAnyView(
+      @ForAll boolean positions, @ForAll boolean tokens, @ForAll long seed) {
+    SplittableRandom chance = new SplittableRandom(seed);
+    StandIn world = new StandIn(chance.nextBoolean(), positions, tokens, true, true, 2, seed);
+    world.playWith(chance.split(), 4);
+    world.balance.listBegins();
+    for (int i = 0; i < 4; i++) {
+      world.balance.recall.recalled(
+          world.now, i, KeepTest.view(seed & 0xFFFF, 4).nodes().get(i).view());
+    }
+    world.listAll();
+    for (int step = 0; step < 500; step++) {
+      world.run(chance.nextInt(1, 20));
+      world.take(
+          chance.nextInt(6), chance.nextInt(5), Moment.LONG_AGO, 100 + chance.nextInt(1_500));
+      if (chance.nextInt(25) == 0) {
+        RulesTest.upset(world, chance);
+      }
+    }
+    world.run(4_000);
+    for (int i = 0; i < 4; i++) {
+      check(world.balance.recall.learned(world.now, i) != null, "what was learned can be told");
     }
+  }
 }
--- a/router/src/test/java/basaltlever/agree/MeetTest.java
+++ b/router/src/test/java/basaltlever/agree/MeetTest.java
@@ -22,93 +22,126 @@
 
 /** Seen through what a router might do: what the meet allows, both allow. */
 class MeetTest {
-    private static Agreed any(SplittableRandom chance) {
-        Workload[] kinds = new Workload[3];
-        for (int i = 0; i < kinds.length; i++) {
-            Needs needs = i == 0 ? Needs.WRITE : Needs.values()[1 + chance.nextInt(4)];
-            kinds[i] = new Workload(needs, Span.ofMillis(needs == Needs.BOUNDED ? chance.nextInt(900) : 0),
-                Repeat.values()[chance.nextInt(3)], Within.values()[chance.nextInt(3)],
-                Span.ofMillis(chance.nextInt(900)), Span.ofMillis(300), Span.ofMillis(900), 1, 0);
-        }
-        return new Agreed(new Standing(1 + chance.nextInt(9), 0, 0, 0), kinds,
-            new Replication(chance.nextBoolean(), chance.nextBoolean(), chance.nextBoolean()),
-            new Drains(true, Span.ofMillis(chance.nextInt(900)), chance.nextBoolean()),
-            new WarmUp(chance.nextDouble(), Span.ofMillis(1 + chance.nextInt(900)), 1 + chance.nextInt(5),
-                Span.ofMillis(1 + chance.nextInt(900))),
-            new Allowance(1 + chance.nextInt(6), chance.nextBoolean(), chance.nextBoolean(), true,
-                Span.ofMillis(chance.nextInt(900)), Span.ofMillis(20)),
-            new Connections(1 + chance.nextInt(3), Span.ofMillis(chance.nextInt(900))));
+  private static Agreed any(SplittableRandom chance) {
+    Workload[] kinds = new Workload[3];
+    for (int i = 0; i < kinds.length; i++) {
+      Needs needs = i == 0 ? Needs.WRITE : Needs.values()[1 + chance.nextInt(4)];
+      kinds[i] =
+          new Workload(
+              needs,
+              Span.ofMillis(needs == Needs.BOUNDED ? chance.nextInt(900) : 0),
+              Repeat.values()[chance.nextInt(3)],
+              Within.values()[chance.nextInt(3)],
+              Span.ofMillis(chance.nextInt(900)),
+              Span.ofMillis(300),
+              Span.ofMillis(900),
+              1,
+              0);
     }
+    return new Agreed(
+        new Standing(1 + chance.nextInt(9), 0, 0, 0),
+        kinds,
+        new Replication(chance.nextBoolean(), chance.nextBoolean(), chance.nextBoolean()),
+        new Drains(true, Span.ofMillis(chance.nextInt(900)), chance.nextBoolean()),
+        new WarmUp(
+            chance.nextDouble(),
+            Span.ofMillis(1 + chance.nextInt(900)),
+            1 + chance.nextInt(5),
+            Span.ofMillis(1 + chance.nextInt(900))),
+        new Allowance(
+            1 + chance.nextInt(6),
+            chance.nextBoolean(),
+            chance.nextBoolean(),
+            true,
+            Span.ofMillis(chance.nextInt(900)),
+            Span.ofMillis(20)),
+        new Connections(1 + chance.nextInt(3), Span.ofMillis(chance.nextInt(900))));
+  }
 
-    /** May a second execution follow one that may have run, so long ago, in the same group and zone or not? */
-    private static boolean mayRepeat(Workload kind, int millis, boolean sameZone, boolean sameGroup) {
-        return kind.repeat() == Repeat.IDEMPOTENT || kind.repeat() == Repeat.DEDUPLICATED
-            && millis < kind.window().micros() / 1_000 && (kind.within() == Within.ALL
+  /**
+   * May a second execution follow one that may have run, so long ago, in the same group and zone or
+   * not?
+   */
+  private static boolean mayRepeat(Workload kind, int millis, boolean sameZone, boolean sameGroup) {
+    return kind.repeat() == Repeat.IDEMPOTENT
+        || kind.repeat() == Repeat.DEDUPLICATED
+            && millis < kind.window().micros() / 1_000
+            && (kind.within() == Within.ALL
                 || (kind.within() == Within.ZONE ? sameZone : sameGroup));
-    }
+  }
 
-    /** May a replica answer that lacks so much, to a session that has written or not? */
-    private static boolean mayRead(Workload kind, int behindMillis, boolean wrote) {
-        return switch (kind.needs()) {
-            case ANY -> true;
-            case BOUNDED -> behindMillis <= kind.bound().micros() / 1_000;
-            case SESSION -> !wrote;
-            default -> false;
-        };
-    }
+  /** May a replica answer that lacks so much, to a session that has written or not? */
+  private static boolean mayRead(Workload kind, int behindMillis, boolean wrote) {
+    return switch (kind.needs()) {
+      case ANY -> true;
+      case BOUNDED -> behindMillis <= kind.bound().micros() / 1_000;
+      case SESSION -> !wrote;
+      default -> false;
+    };
+  }
 
-    @Property(tries = 2_000, seed = "291")
-    void whatTheMeetAllowsBothAllow(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        Agreed older = any(chance);
-        Agreed newer = any(chance);
-        Agreed meet = Meet.of(older, newer);
-        for (Agreed strict : List.of(meet, Meet.careful(newer))) {
-            for (Agreed one : strict == meet ? List.of(older, newer) : List.of(older, newer, meet)) {
-                noMore(chance, strict, one);
-            }
-        }
-        boolean tokens = older.replication().sessionsCarryTokens() == newer.replication().sessionsCarryTokens();
-        check(tokens || List.of(meet.workloads()).stream().noneMatch(kind -> kind.needs() == Needs.SESSION),
-            "where a session's commit is to be found differs, so none relies on it");
-        check(Meet.exclusive(older, newer).isEmpty(), "reads and writes stay what they are");
-        check(Meet.of(newer, newer).allowance().equals(newer.allowance()), "a version meets itself");
+  @Property(tries = 2_000, seed = "291")
+  void whatTheMeetAllowsBothAllow(@ForAll long seed) {
+    SplittableRandom chance = new SplittableRandom(seed);
+    Agreed older = any(chance);
+    Agreed newer = any(chance);
+    Agreed meet = Meet.of(older, newer);
+    for (Agreed strict : List.of(meet, Meet.careful(newer))) {
+      for (Agreed one : strict == meet ? List.of(older, newer) : List.of(older, newer, meet)) {
+        noMore(chance, strict, one);
+      }
     }
+    boolean tokens =
+        older.replication().sessionsCarryTokens() == newer.replication().sessionsCarryTokens();
+    check(
+        tokens
+            || List.of(meet.workloads()).stream().noneMatch(kind -> kind.needs() == Needs.SESSION),
+        "where a session's commit is to be found differs, so none relies on it");
+    check(Meet.exclusive(older, newer).isEmpty(), "reads and writes stay what they are");
+    check(Meet.of(newer, newer).allowance().equals(newer.allowance()), "a version meets itself");
+  }
 
-    private static void noMore(SplittableRandom chance, Agreed strict, Agreed one) {
-        for (int i = 0; i < 3; i++) {
-            Workload kind = strict.workloads()[i];
-            Workload other = one.workloads()[i];
-            for (int k = 0; k < 20; k++) {
-                int millis = chance.nextInt(1_000);
-                boolean zone = chance.nextBoolean();
-                boolean group = chance.nextBoolean();
-                check(!mayRepeat(kind, millis, zone, group) || mayRepeat(other, millis, zone, group),
-                    "repeats: " + kind + " and " + other);
-                // A session's read and one of a bounded age are no stricter than each other: fresh reads are.
-                boolean compares = kind.needs() == Needs.FRESH || kind.needs() == other.needs()
-                    || other.needs() == Needs.ANY;
-                check(i == 0 || !compares || !mayRead(kind, millis, zone) || mayRead(other, millis, zone),
-                    "reads: " + kind + " and " + other);
-            }
-        }
-        check(strict.allowance().executions() <= one.allowance().executions(), "executions");
-        check(!strict.allowance().secondCopies() || one.allowance().secondCopies(), "second copies");
-        check(!strict.replication().replicasCheck() || one.replication().replicasCheck(), "checks");
-        check(strict.drains().removalBinds() || !one.drains().removalBinds(), "removals");
+  private static void noMore(SplittableRandom chance, Agreed strict, Agreed one) {
+    for (int i = 0; i < 3; i++) {
+      Workload kind = strict.workloads()[i];
+      Workload other = one.workloads()[i];
+      for (int k = 0; k < 20; k++) {
+        int millis = chance.nextInt(1_000);
+        boolean zone = chance.nextBoolean();
+        boolean group = chance.nextBoolean();
+        check(
+            !mayRepeat(kind, millis, zone, group) || mayRepeat(other, millis, zone, group),
+            "repeats: " + kind + " and " + other);
+        // A session's read and one of a bounded age are no stricter than each other: fresh reads
+        // are.
+        boolean compares =
+            kind.needs() == Needs.FRESH
+                || kind.needs() == other.needs()
+                || other.needs() == Needs.ANY;
+        check(
+            i == 0 || !compares || !mayRead(kind, millis, zone) || mayRead(other, millis, zone),
+            "reads: " + kind + " and " + other);
+      }
     }
+    check(strict.allowance().executions() <= one.allowance().executions(), "executions");
+    check(!strict.allowance().secondCopies() || one.allowance().secondCopies(), "second copies");
+    check(!strict.replication().replicasCheck() || one.replication().replicasCheck(), "checks");
+    check(strict.drains().removalBinds() || !one.drains().removalBinds(), "removals");
+  }
 
-    /** A new node's budget, by age: no more under the meet than under either. */
-    @Property(tries = 500, seed = "292")
-    void sharesAndBudgetsAreNoLarger(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        Agreed older = any(chance);
-        Agreed newer = any(chance);
-        Agreed meet = Meet.of(older, newer);
-        Span age = new Moment(chance.nextInt(1_000_000)).since(new Moment(0));
-        for (Agreed one : List.of(older, newer)) {
-            check(meet.warmUp().at(age) * meet.warmUp().topplesAt() / meet.standing().routers()
-                <= one.warmUp().at(age) * one.warmUp().topplesAt() / one.standing().routers() + 1e-9, "budget");
-        }
+  /** A new node's budget, by age: no more under the meet than under either. */
+  @Property(tries = 500, seed = "292")
+  void sharesAndBudgetsAreNoLarger(@ForAll long seed) {
+    SplittableRandom chance = new SplittableRandom(seed);
+    Agreed older = any(chance);
+    Agreed newer = any(chance);
+    Agreed meet = Meet.of(older, newer);
+    Span age = new Moment(chance.nextInt(1_000_000)).since(new Moment(0));
+    for (Agreed one : List.of(older, newer)) {
+      check(
+          meet.warmUp().at(age) * meet.warmUp().topplesAt() / meet.standing().routers()
+              <= one.warmUp().at(age) * one.warmUp().topplesAt() / one.standing().routers() + 1e-9,
+          "budget");
     }
+  }
 }
--- a/router/src/test/java/basaltlever/discovery/ListReaderTest.java
+++ b/router/src/test/java/basaltlever/discovery/ListReaderTest.java
@@ -13,109 +13,156 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** Lists of thousands of entries as discovery may write them: in pieces, indented, cut off, several in a row. */
+/**
+ * Lists of thousands of entries as discovery may write them: in pieces, indented, cut off, several
+ * in a row.
+ */
 class ListReaderTest {
-    private static final int LONG = 3_200;
+  private static final int LONG = 3_200;
 
-    private static final class Heard implements ListReader.Listener {
-        final List<MemberEntry> entries = new ArrayList<>();
-        final List<MemberUpdate> updates = new ArrayList<>();
-        int keepAlives;
+  private static final class Heard implements ListReader.Listener {
+    final List<MemberEntry> entries = new ArrayList<>();
+    final List<MemberUpdate> updates = new ArrayList<>();
+    int keepAlives;
 
-        @Override
-        public void keepAlive() {
-            keepAlives++;
-        }
-
-        @Override
-        public void entry(MemberEntry entry) {
-            entries.add(entry);
-        }
-
-        @Override
-        public void update(MemberUpdate update) {
-            updates.add(update);
-        }
+    @Override
+    public void keepAlive() {
+      keepAlives++;
     }
 
-    private static String entry(int number, String lifecycle, String apart) {
-        return "{\"instanceId\": \"s-" + number + "\"," + apart + "\"hostPort\":\"127.0.0.1:" + (1_000 + number)
-            + "\",\"zone\":\"a]},{\",\"machineType\":{\"name\":\"m\"},\"cell\":" + number / 5 + ",\"lifecycle\":\""
-            + lifecycle + "\",\"weight\":1.0," + apart + "\"startedAtMs\":0}";
+    @Override
+    public void entry(MemberEntry entry) {
+      entries.add(entry);
     }
 
-    private static String list(SplittableRandom random, int generation, int entries, int draining) {
-        String apart = random.nextBoolean() ? "\n      " : "";
-        StringBuilder text = new StringBuilder();
-        boolean namesFirst = random.nextBoolean();
-        String head = "\"generation\":" + generation + "," + apart + "\"reset\":true";
-        text.append('{').append(apart).append(namesFirst ? head + "," : "").append("\"instances\": [").append(apart);
-        for (int i = 0; i < entries; i++) {
-            text.append(i == 0 ? "" : "," + apart).append(entry(i, i == draining ? "terminating" : "in_service", apart));
-        }
-        return text.append(apart).append(']').append(namesFirst ? "" : "," + head).append(apart).append('}').toString();
+    @Override
+    public void update(MemberUpdate update) {
+      updates.add(update);
     }
+  }
+
+  private static String entry(int number, String lifecycle, String apart) {
+    return "{\"instanceId\": \"s-"
+        + number
+        + "\","
+        + apart
+        + "\"hostPort\":\"127.0.0.1:"
+        + (1_000 + number)
+        + "\",\"zone\":\"a]},{\",\"machineType\":{\"name\":\"m\"},\"cell\":"
+        + number / 5
+        + ",\"lifecycle\":\""
+        + lifecycle
+        + "\",\"weight\":1.0,"
+        + apart
+        + "\"startedAtMs\":0}";
+  }
 
-    private static void read(ListReader reader, String text, SplittableRandom random, int largest) throws ListFault {
-        for (int at = 0; at < text.length();) {
-            int size = Math.min(text.length() - at, 1 + random.nextInt(largest));
-            reader.read(Unpooled.copiedBuffer(text.substring(at, at + size), StandardCharsets.US_ASCII));
-            at += size;
-        }
+  private static String list(SplittableRandom random, int generation, int entries, int draining) {
+    String apart = random.nextBoolean() ? "\n      " : "";
+    StringBuilder text = new StringBuilder();
+    boolean namesFirst = random.nextBoolean();
+    String head = "\"generation\":" + generation + "," + apart + "\"reset\":true";
+    text.append('{')
+        .append(apart)
+        .append(namesFirst ? head + "," : "")
+        .append("\"instances\": [")
+        .append(apart);
+    for (int i = 0; i < entries; i++) {
+      text.append(i == 0 ? "" : "," + apart)
+          .append(entry(i, i == draining ? "terminating" : "in_service", apart));
     }
+    return text.append(apart)
+        .append(']')
+        .append(namesFirst ? "" : "," + head)
+        .append(apart)
+        .append('}')
+        .toString();
+  }
 
-    @Property(tries = 80, seed = "3838", shrinking = ShrinkingMode.OFF)
-    void severalListsInARowAreTheSameHoweverTheyAreCut(@ForAll long seed) throws ListFault {
-        SplittableRandom random = new SplittableRandom(seed);
-        Heard heard = new Heard();
-        ListReader reader = new ListReader(heard);
-        StringBuilder body = new StringBuilder();
-        int lists = 1 + random.nextInt(4);
-        int[] sizes = new int[lists];
-        for (int i = 0; i < lists; i++) {
-            sizes[i] = random.nextInt(40);
-            body.append(list(random, i + 5, sizes[i], random.nextInt(40))).append(random.nextBoolean() ? "\n" : "");
-        }
-        read(reader, "HTTP/1.1 200 OK\r\n\r\n" + body, random, 1 + random.nextInt(300));
-        check(heard.updates.size() == lists, "each list: " + heard.updates.size() + " of " + lists);
-        int total = 0;
-        for (int i = 0; i < lists; i++) {
-            MemberUpdate update = heard.updates.get(i);
-            check(update.generation() == i + 5 && update.whole() && update.entries().size() == sizes[i], "list " + i);
-            check(update.equals(MemberUpdate.of(MemberUpdate.object(list(new SplittableRandom(1), i + 5, sizes[i],
-                update.entries().stream().map(MemberEntry::listing).toList().indexOf(Listing.DRAINING))))),
-                "the entries as a parser of whole texts reads them");
-            total += sizes[i];
-        }
-        check(heard.entries.size() == total, "each entry is told once");
+  private static void read(ListReader reader, String text, SplittableRandom random, int largest)
+      throws ListFault {
+    for (int at = 0; at < text.length(); ) {
+      int size = Math.min(text.length() - at, 1 + random.nextInt(largest));
+      reader.read(Unpooled.copiedBuffer(text.substring(at, at + size), StandardCharsets.US_ASCII));
+      at += size;
     }
+  }
 
-    @Example
-    void anEntryIsToldBeforeItsListHasCome() throws ListFault {
-        SplittableRandom random = new SplittableRandom(1);
-        String list = list(random, 9, LONG, 7);
-        Heard heard = new Heard();
-        ListReader reader = new ListReader(heard);
-        read(reader, "HTTP/1.1 200 OK\r\n\r\n" + list.substring(0, list.length() / 2), random, 8_192);
-        check(heard.updates.isEmpty() && heard.entries.size() > LONG / 3, "half of it: " + heard.entries.size());
-        check(heard.entries.get(7).listing() == Listing.DRAINING, "the drain is among it");
-        read(reader, list.substring(list.length() / 2), random, 8_192);
-        check(heard.updates.size() == 1 && heard.updates.get(0).entries().size() == LONG, "and the whole");
+  @Property(tries = 80, seed = "3838", shrinking = ShrinkingMode.OFF)
+  void severalListsInARowAreTheSameHoweverTheyAreCut(@ForAll long seed) throws ListFault {
+    SplittableRandom random = new SplittableRandom(seed);
+    Heard heard = new Heard();
+    ListReader reader = new ListReader(heard);
+    StringBuilder body = new StringBuilder();
+    int lists = 1 + random.nextInt(4);
+    int[] sizes = new int[lists];
+    for (int i = 0; i < lists; i++) {
+      sizes[i] = random.nextInt(40);
+      body.append(list(random, i + 5, sizes[i], random.nextInt(40)))
+          .append(random.nextBoolean() ? "\n" : "");
     }
+    read(reader, "HTTP/1.1 200 OK\r\n\r\n" + body, random, 1 + random.nextInt(300));
+    check(heard.updates.size() == lists, "each list: " + heard.updates.size() + " of " + lists);
+    int total = 0;
+    for (int i = 0; i < lists; i++) {
+      MemberUpdate update = heard.updates.get(i);
+      check(
+          update.generation() == i + 5 && update.whole() && update.entries().size() == sizes[i],
+          "list " + i);
+      check(
+          update.equals(
+              MemberUpdate.of(
+                  MemberUpdate.object(
+                      list(
+                          new SplittableRandom(1),
+                          i + 5,
+                          sizes[i],
+                          update.entries().stream()
+                              .map(MemberEntry::listing)
+                              .toList()
+                              .indexOf(Listing.DRAINING))))),
+          "the entries as a parser of whole texts reads them");
+      total += sizes[i];
+    }
+    check(heard.entries.size() == total, "each entry is told once");
+  }
+
+  @Example
+  void anEntryIsToldBeforeItsListHasCome() throws ListFault {
+    SplittableRandom random = new SplittableRandom(1);
+    String list = list(random, 9, LONG, 7);
+    Heard heard = new Heard();
+    ListReader reader = new ListReader(heard);
+    read(reader, "HTTP/1.1 200 OK\r\n\r\n" + list.substring(0, list.length() / 2), random, 8_192);
+    check(
+        heard.updates.isEmpty() && heard.entries.size() > LONG / 3,
+        "half of it: " + heard.entries.size());
+    check(heard.entries.get(7).listing() == Listing.DRAINING, "the drain is among it");
+    read(reader, list.substring(list.length() / 2), random, 8_192);
+    check(
+        heard.updates.size() == 1 && heard.updates.get(0).entries().size() == LONG,
+        "and the whole");
+  }
 
-    @Example
-    void faultsWithinAListAreNamedAndNothingIsToldAsWhole() {
-        for (String bad : List.of("{\"instances\":[{}]}", "{\"instances\":[{\"instanceId\":\"a\"}]}", "{\"instances\":[4]}",
-            "{\"instances\":[{\"instanceId\":\"a\",\"hostPort\":\"127.0.0.1:5\",\"cell\":\"x\"}]}", "{}",
+  @Example
+  void faultsWithinAListAreNamedAndNothingIsToldAsWhole() {
+    for (String bad :
+        List.of(
+            "{\"instances\":[{}]}",
+            "{\"instances\":[{\"instanceId\":\"a\"}]}",
+            "{\"instances\":[4]}",
+            "{\"instances\":[{\"instanceId\":\"a\",\"hostPort\":\"127.0.0.1:5\",\"cell\":\"x\"}]}",
+            "{}",
             "{\"instances\":[{\"instanceId\":\"a\",\"lifecycle\":\"terminated\"}],\"generation\":-1}")) {
-            Heard heard = new Heard();
-            try {
-                new ListReader(heard).read(Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\n\r\n" + bad,
-                    StandardCharsets.US_ASCII));
-                check(false, "taken: " + bad);
-            } catch (ListFault fault) {
-                check(heard.updates.isEmpty() && !fault.getMessage().isEmpty(), "it says what");
-            }
-        }
+      Heard heard = new Heard();
+      try {
+        new ListReader(heard)
+            .read(
+                Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\n\r\n" + bad, StandardCharsets.US_ASCII));
+        check(false, "taken: " + bad);
+      } catch (ListFault fault) {
+        check(heard.updates.isEmpty() && !fault.getMessage().isEmpty(), "it says what");
+      }
     }
+  }
 }
--- a/router/src/test/java/basaltlever/fleet/PapersTest.java
+++ b/router/src/test/java/basaltlever/fleet/PapersTest.java
@@ -10,52 +10,61 @@
 import net.jqwik.api.Example;
 
 class PapersTest {
-    private static String refused(Path folder, String fleet, String name) {
-        try {
-            Papers.read(folder, fleet, name);
-            return "";
-        } catch (IOException fault) {
-            return fault.getMessage();
-        }
+  private static String refused(Path folder, String fleet, String name) {
+    try {
+      Papers.read(folder, fleet, name);
+      return "";
+    } catch (IOException fault) {
+      return fault.getMessage();
     }
+  }
 
-    @Example
-    void whatWasWrittenIsFoundAndNobodyElsesOrDamagedIsTaken() throws Exception {
-        Path folder = Files.createTempDirectory("papers");
-        Papers papers = Papers.read(folder, "cards", "n1");
-        papers.votes(2, List.of("n1", "n4"));
-        papers.isTold(3);
-        papers.areTold(List.of("n4", "n5"));
-        Version version = new Version(7, "{\"Balancers\":3}", 12, "ops", "fewer copies", 1_796_000_000_000L);
-        papers.isTold(new Version(6, "{}", 11, "ops", "before", 1));
-        papers.isTold(version);
-        Papers again = Papers.read(folder, "cards", "n1");
-        check(again.seal().equals(papers.seal()) && again.knows() == 3
-            && again.voters().equals(List.of("n4", "n5")) && again.told().equals(version), "kept");
-        check(refused(folder, "cards", "n2").contains("is the folder of n1 of fleet cards"), "another router's");
-        check(refused(folder, "views", "n1").contains("not of n1 of views"), "another fleet's");
-        Path file = folder.resolve("papers");
-        byte[] bytes = Files.readAllBytes(file);
-        for (int at = 0; at < bytes.length; at++) {
-            byte[] bad = bytes.clone();
-            bad[at] ^= 4;
-            Files.write(file, bad);
-            check(refused(folder, "cards", "n1").contains("damaged"), "bit of byte " + at);
-        }
-        for (int length = 0; length < bytes.length; length += 7) {
-            Files.write(file, java.util.Arrays.copyOf(bytes, length));
-            check(refused(folder, "cards", "n1").contains("damaged"), "cut at " + length);
-        }
+  @Example
+  void whatWasWrittenIsFoundAndNobodyElsesOrDamagedIsTaken() throws Exception {
+    Path folder = Files.createTempDirectory("papers");
+    Papers papers = Papers.read(folder, "cards", "n1");
+    papers.votes(2, List.of("n1", "n4"));
+    papers.isTold(3);
+    papers.areTold(List.of("n4", "n5"));
+    Version version =
+        new Version(7, "{\"Balancers\":3}", 12, "ops", "fewer copies", 1_796_000_000_000L);
+    papers.isTold(new Version(6, "{}", 11, "ops", "before", 1));
+    papers.isTold(version);
+    Papers again = Papers.read(folder, "cards", "n1");
+    check(
+        again.seal().equals(papers.seal())
+            && again.knows() == 3
+            && again.voters().equals(List.of("n4", "n5"))
+            && again.told().equals(version),
+        "kept");
+    check(
+        refused(folder, "cards", "n2").contains("is the folder of n1 of fleet cards"),
+        "another router's");
+    check(refused(folder, "views", "n1").contains("not of n1 of views"), "another fleet's");
+    Path file = folder.resolve("papers");
+    byte[] bytes = Files.readAllBytes(file);
+    for (int at = 0; at < bytes.length; at++) {
+      byte[] bad = bytes.clone();
+      bad[at] ^= 4;
+      Files.write(file, bad);
+      check(refused(folder, "cards", "n1").contains("damaged"), "bit of byte " + at);
     }
-
-    /** One message may hold settings that fill it: the folder must still be read. */
-    @Example
-    void settingsThatFillAMessageAreLeftOutAndNothingElseIs() throws Exception {
-        Path folder = Files.createTempDirectory("papers");
-        Papers papers = Papers.read(folder, "cards", "n1");
-        papers.votes(2, List.of("n1"));
-        papers.isTold(new Version(7, "x".repeat(Message.LARGEST - 60), 12, "ops", "large", 1));
-        Papers again = Papers.read(folder, "cards", "n1");
-        check(again.told() == null && again.seal().equals(papers.seal()) && again.knows() == 2, "all but the version");
+    for (int length = 0; length < bytes.length; length += 7) {
+      Files.write(file, java.util.Arrays.copyOf(bytes, length));
+      check(refused(folder, "cards", "n1").contains("damaged"), "cut at " + length);
     }
+  }
+
+  /** One message may hold settings that fill it: the folder must still be read. */
+  @Example
+  void settingsThatFillAMessageAreLeftOutAndNothingElseIs() throws Exception {
+    Path folder = Files.createTempDirectory("papers");
+    Papers papers = Papers.read(folder, "cards", "n1");
+    papers.votes(2, List.of("n1"));
+    papers.isTold(new Version(7, "x".repeat(Message.LARGEST - 60), 12, "ops", "large", 1));
+    Papers again = Papers.read(folder, "cards", "n1");
+    check(
+        again.told() == null && again.seal().equals(papers.seal()) && again.knows() == 2,
+        "all but the version");
+  }
 }
--- a/router/src/test/java/basaltlever/net/ClientEndTest.java
+++ b/router/src/test/java/basaltlever/net/ClientEndTest.java
@@ -9,57 +9,65 @@
 import net.jqwik.api.Example;
 
 /**
- * Seen: connections of several clients were ended in one moment, each 50 to 90 ms after its statement had been sent. How: a
- * turn of the loop took that long, and in the next one an idle connection was ended for another client before its own socket
- * was read. Cause: what was received and not yet read did not count. Proof: below, in that order, on a loop that is held up.
+ * Seen: connections of several clients were ended in one moment, each 50 to 90 ms after its
+ * statement had been sent. How: a turn of the loop took that long, and in the next one an idle
+ * connection was ended for another client before its own socket was read. Cause: what was received
+ * and not yet read did not count. Proof: below, in that order, on a loop that is held up.
  */
 class ClientEndTest {
-    private static final int WAIT_MILLIS = 600;
-    private static final int SLACK_MILLIS = 120;
+  private static final int WAIT_MILLIS = 600;
+  private static final int SLACK_MILLIS = 120;
 
-    @Example
-    void anIdleConnectionIsNotEndedOverAStatementThatWasReceived() throws Exception {
-        List<Client> idle = new ArrayList<>();
-        try (HeldUpRouter router = new HeldUpRouter(40)) {
-            for (int i = 0; i < 10; i++) {
-                idle.add(new Client(router.port).start().ask(""));
-                check(idle.get(i).answer().isEmpty() && idle.get(i).answer().equals("I"), "it rests");
-            }
-            try (Client another = new Client(router.port)) {
-                check(another.start().answer().isEmpty(), "it has asked nothing yet");
-                router.standsStill(100);
-                Thread.sleep(20);
-                another.ask("");
-                idle.get(0).ask(statement("r1", "list", WAIT_MILLIS));
-                check(another.answer().equals("I"), "one more asks, and one has to go for it");
-                String answer = idle.get(0).answer();
-                check(answer.startsWith("error:58000"), "the longest idle had sent a statement by then: " + answer);
-            }
-        } finally {
-            for (Client client : idle) {
-                client.close();
-            }
-        }
+  @Example
+  void anIdleConnectionIsNotEndedOverAStatementThatWasReceived() throws Exception {
+    List<Client> idle = new ArrayList<>();
+    try (HeldUpRouter router = new HeldUpRouter(40)) {
+      for (int i = 0; i < 10; i++) {
+        idle.add(new Client(router.port).start().ask(""));
+        check(idle.get(i).answer().isEmpty() && idle.get(i).answer().equals("I"), "it rests");
+      }
+      try (Client another = new Client(router.port)) {
+        check(another.start().answer().isEmpty(), "it has asked nothing yet");
+        router.standsStill(100);
+        Thread.sleep(20);
+        another.ask("");
+        idle.get(0).ask(statement("r1", "list", WAIT_MILLIS));
+        check(another.answer().equals("I"), "one more asks, and one has to go for it");
+        String answer = idle.get(0).answer();
+        check(
+            answer.startsWith("error:58000"),
+            "the longest idle had sent a statement by then: " + answer);
+      }
+    } finally {
+      for (Client client : idle) {
+        client.close();
+      }
     }
+  }
 
-    /** What was sent while nothing could be accepted has waited since then: its time is not counted from when it is read. */
-    @Example
-    void timeInTheListenQueueCounts() throws Exception {
-        try (HeldUpRouter router = new HeldUpRouter(100)) {
-            try (Client first = new Client(router.port)) {
-                first.start().ask(statement("q0", "list", 100));
-                check(first.answer().isEmpty() && first.answer().startsWith("error:58000"), "a first one");
-            }
-            router.acceptFails = true;
-            long sent = System.nanoTime();
-            try (Client client = new Client(router.port)) {
-                client.start().ask(statement("q1", "list", WAIT_MILLIS));
-                Thread.sleep(WAIT_MILLIS / 2);
-                router.acceptFails = false;
-                check(client.answer().isEmpty() && client.answer().startsWith("error:58000"), "the guard's answer");
-                long took = (System.nanoTime() - sent) / 1_000_000;
-                check(took <= WAIT_MILLIS + SLACK_MILLIS, "in its time: " + took);
-            }
-        }
+  /**
+   * What was sent while nothing could be accepted has waited since then: its time is not counted
+   * from when it is read.
+   */
+  @Example
+  void timeInTheListenQueueCounts() throws Exception {
+    try (HeldUpRouter router = new HeldUpRouter(100)) {
+      try (Client first = new Client(router.port)) {
+        first.start().ask(statement("q0", "list", 100));
+        check(first.answer().isEmpty() && first.answer().startsWith("error:58000"), "a first one");
+      }
+      router.acceptFails = true;
+      long sent = System.nanoTime();
+      try (Client client = new Client(router.port)) {
+        client.start().ask(statement("q1", "list", WAIT_MILLIS));
+        Thread.sleep(WAIT_MILLIS / 2);
+        router.acceptFails = false;
+        check(
+            client.answer().isEmpty() && client.answer().startsWith("error:58000"),
+            "the guard's answer");
+        long took = (System.nanoTime() - sent) / 1_000_000;
+        check(took <= WAIT_MILLIS + SLACK_MILLIS, "in its time: " + took);
+      }
     }
+  }
 }
--- a/router/src/test/java/basaltlever/net/ComesUpTest.java
+++ b/router/src/test/java/basaltlever/net/ComesUpTest.java
@@ -30,130 +30,158 @@
 import net.jqwik.api.Example;
 import org.slf4j.LoggerFactory;
 
-/** A connection to a node comes up in the very look at the sockets that finds its statement's client gone. */
+/**
+ * A connection to a node comes up in the very look at the sockets that finds its statement's client
+ * gone.
+ */
 class ComesUpTest {
-    /** Over once its client has gone, as the decisions make it. */
-    private static final class Waits extends Job {
-        final CompletableFuture<String> became = new CompletableFuture<>();
-        final CompletableFuture<Boolean> answered = new CompletableFuture<>();
-        boolean hasLeft;
+  /** Over once its client has gone, as the decisions make it. */
+  private static final class Waits extends Job {
+    final CompletableFuture<String> became = new CompletableFuture<>();
+    final CompletableFuture<Boolean> answered = new CompletableFuture<>();
+    boolean hasLeft;
 
-        @Override
-        Descriptors.Use use() {
-            return Descriptors.Use.EXECUTION;
-        }
-
-        @Override
-        void write(ByteBuf out) {
-            became.complete("written");
-            Write.query(out, "SELECT 1");
-        }
+    @Override
+    Descriptors.Use use() {
+      return Descriptors.Use.EXECUTION;
+    }
 
-        @Override
-        boolean isTooLate(Moment now) {
-            return hasLeft;
-        }
+    @Override
+    void write(ByteBuf out) {
+      became.complete("written");
+      Write.query(out, "SELECT 1");
+    }
 
-        @Override
-        void answered(Answer answer) {
-            answered.complete(true);
-            answer.release();
-        }
+    @Override
+    boolean isTooLate(Moment now) {
+      return hasLeft;
+    }
 
-        @Override
-        void lost(Ending ending) {
-            became.complete("" + ending);
-            answered.complete(false);
-        }
+    @Override
+    void answered(Answer answer) {
+      answered.complete(true);
+      answer.release();
     }
 
-    /** Its time ends while the loop is held up, which then runs its timers before it looks at its sockets. */
-    @Example
-    void anAnswerThatHasComeInTimeIsHeardThoughItsTimeIsOverByThen() throws Exception {
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Waiting.newFactory(new LookClock(new Clock()::now)));
-        SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-        try (ServerSocket node = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            Waits job = new Waits();
-            Turn turn = HeldUpRouter.turn(loop);
-            Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class);
-            loop.submit(() -> link(bootstrap, loop, turn, node).start(job)).sync();
-            try (Socket opened = node.accept()) {
-                opened.getInputStream().read(new byte[200]);
-                ByteBuf welcome = Unpooled.buffer();
-                Write.welcome(welcome);
-                opened.getOutputStream().write(ByteBufUtil.getBytes(welcome));
-                check(job.became.get(2, TimeUnit.SECONDS).equals("written"), "it is out");
-                opened.getInputStream().read(new byte[200]);
-                CountDownLatch goesOn = new CountDownLatch(1);
-                loop.execute(() -> {
-                    try {
-                        goesOn.await();
-                    } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                    }
-                    job.timeIsOver();
-                });
-                ByteBuf answer = Unpooled.buffer();
-                Write.error(answer, "ERROR", "XX000", "as asked", null);
-                Write.ready(answer);
-                opened.getOutputStream().write(ByteBufUtil.getBytes(answer));
-                Thread.sleep(20);
-                goesOn.countDown();
-                check(job.answered.get(2, TimeUnit.SECONDS), "the answer that had come");
-            }
-        } finally {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
-        }
+    @Override
+    void lost(Ending ending) {
+      became.complete("" + ending);
+      answered.complete(false);
     }
+  }
 
-    private static NodeLink link(Bootstrap bootstrap, SingleThreadEventLoop loop, Turn turn, ServerSocket node) {
-        NodeLink link = new NodeLink("s-1", bootstrap, loop, turn, new Descriptors(50), new Budget(1 << 20),
-            Span.ofMillis(5_000), Span.ofMillis(9_000), new Tally(LoggerFactory.getLogger(ComesUpTest.class),
-                Event.NODE_BAD, turn.clock()::now));
-        link.at((InetSocketAddress) node.getLocalSocketAddress());
-        return link;
+  /**
+   * Its time ends while the loop is held up, which then runs its timers before it looks at its
+   * sockets.
+   */
+  @Example
+  void anAnswerThatHasComeInTimeIsHeardThoughItsTimeIsOverByThen() throws Exception {
+    MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, Waiting.newFactory(new LookClock(new Clock()::now)));
+    SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
+    try (ServerSocket node = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+      Waits job = new Waits();
+      Turn turn = HeldUpRouter.turn(loop);
+      Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class);
+      loop.submit(() -> link(bootstrap, loop, turn, node).start(job)).sync();
+      try (Socket opened = node.accept()) {
+        opened.getInputStream().read(new byte[200]);
+        ByteBuf welcome = Unpooled.buffer();
+        Write.welcome(welcome);
+        opened.getOutputStream().write(ByteBufUtil.getBytes(welcome));
+        check(job.became.get(2, TimeUnit.SECONDS).equals("written"), "it is out");
+        opened.getInputStream().read(new byte[200]);
+        CountDownLatch goesOn = new CountDownLatch(1);
+        loop.execute(
+            () -> {
+              try {
+                goesOn.await();
+              } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+              }
+              job.timeIsOver();
+            });
+        ByteBuf answer = Unpooled.buffer();
+        Write.error(answer, "ERROR", "XX000", "as asked", null);
+        Write.ready(answer);
+        opened.getOutputStream().write(ByteBufUtil.getBytes(answer));
+        Thread.sleep(20);
+        goesOn.countDown();
+        check(job.answered.get(2, TimeUnit.SECONDS), "the answer that had come");
+      }
+    } finally {
+      group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
+  }
+
+  private static NodeLink link(
+      Bootstrap bootstrap, SingleThreadEventLoop loop, Turn turn, ServerSocket node) {
+    NodeLink link =
+        new NodeLink(
+            "s-1",
+            bootstrap,
+            loop,
+            turn,
+            new Descriptors(50),
+            new Budget(1 << 20),
+            Span.ofMillis(5_000),
+            Span.ofMillis(9_000),
+            new Tally(
+                LoggerFactory.getLogger(ComesUpTest.class), Event.NODE_BAD, turn.clock()::now));
+    link.at((InetSocketAddress) node.getLocalSocketAddress());
+    return link;
+  }
 
-    @Example
-    void nothingIsSentForAClientWhoseEndIsReadInTheSameLook() throws Exception {
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Waiting.newFactory(new LookClock(new Clock()::now)));
-        SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-        InetAddress here = InetAddress.getLoopbackAddress();
-        try (ServerSocket node = new ServerSocket(0, 5, here); ServerSocket front = new ServerSocket(0, 5, here)) {
-            Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class);
-            Waits job = new Waits();
-            Turn turn = HeldUpRouter.turn(loop);
-            bootstrap.clone().handler(new ChannelInboundHandlerAdapter() {
+  @Example
+  void nothingIsSentForAClientWhoseEndIsReadInTheSameLook() throws Exception {
+    MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, Waiting.newFactory(new LookClock(new Clock()::now)));
+    SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
+    InetAddress here = InetAddress.getLoopbackAddress();
+    try (ServerSocket node = new ServerSocket(0, 5, here);
+        ServerSocket front = new ServerSocket(0, 5, here)) {
+      Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class);
+      Waits job = new Waits();
+      Turn turn = HeldUpRouter.turn(loop);
+      bootstrap
+          .clone()
+          .handler(
+              new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelInactive(ChannelHandlerContext context) {
-                    turn.hear(now -> job.hasLeft = true);
+                  turn.hear(now -> job.hasLeft = true);
                 }
-            }).connect(front.getLocalSocketAddress()).sync();
-            loop.submit(() -> link(bootstrap, loop, turn, node).start(job)).sync();
-            try (Socket client = front.accept(); Socket opened = node.accept()) {
-                opened.getInputStream().read(new byte[200]);
-                CountDownLatch stands = new CountDownLatch(1);
-                CountDownLatch goesOn = new CountDownLatch(1);
-                loop.execute(() -> {
-                    stands.countDown();
-                    try {
-                        goesOn.await();
-                    } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                    }
-                });
-                stands.await();
-                ByteBuf welcome = Unpooled.buffer();
-                Write.welcome(welcome);
-                opened.getOutputStream().write(ByteBufUtil.getBytes(welcome));
-                client.close();
-                // For both to lie ready; the node's is first in line.
-                Thread.sleep(20);
-                goesOn.countDown();
-                check(List.of("NEVER_SENT").contains(job.became.get(2, TimeUnit.SECONDS)), job.became.get());
-            }
-        } finally {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
-        }
+              })
+          .connect(front.getLocalSocketAddress())
+          .sync();
+      loop.submit(() -> link(bootstrap, loop, turn, node).start(job)).sync();
+      try (Socket client = front.accept();
+          Socket opened = node.accept()) {
+        opened.getInputStream().read(new byte[200]);
+        CountDownLatch stands = new CountDownLatch(1);
+        CountDownLatch goesOn = new CountDownLatch(1);
+        loop.execute(
+            () -> {
+              stands.countDown();
+              try {
+                goesOn.await();
+              } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+              }
+            });
+        stands.await();
+        ByteBuf welcome = Unpooled.buffer();
+        Write.welcome(welcome);
+        opened.getOutputStream().write(ByteBufUtil.getBytes(welcome));
+        client.close();
+        // For both to lie ready; the node's is first in line.
+        Thread.sleep(20);
+        goesOn.countDown();
+        check(
+            List.of("NEVER_SENT").contains(job.became.get(2, TimeUnit.SECONDS)), job.became.get());
+      }
+    } finally {
+      group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
+  }
 }
--- a/router/src/test/java/basaltlever/net/FloodTest.java
+++ b/router/src/test/java/basaltlever/net/FloodTest.java
@@ -30,74 +30,113 @@
 import net.jqwik.api.Example;
 import org.slf4j.LoggerFactory;
 
-/** One client that sends much at once has its share of each of the loop's iterations, and no more. */
+/**
+ * One client that sends much at once has its share of each of the loop's iterations, and no more.
+ */
 class FloodTest {
-    private static final int FLOOD = 60_000;
-    /** What it may have answered in an iteration: a share when it is read, and one when it goes on. */
-    private static final int SHARES = 2 * 16;
-    private static final byte[] EMPTY = {'Q', 0, 0, 0, 5, 0};
+  private static final int FLOOD = 60_000;
 
-    @Example
-    void eachReadOfAFloodAddsNoShareOfItsOwn() throws Exception {
-        Clock clock = new Clock();
-        LookClock looks = new LookClock(clock::now);
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Waiting.newFactory(looks));
-        SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-        AtomicInteger answered = new AtomicInteger();
-        AtomicInteger most = new AtomicInteger();
-        try {
-            Clients clients = loop.submit(() -> {
-                Clients made = new Clients(new Turn(loop, clock, looks), new Descriptors(50), Places.of(List.of("view")), 100,
-                    new Budget(1 << 24), new Tally(LoggerFactory.getLogger(FloodTest.class), Event.CLIENT_BAD,
-                        clock::now), new Lives(null, clock::now));
-                return made;
-            }).sync().getNow();
-            Channel listener = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                .childHandler(new ChannelInitializer<Channel>() {
+  /**
+   * What it may have answered in an iteration: a share when it is read, and one when it goes on.
+   */
+  private static final int SHARES = 2 * 16;
+
+  private static final byte[] EMPTY = {'Q', 0, 0, 0, 5, 0};
+
+  @Example
+  void eachReadOfAFloodAddsNoShareOfItsOwn() throws Exception {
+    Clock clock = new Clock();
+    LookClock looks = new LookClock(clock::now);
+    MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, Waiting.newFactory(looks));
+    SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
+    AtomicInteger answered = new AtomicInteger();
+    AtomicInteger most = new AtomicInteger();
+    try {
+      Clients clients =
+          loop.submit(
+                  () -> {
+                    Clients made =
+                        new Clients(
+                            new Turn(loop, clock, looks),
+                            new Descriptors(50),
+                            Places.of(List.of("view")),
+                            100,
+                            new Budget(1 << 24),
+                            new Tally(
+                                LoggerFactory.getLogger(FloodTest.class),
+                                Event.CLIENT_BAD,
+                                clock::now),
+                            new Lives(null, clock::now));
+                    return made;
+                  })
+              .sync()
+              .getNow();
+      Channel listener =
+          new ServerBootstrap()
+              .group(loop, loop)
+              .channel(NioServerSocketChannel.class)
+              .childHandler(
+                  new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new ChannelOutboundHandlerAdapter() {
-                            @Override
-                            public void write(ChannelHandlerContext context, Object message, ChannelPromise done) {
-                                answered.incrementAndGet();
-                                context.write(message, done);
-                            }
-                        }, new ClientChannel(clients.admit(clock.now())));
-                    }
-                }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
-            try (Socket client = new Socket(InetAddress.getLoopbackAddress(),
-                    ((InetSocketAddress) listener.localAddress()).getPort())) {
-                ByteBuf out = Unpooled.buffer();
-                Write.startup(out, "app", "shop");
-                for (int i = 0; i < FLOOD; i++) {
-                    out.writeBytes(EMPTY);
-                }
-                Thread sends = new Thread(() -> {
-                    try {
-                        client.getOutputStream().write(ByteBufUtil.getBytes(out));
-                    } catch (java.io.IOException closed) {
-                        // Seen by who reads.
+                      channel
+                          .pipeline()
+                          .addLast(
+                              new ChannelOutboundHandlerAdapter() {
+                                @Override
+                                public void write(
+                                    ChannelHandlerContext context,
+                                    Object message,
+                                    ChannelPromise done) {
+                                  answered.incrementAndGet();
+                                  context.write(message, done);
+                                }
+                              },
+                              new ClientChannel(clients.admit(clock.now())));
                     }
+                  })
+              .bind(InetAddress.getLoopbackAddress(), 0)
+              .sync()
+              .channel();
+      try (Socket client =
+          new Socket(
+              InetAddress.getLoopbackAddress(),
+              ((InetSocketAddress) listener.localAddress()).getPort())) {
+        ByteBuf out = Unpooled.buffer();
+        Write.startup(out, "app", "shop");
+        for (int i = 0; i < FLOOD; i++) {
+          out.writeBytes(EMPTY);
+        }
+        Thread sends =
+            new Thread(
+                () -> {
+                  try {
+                    client.getOutputStream().write(ByteBufUtil.getBytes(out));
+                  } catch (java.io.IOException closed) {
+                    // Seen by who reads.
+                  }
                 });
-                loop.execute(() -> look(loop, answered, most));
-                sends.start();
-                DataInputStream in = new DataInputStream(new java.io.BufferedInputStream(client.getInputStream()));
-                for (int ready = 0; ready <= FLOOD;) {
-                    ready += in.readByte() == 'Z' ? 1 : 0;
-                    in.skipNBytes(in.readInt() - 4);
-                }
-                check(most.get() > 1 && most.get() <= SHARES, "answered in one iteration: " + most);
-            }
-        } finally {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
+        loop.execute(() -> look(loop, answered, most));
+        sends.start();
+        DataInputStream in =
+            new DataInputStream(new java.io.BufferedInputStream(client.getInputStream()));
+        for (int ready = 0; ready <= FLOOD; ) {
+          ready += in.readByte() == 'Z' ? 1 : 0;
+          in.skipNBytes(in.readInt() - 4);
         }
+        check(most.get() > 1 && most.get() <= SHARES, "answered in one iteration: " + most);
+      }
+    } finally {
+      group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
+  }
 
-    /** Each iteration, by way of a timer: a task that adds a task would go on in the same one. */
-    private static void look(SingleThreadEventLoop loop, AtomicInteger answered, AtomicInteger most) {
-        most.accumulateAndGet(answered.getAndSet(0), Math::max);
-        if (!loop.isShuttingDown()) {
-            loop.schedule(() -> look(loop, answered, most), 0, TimeUnit.NANOSECONDS);
-        }
+  /** Each iteration, by way of a timer: a task that adds a task would go on in the same one. */
+  private static void look(SingleThreadEventLoop loop, AtomicInteger answered, AtomicInteger most) {
+    most.accumulateAndGet(answered.getAndSet(0), Math::max);
+    if (!loop.isShuttingDown()) {
+      loop.schedule(() -> look(loop, answered, most), 0, TimeUnit.NANOSECONDS);
     }
+  }
 }
--- a/router/src/test/java/basaltlever/net/OwedTest.java
+++ b/router/src/test/java/basaltlever/net/OwedTest.java
@@ -27,242 +27,282 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * From its last byte on a statement owns a time by which its answer goes out. Here the decisions never say a
- * word of any statement, which is the worst that they could forget, and the loop is held up.
+ * From its last byte on a statement owns a time by which its answer goes out. Here the decisions
+ * never say a word of any statement, which is the worst that they could forget, and the loop is
+ * held up.
  */
 class OwedTest {
-    /** Of a machine that runs other tests beside this. */
-    private static final long SLACK_MILLIS = 90;
+  /** Of a machine that runs other tests beside this. */
+  private static final long SLACK_MILLIS = 90;
 
-    private static long millisSince(long nanos) {
-        return (System.nanoTime() - nanos) / 1_000_000;
-    }
+  private static long millisSince(long nanos) {
+    return (System.nanoTime() - nanos) / 1_000_000;
+  }
 
-    private static void isAnsweredInItsTime(BiConsumer<HeldUpRouter, Long> heldUp) throws Exception {
-        try (HeldUpRouter router = new HeldUpRouter(); Client client = new Client(router.port)) {
-            client.start().answer();
-            for (int i = 0; i < 3; i++) {
-                heldUp.accept(router, 400L);
-                Thread.sleep(40);
-                long sent = System.nanoTime();
-                String answer = client.ask(statement("a" + i, "list", 600)).answer();
-                long took = millisSince(sent);
-                check(answer.startsWith("error:58000") && took <= 600 + SLACK_MILLIS, answer + took);
-            }
-        }
+  private static void isAnsweredInItsTime(BiConsumer<HeldUpRouter, Long> heldUp) throws Exception {
+    try (HeldUpRouter router = new HeldUpRouter();
+        Client client = new Client(router.port)) {
+      client.start().answer();
+      for (int i = 0; i < 3; i++) {
+        heldUp.accept(router, 400L);
+        Thread.sleep(40);
+        long sent = System.nanoTime();
+        String answer = client.ask(statement("a" + i, "list", 600)).answer();
+        long took = millisSince(sent);
+        check(answer.startsWith("error:58000") && took <= 600 + SLACK_MILLIS, answer + took);
+      }
     }
+  }
 
-    @Example
-    void whatComesWhileTheLoopIsBusyCountsFromThenOn() throws Exception {
-        isAnsweredInItsTime(HeldUpRouter::stall);
-    }
+  @Example
+  void whatComesWhileTheLoopIsBusyCountsFromThenOn() throws Exception {
+    isAnsweredInItsTime(HeldUpRouter::stall);
+  }
 
-    @Example
-    void whatComesWhileTheProcessStandsStillCountsFromThenOn() throws Exception {
-        isAnsweredInItsTime(HeldUpRouter::standsStill);
-    }
+  @Example
+  void whatComesWhileTheProcessStandsStillCountsFromThenOn() throws Exception {
+    isAnsweredInItsTime(HeldUpRouter::standsStill);
+  }
 
-    /** Whatever is read first, and though it comes only while the loop is held up behind its look. */
-    @Example
-    void newsOfDiscoveryIsHeardBeforeStatements() throws Exception {
-        List<String> order = Collections.synchronizedList(new ArrayList<>());
-        try (HeldUpRouter router = new HeldUpRouter(); ServerSocket discovery = new ServerSocket(0)) {
-            ChannelFuture watch = new Bootstrap().group(router.loop).channel(NioSocketChannel.class)
-                .handler(new ChannelInboundHandlerAdapter() {
+  /** Whatever is read first, and though it comes only while the loop is held up behind its look. */
+  @Example
+  void newsOfDiscoveryIsHeardBeforeStatements() throws Exception {
+    List<String> order = Collections.synchronizedList(new ArrayList<>());
+    try (HeldUpRouter router = new HeldUpRouter();
+        ServerSocket discovery = new ServerSocket(0)) {
+      ChannelFuture watch =
+          new Bootstrap()
+              .group(router.loop)
+              .channel(NioSocketChannel.class)
+              .handler(
+                  new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelRead(ChannelHandlerContext context, Object read) {
-                        ((ByteBuf) read).release();
-                        router.turn.hearNews(now -> order.add("news"));
-                    }
-                }).connect(discovery.getLocalSocketAddress()).sync();
-            try (Socket socket = discovery.accept()) {
-                router.loop.submit(() -> {
-                    router.turn.hear(now -> order.add("statement"));
-                    try {
-                        socket.getOutputStream().write(1);
-                        Thread.sleep(120);
-                    } catch (IOException | InterruptedException fault) {
-                        order.add("" + fault);
+                      ((ByteBuf) read).release();
+                      router.turn.hearNews(now -> order.add("news"));
                     }
-                }).sync();
-                for (int i = 0; i < 100 && order.size() < 2; i++) {
-                    Thread.sleep(10);
-                }
-            }
-            watch.channel().close();
+                  })
+              .connect(discovery.getLocalSocketAddress())
+              .sync();
+      try (Socket socket = discovery.accept()) {
+        router
+            .loop
+            .submit(
+                () -> {
+                  router.turn.hear(now -> order.add("statement"));
+                  try {
+                    socket.getOutputStream().write(1);
+                    Thread.sleep(120);
+                  } catch (IOException | InterruptedException fault) {
+                    order.add("" + fault);
+                  }
+                })
+            .sync();
+        for (int i = 0; i < 100 && order.size() < 2; i++) {
+          Thread.sleep(10);
         }
-        check(order.equals(List.of("news", "statement")), "" + order);
+      }
+      watch.channel().close();
     }
+    check(order.equals(List.of("news", "statement")), "" + order);
+  }
 
-    /**
-     * Seen in the log of an incident: the guard aborted a read with nothing out. Its timer may be older than the statement
-     * and run before those of its executions; what the decisions can prove is theirs to say, also where nobody woke them.
-     */
-    @Example
-    void theGuardAsksTheDecisionsBeforeItAborts() throws Exception {
-        try (HeldUpRouter router = new HeldUpRouter(); Client client = new Client(router.port)) {
-            client.start().answer();
-            router.answers = true;
-            String answer = client.ask(statement("g1", "list", 300)).answer();
-            check(answer.startsWith("error:53300"), "nothing was sent, so it is refused: " + answer);
-        }
+  /**
+   * Seen in the log of an incident: the guard aborted a read with nothing out. Its timer may be
+   * older than the statement and run before those of its executions; what the decisions can prove
+   * is theirs to say, also where nobody woke them.
+   */
+  @Example
+  void theGuardAsksTheDecisionsBeforeItAborts() throws Exception {
+    try (HeldUpRouter router = new HeldUpRouter();
+        Client client = new Client(router.port)) {
+      client.start().answer();
+      router.answers = true;
+      String answer = client.ask(statement("g1", "list", 300)).answer();
+      check(answer.startsWith("error:53300"), "nothing was sent, so it is refused: " + answer);
     }
+  }
 
-    /** Nothing is proven of it, so it is aborted; at once, and it is out of the books. */
-    @Example
-    void aFaultInTheDecisionsAbortsTheStatementAtOnce() throws Exception {
-        try (HeldUpRouter router = new HeldUpRouter(); Client client = new Client(router.port)) {
-            client.start().answer();
-            router.throwsUp = true;
-            long sent = System.nanoTime();
-            String answer = client.ask(statement("f1", "list", 5_000)).answer();
-            check(answer.startsWith("error:58000") && millisSince(sent) < 2_500, answer + millisSince(sent));
-            check(router.loop.submit(router.carrier::open).sync().getNow().equals(0), "none is open");
-            check(client.ask("").answer().equals("I"), "and its connection goes on");
-        }
+  /** Nothing is proven of it, so it is aborted; at once, and it is out of the books. */
+  @Example
+  void aFaultInTheDecisionsAbortsTheStatementAtOnce() throws Exception {
+    try (HeldUpRouter router = new HeldUpRouter();
+        Client client = new Client(router.port)) {
+      client.start().answer();
+      router.throwsUp = true;
+      long sent = System.nanoTime();
+      String answer = client.ask(statement("f1", "list", 5_000)).answer();
+      check(
+          answer.startsWith("error:58000") && millisSince(sent) < 2_500,
+          answer + millisSince(sent));
+      check(router.loop.submit(router.carrier::open).sync().getNow().equals(0), "none is open");
+      check(client.ask("").answer().equals("I"), "and its connection goes on");
     }
+  }
 
-    @Example
-    void aFaultOfTheListenerKeepsNobodyWaiting() throws Exception {
-        try (HeldUpRouter router = new HeldUpRouter()) {
-            router.listener.pipeline().fireExceptionCaught(new java.io.IOException("planted")).channel()
-                .eventLoop().submit(() -> null).sync();
-            long since = System.nanoTime();
-            try (Client client = new Client(router.port)) {
-                check(client.start().answer().isEmpty() && millisSince(since) < 400, "accepted at once");
-            }
-        }
+  @Example
+  void aFaultOfTheListenerKeepsNobodyWaiting() throws Exception {
+    try (HeldUpRouter router = new HeldUpRouter()) {
+      router
+          .listener
+          .pipeline()
+          .fireExceptionCaught(new java.io.IOException("planted"))
+          .channel()
+          .eventLoop()
+          .submit(() -> null)
+          .sync();
+      long since = System.nanoTime();
+      try (Client client = new Client(router.port)) {
+        check(client.start().answer().isEmpty() && millisSince(since) < 400, "accepted at once");
+      }
     }
+  }
 
-    /** Those that the machine has accepted while the loop was busy are owed an answer like all others. */
-    @Example
-    void aListenerIsClosedOverNoConnectionThatWaitsInIt() throws Exception {
-        List<Client> waiting = new ArrayList<>();
-        try (HeldUpRouter router = new HeldUpRouter()) {
-            try (Client first = new Client(router.port)) {
-                first.start().answer();
-            }
-            CountDownLatch closes = new CountDownLatch(1);
-            CountDownLatch goesOn = new CountDownLatch(1);
-            router.loop.execute(() -> {
-                try {
-                    goesOn.await();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-                router.accepting.closeOnceQuiet(closes::countDown);
-            });
-            for (int i = 0; i < 60; i++) {
-                waiting.add(new Client(router.port).start());
-            }
-            goesOn.countDown();
-            check(closes.await(2, TimeUnit.SECONDS), "it is closed");
-            for (Client client : waiting) {
-                check(client.answer().isEmpty(), "each is welcomed");
-            }
-            // The runtime closes the socket itself in the loop's next look; a timer runs behind one.
-            router.loop.schedule(() -> { }, 1, TimeUnit.MILLISECONDS).sync();
-            try (Client late = new Client(router.port)) {
-                check(false, "nobody listens any more");
-            } catch (IOException refused) {
-                check(refused instanceof java.net.ConnectException, "" + refused);
+  /**
+   * Those that the machine has accepted while the loop was busy are owed an answer like all others.
+   */
+  @Example
+  void aListenerIsClosedOverNoConnectionThatWaitsInIt() throws Exception {
+    List<Client> waiting = new ArrayList<>();
+    try (HeldUpRouter router = new HeldUpRouter()) {
+      try (Client first = new Client(router.port)) {
+        first.start().answer();
+      }
+      CountDownLatch closes = new CountDownLatch(1);
+      CountDownLatch goesOn = new CountDownLatch(1);
+      router.loop.execute(
+          () -> {
+            try {
+              goesOn.await();
+            } catch (InterruptedException e) {
+              Thread.currentThread().interrupt();
             }
-        } finally {
-            for (Client client : waiting) {
-                client.close();
-            }
-        }
+            router.accepting.closeOnceQuiet(closes::countDown);
+          });
+      for (int i = 0; i < 60; i++) {
+        waiting.add(new Client(router.port).start());
+      }
+      goesOn.countDown();
+      check(closes.await(2, TimeUnit.SECONDS), "it is closed");
+      for (Client client : waiting) {
+        check(client.answer().isEmpty(), "each is welcomed");
+      }
+      // The runtime closes the socket itself in the loop's next look; a timer runs behind one.
+      router.loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).sync();
+      try (Client late = new Client(router.port)) {
+        check(false, "nobody listens any more");
+      } catch (IOException refused) {
+        check(refused instanceof java.net.ConnectException, "" + refused);
+      }
+    } finally {
+      for (Client client : waiting) {
+        client.close();
+      }
     }
+  }
 
-    /** Found by a soak: who is told to go comes back at once on a new connection, which must find no listener. */
-    @Example
-    void nobodyIsToldToGoWhileTheMachineStillTakesConnections() throws Exception {
-        try (HeldUpRouter router = new HeldUpRouter(140); Client client = new Client(router.port)) {
-            check(client.start().answer().isEmpty(), "it serves");
-            java.util.concurrent.CompletableFuture<String> comesBack = new java.util.concurrent.CompletableFuture<>();
-            router.loop.execute(() -> router.accepting.closeOnceQuiet(() -> {
-                try (Socket again = new Socket()) {
-                    again.connect(new InetSocketAddress("127.0.0.1", router.port), 500);
-                    comesBack.complete("connected, and will be reset");
-                } catch (IOException refused) {
-                    comesBack.complete("refused");
-                }
-            }));
-            check(comesBack.get(2, TimeUnit.SECONDS).equals("refused"), comesBack.get());
-        }
+  /**
+   * Found by a soak: who is told to go comes back at once on a new connection, which must find no
+   * listener.
+   */
+  @Example
+  void nobodyIsToldToGoWhileTheMachineStillTakesConnections() throws Exception {
+    try (HeldUpRouter router = new HeldUpRouter(140);
+        Client client = new Client(router.port)) {
+      check(client.start().answer().isEmpty(), "it serves");
+      java.util.concurrent.CompletableFuture<String> comesBack =
+          new java.util.concurrent.CompletableFuture<>();
+      router.loop.execute(
+          () ->
+              router.accepting.closeOnceQuiet(
+                  () -> {
+                    try (Socket again = new Socket()) {
+                      again.connect(new InetSocketAddress("127.0.0.1", router.port), 500);
+                      comesBack.complete("connected, and will be reset");
+                    } catch (IOException refused) {
+                      comesBack.complete("refused");
+                    }
+                  }));
+      check(comesBack.get(2, TimeUnit.SECONDS).equals("refused"), comesBack.get());
     }
+  }
 
-    @Example
-    void whoSentHalfOfAFirstStatementMakesRoom() throws Exception {
-        List<Client> halves = new ArrayList<>();
-        try (HeldUpRouter router = new HeldUpRouter(8)) {
-            for (int i = 0; i < 6; i++) {
-                halves.add(new Client(router.port).start());
-                halves.get(i).answer();
-                halves.get(i).sendBytes(new byte[] {'Q', 0, 0, 0, 90, '/'});
-            }
-            Thread.sleep(50);
-            long since = System.nanoTime();
-            try (Client whole = new Client(router.port)) {
-                check(whole.start().answer().isEmpty(), "admitted");
-                check(halves.get(0).answer().equals("error:53300:closed") && millisSince(since) < 1_000, "in its place");
-            }
-        } finally {
-            for (Client half : halves) {
-                half.close();
-            }
-        }
+  @Example
+  void whoSentHalfOfAFirstStatementMakesRoom() throws Exception {
+    List<Client> halves = new ArrayList<>();
+    try (HeldUpRouter router = new HeldUpRouter(8)) {
+      for (int i = 0; i < 6; i++) {
+        halves.add(new Client(router.port).start());
+        halves.get(i).answer();
+        halves.get(i).sendBytes(new byte[] {'Q', 0, 0, 0, 90, '/'});
+      }
+      Thread.sleep(50);
+      long since = System.nanoTime();
+      try (Client whole = new Client(router.port)) {
+        check(whole.start().answer().isEmpty(), "admitted");
+        check(
+            halves.get(0).answer().equals("error:53300:closed") && millisSince(since) < 1_000,
+            "in its place");
+      }
+    } finally {
+      for (Client half : halves) {
+        half.close();
+      }
     }
+  }
 
-    /** Clients that send the next ones early, on a loop that is held up again and again. */
-    @Property(tries = 4, seed = "281", shrinking = ShrinkingMode.OFF)
-    void eachIsAnsweredOnceAndInItsTimeThoughTheDecisionsForgetIt(@ForAll long seed) throws Exception {
-        SplittableRandom chance = new SplittableRandom(seed);
-        List<String> faults = Collections.synchronizedList(new ArrayList<>());
-        try (HeldUpRouter router = new HeldUpRouter()) {
-            try (Client first = new Client(router.port)) {
-                // Loading classes holds up the loop for longer than any stall here.
-                first.start().ask(statement("w", "list", 100)).ask(statement("x", "list", 100));
-                first.answer();
-                first.answer();
-                first.answer();
-            }
-            List<Thread> threads = new ArrayList<>();
-            for (int c = 0; c < 8; c++) {
-                SplittableRandom own = chance.split();
-                Thread thread = new Thread(() -> {
-                    try (Client client = new Client(router.port)) {
-                        client.start().answer();
-                        for (int i = 0; i < 3; i++) {
-                            int wait = 200 + own.nextInt(300);
-                            int many = 1 + own.nextInt(3);
-                            long sent = System.nanoTime();
-                            for (int k = 0; k < many; k++) {
-                                client.ask(statement("s" + own.nextLong(), "list", wait));
-                            }
-                            for (int k = 0; k < many; k++) {
-                                String answer = client.answer();
-                                long took = millisSince(sent);
-                                if (!answer.startsWith("error:58000") || took > wait + 120 + SLACK_MILLIS) {
-                                    faults.add(k + " of " + many + " took " + took + " of " + wait + answer);
-                                }
-                            }
+  /** Clients that send the next ones early, on a loop that is held up again and again. */
+  @Property(tries = 4, seed = "281", shrinking = ShrinkingMode.OFF)
+  void eachIsAnsweredOnceAndInItsTimeThoughTheDecisionsForgetIt(@ForAll long seed)
+      throws Exception {
+    SplittableRandom chance = new SplittableRandom(seed);
+    List<String> faults = Collections.synchronizedList(new ArrayList<>());
+    try (HeldUpRouter router = new HeldUpRouter()) {
+      try (Client first = new Client(router.port)) {
+        // Loading classes holds up the loop for longer than any stall here.
+        first.start().ask(statement("w", "list", 100)).ask(statement("x", "list", 100));
+        first.answer();
+        first.answer();
+        first.answer();
+      }
+      List<Thread> threads = new ArrayList<>();
+      for (int c = 0; c < 8; c++) {
+        SplittableRandom own = chance.split();
+        Thread thread =
+            new Thread(
+                () -> {
+                  try (Client client = new Client(router.port)) {
+                    client.start().answer();
+                    for (int i = 0; i < 3; i++) {
+                      int wait = 200 + own.nextInt(300);
+                      int many = 1 + own.nextInt(3);
+                      long sent = System.nanoTime();
+                      for (int k = 0; k < many; k++) {
+                        client.ask(statement("s" + own.nextLong(), "list", wait));
+                      }
+                      for (int k = 0; k < many; k++) {
+                        String answer = client.answer();
+                        long took = millisSince(sent);
+                        if (!answer.startsWith("error:58000") || took > wait + 120 + SLACK_MILLIS) {
+                          faults.add(k + " of " + many + " took " + took + " of " + wait + answer);
                         }
-                    } catch (Exception fault) {
-                        faults.add("" + fault);
+                      }
                     }
+                  } catch (Exception fault) {
+                    faults.add("" + fault);
+                  }
                 });
-                thread.start();
-                threads.add(thread);
-            }
-            for (int i = 0; i < 8; i++) {
-                router.stall(20 + chance.nextInt(100));
-                Thread.sleep(150);
-            }
-            for (Thread thread : threads) {
-                thread.join();
-            }
-        }
-        check(faults.isEmpty(), "" + faults);
+        thread.start();
+        threads.add(thread);
+      }
+      for (int i = 0; i < 8; i++) {
+        router.stall(20 + chance.nextInt(100));
+        Thread.sleep(150);
+      }
+      for (Thread thread : threads) {
+        thread.join();
+      }
     }
+    check(faults.isEmpty(), "" + faults);
+  }
 }
