--- a/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
+++ b/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
@@ -30,106 +30,137 @@
 import net.jqwik.api.Example;
 import org.slf4j.LoggerFactory;
 
-/** The system gives no socket for a moment (ENFILE, ENOBUFS): what wanted one ends at once, on the loop, and the next goes on. */
+/**
+ * The system gives no socket for a moment (ENFILE, ENOBUFS): what wanted one ends at once, on the
+ * loop, and the next goes on.
+ */
 class SystemCallFaultsTest {
-    /** Where it ended, and on which thread. */
-    private static final class Query extends Job {
-        final CompletableFuture<String> became = new CompletableFuture<>();
+  /** Where it ended, and on which thread. */
+  private static final class Query extends Job {
+    final CompletableFuture<String> became = new CompletableFuture<>();
 
-        @Override
-        void write(ByteBuf out) {
-            became.complete("written");
-            Write.query(out, "SELECT 1");
-        }
+    @Override
+    void write(ByteBuf out) {
+      became.complete("written");
+      Write.query(out, "SELECT 1");
+    }
 
-        @Override
-        Descriptors.Use use() {
-            return Descriptors.Use.EXECUTION;
-        }
+    @Override
+    Descriptors.Use use() {
+      return Descriptors.Use.EXECUTION;
+    }
 
-        @Override
-        void answered(Answer answer) {
-            answer.release();
-        }
+    @Override
+    void answered(Answer answer) {
+      answer.release();
+    }
 
-        @Override
-        void lost(Ending ending) {
-            became.complete(ending + " on " + Thread.currentThread().getName());
-        }
+    @Override
+    void lost(Ending ending) {
+      became.complete(ending + " on " + Thread.currentThread().getName());
     }
+  }
 
-    /** So many sockets fail, then the system has some again. */
-    private static Bootstrap failing(SingleThreadEventLoop loop, AtomicInteger failures) {
-        return new Bootstrap().group(loop).channelFactory(() -> {
-            if (failures.getAndDecrement() > 0) {
+  /** So many sockets fail, then the system has some again. */
+  private static Bootstrap failing(SingleThreadEventLoop loop, AtomicInteger failures) {
+    return new Bootstrap()
+        .group(loop)
+        .channelFactory(
+            () -> {
+              if (failures.getAndDecrement() > 0) {
                 throw new ChannelException("Too many open files in system");
-            }
-            return new NioSocketChannel();
-        });
-    }
+              }
+              return new NioSocketChannel();
+            });
+  }
 
-    @Example
-    void anExecutionThatGetsNoSocketEndsAtOnceAndTheNextOneIsSent() throws Exception {
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-        try (ServerSocket node = SocketWorld.listen(0)) {
-            Bootstrap bootstrap = failing(loop, new AtomicInteger(3));
-            Turn turn = HeldUpRouter.turn(loop);
-            Descriptors descriptors = new Descriptors(64);
-            NodeLink link = loop.submit(() -> new NodeLink("s-1", bootstrap, loop, turn, descriptors, new Budget(1 << 20),
-                Span.ofMillis(5_000), Span.ofMillis(9_000), new Tally(LoggerFactory.getLogger(SystemCallFaultsTest.class),
-                    Event.NODE_BAD, turn.clock()::now))).sync().getNow();
-            String thread = loop.submit(() -> Thread.currentThread().getName()).sync().getNow();
-            for (int i = 0; i < 3; i++) {
-                Query query = new Query();
-                loop.submit(() -> {
-                    link.at((InetSocketAddress) node.getLocalSocketAddress());
-                    link.start(query);
-                }).sync();
-                String became = query.became.get(1, TimeUnit.SECONDS);
-                check(became.equals("NO_CONNECTION on " + thread), became);
-            }
-            Query next = new Query();
-            loop.submit(() -> link.start(next)).sync();
-            try (Socket opened = node.accept()) {
-                opened.getInputStream().read(new byte[200]);
-                ByteBuf welcome = io.netty.buffer.Unpooled.buffer();
-                Write.welcome(welcome);
-                SocketWorld.send(opened, welcome);
-                check(next.became.get(1, TimeUnit.SECONDS).equals("written"), next.became.get());
-            }
-        } finally {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
-        }
+  @Example
+  void anExecutionThatGetsNoSocketEndsAtOnceAndTheNextOneIsSent() throws Exception {
+    MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
+    try (ServerSocket node = SocketWorld.listen(0)) {
+      Bootstrap bootstrap = failing(loop, new AtomicInteger(3));
+      Turn turn = HeldUpRouter.turn(loop);
+      Descriptors descriptors = new Descriptors(64);
+      NodeLink link =
+          loop.submit(
+                  () ->
+                      new NodeLink(
+                          "s-1",
+                          bootstrap,
+                          loop,
+                          turn,
+                          descriptors,
+                          new Budget(1 << 20),
+                          Span.ofMillis(5_000),
+                          Span.ofMillis(9_000),
+                          new Tally(
+                              LoggerFactory.getLogger(SystemCallFaultsTest.class),
+                              Event.NODE_BAD,
+                              turn.clock()::now)))
+              .sync()
+              .getNow();
+      String thread = loop.submit(() -> Thread.currentThread().getName()).sync().getNow();
+      for (int i = 0; i < 3; i++) {
+        Query query = new Query();
+        loop.submit(
+                () -> {
+                  link.at((InetSocketAddress) node.getLocalSocketAddress());
+                  link.start(query);
+                })
+            .sync();
+        String became = query.became.get(1, TimeUnit.SECONDS);
+        check(became.equals("NO_CONNECTION on " + thread), became);
+      }
+      Query next = new Query();
+      loop.submit(() -> link.start(next)).sync();
+      try (Socket opened = node.accept()) {
+        opened.getInputStream().read(new byte[200]);
+        ByteBuf welcome = io.netty.buffer.Unpooled.buffer();
+        Write.welcome(welcome);
+        SocketWorld.send(opened, welcome);
+        check(next.became.get(1, TimeUnit.SECONDS).equals("written"), next.became.get());
+      }
+    } finally {
+      group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
+  }
 
-    @Example
-    void aCallOfDiscoveryThatGetsNoSocketIsFollowedByAnother() throws Exception {
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-        try (ServerSocket discovery = SocketWorld.listen(0)) {
-            SocketWorld.Silent outside = new SocketWorld.Silent();
-            Turn turn = HeldUpRouter.turn(loop);
-            Moment now = turn.clock().now();
-            Core<String> core = new Core<>(outside, SocketWorld.values().balance(1, now, SocketWorld.values().holds()));
-            MemberList list = new MemberList(core, List.of(), (node, address) -> { });
-            Watch watch = new Watch(failing(loop, new AtomicInteger(1)),
-                (InetSocketAddress) discovery.getLocalSocketAddress(), turn, list, core);
-            loop.submit(watch::start).sync();
-            // The decisions hear that it failed, and ask again within a second and a half.
-            for (int i = 0; i < 40 && !outside.told.contains("watch"); i++) {
-                Thread.sleep(50);
-                loop.submit(() -> core.woken(turn.clock().now())).sync();
-            }
-            check(outside.told.contains("watch"), "nobody asks any more");
-            loop.submit(watch::start).sync();
-            discovery.setSoTimeout(1_000);
-            try (Socket call = discovery.accept()) {
-                byte[] request = new byte[100];
-                check(call.getInputStream().read(request) > 0, "it asks");
-            }
-        } finally {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
-        }
+  @Example
+  void aCallOfDiscoveryThatGetsNoSocketIsFollowedByAnother() throws Exception {
+    MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
+    try (ServerSocket discovery = SocketWorld.listen(0)) {
+      SocketWorld.Silent outside = new SocketWorld.Silent();
+      Turn turn = HeldUpRouter.turn(loop);
+      Moment now = turn.clock().now();
+      Core<String> core =
+          new Core<>(outside, SocketWorld.values().balance(1, now, SocketWorld.values().holds()));
+      MemberList list = new MemberList(core, List.of(), (node, address) -> {});
+      Watch watch =
+          new Watch(
+              failing(loop, new AtomicInteger(1)),
+              (InetSocketAddress) discovery.getLocalSocketAddress(),
+              turn,
+              list,
+              core);
+      loop.submit(watch::start).sync();
+      // The decisions hear that it failed, and ask again within a second and a half.
+      for (int i = 0; i < 40 && !outside.told.contains("watch"); i++) {
+        Thread.sleep(50);
+        loop.submit(() -> core.woken(turn.clock().now())).sync();
+      }
+      check(outside.told.contains("watch"), "nobody asks any more");
+      loop.submit(watch::start).sync();
+      discovery.setSoTimeout(1_000);
+      try (Socket call = discovery.accept()) {
+        byte[] request = new byte[100];
+        check(call.getInputStream().read(request) > 0, "it asks");
+      }
+    } finally {
+      group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
+  }
 }
--- a/router/src/test/java/basaltlever/net/WatchReadsTest.java
+++ b/router/src/test/java/basaltlever/net/WatchReadsTest.java
@@ -22,62 +22,83 @@
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
 
-/** A loop that was held up finds a long change of the list waiting: statements that it reads then must not overtake it. */
+/**
+ * A loop that was held up finds a long change of the list waiting: statements that it reads then
+ * must not overtake it.
+ */
 class WatchReadsTest {
-    private static final int ENTRIES = 400;
-    private static final int WARM_UP = 40;
+  private static final int ENTRIES = 400;
+  private static final int WARM_UP = 40;
 
-    private static byte[] change(int generation) {
-        StringBuilder text = new StringBuilder("{\"generation\":" + generation + ",\"reset\":true,\"instances\":[");
-        for (int i = 0; i < ENTRIES; i++) {
-            text.append(i == 0 ? "" : ",").append("{\"instanceId\":\"s-").append(i).append("\",\"hostPort\":\"127.0.0.1:")
-                .append(1_000 + i).append("\",\"zone\":\"a\",\"cell\":").append(i / 5)
-                .append(",\"lifecycle\":\"in_service\",\"weight\":1.0,\"startedAtMs\":0}");
-        }
-        return text.append("]}\n").toString().getBytes(StandardCharsets.US_ASCII);
+  private static byte[] change(int generation) {
+    StringBuilder text =
+        new StringBuilder("{\"generation\":" + generation + ",\"reset\":true,\"instances\":[");
+    for (int i = 0; i < ENTRIES; i++) {
+      text.append(i == 0 ? "" : ",")
+          .append("{\"instanceId\":\"s-")
+          .append(i)
+          .append("\",\"hostPort\":\"127.0.0.1:")
+          .append(1_000 + i)
+          .append("\",\"zone\":\"a\",\"cell\":")
+          .append(i / 5)
+          .append(",\"lifecycle\":\"in_service\",\"weight\":1.0,\"startedAtMs\":0}");
     }
+    return text.append("]}\n").toString().getBytes(StandardCharsets.US_ASCII);
+  }
 
-    @Example
-    void aLongChangeThatWaitsIsReadInOneLook() throws Exception {
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-        try (ServerSocket discovery = SocketWorld.listen(0)) {
-            Turn turn = HeldUpRouter.turn(loop);
-            Core<String> core = SocketWorld.core();
-            MemberList list = new MemberList(core, List.of("a"), (node, address) -> { });
-            Watch watch = new Watch(new Bootstrap().group(loop).channel(NioSocketChannel.class),
-                (InetSocketAddress) discovery.getLocalSocketAddress(), turn, list, core);
-            loop.submit(watch::start).sync();
-            try (Socket call = discovery.accept()) {
-                SocketWorld.send(call, Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\n\r\n", StandardCharsets.US_ASCII));
-                for (int i = 1; i <= WARM_UP; i++) {
-                    call.getOutputStream().write(change(i));
-                }
-                long read = 0;
-                for (int i = 0; i < 200 && read < (long) ENTRIES * WARM_UP; i++) {
-                    Thread.sleep(20);
-                    read = loop.submit(() -> turn.counters().get(Counter.LIST_ENTRIES_READ)).sync().getNow();
-                }
-                check(read == (long) ENTRIES * WARM_UP, "all before: " + read);
-                CountDownLatch goesOn = new CountDownLatch(1);
-                CompletableFuture<Long> afterOneLook = new CompletableFuture<>();
-                loop.execute(() -> {
-                    try {
-                        goesOn.await();
-                    } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                    }
-                    loop.executeAfterEventLoopIteration(() -> loop.execute(() ->
-                        afterOneLook.complete(turn.counters().get(Counter.LIST_ENTRIES_READ))));
-                });
-                call.getOutputStream().write(change(WARM_UP + 1));
-                Thread.sleep(50);
-                goesOn.countDown();
-                long then = afterOneLook.get(2, TimeUnit.SECONDS) - read;
-                check(then == ENTRIES, "read in one look: " + then);
-            }
-        } finally {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
+  @Example
+  void aLongChangeThatWaitsIsReadInOneLook() throws Exception {
+    MultiThreadIoEventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
+    try (ServerSocket discovery = SocketWorld.listen(0)) {
+      Turn turn = HeldUpRouter.turn(loop);
+      Core<String> core = SocketWorld.core();
+      MemberList list = new MemberList(core, List.of("a"), (node, address) -> {});
+      Watch watch =
+          new Watch(
+              new Bootstrap().group(loop).channel(NioSocketChannel.class),
+              (InetSocketAddress) discovery.getLocalSocketAddress(),
+              turn,
+              list,
+              core);
+      loop.submit(watch::start).sync();
+      try (Socket call = discovery.accept()) {
+        SocketWorld.send(
+            call, Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\n\r\n", StandardCharsets.US_ASCII));
+        for (int i = 1; i <= WARM_UP; i++) {
+          call.getOutputStream().write(change(i));
+        }
+        long read = 0;
+        for (int i = 0; i < 200 && read < (long) ENTRIES * WARM_UP; i++) {
+          Thread.sleep(20);
+          read = loop.submit(() -> turn.counters().get(Counter.LIST_ENTRIES_READ)).sync().getNow();
         }
+        check(read == (long) ENTRIES * WARM_UP, "all before: " + read);
+        CountDownLatch goesOn = new CountDownLatch(1);
+        CompletableFuture<Long> afterOneLook = new CompletableFuture<>();
+        loop.execute(
+            () -> {
+              try {
+                goesOn.await();
+              } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+              }
+              loop.executeAfterEventLoopIteration(
+                  () ->
+                      loop.execute(
+                          () ->
+                              afterOneLook.complete(
+                                  turn.counters().get(Counter.LIST_ENTRIES_READ))));
+            });
+        call.getOutputStream().write(change(WARM_UP + 1));
+        Thread.sleep(50);
+        goesOn.countDown();
+        long then = afterOneLook.get(2, TimeUnit.SECONDS) - read;
+        check(then == ENTRIES, "read in one look: " + then);
+      }
+    } finally {
+      group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
+  }
 }
