--- a/router/src/test/java/basaltlever/KeepTest.java
+++ b/router/src/test/java/basaltlever/KeepTest.java
@@ -6,8 +6,6 @@
 import basaltlever.keep.Generations;
 import basaltlever.keep.ViewFault;
 import basaltlever.keep.ViewFile;
-import basaltlever.time.Span;
-import basaltlever.view.GroupView;
 import basaltlever.view.Known;
 import basaltlever.view.NodeView;
 import basaltlever.view.View;
@@ -26,46 +24,6 @@
  * no views.
  */
 class KeepTest {
-  /** The number gives all else, so that a mixture of two shows. */
-  static View view(long number, int nodes) {
-    SplittableRandom chance = new SplittableRandom(number);
-    List<Known> known = new ArrayList<>();
-    for (int i = 0; i < nodes; i++) {
-      known.add(
-          new Known(
-              "n-" + i + "-" + number,
-              "127.0.0.1:" + (1_000 + i),
-              new NodeView(
-                  i % 3,
-                  1_000L * chance.nextInt(1_000),
-                  chance.nextBoolean(),
-                  i == 0,
-                  new Span(chance.nextInt(1_000_000)),
-                  chance.nextBoolean() ? NodeView.NEVER : new Span(chance.nextInt()),
-                  chance.nextBoolean(),
-                  chance.nextBoolean() ? NodeView.NEVER : new Span(chance.nextInt(1_000_000)),
-                  chance.nextDouble(),
-                  chance.nextDouble() - 0.5,
-                  12 * chance.nextDouble(),
-                  chance.nextInt(6),
-                  new Span(chance.nextInt(1_000)),
-                  new Span(chance.nextInt(1_000)),
-                  chance.nextDouble(),
-                  new Span(chance.nextInt(1_000_000)))));
-    }
-    return new View(
-        "fleet",
-        "n3",
-        number,
-        1_000_000 + number,
-        5_000 + number,
-        "boot",
-        41,
-        known,
-        List.of(
-            new GroupView(0, chance.nextDouble(), 0), new GroupView(1, 0, chance.nextDouble())));
-  }
-
   enum Bug {
     NONE,
     NO_SYNC,
@@ -244,7 +202,7 @@
     int broken = 0;
     SplittableRandom seeds = new SplittableRandom(20261201);
     Cut measured = new Cut(seeds.split(), Bug.NONE);
-    store(measured, view(1, 3), Bug.NONE);
+    store(measured, KeptViews.view(1, 3), Bug.NONE);
     long steps = measured.steps;
     for (int i = 0; i < cuts; i++) {
       Cut disk = new Cut(seeds.split(), bug);
@@ -254,12 +212,12 @@
       // gone too.
       int whole = i % 4;
       for (long number = 1; number <= whole; number++) {
-        store(disk, view(number, 3), bug);
+        store(disk, KeptViews.view(number, 3), bug);
         kept = number;
       }
       disk.left = i / 4 * 7_919L % (steps + 4);
       try {
-        store(disk, view(whole + 1, 3), bug);
+        store(disk, KeptViews.view(whole + 1, 3), bug);
         kept = whole + 1L;
       } catch (PowerCut cut) {
         // As planned.
@@ -273,10 +231,10 @@
       boolean sound =
           found.view() == null
               ? kept <= 0
-              : found.view().equals(view(found.view().number(), 3))
+              : found.view().equals(KeptViews.view(found.view().number(), 3))
                   && found.view().number() >= kept;
       // And the next one must be found again, whatever the cut left behind.
-      View next = view(found.number() + 1, 3);
+      View next = KeptViews.view(found.number() + 1, 3);
       store(disk, next, bug);
       sound &= next.equals(new Generations(disk).newest().view());
       broken += sound ? 0 : 1;
@@ -298,7 +256,7 @@
 
   @Example
   void whatIsWrittenIsReadAndLittleIsLeftOutFirst() throws ViewFault {
-    View view = view(7, 500);
+    View view = KeptViews.view(7, 500);
     byte[] whole = ViewFile.write(view, 1 << 20);
     check(
         ViewFile.read(whole).groups().equals(view.groups())
@@ -322,7 +280,7 @@
    */
   @Example
   void olderAndNewerVersionsReadEachOther() throws Exception {
-    byte[] sound = ViewFile.write(view(3, 1), 1 << 20);
+    byte[] sound = ViewFile.write(KeptViews.view(3, 1), 1 << 20);
     java.io.ByteArrayOutputStream record = new java.io.ByteArrayOutputStream();
     try (var out =
         new com.fasterxml.jackson.dataformat.cbor.CBORFactory().createGenerator(record)) {
@@ -380,8 +338,8 @@
   @Example
   void aMillionMutatedFilesAreEachReadOrRefused() throws ViewFault {
     SplittableRandom chance = new SplittableRandom(815);
-    byte[] sound = ViewFile.write(view(3, 1), 1 << 20);
-    byte[] other = ViewFile.write(view(4, 1), 1 << 20);
+    byte[] sound = ViewFile.write(KeptViews.view(3, 1), 1 << 20);
+    byte[] other = ViewFile.write(KeptViews.view(4, 1), 1 << 20);
     int refused = 0;
     for (int i = 0; i < 1_000_000; i++) {
       byte[] bytes =
--- a/router/src/test/java/basaltlever/KeeperTest.java
+++ b/router/src/test/java/basaltlever/KeeperTest.java
@@ -31,7 +31,7 @@
 /** A folder of the file system, with its keeper and with a whole router. */
 class KeeperTest {
   private static View view(long writtenAt) {
-    View view = KeepTest.view(1, 4);
+    View view = KeptViews.view(1, 4);
     return new View(
         "fleet",
         "n3",
@@ -188,7 +188,7 @@
   /** The list has 20 of 2,000: they are known again, and the rest is not kept for anybody. */
   @Example
   void aViewOfThousandsServesAShortListAndIsGone() {
-    View view = KeepTest.view(9, 2_000);
+    View view = KeptViews.view(9, 2_000);
     Recollection recollection =
         Recollection.of(view, "fleet", "n3", view.writtenAt() + 9, view.steady() + 9, "boot");
     basaltlever.core.Core<String> core = SocketWorld.core();
--- a/router/src/test/java/basaltlever/ViewTest.java
+++ b/router/src/test/java/basaltlever/ViewTest.java
@@ -284,7 +284,7 @@
     world.balance.listBegins();
     for (int i = 0; i < 4; i++) {
       world.balance.recall.recalled(
-          world.now, i, KeepTest.view(seed & 0xFFFF, 4).nodes().get(i).view());
+          world.now, i, KeptViews.view(seed & 0xFFFF, 4).nodes().get(i).view());
     }
     world.listAll();
     for (int step = 0; step < 500; step++) {
--- a/router/src/test/java/basaltlever/fleet/PapersTest.java
+++ b/router/src/test/java/basaltlever/fleet/PapersTest.java
@@ -3,6 +3,7 @@
 import static basaltlever.StandIn.check;
 
 import basaltlever.agree.Version;
+import basaltlever.golden.Golden;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -55,6 +56,18 @@
     }
   }
 
+  @Example
+  void whatAnEarlierReleaseKeptIsWrittenWithTheSameBytes() throws Exception {
+    Path folder = Files.createTempDirectory("papers");
+    Path file = folder.resolve("papers");
+    Files.write(file, Golden.bytes("voter/papers"));
+    Papers papers = Papers.read(folder, "cards", "n1");
+    Version told = papers.told();
+    papers.isTold(new Version(1, "{}", 1, "ops", "another", 1));
+    papers.isTold(told);
+    Golden.check("voter/papers", Files.readAllBytes(file));
+  }
+
   /** One message may hold settings that fill it: the folder must still be read. */
   @Example
   void settingsThatFillAMessageAreLeftOutAndNothingElseIs() throws Exception {
--- /dev/null
+++ b/router/src/test/java/basaltlever/golden/Commands.java
@@ -0,0 +1,31 @@
+package basaltlever.golden;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+
+/** Commands of the program, each in a process of its own on the class path of the tests. */
+final class Commands {
+  private static final int PATIENCE_S = 60;
+
+  private Commands() {}
+
+  /** What it prints, standard output and errors in one, and its exit code on a last line. */
+  static String run(Class<?> main, List<String> arguments)
+      throws IOException, InterruptedException {
+    List<String> line = new ArrayList<>();
+    line.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+    line.addAll(List.of("-cp", System.getProperty("java.class.path"), main.getName()));
+    line.addAll(arguments);
+    Process process = new ProcessBuilder(line).redirectErrorStream(true).start();
+    String printed = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    if (!process.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+      process.destroyForcibly();
+      throw new IOException("it does not end: " + arguments);
+    }
+    return printed + "exit " + process.exitValue() + "\n";
+  }
+}
--- /dev/null
+++ b/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
@@ -0,0 +1,321 @@
+package basaltlever.golden;
+
+import static basaltlever.StandIn.check;
+
+import basaltlever.agree.Doubt;
+import basaltlever.agree.Grant;
+import basaltlever.agree.Report;
+import basaltlever.agree.Seat;
+import basaltlever.agree.Stamp;
+import basaltlever.cli.Main;
+import basaltlever.config.Terms;
+import basaltlever.fleet.Fleet;
+import basaltlever.fleet.Papers;
+import basaltlever.time.Span;
+import java.io.DataInputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.TreeSet;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+import java.util.concurrent.atomic.AtomicReference;
+import java.util.function.Supplier;
+import java.util.stream.Stream;
+import net.jqwik.api.Example;
+import org.jgroups.protocols.raft.FileBasedLog;
+
+/**
+ * What instances of an earlier release said to each other and kept: each side of this release hears
+ * the recorded bytes and answers in the same form, the voters' log holds the same commands, and a
+ * folder of theirs is read.
+ */
+class FleetGoldenTest {
+  private static final int PATIENCE_MS = 20_000;
+  private static final String NAME = "n1";
+  private static final int BEATS = 40;
+  private static final int BEAT_MS = 100;
+
+  /** By the generation that both routers report: what status says once it has been acted on. */
+  private static final Map<Long, String> EXPECTED =
+      Map.of(41L, "\"seats\":1", 42L, "\"seats\":3", 7L, "\"era\":1");
+
+  private static InetSocketAddress free() throws IOException {
+    try (ServerSocket socket = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
+      return new InetSocketAddress("127.0.0.1", socket.getLocalPort());
+    }
+  }
+
+  private static Terms terms(Path folder, InetSocketAddress voter, InetSocketAddress peer)
+      throws IOException {
+    return new Terms(
+        "cards",
+        Map.of(NAME, peer, "n2", free()),
+        Map.of(NAME, voter),
+        folder,
+        Span.ofMillis(400),
+        Span.ofMillis(1_000),
+        Span.ofMillis(3_000));
+  }
+
+  /** An instance whose router reports what it is given and takes whatever it is granted. */
+  private static Fleet instance(
+      Terms terms,
+      String name,
+      Papers papers,
+      BlockingQueue<Grant> grants,
+      Supplier<Report> reports)
+      throws Exception {
+    AtomicLong beats = new AtomicLong();
+    AtomicReference<Fleet> fleet = new AtomicReference<>();
+    AtomicReference<Grant> latest = new AtomicReference<>();
+    fleet.set(
+        new Fleet(
+            terms,
+            name,
+            papers,
+            new SplittableRandom(1),
+            () -> {
+              if (fleet.get() != null) {
+                Report report = reports.get();
+                Grant last = latest.get();
+                long force = last == null ? 0 : last.inForce().number();
+                long keeps =
+                    last == null || last.prepared() == null ? force : last.prepared().number();
+                fleet.get().beat(beats.incrementAndGet(), 0, force, keeps, 0, "", true, report);
+              }
+            },
+            (grant, sight) -> {
+              latest.set(grant);
+              grants.add(grant);
+            }));
+    return fleet.get();
+  }
+
+  private static byte[] exchange(InetSocketAddress at, byte[] message) throws IOException {
+    try (Socket socket = new Socket()) {
+      socket.connect(at, PATIENCE_MS);
+      socket.setSoTimeout(PATIENCE_MS);
+      DataOutputStream out = new DataOutputStream(socket.getOutputStream());
+      out.writeInt(message.length);
+      out.write(message);
+      out.flush();
+      return frame(socket);
+    }
+  }
+
+  private static byte[] frame(Socket socket) throws IOException {
+    DataInputStream in = new DataInputStream(socket.getInputStream());
+    byte[] answer = new byte[in.readInt()];
+    in.readFully(answer);
+    return answer;
+  }
+
+  /** Lines of a name and the bytes of a request, in the order in which they were sent. */
+  private static List<String[]> requests() throws IOException {
+    return Golden.text("fleet-requests.txt").lines().map(line -> line.split(" ")).toList();
+  }
+
+  /**
+   * What the router of the voter itself says of a list, so that both routers of the fleet say the
+   * same.
+   */
+  private static Report report(long generation) {
+    Stamp at = new Stamp(0, generation);
+    Seat seat = new Seat("db-1", generation == 41 ? 0 : 1, at, false);
+    List<String> free = generation == 41 ? List.of() : List.of("db-1");
+    Doubt doubt = generation < 41 ? Doubt.BACK : Doubt.NONE;
+    return new Report(at, 99, doubt, List.of(), 0, List.of(seat), free, 0, 0, 0);
+  }
+
+  private static void leads(BlockingQueue<Grant> grants) throws InterruptedException {
+    Grant grant = grants.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+    while (grant != null && grant.lasts().micros() <= 0) {
+      grant = grants.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+    }
+    check(grant != null, "it leads itself");
+  }
+
+  /** The lines of status that tell what was agreed, once nothing is on its way any more. */
+  private static String settled(InetSocketAddress at, byte[] status, String contains)
+      throws IOException, InterruptedException {
+    String told = "";
+    for (long since = System.nanoTime();
+        (System.nanoTime() - since) / 1_000_000 < PATIENCE_MS;
+        Thread.sleep(50)) {
+      told = Golden.json(exchange(at, status));
+      if (told.contains("\"prepared\":null") && told.contains(contains)) {
+        return told;
+      }
+    }
+    throw new AssertionError("never settled: " + told);
+  }
+
+  @Example
+  void aVoterAnswersRecordedRequestsAndLogsTheSameCommands() throws Exception {
+    Path folder = Files.createTempDirectory("golden");
+    InetSocketAddress peer = free();
+    Terms terms = terms(folder, free(), peer);
+    BlockingQueue<Grant> grants = new LinkedBlockingQueue<>();
+    StringBuilder answers = new StringBuilder();
+    AtomicReference<Report> list = new AtomicReference<>(Report.NONE);
+    try (Fleet voter =
+        instance(terms, NAME, Papers.read(folder, "cards", NAME), grants, list::get)) {
+      check(voter != null, "started");
+      leads(grants);
+      byte[] status = HexFormat.of().parseHex(requests().get(0)[1]);
+      for (String[] request : requests()) {
+        if (request[0].startsWith("heartbeat")) {
+          continue;
+        }
+        byte[] answer = exchange(peer, HexFormat.of().parseHex(request[1]));
+        answers.append(request[0]).append(' ').append(Golden.json(answer)).append('\n');
+        settled(peer, status, "");
+      }
+      Path operator = operatorFile(folder, terms);
+      for (List<String> command :
+          List.of(
+              List.of("settings", "status", "--json"),
+              List.of("settings", "history", "--json"),
+              List.of("settings", "history"),
+              List.of("settings", "diff", "1", "2", "--json"),
+              List.of("fleet", "status", "--json"),
+              List.of("fleet", "voters", "--json"))) {
+        List<String> line =
+            Stream.concat(command.stream(), Stream.of("--operator", operator.toString())).toList();
+        answers.append(command).append(' ').append(Golden.lines(Commands.run(Main.class, line)));
+      }
+      for (String[] request : requests()) {
+        if (request[0].startsWith("heartbeat")) {
+          long generation = Long.parseLong(request[0].substring("heartbeat-".length()));
+          list.set(report(generation));
+          String told = "";
+          for (int i = 0; i < BEATS && !told.contains(EXPECTED.get(generation)); i++) {
+            exchange(peer, HexFormat.of().parseHex(request[1]));
+            Thread.sleep(BEAT_MS);
+            told = Golden.json(exchange(peer, status));
+          }
+          check(told.contains(EXPECTED.get(generation)), told);
+        }
+      }
+      settled(peer, status, "\"number\":4,");
+    }
+    Golden.check("fleet-answers.txt", answers.toString());
+    Golden.check("fleet-commands.txt", String.join("\n", commands(folder)) + "\n");
+  }
+
+  private static Path operatorFile(Path folder, Terms terms) throws IOException {
+    StringBuilder text = new StringBuilder("[fleet]\nname = cards\npeers = ");
+    terms
+        .peers()
+        .forEach(
+            (name, at) ->
+                text.append(name).append("@127.0.0.1:").append(at.getPort()).append(", "));
+    text.setLength(text.length() - 2);
+    terms
+        .voters()
+        .forEach(
+            (name, at) ->
+                text.append("\nvoters = ").append(name).append("@127.0.0.1:").append(at.getPort()));
+    return Files.writeString(folder.resolve("operator.ini"), text + "\nfolder = " + folder + "\n");
+  }
+
+  /** Each form of a command that the log holds, once. */
+  private static TreeSet<String> commands(Path folder) throws Exception {
+    TreeSet<String> forms = new TreeSet<>();
+    FileBasedLog log = new FileBasedLog();
+    log.init(folder.resolve(NAME + ".log").toString(), Map.of());
+    try {
+      log.forEach(
+          (entry, index) -> {
+            if (!entry.internal()) {
+              forms.add(json(entry.command(), entry.offset(), entry.length()));
+            }
+          });
+    } finally {
+      log.close();
+    }
+    return forms;
+  }
+
+  private static String json(byte[] bytes, int offset, int length) {
+    try {
+      return Golden.json(java.util.Arrays.copyOfRange(bytes, offset, offset + length));
+    } catch (IOException fault) {
+      throw new java.io.UncheckedIOException(fault);
+    }
+  }
+
+  @Example
+  void aRouterBeatsInTheSameFormAndTakesARecordedGrant() throws Exception {
+    Path folder = Files.createTempDirectory("golden");
+    BlockingQueue<Grant> grants = new LinkedBlockingQueue<>();
+    try (ServerSocket voter = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
+      voter.setSoTimeout(PATIENCE_MS);
+      InetSocketAddress at = new InetSocketAddress("127.0.0.1", voter.getLocalPort());
+      Papers papers = Papers.read(folder, "cards", "n2");
+      try (Fleet router =
+              instance(terms(folder, free(), at), "n2", papers, grants, () -> Report.NONE);
+          Socket open = voter.accept()) {
+        check(router != null, "started");
+        Golden.check("fleet-beat.txt", Golden.json(frame(open)) + "\n");
+        byte[] grant = Golden.bytes("fleet-grant.cbor");
+        DataOutputStream out = new DataOutputStream(open.getOutputStream());
+        out.writeInt(grant.length);
+        out.write(grant);
+        out.flush();
+        Grant taken = grants.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        check(taken != null && taken.beat() == 1 && taken.lasts().micros() == 390_000, "its lease");
+        check(
+            taken.inForce().number() == 2 && taken.inForce().routers() == 2,
+            "the version in force");
+        check(taken.inForce().text().equals("{\"MaxOpen\":400}"), "its settings");
+        check(taken.prepared() == null && taken.changes() == 7, "and nothing on its way");
+        check(papers.told().equals(taken.inForce()), "kept by then");
+      }
+    }
+  }
+
+  @Example
+  void aFolderOfAnEarlierReleaseIsRead() throws Exception {
+    Path folder = recordedFolder();
+    Papers papers = Papers.read(folder, "cards", NAME);
+    check(
+        papers.told().number() == 3 && papers.told().text().equals("{\"MaxOpen\":400}"),
+        "the version told last");
+    BlockingQueue<Grant> grants = new LinkedBlockingQueue<>();
+    InetSocketAddress peer = free();
+    try (Fleet voter =
+        instance(
+            terms(folder, free(), peer),
+            NAME,
+            Papers.read(folder, "cards", NAME),
+            grants,
+            () -> Report.NONE)) {
+      check(voter != null, "started");
+      leads(grants);
+      byte[] status = HexFormat.of().parseHex(requests().get(0)[1]);
+      Golden.check("voter-status.txt", settled(peer, status, "") + "\n");
+    }
+  }
+
+  private static Path recordedFolder() throws IOException {
+    Path folder = Files.createTempDirectory("golden");
+    for (String name : Golden.text("voter/FILES").lines().toList()) {
+      Path file = folder.resolve(name);
+      Files.createDirectories(file.getParent());
+      Files.write(file, Golden.bytes("voter/" + name));
+    }
+    return folder;
+  }
+}
--- /dev/null
+++ b/router/src/test/java/basaltlever/golden/Golden.java
@@ -0,0 +1,145 @@
+package basaltlever.golden;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonGenerator;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.StringWriter;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.regex.Pattern;
+
+/**
+ * Recorded data of an earlier release, in test resources below golden/; what differs is left in
+ * target/golden.
+ */
+public final class Golden {
+  private static final Pattern VOLATILE =
+      Pattern.compile(
+          "\"(at|age_ms|lasts|heard_ms_ago|lease_ms|incarnation|folder|id|seal|digest|book|marks_end|standing|port"
+              + ")\":(\"[^\"]*\"|-?\\d+)");
+
+  private Golden() {}
+
+  /** The recorded bytes. */
+  public static byte[] bytes(String name) throws IOException {
+    try (InputStream in = Golden.class.getResourceAsStream("/golden/" + name)) {
+      if (in == null) {
+        throw new IOException("no recorded " + name);
+      }
+      return in.readAllBytes();
+    }
+  }
+
+  /** The recorded text. */
+  public static String text(String name) throws IOException {
+    return new String(bytes(name), StandardCharsets.UTF_8);
+  }
+
+  /** Throws where the bytes are not those recorded. */
+  public static void check(String name, byte[] actual) throws IOException {
+    Path left = Files.createDirectories(Path.of("router/target/golden")).resolve(name);
+    Files.createDirectories(left.getParent());
+    Files.write(left, actual);
+    if (!Arrays.equals(bytes(name), actual)) {
+      throw new AssertionError(name + " differs from what was recorded: see " + left);
+    }
+  }
+
+  /** Throws where the text is not that recorded. */
+  public static void check(String name, String actual) throws IOException {
+    check(name, actual.getBytes(StandardCharsets.UTF_8));
+  }
+
+  /**
+   * CBOR as JSON, the keys in their order; times, ids and other values that differ with each run as
+   * V.
+   */
+  public static String json(byte[] cbor) throws IOException {
+    return sorted(new CBORFactory().createParser(cbor));
+  }
+
+  /**
+   * Each line that is a JSON object with its keys sorted, since their order is free; masked like a
+   * message.
+   */
+  public static String lines(String printed) throws IOException {
+    StringBuilder all = new StringBuilder();
+    for (String line : printed.split("\n")) {
+      boolean isJson = line.startsWith("{");
+      all.append(isJson ? sorted(new JsonFactory().createParser(line)) : masked(line)).append('\n');
+    }
+    return all.toString();
+  }
+
+  private static String sorted(JsonParser parser) throws IOException {
+    StringWriter text = new StringWriter();
+    try (JsonParser in = parser;
+        JsonGenerator out = new JsonFactory().createGenerator(text)) {
+      in.nextToken();
+      write(out, value(in));
+    }
+    return masked(text.toString());
+  }
+
+  private static Object value(JsonParser in) throws IOException {
+    if (in.currentToken() == JsonToken.START_OBJECT) {
+      Map<String, Object> members = new TreeMap<>();
+      while (in.nextToken() == JsonToken.FIELD_NAME) {
+        String name = in.currentName();
+        in.nextToken();
+        members.put(name, value(in));
+      }
+      return members;
+    } else if (in.currentToken() == JsonToken.START_ARRAY) {
+      List<Object> items = new ArrayList<>();
+      while (in.nextToken() != JsonToken.END_ARRAY) {
+        items.add(value(in));
+      }
+      return items;
+    }
+    return switch (in.currentToken()) {
+      case VALUE_NUMBER_INT -> in.getLongValue();
+      case VALUE_STRING -> in.getText();
+      case VALUE_TRUE -> true;
+      case VALUE_FALSE -> false;
+      default -> null;
+    };
+  }
+
+  private static void write(JsonGenerator out, Object value) throws IOException {
+    if (value instanceof Map<?, ?> members) {
+      out.writeStartObject();
+      for (Map.Entry<?, ?> member : members.entrySet()) {
+        out.writeFieldName((String) member.getKey());
+        write(out, member.getValue());
+      }
+      out.writeEndObject();
+    } else if (value instanceof List<?> items) {
+      out.writeStartArray();
+      for (Object item : items) {
+        write(out, item);
+      }
+      out.writeEndArray();
+    } else {
+      out.writeObject(value);
+    }
+  }
+
+  /** The text with times, ids and other values that differ with each run as V. */
+  private static String masked(String json) {
+    return VOLATILE
+        .matcher(json)
+        .replaceAll("\"$1\":V")
+        .replaceAll("127\\.0\\.0\\.1:\\d+", "ADDRESS");
+  }
+}
--- /dev/null
+++ b/router/src/test/java/basaltlever/golden/SettingsGoldenTest.java
@@ -0,0 +1,34 @@
+package basaltlever.golden;
+
+import basaltlever.cli.Main;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import net.jqwik.api.Example;
+
+/**
+ * Start files and operator's files of an earlier release: taken as before, and refused with the
+ * same reasons.
+ */
+class SettingsGoldenTest {
+  @Example
+  void filesWithEveryKeyAreTakenAndFaultsAreNamedAsBefore() throws Exception {
+    Path folder = Files.createTempDirectory("golden");
+    for (String name : List.of("start.json", "operator.ini", "faulty.json", "faulty.ini")) {
+      Files.write(folder.resolve(name), Golden.bytes("settings/" + name));
+    }
+    StringBuilder told = new StringBuilder();
+    for (List<String> files :
+        List.of(List.of("start.json", "operator.ini"), List.of("faulty.json", "faulty.ini"))) {
+      told.append(
+          Commands.run(
+              Main.class,
+              List.of(
+                  "check",
+                  "--operator",
+                  folder.resolve(files.get(1)).toString(),
+                  folder.resolve(files.get(0)).toString())));
+    }
+    Golden.check("settings/told.txt", told.toString().replace(folder.toString(), "FOLDER"));
+  }
+}
