--- a/lab/src/main/java/basaltlever/lab/Compare.java
+++ b/lab/src/main/java/basaltlever/lab/Compare.java
@@ -1,7 +1,7 @@
 package basaltlever.lab;
 
+import basaltlever.json.InvalidJsonException;
 import basaltlever.json.Json;
-import basaltlever.json.JsonFault;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 import java.io.IOException;
@@ -41,7 +41,7 @@
         tell(String.valueOf(name), a, b);
       }
       return 0;
-    } catch (JsonFault fault) {
+    } catch (InvalidJsonException fault) {
       System.err.println("basaltlever-lab: " + fault.getMessage());
       return 2;
     }
@@ -67,7 +67,7 @@
     }
   }
 
-  private static Map<Long, Map<?, ?>> runs(String file) throws IOException, JsonFault {
+  private static Map<Long, Map<?, ?>> runs(String file) throws IOException, InvalidJsonException {
     Map<Long, Map<?, ?>> runs = new TreeMap<>();
     if (Json.read(Files.readString(Path.of(file))) instanceof Map<?, ?> whole) {
       for (Object run : whole.get("runs") instanceof List<?> all ? all : List.of(whole)) {
--- a/lab/src/main/java/basaltlever/lab/Fleet.java
+++ b/lab/src/main/java/basaltlever/lab/Fleet.java
@@ -1,6 +1,6 @@
 package basaltlever.lab;
 
-import basaltlever.pg.Write;
+import basaltlever.pg.MessageEncoder;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -46,7 +46,7 @@
       DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
       in.readFully(new byte[in.readInt() - 4]);
       ByteBuf out = Unpooled.buffer();
-      Write.welcome(out);
+      MessageEncoder.welcome(out);
       send(socket, out);
       while (in.readByte() == 'Q') {
         byte[] text = new byte[in.readInt() - 4];
@@ -66,14 +66,14 @@
           if (manner == Manner.HANGS) {
             continue;
           } else if (manner == Manner.FAILS) {
-            Write.error(out, "ERROR", "XX000", "as asked", null);
+            MessageEncoder.error(out, "ERROR", "XX000", "as asked", null);
           } else {
             row(out, "v");
           }
-          Write.status(out, "part", number == 0 ? "master" : "replica");
-          Write.status(out, "caught_up_to", "" + now);
+          MessageEncoder.status(out, "part", number == 0 ? "master" : "replica");
+          MessageEncoder.status(out, "caught_up_to", "" + now);
         }
-        Write.ready(out);
+        MessageEncoder.ready(out);
         send(socket, out);
       }
     }
@@ -156,7 +156,7 @@
         .writeShort(1)
         .writeInt(bytes.length)
         .writeBytes(bytes);
-    Write.complete(out, "SELECT 1");
+    MessageEncoder.complete(out, "SELECT 1");
   }
 
   private static void pause(int millis) throws IOException {
--- a/lab/src/main/java/basaltlever/lab/KillState.java
+++ b/lab/src/main/java/basaltlever/lab/KillState.java
@@ -1,12 +1,12 @@
 package basaltlever.lab;
 
-import basaltlever.keep.Folder;
-import basaltlever.keep.Generations;
-import basaltlever.keep.Machine;
-import basaltlever.view.Known;
-import basaltlever.view.NodeView;
-import basaltlever.view.Recollection;
-import basaltlever.view.View;
+import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.KnownEndpoint;
+import basaltlever.snapshot.LearnedState;
+import basaltlever.snapshot.StateRestore;
+import basaltlever.storage.LockedDirectory;
+import basaltlever.storage.SnapshotStore;
+import basaltlever.storage.SystemClocks;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 import java.io.BufferedReader;
@@ -63,11 +63,11 @@
     private String folder;
 
     void run() throws IOException {
-      try (Folder to = new Folder(Path.of(folder))) {
+      try (LockedDirectory to = new LockedDirectory(Path.of(folder))) {
         if (!to.take()) {
           throw new IOException("the folder is held");
         }
-        Generations generations = new Generations(to);
+        SnapshotStore generations = new SnapshotStore(to);
         // Where nobody reads any more, whoever was to kill it has gone, and it ends by itself.
         for (long number = generations.newest().number() + 1; !System.out.checkError(); number++) {
           generations.store(MadeViews.view(number, NODES), 1 << 20);
@@ -155,27 +155,28 @@
   }
 
   static Left judge(Path folder, long told, long later) throws IOException {
-    View view = new Generations(new Folder(folder)).newest().view();
+    LearnedState view = new SnapshotStore(new LockedDirectory(folder)).newest().view();
     if (view == null) {
       return Left.LOST;
     }
-    List<Known> made = MadeViews.nodes(view.number(), NODES);
+    List<KnownEndpoint> made = MadeViews.nodes(view.number(), NODES);
     // Little-telling nodes may stand behind the others.
     if (view.nodes().size() != NODES
         || !view.nodes().containsAll(made)
         || view.listed() != view.number()) {
       return Left.CORRUPT;
     }
-    Recollection offered =
-        Recollection.of(
+    StateRestore offered =
+        StateRestore.of(
             view,
             MadeViews.DEPLOYMENT,
             MadeViews.ROUTER,
             view.writtenAt() + later,
             view.steady() + later,
-            Machine.boot());
-    for (Known known : made) {
-      NodeView aged = offered.of(known.id(), known.address(), known.view().listedStart(), 0, true);
+            SystemClocks.boot());
+    for (KnownEndpoint known : made) {
+      EndpointState aged =
+          offered.of(known.id(), known.address(), known.view().listedStart(), 0, true);
       double was = known.view().silent() ? 1 : known.view().failing();
       if (aged == null
           || Math.abs(aged.failing() - was * Math.exp(-later / 1e6 / CONDITION_SECONDS)) > 1e-9) {
--- a/lab/src/main/java/basaltlever/lab/MadeViews.java
+++ b/lab/src/main/java/basaltlever/lab/MadeViews.java
@@ -1,10 +1,10 @@
 package basaltlever.lab;
 
-import basaltlever.keep.Machine;
+import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.KnownEndpoint;
+import basaltlever.snapshot.LearnedState;
+import basaltlever.storage.SystemClocks;
 import basaltlever.time.Span;
-import basaltlever.view.Known;
-import basaltlever.view.NodeView;
-import basaltlever.view.View;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -19,23 +19,23 @@
 
   private MadeViews() {}
 
-  static List<Known> nodes(long number, int count) {
+  static List<KnownEndpoint> nodes(long number, int count) {
     SplittableRandom chance = new SplittableRandom(number);
-    List<Known> nodes = new ArrayList<>(count);
+    List<KnownEndpoint> nodes = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
       nodes.add(
-          new Known(
+          new KnownEndpoint(
               "node-" + i + "-" + chance.nextInt(1_000_000),
               "127.0.0.1:" + (1_024 + i),
-              new NodeView(
+              new EndpointState(
                   i / 9,
                   1_000L * chance.nextInt(1_000_000),
                   false,
                   i % 9 == 0,
-                  NodeView.NEVER,
-                  NodeView.NEVER,
+                  EndpointState.NEVER,
+                  EndpointState.NEVER,
                   chance.nextInt(9) == 0,
-                  NodeView.NEVER,
+                  EndpointState.NEVER,
                   0.06 + 0.9 * chance.nextDouble(),
                   chance.nextDouble(),
                   12 * chance.nextDouble(),
@@ -43,19 +43,19 @@
                   Span.NONE,
                   new Span(chance.nextInt(1_000_000)),
                   0,
-                  NodeView.NEVER)));
+                  EndpointState.NEVER)));
     }
     return nodes;
   }
 
-  static View view(long number, int count) {
-    return new View(
+  static LearnedState view(long number, int count) {
+    return new LearnedState(
         DEPLOYMENT,
         ROUTER,
         number,
-        Machine.now(),
-        Machine.steady(),
-        Machine.boot(),
+        SystemClocks.now(),
+        SystemClocks.steady(),
+        SystemClocks.boot(),
         number,
         nodes(number, count),
         List.of());
--- a/lab/src/main/java/basaltlever/lab/PairedPlays.java
+++ b/lab/src/main/java/basaltlever/lab/PairedPlays.java
@@ -1,7 +1,7 @@
 package basaltlever.lab;
 
+import basaltlever.json.InvalidJsonException;
 import basaltlever.json.Json;
-import basaltlever.json.JsonFault;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 import java.io.IOException;
@@ -160,7 +160,7 @@
         return told;
       }
       throw new Unplayed(what + " left no row:\n" + Files.readString(said));
-    } catch (JsonFault fault) {
+    } catch (InvalidJsonException fault) {
       throw new Unplayed(what + " left a row that can't be read: " + fault.getMessage());
     } finally {
       Files.delete(row);
--- a/lab/src/main/java/basaltlever/lab/Relay.java
+++ b/lab/src/main/java/basaltlever/lab/Relay.java
@@ -3,7 +3,7 @@
 import basaltlever.lab.sockets.Echo;
 import basaltlever.lab.sockets.Ports;
 import basaltlever.lab.sockets.RouterProcess;
-import basaltlever.pg.Write;
+import basaltlever.pg.MessageEncoder;
 import com.beust.jcommander.Parameter;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -66,11 +66,11 @@
       socket.setTcpNoDelay(true);
       in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
       ByteBuf out = Unpooled.buffer();
-      Write.startup(out, "app", "shop");
+      MessageEncoder.startup(out, "app", "shop");
       socket.getOutputStream().write(ByteBufUtil.getBytes(out));
       upToReady();
       out = Unpooled.buffer();
-      Write.query(
+      MessageEncoder.query(
           out,
           "/* id=r" + number + ",c=view,d=5000,cluster=1 */ SELECT doc FROM items WHERE id = 'k'");
       query = ByteBufUtil.getBytes(out);
--- a/lab/src/main/java/basaltlever/lab/RestartPaired.java
+++ b/lab/src/main/java/basaltlever/lab/RestartPaired.java
@@ -1,6 +1,6 @@
 package basaltlever.lab;
 
-import basaltlever.pg.Write;
+import basaltlever.pg.MessageEncoder;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 import io.netty.buffer.ByteBuf;
@@ -255,13 +255,13 @@
       socket.setSoTimeout(4_000);
       DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
       ByteBuf out = Unpooled.buffer();
-      Write.startup(out, "app", "shop");
+      MessageEncoder.startup(out, "app", "shop");
       Fleet.send(socket, out);
       isRow(in);
       int asked = 0;
       for (long at = due.take(); at >= 0; at = due.take()) {
         out = Unpooled.buffer();
-        Write.query(
+        MessageEncoder.query(
             out,
             "/* id=q"
                 + number
--- a/lab/src/main/java/basaltlever/lab/Run.java
+++ b/lab/src/main/java/basaltlever/lab/Run.java
@@ -1,6 +1,6 @@
 package basaltlever.lab;
 
-import basaltlever.config.StartFault;
+import basaltlever.config.InvalidSettingsException;
 import basaltlever.lab.endtoend.DayOptions;
 import basaltlever.lab.endtoend.InvalidOption;
 import basaltlever.lab.endtoend.ManyServers;
@@ -160,7 +160,7 @@
         VirtualRun run = new VirtualRun(scenario, own);
         figures.putAll(run.play());
         world = run.world();
-      } catch (StartFault fault) {
+      } catch (InvalidSettingsException fault) {
         throw new IllegalStateException(fault);
       }
     } else if (scenario.count("voters") > 0) {
--- a/lab/src/main/java/basaltlever/lab/ViewCost.java
+++ b/lab/src/main/java/basaltlever/lab/ViewCost.java
@@ -1,16 +1,16 @@
 package basaltlever.lab;
 
 import basaltlever.config.StartFile;
-import basaltlever.core.Core;
-import basaltlever.core.Outside;
-import basaltlever.gateway.Listing;
-import basaltlever.keep.Machine;
-import basaltlever.keep.ViewFile;
+import basaltlever.core.Effects;
+import basaltlever.core.StatementRouter;
+import basaltlever.gateway.EndpointLifecycle;
+import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.KnownEndpoint;
+import basaltlever.snapshot.LearnedState;
+import basaltlever.snapshot.StateRestore;
+import basaltlever.storage.SnapshotCodec;
+import basaltlever.storage.SystemClocks;
 import basaltlever.time.Moment;
-import basaltlever.view.Known;
-import basaltlever.view.NodeView;
-import basaltlever.view.Recollection;
-import basaltlever.view.View;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 import java.lang.reflect.Proxy;
@@ -40,15 +40,15 @@
   private String json;
 
   int run() throws Exception {
-    Moment now = new Moment(Machine.now());
-    Core<String> core = core(now);
-    List<Known> made = MadeViews.nodes(1, nodes);
+    Moment now = new Moment(SystemClocks.now());
+    StatementRouter<String> core = core(now);
+    List<KnownEndpoint> made = MadeViews.nodes(1, nodes);
     core.listBegins();
-    for (Known known : made) {
+    for (KnownEndpoint known : made) {
       core.listed(
           now,
           known.id(),
-          Listing.READY,
+          EndpointLifecycle.READY,
           known.view().group(),
           0,
           1,
@@ -57,9 +57,9 @@
     }
     core.listEnds(now, true, true);
     Histogram held = new Histogram(3);
-    View view = null;
+    LearnedState view = null;
     for (int i = 0; i < runs; i++) {
-      List<Known> out = new ArrayList<>();
+      List<KnownEndpoint> out = new ArrayList<>();
       boolean more = true;
       for (int from = 0; more; from += NODES_A_TURN) {
         long before = System.nanoTime();
@@ -68,15 +68,15 @@
                 now,
                 from,
                 NODES_A_TURN,
-                (id, learned) -> out.add(new Known(id, "127.0.0.1:1024", learned)));
+                (id, learned) -> out.add(new KnownEndpoint(id, "127.0.0.1:1024", learned)));
         if (!more) {
           view =
-              new View(
+              new LearnedState(
                   MadeViews.DEPLOYMENT,
                   MadeViews.ROUTER,
                   1,
-                  Machine.now(),
-                  Machine.steady(),
+                  SystemClocks.now(),
+                  SystemClocks.steady(),
                   "",
                   1,
                   out,
@@ -85,35 +85,35 @@
         held.recordValue((System.nanoTime() - before) / 1_000);
       }
     }
-    byte[] file = ViewFile.write(view, ViewFile.LARGEST);
+    byte[] file = SnapshotCodec.write(view, SnapshotCodec.LARGEST);
     long heap = used();
     long before = System.nanoTime();
-    Recollection offered =
-        Recollection.of(
-            ViewFile.read(file),
+    StateRestore offered =
+        StateRestore.of(
+            SnapshotCodec.read(file),
             MadeViews.DEPLOYMENT,
             MadeViews.ROUTER,
-            Machine.now(),
-            Machine.steady(),
-            Machine.boot());
+            SystemClocks.now(),
+            SystemClocks.steady(),
+            SystemClocks.boot());
     double firstLoad = (System.nanoTime() - before) / 1e6;
     before = System.nanoTime();
-    ViewFile.read(file);
+    SnapshotCodec.read(file);
     double load = (System.nanoTime() - before) / 1e6;
     long taken = used() - heap;
-    Core<String> fresh = core(now);
+    StatementRouter<String> fresh = core(now);
     before = System.nanoTime();
     fresh.listBegins();
-    for (Known known : view.nodes()) {
+    for (KnownEndpoint known : view.nodes()) {
       fresh.listed(
           now,
           known.id(),
-          Listing.READY,
+          EndpointLifecycle.READY,
           known.view().group(),
           0,
           1,
           new Moment(known.view().listedStart()));
-      NodeView learned =
+      EndpointState learned =
           offered.of(known.id(), known.address(), known.view().listedStart(), 2, true);
       if (learned == null) {
         throw new IllegalStateException("a node was not known again");
@@ -136,15 +136,15 @@
     return held.getValueAtPercentile(99.9) < 1_000 && load < 50 ? 0 : 1;
   }
 
-  private Core<String> core(Moment now) throws Exception {
+  private StatementRouter<String> core(Moment now) throws Exception {
     @SuppressWarnings("unchecked")
-    Outside<String> nobody =
-        (Outside<String>)
+    Effects<String> nobody =
+        (Effects<String>)
             Proxy.newProxyInstance(
                 getClass().getClassLoader(),
-                new Class<?>[] {Outside.class},
+                new Class<?>[] {Effects.class},
                 (proxy, method, arguments) -> null);
-    return new Core<>(nobody, StartFile.read(Path.of(start)).values().balance(1, now));
+    return new StatementRouter<>(nobody, StartFile.read(Path.of(start)).values().balance(1, now));
   }
 
   private static long used() {
--- a/lab/src/main/java/basaltlever/lab/endtoend/ClientLoad.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/ClientLoad.java
@@ -2,12 +2,12 @@
 
 import basaltlever.lab.endtoend.StatementLedger.Entry;
 import basaltlever.lab.endtoend.StatementLedger.Outcome;
-import basaltlever.pg.Answer;
-import basaltlever.pg.Budget;
-import basaltlever.pg.Frames;
-import basaltlever.pg.Pg;
-import basaltlever.pg.PgFault;
-import basaltlever.pg.Write;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.pg.MessageDecoder;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.ProtocolCodes;
+import basaltlever.pg.ProtocolException;
+import basaltlever.pg.QueryResponse;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -192,7 +192,8 @@
     private final boolean startsWhole;
     private final ArrayDeque<Entry> asked = new ArrayDeque<>();
     private final ArrayDeque<String> unsent = new ArrayDeque<>();
-    private final Frames frames = new Frames(LARGEST_ANSWER, new Budget(Long.MAX_VALUE));
+    private final MessageDecoder frames =
+        new MessageDecoder(LARGEST_ANSWER, new MemoryBudget(Long.MAX_VALUE));
     private Channel channel;
     private boolean connected;
     private boolean welcomed;
@@ -234,7 +235,7 @@
       String text = text(entry);
       if (channel.isActive()) {
         ByteBuf out = channel.alloc().buffer();
-        Write.query(out, text);
+        MessageEncoder.query(out, text);
         channel.writeAndFlush(out);
       } else {
         unsent.add(text);
@@ -295,13 +296,13 @@
     public void channelActive(ChannelHandlerContext context) {
       connected = true;
       ByteBuf out = context.alloc().buffer();
-      Write.startup(out, "app", "shop");
+      MessageEncoder.startup(out, "app", "shop");
       if (!startsWhole) {
         context.writeAndFlush(out);
         out = context.alloc().buffer();
       }
       while (!unsent.isEmpty()) {
-        Write.query(out, unsent.poll());
+        MessageEncoder.query(out, unsent.poll());
       }
       context.writeAndFlush(out);
       if (!asked.isEmpty()) {
@@ -310,7 +311,7 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) throws PgFault {
+    public void channelRead(ChannelHandlerContext context, Object in) throws ProtocolException {
       frames.add((ByteBuf) in);
       for (ByteBuf message = frames.next(); message != null && !gone; message = frames.next()) {
         message(message);
@@ -319,17 +320,17 @@
 
     private void message(ByteBuf message) {
       byte type = message.getByte(message.readerIndex());
-      if (type == Pg.DATA_ROW) {
+      if (type == ProtocolCodes.DATA_ROW) {
         told = Outcome.SERVED;
-      } else if (type == Pg.ERROR) {
-        String code = Answer.field(message, 'C');
+      } else if (type == ProtocolCodes.ERROR) {
+        String code = QueryResponse.field(message, 'C');
         told = code.equals("53300") || code.equals("57P03") ? Outcome.REFUSED : Outcome.FAILED;
-        if (Answer.field(message, 'S').equals("FATAL")) {
+        if (QueryResponse.field(message, 'S').equals("FATAL")) {
           answered();
         }
-      } else if (type == Pg.READY && !welcomed) {
+      } else if (type == ProtocolCodes.READY && !welcomed) {
         welcomed = true;
-      } else if (type == Pg.READY) {
+      } else if (type == ProtocolCodes.READY) {
         answered();
       }
     }
--- a/lab/src/main/java/basaltlever/lab/endtoend/ServerFarm.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/ServerFarm.java
@@ -1,10 +1,10 @@
 package basaltlever.lab.endtoend;
 
 import basaltlever.lab.sockets.Rows;
-import basaltlever.pg.Budget;
-import basaltlever.pg.Frames;
-import basaltlever.pg.PgFault;
-import basaltlever.pg.Write;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.pg.MessageDecoder;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.ProtocolException;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -175,7 +175,8 @@
   private final class Connection extends ChannelInboundHandlerAdapter {
     private final int router;
     private final SimulatedServer server;
-    private final Frames frames = new Frames(LARGEST_QUERY, new Budget(Long.MAX_VALUE));
+    private final MessageDecoder frames =
+        new MessageDecoder(LARGEST_QUERY, new MemoryBudget(Long.MAX_VALUE));
     private boolean started;
 
     Connection(int router, SimulatedServer server) {
@@ -184,20 +185,20 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) throws PgFault {
+    public void channelRead(ChannelHandlerContext context, Object in) throws ProtocolException {
       frames.add((ByteBuf) in);
       for (ByteBuf message = next(); message != null; message = next()) {
         if (!started) {
           started = true;
           ByteBuf out = context.alloc().buffer();
-          Write.welcome(out);
+          MessageEncoder.welcome(out);
           context.writeAndFlush(out);
         } else if (message.getByte(message.readerIndex()) == 'Q') {
           query(
               context,
               message.toString(
-                  message.readerIndex() + Frames.HEAD,
-                  message.readableBytes() - Frames.HEAD - 1,
+                  message.readerIndex() + MessageDecoder.HEAD,
+                  message.readableBytes() - MessageDecoder.HEAD - 1,
                   StandardCharsets.UTF_8));
         } else {
           context.close();
@@ -205,7 +206,7 @@
       }
     }
 
-    private ByteBuf next() throws PgFault {
+    private ByteBuf next() throws ProtocolException {
       return started ? frames.next() : frames.nextUntyped();
     }
 
@@ -229,7 +230,7 @@
       } else if (text.startsWith("/*") && id.find()) {
         statement(context, ledger.find(id.group(1)), text);
       } else {
-        reply(context, Write::empty);
+        reply(context, MessageEncoder::empty);
       }
     }
 
@@ -237,7 +238,9 @@
         ChannelHandlerContext context, StatementLedger.Entry entry, String text) {
       long now = nowMillis();
       if (entry == null) {
-        reply(context, out -> Write.error(out, "ERROR", "53300", "nobody waits for this", null));
+        reply(
+            context,
+            out -> MessageEncoder.error(out, "ERROR", "53300", "nobody waits for this", null));
         return;
       }
       ledger.attempt(entry, now);
@@ -261,7 +264,7 @@
         ledger.coldToppled();
       }
       if (entry.workload.isWrite() && !server.primary) {
-        reply(context, out -> Write.error(out, "ERROR", "25006", "no primary", null));
+        reply(context, out -> MessageEncoder.error(out, "ERROR", "25006", "no primary", null));
         return;
       }
       // What a closed connection carried may run all the same.
@@ -283,9 +286,9 @@
         ChannelHandlerContext context, java.util.function.Consumer<ByteBuf> content) {
       ByteBuf out = context.alloc().buffer();
       content.accept(out);
-      Write.status(out, "part", server.primary ? "master" : "replica");
-      Write.status(out, "caught_up_to", "" + nowMillis());
-      Write.ready(out);
+      MessageEncoder.status(out, "part", server.primary ? "master" : "replica");
+      MessageEncoder.status(out, "caught_up_to", "" + nowMillis());
+      MessageEncoder.ready(out);
       context.writeAndFlush(out);
     }
 
--- a/lab/src/main/java/basaltlever/lab/fleet/AgreementRun.java
+++ b/lab/src/main/java/basaltlever/lab/fleet/AgreementRun.java
@@ -1,7 +1,7 @@
 package basaltlever.lab.fleet;
 
-import basaltlever.fleet.Call;
-import basaltlever.fleet.Message;
+import basaltlever.fleet.AdminClient;
+import basaltlever.fleet.MessageCodec;
 import basaltlever.lab.scenario.Scenario;
 import basaltlever.lab.sockets.Ports;
 import basaltlever.lab.sockets.RouterProcess;
@@ -346,7 +346,7 @@
 
   private Map<String, Object> ask(int voter, Map<String, Object> message) {
     try {
-      return Call.ask(places.get(voter), message);
+      return AdminClient.ask(places.get(voter), message);
     } catch (IOException silent) {
       return Map.of();
     }
@@ -354,7 +354,7 @@
 
   private Integer leader() {
     for (int v = 0; v < (scenario.number("lose_majority_s") > 0 ? places.size() : voters); v++) {
-      if (Message.flag(ask(v, STATUS), "leads")) {
+      if (MessageCodec.flag(ask(v, STATUS), "leads")) {
         return v;
       }
     }
@@ -378,8 +378,8 @@
             new LinkedHashMap<>(
                 Map.of(
                     "do", "propose", "fleet", FLEET, "text", text, "who", "operator", "why", why));
-        command.put("number", Message.number(force, "number"));
-        last = Message.text(ask(leader, command), "why");
+        command.put("number", MessageCodec.number(force, "number"));
+        last = MessageCodec.text(ask(leader, command), "why");
       }
       Thread.sleep(15);
     }
@@ -390,12 +390,12 @@
     if (told.get("history") instanceof List<?> lines) {
       for (Object line : lines) {
         Map<?, ?> chapter = (Map<?, ?>) line;
-        if (Message.text(chapter, "why").equals(why)
-            && !Message.text(chapter, "end").equals("REFUSED")) {
-          return Message.text(chapter, "end")
-              + (Message.text(chapter, "reason").isEmpty()
+        if (MessageCodec.text(chapter, "why").equals(why)
+            && !MessageCodec.text(chapter, "end").equals("REFUSED")) {
+          return MessageCodec.text(chapter, "end")
+              + (MessageCodec.text(chapter, "reason").isEmpty()
                   ? ""
-                  : ": " + Message.text(chapter, "reason"));
+                  : ": " + MessageCodec.text(chapter, "reason"));
         }
       }
     }
@@ -460,7 +460,7 @@
       run.starts(1);
       Thread.sleep(1_500);
       Map<String, Object> back = ask(1, STATUS);
-      told("n2 comes back", Message.text(back, "standing"));
+      told("n2 comes back", MessageCodec.text(back, "standing"));
       run.ends(0);
       Thread.sleep(4_000);
       Integer leader = leader();
@@ -469,8 +469,8 @@
       if (end.get("peers") instanceof List<?> peers) {
         peers.forEach(
             peer -> {
-              if (Message.number((Map<?, ?>) peer, "lease_ms") > 0) {
-                leased.add(Message.text((Map<?, ?>) peer, "name"));
+              if (MessageCodec.number((Map<?, ?>) peer, "lease_ms") > 0) {
+                leased.add(MessageCodec.text((Map<?, ?>) peer, "name"));
               }
             });
       }
@@ -478,7 +478,7 @@
       told(
           "without n1",
           "charter "
-              + Message.number(end, "charter")
+              + MessageCodec.number(end, "charter")
               + " led by "
               + (leader == null ? "nobody" : "n" + (leader + 1)));
       boolean changed = false;
@@ -492,19 +492,19 @@
         for (int i = 0; i < 80 && !changed; i++) {
           Thread.sleep(100);
           changed =
-              Message.texts(ask(1, STATUS), "members").contains("n2")
-                  && Message.text(ask(0, STATUS), "standing").startsWith("does not vote");
+              MessageCodec.texts(ask(1, STATUS), "members").contains("n2")
+                  && MessageCodec.text(ask(0, STATUS), "standing").startsWith("does not vote");
         }
-        told("n1 comes back", Message.text(ask(0, STATUS), "standing"));
-        told("n2", Message.text(ask(1, STATUS), "standing"));
+        told("n1 comes back", MessageCodec.text(ask(0, STATUS), "standing"));
+        told("n2", MessageCodec.text(ask(1, STATUS), "standing"));
       }
       // All but those that were ended and not started again.
       recovered =
           changed
                   && leased.size() == places.size() - voters + 1
-                  && Message.number(end, "charter") == 1
-                  && Message.texts(back, "members").isEmpty()
-                  && Message.text(back, "standing").contains("charter 1")
+                  && MessageCodec.number(end, "charter") == 1
+                  && MessageCodec.texts(back, "members").isEmpty()
+                  && MessageCodec.text(back, "standing").contains("charter 1")
               ? 1
               : 0;
     } catch (IOException | InterruptedException fault) {
@@ -519,7 +519,7 @@
   private void awaitVoters(int many) throws InterruptedException {
     for (int i = 0; i < 40; i++) {
       Map<String, Object> told = ask(0, STATUS);
-      if (Message.flag(told, "leads") && Message.texts(told, "members").size() == many) {
+      if (MessageCodec.flag(told, "leads") && MessageCodec.texts(told, "members").size() == many) {
         return;
       }
       Thread.sleep(100);
--- a/lab/src/main/java/basaltlever/lab/fleet/FleetScale.java
+++ b/lab/src/main/java/basaltlever/lab/fleet/FleetScale.java
@@ -1,17 +1,17 @@
 package basaltlever.lab.fleet;
 
-import basaltlever.agree.Census;
-import basaltlever.agree.Follower;
-import basaltlever.agree.Grant;
-import basaltlever.agree.Leases;
-import basaltlever.agree.Register;
-import basaltlever.agree.Report;
-import basaltlever.agree.Roll;
-import basaltlever.agree.Said;
-import basaltlever.agree.Seat;
-import basaltlever.agree.Sight;
-import basaltlever.agree.Version;
-import basaltlever.gateway.Listing;
+import basaltlever.gateway.EndpointLifecycle;
+import basaltlever.membership.GroupAssignment;
+import basaltlever.membership.HeartbeatReport;
+import basaltlever.membership.ListedEndpoint;
+import basaltlever.membership.MembershipCoordinator;
+import basaltlever.membership.MembershipUpdate;
+import basaltlever.membership.MembershipView;
+import basaltlever.settings.LeaseGrant;
+import basaltlever.settings.LeaseHolder;
+import basaltlever.settings.LeaseTable;
+import basaltlever.settings.SettingsVersion;
+import basaltlever.settings.VersionRegister;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import com.beust.jcommander.Parameter;
@@ -66,8 +66,8 @@
   private record Awaited(long since, Histogram into, BooleanSupplier holds) {}
 
   private final class Instance {
-    final Follower follower = new Follower();
-    final Roll roll = new Roll(STATED, ASSIGNED);
+    final LeaseHolder follower = new LeaseHolder();
+    final MembershipView roll = new MembershipView(STATED, ASSIGNED);
     final double speed = 1 + DRIFT / 2 * (2 * chance.nextDouble() - 1);
     final long offset = chance.nextInt(1_000_000);
     final String name;
@@ -87,10 +87,10 @@
       new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
   private final List<Instance> routers = new ArrayList<>();
   private final List<Awaited> awaited = new ArrayList<>();
-  private Register register;
-  private Leases leases;
-  private Census census;
-  private TreeMap<String, Said> list;
+  private VersionRegister register;
+  private LeaseTable leases;
+  private MembershipCoordinator census;
+  private TreeMap<String, ListedEndpoint> list;
   private final Histogram inForce = new Histogram(600_000_000L, 3);
   private final Histogram everywhere = new Histogram(600_000_000L, 3);
   private final Histogram drained = new Histogram(600_000_000L, 3);
@@ -152,17 +152,17 @@
     now = 0;
     stepping = false;
     generation = 1;
-    register = new Register();
-    leases = new Leases(LEASE, DRIFT);
+    register = new VersionRegister();
+    leases = new LeaseTable(LEASE, DRIFT);
     List<String> names = new ArrayList<>();
     for (int i = 0; i < size; i++) {
       names.add("n" + i);
       routers.add(new Instance("n" + i));
     }
-    census = new Census(leases, names, ASSIGNED);
+    census = new MembershipCoordinator(leases, names, ASSIGNED);
     list = new TreeMap<>();
     for (int i = 0; i < memberCount; i++) {
-      list.put("db-" + i, new Said(Listing.READY, 1 + i % GROUPS));
+      list.put("db-" + i, new ListedEndpoint(EndpointLifecycle.READY, 1 + i % GROUPS));
     }
     leases.elected(new Moment(0));
     census.elected(new Moment(0), seed);
@@ -198,21 +198,21 @@
     if (now < router.stoppedUntil) {
       return;
     }
-    Follower follower = router.follower;
+    LeaseHolder follower = router.follower;
     follower.hasJustEnded(router.clock());
     long number = follower.beat(router.clock());
     long force = follower.inForce() == null ? 0 : follower.inForce().number();
     long keeps = follower.keepsTo();
     boolean holds = !follower.isCareful();
-    Report report = router.roll.report(router.clock(), member -> true);
+    HeartbeatReport report = router.roll.report(router.clock(), member -> true);
     sends(
         () -> {
           beats++;
           long started = System.nanoTime();
-          Grant grant =
+          LeaseGrant grant =
               leases.beat(
                   new Moment(now), router.name, 1, number, force, keeps, 0, "", holds, register);
-          Sight sight = census.beat(new Moment(now), router.name, report, register);
+          MembershipUpdate sight = census.beat(new Moment(now), router.name, report, register);
           leaderNanos += System.nanoTime() - started;
           sends(
               () -> {
@@ -239,8 +239,8 @@
             return;
           }
           long started = System.nanoTime();
-          Leases.Step step = leases.next(new Moment(now), register);
-          Census.Step lists = census.next(new Moment(now), register);
+          LeaseTable.Step step = leases.next(new Moment(now), register);
+          MembershipCoordinator.Step lists = census.next(new Moment(now), register);
           leaderNanos += System.nanoTime() - started;
           stepping = true;
           after(
@@ -253,7 +253,7 @@
     check();
   }
 
-  private void carryOut(Leases.Step step, Census.Step lists) {
+  private void carryOut(LeaseTable.Step step, MembershipCoordinator.Step lists) {
     switch (step.kind()) {
       case BRING_INTO_FORCE -> register.bringIntoForce(step.number());
       case WITHDRAW -> register.withdraw(step.number(), step.reason());
@@ -293,7 +293,7 @@
     for (Instance router : routers) {
       router.follower.hasJustEnded(router.clock());
       if (isActing(router)) {
-        Version prepared = router.follower.prepared();
+        SettingsVersion prepared = router.follower.prepared();
         acted.add(
             List.of(router.follower.inForce().number(), prepared == null ? -1 : prepared.number()));
       }
@@ -331,11 +331,11 @@
     }
   }
 
-  private void tell(Instance router, long of, SortedMap<String, Said> told) {
+  private void tell(Instance router, long of, SortedMap<String, ListedEndpoint> told) {
     router.roll.told(router.clock(), true, of, told);
   }
 
-  private void change(String member, Said said) {
+  private void change(String member, ListedEndpoint said) {
     list = new TreeMap<>(list);
     list.put(member, said);
     generation++;
@@ -344,7 +344,7 @@
   private String ready() {
     List<String> ready =
         list.entrySet().stream()
-            .filter(entry -> entry.getValue().listing() == Listing.READY)
+            .filter(entry -> entry.getValue().listing() == EndpointLifecycle.READY)
             .map(Map.Entry::getKey)
             .toList();
     return ready.get(chance.nextInt(ready.size()));
@@ -354,9 +354,9 @@
   private void drain() {
     after(3_000_000, this::drain);
     String member = ready();
-    change(member, new Said(Listing.DRAINING, list.get(member).group()));
+    change(member, new ListedEndpoint(EndpointLifecycle.DRAINING, list.get(member).group()));
     long of = generation;
-    TreeMap<String, Said> told = list;
+    TreeMap<String, ListedEndpoint> told = list;
     boolean first = true;
     for (Instance router : routers) {
       if (first && isActing(router)) {
@@ -373,21 +373,22 @@
                 .noneMatch(
                     router ->
                         isActing(router)
-                            && router.roll.use(router.clock(), member).listing() == Listing.READY));
+                            && router.roll.use(router.clock(), member).listing()
+                                == EndpointLifecycle.READY));
   }
 
   private void move() {
     after(6_000_000, this::move);
     String member = ready();
     int group = 1 + list.get(member).group() % GROUPS;
-    change(member, new Said(Listing.READY, group));
+    change(member, new ListedEndpoint(EndpointLifecycle.READY, group));
     long of = generation;
-    TreeMap<String, Said> told = list;
+    TreeMap<String, ListedEndpoint> told = list;
     routers.forEach(router -> after(chance.nextInt(50_000), () -> tell(router, of, told)));
     await(
         moved,
         () -> {
-          Seat seat = register.seat(member);
+          GroupAssignment seat = register.seat(member);
           return seat.cleared()
               && seat.group() == group
               && routers.stream()
@@ -397,7 +398,9 @@
                               || router
                                   .roll
                                   .use(router.clock(), member)
-                                  .equals(new Roll.Use(Listing.READY, group)));
+                                  .equals(
+                                      new MembershipView.MemberUse(
+                                          EndpointLifecycle.READY, group)));
         });
   }
 
--- a/lab/src/main/java/basaltlever/lab/sockets/ClientFront.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/ClientFront.java
@@ -3,11 +3,11 @@
 import basaltlever.lab.load.Front;
 import basaltlever.lab.world.Ask;
 import basaltlever.lab.world.World;
-import basaltlever.pg.Answer;
-import basaltlever.pg.Budget;
-import basaltlever.pg.Frames;
-import basaltlever.pg.PgFault;
-import basaltlever.pg.Write;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.pg.MessageDecoder;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.ProtocolException;
+import basaltlever.pg.QueryResponse;
 import basaltlever.time.Span;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -92,11 +92,12 @@
 
   private final class Client extends ChannelInboundHandlerAdapter {
     private final int router;
-    private final Frames frames = new Frames(1 << 21, new Budget(Long.MAX_VALUE));
+    private final MessageDecoder frames =
+        new MessageDecoder(1 << 21, new MemoryBudget(Long.MAX_VALUE));
     private Channel channel;
     private Ask ask;
     private Told told;
-    private Answer answer;
+    private QueryResponse answer;
     private boolean ready;
     private String error;
     private String detail;
@@ -114,7 +115,7 @@
     void ask(Ask next, Told of) {
       ask = next;
       told = of;
-      answer = new Answer();
+      answer = new QueryResponse();
       error = null;
       if (ready) {
         send();
@@ -124,7 +125,7 @@
     private void send() {
       ByteBuf out = channel.alloc().buffer();
       long left = Math.max(1, ask.leaves.since(world.now()).micros() / 1_000);
-      Write.query(
+      MessageEncoder.query(
           out,
           "/* id="
               + ask.id
@@ -148,19 +149,19 @@
     public void channelActive(ChannelHandlerContext context) {
       channel = context.channel();
       ByteBuf out = context.alloc().buffer();
-      Write.startup(out, "app", "shop");
+      MessageEncoder.startup(out, "app", "shop");
       context.writeAndFlush(out);
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) throws PgFault {
+    public void channelRead(ChannelHandlerContext context, Object in) throws ProtocolException {
       frames.add((ByteBuf) in);
       for (ByteBuf m = frames.next(); m != null; m = frames.next()) {
         message(m);
       }
     }
 
-    private void message(ByteBuf message) throws PgFault {
+    private void message(ByteBuf message) throws ProtocolException {
       byte type = message.getByte(message.readerIndex());
       if (!ready) {
         if (type == 'Z') {
@@ -172,8 +173,8 @@
         return;
       }
       if (type == 'E') {
-        error = Answer.field(message, 'C');
-        detail = Answer.field(message, 'D');
+        error = QueryResponse.field(message, 'C');
+        detail = QueryResponse.field(message, 'D');
       }
       if (answer != null && answer.add(message)) {
         ended();
@@ -183,7 +184,7 @@
     private void ended() {
       Ask of = ask;
       Told to = told;
-      Answer whole = answer;
+      QueryResponse whole = answer;
       ask = null;
       answer = null;
       used = true;
--- a/lab/src/main/java/basaltlever/lab/sockets/Echo.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/Echo.java
@@ -1,9 +1,9 @@
 package basaltlever.lab.sockets;
 
-import basaltlever.pg.Budget;
-import basaltlever.pg.Frames;
-import basaltlever.pg.PgFault;
-import basaltlever.pg.Write;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.pg.MessageDecoder;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.ProtocolException;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -76,22 +76,23 @@
   }
 
   private static final class Node extends ChannelInboundHandlerAdapter {
-    private final Frames frames = new Frames(1 << 18, new Budget(Long.MAX_VALUE));
+    private final MessageDecoder frames =
+        new MessageDecoder(1 << 18, new MemoryBudget(Long.MAX_VALUE));
     private boolean started;
 
     Node(Echo echo) {}
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) throws PgFault {
+    public void channelRead(ChannelHandlerContext context, Object in) throws ProtocolException {
       frames.add((ByteBuf) in);
       ByteBuf out = context.alloc().buffer();
       for (ByteBuf m = next(); m != null; m = next()) {
         if (!started) {
           started = true;
-          Write.welcome(out);
+          MessageEncoder.welcome(out);
         } else {
           long now = System.currentTimeMillis();
-          boolean poll = m.getByte(m.readerIndex() + Frames.HEAD) == 'S';
+          boolean poll = m.getByte(m.readerIndex() + MessageDecoder.HEAD) == 'S';
           Rows.row(
               out,
               poll
@@ -101,14 +102,14 @@
                       + String.valueOf(1_000 + now % 1_000).substring(1)
                       + ",x1=1,utilization=0.1"
                   : "v");
-          Write.status(out, "part", "master");
-          Write.ready(out);
+          MessageEncoder.status(out, "part", "master");
+          MessageEncoder.ready(out);
         }
       }
       context.writeAndFlush(out);
     }
 
-    private ByteBuf next() throws PgFault {
+    private ByteBuf next() throws ProtocolException {
       return started ? frames.next() : frames.nextUntyped();
     }
 
--- a/lab/src/main/java/basaltlever/lab/sockets/NodeFront.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/NodeFront.java
@@ -1,13 +1,13 @@
 package basaltlever.lab.sockets;
 
-import basaltlever.change.Note;
 import basaltlever.lab.world.Ask;
 import basaltlever.lab.world.Server;
 import basaltlever.lab.world.World;
-import basaltlever.pg.Budget;
-import basaltlever.pg.Frames;
-import basaltlever.pg.PgFault;
-import basaltlever.pg.Write;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.pg.MessageDecoder;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.ProtocolException;
+import basaltlever.switchover.SwitchoverAnnouncement;
 import basaltlever.time.Span;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -32,7 +32,7 @@
 final class NodeFront implements Server.Listener {
   /** Makes a statement of one that no client of this run has sent. */
   interface Strangers {
-    Ask apply(ByteBuf message, String id, int router) throws PgFault;
+    Ask apply(ByteBuf message, String id, int router) throws ProtocolException;
   }
 
   private static final Pattern ID = Pattern.compile("[ *,]id=([a-z0-9]+)");
@@ -116,28 +116,29 @@
   }
 
   private final class Connection extends ChannelInboundHandlerAdapter {
-    private final Frames frames = new Frames(1 << 18, new Budget(Long.MAX_VALUE));
+    private final MessageDecoder frames =
+        new MessageDecoder(1 << 18, new MemoryBudget(Long.MAX_VALUE));
     private boolean started;
     private Runnable takeBack = () -> {};
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) throws PgFault {
+    public void channelRead(ChannelHandlerContext context, Object in) throws ProtocolException {
       frames.add((ByteBuf) in);
       for (ByteBuf m = next(); m != null; m = next()) {
         message(context, m);
       }
     }
 
-    private ByteBuf next() throws PgFault {
+    private ByteBuf next() throws ProtocolException {
       return started ? frames.next() : frames.nextUntyped();
     }
 
-    private void message(ChannelHandlerContext context, ByteBuf message) throws PgFault {
+    private void message(ChannelHandlerContext context, ByteBuf message) throws ProtocolException {
       if (!started) {
         started = true;
         if (!server.isHung() && !world.isCut(router, server)) {
           ByteBuf out = context.alloc().buffer();
-          Write.welcome(out);
+          MessageEncoder.welcome(out);
           context.writeAndFlush(out);
         }
         return;
@@ -146,9 +147,10 @@
         context.close();
         return;
       }
-      int from = message.readerIndex() + Frames.HEAD;
+      int from = message.readerIndex() + MessageDecoder.HEAD;
       String query =
-          message.toString(from, message.readableBytes() - Frames.HEAD - 1, StandardCharsets.UTF_8);
+          message.toString(
+              from, message.readableBytes() - MessageDecoder.HEAD - 1, StandardCharsets.UTF_8);
       Matcher id = ID.matcher(query);
       if (world.isCut(router, server)) {
         return;
@@ -180,32 +182,33 @@
                 server.position(world.now()),
                 server.saysPrimary() ? 1 : 0,
                 server.util()));
-      } else if (query.equals(Note.query(table))) {
-        Note note = server.group().note();
+      } else if (query.equals(SwitchoverAnnouncement.query(table))) {
+        SwitchoverAnnouncement note = server.group().note();
         Rows.row(out, note == null ? "" : note.text());
       } else if (insert.matches()) {
-        Note note =
-            new Note(
+        SwitchoverAnnouncement note =
+            new SwitchoverAnnouncement(
                 Long.parseLong(insert.group(1)),
                 insert.group(2),
                 Long.parseLong(insert.group(3)),
                 insert.group(4).equals("off"));
         if (!server.saysPrimary() || !write(note)) {
-          Write.error(out, "ERROR", server.saysPrimary() ? "23514" : "25006", "not taken", null);
+          MessageEncoder.error(
+              out, "ERROR", server.saysPrimary() ? "23514" : "25006", "not taken", null);
         } else {
-          Write.complete(out, "INSERT 0 1");
+          MessageEncoder.complete(out, "INSERT 0 1");
         }
       } else if (query.isBlank()) {
-        Write.empty(out);
+        MessageEncoder.empty(out);
       } else {
-        Write.error(out, "ERROR", "08P01", "no statement of this world", null);
+        MessageEncoder.error(out, "ERROR", "08P01", "no statement of this world", null);
       }
-      Write.status(out, "part", server.saysPrimary() ? "master" : "replica");
-      Write.ready(out);
+      MessageEncoder.status(out, "part", server.saysPrimary() ? "master" : "replica");
+      MessageEncoder.ready(out);
       return out;
     }
 
-    private boolean write(Note note) {
+    private boolean write(SwitchoverAnnouncement note) {
       if (note.off()) {
         server.group().callOff();
         return true;
@@ -215,8 +218,8 @@
 
     private void error(ChannelHandlerContext context, String code, String text) {
       ByteBuf out = context.alloc().buffer();
-      Write.error(out, "ERROR", code, text, null);
-      Write.ready(out);
+      MessageEncoder.error(out, "ERROR", code, text, null);
+      MessageEncoder.ready(out);
       context.writeAndFlush(out);
     }
 
@@ -246,7 +249,7 @@
         }
         ByteBuf out = context.alloc().buffer();
         if (code != null) {
-          Write.error(out, "ERROR", code, "told by the stand-in", null);
+          MessageEncoder.error(out, "ERROR", code, "told by the stand-in", null);
         } else if (value == null) {
           out.writeBytes("not a message at all".getBytes(StandardCharsets.US_ASCII));
           context.writeAndFlush(out);
@@ -254,11 +257,11 @@
         } else {
           Rows.row(out, value);
         }
-        Write.status(out, "part", primary ? "master" : "replica");
+        MessageEncoder.status(out, "part", primary ? "master" : "replica");
         if (position > 0) {
-          Write.status(out, "caught_up_to", "" + position);
+          MessageEncoder.status(out, "caught_up_to", "" + position);
         }
-        Write.ready(out);
+        MessageEncoder.ready(out);
         context.writeAndFlush(out);
       }
 
@@ -267,7 +270,7 @@
       public void breaks() {
         ByteBuf out = context.alloc().buffer();
         Rows.row(out, "cut");
-        Write.ready(out);
+        MessageEncoder.ready(out);
         out.writerIndex(world.chance.nextInt(out.writerIndex()));
         context.writeAndFlush(out).addListener(done -> reset(context.channel()));
       }
--- a/lab/src/main/java/basaltlever/lab/sockets/Rows.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/Rows.java
@@ -1,6 +1,6 @@
 package basaltlever.lab.sockets;
 
-import basaltlever.pg.Write;
+import basaltlever.pg.MessageEncoder;
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
@@ -27,6 +27,6 @@
         .writeShort(1)
         .writeInt(bytes.length)
         .writeBytes(bytes);
-    Write.complete(out, "SELECT 1");
+    MessageEncoder.complete(out, "SELECT 1");
   }
 }
--- a/lab/src/main/java/basaltlever/lab/sockets/SocketRun.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/SocketRun.java
@@ -7,8 +7,8 @@
 import basaltlever.lab.world.Kind;
 import basaltlever.lab.world.Server;
 import basaltlever.lab.world.World;
-import basaltlever.pg.Frames;
-import basaltlever.pg.PgFault;
+import basaltlever.pg.MessageDecoder;
+import basaltlever.pg.ProtocolException;
 import basaltlever.pg.Query;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
@@ -150,16 +150,17 @@
     }
   }
 
-  private Ask stranger(ByteBuf message, String id, int router) throws PgFault {
+  private Ask stranger(ByteBuf message, String id, int router) throws ProtocolException {
     Query query =
         Query.read(
             message.slice(
-                message.readerIndex() + Frames.HEAD, message.readableBytes() - Frames.HEAD - 1));
+                message.readerIndex() + MessageDecoder.HEAD,
+                message.readableBytes() - MessageDecoder.HEAD - 1));
     Kind kind =
         scenario.kinds.stream()
             .filter(one -> one.name().equals(query.workload))
             .findAny()
-            .orElseThrow(() -> new PgFault("08P01", "no such workload"));
+            .orElseThrow(() -> new ProtocolException("08P01", "no such workload"));
     Ask known = world.ledger.ask(id);
     if (known != null) {
       return known;
--- a/lab/src/main/java/basaltlever/lab/virtual/VirtualRouter.java
+++ b/lab/src/main/java/basaltlever/lab/virtual/VirtualRouter.java
@@ -1,18 +1,18 @@
 package basaltlever.lab.virtual;
 
-import basaltlever.change.Change;
-import basaltlever.change.Note;
 import basaltlever.config.StartValues;
-import basaltlever.core.Core;
-import basaltlever.core.Outside;
-import basaltlever.gateway.Ending;
-import basaltlever.gateway.Listing;
-import basaltlever.gateway.Refusal;
+import basaltlever.core.Effects;
+import basaltlever.core.StatementRouter;
+import basaltlever.gateway.AttemptOutcome;
+import basaltlever.gateway.EndpointLifecycle;
+import basaltlever.gateway.RejectReason;
 import basaltlever.gateway.Role;
 import basaltlever.lab.load.Front;
 import basaltlever.lab.world.Ask;
 import basaltlever.lab.world.Server;
 import basaltlever.lab.world.World;
+import basaltlever.switchover.PlannedSwitchover;
+import basaltlever.switchover.SwitchoverAnnouncement;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
  * A router without sockets: the same core and decisions, with a network of short delays in virtual
  * time.
  */
-final class VirtualRouter implements Outside<String> {
+final class VirtualRouter implements Effects<String> {
   private static final Span OPENING = Span.ofMillis(0.4);
   private static final Span READS = Span.ofMillis(1_000);
   private static final Span POLL_TIMEOUT = Span.ofMillis(250);
@@ -39,7 +39,7 @@
   private boolean onlyOne;
   private int answers;
   private int reads;
-  private final Core<String> core;
+  private final StatementRouter<String> core;
   private long tickets;
 
   /** What the core wants is done after it has decided, as on sockets. */
@@ -72,7 +72,7 @@
     this.world = world;
     chance = world.chance.split();
     world.servers().forEach(server -> servers.put(server.id, server));
-    core = new Core<>(this, values.balance(chance.nextLong(), world.now()));
+    core = new StatementRouter<>(this, values.balance(chance.nextLong(), world.now()));
     world.onListChange(() -> world.time().after(hop().times(20), this::list));
     turn(() -> core.woken(world.now()));
     if (tellsChanges) {
@@ -92,7 +92,7 @@
             of,
             of.out.get(i),
             i,
-            Ending.NO_CONNECTION,
+            AttemptOutcome.NO_CONNECTION,
             Role.UNTOLD,
             Moment.LONG_AGO,
             null);
@@ -125,8 +125,8 @@
                 now,
                 server.id,
                 server.listed().equals("in_service") || bug == Bug.IGNORES_DRAINS
-                    ? Listing.READY
-                    : Listing.DRAINING,
+                    ? EndpointLifecycle.READY
+                    : EndpointLifecycle.DRAINING,
                 server.group().number,
                 0,
                 1,
@@ -212,7 +212,15 @@
     acts.add(
         () -> {
           if (of.answered || limit.micros() <= 0) {
-            ends(ticket, of, out, execution, Ending.NEVER_SENT, Role.UNTOLD, Moment.LONG_AGO, null);
+            ends(
+                ticket,
+                of,
+                out,
+                execution,
+                AttemptOutcome.NEVER_SENT,
+                Role.UNTOLD,
+                Moment.LONG_AGO,
+                null);
             return;
           }
           world
@@ -226,7 +234,7 @@
                         of,
                         out,
                         execution,
-                        Ending.TIMED_OUT,
+                        AttemptOutcome.TIMED_OUT,
                         Role.UNTOLD,
                         Moment.LONG_AGO,
                         null);
@@ -251,7 +259,7 @@
                       of,
                       out,
                       execution,
-                      Ending.NO_CONNECTION,
+                      AttemptOutcome.NO_CONNECTION,
                       Role.UNTOLD,
                       Moment.LONG_AGO,
                       null));
@@ -265,10 +273,10 @@
               @Override
               public void answer(String code, String value, boolean primary, long position) {
                 if (!world.isCut(number, server)) {
-                  Ending ending =
+                  AttemptOutcome ending =
                       code == null
-                          ? value == null ? Ending.UNKNOWN : Ending.COMPLETED
-                          : code.equals("53300") ? Ending.FULL : Ending.MISS;
+                          ? value == null ? AttemptOutcome.UNKNOWN : AttemptOutcome.COMPLETED
+                          : code.equals("53300") ? AttemptOutcome.FULL : AttemptOutcome.MISS;
                   world
                       .time()
                       .after(
@@ -300,7 +308,7 @@
                                 of,
                                 out,
                                 execution,
-                                Ending.RESET,
+                                AttemptOutcome.RESET,
                                 Role.UNTOLD,
                                 Moment.LONG_AGO,
                                 null));
@@ -321,7 +329,7 @@
                               of,
                               out,
                               execution,
-                              Ending.RESET,
+                              AttemptOutcome.RESET,
                               Role.UNTOLD,
                               Moment.LONG_AGO,
                               null));
@@ -340,7 +348,7 @@
       Taken of,
       Out out,
       int execution,
-      Ending ending,
+      AttemptOutcome ending,
       Role role,
       Moment position,
       String value) {
@@ -349,8 +357,10 @@
     }
     out.over = true;
     of.open--;
-    Ending heard =
-        ending == Ending.RESET && bug == Bug.RESET_PROVES_NOT_RUN ? Ending.NEVER_SENT : ending;
+    AttemptOutcome heard =
+        ending == AttemptOutcome.RESET && bug == Bug.RESET_PROVES_NOT_RUN
+            ? AttemptOutcome.NEVER_SENT
+            : ending;
     turn(
         () -> {
           if (core.ended(world.now(), ticket, execution, heard, role, position, false)) {
@@ -367,12 +377,20 @@
     acts.add(
         () -> {
           out.takeBack.run();
-          ends(ticket, of, out, execution, Ending.CANCELLED, Role.UNTOLD, Moment.LONG_AGO, null);
+          ends(
+              ticket,
+              of,
+              out,
+              execution,
+              AttemptOutcome.CANCELLED,
+              Role.UNTOLD,
+              Moment.LONG_AGO,
+              null);
         });
   }
 
   @Override
-  public void reject(long ticket, Span comeBackAfter, Refusal why) {
+  public void reject(long ticket, Span comeBackAfter, RejectReason why) {
     acts.add(() -> answer(ticket, told -> told.rejected(comeBackAfter)));
   }
 
@@ -390,7 +408,7 @@
         .time()
         .after(
             POLL_TIMEOUT,
-            () -> polled(over, node, Ending.TIMED_OUT, Role.UNTOLD, Moment.LONG_AGO, 0));
+            () -> polled(over, node, AttemptOutcome.TIMED_OUT, Role.UNTOLD, Moment.LONG_AGO, 0));
     world
         .time()
         .after(
@@ -418,7 +436,7 @@
                         polled(
                             over,
                             node,
-                            up ? Ending.COMPLETED : Ending.NO_CONNECTION,
+                            up ? AttemptOutcome.COMPLETED : AttemptOutcome.NO_CONNECTION,
                             up ? role : Role.UNTOLD,
                             up ? position : Moment.LONG_AGO,
                             util);
@@ -433,7 +451,7 @@
           && server.isUp()
           && !server.isHung()
           && !world.isCut(number, server)) {
-        Note note = server.group().note();
+        SwitchoverAnnouncement note = server.group().note();
         if (note != null) {
           turn(
               () ->
@@ -452,7 +470,7 @@
   }
 
   private void polled(
-      boolean[] over, String node, Ending ending, Role role, Moment position, double util) {
+      boolean[] over, String node, AttemptOutcome ending, Role role, Moment position, double util) {
     if (!over[0]) {
       over[0] = true;
       turn(() -> core.polled(world.now(), node, ending, role, position, util, Double.NaN));
@@ -491,7 +509,7 @@
   }
 
   @Override
-  public void change(int group, Change.Phase phase, String target) {
+  public void change(int group, PlannedSwitchover.Phase phase, String target) {
     // The world knows better.
   }
 
--- a/lab/src/main/java/basaltlever/lab/virtual/VirtualRun.java
+++ b/lab/src/main/java/basaltlever/lab/virtual/VirtualRun.java
@@ -1,6 +1,6 @@
 package basaltlever.lab.virtual;
 
-import basaltlever.config.StartFault;
+import basaltlever.config.InvalidSettingsException;
 import basaltlever.config.StartFile;
 import basaltlever.config.StartValues;
 import basaltlever.lab.load.Front;
@@ -30,11 +30,11 @@
   private final List<StartValues> shapes;
   private int switches;
 
-  public VirtualRun(Scenario scenario, long seed) throws StartFault {
+  public VirtualRun(Scenario scenario, long seed) throws InvalidSettingsException {
     this(scenario, seed, Bug.NONE);
   }
 
-  public VirtualRun(Scenario scenario, long seed, Bug bug) throws StartFault {
+  public VirtualRun(Scenario scenario, long seed, Bug bug) throws InvalidSettingsException {
     this.scenario = scenario;
     int count = scenario.count("routers");
     world =
@@ -63,7 +63,7 @@
     time.runUntil(time.now().plus(LOOKS));
   }
 
-  private StartValues values(boolean another) throws StartFault {
+  private StartValues values(boolean another) throws InvalidSettingsException {
     return StartFile.of(
             "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":"
                 + scenario.settings(another)
--- a/lab/src/main/java/basaltlever/lab/world/Faults.java
+++ b/lab/src/main/java/basaltlever/lab/world/Faults.java
@@ -1,6 +1,6 @@
 package basaltlever.lab.world;
 
-import basaltlever.change.Note;
+import basaltlever.switchover.SwitchoverAnnouncement;
 import basaltlever.time.Span;
 import java.util.List;
 import java.util.Map;
@@ -137,7 +137,8 @@
   private long announce(Shard group, Server target, Span settles) {
     long number = world.nextNote();
     group.announce(
-        new Note(number, target.id, world.now().plus(TOLD_BEFORE).micros() / 1_000, false),
+        new SwitchoverAnnouncement(
+            number, target.id, world.now().plus(TOLD_BEFORE).micros() / 1_000, false),
         settles);
     return number;
   }
--- a/lab/src/main/java/basaltlever/lab/world/Shard.java
+++ b/lab/src/main/java/basaltlever/lab/world/Shard.java
@@ -1,6 +1,6 @@
 package basaltlever.lab.world;
 
-import basaltlever.change.Note;
+import basaltlever.switchover.SwitchoverAnnouncement;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.ArrayList;
@@ -21,7 +21,7 @@
   private Moment leaderLost = Moment.NEVER;
   private boolean electing;
   private boolean switching;
-  private Note note;
+  private SwitchoverAnnouncement note;
 
   /** Of all commits, rounded up to milliseconds as answers tell them; rising. */
   private long[] commits = new long[1_024];
@@ -134,12 +134,12 @@
 
   // ---- Planned ones.
 
-  public Note note() {
+  public SwitchoverAnnouncement note() {
     return note;
   }
 
   /** True where it stands: the target is another sound member, and no change is under way. */
-  public boolean announce(Note next, Span settles) {
+  public boolean announce(SwitchoverAnnouncement next, Span settles) {
     Server target =
         members.stream().filter(member -> member.id.equals(next.target())).findAny().orElse(null);
     if (target == null || target == leader || (note != null && next.number() <= note.number())) {
@@ -160,7 +160,7 @@
 
   public void callOff() {
     if (note != null) {
-      note = new Note(note.number(), note.target(), note.atMillis(), true);
+      note = new SwitchoverAnnouncement(note.number(), note.target(), note.atMillis(), true);
     }
   }
 
--- a/lab/src/test/java/basaltlever/lab/KillStateTest.java
+++ b/lab/src/test/java/basaltlever/lab/KillStateTest.java
@@ -1,8 +1,8 @@
 package basaltlever.lab;
 
-import basaltlever.keep.Folder;
-import basaltlever.keep.Generations;
-import basaltlever.view.View;
+import basaltlever.snapshot.LearnedState;
+import basaltlever.storage.LockedDirectory;
+import basaltlever.storage.SnapshotStore;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.EnumMap;
@@ -32,13 +32,13 @@
   void theJudgeFindsWhatIsPlanted() throws Exception {
     Path folder = Files.createTempDirectory("judged");
     expect(KillState.Left.LOST, folder, 0);
-    Generations generations = new Generations(new Folder(folder));
+    SnapshotStore generations = new SnapshotStore(new LockedDirectory(folder));
     generations.store(MadeViews.view(1, KillState.NODES), 1 << 20);
     expect(KillState.Left.NEWEST, folder, 1);
     expect(KillState.Left.OLDER, folder, 2);
-    View mixed = MadeViews.view(2, KillState.NODES);
+    LearnedState mixed = MadeViews.view(2, KillState.NODES);
     generations.store(
-        new View(
+        new LearnedState(
             mixed.deployment(),
             mixed.router(),
             3,
@@ -51,9 +51,9 @@
         1 << 20);
     expect(KillState.Left.CORRUPT, folder, 1);
     // Another router's counts for nothing, so its weights are not those of the curve.
-    View today = MadeViews.view(4, KillState.NODES);
+    LearnedState today = MadeViews.view(4, KillState.NODES);
     generations.store(
-        new View(
+        new LearnedState(
             today.deployment(),
             "another",
             4,
--- a/router/src/main/java/basaltlever/adapter/Adapter.java
+++ b/router/src/main/java/basaltlever/adapter/Adapter.java
@@ -1,6 +1,6 @@
 package basaltlever.adapter;
 
-import basaltlever.config.StartFault;
+import basaltlever.config.InvalidSettingsException;
 import basaltlever.time.Moment;
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -33,7 +33,7 @@
     this.out = out;
   }
 
-  public void run() throws IOException, WireFault {
+  public void run() throws IOException, MalformedFrameException {
     while (read(HEADER)) {
       ByteBuffer header = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
       int length = header.getInt(0);
@@ -41,7 +41,7 @@
       int records = header.getInt(12);
       reply.begin(header.getInt(16));
       if (length < 0 || records < 0) {
-        throw new WireFault(
+        throw new MalformedFrameException(
             "a batch states a length of "
                 + (length & 0xffffffffL)
                 + " bytes and "
@@ -49,14 +49,14 @@
                 + " records");
       }
       if (length > 0 && !read(length)) {
-        throw new WireFault("input ends inside a batch");
+        throw new MalformedFrameException("input ends inside a batch");
       }
       batch(ByteBuffer.wrap(bytes, 0, length).order(ByteOrder.LITTLE_ENDIAN), now, records);
       reply.send(out);
     }
   }
 
-  private boolean read(int length) throws IOException, WireFault {
+  private boolean read(int length) throws IOException, MalformedFrameException {
     int have = 0;
     while (have < length) {
       // The buffer grows with what has really come, so that a wild length can't exhaust the memory.
@@ -68,29 +68,31 @@
         if (have == 0) {
           return false;
         }
-        throw new WireFault("input ends inside a batch");
+        throw new MalformedFrameException("input ends inside a batch");
       }
       have += got;
     }
     return true;
   }
 
-  private void batch(ByteBuffer fields, Moment now, int records) throws WireFault {
+  private void batch(ByteBuffer fields, Moment now, int records) throws MalformedFrameException {
     int at = 0;
     int number = -1;
     for (int i = 0; i < records; i++) {
       if (at + 5 > fields.limit()) {
-        throw new WireFault("a batch states " + records + " records and ends after " + i);
+        throw new MalformedFrameException(
+            "a batch states " + records + " records and ends after " + i);
       }
       int code = fields.get(at) & 0xff;
       int length = fields.getInt(at + 1);
       at += 5;
       if (length < 0 || length > fields.limit() - at) {
-        throw new WireFault("record " + i + " of code " + code + " reaches past its batch");
+        throw new MalformedFrameException(
+            "record " + i + " of code " + code + " reaches past its batch");
       }
       if (code > 0 && code < LEAST.length) {
         if (length < LEAST[code]) {
-          throw new WireFault(
+          throw new MalformedFrameException(
               "record " + i + " of code " + code + " has only " + length + " bytes");
         }
         if (code == 12) {
@@ -104,18 +106,19 @@
       at += length;
     }
     if (at != fields.limit()) {
-      throw new WireFault("a batch has " + (fields.limit() - at) + " bytes after its last record");
+      throw new MalformedFrameException(
+          "a batch has " + (fields.limit() - at) + " bytes after its last record");
     }
   }
 
-  private void list(ByteBuffer fields, int at, int length) throws WireFault {
+  private void list(ByteBuffer fields, int at, int length) throws MalformedFrameException {
     int number = fields.getInt(at);
     int count = fields.getInt(at + 4);
     if (number < 0 || number >= LISTS) {
-      throw new WireFault("a list has the number " + (number & 0xffffffffL));
+      throw new MalformedFrameException("a list has the number " + (number & 0xffffffffL));
     }
     if (count < 0 || 8 + (long) count * Instance.ENTRY > length) {
-      throw new WireFault(
+      throw new MalformedFrameException(
           "list "
               + number
               + " states "
@@ -130,9 +133,10 @@
   }
 
   private void event(ByteBuffer in, Moment now, int number, int code, int at, int length)
-      throws WireFault {
+      throws MalformedFrameException {
     if (number < 0) {
-      throw new WireFault("an event of code " + code + " comes before any instance is named");
+      throw new MalformedFrameException(
+          "an event of code " + code + " comes before any instance is named");
     }
     if (code == 1) {
       spawn(in, now, number, at, length);
@@ -140,18 +144,18 @@
     }
     Instance instance = number < instances.length ? instances[number] : null;
     if (instance == null) {
-      throw new WireFault(
+      throw new MalformedFrameException(
           "an event of code " + code + " is for instance " + number + ", which is not running");
     }
     if (code == 8 && length < 13 + 4 * (in.get(at + 12) & 0xff)) {
-      throw new WireFault("a report is cut short");
+      throw new MalformedFrameException("a report is cut short");
     }
     ByteBuffer entries = null;
     if (code == 2 && in.get(at) != 0) {
       int list = in.getInt(at + 9);
       entries = list >= 0 && list < LISTS ? lists[list] : null;
       if (entries == null) {
-        throw new WireFault("list " + (list & 0xffffffffL) + " was never given");
+        throw new MalformedFrameException("list " + (list & 0xffffffffL) + " was never given");
       }
     }
     try {
@@ -172,10 +176,12 @@
     }
   }
 
-  private void spawn(ByteBuffer in, Moment now, int number, int at, int length) throws WireFault {
+  private void spawn(ByteBuffer in, Moment now, int number, int at, int length)
+      throws MalformedFrameException {
     int size = in.getInt(at + 8);
     if (size < 0 || size > length - 12) {
-      throw new WireFault("the settings of instance " + number + " reach past their record");
+      throw new MalformedFrameException(
+          "the settings of instance " + number + " reach past their record");
     }
     byte[] text = new byte[size];
     in.get(at + 12, text);
@@ -186,8 +192,9 @@
       instances[number] =
           new Instance(
               number, reply, in.getLong(at), new String(text, StandardCharsets.UTF_8), now);
-    } catch (StartFault fault) {
-      throw new WireFault("settings of instance " + number + ": " + fault.getMessage());
+    } catch (InvalidSettingsException fault) {
+      throw new MalformedFrameException(
+          "settings of instance " + number + ": " + fault.getMessage());
     }
   }
 }
--- a/router/src/main/java/basaltlever/adapter/Instance.java
+++ b/router/src/main/java/basaltlever/adapter/Instance.java
@@ -1,15 +1,15 @@
 package basaltlever.adapter;
 
-import basaltlever.change.Change;
-import basaltlever.config.StartFault;
+import basaltlever.config.InvalidSettingsException;
 import basaltlever.config.StartValues;
-import basaltlever.core.Core;
-import basaltlever.core.Gauges;
-import basaltlever.core.Outside;
-import basaltlever.gateway.Ending;
-import basaltlever.gateway.Listing;
-import basaltlever.gateway.Refusal;
+import basaltlever.core.Effects;
+import basaltlever.core.LoadReportFormat;
+import basaltlever.core.StatementRouter;
+import basaltlever.gateway.AttemptOutcome;
+import basaltlever.gateway.EndpointLifecycle;
+import basaltlever.gateway.RejectReason;
 import basaltlever.gateway.Role;
+import basaltlever.switchover.PlannedSwitchover;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.nio.ByteBuffer;
@@ -19,34 +19,35 @@
 /**
  * One router on the simulator's wire: each event's fields go into the core, each act into a record.
  */
-final class Instance implements Outside<Long> {
+final class Instance implements Effects<Long> {
   static final int ENTRY = 28;
-  private static final Ending[] ENDINGS = new Ending[15];
+  private static final AttemptOutcome[] ENDINGS = new AttemptOutcome[15];
 
   static {
-    Arrays.fill(ENDINGS, Ending.UNKNOWN);
-    ENDINGS[0] = Ending.COMPLETED;
-    ENDINGS[1] = Ending.CANCELLED;
-    ENDINGS[4] = Ending.TIMED_OUT;
-    ENDINGS[5] = Ending.MISS;
-    ENDINGS[8] = Ending.FULL;
-    ENDINGS[9] = Ending.NEVER_SENT;
-    ENDINGS[10] = Ending.RESET;
-    ENDINGS[13] = Ending.ERROR;
-    ENDINGS[14] = Ending.NO_CONNECTION;
+    Arrays.fill(ENDINGS, AttemptOutcome.UNKNOWN);
+    ENDINGS[0] = AttemptOutcome.COMPLETED;
+    ENDINGS[1] = AttemptOutcome.CANCELLED;
+    ENDINGS[4] = AttemptOutcome.TIMED_OUT;
+    ENDINGS[5] = AttemptOutcome.MISS;
+    ENDINGS[8] = AttemptOutcome.FULL;
+    ENDINGS[9] = AttemptOutcome.NEVER_SENT;
+    ENDINGS[10] = AttemptOutcome.RESET;
+    ENDINGS[13] = AttemptOutcome.ERROR;
+    ENDINGS[14] = AttemptOutcome.NO_CONNECTION;
   }
 
   private final int number;
   private final Reply reply;
-  private final Core<Long> core;
-  private final Gauges gauges;
+  private final StatementRouter<Long> core;
+  private final LoadReportFormat gauges;
 
-  Instance(int number, Reply reply, long seed, String settings, Moment now) throws StartFault {
+  Instance(int number, Reply reply, long seed, String settings, Moment now)
+      throws InvalidSettingsException {
     this.number = number;
     this.reply = reply;
     StartValues start = StartValues.ofLines(settings);
     gauges = start.gauges(start.origin());
-    core = new Core<>(this, start.balance(seed, now));
+    core = new StatementRouter<>(this, start.balance(seed, now));
   }
 
   void list(Moment now, int kind, ByteBuffer entries) {
@@ -57,7 +58,10 @@
     core.listBegins();
     for (int at = 0; at + ENTRY <= entries.limit(); at += ENTRY) {
       int state = entries.get(at);
-      Listing listing = state == 3 ? Listing.READY : state == 1 ? Listing.DRAINING : Listing.GONE;
+      EndpointLifecycle listing =
+          state == 3
+              ? EndpointLifecycle.READY
+              : state == 1 ? EndpointLifecycle.DRAINING : EndpointLifecycle.GONE;
       long startedAt = entries.getLong(at + 17);
       core.listed(
           now,
@@ -71,7 +75,7 @@
     core.listEnds(now, kind != 1, kind != 2);
   }
 
-  void incoming(Moment now, ByteBuffer in, int at) throws WireFault {
+  void incoming(Moment now, ByteBuffer in, int at) throws MalformedFrameException {
     long ticket = in.getInt(at) & 0xffffffffL;
     // A float holds the token only nearly: the next smaller one puts the commit later, never
     // earlier.
@@ -89,7 +93,7 @@
         new Moment(in.getLong(at + 17)),
         committed,
         0)) {
-      throw new WireFault("request " + ticket + " came twice");
+      throw new MalformedFrameException("request " + ticket + " came twice");
     }
   }
 
@@ -118,8 +122,8 @@
         value(in, at + 13, count, gauges.queue));
   }
 
-  private static Ending ending(short code) {
-    return code >= 0 && code < ENDINGS.length ? ENDINGS[code] : Ending.UNKNOWN;
+  private static AttemptOutcome ending(short code) {
+    return code >= 0 && code < ENDINGS.length ? ENDINGS[code] : AttemptOutcome.UNKNOWN;
   }
 
   private static float value(ByteBuffer in, int at, int count, int field) {
@@ -154,7 +158,7 @@
   }
 
   @Override
-  public void reject(long ticket, Span comeBackAfter, Refusal why) {
+  public void reject(long ticket, Span comeBackAfter, RejectReason why) {
     reply.record(number, 9, 8).putInt((int) ticket).putInt((int) comeBackAfter.micros());
   }
 
@@ -194,7 +198,7 @@
   }
 
   @Override
-  public void change(int group, Change.Phase phase, Long target) {
+  public void change(int group, PlannedSwitchover.Phase phase, Long target) {
     // As above.
   }
 
--- a/router/src/main/java/basaltlever/adapter/WireFault.java
+++ b/router/src/main/java/basaltlever/adapter/MalformedFrameException.java
@@ -1,10 +1,10 @@
 package basaltlever.adapter;
 
 /** The other side sent something that the wire does not allow. */
-public final class WireFault extends Exception {
+public final class MalformedFrameException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  public WireFault(String message) {
+  public MalformedFrameException(String message) {
     super(message);
   }
 }
--- a/router/src/main/java/basaltlever/Recall.java
+++ b/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
@@ -1,12 +1,12 @@
-package basaltlever;
+package basaltlever.balancer;
 
-import basaltlever.gateway.Listing;
-import basaltlever.model.Group;
-import basaltlever.model.Node;
+import basaltlever.gateway.EndpointLifecycle;
+import basaltlever.model.Endpoint;
+import basaltlever.model.ReplicaGroup;
+import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.GroupState;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
-import basaltlever.view.GroupView;
-import basaltlever.view.NodeView;
 import java.util.Comparator;
 import java.util.List;
 
@@ -14,22 +14,22 @@
  * What the decisions have learned, as records that outlive them, and what such records do to fresh
  * ones.
  */
-public final class Recall {
-  private final Balance balance;
+public final class LearnedStateTransfer {
+  private final LoadBalancer balance;
 
-  Recall(Balance balance) {
+  LearnedStateTransfer(LoadBalancer balance) {
     this.balance = balance;
   }
 
   /** What has been learned of a node by now, without a word on who it is. */
-  public NodeView learned(Moment at, int id) {
+  public EndpointState learned(Moment at, int id) {
     balance.now = at;
     Moment now = at;
-    Node node = balance.node(id);
-    Group home = node.group;
+    Endpoint node = balance.node(id);
+    ReplicaGroup home = node.group;
     Moment denied = home.lost == node ? node.denied.later(home.holdSince) : node.denied;
     boolean cold = balance.warmth(node) < 1;
-    return new NodeView(
+    return new EndpointState(
         home.number,
         Math.max(0, node.listedStart.micros()),
         !balance.listedForUse(node),
@@ -37,15 +37,15 @@
         ago(node.startedAt),
         ago(denied),
         node.silent,
-        node.down ? ago(node.downSince) : NodeView.NEVER,
+        node.down ? ago(node.downSince) : EndpointState.NEVER,
         Math.min(1, balance.failing(node)),
-        node.strained.at(now, Balance.FORGIVEN),
+        node.strained.at(now, LoadBalancer.FORGIVEN),
         node.room,
         node.fullInRow,
         node.restsUntil.since(now).longer(Span.NONE),
         balance.lag(node),
         cold ? node.coldWork / balance.typicalOfAll : 0,
-        cold ? ago(node.coldAt) : NodeView.NEVER);
+        cold ? ago(node.coldAt) : EndpointState.NEVER);
   }
 
   /** Executions that are out at it. */
@@ -54,20 +54,20 @@
   }
 
   private Span ago(Moment then) {
-    return then.isAfter(Moment.LONG_AGO) ? balance.now.since(then) : NodeView.NEVER;
+    return then.isAfter(Moment.LONG_AGO) ? balance.now.since(then) : EndpointState.NEVER;
   }
 
-  public List<GroupView> learnedOfGroups(Moment at) {
+  public List<GroupState> learnedOfGroups(Moment at) {
     balance.now = at;
     Moment now = at;
     return balance.groups.values().stream()
         .sorted(Comparator.comparingInt(group -> group.number))
         .map(
             group ->
-                new GroupView(
+                new GroupState(
                     group.number,
-                    group.jam.at(now, Balance.REMEMBERED),
-                    group.primaryJam.at(now, Balance.REMEMBERED)))
+                    group.jam.at(now, LoadBalancer.REMEMBERED),
+                    group.primaryJam.at(now, LoadBalancer.REMEMBERED)))
         .toList();
   }
 
@@ -76,16 +76,16 @@
    * ever makes for more care: no position, role or warmth of it is believed, and of each bound the
    * tighter one holds.
    */
-  public void recalled(Moment at, int id, NodeView view) {
+  public void recalled(Moment at, int id, EndpointState view) {
     balance.now = at;
     Moment now = at;
-    Node node = balance.node(id);
-    node.denied = node.denied.later(then(view.deniedAgo()).earlier(now.plus(Balance.SECOND)));
+    Endpoint node = balance.node(id);
+    node.denied = node.denied.later(then(view.deniedAgo()).earlier(now.plus(LoadBalancer.SECOND)));
     node.failing.set(now, Math.max(balance.failing(node), view.failing()));
-    node.strained.set(now, Math.max(node.strained.at(now, Balance.FORGIVEN), view.strained()));
-    node.room = Math.max(Balance.LEAST_ROOM, Math.min(node.room, view.room()));
+    node.strained.set(now, Math.max(node.strained.at(now, LoadBalancer.FORGIVEN), view.strained()));
+    node.room = Math.max(LoadBalancer.LEAST_ROOM, Math.min(node.room, view.room()));
     node.fullInRow = Math.min(5, Math.max(node.fullInRow, view.turnedAway()));
-    node.restsUntil = node.restsUntil.later(now.plus(view.rests().shorter(Balance.SECOND)));
+    node.restsUntil = node.restsUntil.later(now.plus(view.rests().shorter(LoadBalancer.SECOND)));
     balance.sight(node, balance.lag(node).longer(view.lag()));
     if (view.silent() && !node.silent) {
       balance.fallSilent(node);
@@ -100,16 +100,18 @@
       // yet.
       Moment since = then(view.coldAgo()).later(Moment.LONG_AGO).earlier(now);
       double back =
-          balance.coldRate(node) * (1 - Balance.COLD_BURST) * now.since(since).over(Balance.SECOND);
+          balance.coldRate(node)
+              * (1 - LoadBalancer.COLD_BURST)
+              * now.since(since).over(LoadBalancer.SECOND);
       node.coldWork =
           Math.max(balance.coldLevel(node), view.coldSpent() * balance.typicalOfAll - back);
       node.coldAt = now;
       // What the earlier process sent counts as this one's: a restart is no fresh budget.
       node.coldUntried &= view.coldSpent() <= 0;
     }
-    if (view.drains() && node.listing != Listing.GONE) {
+    if (view.drains() && node.listing != EndpointLifecycle.GONE) {
       node.drainSeen = true;
-      balance.relist(node, Listing.DRAINING);
+      balance.relist(node, EndpointLifecycle.DRAINING);
     }
     if (view.primary() && balance.agreed.allowance().polls() && !node.pollOut) {
       // Asked before all others, in whatever order the list names them.
@@ -118,17 +120,17 @@
   }
 
   private Moment then(Span ago) {
-    return ago.isShorterThan(NodeView.NEVER) ? balance.now.minus(ago) : Moment.LONG_AGO;
+    return ago.isShorterThan(EndpointState.NEVER) ? balance.now.minus(ago) : Moment.LONG_AGO;
   }
 
-  public void recalled(Moment at, GroupView view) {
+  public void recalled(Moment at, GroupState view) {
     balance.now = at;
     Moment now = at;
-    Group group = balance.groups.get(view.group());
+    ReplicaGroup group = balance.groups.get(view.group());
     if (group != null) {
-      group.jam.set(now, Math.max(group.jam.at(now, Balance.REMEMBERED), view.jam()));
+      group.jam.set(now, Math.max(group.jam.at(now, LoadBalancer.REMEMBERED), view.jam()));
       group.primaryJam.set(
-          now, Math.max(group.primaryJam.at(now, Balance.REMEMBERED), view.primaryJam()));
+          now, Math.max(group.primaryJam.at(now, LoadBalancer.REMEMBERED), view.primaryJam()));
     }
   }
 }
--- a/router/src/main/java/basaltlever/Balance.java
+++ b/router/src/main/java/basaltlever/balancer/LoadBalancer.java
@@ -1,27 +1,27 @@
-package basaltlever;
+package basaltlever.balancer;
 
-import basaltlever.change.Change;
 import basaltlever.endpoints.PollSchedule;
+import basaltlever.endpoints.PolledGroups;
 import basaltlever.endpoints.PrimarySearch;
 import basaltlever.endpoints.ReplicaSubset;
 import basaltlever.endpoints.WarmCapacity;
-import basaltlever.endpoints.WatchedGroups;
-import basaltlever.gateway.Agreed;
-import basaltlever.gateway.Ending;
-import basaltlever.gateway.Listing;
-import basaltlever.gateway.Outbound;
-import basaltlever.gateway.Refusal;
+import basaltlever.gateway.AttemptOutcome;
+import basaltlever.gateway.DecisionSink;
+import basaltlever.gateway.EndpointLifecycle;
+import basaltlever.gateway.RejectReason;
 import basaltlever.gateway.Role;
+import basaltlever.gateway.Settings;
 import basaltlever.gateway.Workload;
-import basaltlever.gateway.Workload.Needs;
-import basaltlever.gateway.Workload.Repeat;
+import basaltlever.gateway.Workload.Idempotency;
+import basaltlever.gateway.Workload.ReadConsistency;
 import basaltlever.hold.HoldBudget;
-import basaltlever.model.Fading;
-import basaltlever.model.Group;
-import basaltlever.model.Group.Phase;
-import basaltlever.model.Node;
-import basaltlever.model.Sessions;
+import basaltlever.model.DecayingValue;
+import basaltlever.model.Endpoint;
+import basaltlever.model.ReplicaGroup;
+import basaltlever.model.ReplicaGroup.Phase;
+import basaltlever.model.SessionWrites;
 import basaltlever.model.Statement;
+import basaltlever.switchover.PlannedSwitchover;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.ArrayDeque;
@@ -42,12 +42,12 @@
 
 /**
  * Every decision of one router; it shares nothing with others. Each event comes with the clock of
- * the batch, what is decided comes out through {@link Outbound}. Nodes and statements are small
+ * the batch, what is decided comes out through {@link DecisionSink}. Nodes and statements are small
  * indices of the caller's choice; a statement's is free again after its final answer and its last
  * execution's end. After each event the rules are gone through from the top until none fires;
  * docs/design.md tells their sources.
  */
-public final class Balance {
+public final class LoadBalancer {
   private static final Span SCAN = Span.ofMillis(10);
   private static final Span RAREST_POLL = Span.ofMillis(30_000);
 
@@ -105,39 +105,39 @@
           .thenComparingLong(statement -> statement.takenAt.micros())
           .thenComparingInt(statement -> statement.id);
 
-  private static final Comparator<Node> BY_RANK = Comparator.comparingInt(node -> node.rank);
+  private static final Comparator<Endpoint> BY_RANK = Comparator.comparingInt(node -> node.rank);
 
   private record Rule(String name, BooleanSupplier when, Runnable then) {}
 
-  private final Outbound outbound;
+  private final DecisionSink outbound;
   private final SplittableRandom chance;
-  Agreed agreed;
+  Settings agreed;
   private double topImportance;
   private Span cadence;
 
   /** By their ids, which are small; null where none has that id. */
-  final List<Node> nodes = new ArrayList<>();
+  final List<Endpoint> nodes = new ArrayList<>();
 
   /** Listed anew, or by other rules, and to be polled where their group is watched. */
-  private final List<Node> relisted = new ArrayList<>();
+  private final List<Endpoint> relisted = new ArrayList<>();
 
-  private final Set<Node> gone = new LinkedHashSet<>();
-  private final WatchedGroups watchedGroups = new WatchedGroups();
+  private final Set<Endpoint> gone = new LinkedHashSet<>();
+  private final PolledGroups watchedGroups = new PolledGroups();
   private final PollSchedule polls = new PollSchedule(SECOND.plus(SCAN));
   private boolean lookedAround;
   private String toldWatched = "";
   private final WarmCapacity warmCapacity = new WarmCapacity();
-  final Map<Integer, Group> groups = new HashMap<>();
+  final Map<Integer, ReplicaGroup> groups = new HashMap<>();
   private Statement[] statements = new Statement[256];
   private final List<Statement> open = new ArrayList<>();
   private final ArrayDeque<Statement> unplaced = new ArrayDeque<>();
-  private final ArrayDeque<Group> changed = new ArrayDeque<>();
+  private final ArrayDeque<ReplicaGroup> changed = new ArrayDeque<>();
   private double[] typical = {};
   double typicalOfAll;
   private double usualStrain = 0.25;
   private double opening;
-  private final Fading scarce = new Fading();
-  private final Sessions sessions = new Sessions(SESSIONS);
+  private final DecayingValue scarce = new DecayingValue();
+  private final SessionWrites sessions = new SessionWrites(SESSIONS);
   private final HoldBudget holds;
 
   Moment now;
@@ -160,10 +160,14 @@
   };
 
   /** What was learned, told and taken in. */
-  public final Recall recall = new Recall(this);
-
-  public Balance(
-      Outbound outbound, SplittableRandom chance, Agreed agreed, HoldBudget holds, Moment now) {
+  public final LearnedStateTransfer recall = new LearnedStateTransfer(this);
+
+  public LoadBalancer(
+      DecisionSink outbound,
+      SplittableRandom chance,
+      Settings agreed,
+      HoldBudget holds,
+      Moment now) {
     this.outbound = outbound;
     this.chance = chance;
     this.holds = holds;
@@ -177,7 +181,7 @@
    * behind. What was taken keeps its terms, and of more executions than may be out the first goes
    * on.
    */
-  public void agree(Moment at, Agreed by) {
+  public void agree(Moment at, Settings by) {
     now = at;
     agreed = by;
     typical =
@@ -192,7 +196,7 @@
         Arrays.stream(agreed.workloads()).mapToDouble(Workload::importance).max().orElse(1);
     Span tightest =
         Arrays.stream(agreed.workloads())
-            .filter(kind -> kind.needs() == Needs.BOUNDED)
+            .filter(kind -> kind.needs() == ReadConsistency.BOUNDED)
             .map(Workload::bound)
             .reduce(SECOND.times(4), Span::shorter);
     cadence =
@@ -210,7 +214,7 @@
     pollRelisted();
   }
 
-  Node node(int id) {
+  Endpoint node(int id) {
     return id >= 0 && id < nodes.size() ? nodes.get(id) : null;
   }
 
@@ -221,20 +225,26 @@
   }
 
   public void listed(
-      Moment at, int id, Listing state, int group, int zone, double size, Moment startedAt) {
+      Moment at,
+      int id,
+      EndpointLifecycle state,
+      int group,
+      int zone,
+      double size,
+      Moment startedAt) {
     now = at;
     // All routers together start out on a node: what one may have out there is split by their
     // number.
     double room = Math.max(1, FIRST_ROOM / agreed.standing().routers());
-    Node node = node(id);
+    Endpoint node = node(id);
     if (node == null) {
-      node = new Node(id, room);
+      node = new Endpoint(id, room);
       while (nodes.size() <= id) {
         nodes.add(null);
       }
       nodes.set(id, node);
     }
-    Group home = group(group);
+    ReplicaGroup home = group(group);
     if (node.group != home) {
       if (node.group != null) {
         lose(node);
@@ -250,12 +260,13 @@
     node.zone = zone;
     node.size = size > 0 && size < 1e9 ? size : 1;
     node.listedIn = listing;
-    node.drainSeen = state == Listing.DRAINING || (node.drainSeen && state == Listing.GONE);
+    node.drainSeen =
+        state == EndpointLifecycle.DRAINING || (node.drainSeen && state == EndpointLifecycle.GONE);
     starts(node, startedAt);
     relist(node, state);
   }
 
-  private void leaveGroup(Node node) {
+  private void leaveGroup(Endpoint node) {
     node.group.members.remove(node);
     node.group.claimants.remove(node);
     node.group.searching.remove(node);
@@ -271,9 +282,9 @@
   public void listEnds(Moment at, boolean complete, boolean answered) {
     now = at;
     for (int i = 0; complete && i < nodes.size(); i++) {
-      Node node = nodes.get(i);
-      if (node != null && node.listedIn != listing && node.listing != Listing.GONE) {
-        relist(node, Listing.GONE);
+      Endpoint node = nodes.get(i);
+      if (node != null && node.listedIn != listing && node.listing != EndpointLifecycle.GONE) {
+        relist(node, EndpointLifecycle.GONE);
       }
     }
     forgetGone();
@@ -287,10 +298,11 @@
   }
 
   private void forgetGone() {
-    List<Node> over = new ArrayList<>();
-    gone.removeIf(node -> node.listing != Listing.GONE || (isOver(node) && over.add(node)));
+    List<Endpoint> over = new ArrayList<>();
+    gone.removeIf(
+        node -> node.listing != EndpointLifecycle.GONE || (isOver(node) && over.add(node)));
     over.sort(Comparator.comparingInt(node -> node.id));
-    for (Node node : over) {
+    for (Endpoint node : over) {
       nodes.set(node.id, null);
       leaveGroup(node);
       polls.remove(node);
@@ -315,7 +327,7 @@
   /** Positions that are known were dated by a clock that was wrong: each has to be proven anew. */
   public void forgetPositions(Moment at) {
     now = at;
-    for (Node node : nodes) {
+    for (Endpoint node : nodes) {
       if (node != null) {
         node.position = Moment.LONG_AGO;
       }
@@ -325,8 +337,8 @@
   /** To the log of whoever is on call, where it has changed. */
   public void reportWatched() {
     int listed = 0;
-    for (Node node : nodes) {
-      listed += node != null && node.listing != Listing.GONE ? 1 : 0;
+    for (Endpoint node : nodes) {
+      listed += node != null && node.listing != EndpointLifecycle.GONE ? 1 : 0;
     }
     String told = watchedGroups.size() + " " + watchedGroups.members() + " " + listed;
     if (!told.equals(toldWatched)) {
@@ -341,13 +353,13 @@
    */
   private void lookAround() {
     lookedAround = true;
-    List<Group> order =
+    List<ReplicaGroup> order =
         new ArrayList<>(new LinkedHashSet<>(relisted.stream().map(node -> node.group).toList()));
     Collections.rotate(order, -startPlace(order.size()));
     int looked = 0;
-    for (Group group : order) {
-      for (Node member : inUse(group)) {
-        if (looked++ < WatchedGroups.FIRST_LOOK) {
+    for (ReplicaGroup group : order) {
+      for (Endpoint member : inUse(group)) {
+        if (looked++ < PolledGroups.FIRST_LOOK) {
           pollNow(member);
         }
       }
@@ -360,8 +372,8 @@
     return (int) ((long) (agreed.standing().index() % routers) * count / routers);
   }
 
-  private void watchNoMore(Group group) {
-    for (Node member : inUse(group)) {
+  private void watchNoMore(ReplicaGroup group) {
+    for (Endpoint member : inUse(group)) {
       if (!member.pollOut) {
         member.pollDue = Moment.NEVER;
         polls.update(member);
@@ -370,7 +382,7 @@
   }
 
   private void pollRelisted() {
-    for (Node node : relisted) {
+    for (Endpoint node : relisted) {
       if (isWatched(node)) {
         pollNow(node);
       }
@@ -382,8 +394,8 @@
    * Polled all the time: in a watched group, and of a large one only who is in this router's
    * subset.
    */
-  private boolean isWatched(Node node) {
-    Group group = node.group;
+  private boolean isWatched(Endpoint node) {
+    ReplicaGroup group = node.group;
     return group.watched
         && (group.members.size() <= ReplicaSubset.LEAST
             || node == group.primary
@@ -391,19 +403,19 @@
   }
 
   /** The members that this router sends reads to: all but in large groups. */
-  private List<Node> inUse(Group group) {
+  private List<Endpoint> inUse(ReplicaGroup group) {
     return ReplicaSubset.of(
         group, now, agreed.standing().routers(), agreed.standing().index(), this::listedForUse);
   }
 
   /** Those to choose among for one read. */
-  private List<Node> candidates(Group group) {
-    List<Node> all = inUse(group);
+  private List<Endpoint> candidates(ReplicaGroup group) {
+    List<Endpoint> all = inUse(group);
     if (all.size() <= MOST_CANDIDATES) {
       return all;
     }
     int from = chance.nextInt(all.size());
-    List<Node> some = new ArrayList<>(MOST_CANDIDATES);
+    List<Endpoint> some = new ArrayList<>(MOST_CANDIDATES);
     for (int i = 0; i < MOST_CANDIDATES; i++) {
       some.add(all.get((from + i) % all.size()));
     }
@@ -473,7 +485,7 @@
   }
 
   /** Asked again and again, so often that its statements pay for polls at the rarest. */
-  private boolean bearsPolls(Group group) {
+  private boolean bearsPolls(ReplicaGroup group) {
     double rate = group.rate.at(now, REMEMBERED);
     double perSecond =
         agreed.standing().pollPrice() <= 0
@@ -482,12 +494,12 @@
     return rate > REGULAR && perSecond * RAREST_POLL.over(SECOND) >= 1;
   }
 
-  private void watchByTraffic(Group group) {
+  private void watchByTraffic(ReplicaGroup group) {
     watchedGroups
         .admitByTraffic(group, one -> one.rate.at(now, REMEMBERED))
         .forEach(this::watchNoMore);
     if (group.watched) {
-      for (Node member : inUse(group)) {
+      for (Endpoint member : inUse(group)) {
         member.pollDue =
             member.pollDue.earlier(now.plus(pollPeriod(member).times(chance.nextDouble())));
         polls.update(member);
@@ -496,7 +508,7 @@
   }
 
   public boolean needsFresh(int id) {
-    return statements[id].terms.needs() == Needs.FRESH;
+    return statements[id].terms.needs() == ReadConsistency.FRESH;
   }
 
   /** False where no such execution is out. */
@@ -504,7 +516,7 @@
       Moment at,
       int id,
       int execution,
-      Ending ending,
+      AttemptOutcome ending,
       Role role,
       Moment position,
       boolean answered) {
@@ -513,7 +525,7 @@
     if (statement == null || execution >= statement.executions || !statement.isOut[execution]) {
       return false;
     }
-    Node node = statement.nodes[execution];
+    Endpoint node = statement.nodes[execution];
     Moment sent = statement.sentAt[execution];
     statement.ends(execution);
     node.out--;
@@ -521,7 +533,8 @@
       node.idle++;
       node.usedAt = now;
       scarce.move(now, REMEMBERED, statement.opens[execution] ? LEARN : 0, 0);
-    } else if (ending == Ending.NO_CONNECTION && now.since(sent).isShorterThan(FASTEST_POLL)) {
+    } else if (ending == AttemptOutcome.NO_CONNECTION
+        && now.since(sent).isShorterThan(FASTEST_POLL)) {
       node.refusedAt = now;
     }
     if (scarce.at(now, REMEMBERED) > 0.2 && node.out == 0 && node.idle > 0) {
@@ -530,7 +543,7 @@
       node.idle = 0;
       outbound.letGo(node.id);
     }
-    if (statement.opens[execution] && (ending == Ending.COMPLETED || !ending.answered)) {
+    if (statement.opens[execution] && (ending == AttemptOutcome.COMPLETED || !ending.answered)) {
       opening += LEARN * (now.since(sent).micros() - typical[statement.workload] - opening);
     }
     learnHealth(node, statement, ending, now.since(sent));
@@ -540,13 +553,16 @@
       statement.mayHaveRun = true;
       statement.firstMayHaveRun = statement.firstMayHaveRun.earlier(sent);
     }
-    statement.misses += ending == Ending.MISS ? 1 : 0;
+    statement.misses += ending == AttemptOutcome.MISS ? 1 : 0;
     judgeError(statement, execution, ending);
-    if (!statement.terms.onlyPrimary() && (ending == Ending.MISS || ending == Ending.COMPLETED)) {
+    if (!statement.terms.onlyPrimary()
+        && (ending == AttemptOutcome.MISS || ending == AttemptOutcome.COMPLETED)) {
       Span allowed = statement.allowedLag(sent);
       sight(
           node,
-          ending == Ending.MISS ? allowed.times(2).longer(lag(node)) : allowed.shorter(lag(node)));
+          ending == AttemptOutcome.MISS
+              ? allowed.times(2).longer(lag(node))
+              : allowed.shorter(lag(node)));
     }
     if (answered && !statement.finished) {
       finish(statement);
@@ -566,14 +582,20 @@
    * them.
    */
   public void polled(
-      Moment at, int id, Ending ending, Role role, Moment position, double util, double queue) {
+      Moment at,
+      int id,
+      AttemptOutcome ending,
+      Role role,
+      Moment position,
+      double util,
+      double queue) {
     now = at;
-    Node node = nodes.get(id);
+    Endpoint node = nodes.get(id);
     node.pollOut = false;
-    if (ending == Ending.NO_DESCRIPTOR) {
+    if (ending == AttemptOutcome.NO_DESCRIPTOR) {
       // Nothing is known of the node by it: asked again when the next poll would be due.
       node.pollDue = isWatched(node) ? now.plus(pollPeriod(node).longer(SECOND)) : Moment.NEVER;
-    } else if (ending == Ending.COMPLETED) {
+    } else if (ending == AttemptOutcome.COMPLETED) {
       up(node);
       // Whoever has statements waiting has no core to spare; how many cores it has is not told.
       node.tellsCores = util >= 0;
@@ -597,12 +619,12 @@
         node.denied = node.denied.later(node.pollSent.minus(reportAge));
         node.deposed = false;
       }
-    } else if (ending == Ending.FULL) {
+    } else if (ending == AttemptOutcome.FULL) {
       // Too many ask it at once: no sign of a loss, but one to ask less.
       node.heard = node.group.heard = true;
       node.pollDue = now.plus(pollPeriod(node).longer(HOLD_POLL).times(1 + chance.nextDouble()));
     } else {
-      pollMissed(node, ending == Ending.NO_CONNECTION || ending == Ending.RESET);
+      pollMissed(node, ending == AttemptOutcome.NO_CONNECTION || ending == AttemptOutcome.RESET);
     }
     polls.update(node);
     change(node.group);
@@ -623,7 +645,7 @@
     now = at;
     Statement statement = statements[id];
     if (statement != null && !statement.finished) {
-      giveUp(statement, false, Refusal.OVERDUE);
+      giveUp(statement, false, RejectReason.OVERDUE);
     }
     settle();
   }
@@ -653,11 +675,11 @@
     watchDue = now.plus(agreed.drains().mustAskIn().times(0.5));
   }
 
-  void relist(Node node, Listing state) {
+  void relist(Endpoint node, EndpointLifecycle state) {
     node.listing = state;
     node.group.subsetStale = true;
     relisted.add(node);
-    if (state == Listing.GONE) {
+    if (state == EndpointLifecycle.GONE) {
       gone.add(node);
     }
     if (!listedForUse(node)) {
@@ -669,26 +691,28 @@
   /**
    * Nothing new goes to it from the moment the list says so; the grace is for what is on its way.
    */
-  boolean listedForUse(Node node) {
-    return node.listing == Listing.READY
-        || (node.listing == Listing.GONE && !agreed.drains().removalBinds() && !node.drainSeen);
+  boolean listedForUse(Endpoint node) {
+    return node.listing == EndpointLifecycle.READY
+        || (node.listing == EndpointLifecycle.GONE
+            && !agreed.drains().removalBinds()
+            && !node.drainSeen);
   }
 
   // Kept for all time, each choice would go through all there ever were; till then it may be listed
   // again.
-  private boolean isOver(Node node) {
-    return node.listing == Listing.GONE
+  private boolean isOver(Endpoint node) {
+    return node.listing == EndpointLifecycle.GONE
         && !listedForUse(node)
         && node.out == 0
         && warmth(node) >= 1
         && now.since(node.pollSent).isLongerThan(REMEMBERED);
   }
 
-  private Group group(int number) {
+  private ReplicaGroup group(int number) {
     return groups.computeIfAbsent(
         number,
         n ->
-            new Group(
+            new ReplicaGroup(
                 n,
                 now,
                 FIRST_REPORT_AGE,
@@ -699,7 +723,7 @@
 
   // ---- The phases of a group: who is primary, and the hold.
 
-  private void change(Group group) {
+  private void change(ReplicaGroup group) {
     if (!group.changed) {
       group.changed = true;
       changed.add(group);
@@ -709,8 +733,8 @@
   /**
    * A sign that the primary is lost: what needs one is held from here on, and asks every member.
    */
-  private void lose(Node node) {
-    Group group = node.group;
+  private void lose(Endpoint node) {
+    ReplicaGroup group = node.group;
     if (group.primary != node) {
       return;
     }
@@ -728,12 +752,12 @@
   // it. A
   // router for which nothing waits asks nobody: it finds the primary in a round trip once something
   // does.
-  private void askAround(Group group) {
+  private void askAround(ReplicaGroup group) {
     if (!group.watched || group.members.size() > ReplicaSubset.LEAST) {
       search(group);
       return;
     }
-    for (Node member : group.members) {
+    for (Endpoint member : group.members) {
       pollWithin(
           member,
           now.since(group.holdSince)
@@ -747,35 +771,35 @@
    * A few members at a time, where polling all of them would cost more than the traffic of the
    * group.
    */
-  private void search(Group group) {
+  private void search(ReplicaGroup group) {
     Span pause = now.since(group.holdSince).shorter(SECOND).longer(HOLD_POLL);
     PrimarySearch.next(group, now, pause, startPlace(group.members.size()), this::mayBePrimary)
         .forEach(node -> pollWithin(node, HOLD_POLL));
   }
 
   /** One that has just said that it is none need not be asked, but while its group elects. */
-  private boolean mayBePrimary(Node node) {
+  private boolean mayBePrimary(Endpoint node) {
     boolean denied =
         node.denied.isAfter(node.claimed) && now.since(node.denied).isShorterThan(REMEMBERED);
     return listedForUse(node)
         && !(denied && node.group.lost == null && node.group.searchRounds == 0);
   }
 
-  private void claims(Node node, Moment at) {
+  private void claims(Endpoint node, Moment at) {
     if (!node.claimed.isAfter(Moment.LONG_AGO)) {
       node.group.claimants.add(node);
     }
     node.claimed = node.claimed.later(at);
   }
 
-  private void judge(Group group) {
+  private void judge(ReplicaGroup group) {
     if (group.primary != null && group.primary.denied.isAfter(group.primary.claimed)) {
       lose(group.primary);
     }
     follow(group);
     group.changed = false;
-    Node claimant = null;
-    for (Node member :
+    Endpoint claimant = null;
+    for (Endpoint member :
         group.members.size() > ReplicaSubset.LEAST ? group.claimants : group.members) {
       boolean fresh =
           member.claimed.isAfter(member.denied)
@@ -799,7 +823,7 @@
             && claimant != null
             && claimant != group.primary
             && claimant.claimed.since(group.primary.claimed).isLongerThan(FIRST_REPORT_AGE))) {
-      Node former = group.primary != null ? group.primary : group.lost;
+      Endpoint former = group.primary != null ? group.primary : group.lost;
       if (former != null) {
         former.deposed = true;
       }
@@ -843,8 +867,8 @@
   public boolean announced(
       Moment at, int member, long number, int target, Moment from, boolean off) {
     now = at;
-    Group group = node(member).group;
-    int named = node(target).group == group ? target : Change.NOBODY;
+    ReplicaGroup group = node(member).group;
+    int named = node(target).group == group ? target : PlannedSwitchover.NOBODY;
     boolean told = group.change.told(now, number, named, from, off);
     change(group);
     settle();
@@ -857,17 +881,17 @@
   }
 
   // Its phases are in Change; what they mean for the hold, polls and connections is here.
-  private void follow(Group group) {
-    Change change = group.change;
-    Node target = node(change.target());
+  private void follow(ReplicaGroup group) {
+    PlannedSwitchover change = group.change;
+    Endpoint target = node(change.target());
     change.step(
         now,
-        group.primary == null ? Change.NOBODY : group.primary.id,
+        group.primary == null ? PlannedSwitchover.NOBODY : group.primary.id,
         target != null && target.group == group && listedForUse(target) && !target.down);
     changeDue = changeDue.earlier(change.due());
     if (group.primary != null && change.bars(group.primary.id)) {
       lose(group.primary);
-    } else if (change.phase() == Change.Phase.PREPARATION && group.primary != null) {
+    } else if (change.phase() == PlannedSwitchover.Phase.PREPARATION && group.primary != null) {
       // A cold one bears no more than one at a time.
       outbound.prepare(
           target.id,
@@ -887,8 +911,8 @@
     if (statement.finished) {
       return;
     }
-    Group group = statement.group;
-    Refusal refusal = refusal(statement);
+    ReplicaGroup group = statement.group;
+    RejectReason refusal = refusal(statement);
     if (refusal != null) {
       if (statement.out == 0) {
         giveUp(
@@ -900,7 +924,7 @@
       }
       return;
     }
-    Node node = statement.terms.onlyPrimary() ? primaryFor(statement) : readerFor(statement);
+    Endpoint node = statement.terms.onlyPrimary() ? primaryFor(statement) : readerFor(statement);
     if (node != null) {
       execute(statement, node);
     } else if (statement.out == 0) {
@@ -911,7 +935,7 @@
             over != null;
             over = holds.beyond(group.held, statement.workload)) {
           takeOut(over);
-          giveUp(over, false, Refusal.HOLD_FULL);
+          giveUp(over, false, RejectReason.HOLD_FULL);
         }
       } else {
         group.waiting.add(statement);
@@ -923,38 +947,39 @@
   }
 
   /** Why the statement is not sent now or later; null where it may be. */
-  private Refusal refusal(Statement statement) {
+  private RejectReason refusal(Statement statement) {
     if (isOverdue(statement)) {
-      return Refusal.OVERDUE;
+      return RejectReason.OVERDUE;
     }
     if (!mayRunAgain(statement, statement.out) || statement.errors > 1) {
-      return Refusal.NO_ATTEMPT_LEFT;
+      return RejectReason.NO_ATTEMPT_LEFT;
     }
-    Fading jam = statement.terms.onlyPrimary() ? statement.group.primaryJam : statement.group.jam;
-    return isShed(statement, jam) ? Refusal.SHED : null;
+    DecayingValue jam =
+        statement.terms.onlyPrimary() ? statement.group.primaryJam : statement.group.jam;
+    return isShed(statement, jam) ? RejectReason.SHED : null;
   }
 
   // Where busy nodes answer late, more only keeps it so: the more of a group's reads were late, the
   // more it
   // sheds, the less important first. The primary counts apart, or its jam kept reads off idle
   // replicas.
-  private boolean isShed(Statement statement, Fading jam) {
+  private boolean isShed(Statement statement, DecayingValue jam) {
     double share = statement.terms.importance() / topImportance;
     double sent = (TOLERATED + share / 4) * Math.pow(1 - jam.at(now, REMEMBERED), 3);
     return statement.executions == 0
-        && statement.terms.needs() != Needs.WRITE
+        && statement.terms.needs() != ReadConsistency.WRITE
         && chance.nextDouble() < Math.min(MOST_SHED, 1 - sent);
   }
 
-  private Node primaryFor(Statement statement) {
-    Node primary = statement.group.primary;
+  private Endpoint primaryFor(Statement statement) {
+    Endpoint primary = statement.group.primary;
     if (primary == null || !isUsable(primary, statement)) {
       return null;
     }
     if (statement.terms.onlyPrimary()) {
       return hasRoom(primary, 1) ? primary : null;
     }
-    Group group = statement.group;
+    ReplicaGroup group = statement.group;
     boolean outranked =
         !group.held.isEmpty()
             || (!group.waiting.isEmpty()
@@ -974,22 +999,24 @@
   // else the one that was least behind; else the primary. One that loses what it is given comes
   // last: a
   // path may be bad for this router alone while the node serves the others and answers polls.
-  private Node readerFor(Statement statement) {
-    Group group = statement.group;
+  private Endpoint readerFor(Statement statement) {
+    ReplicaGroup group = statement.group;
     Span allowed = statement.allowedLag(now);
     boolean checks = agreed.replication().replicasCheck() && statement.misses < 2;
-    Node first = null;
-    Node second = null;
-    Node advanced = null;
+    Endpoint first = null;
+    Endpoint second = null;
+    Endpoint advanced = null;
     boolean fits = false;
     int out = 0;
     int best = 16;
     int seen = 0;
-    Node burdened = burdened(statement);
-    if (burdened != null && statement.terms.needs() == Needs.ANY && isLong(statement.workload)) {
+    Endpoint burdened = burdened(statement);
+    if (burdened != null
+        && statement.terms.needs() == ReadConsistency.ANY
+        && isLong(statement.workload)) {
       return burdened;
     }
-    for (Node member : candidates(group)) {
+    for (Endpoint member : candidates(group)) {
       if (member.down && !group.watched) {
         // Polled by nobody else: whether it is back is asked when it is missed.
         pollWithin(member, retryPause(member));
@@ -1044,7 +1071,7 @@
   /**
    * No member in use has room for a read: more of a large group are taken into use, for a while.
    */
-  private void widenSubset(Group group) {
+  private void widenSubset(ReplicaGroup group) {
     if (group.members.size() > ReplicaSubset.LEAST
         && now.since(group.widenedAt).isLongerThan(HOLD_POLL)) {
       group.widenedAt = now;
@@ -1056,7 +1083,7 @@
    * What any member may answer, yet takes far longer than most: its node applies no log meanwhile.
    */
   private boolean isLong(int workload) {
-    return agreed.workloads()[workload].needs() == Needs.ANY
+    return agreed.workloads()[workload].needs() == ReadConsistency.ANY
         && typical[workload] > LONG * typicalOfAll;
   }
 
@@ -1065,9 +1092,9 @@
   // the same order of its members, so they agree without a word on who bears them: the first that
   // is not
   // crowded, out of the first half.
-  private Node burdened(Statement statement) {
-    Node primary = statement.group.primary;
-    List<Node> able = List.of();
+  private Endpoint burdened(Statement statement) {
+    Endpoint primary = statement.group.primary;
+    List<Endpoint> able = List.of();
     for (int kind = 0; kind < typical.length && able.isEmpty(); kind++) {
       able =
           !isLong(kind)
@@ -1081,8 +1108,8 @@
                   .sorted(BY_RANK)
                   .toList();
     }
-    Node bears = null;
-    for (Node member : able.subList(0, Math.max(Math.min(1, able.size()), able.size() / 2))) {
+    Endpoint bears = null;
+    for (Endpoint member : able.subList(0, Math.max(Math.min(1, able.size()), able.size() / 2))) {
       if (!statement.wasSentTo(member)
           && (bears == null
               || (strain(bears) > usualStrain + CROWDED && strain(member) < strain(bears)))) {
@@ -1096,15 +1123,15 @@
   // its own
   // check keeps a stale answer back. Less the age of reports, or late ones make all look equally
   // behind.
-  Span lag(Node node) {
+  Span lag(Endpoint node) {
     return new Span((long) node.lag.at(now, FORGIVEN));
   }
 
-  void sight(Node node, Span lag) {
+  void sight(Endpoint node, Span lag) {
     node.lag.set(now, (double) Math.max(0, lag.micros()));
   }
 
-  private boolean isUsable(Node node, Statement statement) {
+  private boolean isUsable(Endpoint node, Statement statement) {
     boolean onTrial =
         node.out == 0
             && !now.since(node.silentSince.later(node.triedAt))
@@ -1121,7 +1148,7 @@
             || isFirstToCold(node, statement));
   }
 
-  private boolean isConnected(Node node) {
+  private boolean isConnected(Endpoint node) {
     return now.since(node.usedAt).isShorterThan(agreed.connections().idleClose())
         && agreed.connections().hasRoom(node.out, node.idle);
   }
@@ -1129,11 +1156,11 @@
   /**
    * Where new connections cost much time, or fail, one that is open is worth more than a choice.
    */
-  private boolean avoids(Node node) {
+  private boolean avoids(Endpoint node) {
     return !isConnected(node) && opening > DEAR * typicalOfAll;
   }
 
-  private double busyness(Node node) {
+  private double busyness(Endpoint node) {
     double crossing = agreed.standing().isPricedTo(node.zone) ? 1.3 : 1;
     return (node.out + 1)
         * strain(node)
@@ -1143,10 +1170,10 @@
         / node.size;
   }
 
-  private void execute(Statement statement, Node node) {
+  private void execute(Statement statement, Endpoint node) {
     Workload terms = statement.terms;
     Span timeout = Span.NONE;
-    if (terms.lateShare() < 0.5 && terms.repeat() == Repeat.IDEMPOTENT) {
+    if (terms.lateShare() < 0.5 && terms.repeat() == Idempotency.IDEMPOTENT) {
       // Even where late is worth a little, a queue of what is late would make all others late.
       timeout = statement.takenAt.plus(terms.slo().times(1 + 2 * terms.lateShare())).since(now);
     }
@@ -1154,11 +1181,13 @@
     // where
     // it is known to lose some, writes that may run again after twice as long.
     double usual = typical[statement.workload];
-    boolean write = terms.repeat() == Repeat.DEDUPLICATED && terms.within() != Workload.Within.ZONE;
+    boolean write =
+        terms.repeat() == Idempotency.DEDUPLICATED
+            && terms.within() != Workload.DeduplicationScope.ZONE;
     Span early = new Span((long) (usual * (write ? 2 * UNUSUAL : UNUSUAL)));
     boolean suspect = node.silent || failing(node) >= FAILING;
     if (!agreed.allowance().secondCopies()
-        && (write || (terms.repeat() == Repeat.IDEMPOTENT && suspect))
+        && (write || (terms.repeat() == Idempotency.IDEMPOTENT && suspect))
         && now.plus(early)
             .plus(new Span((long) (LEAST_CHANCE * usual)))
             .isBefore(statement.takenAt.plus(terms.slo()))
@@ -1191,7 +1220,7 @@
     // A connection may have to be opened first: later, no proof covers the bound and no window a
     // repeat.
     boolean proven =
-        terms.needs() == Needs.BOUNDED
+        terms.needs() == ReadConsistency.BOUNDED
             && !agreed.replication().replicasCheck()
             && node != statement.group.primary;
     outbound.execute(
@@ -1210,7 +1239,7 @@
           case IDEMPOTENT -> stillOut == 0 || agreed.allowance().secondCopies();
           case NON_IDEMPOTENT -> !statement.mayHaveRun && statement.out == 0;
           case DEDUPLICATED ->
-              statement.terms.within() != Workload.Within.ZONE
+              statement.terms.within() != Workload.DeduplicationScope.ZONE
                   ? (stillOut == 0 || agreed.allowance().secondCopies())
                       && now.isBefore(statement.mayHaveRunSince().plus(statement.terms.window()))
                   : !statement.mayHaveRun && statement.out == 0;
@@ -1233,7 +1262,8 @@
                   .shorter(statement.terms.slo().times(0.5)));
       Span held = statement.clientLeaves.since(statement.takenAt).times(HELD);
       end = mayTryElsewhere(statement) ? end.earlier(statement.takenAt.plus(held)) : end;
-      if (statement.group.phase == Phase.STEADY && statement.terms.needs() != Needs.WRITE) {
+      if (statement.group.phase == Phase.STEADY
+          && statement.terms.needs() != ReadConsistency.WRITE) {
         // Any longer for room would leave too little of the SLO time for the work itself. What a
         // node
         // kept for a while, to turn away or lose it, is past that already, yet has a turn
@@ -1256,12 +1286,12 @@
     return statement.executions == 0 && statement.terms.lateShare() <= 0.5;
   }
 
-  private void giveUp(Statement statement, boolean mayReturnAtOnce, Refusal why) {
+  private void giveUp(Statement statement, boolean mayReturnAtOnce, RejectReason why) {
     boolean harmless =
-        statement.terms.repeat() == Repeat.IDEMPOTENT
+        statement.terms.repeat() == Idempotency.IDEMPOTENT
             || (!statement.mayHaveRun && statement.out == 0)
-            || (statement.terms.repeat() == Repeat.DEDUPLICATED
-                && statement.terms.within() == Workload.Within.ALL);
+            || (statement.terms.repeat() == Idempotency.DEDUPLICATED
+                && statement.terms.within() == Workload.DeduplicationScope.ALL);
     finish(statement);
     if (harmless) {
       // In a hold it may come back at once: only what is held is released in order to a new
@@ -1300,7 +1330,7 @@
       boolean stuck = statement.out > 0;
       for (int k = 0; statement.out > 0 && k < statement.executions; k++) {
         if (statement.isOut[k]) {
-          Node node = statement.nodes[k];
+          Endpoint node = statement.nodes[k];
           noteSilence(node, statement, statement.sentAt[k]);
           // A trial has its own time: called off with the rest, none would ever end a silence.
           stuck &=
@@ -1312,7 +1342,7 @@
         Collections.swap(open, i, open.size() - 1);
         open.remove(open.size() - 1);
         // Anybody may name groups that nobody has listed.
-        Group named = statement.group;
+        ReplicaGroup named = statement.group;
         if (named.members.isEmpty() && groups.remove(named.number, named)) {
           holds.forget(named.held);
         } else if (named.subsetExtra > 0 && now.since(named.widenedAt).isLongerThan(REMEMBERED)) {
@@ -1339,7 +1369,7 @@
   /**
    * What commonly takes long tells of a silence only late, and what was sent just now of none yet.
    */
-  private void noteSilence(Node node, Statement statement, Moment sent) {
+  private void noteSilence(Endpoint node, Statement statement, Moment sent) {
     double usual = typical[statement.workload] * Math.max(1, strain(node) / usualStrain);
     Span patience =
         new Span((long) (usual * (2 + 4.0 / Math.max(1, node.out)))).longer(LEAST_SILENCE);
@@ -1349,7 +1379,7 @@
     }
   }
 
-  void fallSilent(Node node) {
+  void fallSilent(Endpoint node) {
     node.silent = true;
     node.silentSince = now;
     node.group.subsetStale = true;
@@ -1358,11 +1388,11 @@
 
   // ---- Health: what executions and polls tell.
 
-  double failing(Node node) {
+  double failing(Endpoint node) {
     return node.failing.at(now, REMEMBERED);
   }
 
-  private double strain(Node node) {
+  private double strain(Endpoint node) {
     return usualStrain + node.strained.at(now, FORGIVEN);
   }
 
@@ -1374,11 +1404,11 @@
     return Math.min(0.5, Math.max(LEARN, 1 - Math.exp(-now.since(last).micros() / 2e6)));
   }
 
-  private void fail(Node node, double how) {
+  private void fail(Endpoint node, double how) {
     node.failing.move(now, REMEMBERED, weight(node.failing.since()), how);
   }
 
-  private void learnHealth(Node node, Statement statement, Ending ending, Span took) {
+  private void learnHealth(Endpoint node, Statement statement, AttemptOutcome ending, Span took) {
     switch (ending) {
       case NEVER_SENT, UNKNOWN -> {}
       case FULL -> {
@@ -1396,7 +1426,7 @@
         node.silent = false;
         node.trials = 0;
         node.owesSince = now;
-        if (ending != Ending.ERROR) {
+        if (ending != AttemptOutcome.ERROR) {
           fail(node, 0);
         }
       }
@@ -1424,13 +1454,13 @@
     if (late && now.since(node.pollSent).isLongerThan(SECOND)) {
       pollNow(node);
     }
-    boolean jammed = (late && (node.util > BUSY || untold)) || ending == Ending.FULL;
-    if ((jammed || (ending == Ending.COMPLETED && !late))
-        && statement.terms.needs() != Needs.WRITE) {
-      Fading jam = node == node.group.primary ? node.group.primaryJam : node.group.jam;
+    boolean jammed = (late && (node.util > BUSY || untold)) || ending == AttemptOutcome.FULL;
+    if ((jammed || (ending == AttemptOutcome.COMPLETED && !late))
+        && statement.terms.needs() != ReadConsistency.WRITE) {
+      DecayingValue jam = node == node.group.primary ? node.group.primaryJam : node.group.jam;
       jam.move(now, REMEMBERED, weight(jam.since()), jammed ? 1 : 0);
     }
-    if (ending == Ending.COMPLETED) {
+    if (ending == AttemptOutcome.COMPLETED) {
       learnStrain(node, statement, took);
       typical[statement.workload] += LEARN / 4 * (took.micros() - typical[statement.workload]);
       typicalOfAll += LEARN / 4 * (took.micros() - typicalOfAll);
@@ -1448,7 +1478,7 @@
   // shrinks
   // where it is strained and its cores are busy; past the hopeless mark always, as timed-out work
   // goes on.
-  private void learnStrain(Node node, Statement statement, Span took) {
+  private void learnStrain(Endpoint node, Statement statement, Span took) {
     double latest = Math.min(5, took.over(statement.terms.slo()));
     double strain = strain(node) + weight(node.strained.since()) * (latest - strain(node));
     usualStrain += LEARN / 4 * (strain - usualStrain);
@@ -1465,11 +1495,11 @@
    * What was given up on may still run in its node: it takes up room for about as long as work
    * takes.
    */
-  private double ghosts(Node node) {
+  private double ghosts(Endpoint node) {
     return node.ghosts.at(now, new Span((long) typicalOfAll));
   }
 
-  private boolean hasRoom(Node node, double share) {
+  private boolean hasRoom(Endpoint node, double share) {
     return node.out + ghosts(node) < node.room * share;
   }
 
@@ -1479,11 +1509,11 @@
   // anywhere and no
   // node blamed. Wrong where several nodes begin to fail at once, until some statement has gone
   // through.
-  private void judgeError(Statement statement, int execution, Ending ending) {
-    if (ending == Ending.ERROR) {
+  private void judgeError(Statement statement, int execution, AttemptOutcome ending) {
+    if (ending == AttemptOutcome.ERROR) {
       statement.erred[execution] = true;
       statement.errors += failing(statement.nodes[execution]) < FAILING ? 1 : 0;
-    } else if (ending == Ending.COMPLETED) {
+    } else if (ending == AttemptOutcome.COMPLETED) {
       for (int i = 0; statement.errors > 0 && i < statement.executions; i++) {
         if (statement.erred[i]) {
           fail(statement.nodes[i], 1);
@@ -1492,8 +1522,9 @@
     }
   }
 
-  private void learnRole(Node node, Statement statement, Ending ending, Role role, Moment sent) {
-    if (ending == Ending.MISS && statement.terms.needs() == Needs.WRITE) {
+  private void learnRole(
+      Endpoint node, Statement statement, AttemptOutcome ending, Role role, Moment sent) {
+    if (ending == AttemptOutcome.MISS && statement.terms.needs() == ReadConsistency.WRITE) {
       // It turns writes away before it stops calling itself primary: believed at once, every such
       // claim
       // cost what was held one more execution.
@@ -1510,8 +1541,10 @@
     }
   }
 
-  private void learnPosition(Node node, Statement statement, Ending ending, Moment position) {
-    boolean wrote = ending == Ending.COMPLETED && statement.terms.needs() == Needs.WRITE;
+  private void learnPosition(
+      Endpoint node, Statement statement, AttemptOutcome ending, Moment position) {
+    boolean wrote =
+        ending == AttemptOutcome.COMPLETED && statement.terms.needs() == ReadConsistency.WRITE;
     if (position.isAfter(Moment.LONG_AGO) && !position.isAfter(now)) {
       // A commit comes rounded up to its millisecond, which is too new for a position.
       node.position = node.position.later(wrote ? position.minus(Span.ofMillis(1)) : position);
@@ -1522,7 +1555,7 @@
     }
   }
 
-  void goDown(Node node) {
+  void goDown(Endpoint node) {
     node.downSince = node.down ? node.downSince : now;
     node.group.subsetStale |= !node.down;
     node.down = true;
@@ -1530,7 +1563,7 @@
     lose(node);
   }
 
-  private void up(Node node) {
+  private void up(Endpoint node) {
     node.heard = node.group.heard = true;
     node.pollMisses = 0;
     if (now.since(node.refusedAt).isShorterThan(SECOND)) {
@@ -1550,7 +1583,7 @@
    * One execution of each router at once would topple a node, so each waits a random part of its
    * share.
    */
-  void starts(Node node, Moment at) {
+  void starts(Endpoint node, Moment at) {
     if (at.isAfter(node.startedAt)) {
       node.startedAt = at;
       node.coldWork = chance.nextDouble() * typicalOfAll;
@@ -1562,7 +1595,7 @@
   // Polls may go unanswered where the node serves: what it answered lately counts for more, and it
   // stays
   // open to a trial, or a router that polls rarely would do without it for long.
-  private void pollMissed(Node node, boolean refused) {
+  private void pollMissed(Endpoint node, boolean refused) {
     node.pollMisses++;
     boolean serves = now.since(node.usedAt).isShorterThan(SECOND.times(2));
     if (refused) {
@@ -1577,17 +1610,17 @@
             : now.plus(refused || node.pollMisses > 1 ? retryPause(node) : FASTEST_POLL);
   }
 
-  private Span retryPause(Node node) {
+  private Span retryPause(Endpoint node) {
     return HOLD_POLL.times(1 << Math.min(7, node.pollMisses)).shorter(pollPeriod(node));
   }
 
   // ---- Cold nodes.
 
-  double warmth(Node node) {
+  double warmth(Endpoint node) {
     return agreed.warmUp().at(now.since(node.startedAt));
   }
 
-  double coldLevel(Node node) {
+  double coldLevel(Endpoint node) {
     double faded = coldRate(node) * (1 - COLD_BURST) * now.since(node.coldAt).over(SECOND);
     return Math.max(0, node.coldWork - faded);
   }
@@ -1596,7 +1629,7 @@
   // its share
   // of what a node can do. Where a whole group is cold, the warm nodes of the others are the
   // yardstick.
-  double coldRate(Node node) {
+  double coldRate(Endpoint node) {
     double perSize = warmRate(inUse(node.group));
     double borne =
         (perSize > 0 ? perSize : warmCapacity.perSize(nodes, this::isWarm, this::bornePerSecond))
@@ -1606,10 +1639,10 @@
         typicalOfAll / agreed.warmUp().topplesIn().over(SECOND) / agreed.standing().routers());
   }
 
-  private double warmRate(Collection<Node> among) {
+  private double warmRate(Collection<Endpoint> among) {
     double sum = 0;
     double size = 0;
-    for (Node node : among) {
+    for (Endpoint node : among) {
       if (isWarm(node)) {
         sum += bornePerSecond(node);
         size += node.size;
@@ -1618,11 +1651,11 @@
     return size == 0 ? 0 : sum / size;
   }
 
-  private boolean isWarm(Node node) {
+  private boolean isWarm(Endpoint node) {
     return listedForUse(node) && !node.down && warmth(node) >= 1;
   }
 
-  private double bornePerSecond(Node node) {
+  private double bornePerSecond(Endpoint node) {
     return node.borne.at(now, FORGIVEN) / FORGIVEN.over(SECOND);
   }
 
@@ -1633,7 +1666,7 @@
    * thinned, its sum stays within the budget. What has waited is not: all routers may have some,
    * and would send it at once.
    */
-  private boolean isFirstToCold(Node node, Statement statement) {
+  private boolean isFirstToCold(Endpoint node, Statement statement) {
     if (!node.coldUntried || statement.executions > 0 || !statement.takenAt.equals(now)) {
       return false;
     }
@@ -1644,25 +1677,26 @@
     return chance.nextDouble() < share;
   }
 
-  private boolean coldAllows(Node node, double work) {
+  private boolean coldAllows(Endpoint node, double work) {
     double burst = coldRate(node) * COLD_BURST * agreed.warmUp().topplesIn().over(SECOND);
     return coldLevel(node) <= 0 || coldLevel(node) + work <= burst;
   }
 
   // ---- Polls and waking.
 
-  private void pollNow(Node node) {
+  private void pollNow(Endpoint node) {
     pollWithin(node, FASTEST_POLL);
   }
 
-  private void pollWithin(Node node, Span sinceTheLast) {
+  private void pollWithin(Endpoint node, Span sinceTheLast) {
     node.pollDue = node.pollDue.earlier(node.pollSent.plus(sinceTheLast).later(now));
     polls.update(node);
   }
 
   private void pollDue() {
-    for (Node node : polls.takeDue(now)) {
-      if ((node.listing == Listing.GONE && !listedForUse(node)) || !agreed.allowance().polls()) {
+    for (Endpoint node : polls.takeDue(now)) {
+      if ((node.listing == EndpointLifecycle.GONE && !listedForUse(node))
+          || !agreed.allowance().polls()) {
         node.pollOut = false;
         node.pollDue = Moment.NEVER;
         continue;
@@ -1679,7 +1713,7 @@
     }
   }
 
-  void poll(Node node) {
+  void poll(Endpoint node) {
     node.pollOut = true;
     node.pollSent = now;
     node.pollDue =
@@ -1694,7 +1728,7 @@
   // goes
   // with what this router itself has to send: then all routers together stay below it, however
   // many.
-  private Span pollPeriod(Node node) {
+  private Span pollPeriod(Endpoint node) {
     if (agreed.standing().pollPrice() <= 0) {
       return cadence;
     }
--- a/router/src/main/java/basaltlever/cli/FleetCommand.java
+++ b/router/src/main/java/basaltlever/cli/FleetCommand.java
@@ -1,13 +1,13 @@
 package basaltlever.cli;
 
 import basaltlever.config.Addresses;
+import basaltlever.config.FleetSettings;
+import basaltlever.config.InvalidSettingsException;
 import basaltlever.config.OperatorFile;
-import basaltlever.config.StartFault;
-import basaltlever.config.Terms;
-import basaltlever.fleet.Call;
-import basaltlever.fleet.Message;
+import basaltlever.fleet.AdminClient;
+import basaltlever.fleet.MessageCodec;
+import basaltlever.json.InvalidJsonException;
 import basaltlever.json.Json;
-import basaltlever.json.JsonFault;
 import com.beust.jcommander.JCommander;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
@@ -183,7 +183,7 @@
     } catch (Refusal refusal) {
       err.println("basaltlever: " + refusal.getMessage());
       return refusal.code;
-    } catch (StartFault fault) {
+    } catch (InvalidSettingsException fault) {
       err.println("basaltlever: " + fault.getMessage().replace("\n", "\nbasaltlever: "));
       return MISUSED;
     } catch (IOException fault) {
@@ -194,8 +194,8 @@
     }
   }
 
-  private static Terms terms(Where where) throws StartFault, Refusal {
-    Terms terms = OperatorFile.read(Path.of(where.operator)).fleet();
+  private static FleetSettings terms(Where where) throws InvalidSettingsException, Refusal {
+    FleetSettings terms = OperatorFile.read(Path.of(where.operator)).fleet();
     if (terms == null) {
       throw new Refusal(MISUSED, where.operator + ": [fleet] name is empty, so there is no fleet");
     }
@@ -203,17 +203,18 @@
   }
 
   /** What the leading voter tells; where none leads, what any tells. */
-  private static Map<String, Object> told(Terms terms) throws Refusal {
+  private static Map<String, Object> told(FleetSettings terms) throws Refusal {
     Map<String, Object> any = null;
     for (String voter : terms.voters().keySet()) {
       try {
         Map<String, Object> told =
-            Call.ask(terms.peers().get(voter), Map.of("do", "status", "fleet", terms.name()));
-        if (Message.text(told, "do").equals("refused")) {
-          throw new Refusal(REFUSED, voter + ": " + Message.text(told, "why"));
+            AdminClient.ask(
+                terms.peers().get(voter), Map.of("do", "status", "fleet", terms.name()));
+        if (MessageCodec.text(told, "do").equals("refused")) {
+          throw new Refusal(REFUSED, voter + ": " + MessageCodec.text(told, "why"));
         }
         told.put("voter", voter);
-        if (Message.flag(told, "leads")) {
+        if (MessageCodec.flag(told, "leads")) {
           return told;
         }
         any = told;
@@ -239,7 +240,7 @@
       }
       // A whole start file is taken for its settings.
       return json(tree.get("settings") instanceof Map<?, ?> settings ? settings : tree);
-    } catch (JsonFault fault) {
+    } catch (InvalidJsonException fault) {
       throw new Refusal(MISUSED, file + " is no JSON: " + fault.getMessage());
     } catch (java.nio.file.NoSuchFileException missing) {
       throw new Refusal(MISUSED, file + " is missing");
@@ -254,7 +255,7 @@
     }
   }
 
-  private String earlier() throws Refusal, StartFault {
+  private String earlier() throws Refusal, InvalidSettingsException {
     if (revert.files.size() != 1) {
       throw new Refusal(MISUSED, "revert takes the number of one version");
     }
@@ -266,15 +267,16 @@
     if (number == 0) {
       return "";
     }
-    if (told.get("force") instanceof Map<?, ?> force && Message.number(force, "number") == number) {
-      return Message.text(force, "text");
+    if (told.get("force") instanceof Map<?, ?> force
+        && MessageCodec.number(force, "number") == number) {
+      return MessageCodec.text(force, "text");
     }
     for (Object line : (List<?>) told.get("history")) {
       Map<?, ?> chapter = (Map<?, ?>) line;
-      if (Message.number(chapter, "number") == number
-          && Message.text(chapter, "end").equals("IN_FORCE")
+      if (MessageCodec.number(chapter, "number") == number
+          && MessageCodec.text(chapter, "end").equals("IN_FORCE")
           && chapter.containsKey("text")) {
-        return Message.text(chapter, "text");
+        return MessageCodec.text(chapter, "text");
       }
     }
     throw new Refusal(
@@ -282,7 +284,7 @@
         "version " + number + " was never in force, or its content is not remembered any more");
   }
 
-  private void tellDiff(PrintStream out) throws Refusal, StartFault, IOException {
+  private void tellDiff(PrintStream out) throws Refusal, InvalidSettingsException, IOException {
     if (diff.numbers.size() != 2) {
       throw new Refusal(MISUSED, "diff takes two numbers of versions");
     }
@@ -293,7 +295,7 @@
       String text = content(told, number("diff", number));
       try {
         flatten("", text.isEmpty() ? Map.of() : Json.read(text), flat);
-      } catch (JsonFault fault) {
+      } catch (InvalidJsonException fault) {
         throw new Refusal(REFUSED, "version " + number + " is no JSON: " + fault.getMessage());
       }
       leaves.add(flat);
@@ -339,20 +341,20 @@
    * What each voter of the file tells, and each that another tells of; with the reason where it
    * does not.
    */
-  private static Map<String, Map<String, Object>> everyVoter(Terms terms) {
+  private static Map<String, Map<String, Object>> everyVoter(FleetSettings terms) {
     Map<String, Map<String, Object>> all = new LinkedHashMap<>();
     List<String> asked = new ArrayList<>(terms.voters().keySet());
     for (int i = 0; i < asked.size(); i++) {
       Map<String, Object> told = new LinkedHashMap<>();
       try {
         told.putAll(
-            Call.ask(
+            AdminClient.ask(
                 terms.peers().get(asked.get(i)), Map.of("do", "status", "fleet", terms.name())));
       } catch (IOException silent) {
         told.put("why", "does not answer: " + silent.getMessage());
       }
       all.put(asked.get(i), told);
-      Message.texts(told, "members").stream()
+      MessageCodec.texts(told, "members").stream()
           .filter(member -> terms.peers().containsKey(member) && !asked.contains(member))
           .forEach(asked::add);
     }
@@ -362,21 +364,21 @@
   /** The voter that knows most; null where none votes. */
   private static String mostKnowing(Map<String, Map<String, Object>> all) {
     return all.keySet().stream()
-        .filter(voter -> !Message.texts(all.get(voter), "members").isEmpty())
-        .max(Comparator.comparingLong(voter -> Message.number(all.get(voter), "changes")))
+        .filter(voter -> !MessageCodec.texts(all.get(voter), "members").isEmpty())
+        .max(Comparator.comparingLong(voter -> MessageCodec.number(all.get(voter), "changes")))
         .orElse(null);
   }
 
   /** 1 where no majority answers. */
-  private int tellVoters(PrintStream out) throws Refusal, StartFault, IOException {
-    Terms terms = terms(voters);
+  private int tellVoters(PrintStream out) throws Refusal, InvalidSettingsException, IOException {
+    FleetSettings terms = terms(voters);
     Map<String, Map<String, Object>> all = everyVoter(terms);
     String newest = mostKnowing(all);
     List<String> members =
         newest == null
             ? List.copyOf(terms.voters().keySet())
-            : Message.texts(all.get(newest), "members");
-    long charter = newest == null ? 0 : Message.number(all.get(newest), "charter");
+            : MessageCodec.texts(all.get(newest), "members");
+    long charter = newest == null ? 0 : MessageCodec.number(all.get(newest), "charter");
     List<Map<String, Object>> lines = new ArrayList<>();
     StringBuilder text = new StringBuilder();
     int answer = 0;
@@ -384,19 +386,19 @@
       Map<String, Object> told = one.getValue();
       boolean votes =
           members.contains(one.getKey())
-              && Message.number(told, "charter") == charter
-              && !Message.texts(told, "members").isEmpty();
+              && MessageCodec.number(told, "charter") == charter
+              && !MessageCodec.texts(told, "members").isEmpty();
       answer += votes ? 1 : 0;
       Map<String, Object> line = new LinkedHashMap<>();
       line.put("name", one.getKey());
       line.put("at", Addresses.text(terms.peers().get(one.getKey())));
-      line.put("leads", Message.flag(told, "leads"));
+      line.put("leads", MessageCodec.flag(told, "leads"));
       line.put("votes", votes);
       line.put(
           "standing",
           told.containsKey("standing")
-              ? Message.text(told, "standing")
-              : Message.text(told, "why"));
+              ? MessageCodec.text(told, "standing")
+              : MessageCodec.text(told, "why"));
       lines.add(line);
       text.append(
           "%-16s %-22s %-7s %s%n"
@@ -425,16 +427,16 @@
     return most ? 0 : REFUSED;
   }
 
-  private int changeVoters(PrintStream out) throws Refusal, StartFault, IOException {
+  private int changeVoters(PrintStream out) throws Refusal, InvalidSettingsException, IOException {
     if (!voters.add.isEmpty() && !voters.remove.isEmpty()) {
       throw new Refusal(MISUSED, "voters takes --add or --remove: one change at a time");
     }
-    Terms terms = terms(voters);
+    FleetSettings terms = terms(voters);
     boolean in = !voters.add.isEmpty();
     String voter = in ? voters.add : voters.remove;
     String leader =
         everyVoter(terms).entrySet().stream()
-            .filter(one -> Message.flag(one.getValue(), "leads"))
+            .filter(one -> MessageCodec.flag(one.getValue(), "leads"))
             .map(Map.Entry::getKey)
             .findFirst()
             .orElseThrow(() -> new Refusal(REFUSED, "nobody leads"));
@@ -447,18 +449,19 @@
     return 0;
   }
 
-  private static void command(Terms terms, String voter, Map<String, Object> command)
+  private static void command(FleetSettings terms, String voter, Map<String, Object> command)
       throws Refusal, IOException {
-    Map<String, Object> answer = Call.ask(terms.peers().get(voter), command);
-    if (!Message.text(answer, "do").equals("taken")) {
-      throw new Refusal(REFUSED, Message.text(answer, "do") + ": " + Message.text(answer, "why"));
+    Map<String, Object> answer = AdminClient.ask(terms.peers().get(voter), command);
+    if (!MessageCodec.text(answer, "do").equals("taken")) {
+      throw new Refusal(
+          REFUSED, MessageCodec.text(answer, "do") + ": " + MessageCodec.text(answer, "why"));
     }
   }
 
   /** By the one that knows most of those that are left. */
   private void recover(PrintStream out)
-      throws Refusal, StartFault, IOException, InterruptedException {
-    Terms terms = terms(recover);
+      throws Refusal, InvalidSettingsException, IOException, InterruptedException {
+    FleetSettings terms = terms(recover);
     for (String voter : recover.ended) {
       if (!terms.peers().containsKey(voter)) {
         throw new Refusal(MISUSED, "--ended names " + voter + ", which fleet.peers does not");
@@ -491,8 +494,9 @@
             recover.why));
     for (long since = System.nanoTime(); millisSince(since) < BEGINS_MILLIS; ) {
       Map<String, Object> told =
-          Call.ask(terms.peers().get(left), Map.of("do", "status", "fleet", terms.name()));
-      if (Message.flag(told, "leads") && Message.number(told, "charter") == recover.charter) {
+          AdminClient.ask(terms.peers().get(left), Map.of("do", "status", "fleet", terms.name()));
+      if (MessageCodec.flag(told, "leads")
+          && MessageCodec.number(told, "charter") == recover.charter) {
         tell(
             out,
             recover,
@@ -522,11 +526,11 @@
   }
 
   private void propose(PrintStream out, Propose of, String text)
-      throws Refusal, StartFault, IOException, InterruptedException {
-    Terms terms = terms(of);
+      throws Refusal, InvalidSettingsException, IOException, InterruptedException {
+    FleetSettings terms = terms(of);
     Map<String, Object> before = told(terms);
     long basis =
-        of.basis >= 0 ? of.basis : Message.number((Map<?, ?>) before.get("force"), "number");
+        of.basis >= 0 ? of.basis : MessageCodec.number((Map<?, ?>) before.get("force"), "number");
     Map<String, Object> command = new LinkedHashMap<>();
     command.put("do", "propose");
     command.put("fleet", terms.name());
@@ -535,29 +539,34 @@
     command.put("who", of.who);
     command.put("why", of.why);
     Map<String, Object> answer =
-        Call.ask(terms.peers().get(Message.text(before, "voter")), command);
-    if (!Message.text(answer, "do").equals("taken")) {
-      throw new Refusal(REFUSED, Message.text(answer, "do") + ": " + Message.text(answer, "why"));
+        AdminClient.ask(terms.peers().get(MessageCodec.text(before, "voter")), command);
+    if (!MessageCodec.text(answer, "do").equals("taken")) {
+      throw new Refusal(
+          REFUSED, MessageCodec.text(answer, "do") + ": " + MessageCodec.text(answer, "why"));
     }
     for (long since = System.nanoTime(); millisSince(since) < of.waitMillis; ) {
       Map<String, Object> now = told(terms);
       for (Object line : (List<?>) now.get("history")) {
         Map<?, ?> chapter = (Map<?, ?>) line;
         boolean own =
-            Message.text(chapter, "who").equals(of.who)
-                && Message.text(chapter, "why").equals(of.why)
-                && Message.number(chapter, "number") > basis;
-        if (own && Message.text(chapter, "end").equals("IN_FORCE")) {
-          tell(out, of, chapter, "version " + Message.number(chapter, "number") + " is in force");
+            MessageCodec.text(chapter, "who").equals(of.who)
+                && MessageCodec.text(chapter, "why").equals(of.why)
+                && MessageCodec.number(chapter, "number") > basis;
+        if (own && MessageCodec.text(chapter, "end").equals("IN_FORCE")) {
+          tell(
+              out,
+              of,
+              chapter,
+              "version " + MessageCodec.number(chapter, "number") + " is in force");
           return;
         }
-        if (own && Message.text(chapter, "end").equals("WITHDRAWN")) {
+        if (own && MessageCodec.text(chapter, "end").equals("WITHDRAWN")) {
           throw new Refusal(
               REFUSED,
               "version "
-                  + Message.number(chapter, "number")
+                  + MessageCodec.number(chapter, "number")
                   + " was withdrawn: "
-                  + Message.text(chapter, "reason"));
+                  + MessageCodec.text(chapter, "reason"));
         }
       }
       Thread.sleep(LOOKS_MILLIS);
@@ -574,7 +583,7 @@
     out.println(where.json ? json(json) : plain);
   }
 
-  private void tellStatus(PrintStream out) throws Refusal, StartFault, IOException {
+  private void tellStatus(PrintStream out) throws Refusal, InvalidSettingsException, IOException {
     Map<String, Object> told = told(terms(status));
     told.keySet().retainAll(List.of("voter", "leads", "standing", "force", "prepared"));
     tell(
@@ -593,37 +602,37 @@
 
   private static String line(Object version) {
     return version instanceof Map<?, ?> map
-        ? Message.number(map, "number")
+        ? MessageCodec.number(map, "number")
             + " by "
-            + Message.text(map, "who")
+            + MessageCodec.text(map, "who")
             + " for "
-            + Message.number(map, "routers")
+            + MessageCodec.number(map, "routers")
             + " routers: "
-            + Message.text(map, "why")
+            + MessageCodec.text(map, "why")
         : "none";
   }
 
-  private void tellHistory(PrintStream out) throws Refusal, StartFault, IOException {
+  private void tellHistory(PrintStream out) throws Refusal, InvalidSettingsException, IOException {
     Map<String, Object> told = told(terms(history));
     List<?> lines = (List<?>) told.get("history");
     StringBuilder text = new StringBuilder();
     for (Object line : lines) {
       Map<?, ?> chapter = (Map<?, ?>) line;
       text.append(text.isEmpty() ? "" : "\n")
-          .append(Message.text(chapter, "end"))
+          .append(MessageCodec.text(chapter, "end"))
           .append(' ')
           .append(line(line))
           .append(
-              Message.text(chapter, "reason").isEmpty()
+              MessageCodec.text(chapter, "reason").isEmpty()
                   ? ""
-                  : " (" + Message.text(chapter, "reason") + ")");
+                  : " (" + MessageCodec.text(chapter, "reason") + ")");
     }
     told.keySet().retainAll(List.of("history"));
     tell(out, history, told, text.isEmpty() ? "none was proposed yet" : text.toString());
   }
 
-  private void tellPeers(PrintStream out) throws Refusal, StartFault, IOException {
-    Terms terms = terms(peers);
+  private void tellPeers(PrintStream out) throws Refusal, InvalidSettingsException, IOException {
+    FleetSettings terms = terms(peers);
     Map<String, Object> told = told(terms);
     StringBuilder text =
         new StringBuilder(
@@ -640,7 +649,7 @@
     Map<String, Object> seen = new TreeMap<>();
     for (Object line : (List<?>) told.get("peers")) {
       Map<?, ?> peer = (Map<?, ?>) line;
-      seen.put(Message.text(peer, "name"), peer);
+      seen.put(MessageCodec.text(peer, "name"), peer);
     }
     for (String name : terms.peers().keySet()) {
       Map<?, ?> peer = (Map<?, ?>) seen.get(name);
@@ -651,27 +660,27 @@
                   : "%-16s %8d %9d %9d %9d %10d %-9s %s"
                       .formatted(
                           name,
-                          Message.number(peer, "force"),
-                          Message.number(peer, "keeps"),
-                          Message.number(peer, "lease_ms"),
-                          Message.number(peer, "heard_ms_ago"),
-                          Message.number(peer, "generation"),
-                          Message.text(peer, "list"),
-                          Message.text(peer, "refusal")));
+                          MessageCodec.number(peer, "force"),
+                          MessageCodec.number(peer, "keeps"),
+                          MessageCodec.number(peer, "lease_ms"),
+                          MessageCodec.number(peer, "heard_ms_ago"),
+                          MessageCodec.number(peer, "generation"),
+                          MessageCodec.text(peer, "list"),
+                          MessageCodec.text(peer, "refusal")));
     }
     for (Object line : told.get("forks") instanceof List<?> forks ? forks : List.of()) {
       Map<?, ?> fork = (Map<?, ?>) line;
       text.append("\ndiscovery tells two things as generation ")
-          .append(Message.number(fork, "generation"))
+          .append(MessageCodec.number(fork, "generation"))
           .append(": ")
           .append(fork.get("holders"));
     }
     for (Object line : told.get("moving") instanceof List<?> moving ? moving : List.of()) {
       Map<?, ?> seat = (Map<?, ?>) line;
       text.append("\n")
-          .append(Message.text(seat, "member"))
+          .append(MessageCodec.text(seat, "member"))
           .append(" moves to group ")
-          .append(Message.number(seat, "group"))
+          .append(MessageCodec.number(seat, "group"))
           .append(": not used until every router has let go of it");
     }
     text.append("\ntold by ").append(told.get("voter")).append(", ").append(told.get("standing"));
@@ -683,7 +692,7 @@
   private static String json(Object value) throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
-      Message.value(out, value);
+      MessageCodec.value(out, value);
     }
     return text.toString();
   }
--- a/router/src/main/java/basaltlever/cli/Main.java
+++ b/router/src/main/java/basaltlever/cli/Main.java
@@ -1,9 +1,9 @@
 package basaltlever.cli;
 
 import basaltlever.adapter.Adapter;
-import basaltlever.adapter.WireFault;
+import basaltlever.adapter.MalformedFrameException;
+import basaltlever.config.InvalidSettingsException;
 import basaltlever.config.OperatorFile;
-import basaltlever.config.StartFault;
 import basaltlever.config.StartFile;
 import basaltlever.log.Event;
 import basaltlever.net.Router;
@@ -130,8 +130,8 @@
             || "state".equals(command)
             || "settings".equals(command)
             || "fleet".equals(command);
-    if (extra && !Extras.areHere()) {
-      Extras.mainWith(args);
+    if (extra && !OperatorLibraries.areHere()) {
+      OperatorLibraries.mainWith(args);
       return;
     }
     switch (command == null ? "" : command) {
@@ -171,7 +171,7 @@
     if (operator != null) {
       try {
         with = OperatorFile.read(Path.of(operator));
-      } catch (StartFault fault) {
+      } catch (InvalidSettingsException fault) {
         refuse(fault);
       }
     }
@@ -203,7 +203,7 @@
     Runtime.getRuntime().addShutdownHook(drain);
     try {
       router.start(Path.of(file), with);
-    } catch (StartFault | RuntimeException fault) {
+    } catch (InvalidSettingsException | RuntimeException fault) {
       try {
         Runtime.getRuntime().removeShutdownHook(drain);
       } catch (IllegalStateException ends) {
@@ -261,7 +261,7 @@
   }
 
   private interface Reading {
-    void read() throws StartFault;
+    void read() throws InvalidSettingsException;
   }
 
   private static void check(List<String> files, String operator) {
@@ -278,7 +278,7 @@
       reading.read();
       System.out.println(file + " is sound");
       return true;
-    } catch (StartFault fault) {
+    } catch (InvalidSettingsException fault) {
       System.err.println(fault.getMessage());
       return false;
     }
@@ -289,7 +289,7 @@
     startsLean();
     try {
       System.out.println("answered: " + Rehearsal.run(Path.of(file), workload));
-    } catch (StartFault | IOException fault) {
+    } catch (InvalidSettingsException | IOException fault) {
       System.err.println("basaltlever: " + fault.getMessage());
       System.exit(MISUSED);
     }
@@ -298,7 +298,7 @@
   private static void adapter() {
     try {
       new Adapter(System.in, System.out).run();
-    } catch (WireFault | IOException fault) {
+    } catch (MalformedFrameException | IOException fault) {
       System.err.println("basaltlever: " + fault.getMessage());
       System.exit(1);
     }
--- a/router/src/main/java/basaltlever/cli/Extras.java
+++ b/router/src/main/java/basaltlever/cli/OperatorLibraries.java
@@ -14,14 +14,14 @@
  * class path: there each would cost every router a descriptor and memory. What needs them starts
  * the command line anew on top of both.
  */
-final class Extras {
+final class OperatorLibraries {
   private static final String ONE_OF_THEM = "org.apache.commons.configuration2.INIConfiguration";
 
-  private Extras() {}
+  private OperatorLibraries() {}
 
   static boolean areHere() {
     try {
-      Class.forName(ONE_OF_THEM, false, Extras.class.getClassLoader());
+      Class.forName(ONE_OF_THEM, false, OperatorLibraries.class.getClassLoader());
       return true;
     } catch (ClassNotFoundException e) {
       return false;
@@ -31,7 +31,9 @@
   /** Runs the command line again with the libraries beside the jar. */
   static void mainWith(String[] args) throws InterruptedException {
     try {
-      Path jar = Path.of(Extras.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+      Path jar =
+          Path.of(
+              OperatorLibraries.class.getProtectionDomain().getCodeSource().getLocation().toURI());
       List<URL> urls = new ArrayList<>(List.of(jar.toUri().toURL()));
       for (String folder : new String[] {"lib", "lib/operator"}) {
         File[] files =
--- a/router/src/main/java/basaltlever/cli/Rehearsal.java
+++ b/router/src/main/java/basaltlever/cli/Rehearsal.java
@@ -1,9 +1,9 @@
 package basaltlever.cli;
 
-import basaltlever.config.StartFault;
+import basaltlever.config.InvalidSettingsException;
 import basaltlever.net.Router;
-import basaltlever.pg.Pg;
-import basaltlever.pg.Write;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.ProtocolCodes;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -24,14 +24,14 @@
 
   /** The code or letter of the answer to a statement of the named workload. */
   static String run(Path file, String workload)
-      throws StartFault, IOException, InterruptedException {
+      throws InvalidSettingsException, IOException, InterruptedException {
     Router router = new Router();
     router.start(file, null);
     try (Socket socket = new Socket(router.address().getAddress(), router.address().getPort())) {
       socket.setSoTimeout(PATIENCE_MILLIS);
       ByteBuf out = Unpooled.buffer();
-      Write.startup(out, "app", "shop");
-      Write.query(
+      MessageEncoder.startup(out, "app", "shop");
+      MessageEncoder.query(
           out,
           "/* id=1,c="
               + workload
@@ -49,11 +49,11 @@
 
   private static String upToReady(DataInputStream in) throws IOException {
     String told = "";
-    for (byte type = in.readByte(); type != Pg.READY; type = in.readByte()) {
+    for (byte type = in.readByte(); type != ProtocolCodes.READY; type = in.readByte()) {
       byte[] body = new byte[in.readInt() - 4];
       in.readFully(body);
       told =
-          type == Pg.ERROR
+          type == ProtocolCodes.ERROR
               ? new String(body, StandardCharsets.UTF_8).replace('\0', ' ')
               : "" + (char) type;
     }
--- a/router/src/main/java/basaltlever/cli/NodeCall.java
+++ b/router/src/main/java/basaltlever/cli/ServerQueryClient.java
@@ -1,9 +1,9 @@
 package basaltlever.cli;
 
-import basaltlever.pg.Answer;
-import basaltlever.pg.Pg;
-import basaltlever.pg.PgFault;
-import basaltlever.pg.Write;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.ProtocolCodes;
+import basaltlever.pg.ProtocolException;
+import basaltlever.pg.QueryResponse;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -13,21 +13,21 @@
 import java.net.Socket;
 
 /** A connection of a command to one node: one query after the other, each waited for. */
-final class NodeCall implements AutoCloseable {
+final class ServerQueryClient implements AutoCloseable {
   private static final int PATIENCE_MILLIS = 3_000;
   private static final int LARGEST = 1 << 16;
   private final Socket socket = new Socket();
   private final DataInputStream in;
 
-  NodeCall(InetSocketAddress address) throws IOException {
+  ServerQueryClient(InetSocketAddress address) throws IOException {
     try {
       socket.connect(address, PATIENCE_MILLIS);
       socket.setSoTimeout(PATIENCE_MILLIS);
       in = new DataInputStream(socket.getInputStream());
       ByteBuf out = Unpooled.buffer();
-      Write.startup(out, "app", "shop");
+      MessageEncoder.startup(out, "app", "shop");
       send(out);
-      while (message().getByte(0) != Pg.READY) {
+      while (message().getByte(0) != ProtocolCodes.READY) {
         // Parameters and keys mean nothing here.
       }
     } catch (IOException fault) {
@@ -36,17 +36,17 @@
     }
   }
 
-  Answer ask(String query) throws IOException {
+  QueryResponse ask(String query) throws IOException {
     ByteBuf out = Unpooled.buffer();
-    Write.query(out, query);
+    MessageEncoder.query(out, query);
     send(out);
     try {
-      Answer answer = new Answer();
+      QueryResponse answer = new QueryResponse();
       while (!answer.add(message())) {
         // Until it is whole.
       }
       return answer;
-    } catch (PgFault fault) {
+    } catch (ProtocolException fault) {
       throw new IOException(fault.getMessage());
     }
   }
--- a/router/src/main/java/basaltlever/cli/StateCommand.java
+++ b/router/src/main/java/basaltlever/cli/StateCommand.java
@@ -1,16 +1,16 @@
 package basaltlever.cli;
 
-import basaltlever.keep.Folder;
-import basaltlever.keep.Generations;
-import basaltlever.keep.Machine;
-import basaltlever.keep.ViewFault;
-import basaltlever.keep.ViewFile;
+import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.KnownEndpoint;
+import basaltlever.snapshot.LearnedState;
+import basaltlever.snapshot.StateDecay;
+import basaltlever.snapshot.StateRestore;
+import basaltlever.storage.InvalidSnapshotException;
+import basaltlever.storage.LockedDirectory;
+import basaltlever.storage.SnapshotCodec;
+import basaltlever.storage.SnapshotStore;
+import basaltlever.storage.SystemClocks;
 import basaltlever.time.Span;
-import basaltlever.view.Aging;
-import basaltlever.view.Known;
-import basaltlever.view.NodeView;
-import basaltlever.view.Recollection;
-import basaltlever.view.View;
 import com.beust.jcommander.JCommander;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
@@ -72,7 +72,7 @@
       case "verify" -> {
         int code = 0;
         for (String file : verify.files) {
-          View view = read(file, errors);
+          LearnedState view = read(file, errors);
           code = view == null ? MISUSED : code;
           if (view != null) {
             out.println(
@@ -96,38 +96,38 @@
     }
   }
 
-  private static View read(String file, PrintStream errors) {
+  private static LearnedState read(String file, PrintStream errors) {
     try {
-      return ViewFile.read(Folder.read(Path.of(file), ViewFile.LARGEST));
-    } catch (ViewFault | IOException | RuntimeException fault) {
+      return SnapshotCodec.read(LockedDirectory.read(Path.of(file), SnapshotCodec.LARGEST));
+    } catch (InvalidSnapshotException | IOException | RuntimeException fault) {
       errors.println("basaltlever: " + file + ": " + fault.getMessage());
       return null;
     }
   }
 
   private int show(PrintStream out, PrintStream errors) throws IOException {
-    Generations.Found found;
-    try (Folder folder = new Folder(Path.of(show.folder))) {
-      found = new Generations(folder).newest();
+    SnapshotStore.Found found;
+    try (LockedDirectory folder = new LockedDirectory(Path.of(show.folder))) {
+      found = new SnapshotStore(folder).newest();
     } catch (IOException | RuntimeException fault) {
       errors.println("basaltlever: " + show.folder + " can't be read: " + fault);
       return MISUSED;
     }
     found.faults().forEach(fault -> errors.println("basaltlever: " + fault));
-    View view = found.view();
+    LearnedState view = found.view();
     if (view == null) {
       errors.println("basaltlever: " + show.folder + " holds no whole view");
       return MISUSED;
     }
-    Recollection now =
-        Recollection.of(
+    StateRestore now =
+        StateRestore.of(
             view,
             view.deployment(),
             view.router(),
-            Machine.now(),
-            Machine.steady(),
-            Machine.boot());
-    double weight = now.worthless().isEmpty() ? Aging.weight(now.age()) : 0;
+            SystemClocks.now(),
+            SystemClocks.steady(),
+            SystemClocks.boot());
+    double weight = now.worthless().isEmpty() ? StateDecay.weight(now.age()) : 0;
     if (show.json) {
       json(out, found.name(), view, now, weight);
       return 0;
@@ -141,7 +141,7 @@
             : "counts for nothing: " + now.worthless());
     out.printf(
         "%-24s %-24s %6s %9s %7s  %s%n", "node", "address", "group", "age_s", "weight", "learned");
-    for (Known known : view.nodes()) {
+    for (KnownEndpoint known : view.nodes()) {
       out.printf(
           "%-24s %-24s %6d %9.1f %7.4f  %s%n",
           printable(known.id()),
@@ -160,7 +160,7 @@
   }
 
   /** What a view says of a node beyond what is usual, in the words of docs/restart.md. */
-  private static Map<String, Object> learned(NodeView view) {
+  private static Map<String, Object> learned(EndpointState view) {
     Map<String, Object> learned = new LinkedHashMap<>();
     put(learned, "drains", view.drains(), true);
     put(learned, "primary", view.primary(), true);
@@ -186,7 +186,8 @@
     }
   }
 
-  private static void json(PrintStream to, String name, View view, Recollection now, double weight)
+  private static void json(
+      PrintStream to, String name, LearnedState view, StateRestore now, double weight)
       throws IOException {
     JsonFactory factory = new JsonFactory().disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
     try (JsonGenerator out = factory.createGenerator(to)) {
@@ -200,7 +201,7 @@
       out.writeNumberField("age_ms", now.age().micros() / 1_000);
       out.writeNumberField("weight", weight);
       out.writeArrayFieldStart("nodes");
-      for (Known known : view.nodes()) {
+      for (KnownEndpoint known : view.nodes()) {
         out.writeStartObject();
         out.writeStringField("id", known.id());
         out.writeStringField("address", known.address());
@@ -230,20 +231,20 @@
       errors.println("basaltlever: state diff takes two files");
       return MISUSED;
     }
-    View a = read(diff.files.get(0), errors);
-    View b = read(diff.files.get(1), errors);
+    LearnedState a = read(diff.files.get(0), errors);
+    LearnedState b = read(diff.files.get(1), errors);
     if (a == null || b == null) {
       return MISUSED;
     }
     out.printf(
         "number %d to %d, %.1f s apart%n",
         a.number(), b.number(), new Span(b.writtenAt() - a.writtenAt()).micros() / 1e6);
-    Map<String, Known> before = new TreeMap<>();
+    Map<String, KnownEndpoint> before = new TreeMap<>();
     a.nodes().forEach(known -> before.put(known.id(), known));
-    Map<String, Known> after = new TreeMap<>();
+    Map<String, KnownEndpoint> after = new TreeMap<>();
     b.nodes().forEach(known -> after.put(known.id(), known));
-    for (Known known : before.values()) {
-      Known other = after.get(known.id());
+    for (KnownEndpoint known : before.values()) {
+      KnownEndpoint other = after.get(known.id());
       if (other == null) {
         out.println("- " + printable(known.id()) + " " + learned(known.view()));
       } else if (!known.address().equals(other.address())
--- a/router/src/main/java/basaltlever/cli/SwitchCommand.java
+++ b/router/src/main/java/basaltlever/cli/SwitchCommand.java
@@ -1,12 +1,12 @@
 package basaltlever.cli;
 
-import basaltlever.change.Note;
 import basaltlever.config.Addresses;
-import basaltlever.config.StartFault;
+import basaltlever.config.InvalidSettingsException;
 import basaltlever.config.StartFile;
+import basaltlever.json.InvalidJsonException;
 import basaltlever.json.Json;
-import basaltlever.json.JsonFault;
-import basaltlever.pg.Answer;
+import basaltlever.pg.QueryResponse;
+import basaltlever.switchover.SwitchoverAnnouncement;
 import com.beust.jcommander.JCommander;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
@@ -71,7 +71,7 @@
 
   private record Member(String id, InetSocketAddress address, String lifecycle) {}
 
-  private record Told(Member member, String role, Note note) {}
+  private record Told(Member member, String role, SwitchoverAnnouncement note) {}
 
   /** Refused for a reason that the user can do something about. */
   private static final class Refusal extends Exception {
@@ -107,12 +107,16 @@
       if (where == announce) {
         out.println(write(where, told, announced(told), announce.inMillis));
       } else if (where == cancel) {
-        Note open = open(told);
+        SwitchoverAnnouncement open = open(told);
         if (open == null) {
           throw new Refusal("no announcement of group " + where.group + " is open");
         }
         out.println(
-            write(where, told, new Note(open.number(), open.target(), open.atMillis(), true), 0));
+            write(
+                where,
+                told,
+                new SwitchoverAnnouncement(open.number(), open.target(), open.atMillis(), true),
+                0));
       } else {
         told.forEach(
             one ->
@@ -125,7 +129,7 @@
                     one.note == null ? "-" : one.note.text()));
       }
       return 0;
-    } catch (StartFault | Refusal fault) {
+    } catch (InvalidSettingsException | Refusal fault) {
       err.println("basaltlever: " + fault.getMessage());
       return fault instanceof Refusal ? REFUSED : MISUSED;
     } catch (IOException fault) {
@@ -134,11 +138,11 @@
     }
   }
 
-  private Note announced(List<Told> told) throws Refusal {
+  private SwitchoverAnnouncement announced(List<Told> told) throws Refusal {
     if (announce.inMillis < 4_000 || announce.inMillis > 86_400_000) {
       throw new Refusal("--in-ms takes 4000 to 86400000: routers read each table every 3 s");
     }
-    Note open = open(told);
+    SwitchoverAnnouncement open = open(told);
     if (open != null) {
       throw new Refusal("an announcement of this group is open already: " + open.text());
     }
@@ -159,12 +163,12 @@
             .mapToLong(one -> one.note.number())
             .max()
             .orElse(0);
-    return new Note(
+    return new SwitchoverAnnouncement(
         last + 1, announce.target, System.currentTimeMillis() + announce.inMillis, false);
   }
 
-  private static Note open(List<Told> told) {
-    Note latest = null;
+  private static SwitchoverAnnouncement open(List<Told> told) {
+    SwitchoverAnnouncement latest = null;
     for (Told one : told) {
       if (one.note != null
           && (latest == null
@@ -180,14 +184,14 @@
         : latest;
   }
 
-  private String write(Where where, List<Told> told, Note note, long ahead)
+  private String write(Where where, List<Told> told, SwitchoverAnnouncement note, long ahead)
       throws Refusal, IOException {
     Told primary = told.stream().filter(one -> one.role.equals("master")).findAny().orElse(null);
     if (primary == null) {
       throw new Refusal("no member of group " + where.group + " says that it is primary");
     }
-    try (NodeCall call = new NodeCall(primary.member.address)) {
-      Answer answer = call.ask(note.insert(where.table));
+    try (ServerQueryClient call = new ServerQueryClient(primary.member.address)) {
+      QueryResponse answer = call.ask(note.insert(where.table));
       if (answer.error() != null) {
         throw new Refusal(primary.member.id + " did not take it: " + answer.error());
       }
@@ -195,16 +199,16 @@
     return (note.off() ? "taken back: " : "announced, in " + ahead + " ms: ") + note.text();
   }
 
-  private static List<Told> ask(Where where) throws StartFault, IOException, Refusal {
+  private static List<Told> ask(Where where) throws InvalidSettingsException, IOException, Refusal {
     List<Told> told = new ArrayList<>();
     for (Member member : members(StartFile.read(Path.of(where.file)).discovery(), where.group)) {
-      try (NodeCall call = new NodeCall(member.address)) {
-        Answer answer = call.ask(Note.query(where.table));
+      try (ServerQueryClient call = new ServerQueryClient(member.address)) {
+        QueryResponse answer = call.ask(SwitchoverAnnouncement.query(where.table));
         if (answer.error() != null) {
           throw new Refusal(
               member.id + " does not tell table " + where.table + ": " + answer.error());
         }
-        told.add(new Told(member, answer.role, Note.read(answer.text())));
+        told.add(new Told(member, answer.role, SwitchoverAnnouncement.read(answer.text())));
       } catch (IOException silent) {
         told.add(new Told(member, "", null));
       }
@@ -241,7 +245,7 @@
           }
         }
       }
-    } catch (JsonFault fault) {
+    } catch (InvalidJsonException fault) {
       throw new IOException("discovery's list is no JSON: " + fault.getMessage());
     }
     return members;
--- a/router/src/main/java/basaltlever/config/Terms.java
+++ b/router/src/main/java/basaltlever/config/FleetSettings.java
@@ -17,7 +17,7 @@
  * @param assigned for how long a router that hears nothing goes on using members in the groups that
  *     it knows
  */
-public record Terms(
+public record FleetSettings(
     String name,
     Map<String, InetSocketAddress> peers,
     Map<String, InetSocketAddress> voters,
--- a/router/src/main/java/basaltlever/config/OperatorFile.java
+++ b/router/src/main/java/basaltlever/config/OperatorFile.java
@@ -41,7 +41,7 @@
   private final String changeTable;
   private final int heldStatements;
   private final long heldBytes;
-  private final Terms fleet;
+  private final FleetSettings fleet;
   private final Span widestBound;
 
   private static Map<String, String> keys() {
@@ -85,7 +85,7 @@
         }
       }
     }
-    Keys keys = Keys.ofTree(above, values, faults);
+    SettingsReader keys = SettingsReader.ofTree(above, values, faults);
     json = keys.choice("log.form", values.get("log.form"), FORMS) == 1;
     folder = folder(keys, "state.folder");
     deployment = values.get("state.deployment");
@@ -101,7 +101,7 @@
     mostBytes = ((int) keys.number("state.largest_kb", 16, 16_384)) * 1_024;
   }
 
-  private static String table(Keys keys) {
+  private static String table(SettingsReader keys) {
     String name = keys.text("change.table");
     // It goes into statements as it is.
     if (!name.matches("([a-z_][a-z0-9_]{0,62}(\\.[a-z_][a-z0-9_]{0,62})?)?")) {
@@ -113,7 +113,7 @@
     return name;
   }
 
-  private Terms fleet(Keys keys) {
+  private FleetSettings fleet(SettingsReader keys) {
     String name = keys.text("fleet.name");
     Map<String, InetSocketAddress> peers = places(keys, "fleet.peers");
     Map<String, InetSocketAddress> voters = places(keys, "fleet.voters");
@@ -160,7 +160,7 @@
               + ", less than fleet.stated_ms: each short cut"
               + " would take all members from a router");
     }
-    return new Terms(
+    return new FleetSettings(
         name,
         peers,
         voters,
@@ -170,7 +170,7 @@
         Span.ofMillis(assigned));
   }
 
-  private static Map<String, InetSocketAddress> places(Keys keys, String key) {
+  private static Map<String, InetSocketAddress> places(SettingsReader keys, String key) {
     Map<String, InetSocketAddress> places = new LinkedHashMap<>();
     for (String item : keys.list(key)) {
       String[] parts = item.trim().split("@", 2);
@@ -185,7 +185,7 @@
     return places;
   }
 
-  private static Path folder(Keys keys, String key) {
+  private static Path folder(SettingsReader keys, String key) {
     String text = keys.text(key);
     if (text.isEmpty()) {
       return null;
@@ -217,18 +217,19 @@
         + "?";
   }
 
-  public static OperatorFile read(Path path) throws StartFault {
+  public static OperatorFile read(Path path) throws InvalidSettingsException {
     try {
       if (Files.isDirectory(path) || Files.size(path) > LARGEST) {
-        throw new StartFault(List.of(path + " is no file of up to " + LARGEST + " bytes"));
+        throw new InvalidSettingsException(
+            List.of(path + " is no file of up to " + LARGEST + " bytes"));
       }
       return of(path, Files.readString(path, StandardCharsets.UTF_8));
     } catch (IOException cause) {
-      throw new StartFault(List.of(path + " can't be read: " + cause));
+      throw new InvalidSettingsException(List.of(path + " can't be read: " + cause));
     }
   }
 
-  static OperatorFile of(Path path, String text) throws StartFault {
+  static OperatorFile of(Path path, String text) throws InvalidSettingsException {
     List<String> faults = new ArrayList<>();
     try {
       lines(path, text, faults);
@@ -241,7 +242,7 @@
     } catch (ConfigurationException | IOException | RuntimeException cause) {
       faults.add(path + " is no INI file: " + cause.getMessage());
     }
-    throw new StartFault(faults);
+    throw new InvalidSettingsException(faults);
   }
 
   // The library takes a line without a value for an empty one, which would switch off what the
@@ -309,7 +310,7 @@
   }
 
   /** Null where this router is of no fleet. */
-  public Terms fleet() {
+  public FleetSettings fleet() {
     return fleet;
   }
 
--- a/router/src/main/java/basaltlever/config/Keys.java
+++ b/router/src/main/java/basaltlever/config/SettingsReader.java
@@ -10,18 +10,18 @@
  * are joined by commas, lists of objects have a count and numbered items. Faults are gathered, to
  * be told all at once.
  */
-final class Keys {
+final class SettingsReader {
   private final Map<String, String> values = new HashMap<>();
   private final String above;
   private final List<String> faults;
 
-  private Keys(String above, List<String> faults) {
+  private SettingsReader(String above, List<String> faults) {
     this.above = above;
     this.faults = faults;
   }
 
-  static Keys ofLines(String text, List<String> faults) {
-    Keys keys = new Keys("", faults);
+  static SettingsReader ofLines(String text, List<String> faults) {
+    SettingsReader keys = new SettingsReader("", faults);
     for (String line : text.split("\n")) {
       int equals = line.indexOf('=');
       if (equals > 0) {
@@ -32,8 +32,8 @@
   }
 
   /** Faults name their keys with the path above the tree. */
-  static Keys ofTree(String above, Object tree, List<String> faults) {
-    Keys keys = new Keys(above, faults);
+  static SettingsReader ofTree(String above, Object tree, List<String> faults) {
+    SettingsReader keys = new SettingsReader(above, faults);
     keys.lay("", tree);
     return keys;
   }
@@ -48,7 +48,7 @@
         lay(path + "." + i, items.get(i));
       }
     } else if (value instanceof List<?> items) {
-      values.put(path, String.join(",", items.stream().map(Keys::plain).toList()));
+      values.put(path, String.join(",", items.stream().map(SettingsReader::plain).toList()));
     } else if (value != null) {
       values.put(path, plain(value));
     }
--- a/router/src/main/java/basaltlever/config/StartFile.java
+++ b/router/src/main/java/basaltlever/config/StartFile.java
@@ -1,7 +1,7 @@
 package basaltlever.config;
 
+import basaltlever.json.InvalidJsonException;
 import basaltlever.json.Json;
-import basaltlever.json.JsonFault;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -39,7 +39,7 @@
     this.tree = kept;
     Map<Object, Object> own = new LinkedHashMap<>(kept);
     own.remove("settings");
-    Keys keys = Keys.ofTree("", own, faults);
+    SettingsReader keys = SettingsReader.ofTree("", own, faults);
     name = keys.text("name", "router");
     listen = address(keys, "listen");
     discovery = address(keys, "discovery");
@@ -53,27 +53,28 @@
       keys.fault("settings is missing");
       values = null;
     } else {
-      values = new StartValues(Keys.ofTree("settings.", tree.get("settings"), faults), true);
+      values =
+          new StartValues(SettingsReader.ofTree("settings.", tree.get("settings"), faults), true);
     }
   }
 
-  public static StartFile read(Path path) throws StartFault {
+  public static StartFile read(Path path) throws InvalidSettingsException {
     String text;
     try {
       if (Files.isDirectory(path)) {
-        throw new StartFault(List.of(path + " is a directory"));
+        throw new InvalidSettingsException(List.of(path + " is a directory"));
       }
       if (Files.size(path) > LARGEST) {
-        throw new StartFault(List.of(path + " is larger than " + LARGEST + " bytes"));
+        throw new InvalidSettingsException(List.of(path + " is larger than " + LARGEST + " bytes"));
       }
       text = Files.readString(path);
     } catch (IOException cause) {
-      throw new StartFault(List.of(path + " can't be read: " + cause));
+      throw new InvalidSettingsException(List.of(path + " can't be read: " + cause));
     }
     return of(text);
   }
 
-  public static StartFile of(String text) throws StartFault {
+  public static StartFile of(String text) throws InvalidSettingsException {
     List<String> faults = new ArrayList<>();
     try {
       if (Json.read(text) instanceof Map<?, ?> tree) {
@@ -84,10 +85,10 @@
       } else {
         faults.add("the start file is no JSON object");
       }
-    } catch (JsonFault fault) {
+    } catch (InvalidJsonException fault) {
       faults.add("the start file is no JSON: " + fault.getMessage());
     }
-    throw new StartFault(faults);
+    throw new InvalidSettingsException(faults);
   }
 
   /** Of each router's own, whatever a fleet agrees on. */
@@ -97,7 +98,7 @@
    * This file with other settings, as JSON, but for what is each router's own; those of this file
    * where the text is empty. The whole is shared among so many routers.
    */
-  public StartFile with(String settings, int routers) throws StartFault {
+  public StartFile with(String settings, int routers) throws InvalidSettingsException {
     List<String> faults = new ArrayList<>();
     try {
       Map<Object, Object> all = new LinkedHashMap<>(tree);
@@ -120,13 +121,13 @@
       } else {
         faults.add("settings are no JSON object");
       }
-    } catch (JsonFault fault) {
+    } catch (InvalidJsonException fault) {
       faults.add("settings are no JSON: " + fault.getMessage());
     }
-    throw new StartFault(faults);
+    throw new InvalidSettingsException(faults);
   }
 
-  private static InetSocketAddress address(Keys keys, String path) {
+  private static InetSocketAddress address(SettingsReader keys, String path) {
     String text = keys.text(path);
     InetSocketAddress address = Addresses.parse(text);
     if (address == null && keys.has(path)) {
@@ -135,7 +136,7 @@
     return address;
   }
 
-  private static long seed(Keys keys) {
+  private static long seed(SettingsReader keys) {
     String text = keys.text("seed", "0");
     try {
       return Long.parseUnsignedLong(text, 16);
--- a/router/src/main/java/basaltlever/config/StartValues.java
+++ b/router/src/main/java/basaltlever/config/StartValues.java
@@ -1,15 +1,15 @@
 package basaltlever.config;
 
-import basaltlever.Balance;
-import basaltlever.core.Gauges;
-import basaltlever.gateway.Agreed;
-import basaltlever.gateway.Allowance;
-import basaltlever.gateway.Connections;
-import basaltlever.gateway.Drains;
-import basaltlever.gateway.Outbound;
+import basaltlever.balancer.LoadBalancer;
+import basaltlever.core.LoadReportFormat;
+import basaltlever.gateway.AttemptLimits;
+import basaltlever.gateway.DecisionSink;
+import basaltlever.gateway.DrainPolicy;
+import basaltlever.gateway.PoolSettings;
 import basaltlever.gateway.Replication;
-import basaltlever.gateway.Standing;
-import basaltlever.gateway.WarmUp;
+import basaltlever.gateway.RouterIdentity;
+import basaltlever.gateway.Settings;
+import basaltlever.gateway.SlowStartPolicy;
 import basaltlever.gateway.Workload;
 import basaltlever.hold.HoldBudget;
 import basaltlever.time.Moment;
@@ -39,24 +39,24 @@
   private static final List<String> REPEATS = List.of("idempotent", "deduplicated", "at_most_once");
   private static final List<String> GROUPS = List.of("all", "zone", "cell");
 
-  private final Keys keys;
-  private final Standing standing;
+  private final SettingsReader keys;
+  private final RouterIdentity standing;
   private final Workload[] workloads;
   private final Replication replication;
-  private final Drains drains;
-  private final WarmUp warmUp;
-  private final Allowance allowance;
-  private final Connections connections;
+  private final DrainPolicy drains;
+  private final SlowStartPolicy warmUp;
+  private final AttemptLimits allowance;
+  private final PoolSettings connections;
   private final long origin;
   private final List<String> workloadNames = new ArrayList<>();
   private final Span connectTimeout;
   private final int mostOpen;
 
   /** On sockets the list is always asked for, also where the simulator would bring it. */
-  StartValues(Keys keys, boolean asks) {
+  StartValues(SettingsReader keys, boolean asks) {
     this.keys = keys;
     standing =
-        new Standing(
+        new RouterIdentity(
             (int) keys.number("Balancers", 1, MANY),
             (int) keys.number("Me", 0, MANY, 0),
             (int) keys.number("Zone", 0, MANY),
@@ -74,18 +74,18 @@
     boolean asked =
         keys.choice("Discovery", keys.text("Discovery"), List.of("pushed", "on_request")) == 1;
     drains =
-        new Drains(
+        new DrainPolicy(
             asked || asks,
             asked ? span("Rules.MustAskIn") : span("Rules.MustAskIn", MUST_ASK_IN),
             !keys.flag("Rules.RemovalNotBinding"));
     warmUp =
-        new WarmUp(
+        new SlowStartPolicy(
             keys.number("Rules.ColdFrom", 0, 1),
             span("Rules.Cold"),
             keys.number("Rules.FallMultiple", 0, MANY),
             span("Rules.Fall"));
     allowance =
-        new Allowance(
+        new AttemptLimits(
             (int) keys.number("Bounds.MaxAttempts", 1, 255),
             keys.flag("Bounds.MayDuplicate"),
             keys.flag("Bounds.Cancel"),
@@ -93,7 +93,7 @@
             keys.flag("Bounds.RetryAfter") ? span("Bounds.MaxRetryAfter") : Span.NONE,
             span("Rules.AnswerSlack"));
     connections =
-        new Connections(
+        new PoolSettings(
             (int) keys.number("Bounds.StreamsPerConn", 1, MANY, 1), span("Bounds.IdleClose", 0));
     origin = (long) keys.number("FamilyInfo.OriginTime", 0, 1e18, 0);
     // What was decided before a drain is told may be written as late as this.
@@ -112,11 +112,11 @@
     }
   }
 
-  public static StartValues ofLines(String text) throws StartFault {
+  public static StartValues ofLines(String text) throws InvalidSettingsException {
     List<String> faults = new ArrayList<>();
-    StartValues values = new StartValues(Keys.ofLines(text, faults), false);
+    StartValues values = new StartValues(SettingsReader.ofLines(text, faults), false);
     if (!faults.isEmpty()) {
-      throw new StartFault(faults);
+      throw new InvalidSettingsException(faults);
     }
     return values;
   }
@@ -140,10 +140,10 @@
     int repeat = keys.choice(path + "Repeat", keys.text(path + "Repeat"), REPEATS);
     int within = keys.choice(path + "Group", keys.text(path + "Group", "cell"), GROUPS);
     return new Workload(
-        Workload.Needs.values()[need],
+        Workload.ReadConsistency.values()[need],
         new Span((long) bound),
-        Workload.Repeat.values()[repeat],
-        Workload.Within.values()[within],
+        Workload.Idempotency.values()[repeat],
+        Workload.DeduplicationScope.values()[within],
         repeat == 1 ? span(path + "Window") : Span.NONE,
         span(path + "Slo"),
         span(path + "HardLimit"),
@@ -160,26 +160,26 @@
   }
 
   /** The decisions for these values, once somebody carries them out. */
-  public Function<Outbound, Balance> balance(long seed, Moment now) {
+  public Function<DecisionSink, LoadBalancer> balance(long seed, Moment now) {
     return balance(seed, now, holds());
   }
 
-  public Function<Outbound, Balance> balance(long seed, Moment now, HoldBudget holds) {
-    return outbound -> new Balance(outbound, new SplittableRandom(seed), agreed(), holds, now);
+  public Function<DecisionSink, LoadBalancer> balance(long seed, Moment now, HoldBudget holds) {
+    return outbound -> new LoadBalancer(outbound, new SplittableRandom(seed), agreed(), holds, now);
   }
 
   /** The same for decisions that are under way. */
-  public Consumer<Balance> agreement(Moment now) {
+  public Consumer<LoadBalancer> agreement(Moment now) {
     return balance -> balance.agree(now, agreed());
   }
 
   /** All that is agreed, as one value. */
-  public Agreed agreed() {
-    return new Agreed(standing, workloads, replication, drains, warmUp, allowance, connections);
+  public Settings agreed() {
+    return new Settings(standing, workloads, replication, drains, warmUp, allowance, connections);
   }
 
-  public Gauges gauges(long origin) {
-    return new Gauges(keys.list("Reporting.Fields"), origin);
+  public LoadReportFormat gauges(long origin) {
+    return new LoadReportFormat(keys.list("Reporting.Fields"), origin);
   }
 
   /**
--- a/router/src/main/java/basaltlever/config/Places.java
+++ b/router/src/main/java/basaltlever/config/WorkloadSlots.java
@@ -1,10 +1,10 @@
 package basaltlever.config;
 
-import basaltlever.gateway.Agreed;
+import basaltlever.gateway.Settings;
 import basaltlever.gateway.Workload;
-import basaltlever.gateway.Workload.Needs;
-import basaltlever.gateway.Workload.Repeat;
-import basaltlever.gateway.Workload.Within;
+import basaltlever.gateway.Workload.DeduplicationScope;
+import basaltlever.gateway.Workload.Idempotency;
+import basaltlever.gateway.Workload.ReadConsistency;
 import basaltlever.time.Span;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -17,7 +17,7 @@
  * place, and a statement that was taken under a name that has gone since must never count as
  * another's. A value that is never changed.
  */
-public final class Places {
+public final class WorkloadSlots {
   /** Places of all names there ever were; settings that need more take a restart. */
   public static final int MOST = 250;
 
@@ -27,10 +27,10 @@
    */
   public static final Workload GONE =
       new Workload(
-          Needs.WRITE,
+          ReadConsistency.WRITE,
           Span.NONE,
-          Repeat.NON_IDEMPOTENT,
-          Within.GROUP,
+          Idempotency.NON_IDEMPOTENT,
+          DeduplicationScope.GROUP,
           Span.NONE,
           Span.NONE,
           Span.NONE,
@@ -40,21 +40,21 @@
   private final List<String> names;
   private final Map<String, Integer> taken = new HashMap<>();
 
-  private Places(List<String> names, List<String> now) {
+  private WorkloadSlots(List<String> names, List<String> now) {
     this.names = names;
     now.forEach(name -> taken.put(name, names.indexOf(name)));
   }
 
   /** Those of the first settings, in their order. */
-  public static Places of(List<String> names) {
-    return new Places(names, names);
+  public static WorkloadSlots of(List<String> names) {
+    return new WorkloadSlots(names, names);
   }
 
   /** Those for other settings. The caller sees to it that they are not too many. */
-  public Places with(List<String> now) {
+  public WorkloadSlots with(List<String> now) {
     List<String> all = new ArrayList<>(names);
     now.stream().filter(name -> !all.contains(name)).forEach(all::add);
-    return new Places(all, now);
+    return new WorkloadSlots(all, now);
   }
 
   public int size() {
@@ -67,13 +67,13 @@
   }
 
   /** What is agreed, each workload at its place. */
-  public Agreed arrange(Agreed by, List<String> order) {
+  public Settings arrange(Settings by, List<String> order) {
     Workload[] placed = new Workload[names.size()];
     for (int place = 0; place < placed.length; place++) {
       int given = order.indexOf(names.get(place));
       placed[place] = given >= 0 ? by.workloads()[given] : GONE;
     }
-    return new Agreed(
+    return new Settings(
         by.standing(),
         placed,
         by.replication(),
--- a/router/src/main/java/basaltlever/core/Outside.java
+++ b/router/src/main/java/basaltlever/core/Effects.java
@@ -1,14 +1,14 @@
 package basaltlever.core;
 
-import basaltlever.change.Change;
-import basaltlever.gateway.Refusal;
+import basaltlever.gateway.RejectReason;
+import basaltlever.switchover.PlannedSwitchover;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 
 /**
  * What carries out decisions, in the ids of the outside: tickets for statements, names for nodes.
  */
-public interface Outside<N> {
+public interface Effects<N> {
   /**
    * A span of zero lasts as long as the client waits; what can't be sent by the moment must not be.
    */
@@ -16,7 +16,7 @@
 
   void cancel(long ticket, int execution);
 
-  void reject(long ticket, Span comeBackAfter, Refusal why);
+  void reject(long ticket, Span comeBackAfter, RejectReason why);
 
   void abort(long ticket);
 
@@ -33,7 +33,7 @@
 
   void prepare(N node, int connections);
 
-  void change(int group, Change.Phase phase, N target);
+  void change(int group, PlannedSwitchover.Phase phase, N target);
 
   void primary(int group, N node, boolean found);
 
--- a/router/src/main/java/basaltlever/core/Indices.java
+++ b/router/src/main/java/basaltlever/core/IdIndex.java
@@ -3,13 +3,13 @@
 import java.util.Arrays;
 
 /** Maps the wire's ids to small indices without boxing; open addressing, kept at most half full. */
-final class Indices {
+final class IdIndex {
   private static final long FREE = -1;
   private long[] ids = new long[64];
   private int[] indices = new int[64];
   private int size;
 
-  Indices() {
+  IdIndex() {
     Arrays.fill(ids, FREE);
   }
 
--- a/router/src/main/java/basaltlever/core/Gauges.java
+++ b/router/src/main/java/basaltlever/core/LoadReportFormat.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** Which value of a load report tells what, by the names agreed at start. */
-public final class Gauges {
+public final class LoadReportFormat {
   private static final int MICROS = 1_000_000;
   public final int position;
   public final int primary;
@@ -16,7 +16,7 @@
   private final long origin;
 
   /** Positions count from the origin, on the clock of the batches. */
-  public Gauges(List<String> names, long origin) {
+  public LoadReportFormat(List<String> names, long origin) {
     this.names = names;
     this.origin = origin;
     position = names.indexOf("x0");
