--- a/router/src/main/java/basaltlever/core/Core.java
+++ b/router/src/main/java/basaltlever/core/StatementRouter.java
@@ -1,16 +1,16 @@
 package basaltlever.core;
 
-import basaltlever.Balance;
-import basaltlever.change.Change;
-import basaltlever.gateway.Ending;
-import basaltlever.gateway.Listing;
-import basaltlever.gateway.Outbound;
-import basaltlever.gateway.Refusal;
+import basaltlever.balancer.LoadBalancer;
+import basaltlever.gateway.AttemptOutcome;
+import basaltlever.gateway.DecisionSink;
+import basaltlever.gateway.EndpointLifecycle;
+import basaltlever.gateway.RejectReason;
 import basaltlever.gateway.Role;
+import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.GroupState;
+import basaltlever.switchover.PlannedSwitchover;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
-import basaltlever.view.GroupView;
-import basaltlever.view.NodeView;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -26,17 +26,17 @@
  * that are out and sees to it that each statement gets one final answer. Sockets and the simulator
  * both stand on it.
  */
-public final class Core<N> implements Outbound {
+public final class StatementRouter<N> implements DecisionSink {
   private static final int FIRST = 256;
 
-  private final Outside<N> outside;
-  private final Balance balance;
+  private final Effects<N> outside;
+  private final LoadBalancer balance;
 
   private final Map<N, Integer> nodeIndices = new HashMap<>();
   private final List<N> nodes = new ArrayList<>();
   private final ArrayDeque<Integer> freeNodes = new ArrayDeque<>();
 
-  private final Indices slots = new Indices();
+  private final IdIndex slots = new IdIndex();
   private long[] tickets = new long[FIRST];
 
   /**
@@ -51,7 +51,7 @@
   private int freeCount;
   private int slotCount;
 
-  public Core(Outside<N> outside, Function<Outbound, Balance> balance) {
+  public StatementRouter(Effects<N> outside, Function<DecisionSink, LoadBalancer> balance) {
     this.outside = outside;
     this.balance = balance.apply(this);
   }
@@ -59,7 +59,7 @@
   // ---- What is heard from outside.
 
   /** Other values for the decisions, as agreed from now on. */
-  public void agree(Moment now, Consumer<Balance> values) {
+  public void agree(Moment now, Consumer<LoadBalancer> values) {
     values.accept(balance);
     balance.woken(now);
   }
@@ -69,7 +69,13 @@
   }
 
   public void listed(
-      Moment now, N node, Listing listing, int group, int zone, double size, Moment startedAt) {
+      Moment now,
+      N node,
+      EndpointLifecycle listing,
+      int group,
+      int zone,
+      double size,
+      Moment startedAt) {
     Integer known = nodeIndices.get(node);
     boolean first = known == null;
     if (first) {
@@ -110,11 +116,11 @@
   }
 
   /** What was known of a node before this process, right after it is listed. */
-  public void recalled(Moment now, N node, NodeView view) {
+  public void recalled(Moment now, N node, EndpointState view) {
     balance.recall.recalled(now, nodeIndices.get(node), view);
   }
 
-  public void recalled(Moment now, List<GroupView> groups) {
+  public void recalled(Moment now, List<GroupState> groups) {
     groups.forEach(group -> balance.recall.recalled(now, group));
   }
 
@@ -122,7 +128,7 @@
    * What has been learned of some nodes by now: those of so many places from the given one on.
    * False where no place is left. A fleet told in one go would hold up the loop.
    */
-  public boolean learned(Moment now, int from, int places, BiConsumer<N, NodeView> each) {
+  public boolean learned(Moment now, int from, int places, BiConsumer<N, EndpointState> each) {
     int end = Math.min(nodes.size(), from + places);
     for (int index = from; index < end; index++) {
       if (nodes.get(index) != null) {
@@ -132,7 +138,7 @@
     return end < nodes.size();
   }
 
-  public List<GroupView> learnedOfGroups(Moment now) {
+  public List<GroupState> learnedOfGroups(Moment now) {
     return balance.recall.learnedOfGroups(now);
   }
 
@@ -183,7 +189,7 @@
       Moment now,
       long ticket,
       int execution,
-      Ending ending,
+      AttemptOutcome ending,
       Role role,
       Moment position,
       boolean finished) {
@@ -194,11 +200,11 @@
     // What has to be current, and came from a node that says it is a replica, may lack what it had
     // to
     // see.
-    Ending heard =
-        ending == Ending.COMPLETED && role == Role.REPLICA && balance.needsFresh(slot)
-            ? Ending.MISS
+    AttemptOutcome heard =
+        ending == AttemptOutcome.COMPLETED && role == Role.REPLICA && balance.needsFresh(slot)
+            ? AttemptOutcome.MISS
             : ending;
-    boolean completes = heard == Ending.COMPLETED && !answered[slot];
+    boolean completes = heard == AttemptOutcome.COMPLETED && !answered[slot];
     boolean over = finished || completes || answered[slot];
     boolean known = balance.ended(now, slot, execution, heard, role, position, over);
     if (over) {
@@ -211,7 +217,13 @@
   }
 
   public void polled(
-      Moment now, N node, Ending ending, Role role, Moment position, double util, double queue) {
+      Moment now,
+      N node,
+      AttemptOutcome ending,
+      Role role,
+      Moment position,
+      double util,
+      double queue) {
     Integer known = nodeIndices.get(node);
     if (known != null) {
       balance.polled(now, known, ending, role, position, util, queue);
@@ -280,7 +292,7 @@
   }
 
   @Override
-  public void reject(int statement, Span comeBackAfter, Refusal why) {
+  public void reject(int statement, Span comeBackAfter, RejectReason why) {
     if (!answered[statement]) {
       outside.reject(tickets[statement], comeBackAfter, why);
       settle(statement);
@@ -329,7 +341,7 @@
   }
 
   @Override
-  public void change(int group, Change.Phase phase, int target) {
+  public void change(int group, PlannedSwitchover.Phase phase, int target) {
     outside.change(group, phase, nodes.get(target));
   }
 
--- a/router/src/main/java/basaltlever/discovery/ChunkReader.java
+++ b/router/src/main/java/basaltlever/discovery/ChunkedResponseReader.java
@@ -11,7 +11,7 @@
  * with nothing on it between objects is handed on as an empty text: that is how a watch says that
  * it stands.
  */
-public final class ChunkReader {
+public final class ChunkedResponseReader {
   private static final int LONGEST_HEAD = 8_192;
   private static final int LARGEST_OBJECT = 4 << 20;
   private static final int LARGEST_CHUNK = 1 << 28;
@@ -29,7 +29,7 @@
 
   /** Takes a text, which may be faulty. */
   interface Sink {
-    void accept(String text) throws ListFault;
+    void accept(String text) throws InvalidEndpointListException;
   }
 
   private final Sink objects;
@@ -61,7 +61,7 @@
   private long left = -1;
   private int headSize;
 
-  public ChunkReader(Consumer<String> objects) {
+  public ChunkedResponseReader(Consumer<String> objects) {
     this(objects::accept, null);
   }
 
@@ -69,7 +69,7 @@
    * Hands objects that stand in a list directly within the outermost object to the second sink,
    * each once it is whole, and leaves them out of the outermost one's text.
    */
-  ChunkReader(Sink objects, Sink entries) {
+  ChunkedResponseReader(Sink objects, Sink entries) {
     this.objects = objects;
     this.entries = entries;
   }
@@ -79,7 +79,7 @@
     return part == Part.OVER;
   }
 
-  public void read(ByteBuf in) throws ListFault {
+  public void read(ByteBuf in) throws InvalidEndpointListException {
     while (in.isReadable() && part != Part.OVER) {
       if (part == Part.CHUNK || part == Part.PLAIN) {
         body(in);
@@ -90,7 +90,7 @@
           head.setLength(0);
           headLine(text);
         } else if (++headSize > LONGEST_HEAD) {
-          throw new ListFault("the head of an answer is too long");
+          throw new InvalidEndpointListException("the head of an answer is too long");
         } else {
           head.append(c);
         }
@@ -98,15 +98,15 @@
     }
   }
 
-  private void headLine(String text) throws ListFault {
+  private void headLine(String text) throws InvalidEndpointListException {
     switch (part) {
       case STATUS -> {
         String[] words = text.split(" ", 3);
         if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
-          throw new ListFault("an answer begins with no status line");
+          throw new InvalidEndpointListException("an answer begins with no status line");
         }
         if (!words[1].equals("200")) {
-          throw new ListFault("a call ended with status " + words[1]);
+          throw new InvalidEndpointListException("a call ended with status " + words[1]);
         }
         part = Part.HEADER;
       }
@@ -125,7 +125,7 @@
       }
       case CHUNK_END -> {
         if (!text.isEmpty()) {
-          throw new ListFault("a chunk is longer than stated");
+          throw new InvalidEndpointListException("a chunk is longer than stated");
         }
         part = Part.SIZE;
       }
@@ -137,7 +137,7 @@
     }
   }
 
-  private void header(String text) throws ListFault {
+  private void header(String text) throws InvalidEndpointListException {
     int colon = text.indexOf(':');
     String value = text.substring(colon + 1).trim();
     if (text.startsWith("transfer-encoding:")) {
@@ -147,7 +147,7 @@
     }
   }
 
-  private static long number(String text, int radix) throws ListFault {
+  private static long number(String text, int radix) throws InvalidEndpointListException {
     if (text.matches("[0-9a-fA-F]{1,16}")) {
       try {
         long number = Long.parseLong(text, radix);
@@ -158,10 +158,10 @@
         // Named below.
       }
     }
-    throw new ListFault("an answer states a length of '" + text + "'");
+    throw new InvalidEndpointListException("an answer states a length of '" + text + "'");
   }
 
-  private void body(ByteBuf in) throws ListFault {
+  private void body(ByteBuf in) throws InvalidEndpointListException {
     int most = left < 0 ? in.readableBytes() : (int) Math.min(left, in.readableBytes());
     for (int i = 0; i < most; i++) {
       byte next = in.readByte();
@@ -170,7 +170,7 @@
       } else if (next == '\n') {
         objects.accept("");
       } else if (next != ' ' && next != '\r' && next != '\t') {
-        throw new ListFault("a list begins with no object");
+        throw new InvalidEndpointListException("a list begins with no object");
       }
     }
     if (left >= 0) {
@@ -196,9 +196,9 @@
   }
 
   /** One that breaks off is never handed on. */
-  private void within(byte next) throws ListFault {
+  private void within(byte next) throws InvalidEndpointListException {
     if (++size > LARGEST_OBJECT) {
-      throw new ListFault("a list is too long");
+      throw new InvalidEndpointListException("a list is too long");
     }
     boolean opensEntry =
         entries != null && !inString && depth == 2 && next == '{' && listWithinObject;
--- a/router/src/main/java/basaltlever/discovery/MemberEntry.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointEntry.java
@@ -1,7 +1,7 @@
 package basaltlever.discovery;
 
 import basaltlever.config.Addresses;
-import basaltlever.gateway.Listing;
+import basaltlever.gateway.EndpointLifecycle;
 import java.math.BigDecimal;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -11,28 +11,28 @@
  * What a list says of one member. The address and the zone are null where the list names none, and
  * the moment of the last start is 0 for long ago, in Unix milliseconds.
  */
-public record MemberEntry(
+public record EndpointEntry(
     String id,
     InetSocketAddress address,
     String zone,
     int group,
     double weight,
     long startedAtMillis,
-    Listing listing) {
+    EndpointLifecycle listing) {
   private static final double LONGEST = 1e15;
 
   /** Throws where the entry is not sound. */
-  static MemberEntry of(Map<?, ?> member) throws ListFault {
+  static EndpointEntry of(Map<?, ?> member) throws InvalidEndpointListException {
     if (!(member.get("instanceId") instanceof String id)) {
-      throw new ListFault("an entry of the list has no instanceId");
+      throw new InvalidEndpointListException("an entry of the list has no instanceId");
     }
-    Listing listing = listing(member.get("lifecycle"));
+    EndpointLifecycle listing = listing(member.get("lifecycle"));
     InetSocketAddress address =
         member.get("hostPort") instanceof String text ? Addresses.parse(text) : null;
-    if (listing != Listing.GONE && address == null) {
-      throw new ListFault("entry " + id + " has no hostPort");
+    if (listing != EndpointLifecycle.GONE && address == null) {
+      throw new InvalidEndpointListException("entry " + id + " has no hostPort");
     }
-    return new MemberEntry(
+    return new EndpointEntry(
         id,
         address,
         member.get("zone") instanceof String zone ? zone : null,
@@ -43,13 +43,14 @@
   }
 
   /** A state that is not known here is no invitation: nothing new goes there. */
-  private static Listing listing(Object lifecycle) {
+  private static EndpointLifecycle listing(Object lifecycle) {
     return "in_service".equals(lifecycle)
-        ? Listing.READY
-        : "terminated".equals(lifecycle) ? Listing.GONE : Listing.DRAINING;
+        ? EndpointLifecycle.READY
+        : "terminated".equals(lifecycle) ? EndpointLifecycle.GONE : EndpointLifecycle.DRAINING;
   }
 
-  static double number(Map<?, ?> from, String name, double otherwise) throws ListFault {
+  static double number(Map<?, ?> from, String name, double otherwise)
+      throws InvalidEndpointListException {
     Object value = from.get(name);
     if (value == null) {
       return otherwise;
@@ -59,13 +60,13 @@
         && number.doubleValue() <= LONGEST) {
       return number.doubleValue();
     }
-    throw new ListFault("the list's " + name + " is no number");
+    throw new InvalidEndpointListException("the list's " + name + " is no number");
   }
 
   /** Written out: what a record makes of its own would be made at run time, on the loop. */
   @Override
   public boolean equals(Object other) {
-    return other instanceof MemberEntry entry
+    return other instanceof EndpointEntry entry
         && id.equals(entry.id)
         && Objects.equals(address, entry.address)
         && Objects.equals(zone, entry.zone)
@@ -81,17 +82,17 @@
   }
 
   /** The same member in another state. */
-  MemberEntry in(Listing other) {
-    return new MemberEntry(id, address, zone, group, weight, startedAtMillis, other);
+  EndpointEntry in(EndpointLifecycle other) {
+    return new EndpointEntry(id, address, zone, group, weight, startedAtMillis, other);
   }
 
   /**
    * Where this entry names no address, as one of a member that is gone may, it is still that of the
    * former one.
    */
-  MemberEntry withAddressOf(MemberEntry former) {
+  EndpointEntry withAddressOf(EndpointEntry former) {
     return address != null || former == null || former.address == null
         ? this
-        : new MemberEntry(id, former.address, zone, group, weight, startedAtMillis, listing);
+        : new EndpointEntry(id, former.address, zone, group, weight, startedAtMillis, listing);
   }
 }
--- a/router/src/main/java/basaltlever/discovery/MemberList.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointList.java
@@ -1,18 +1,18 @@
 package basaltlever.discovery;
 
-import basaltlever.agree.Doubt;
-import basaltlever.agree.Roll;
-import basaltlever.agree.Said;
 import basaltlever.config.Addresses;
-import basaltlever.core.Core;
-import basaltlever.gateway.Listing;
+import basaltlever.core.StatementRouter;
+import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.log.Event;
-import basaltlever.log.Tally;
+import basaltlever.log.RateLimitedLog;
+import basaltlever.membership.ListAnomaly;
+import basaltlever.membership.ListedEndpoint;
+import basaltlever.membership.MembershipView;
+import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.KnownEndpoint;
+import basaltlever.snapshot.StateRestore;
 import basaltlever.time.ClockOffset;
 import basaltlever.time.Moment;
-import basaltlever.view.Known;
-import basaltlever.view.NodeView;
-import basaltlever.view.Recollection;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -29,9 +29,9 @@
 import org.slf4j.event.Level;
 
 /** Takes in lists of members and changes of them, from discovery or as held at the last start. */
-public final class MemberList {
-  private static final Logger LOG = LoggerFactory.getLogger(MemberList.class);
-  private final Core<String> core;
+public final class EndpointList {
+  private static final Logger LOG = LoggerFactory.getLogger(EndpointList.class);
+  private final StatementRouter<String> core;
   private final List<String> zones;
   private final BiConsumer<String, InetSocketAddress> addresses;
 
@@ -39,33 +39,35 @@
    * What the fleet makes of this list; null where this router is of none, and the list holds as it
    * is told.
    */
-  private Roll roll;
+  private MembershipView roll;
 
   /**
    * By the fleet only: the latest entry of each member, and what the decisions were told of it
    * last.
    */
-  private final Map<String, MemberEntry> latest = new LinkedHashMap<>();
+  private final Map<String, EndpointEntry> latest = new LinkedHashMap<>();
 
-  private final Map<String, Roll.Use> used = new HashMap<>();
-  private final Map<String, MemberEntry> told = new HashMap<>();
+  private final Map<String, MembershipView.MemberUse> used = new HashMap<>();
+  private final Map<String, EndpointEntry> told = new HashMap<>();
 
   /**
    * The members as the decisions were told of them, but for those that are gone; unused by a
    * fleet's router.
    */
-  private final Map<String, MemberEntry> current = new LinkedHashMap<>();
+  private final Map<String, EndpointEntry> current = new LinkedHashMap<>();
 
   private long applied = -1;
-  private Tally heldOff;
+  private RateLimitedLog heldOff;
   private ClockOffset clockOffset = new ClockOffset();
   private long generation;
-  private Recollection recollection = Recollection.NONE;
+  private StateRestore recollection = StateRestore.NONE;
   private Consumer<String> absent = node -> {};
 
   /** Hands each member's address on as it comes. */
-  public MemberList(
-      Core<String> core, List<String> zones, BiConsumer<String, InetSocketAddress> addresses) {
+  public EndpointList(
+      StatementRouter<String> core,
+      List<String> zones,
+      BiConsumer<String, InetSocketAddress> addresses) {
     this.core = core;
     this.zones = zones;
     this.addresses = addresses;
@@ -85,7 +87,7 @@
    * What an earlier process knew of the members, until a list that was asked for has come; those
    * that it had no answers from are told on.
    */
-  public void recalls(Recollection from, Consumer<String> absentOnes) {
+  public void recalls(StateRestore from, Consumer<String> absentOnes) {
     recollection = from;
     absent = absentOnes;
   }
@@ -97,30 +99,31 @@
    */
   public void expect(Moment now) {
     core.listBegins();
-    for (Known known : recollection.members()) {
+    for (KnownEndpoint known : recollection.members()) {
       InetSocketAddress address = Addresses.parse(known.address());
       if (address != null) {
-        NodeView view = known.view();
+        EndpointState view = known.view();
         addresses.accept(known.id(), address);
-        MemberEntry expected =
-            new MemberEntry(
+        EndpointEntry expected =
+            new EndpointEntry(
                 known.id(),
                 address,
                 null,
                 view.group(),
                 1,
                 view.listedStart() / 1_000,
-                Listing.DRAINING);
+                EndpointLifecycle.DRAINING);
         if (roll == null) {
           current.put(known.id(), expected);
         } else {
           latest.put(known.id(), expected);
-          used.put(known.id(), new Roll.Use(Listing.DRAINING, view.group()));
+          used.put(
+              known.id(), new MembershipView.MemberUse(EndpointLifecycle.DRAINING, view.group()));
         }
         core.listed(
             now,
             known.id(),
-            Listing.DRAINING,
+            EndpointLifecycle.DRAINING,
             view.group(),
             -1,
             1,
@@ -133,15 +136,16 @@
     core.listEnds(now, false, false);
   }
 
-  public static MemberUpdate parse(String line) throws ListFault {
-    return MemberUpdate.of(MemberUpdate.object(line));
+  public static EndpointUpdate parse(String line) throws InvalidEndpointListException {
+    return EndpointUpdate.of(EndpointUpdate.object(line));
   }
 
   /** Throws before anything is taken in where the list does not belong to the one that is held. */
-  public void take(Moment now, MemberUpdate update, boolean asked) throws ListFault {
+  public void take(Moment now, EndpointUpdate update, boolean asked)
+      throws InvalidEndpointListException {
     if (update.generation() < generation && !update.whole()) {
       // A service that lost its state counts anew: its changes don't belong to the list held here.
-      throw new ListFault(
+      throw new InvalidEndpointListException(
           "the list's generation went from " + generation + " back to " + update.generation());
     }
     generation = update.generation();
@@ -151,11 +155,19 @@
     }
     core.listBegins();
     boolean drainsBind = false;
-    for (MemberEntry entry : changedBy(update)) {
+    for (EndpointEntry entry : changedBy(update)) {
       boolean bindsStill =
-          list(now, entry, new Roll.Use(entry.listing(), entry.group()), generation, asked);
+          list(
+              now,
+              entry,
+              new MembershipView.MemberUse(entry.listing(), entry.group()),
+              generation,
+              asked);
       drainsBind |= bindsStill;
-      hold(bindsStill && entry.listing() == Listing.READY ? entry.in(Listing.DRAINING) : entry);
+      hold(
+          bindsStill && entry.listing() == EndpointLifecycle.READY
+              ? entry.in(EndpointLifecycle.DRAINING)
+              : entry);
     }
     ends(now, drainsBind, asked);
   }
@@ -164,17 +176,17 @@
    * What one entry of a list says that has not come whole yet: a member that drains or is gone gets
    * nothing from here on. All else waits for the rest of the list.
    */
-  public void takeEarly(Moment now, List<MemberEntry> entries) {
+  public void takeEarly(Moment now, List<EndpointEntry> entries) {
     boolean begun = false;
-    for (MemberEntry entry : entries) {
-      MemberEntry before = current.get(entry.id());
+    for (EndpointEntry entry : entries) {
+      EndpointEntry before = current.get(entry.id());
       if (roll != null
-          || entry.listing() == Listing.READY
+          || entry.listing() == EndpointLifecycle.READY
           || before == null
-          || before.listing() != Listing.READY) {
+          || before.listing() != EndpointLifecycle.READY) {
         continue;
       }
-      MemberEntry drained = before.in(entry.listing());
+      EndpointEntry drained = before.in(entry.listing());
       begun = true;
       tell(now, drained, drained.listing(), drained.group());
       hold(drained);
@@ -185,21 +197,22 @@
   }
 
   /** Entries that differ from what is held, those first to which nothing may go any more. */
-  private List<MemberEntry> changedBy(MemberUpdate update) {
+  private List<EndpointEntry> changedBy(EndpointUpdate update) {
     Set<String> named = new HashSet<>();
-    List<MemberEntry> binding = new ArrayList<>();
-    List<MemberEntry> others = new ArrayList<>();
-    for (MemberEntry entry : update.entries()) {
+    List<EndpointEntry> binding = new ArrayList<>();
+    List<EndpointEntry> others = new ArrayList<>();
+    for (EndpointEntry entry : update.entries()) {
       named.add(entry.id());
-      MemberEntry before = current.get(entry.id());
+      EndpointEntry before = current.get(entry.id());
       if (!entry.equals(before) || !recollection.members().isEmpty()) {
-        (entry.listing() == Listing.READY ? others : binding).add(entry.withAddressOf(before));
+        (entry.listing() == EndpointLifecycle.READY ? others : binding)
+            .add(entry.withAddressOf(before));
       }
     }
     if (update.whole()) {
-      for (MemberEntry held : current.values()) {
+      for (EndpointEntry held : current.values()) {
         if (!named.contains(held.id())) {
-          binding.add(held.in(Listing.GONE));
+          binding.add(held.in(EndpointLifecycle.GONE));
         }
       }
     }
@@ -207,8 +220,8 @@
     return binding;
   }
 
-  private void hold(MemberEntry entry) {
-    if (entry.listing() == Listing.GONE) {
+  private void hold(EndpointEntry entry) {
+    if (entry.listing() == EndpointLifecycle.GONE) {
       current.remove(entry.id());
     } else {
       current.put(entry.id(), entry);
@@ -223,12 +236,12 @@
       forget();
     }
     if (asked) {
-      recollection = Recollection.NONE;
+      recollection = StateRestore.NONE;
     }
     core.listEnds(now, false, asked);
   }
 
-  private void tell(Moment now, MemberEntry entry, Listing listing, int group) {
+  private void tell(Moment now, EndpointEntry entry, EndpointLifecycle listing, int group) {
     core.listed(
         now,
         entry.id(),
@@ -249,7 +262,7 @@
   /** What is known of the clock has changed: members' starts are told to the decisions again. */
   public void tellStarts(Moment now) {
     core.listBegins();
-    for (MemberEntry entry : current.values()) {
+    for (EndpointEntry entry : current.values()) {
       if (entry.startedAtMillis() != 0) {
         tell(now, entry, entry.listing(), entry.group());
       }
@@ -258,12 +271,13 @@
   }
 
   /** True where what an earlier process knew of the member keeps it from being used. */
-  private boolean list(Moment now, MemberEntry entry, Roll.Use use, long version, boolean asked) {
+  private boolean list(
+      Moment now, EndpointEntry entry, MembershipView.MemberUse use, long version, boolean asked) {
     if (entry.address() != null) {
       addresses.accept(entry.id(), entry.address());
     }
     tell(now, entry, use.listing(), use.group());
-    NodeView known =
+    EndpointState known =
         entry.address() == null
             ? null
             : recollection.of(
@@ -285,22 +299,22 @@
   // ---- Lists on which a fleet agrees.
 
   /** From here on each list is taken as far as the fleet bears it out. */
-  public void agreeBy(Roll fleet, Supplier<Moment> clock) {
+  public void agreeBy(MembershipView fleet, Supplier<Moment> clock) {
     roll = fleet;
-    heldOff = new Tally(LOG, Event.LIST_HELD, clock);
+    heldOff = new RateLimitedLog(LOG, Event.LIST_HELD, clock);
   }
 
-  private void heed(Moment now, MemberUpdate update, boolean asked) {
-    Map<String, Said> said = new LinkedHashMap<>();
-    for (MemberEntry entry : update.entries()) {
-      said.put(entry.id(), new Said(entry.listing(), entry.group()));
+  private void heed(Moment now, EndpointUpdate update, boolean asked) {
+    Map<String, ListedEndpoint> said = new LinkedHashMap<>();
+    for (EndpointEntry entry : update.entries()) {
+      said.put(entry.id(), new ListedEndpoint(entry.listing(), entry.group()));
       // One that is gone may be named without its address: it stays as it was told.
       if (entry.address() != null || !latest.containsKey(entry.id())) {
         latest.put(entry.id(), entry);
       }
     }
-    Doubt doubt = roll.told(now, update.whole(), update.generation(), said);
-    if (doubt != Doubt.NONE) {
+    ListAnomaly doubt = roll.told(now, update.whole(), update.generation(), said);
+    if (doubt != ListAnomaly.NONE) {
       heldOff.note(update.generation(), doubt.name());
     }
     apply(now, update.generation(), asked);
@@ -329,13 +343,13 @@
       core.listBegins();
     }
     for (String id : members) {
-      Roll.Use use = roll.use(now, id);
-      MemberEntry entry = latest.get(id);
+      MembershipView.MemberUse use = roll.use(now, id);
+      EndpointEntry entry = latest.get(id);
       boolean isNew = entry != told.put(id, entry);
-      Roll.Use before = used.get(id);
+      MembershipView.MemberUse before = used.get(id);
       if (entry == null
           || (use.equals(before) && !isNew)
-          || (before == null && use.listing() == Listing.GONE)) {
+          || (before == null && use.listing() == EndpointLifecycle.GONE)) {
         continue;
       }
       if (!begun) {
@@ -351,7 +365,7 @@
     if (begun) {
       ends(now, drainsBind, asked);
     }
-    used.values().removeIf(use -> use.listing() == Listing.GONE);
+    used.values().removeIf(use -> use.listing() == EndpointLifecycle.GONE);
     told.keySet().retainAll(used.keySet());
     latest.keySet().retainAll(members);
   }
--- a/router/src/main/java/basaltlever/discovery/ListReader.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointListReader.java
@@ -9,28 +9,28 @@
  * is whole, so that no read has to go over a long list at once, and what an entry says can be acted
  * on while others are still to come.
  */
-public final class ListReader {
+public final class EndpointListReader {
   /** What is read; called from within {@link #read}. */
   public interface Listener {
     /** A line with nothing on it: discovery says that the answer goes on. */
     void keepAlive();
 
     /** One entry of a message that has not come whole yet. */
-    void entry(MemberEntry entry);
+    void entry(EndpointEntry entry);
 
     /** A whole message, with all of its entries. */
-    void update(MemberUpdate update);
+    void update(EndpointUpdate update);
   }
 
   private final Listener listener;
-  private final ChunkReader reader = new ChunkReader(this::object, this::entry);
-  private List<MemberEntry> entries = new ArrayList<>();
+  private final ChunkedResponseReader reader = new ChunkedResponseReader(this::object, this::entry);
+  private List<EndpointEntry> entries = new ArrayList<>();
 
-  public ListReader(Listener listener) {
+  public EndpointListReader(Listener listener) {
     this.listener = listener;
   }
 
-  public void read(ByteBuf in) throws ListFault {
+  public void read(ByteBuf in) throws InvalidEndpointListException {
     reader.read(in);
   }
 
@@ -39,19 +39,19 @@
     return reader.isOver();
   }
 
-  private void entry(String text) throws ListFault {
-    MemberEntry entry = MemberEntry.of(MemberUpdate.object(text));
+  private void entry(String text) throws InvalidEndpointListException {
+    EndpointEntry entry = EndpointEntry.of(EndpointUpdate.object(text));
     entries.add(entry);
     listener.entry(entry);
   }
 
-  private void object(String text) throws ListFault {
+  private void object(String text) throws InvalidEndpointListException {
     if (text.isEmpty()) {
       listener.keepAlive();
       return;
     }
-    List<MemberEntry> cutOut = entries;
+    List<EndpointEntry> cutOut = entries;
     entries = new ArrayList<>();
-    listener.update(MemberUpdate.of(text, cutOut));
+    listener.update(EndpointUpdate.of(text, cutOut));
   }
 }
--- a/router/src/main/java/basaltlever/discovery/ListFault.java
+++ b/router/src/main/java/basaltlever/discovery/InvalidEndpointListException.java
@@ -1,10 +1,10 @@
 package basaltlever.discovery;
 
 /** Discovery sent something that is no answer of its protocol. */
-public final class ListFault extends Exception {
+public final class InvalidEndpointListException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  public ListFault(String message) {
+  public InvalidEndpointListException(String message) {
     super(message);
   }
 }
--- a/router/src/main/java/basaltlever/endpoints/PollSchedule.java
+++ b/router/src/main/java/basaltlever/endpoints/PollSchedule.java
@@ -1,6 +1,6 @@
 package basaltlever.endpoints;
 
-import basaltlever.model.Node;
+import basaltlever.model.Endpoint;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.ArrayList;
@@ -13,10 +13,10 @@
  * each step costs the logarithm of how many those are, whatever the size of the list.
  */
 public final class PollSchedule {
-  private static final Comparator<Node> BY_ID = Comparator.comparingInt(node -> node.id);
-  private static final Comparator<Node> BY_WAKE =
-      Comparator.comparingLong((Node node) -> node.pollWake.micros()).thenComparing(BY_ID);
-  private final TreeSet<Node> scheduled = new TreeSet<>(BY_WAKE);
+  private static final Comparator<Endpoint> BY_ID = Comparator.comparingInt(node -> node.id);
+  private static final Comparator<Endpoint> BY_WAKE =
+      Comparator.comparingLong((Endpoint node) -> node.pollWake.micros()).thenComparing(BY_ID);
+  private final TreeSet<Endpoint> scheduled = new TreeSet<>(BY_WAKE);
 
   /** After this long without an answer a poll counts as missed. */
   private final Span timeout;
@@ -28,7 +28,7 @@
   /**
    * To be called whenever a poll of the server was sent, was answered or is due at another time.
    */
-  public void update(Node node) {
+  public void update(Endpoint node) {
     scheduled.remove(node);
     node.pollWake = node.pollOut ? node.pollSent.plus(timeout) : node.pollDue;
     if (node.pollWake.isBefore(Moment.NEVER)) {
@@ -36,7 +36,7 @@
     }
   }
 
-  public void remove(Node node) {
+  public void remove(Endpoint node) {
     scheduled.remove(node);
   }
 
@@ -46,8 +46,8 @@
   }
 
   /** Takes out those that are due or have timed out, in the order of their ids. */
-  public List<Node> takeDue(Moment now) {
-    List<Node> due = new ArrayList<>();
+  public List<Endpoint> takeDue(Moment now) {
+    List<Endpoint> due = new ArrayList<>();
     while (!scheduled.isEmpty() && !now.isBefore(scheduled.first().pollWake)) {
       due.add(scheduled.pollFirst());
     }
--- a/router/src/main/java/basaltlever/endpoints/WatchedGroups.java
+++ b/router/src/main/java/basaltlever/endpoints/PolledGroups.java
@@ -1,7 +1,7 @@
 package basaltlever.endpoints;
 
-import basaltlever.model.Group;
-import basaltlever.model.Node;
+import basaltlever.model.Endpoint;
+import basaltlever.model.ReplicaGroup;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
@@ -14,7 +14,7 @@
  * statement needs it, so that what a router polls follows its traffic and not the length of the
  * list.
  */
-public final class WatchedGroups {
+public final class PolledGroups {
   /** So many members in service at most are polled regularly. */
   public static final int MOST_MEMBERS = 96;
 
@@ -26,14 +26,14 @@
    */
   private static final double CLEARLY_MORE = 1.5;
 
-  private final List<Group> watched = new ArrayList<>();
+  private final List<ReplicaGroup> watched = new ArrayList<>();
   private int members;
 
   /** Members of the group that count against the bound. */
-  private static int size(Group group) {
+  private static int size(ReplicaGroup group) {
     int inService = 0;
     for (int i = 0; i < group.members.size() && inService < ReplicaSubset.LEAST; i++) {
-      Node member = group.members.get(i);
+      Endpoint member = group.members.get(i);
       inService += member.isInService() ? 1 : 0;
     }
     return inService;
@@ -43,15 +43,15 @@
    * Watches all of them where there is room for all; false where there is not, and nothing has
    * changed.
    */
-  public boolean admitAll(Collection<Group> groups) {
+  public boolean admitAll(Collection<ReplicaGroup> groups) {
     int more = 0;
-    for (Group group : groups) {
+    for (ReplicaGroup group : groups) {
       more += group.watched ? 0 : size(group);
       if (members + more > MOST_MEMBERS) {
         return false;
       }
     }
-    for (Group group : groups) {
+    for (ReplicaGroup group : groups) {
       if (!group.watched) {
         add(group);
       }
@@ -63,12 +63,13 @@
    * Takes in a group that has traffic now, in place of one with much less. Returns the one that had
    * to go; empty where there was room, or where the group was not taken in.
    */
-  public List<Group> admitByTraffic(Group group, ToDoubleFunction<Group> rate) {
+  public List<ReplicaGroup> admitByTraffic(
+      ReplicaGroup group, ToDoubleFunction<ReplicaGroup> rate) {
     if (members + size(group) <= MOST_MEMBERS) {
       add(group);
       return List.of();
     }
-    Group least =
+    ReplicaGroup least =
         Collections.min(
             watched, (a, b) -> Double.compare(rate.applyAsDouble(a), rate.applyAsDouble(b)));
     if (rate.applyAsDouble(group) <= CLEARLY_MORE * rate.applyAsDouble(least)
@@ -83,12 +84,12 @@
   /**
    * Counts anew once members have come or gone; returns groups for which there is no room any more.
    */
-  public List<Group> recount() {
-    List<Group> left = new ArrayList<>();
-    List<Group> former = List.copyOf(watched);
+  public List<ReplicaGroup> recount() {
+    List<ReplicaGroup> left = new ArrayList<>();
+    List<ReplicaGroup> former = List.copyOf(watched);
     watched.clear();
     members = 0;
-    for (Group group : former) {
+    for (ReplicaGroup group : former) {
       boolean stays = !group.members.isEmpty() && members + size(group) <= MOST_MEMBERS;
       group.watched = false;
       if (stays) {
@@ -100,13 +101,13 @@
     return left;
   }
 
-  private void add(Group group) {
+  private void add(ReplicaGroup group) {
     group.watched = true;
     watched.add(group);
     members += size(group);
   }
 
-  private void remove(Group group) {
+  private void remove(ReplicaGroup group) {
     group.watched = false;
     watched.remove(group);
     members -= size(group);
--- a/router/src/main/java/basaltlever/endpoints/PrimarySearch.java
+++ b/router/src/main/java/basaltlever/endpoints/PrimarySearch.java
@@ -1,7 +1,7 @@
 package basaltlever.endpoints;
 
-import basaltlever.model.Group;
-import basaltlever.model.Node;
+import basaltlever.model.Endpoint;
+import basaltlever.model.ReplicaGroup;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.ArrayList;
@@ -26,9 +26,13 @@
   private PrimarySearch() {}
 
   /** The members to poll now; their polls must be sent before this is asked again. */
-  public static List<Node> next(
-      Group group, Moment now, Span betweenRounds, int startPlace, Predicate<Node> mayBeAsked) {
-    List<Node> asked = group.searching;
+  public static List<Endpoint> next(
+      ReplicaGroup group,
+      Moment now,
+      Span betweenRounds,
+      int startPlace,
+      Predicate<Endpoint> mayBeAsked) {
+    List<Endpoint> asked = group.searching;
     asked.removeIf(node -> !node.pollOut || now.since(node.pollSent).isLongerThan(STALLED));
     boolean roundOver = group.searchCursor >= group.members.size();
     if (roundOver && asked.isEmpty() && !now.since(group.searchFrom).isShorterThan(betweenRounds)) {
@@ -37,9 +41,10 @@
       group.searchFrom = now;
     }
     int atOnce = group.lost == null ? AT_FIRST : AFTER_LOSS;
-    List<Node> next = new ArrayList<>(atOnce);
+    List<Endpoint> next = new ArrayList<>(atOnce);
     while (asked.size() < atOnce && group.searchCursor < group.members.size()) {
-      Node member = group.members.get((startPlace + group.searchCursor++) % group.members.size());
+      Endpoint member =
+          group.members.get((startPlace + group.searchCursor++) % group.members.size());
       if (mayBeAsked.test(member) && !member.pollOut) {
         asked.add(member);
         next.add(member);
--- a/router/src/main/java/basaltlever/endpoints/ReplicaSubset.java
+++ b/router/src/main/java/basaltlever/endpoints/ReplicaSubset.java
@@ -1,7 +1,7 @@
 package basaltlever.endpoints;
 
-import basaltlever.model.Group;
-import basaltlever.model.Node;
+import basaltlever.model.Endpoint;
+import basaltlever.model.ReplicaGroup;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.ArrayList;
@@ -25,14 +25,14 @@
   /** A large group's ring is not looked through more often than this. */
   private static final Span APART = Span.ofMillis(100);
 
-  private static final Comparator<Node> BY_RANK =
-      Comparator.comparingInt((Node node) -> node.rank).thenComparingInt(node -> node.id);
+  private static final Comparator<Endpoint> BY_RANK =
+      Comparator.comparingInt((Endpoint node) -> node.rank).thenComparingInt(node -> node.id);
 
   private ReplicaSubset() {}
 
   /** The members to choose among; looked up anew where the group has changed. */
-  public static List<Node> of(
-      Group group, Moment now, int routers, int index, Predicate<Node> mayBeUsed) {
+  public static List<Endpoint> of(
+      ReplicaGroup group, Moment now, int routers, int index, Predicate<Endpoint> mayBeUsed) {
     if (group.members.size() <= LEAST) {
       return group.members;
     }
@@ -52,7 +52,7 @@
   }
 
   /** Takes in half as many again, where those of the subset have no room or were lost. */
-  public static void widen(Group group, int routers) {
+  public static void widen(ReplicaGroup group, int routers) {
     int most = group.members.size();
     int width = Math.min(most, width(most, routers) + group.subsetExtra);
     if (width < most) {
@@ -62,14 +62,15 @@
   }
 
   /** Gives up what it was widened by. */
-  public static void narrow(Group group) {
+  public static void narrow(ReplicaGroup group) {
     group.subsetExtra = 0;
     group.subsetStale = true;
   }
 
-  private static List<Node> choose(Group group, int routers, int index, Predicate<Node> mayBeUsed) {
-    List<Node> ring = new ArrayList<>(group.members.size());
-    for (Node member : group.members) {
+  private static List<Endpoint> choose(
+      ReplicaGroup group, int routers, int index, Predicate<Endpoint> mayBeUsed) {
+    List<Endpoint> ring = new ArrayList<>(group.members.size());
+    for (Endpoint member : group.members) {
       if (mayBeUsed.test(member)) {
         ring.add(member);
       }
@@ -81,11 +82,11 @@
             ((long) Math.floorMod(index, Math.max(1, routers))
                 * ring.size()
                 / Math.max(1, routers));
-    List<Node> chosen = new ArrayList<>(width);
+    List<Endpoint> chosen = new ArrayList<>(width);
     // One that is lost keeps its place, and the next one on the ring stands in for it.
     int sound = 0;
     for (int i = 0; i < ring.size() && sound < width; i++) {
-      Node next = ring.get((start + i) % ring.size());
+      Endpoint next = ring.get((start + i) % ring.size());
       chosen.add(next);
       sound += next.down || next.silent ? 0 : 1;
     }
--- a/router/src/main/java/basaltlever/endpoints/WarmCapacity.java
+++ b/router/src/main/java/basaltlever/endpoints/WarmCapacity.java
@@ -1,6 +1,6 @@
 package basaltlever.endpoints;
 
-import basaltlever.model.Node;
+import basaltlever.model.Endpoint;
 import java.util.List;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
@@ -19,7 +19,7 @@
 
   /** Nodes may hold nulls. */
   public double perSize(
-      List<Node> nodes, Predicate<Node> isWarm, ToDoubleFunction<Node> workPerSecond) {
+      List<Endpoint> nodes, Predicate<Endpoint> isWarm, ToDoubleFunction<Endpoint> workPerSecond) {
     for (int looked = 0; looked < AT_ONCE; looked++) {
       if (cursor >= nodes.size()) {
         perSize = size == 0 ? 0 : work / size;
@@ -28,7 +28,7 @@
         size = 0;
         return perSize;
       }
-      Node node = nodes.get(cursor++);
+      Endpoint node = nodes.get(cursor++);
       if (node != null && isWarm.test(node)) {
         work += workPerSecond.applyAsDouble(node);
         size += node.size;
--- a/router/src/main/java/basaltlever/fleet/Fleet.java
+++ b/router/src/main/java/basaltlever/fleet/FleetMember.java
@@ -1,10 +1,10 @@
 package basaltlever.fleet;
 
-import basaltlever.agree.Grant;
-import basaltlever.agree.Report;
-import basaltlever.agree.Sight;
-import basaltlever.config.Terms;
+import basaltlever.config.FleetSettings;
 import basaltlever.log.Event;
+import basaltlever.membership.HeartbeatReport;
+import basaltlever.membership.MembershipUpdate;
+import basaltlever.settings.LeaseGrant;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -21,16 +21,16 @@
 /**
  * One instance's part in its fleet: its link, and its voter where it is one. On a loop of its own.
  */
-public final class Fleet implements AutoCloseable {
-  private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+public final class FleetMember implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(FleetMember.class);
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
-  private final Voter voter;
-  private final Link link;
+  private final VoterServer voter;
+  private final LeaderConnection link;
   private final String name;
-  private final Terms terms;
-  private final Papers papers;
+  private final FleetSettings terms;
+  private final VoterStore papers;
 
   /** Of this process. */
   private final long incarnation = System.currentTimeMillis();
@@ -39,27 +39,27 @@
    * Beats is run on this fleet's loop when a beat is due, granted with each answer. Throws where
    * the voter can't be started: its folder or its ports.
    */
-  public Fleet(
-      Terms terms,
+  public FleetMember(
+      FleetSettings terms,
       String name,
-      Papers papers,
+      VoterStore papers,
       SplittableRandom chance,
       Runnable beats,
-      BiConsumer<Grant, Sight> granted)
+      BiConsumer<LeaseGrant, MembershipUpdate> granted)
       throws Exception {
     this.terms = terms;
     this.papers = papers;
     this.name = name;
-    Voter own = null;
+    VoterServer own = null;
     try {
-      own = terms.voters().containsKey(name) ? new Voter(terms, name, loop, papers) : null;
+      own = terms.voters().containsKey(name) ? new VoterServer(terms, name, loop, papers) : null;
     } finally {
       if (own == null && terms.voters().containsKey(name)) {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
       }
     }
     voter = own;
-    link = new Link(terms, papers, loop, chance, beats, granted);
+    link = new LeaderConnection(terms, papers, loop, chance, beats, granted);
   }
 
   /** What a router says of itself and of its list; from any thread. */
@@ -71,7 +71,7 @@
       long refused,
       String refusal,
       boolean holds,
-      Report report) {
+      HeartbeatReport report) {
     Map<String, Object> beat =
         new LinkedHashMap<>(
             Map.of(
@@ -95,7 +95,7 @@
                 refusal,
                 "holds",
                 holds));
-    beat.put("lists", Lists.of(report));
+    beat.put("lists", MembershipCodec.of(report));
     beat.put("charter", charter);
     beat.put("folder", voter == null ? "" : voter.folder());
     loop.execute(
--- a/router/src/main/java/basaltlever/fleet/Wire.java
+++ b/router/src/main/java/basaltlever/fleet/FrameCodec.java
@@ -12,13 +12,13 @@
  * are none cost the connection and no more; so does who sends more at once than a turn of a peer
  * ever holds.
  */
-abstract class Wire extends ChannelInboundHandlerAdapter {
+abstract class FrameCodec extends ChannelInboundHandlerAdapter {
   private static final int HEAD = 4;
 
   /** So many messages a second one peer may send: a beat each 50 ms, and commands. */
   private static final int MOST_A_SECOND = 200;
 
-  private static final int MOST_UNSENT = 4 * Message.LARGEST;
+  private static final int MOST_UNSENT = 4 * MessageCodec.LARGEST;
 
   private ByteBuf kept;
   private long second;
@@ -35,7 +35,7 @@
       to.close();
       return;
     }
-    byte[] bytes = Message.write(message);
+    byte[] bytes = MessageCodec.write(message);
     ByteBuf out = to.alloc().buffer(HEAD + bytes.length);
     to.writeAndFlush(out.writeInt(bytes.length).writeBytes(bytes));
   }
@@ -64,7 +64,7 @@
     }
     while (kept != null && kept.readableBytes() >= HEAD) {
       int length = kept.getInt(kept.readerIndex());
-      if (length < 1 || length > Message.LARGEST) {
+      if (length < 1 || length > MessageCodec.LARGEST) {
         throw new IOException("a message of " + length + " bytes");
       }
       if (kept.readableBytes() < HEAD + length) {
@@ -73,7 +73,7 @@
       limit();
       byte[] bytes = ByteBufUtil.getBytes(kept.skipBytes(HEAD).readSlice(length));
       kept.discardSomeReadBytes();
-      heard(context, Message.read(bytes, 0, bytes.length));
+      heard(context, MessageCodec.read(bytes, 0, bytes.length));
     }
   }
 
--- a/router/src/main/java/basaltlever/fleet/Link.java
+++ b/router/src/main/java/basaltlever/fleet/LeaderConnection.java
@@ -1,10 +1,10 @@
 package basaltlever.fleet;
 
-import basaltlever.agree.Grant;
-import basaltlever.agree.Sight;
-import basaltlever.agree.Version;
-import basaltlever.config.Terms;
+import basaltlever.config.FleetSettings;
 import basaltlever.log.Event;
+import basaltlever.membership.MembershipUpdate;
+import basaltlever.settings.LeaseGrant;
+import basaltlever.settings.SettingsVersion;
 import basaltlever.time.Span;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelHandlerContext;
@@ -26,38 +26,38 @@
  * A router's side of the talk: one connection to whichever voter leads, found by asking one after
  * the other. What a beat says and what a grant means is the follower's; here it is carried.
  */
-final class Link {
-  private static final Logger LOG = LoggerFactory.getLogger(Link.class);
+final class LeaderConnection {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderConnection.class);
   private static final int BEATS_A_LEASE = 4;
 
   /** Beats without an answer after which another voter is asked. */
   private static final int PATIENCE = 2;
 
-  private final Terms terms;
-  private final Papers papers;
+  private final FleetSettings terms;
+  private final VoterStore papers;
   private final EventLoop loop;
   private final SplittableRandom chance;
   private final Runnable beats;
-  private final BiConsumer<Grant, Sight> granted;
+  private final BiConsumer<LeaseGrant, MembershipUpdate> granted;
   private final List<String> voters;
   private int asks;
   private int unanswered;
   private ChannelHandlerContext open;
   private boolean connecting;
   private boolean ended;
-  private Version force;
-  private Version prepared;
+  private SettingsVersion force;
+  private SettingsVersion prepared;
 
   /**
    * Beats is run when one is due, and has to bring it by {@link #send}; both on the link's loop.
    */
-  Link(
-      Terms terms,
-      Papers papers,
+  LeaderConnection(
+      FleetSettings terms,
+      VoterStore papers,
       EventLoop loop,
       SplittableRandom chance,
       Runnable beats,
-      BiConsumer<Grant, Sight> granted) {
+      BiConsumer<LeaseGrant, MembershipUpdate> granted) {
     this.terms = terms;
     this.papers = papers;
     this.loop = loop;
@@ -109,7 +109,7 @@
       return;
     }
     connecting = true;
-    Talk talk = new Talk();
+    LeaderHandler talk = new LeaderHandler();
     new Bootstrap()
         .group(loop)
         .channel(NioSocketChannel.class)
@@ -130,7 +130,7 @@
 
   void send(Map<String, Object> beat) {
     if (open != null) {
-      Wire.send(open, beat);
+      FrameCodec.send(open, beat);
     }
   }
 
@@ -141,7 +141,7 @@
     }
   }
 
-  private final class Talk extends Wire {
+  private final class LeaderHandler extends FrameCodec {
     private boolean answered;
 
     @Override
@@ -172,16 +172,16 @@
         return;
       }
       answered = true;
-      switch (Message.text(message, "do")) {
+      switch (MessageCodec.text(message, "do")) {
         case "grant" -> {
           unanswered = 0;
-          List<String> members = Message.texts(message, "members");
-          members.forEach(Link.this::mayAsk);
-          force = filled(Message.version(message.get("force")), force, prepared);
-          prepared = filled(Message.version(message.get("prepared")), prepared, force);
+          List<String> members = MessageCodec.texts(message, "members");
+          members.forEach(LeaderConnection.this::mayAsk);
+          force = filled(MessageCodec.version(message.get("force")), force, prepared);
+          prepared = filled(MessageCodec.version(message.get("prepared")), prepared, force);
           try {
             papers.areTold(members);
-            if (force != null && Message.number(message, "lasts") > 0) {
+            if (force != null && MessageCodec.number(message, "lasts") > 0) {
               // Who gives no lease may have been replaced: what it tells is no word of the fleet.
               papers.isTold(force);
             }
@@ -190,17 +190,17 @@
           }
           if (force != null) {
             granted.accept(
-                new Grant(
-                    Message.number(message, "beat"),
-                    new Span(Message.number(message, "lasts")),
+                new LeaseGrant(
+                    MessageCodec.number(message, "beat"),
+                    new Span(MessageCodec.number(message, "lasts")),
                     force,
                     prepared,
-                    Message.number(message, "changes")),
-                Lists.sight(message.get("lists")));
+                    MessageCodec.number(message, "changes")),
+                MembershipCodec.sight(message.get("lists")));
           }
         }
         case "follows" -> {
-          String leader = Message.text(message, "leader");
+          String leader = MessageCodec.text(message, "leader");
           mayAsk(leader);
           asks = voters.contains(leader) ? voters.indexOf(leader) : (asks + 1) % voters.size();
           loop.schedule(
@@ -216,14 +216,15 @@
         }
         default -> {
           Event.FLEET_REFUSED.log(
-              LOG, Level.ERROR, "", voters.get(asks), Message.text(message, "why"));
+              LOG, Level.ERROR, "", voters.get(asks), MessageCodec.text(message, "why"));
           asks = (asks + 1) % voters.size();
         }
       }
     }
 
     /** A text that it has told before stands for itself. */
-    private Version filled(Version told, Version known, Version other) {
+    private SettingsVersion filled(
+        SettingsVersion told, SettingsVersion known, SettingsVersion other) {
       if (told == null || !told.text().isEmpty()) {
         return told;
       }
@@ -231,7 +232,7 @@
           known != null && known.number() == told.number()
               ? known.text()
               : other != null && other.number() == told.number() ? other.text() : "";
-      return new Version(
+      return new SettingsVersion(
           told.number(), text, told.routers(), told.who(), told.why(), told.atMillis());
     }
   }
--- a/router/src/main/java/basaltlever/fleet/Message.java
+++ b/router/src/main/java/basaltlever/fleet/MessageCodec.java
@@ -1,8 +1,8 @@
 package basaltlever.fleet;
 
-import basaltlever.agree.Register.Chapter;
-import basaltlever.agree.Register.End;
-import basaltlever.agree.Version;
+import basaltlever.settings.SettingsVersion;
+import basaltlever.settings.VersionRegister.HistoryEntry;
+import basaltlever.settings.VersionRegister.VersionOutcome;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -19,7 +19,7 @@
  * What instances tell each other, and what the voters' log holds: one map in CBOR (RFC 8949), whose
  * names a reader may lack or not know. Anything else, deeper or larger than ever sent, is a fault.
  */
-public final class Message {
+public final class MessageCodec {
   /** Bytes of one. */
   public static final int LARGEST = 1 << 20;
 
@@ -35,7 +35,7 @@
                   .build())
           .build();
 
-  private Message() {}
+  private MessageCodec() {}
 
   /** Of texts, whole numbers, flags, nulls, and maps and lists of these. */
   public static byte[] write(Map<String, ?> message) {
@@ -152,7 +152,7 @@
   }
 
   /** Null stays null. */
-  public static Map<String, Object> of(Version version) {
+  public static Map<String, Object> of(SettingsVersion version) {
     if (version == null) {
       return null;
     }
@@ -167,9 +167,9 @@
   }
 
   /** Null where it is none. */
-  public static Version version(Object told) {
+  public static SettingsVersion version(Object told) {
     return told instanceof Map<?, ?> map
-        ? new Version(
+        ? new SettingsVersion(
             number(map, "number"),
             text(map, "text"),
             (int) Math.max(1, number(map, "routers")),
@@ -180,7 +180,7 @@
   }
 
   /** One line of the history. */
-  public static Map<String, Object> of(Chapter chapter) {
+  public static Map<String, Object> of(HistoryEntry chapter) {
     Map<String, Object> told = of(chapter.version());
     told.put("end", chapter.end().name());
     told.put("reason", chapter.reason());
@@ -188,7 +188,8 @@
   }
 
   /** Throws where its end is none. */
-  public static Chapter chapter(Map<?, ?> told) {
-    return new Chapter(version(told), End.valueOf(text(told, "end")), text(told, "reason"));
+  public static HistoryEntry chapter(Map<?, ?> told) {
+    return new HistoryEntry(
+        version(told), VersionOutcome.valueOf(text(told, "end")), text(told, "reason"));
   }
 }
--- a/router/src/main/java/basaltlever/fleet/Engine.java
+++ b/router/src/main/java/basaltlever/fleet/RaftNode.java
@@ -1,9 +1,9 @@
 package basaltlever.fleet;
 
-import basaltlever.agree.Register;
-import basaltlever.agree.Register.Chapter;
-import basaltlever.agree.Version;
 import basaltlever.log.Event;
+import basaltlever.settings.SettingsVersion;
+import basaltlever.settings.VersionRegister;
+import basaltlever.settings.VersionRegister.HistoryEntry;
 import java.io.ByteArrayInputStream;
 import java.io.DataInput;
 import java.io.DataOutput;
@@ -34,7 +34,7 @@
  * folder; the register is what the log comes to. Commands come from the engine's own threads, one
  * after the other; who reads the register meanwhile holds its lock.
  */
-final class Engine implements StateMachine, AutoCloseable {
+final class RaftNode implements StateMachine, AutoCloseable {
   private static final String STACK =
       """
         <config xmlns="urn:org:jgroups">
@@ -66,10 +66,10 @@
 
   private static final long JOINS_AGAIN_MILLIS = 300;
   private static final int KEPT_TEXTS = 2;
-  private static final Logger LOG = LoggerFactory.getLogger(Engine.class);
+  private static final Logger LOG = LoggerFactory.getLogger(RaftNode.class);
 
   /** For readers outside the engine's threads too: hold its lock. */
-  final Register register = new Register();
+  final VersionRegister register = new VersionRegister();
 
   private final JChannel channel;
   private final RaftHandle raft;
@@ -81,7 +81,7 @@
    * where they may be met. Suspicion comes after the span; leads is told whenever this voter begins
    * or ceases to lead, on the engine's thread.
    */
-  Engine(
+  RaftNode(
       String fleet,
       String name,
       Map<String, InetSocketAddress> voters,
@@ -177,7 +177,7 @@
 
   /** The answer of the register once a majority has the command; fails where there is none. */
   CompletableFuture<String> submit(Map<String, Object> command) {
-    byte[] bytes = Message.write(command);
+    byte[] bytes = MessageCodec.write(command);
     try {
       return raft.setAsync(bytes, 0, bytes.length, Options.create(false))
           .thenApply(answer -> answer == null ? "" : new String(answer, StandardCharsets.UTF_8));
@@ -190,46 +190,49 @@
 
   @Override
   public byte[] apply(byte[] data, int offset, int length, boolean serialize) throws IOException {
-    Map<String, Object> command = Message.read(data, offset, length);
+    Map<String, Object> command = MessageCodec.read(data, offset, length);
     String answer;
     synchronized (register) {
-      long number = Message.number(command, "number");
+      long number = MessageCodec.number(command, "number");
       answer =
-          switch (Message.text(command, "do")) {
+          switch (MessageCodec.text(command, "do")) {
             case "propose" ->
                 register.propose(
                     number,
-                    Message.text(command, "text"),
-                    (int) Math.max(1, Message.number(command, "routers")),
-                    Message.text(command, "who"),
-                    Message.text(command, "why"),
-                    Message.number(command, "at"));
+                    MessageCodec.text(command, "text"),
+                    (int) Math.max(1, MessageCodec.number(command, "routers")),
+                    MessageCodec.text(command, "who"),
+                    MessageCodec.text(command, "why"),
+                    MessageCodec.number(command, "at"));
             case "force" -> register.bringIntoForce(number) ? "" : "it is not on its way";
             case "withdraw" ->
-                register.withdraw(number, Message.text(command, "why"))
+                register.withdraw(number, MessageCodec.text(command, "why"))
                     ? ""
                     : "it is not on its way";
             case "seat" -> {
-              Lists.seats(command.get("seats"))
+              MembershipCodec.seats(command.get("seats"))
                   .forEach(seat -> register.seat(seat.member(), seat.group(), seat.at()));
               yield "";
             }
             case "clear" -> {
-              Lists.seats(command.get("seats")).forEach(seat -> register.clear(seat.member()));
+              MembershipCodec.seats(command.get("seats"))
+                  .forEach(seat -> register.clear(seat.member()));
               yield "";
             }
             case "seal" ->
-                register.seal(Message.text(command, "voter"), Message.text(command, "folder"))
+                register.seal(
+                        MessageCodec.text(command, "voter"), MessageCodec.text(command, "folder"))
                     ? ""
                     : "its folder is known";
             case "unseal" -> {
-              register.unseal(Message.text(command, "voter"));
+              register.unseal(MessageCodec.text(command, "voter"));
               yield "";
             }
             case "count_anew" -> register.countAnew(number) ? "" : "it is counted anew already";
             case "charter" -> {
               // Once: whoever leads submits it until it has begun.
-              if (Register.charter(Message.number(command, "changes")) > register.charter()) {
+              if (VersionRegister.charter(MessageCodec.number(command, "changes"))
+                  > register.charter()) {
                 restore(command);
               }
               yield "";
@@ -243,37 +246,37 @@
 
   @Override
   public void writeContentTo(DataOutput out) throws IOException {
-    byte[] bytes = Message.write(content(register));
+    byte[] bytes = MessageCodec.write(content(register));
     out.writeInt(bytes.length);
     out.write(bytes);
   }
 
   /** All of a register that a snapshot or a seed holds. */
-  static Map<String, Object> content(Register register) {
+  static Map<String, Object> content(VersionRegister register) {
     Map<String, Object> all = new LinkedHashMap<>();
     synchronized (register) {
-      all.put("force", Message.of(register.inForce()));
-      all.put("prepared", Message.of(register.prepared()));
+      all.put("force", MessageCodec.of(register.inForce()));
+      all.put("prepared", MessageCodec.of(register.prepared()));
       all.put("last", register.last());
       all.put("changes", register.changes());
       all.put("era", register.era());
       all.put("seats_number", register.seatsNumber());
-      all.put("seats", register.seats(-1).stream().map(Lists::of).toList());
+      all.put("seats", register.seats(-1).stream().map(MembershipCodec::of).toList());
       all.put("seals", new LinkedHashMap<>(register.seals()));
       all.put("ended", List.copyOf(register.ended()));
       // The texts of old versions would make a snapshot large: revert needs the latest few only.
-      List<Chapter> history = register.history();
+      List<HistoryEntry> history = register.history();
       all.put(
           "history",
           history.stream()
               .map(
                   chapter -> {
                     boolean old = history.indexOf(chapter) < history.size() - KEPT_TEXTS;
-                    Version v = chapter.version();
-                    return Message.of(
+                    SettingsVersion v = chapter.version();
+                    return MessageCodec.of(
                         old
-                            ? new Chapter(
-                                new Version(
+                            ? new HistoryEntry(
+                                new SettingsVersion(
                                     v.number(), "", v.routers(), v.who(), v.why(), v.atMillis()),
                                 chapter.end(),
                                 chapter.reason())
@@ -286,30 +289,30 @@
 
   @Override
   public void readContentFrom(DataInput in) throws IOException {
-    byte[] bytes = new byte[Math.min(Math.max(0, in.readInt()), Message.LARGEST)];
+    byte[] bytes = new byte[Math.min(Math.max(0, in.readInt()), MessageCodec.LARGEST)];
     in.readFully(bytes);
-    restore(Message.read(bytes, 0, bytes.length));
+    restore(MessageCodec.read(bytes, 0, bytes.length));
   }
 
   private void restore(Map<String, Object> all) {
     synchronized (register) {
       register.restore(
-          Message.version(all.get("force")),
-          Message.version(all.get("prepared")),
-          Message.number(all, "last"),
-          Message.number(all, "changes"),
+          MessageCodec.version(all.get("force")),
+          MessageCodec.version(all.get("prepared")),
+          MessageCodec.number(all, "last"),
+          MessageCodec.number(all, "changes"),
           all.get("history") instanceof List<?> lines
-              ? lines.stream().map(line -> Message.chapter((Map<?, ?>) line)).toList()
+              ? lines.stream().map(line -> MessageCodec.chapter((Map<?, ?>) line)).toList()
               : List.of());
       register.restore(
-          Message.number(all, "era"),
-          Message.number(all, "seats_number"),
-          Lists.seats(all.get("seats")));
+          MessageCodec.number(all, "era"),
+          MessageCodec.number(all, "seats_number"),
+          MembershipCodec.seats(all.get("seats")));
       Map<String, String> seals = new LinkedHashMap<>();
       if (all.get("seals") instanceof Map<?, ?> told) {
         told.forEach((voter, folder) -> seals.put("" + voter, "" + folder));
       }
-      register.restore(seals, Message.texts(all, "ended"));
+      register.restore(seals, MessageCodec.texts(all, "ended"));
     }
   }
 
--- a/router/src/main/java/basaltlever/fleet/Voter.java
+++ b/router/src/main/java/basaltlever/fleet/VoterServer.java
@@ -1,22 +1,22 @@
 package basaltlever.fleet;
 
-import basaltlever.agree.Census;
-import basaltlever.agree.Census.Fork;
-import basaltlever.agree.Doubt;
-import basaltlever.agree.Grant;
-import basaltlever.agree.Leases;
-import basaltlever.agree.Leases.Peer;
-import basaltlever.agree.Leases.Step;
-import basaltlever.agree.Register;
-import basaltlever.agree.Report;
-import basaltlever.agree.Sight;
-import basaltlever.agree.Standing;
-import basaltlever.agree.Standing.Seal;
-import basaltlever.agree.Standing.Told;
-import basaltlever.agree.Version;
-import basaltlever.config.Terms;
+import basaltlever.config.FleetSettings;
 import basaltlever.log.Event;
-import basaltlever.log.Tally;
+import basaltlever.log.RateLimitedLog;
+import basaltlever.membership.HeartbeatReport;
+import basaltlever.membership.ListAnomaly;
+import basaltlever.membership.MembershipCoordinator;
+import basaltlever.membership.MembershipCoordinator.ListFork;
+import basaltlever.membership.MembershipUpdate;
+import basaltlever.membership.VoterEligibility;
+import basaltlever.membership.VoterEligibility.PeerStatus;
+import basaltlever.membership.VoterEligibility.VoterIdentity;
+import basaltlever.settings.LeaseGrant;
+import basaltlever.settings.LeaseTable;
+import basaltlever.settings.LeaseTable.Peer;
+import basaltlever.settings.LeaseTable.Step;
+import basaltlever.settings.SettingsVersion;
+import basaltlever.settings.VersionRegister;
 import basaltlever.time.Moment;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -45,8 +45,8 @@
  * takes the steps that follow. All of it runs on one loop of its own, so that no statement waits
  * for it.
  */
-final class Voter implements AutoCloseable {
-  private static final Logger LOG = LoggerFactory.getLogger(Voter.class);
+final class VoterServer implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(VoterServer.class);
 
   /**
    * Clocks of machines in one fleet run apart by this share at most; at twice that leases still
@@ -62,22 +62,22 @@
   private static final long ASKS_AGAIN_MILLIS = 200;
   private static final long LOOKS_MILLIS = 2_000;
 
-  private final Terms terms;
+  private final FleetSettings terms;
   private final EventLoop loop;
-  private final Leases leases;
-  private final Census census;
+  private final LeaseTable leases;
+  private final MembershipCoordinator census;
   private final String name;
-  private final Papers papers;
+  private final VoterStore papers;
 
   /** Null while it may not vote. */
-  private volatile Engine engine;
+  private volatile RaftNode engine;
 
   private volatile long charter;
   private volatile String waits = "";
   private volatile boolean closed;
 
   /** What a voter that may not vote tells of. */
-  private final Register nothing = new Register();
+  private final VersionRegister nothing = new VersionRegister();
 
   private boolean sealing;
   private final Channel listener;
@@ -85,16 +85,18 @@
   private boolean leads;
   private boolean stepping;
   private boolean pulsing;
-  private List<Fork> forks = List.of();
-  private final Tally forksTold = new Tally(LOG, Event.FLEET_FORK, Voter::now);
+  private List<ListFork> forks = List.of();
+  private final RateLimitedLog forksTold =
+      new RateLimitedLog(LOG, Event.FLEET_FORK, VoterServer::now);
 
-  Voter(Terms terms, String name, EventLoop loop, Papers papers) throws Exception {
+  VoterServer(FleetSettings terms, String name, EventLoop loop, VoterStore papers)
+      throws Exception {
     this.terms = terms;
     this.name = name;
     this.loop = loop;
     this.papers = papers;
-    leases = new Leases(terms.lease(), 2 * DRIFT);
-    census = new Census(leases, terms.peers().keySet(), terms.assigned());
+    leases = new LeaseTable(terms.lease(), 2 * DRIFT);
+    census = new MembershipCoordinator(leases, terms.peers().keySet(), terms.assigned());
     listener =
         new ServerBootstrap()
             .group(loop, loop)
@@ -111,7 +113,7 @@
                     }
                     connections++;
                     channel.closeFuture().addListener(done -> connections--);
-                    channel.pipeline().addLast(new Spoken());
+                    channel.pipeline().addLast(new ClientHandler());
                   }
                 })
             .bind(terms.peers().get(name))
@@ -130,12 +132,12 @@
   private void stands() {
     while (!closed) {
       try {
-        List<Told> told = othersTell();
+        List<PeerStatus> told = othersTell();
         synchronized (papers) {
           if (engine == null && !closed) {
-            Seal own = papers.seal();
+            VoterIdentity own = papers.seal();
             begin(
-                Standing.of(
+                VoterEligibility.of(
                     name,
                     own.members().isEmpty() ? null : own,
                     List.copyOf(terms.voters().keySet()),
@@ -165,8 +167,8 @@
     }
   }
 
-  private List<Told> othersTell() {
-    List<Told> all = new ArrayList<>();
+  private List<PeerStatus> othersTell() {
+    List<PeerStatus> all = new ArrayList<>();
     Set<String> others = new LinkedHashSet<>(terms.voters().keySet());
     others.addAll(papers.voters());
     others.retainAll(terms.peers().keySet());
@@ -175,13 +177,13 @@
       Map<String, Object> told = ask(other);
       if (told != null) {
         all.add(
-            new Told(
+            new PeerStatus(
                 other,
-                Message.number(told, "charter"),
-                Message.texts(told, "members"),
-                Message.text(told, "seal"),
-                Message.flag(told, "fresh"),
-                Message.flag(told, "leads")));
+                MessageCodec.number(told, "charter"),
+                MessageCodec.texts(told, "members"),
+                MessageCodec.text(told, "seal"),
+                MessageCodec.flag(told, "fresh"),
+                MessageCodec.flag(told, "leads")));
       }
     }
     return all;
@@ -191,32 +193,32 @@
   private Map<String, Object> ask(String other) {
     try {
       Map<String, Object> told =
-          Call.ask(
+          AdminClient.ask(
               terms.peers().get(other),
               Map.of("do", "status", "fleet", terms.name(), "from", name),
               ANSWERS_MILLIS);
-      return Message.text(told, "do").equals("status") ? told : null;
+      return MessageCodec.text(told, "do").equals("status") ? told : null;
     } catch (IOException silent) {
       return null;
     }
   }
 
-  private void begin(Standing standing) throws Exception {
-    if (standing.kind() == Standing.Kind.WAIT) {
+  private void begin(VoterEligibility standing) throws Exception {
+    if (standing.kind() == VoterEligibility.Kind.WAIT) {
       if (!standing.why().equals(waits)) {
         waits = standing.why();
         Event.FLEET_STANDS.log(LOG, Level.WARN, "", "waits", waits);
       }
       return;
     }
-    if (standing.kind() != Standing.Kind.RESUME) {
+    if (standing.kind() != VoterEligibility.Kind.RESUME) {
       papers.votes(standing.charter(), standing.members());
     }
     waits = "";
     charter = standing.charter();
     Files.createDirectories(papers.log(charter));
     engine =
-        new Engine(
+        new RaftNode(
             charter == 0 ? terms.name() : terms.name() + "#" + charter,
             name,
             terms.voters(),
@@ -241,7 +243,7 @@
    * any more.
    */
   private void retire() {
-    Engine former = engine;
+    RaftNode former = engine;
     engine = null;
     loop.execute(() -> leads(false));
     former.close();
@@ -249,8 +251,8 @@
         LOG, Level.WARN, "", "retires", "a charter newer than " + charter + ", or taken out");
   }
 
-  private Register register() {
-    Engine by = engine;
+  private VersionRegister register() {
+    RaftNode by = engine;
     return by == null ? nothing : by.register;
   }
 
@@ -265,17 +267,17 @@
    */
   private String recover(Map<String, Object> command) throws Exception {
     synchronized (papers) {
-      Engine former = engine;
+      RaftNode former = engine;
       if (former == null) {
         return name + " does not vote: " + waits;
       }
-      if (Message.number(command, "number") != charter + 1) {
+      if (MessageCodec.number(command, "number") != charter + 1) {
         return "charter " + charter + " holds, so the next one is " + (charter + 1);
       }
       if (leads || !former.leader().isEmpty()) {
         return "a majority is there: " + (leads ? name : former.leader()) + " leads";
       }
-      List<String> lost = Message.texts(command, "ended");
+      List<String> lost = MessageCodec.texts(command, "ended");
       for (String member : former.members()) {
         Map<String, Object> told = member.equals(name) ? null : ask(member);
         if (lost.contains(member) && told != null) {
@@ -285,24 +287,24 @@
           if (told == null) {
             return member + " votes too: end it and name it, or bring it back";
           }
-          if (Message.number(told, "changes") > former.register.changes()) {
+          if (MessageCodec.number(told, "changes") > former.register.changes()) {
             return member + " knows more: have it recover instead";
           }
         }
       }
       engine = null;
       former.close();
-      Register register = former.register;
+      VersionRegister register = former.register;
       synchronized (register) {
         register.recover(
             new TreeSet<>(lost),
-            Message.text(command, "who"),
-            Message.text(command, "why"),
+            MessageCodec.text(command, "who"),
+            MessageCodec.text(command, "why"),
             System.currentTimeMillis());
       }
-      papers.begins(charter + 1, Engine.content(register));
+      papers.begins(charter + 1, RaftNode.content(register));
       papers.votes(charter + 1, List.of(name));
-      begin(new Standing(Standing.Kind.RESUME, charter + 1, List.of(name), ""));
+      begin(new VoterEligibility(VoterEligibility.Kind.RESUME, charter + 1, List.of(name), ""));
       return "";
     }
   }
@@ -366,9 +368,9 @@
 
   private void step() {
     Step step;
-    Census.Step lists;
+    MembershipCoordinator.Step lists;
     Map<String, Object> command = new LinkedHashMap<>();
-    Register register = register();
+    VersionRegister register = register();
     synchronized (register) {
       step = leases.next(now(), register);
       lists = census.next(now(), register);
@@ -380,7 +382,7 @@
           command.put("why", step.reason());
         }
         case COUNT_ROUTERS -> {
-          Version version = register.inForce();
+          SettingsVersion version = register.inForce();
           command.put("do", "propose");
           command.put("text", version.text());
           command.put("routers", step.routers());
@@ -397,7 +399,7 @@
     if (command.containsKey("do")) {
       submit(command);
       Event.FLEET_STEP.log(LOG, Level.INFO, "", step.kind(), step.number(), step.reason());
-    } else if (lists.kind() != Census.Step.Kind.NOTHING) {
+    } else if (lists.kind() != MembershipCoordinator.Step.Kind.NOTHING) {
       submit(command(lists));
       Event.FLEET_LISTS.log(
           LOG,
@@ -410,14 +412,14 @@
               .map(seat -> seat.member() + " in " + seat.group())
               .toList());
     }
-    List<Fork> found = census.forks(now());
+    List<ListFork> found = census.forks(now());
     if (!found.equals(forks)) {
       forks = found;
       found.forEach(fork -> forksTold.note(fork.at().generation(), "" + fork.holders().values()));
     }
   }
 
-  private Map<String, Object> command(Census.Step step) {
+  private Map<String, Object> command(MembershipCoordinator.Step step) {
     Map<String, Object> command = new LinkedHashMap<>();
     switch (step.kind()) {
       case SEAT -> command.put("do", "seat");
@@ -429,12 +431,12 @@
         }
       }
     }
-    command.put("seats", step.seats().stream().map(Lists::of).toList());
+    command.put("seats", step.seats().stream().map(MembershipCodec::of).toList());
     return command;
   }
 
   private void submit(Map<String, Object> command) {
-    Engine by = engine;
+    RaftNode by = engine;
     if (by == null) {
       return;
     }
@@ -445,25 +447,25 @@
   }
 
   /** One connection of a router or of an operator's command. */
-  private final class Spoken extends Wire {
+  private final class ClientHandler extends FrameCodec {
     @Override
     void heard(ChannelHandlerContext from, Map<String, Object> message) {
-      String name = Message.text(message, "from");
-      if (!Message.text(message, "fleet").equals(terms.name())) {
+      String name = MessageCodec.text(message, "from");
+      if (!MessageCodec.text(message, "fleet").equals(terms.name())) {
         refuse(from, "this is fleet " + terms.name());
         return;
       }
-      switch (Message.text(message, "do")) {
+      switch (MessageCodec.text(message, "do")) {
         case "beat" -> {
           if (!terms.peers().containsKey(name)) {
             refuse(from, name + " is no peer of fleet " + terms.name());
-          } else if (Message.number(message, "charter") > charter && engine != null) {
+          } else if (MessageCodec.number(message, "charter") > charter && engine != null) {
             newer();
             send(from, Map.of("do", "follows"));
           } else if (leads && hasBegun()) {
             send(from, beat(name, message));
           } else {
-            Engine by = engine;
+            RaftNode by = engine;
             send(from, Map.of("do", "follows", "leader", by == null ? "" : by.leader()));
           }
         }
@@ -518,9 +520,9 @@
 
     /** One voter more, or one less; it is known by no folder then. */
     private void change(ChannelHandlerContext from, Map<String, Object> message) {
-      String voter = Message.text(message, "voter");
-      boolean in = Message.flag(message, "in");
-      Engine by = engine;
+      String voter = MessageCodec.text(message, "voter");
+      boolean in = MessageCodec.flag(message, "in");
+      RaftNode by = engine;
       String why =
           by == null || !leads || !hasBegun()
               ? name + " does not lead"
@@ -558,7 +560,7 @@
       Map<String, Object> command = new LinkedHashMap<>(message);
       command.keySet().retainAll(List.of("do", "number", "text", "who", "why"));
       command.put("at", System.currentTimeMillis());
-      Engine by = engine;
+      RaftNode by = engine;
       if (by == null || !hasBegun()) {
         send(from, Map.of("do", "refused", "why", name + " does not vote: " + waits));
         return;
@@ -589,41 +591,41 @@
   }
 
   private Map<String, Object> beat(String name, Map<String, Object> beat) {
-    Grant grant;
-    Sight sight;
-    Report report = Lists.report(beat.get("lists"));
-    Register register = register();
+    LeaseGrant grant;
+    MembershipUpdate sight;
+    HeartbeatReport report = MembershipCodec.report(beat.get("lists"));
+    VersionRegister register = register();
     synchronized (register) {
       grant =
           leases.beat(
               now(),
               name,
-              Message.number(beat, "incarnation"),
-              Message.number(beat, "beat"),
-              Message.number(beat, "force"),
-              Message.number(beat, "keeps"),
-              Message.number(beat, "refused"),
-              Message.text(beat, "refusal"),
-              Message.flag(beat, "holds"),
+              MessageCodec.number(beat, "incarnation"),
+              MessageCodec.number(beat, "beat"),
+              MessageCodec.number(beat, "force"),
+              MessageCodec.number(beat, "keeps"),
+              MessageCodec.number(beat, "refused"),
+              MessageCodec.text(beat, "refusal"),
+              MessageCodec.flag(beat, "holds"),
               register);
       sight = census.beat(now(), name, report, register);
     }
-    learnsFolder(name, Message.text(beat, "folder"));
+    learnsFolder(name, MessageCodec.text(beat, "folder"));
     Map<String, Object> told = new HashMap<>();
     told.put("do", "grant");
     told.put("beat", grant.beat());
     told.put("lasts", grant.lasts().micros());
     told.put("changes", grant.changes());
     told.put("members", engine == null ? List.of() : engine.members());
-    told.put("force", without(grant.inForce(), Message.number(beat, "force")));
-    told.put("prepared", without(grant.prepared(), Message.number(beat, "keeps")));
-    told.put("lists", Lists.of(sight));
+    told.put("force", without(grant.inForce(), MessageCodec.number(beat, "force")));
+    told.put("prepared", without(grant.prepared(), MessageCodec.number(beat, "keeps")));
+    told.put("lists", MembershipCodec.of(sight));
     return told;
   }
 
   /** By which a voter has voted: with another one it might again. */
   private void learnsFolder(String voter, String folder) {
-    Engine by = engine;
+    RaftNode by = engine;
     if (!folder.isEmpty()
         && by != null
         && !sealing
@@ -642,8 +644,8 @@
   }
 
   /** A text that the router has is not sent again with every beat. */
-  private static Map<String, Object> without(Version version, long known) {
-    Map<String, Object> told = Message.of(version);
+  private static Map<String, Object> without(SettingsVersion version, long known) {
+    Map<String, Object> told = MessageCodec.of(version);
     if (told != null && version.number() == known) {
       told.remove("text");
     }
@@ -654,23 +656,23 @@
     Map<String, Object> told = new LinkedHashMap<>();
     told.put("do", "status");
     told.put("leads", leads);
-    Engine by = engine;
-    Register register = register();
+    RaftNode by = engine;
+    VersionRegister register = register();
     told.put("standing", by == null ? "does not vote: " + waits : by.standing());
     told.put("charter", charter);
     told.put("members", by == null ? List.of() : by.members());
     told.put("fresh", by == null && papers.seal().members().isEmpty());
     synchronized (register) {
       told.put("changes", register.changes());
-      told.put("force", Message.of(register.inForce()));
-      told.put("prepared", Message.of(register.prepared()));
+      told.put("force", MessageCodec.of(register.inForce()));
+      told.put("prepared", MessageCodec.of(register.prepared()));
       told.put(
           "history",
           register.history().stream()
               .map(
                   chapter -> {
                     // Of the whole history only the latest contents: an answer is bounded.
-                    Map<String, Object> line = Message.of(chapter);
+                    Map<String, Object> line = MessageCodec.of(chapter);
                     if (chapter.version().number() < register.last() - KEPT_TEXTS) {
                       line.remove("text");
                     }
@@ -688,19 +690,19 @@
       line.put("force", peer.inForce);
       line.put("keeps", peer.keepsTo);
       line.put("refusal", peer.refusal);
-      Report report = census.said(peer.name);
+      HeartbeatReport report = census.said(peer.name);
       line.put("generation", report.at().generation());
       line.put("digest", Long.toHexString(report.digest()));
       line.put(
           "list",
-          report.doubt() == Doubt.NONE
+          report.doubt() == ListAnomaly.NONE
               ? census.verdictOn(peer.name, now(), register).name()
               : report.doubt().name());
       peers.add(line);
     }
     told.put("peers", peers);
     List<Map<String, Object>> parted = new ArrayList<>();
-    for (Fork fork : census.forks(now())) {
+    for (ListFork fork : census.forks(now())) {
       Map<String, Object> line = new LinkedHashMap<>();
       line.put("generation", fork.at().generation());
       line.put("holders", List.copyOf(fork.holders().values()));
@@ -712,7 +714,10 @@
       told.put("seats", register.seatsNumber());
       told.put(
           "moving",
-          register.seats(-1).stream().filter(seat -> !seat.cleared()).map(Lists::of).toList());
+          register.seats(-1).stream()
+              .filter(seat -> !seat.cleared())
+              .map(MembershipCodec::of)
+              .toList());
     }
     return told;
   }
--- a/router/src/main/java/basaltlever/fleet/Papers.java
+++ b/router/src/main/java/basaltlever/fleet/VoterStore.java
@@ -1,8 +1,8 @@
 package basaltlever.fleet;
 
-import basaltlever.agree.Standing.Seal;
-import basaltlever.agree.Version;
-import basaltlever.keep.Folder;
+import basaltlever.membership.VoterEligibility.VoterIdentity;
+import basaltlever.settings.SettingsVersion;
+import basaltlever.storage.LockedDirectory;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -19,20 +19,25 @@
  * renamed, behind its sum; a folder of another router or fleet is refused, as is one that can't be
  * read: who goes on with a guess could vote twice.
  */
-public final class Papers {
+public final class VoterStore {
   private static final String FILE = "papers";
   private static final String NEW = "papers.new";
-  private static final int LARGEST = Message.LARGEST;
+  private static final int LARGEST = MessageCodec.LARGEST;
 
-  private final Folder folder;
-  private Seal seal;
+  private final LockedDirectory folder;
+  private VoterIdentity seal;
   private long knows;
   private List<String> voters;
 
   /** Null where none was told. */
-  private Version told;
-
-  private Papers(Folder folder, Seal seal, long knows, List<String> voters, Version told) {
+  private SettingsVersion told;
+
+  private VoterStore(
+      LockedDirectory folder,
+      VoterIdentity seal,
+      long knows,
+      List<String> voters,
+      SettingsVersion told) {
     this.folder = folder;
     this.seal = seal;
     this.knows = knows;
@@ -41,13 +46,13 @@
   }
 
   /** Of the router by that name; throws with the reason where the folder is not its own. */
-  public static Papers read(Path path, String fleet, String name) throws IOException {
+  public static VoterStore read(Path path, String fleet, String name) throws IOException {
     Files.createDirectories(path);
-    Folder folder = new Folder(path);
+    LockedDirectory folder = new LockedDirectory(path);
     if (!folder.names().contains(FILE)) {
-      return new Papers(
+      return new VoterStore(
           folder,
-          new Seal(fleet, name, UUID.randomUUID().toString(), 0, List.of()),
+          new VoterIdentity(fleet, name, UUID.randomUUID().toString(), 0, List.of()),
           0,
           List.of(),
           null);
@@ -59,14 +64,14 @@
               + " is damaged: bring the folder back from a copy, or take this"
               + " voter out, empty the folder and take it in again");
     }
-    Map<String, Object> all = Message.read(bytes, Long.BYTES, bytes.length - Long.BYTES);
-    Seal seal =
-        new Seal(
-            Message.text(all, "fleet"),
-            Message.text(all, "name"),
-            Message.text(all, "id"),
-            Message.number(all, "charter"),
-            Message.texts(all, "members"));
+    Map<String, Object> all = MessageCodec.read(bytes, Long.BYTES, bytes.length - Long.BYTES);
+    VoterIdentity seal =
+        new VoterIdentity(
+            MessageCodec.text(all, "fleet"),
+            MessageCodec.text(all, "name"),
+            MessageCodec.text(all, "id"),
+            MessageCodec.number(all, "charter"),
+            MessageCodec.texts(all, "members"));
     if (!seal.fleet().equals(fleet) || !seal.name().equals(name)) {
       throw new IOException(
           path
@@ -79,12 +84,12 @@
               + " of "
               + fleet);
     }
-    return new Papers(
+    return new VoterStore(
         folder,
         seal,
-        Message.number(all, "knows"),
-        Message.texts(all, "voters"),
-        Message.version(all.get("told")));
+        MessageCodec.number(all, "knows"),
+        MessageCodec.texts(all, "voters"),
+        MessageCodec.version(all.get("told")));
   }
 
   private static long sum(byte[] bytes, int from) {
@@ -94,7 +99,7 @@
   }
 
   /** With no members where it does not vote. */
-  synchronized Seal seal() {
+  synchronized VoterIdentity seal() {
     return seal;
   }
 
@@ -105,7 +110,7 @@
 
   /** From here on it votes so, also after a crash in the next moment. */
   synchronized void votes(long charter, List<String> members) throws IOException {
-    seal = new Seal(seal.fleet(), seal.name(), seal.id(), charter, List.copyOf(members));
+    seal = new VoterIdentity(seal.fleet(), seal.name(), seal.id(), charter, List.copyOf(members));
     knows = Math.max(knows, charter);
     write();
   }
@@ -135,11 +140,11 @@
    * The version that a leader told last to be in force, with how many routers share the whole: a
    * process that starts while nobody leads keeps to nothing looser. Null where none was told.
    */
-  public synchronized Version told() {
+  public synchronized SettingsVersion told() {
     return told;
   }
 
-  synchronized void isTold(Version inForce) throws IOException {
+  synchronized void isTold(SettingsVersion inForce) throws IOException {
     if (!inForce.equals(told)) {
       told = inForce;
       write();
@@ -155,13 +160,13 @@
     all.put("members", seal.members());
     all.put("knows", knows);
     all.put("voters", voters);
-    all.put("told", Message.of(told));
-    byte[] content = Message.write(all);
+    all.put("told", MessageCodec.of(told));
+    byte[] content = MessageCodec.write(all);
     if (content.length > LARGEST - Long.BYTES) {
       // Settings that fill a whole message: without them is better than a folder that can't be
       // read.
       all.remove("told");
-      content = Message.write(all);
+      content = MessageCodec.write(all);
     }
     ByteBuffer bytes =
         ByteBuffer.allocate(Long.BYTES + content.length).putLong(sum(content, 0)).put(content);
@@ -178,13 +183,13 @@
       return null;
     }
     byte[] bytes = Files.readAllBytes(file);
-    return Message.read(bytes, 0, bytes.length);
+    return MessageCodec.read(bytes, 0, bytes.length);
   }
 
   /** To be followed by {@link #votes}: before that it is nothing. */
   synchronized void begins(long charter, Map<String, Object> register) throws IOException {
-    Folder own = new Folder(Files.createDirectories(log(charter)));
-    own.write("seed.new", Message.write(register));
+    LockedDirectory own = new LockedDirectory(Files.createDirectories(log(charter)));
+    own.write("seed.new", MessageCodec.write(register));
     own.sync("seed.new");
     own.rename("seed.new", "seed");
     own.syncFolder();
--- a/router/src/main/java/basaltlever/gateway/Allowance.java
+++ b/router/src/main/java/basaltlever/gateway/AttemptLimits.java
@@ -3,7 +3,7 @@
 import basaltlever.time.Span;
 
 /** What a router may do for one statement. */
-public record Allowance(
+public record AttemptLimits(
     int executions,
     boolean secondCopies,
     boolean cancels,
--- a/router/src/main/java/basaltlever/gateway/Ending.java
+++ b/router/src/main/java/basaltlever/gateway/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package basaltlever.gateway;
 
 /** How an execution or a poll ended. */
-public enum Ending {
+public enum AttemptOutcome {
   COMPLETED(false, true),
   ERROR(false, true),
   FULL(true, true),
@@ -21,7 +21,7 @@
   /** True where it is an answer of the node. */
   public final boolean answered;
 
-  Ending(boolean provesNotRun, boolean answered) {
+  AttemptOutcome(boolean provesNotRun, boolean answered) {
     this.provesNotRun = provesNotRun;
     this.answered = answered;
   }
--- a/router/src/main/java/basaltlever/gateway/Outbound.java
+++ b/router/src/main/java/basaltlever/gateway/DecisionSink.java
@@ -1,6 +1,6 @@
 package basaltlever.gateway;
 
-import basaltlever.change.Change;
+import basaltlever.switchover.PlannedSwitchover;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 
@@ -8,7 +8,7 @@
  * What the decisions may do to the world. Nodes and statements go by the small indices their caller
  * gave them.
  */
-public interface Outbound {
+public interface DecisionSink {
   /**
    * Starts an execution; they count 0, 1, 2 for each statement. A span of zero lasts as long as the
    * client. What can't be sent by the given moment must not be sent.
@@ -18,7 +18,7 @@
   void cancel(int statement, int execution);
 
   /** Final answer: trying again is harmless, and best after the span. */
-  void reject(int statement, Span comeBackAfter, Refusal why);
+  void reject(int statement, Span comeBackAfter, RejectReason why);
 
   /** Final answer: it may or may not have had an effect. */
   void abort(int statement);
@@ -40,7 +40,7 @@
   void prepare(int node, int connections);
 
   /** Tells on-call of a planned change's phase; its target may be -1. */
-  void change(int group, Change.Phase phase, int target);
+  void change(int group, PlannedSwitchover.Phase phase, int target);
 
   /**
    * Tells on-call how many groups and members are polled regularly, of how many members that are
--- a/router/src/main/java/basaltlever/gateway/Listing.java
+++ b/router/src/main/java/basaltlever/gateway/EndpointLifecycle.java
@@ -1,7 +1,7 @@
 package basaltlever.gateway;
 
 /** What the member list says of a node. */
-public enum Listing {
+public enum EndpointLifecycle {
   READY,
   DRAINING,
   GONE
--- a/router/src/main/java/basaltlever/gateway/Refusal.java
+++ b/router/src/main/java/basaltlever/gateway/RejectReason.java
@@ -1,7 +1,7 @@
 package basaltlever.gateway;
 
 /** Why a statement is refused though nothing of it was done. */
-public enum Refusal {
+public enum RejectReason {
   /** No server had room for it, or no primary was found, for as long as it may wait. */
   OVERDUE,
   /** Its group's servers answer late; less important statements are not begun. */
--- a/router/src/main/java/basaltlever/gateway/Standing.java
+++ b/router/src/main/java/basaltlever/gateway/RouterIdentity.java
@@ -4,9 +4,10 @@
  * Where this router stands among the others: how many there are, its own number from 0 on, its
  * zone, and what a poll and a crossing between zones cost, as shares of a statement's worth.
  */
-public record Standing(int routers, int index, int zone, double pollPrice, double crossingPrice) {
+public record RouterIdentity(
+    int routers, int index, int zone, double pollPrice, double crossingPrice) {
   /** The first of them, where the number does not matter. */
-  public Standing(int routers, int zone, double pollPrice, double crossingPrice) {
+  public RouterIdentity(int routers, int zone, double pollPrice, double crossingPrice) {
     this(routers, 0, zone, pollPrice, crossingPrice);
   }
 
--- a/router/src/main/java/basaltlever/gateway/Agreed.java
+++ b/router/src/main/java/basaltlever/gateway/Settings.java
@@ -3,11 +3,11 @@
 /**
  * All that a router and its operator have agreed: it holds as a whole, and is exchanged as a whole.
  */
-public record Agreed(
-    Standing standing,
+public record Settings(
+    RouterIdentity standing,
     Workload[] workloads,
     Replication replication,
-    Drains drains,
-    WarmUp warmUp,
-    Allowance allowance,
-    Connections connections) {}
+    DrainPolicy drains,
+    SlowStartPolicy warmUp,
+    AttemptLimits allowance,
+    PoolSettings connections) {}
--- a/router/src/main/java/basaltlever/gateway/WarmUp.java
+++ b/router/src/main/java/basaltlever/gateway/SlowStartPolicy.java
@@ -3,7 +3,7 @@
 import basaltlever.time.Span;
 
 /** How a node that has just started gains strength, and what topples it. */
-public record WarmUp(double coldFrom, Span warmAfter, double topplesAt, Span topplesIn) {
+public record SlowStartPolicy(double coldFrom, Span warmAfter, double topplesAt, Span topplesIn) {
   /**
    * The least share of its strength that a node has at this age, taken to rise evenly; 1 once warm.
    */
--- a/router/src/main/java/basaltlever/gateway/Workload.java
+++ b/router/src/main/java/basaltlever/gateway/Workload.java
@@ -4,10 +4,10 @@
 
 /** One kind of statement, as agreed at start. */
 public record Workload(
-    Needs needs,
+    ReadConsistency needs,
     Span bound,
-    Repeat repeat,
-    Within within,
+    Idempotency repeat,
+    DeduplicationScope within,
     Span window,
     Span slo,
     Span timeout,
@@ -15,7 +15,7 @@
     double lateShare) {
 
   /** How new the data under it must be. */
-  public enum Needs {
+  public enum ReadConsistency {
     WRITE,
     FRESH,
     SESSION,
@@ -23,20 +23,20 @@
     ANY
   }
 
-  public enum Repeat {
+  public enum Idempotency {
     IDEMPOTENT,
     DEDUPLICATED,
     NON_IDEMPOTENT
   }
 
   /** Where repeats of a deduplicated statement are dropped. */
-  public enum Within {
+  public enum DeduplicationScope {
     ALL,
     ZONE,
     GROUP
   }
 
   public boolean onlyPrimary() {
-    return needs == Needs.WRITE || needs == Needs.FRESH;
+    return needs == ReadConsistency.WRITE || needs == ReadConsistency.FRESH;
   }
 }
--- a/router/src/main/java/basaltlever/hold/HoldBudget.java
+++ b/router/src/main/java/basaltlever/hold/HoldBudget.java
@@ -1,6 +1,6 @@
 package basaltlever.hold;
 
-import basaltlever.model.Held;
+import basaltlever.model.HoldQueue;
 import basaltlever.model.Statement;
 import java.util.Iterator;
 import java.util.LinkedHashSet;
@@ -21,7 +21,7 @@
   private static final double OF_GROUP = 0.75;
 
   /** Groups that hold something, and some that have released all since they were last gone over. */
-  private final Set<Held> holding = new LinkedHashSet<>();
+  private final Set<HoldQueue> holding = new LinkedHashSet<>();
 
   private int statements;
   private long bytes;
@@ -37,24 +37,24 @@
     bytes = mostBytes;
   }
 
-  public Held group(int workloads) {
-    return new Held(workloads);
+  public HoldQueue group(int workloads) {
+    return new HoldQueue(workloads);
   }
 
   /** It holds nothing any more, and its group is forgotten. */
-  public void forget(Held held) {
+  public void forget(HoldQueue held) {
     holding.remove(held);
   }
 
   public int held() {
-    return holding.stream().mapToInt(Held::size).sum();
+    return holding.stream().mapToInt(HoldQueue::size).sum();
   }
 
   /**
    * Who has to go since one of the workload was added there; null where all have room. To be asked
    * until then.
    */
-  public Statement beyond(Held added, int workload) {
+  public Statement beyond(HoldQueue added, int workload) {
     holding.add(added);
     int mostOfGroup = (int) Math.max(1, statements * OF_ALL);
     if (added.size() > mostOfGroup || (added.bytes() > bytes * OF_ALL && added.size() > 1)) {
@@ -65,10 +65,10 @@
     }
     int count = 0;
     long size = 0;
-    Held most = added;
-    Held largest = added;
-    for (Iterator<Held> each = holding.iterator(); each.hasNext(); ) {
-      Held held = each.next();
+    HoldQueue most = added;
+    HoldQueue largest = added;
+    for (Iterator<HoldQueue> each = holding.iterator(); each.hasNext(); ) {
+      HoldQueue held = each.next();
       if (held.isEmpty()) {
         each.remove();
         continue;
--- a/router/src/main/java/basaltlever/json/JsonFault.java
+++ b/router/src/main/java/basaltlever/json/InvalidJsonException.java
@@ -1,10 +1,10 @@
 package basaltlever.json;
 
 /** The text is not JSON, or more of it than is taken. */
-public final class JsonFault extends Exception {
+public final class InvalidJsonException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  JsonFault(String what, int at) {
+  InvalidJsonException(String what, int at) {
     super(what + " at character " + at);
   }
 }
--- a/router/src/main/java/basaltlever/json/Json.java
+++ b/router/src/main/java/basaltlever/json/Json.java
@@ -29,7 +29,7 @@
     this.text = text;
   }
 
-  public static Object read(String text) throws JsonFault {
+  public static Object read(String text) throws InvalidJsonException {
     Json json = new Json(text);
     Object value = json.value();
     json.space();
@@ -39,7 +39,7 @@
     return value;
   }
 
-  private Object value() throws JsonFault {
+  private Object value() throws InvalidJsonException {
     space();
     return switch (peek()) {
       case '{' -> object();
@@ -52,7 +52,7 @@
     };
   }
 
-  private Map<String, Object> object() throws JsonFault {
+  private Map<String, Object> object() throws InvalidJsonException {
     Map<String, Object> members = new LinkedHashMap<>();
     open();
     while (more('}', members.isEmpty())) {
@@ -67,7 +67,7 @@
     return members;
   }
 
-  private List<Object> array() throws JsonFault {
+  private List<Object> array() throws InvalidJsonException {
     List<Object> items = new ArrayList<>();
     open();
     while (more(']', items.isEmpty())) {
@@ -76,14 +76,14 @@
     return items;
   }
 
-  private void open() throws JsonFault {
+  private void open() throws InvalidJsonException {
     at++;
     if (++depth > DEEPEST) {
       throw fault("nested too deeply");
     }
   }
 
-  private boolean more(char close, boolean first) throws JsonFault {
+  private boolean more(char close, boolean first) throws InvalidJsonException {
     space();
     if (peek() == close) {
       at++;
@@ -97,7 +97,7 @@
     return true;
   }
 
-  private String string() throws JsonFault {
+  private String string() throws InvalidJsonException {
     expect('"');
     StringBuilder out = new StringBuilder();
     while (true) {
@@ -112,7 +112,7 @@
     }
   }
 
-  private char escaped() throws JsonFault {
+  private char escaped() throws InvalidJsonException {
     char c = take();
     int known = "\"\\/bfnrt".indexOf(c);
     if (known >= 0) {
@@ -129,7 +129,7 @@
     return (char) code;
   }
 
-  private Object word(String word, Object value) throws JsonFault {
+  private Object word(String word, Object value) throws InvalidJsonException {
     if (!text.startsWith(word, at)) {
       throw fault("an unknown word");
     }
@@ -137,7 +137,7 @@
     return value;
   }
 
-  private BigDecimal number() throws JsonFault {
+  private BigDecimal number() throws InvalidJsonException {
     int from = at;
     while (at < text.length() && "+-.eE0123456789".indexOf(text.charAt(at)) >= 0) {
       at++;
@@ -156,27 +156,27 @@
     }
   }
 
-  private char peek() throws JsonFault {
+  private char peek() throws InvalidJsonException {
     if (at >= text.length()) {
       throw fault("the text ends too early");
     }
     return text.charAt(at);
   }
 
-  private char take() throws JsonFault {
+  private char take() throws InvalidJsonException {
     char c = peek();
     at++;
     return c;
   }
 
-  private void expect(char c) throws JsonFault {
+  private void expect(char c) throws InvalidJsonException {
     if (take() != c) {
       at--;
       throw fault("'" + c + "' is missing");
     }
   }
 
-  private JsonFault fault(String what) {
-    return new JsonFault(what, at);
+  private InvalidJsonException fault(String what) {
+    return new InvalidJsonException(what, at);
   }
 }
--- a/router/src/main/java/basaltlever/log/Counter.java
+++ b/router/src/main/java/basaltlever/log/Counter.java
@@ -75,7 +75,7 @@
    * The guard had to abort a statement that the decisions had forgotten: a fault of the program.
    */
   STATEMENT_OVERDUE,
-  /** A turn of the loop that took longer than {@code net.Turn} allows for. */
+  /** A turn of the loop that took longer than {@code net.LoopIteration} allows for. */
   TURN_SLOW,
   LIST_ENTRIES_READ,
   LIST_CALL_FAILED;
--- a/router/src/main/java/basaltlever/log/Tally.java
+++ b/router/src/main/java/basaltlever/log/RateLimitedLog.java
@@ -9,7 +9,7 @@
 /**
  * Log lines that others can cause at will: one a second at most, which says how many it stands for.
  */
-public final class Tally {
+public final class RateLimitedLog {
   private static final Span APART = Span.ofMillis(1_000);
   private final Logger log;
   private final Event event;
@@ -18,7 +18,7 @@
   private int passedOver;
 
   /** The event has three fields: whose line it is, what happened, how many more there were. */
-  public Tally(Logger log, Event event, Supplier<Moment> clock) {
+  public RateLimitedLog(Logger log, Event event, Supplier<Moment> clock) {
     this.log = log;
     this.event = event;
     this.clock = clock;
--- a/router/src/main/java/basaltlever/log/Lives.java
+++ b/router/src/main/java/basaltlever/log/StatementTrace.java
@@ -14,8 +14,8 @@
  * it costs a look at a field; on it is bounded in statements followed, in steps of each and in
  * lines a second, since clients can cause all of these at will.
  */
-public final class Lives {
-  private static final Logger LOG = LoggerFactory.getLogger(Lives.class);
+public final class StatementTrace {
+  private static final Logger LOG = LoggerFactory.getLogger(StatementTrace.class);
   private static final int MOST_FOLLOWED = 4_096;
   private static final int LONGEST = 1_200;
   private static final int LINES_A_SECOND = 200;
@@ -57,7 +57,7 @@
   }
 
   /** Of statements that took longer than the span; null for none. */
-  public Lives(Span over, Supplier<Moment> clock) {
+  public StatementTrace(Span over, Supplier<Moment> clock) {
     this.over = over;
     this.clock = clock;
   }
--- a/router/src/main/java/basaltlever/agree/Mark.java
+++ b/router/src/main/java/basaltlever/membership/DrainMark.java
@@ -1,4 +1,4 @@
-package basaltlever.agree;
+package basaltlever.membership;
 
 /**
  * Somebody's list of this stamp says that nothing new may go to a member. Such facts only grow: a
@@ -7,12 +7,12 @@
  *
  * @param gone it is gone, else it drains
  */
-public record Mark(String member, Stamp at, boolean gone) {
+public record DrainMark(String member, ListVersion at, boolean gone) {
   /**
    * The one that binds more: the newer; of one stamp the drain, which binds where a removal may
    * not.
    */
-  public boolean outdoes(Mark other) {
+  public boolean outdoes(DrainMark other) {
     int newer = other == null ? 1 : at.compareTo(other.at);
     return newer > 0 || (newer == 0 && other.gone && !gone);
   }
--- a/router/src/main/java/basaltlever/agree/Seat.java
+++ b/router/src/main/java/basaltlever/membership/GroupAssignment.java
@@ -1,4 +1,4 @@
-package basaltlever.agree;
+package basaltlever.membership;
 
 /**
  * The group in which a member is used, as the voters agreed. To which group a member belongs is
@@ -9,4 +9,4 @@
  * @param cleared every router has let go of it in its former group, or can't act any more; so from
  *     the first where there was none
  */
-public record Seat(String member, int group, Stamp at, boolean cleared) {}
+public record GroupAssignment(String member, int group, ListVersion at, boolean cleared) {}
--- a/router/src/main/java/basaltlever/agree/Report.java
+++ b/router/src/main/java/basaltlever/membership/HeartbeatReport.java
@@ -1,4 +1,4 @@
-package basaltlever.agree;
+package basaltlever.membership;
 
 import java.util.List;
 
@@ -16,18 +16,19 @@
  * @param read up to which place of that book
  * @param seatsRead number of the table of seats that it has
  */
-public record Report(
-    Stamp at,
+public record HeartbeatReport(
+    ListVersion at,
     long digest,
-    Doubt doubt,
-    List<Mark> marks,
+    ListAnomaly doubt,
+    List<DrainMark> marks,
     long marksEnd,
-    List<Seat> wanted,
+    List<GroupAssignment> wanted,
     List<String> free,
     long book,
     long read,
     long seatsRead) {
   /** Of a router that has heard of no list. */
-  public static final Report NONE =
-      new Report(Stamp.NEVER, 0, Doubt.NONE, List.of(), 0, List.of(), List.of(), 0, 0, -1);
+  public static final HeartbeatReport NONE =
+      new HeartbeatReport(
+          ListVersion.NEVER, 0, ListAnomaly.NONE, List.of(), 0, List.of(), List.of(), 0, 0, -1);
 }
--- a/router/src/main/java/basaltlever/agree/Doubt.java
+++ b/router/src/main/java/basaltlever/membership/ListAnomaly.java
@@ -1,10 +1,10 @@
-package basaltlever.agree;
+package basaltlever.membership;
 
 /**
  * Why a list is held off: it counts back, names nobody, or lacks most of the members in service at
  * once.
  */
-public enum Doubt {
+public enum ListAnomaly {
   NONE,
   BACK,
   EMPTY,
--- a/router/src/main/java/basaltlever/agree/Stamp.java
+++ b/router/src/main/java/basaltlever/membership/ListVersion.java
@@ -1,4 +1,4 @@
-package basaltlever.agree;
+package basaltlever.membership;
 
 /**
  * How new a word on a member is. Generations of one discovery count up; where it lost its state and
@@ -7,18 +7,18 @@
  * @param era counted by the voters, from 0
  * @param generation of the list, as discovery tells it
  */
-public record Stamp(long era, long generation) implements Comparable<Stamp> {
+public record ListVersion(long era, long generation) implements Comparable<ListVersion> {
   /** Older than any list. */
-  public static final Stamp NEVER = new Stamp(-1, 0);
+  public static final ListVersion NEVER = new ListVersion(-1, 0);
 
   @Override
-  public int compareTo(Stamp other) {
+  public int compareTo(ListVersion other) {
     return era != other.era
         ? Long.compare(era, other.era)
         : Long.compare(generation, other.generation);
   }
 
-  public boolean isNewerThan(Stamp other) {
+  public boolean isNewerThan(ListVersion other) {
     return compareTo(other) > 0;
   }
 }
--- a/router/src/main/java/basaltlever/agree/Census.java
+++ b/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
@@ -1,5 +1,7 @@
-package basaltlever.agree;
+package basaltlever.membership;
 
+import basaltlever.settings.LeaseTable;
+import basaltlever.settings.VersionRegister;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.ArrayList;
@@ -18,7 +20,7 @@
  * follows for members that come or move. Facts that only grow are passed on as they come; seats and
  * eras are steps for the voters.
  */
-public final class Census {
+public final class MembershipCoordinator {
   private static final int MOST_MARKS = 5_000;
   private static final int MARKS_AN_ANSWER = 1_000;
   private static final int MOST_STAMPS = 64;
@@ -26,7 +28,7 @@
   private static final int LEASES_A_COUNT = 5;
 
   /** What the voters have to agree on next. */
-  public record Step(Kind kind, List<Seat> seats) {
+  public record Step(Kind kind, List<GroupAssignment> seats) {
     /** Of steps. */
     public enum Kind {
       NOTHING,
@@ -39,25 +41,25 @@
   }
 
   /** Two lists of one generation that are not the same, and who holds which. */
-  public record Fork(Stamp at, Map<Long, List<String>> holders) {}
+  public record ListFork(ListVersion at, Map<Long, List<String>> holders) {}
 
-  private record Of(Stamp at, long digest) {}
+  private record ListContent(ListVersion at, long digest) {}
 
-  private final Leases leases;
+  private final LeaseTable leases;
   private final Collection<String> peers;
   private final Span assigned;
-  private final Map<String, Report> reports = new TreeMap<>();
+  private final Map<String, HeartbeatReport> reports = new TreeMap<>();
   private final Map<String, Set<String>> freeAt = new HashMap<>();
-  private final TreeMap<Long, Mark> marks = new TreeMap<>();
+  private final TreeMap<Long, DrainMark> marks = new TreeMap<>();
   private final Map<String, Long> places = new HashMap<>();
   private Moment countedAt = Moment.LONG_AGO;
   private Moment electedAt = Moment.LONG_AGO;
   private long book;
   private long last;
-  private Map<Of, Integer> holders = Map.of();
+  private Map<ListContent, Integer> holders = Map.of();
 
   /** Who has ever told which list of a stamp; of the latest stamps. */
-  private final TreeMap<Stamp, Map<Long, Set<String>>> tellers = new TreeMap<>();
+  private final TreeMap<ListVersion, Map<Long, Set<String>>> tellers = new TreeMap<>();
 
   private int live;
   private Moment talliedAt = Moment.LONG_AGO;
@@ -66,7 +68,7 @@
    * Peers are all routers of the fleet by name; one that is not heard from for as long as assigned
    * uses no member any more.
    */
-  public Census(Leases leases, Collection<String> peers, Span assigned) {
+  public MembershipCoordinator(LeaseTable leases, Collection<String> peers, Span assigned) {
     this.leases = leases;
     this.peers = peers;
     this.assigned = assigned;
@@ -86,7 +88,8 @@
   }
 
   /** A report that came with a beat, and the answer to it; the grant is the leases' own. */
-  public Sight beat(Moment now, String name, Report report, Register register) {
+  public MembershipUpdate beat(
+      Moment now, String name, HeartbeatReport report, VersionRegister register) {
     reports.put(name, report);
     report.marks().forEach(this::mark);
     if (report.digest() != 0) {
@@ -107,16 +110,16 @@
       freeAt.computeIfAbsent(member, m -> new HashSet<>()).add(name);
     }
     long from = report.book() == book ? report.read() : 0;
-    List<Mark> news = new ArrayList<>();
+    List<DrainMark> news = new ArrayList<>();
     long place = from;
-    for (Map.Entry<Long, Mark> entry : marks.tailMap(from, false).entrySet()) {
+    for (Map.Entry<Long, DrainMark> entry : marks.tailMap(from, false).entrySet()) {
       if (news.size() == MARKS_AN_ANSWER) {
         break;
       }
       news.add(entry.getValue());
       place = entry.getKey();
     }
-    return new Sight(
+    return new MembershipUpdate(
         book,
         place,
         news,
@@ -129,7 +132,7 @@
         register.seats(report.seatsRead()));
   }
 
-  private void mark(Mark mark) {
+  private void mark(DrainMark mark) {
     Long known = places.get(mark.member());
     if (mark.outdoes(known == null ? null : marks.get(known))) {
       if (known != null) {
@@ -155,37 +158,39 @@
         (name, report) -> {
           if (leases.isLive(name, now)) {
             live++;
-            holders.merge(new Of(report.at(), report.digest()), 1, Integer::sum);
+            holders.merge(new ListContent(report.at(), report.digest()), 1, Integer::sum);
           }
         });
   }
 
-  private Verdict verdict(Moment now, Report report, Register register) {
+  private ListAgreement verdict(Moment now, HeartbeatReport report, VersionRegister register) {
     if (report.digest() == 0 || leases.isQuiet(now) || !leases.isBorneOut(now)) {
-      return Verdict.UNTOLD;
+      return ListAgreement.UNTOLD;
     }
     tally(now);
-    int same = holders.getOrDefault(new Of(report.at(), report.digest()), 0);
+    int same = holders.getOrDefault(new ListContent(report.at(), report.digest()), 0);
     // Those of whom this leader has not heard yet count as well.
     int all = Math.max(live, register.inForce().routers());
     if (2 * same > all) {
-      return Verdict.SEEN;
+      return ListAgreement.SEEN;
     }
     if (2 * tellers(report) > peers.size()) {
-      return Verdict.PASSED;
+      return ListAgreement.PASSED;
     }
     if (tellers.getOrDefault(report.at(), Map.of()).size() > 1) {
-      return Verdict.DISPUTED;
+      return ListAgreement.DISPUTED;
     }
     int newer = 0;
-    for (Map.Entry<Of, Integer> entry : holders.entrySet()) {
+    for (Map.Entry<ListContent, Integer> entry : holders.entrySet()) {
       newer += entry.getKey().at().isNewerThan(report.at()) ? entry.getValue() : 0;
     }
     // Where most have not spoken yet nobody can have contradicted.
-    return 2 * newer > all ? Verdict.BEHIND : 2 * live > all ? Verdict.AHEAD : Verdict.UNTOLD;
+    return 2 * newer > all
+        ? ListAgreement.BEHIND
+        : 2 * live > all ? ListAgreement.AHEAD : ListAgreement.UNTOLD;
   }
 
-  private int tellers(Report report) {
+  private int tellers(HeartbeatReport report) {
     return tellers
         .getOrDefault(report.at(), Map.of())
         .getOrDefault(report.digest(), Set.of())
@@ -193,7 +198,7 @@
   }
 
   /** What follows, by the first rule that applies. */
-  public Step next(Moment now, Register register) {
+  public Step next(Moment now, VersionRegister register) {
     if (leases.isQuiet(now) || !leases.isBorneOut(now)) {
       return Step.NOTHING;
     }
@@ -201,9 +206,9 @@
     int back = 0;
     int older = 0;
     // Not by what one router was told: it may but be the first.
-    Stamp newest =
+    ListVersion newest =
         Stream.concat(
-                register.seats(-1).stream().map(Seat::at),
+                register.seats(-1).stream().map(GroupAssignment::at),
                 tellers.entrySet().stream()
                     .filter(
                         entry ->
@@ -211,15 +216,15 @@
                                 .anyMatch(names -> 2 * names.size() > peers.size()))
                     .map(Map.Entry::getKey))
             .max(Comparator.naturalOrder())
-            .orElse(Stamp.NEVER);
-    TreeMap<String, Seat> wanted = new TreeMap<>();
-    for (Map.Entry<String, Report> entry : reports.entrySet()) {
-      Report report = entry.getValue();
+            .orElse(ListVersion.NEVER);
+    TreeMap<String, GroupAssignment> wanted = new TreeMap<>();
+    for (Map.Entry<String, HeartbeatReport> entry : reports.entrySet()) {
+      HeartbeatReport report = entry.getValue();
       if (!leases.isLive(entry.getKey(), now)) {
         continue;
       }
       there++;
-      back += report.doubt() == Doubt.BACK && report.at().era() == register.era() ? 1 : 0;
+      back += report.doubt() == ListAnomaly.BACK && report.at().era() == register.era() ? 1 : 0;
       older +=
           report.digest() != 0
                   && report.at().era() == register.era()
@@ -247,7 +252,7 @@
       countedAt = now;
       return new Step(Step.Kind.COUNT_ANEW, List.of());
     }
-    List<Seat> cleared =
+    List<GroupAssignment> cleared =
         register.seats(-1).stream()
             .filter(seat -> !seat.cleared() && isLetGo(seat.member(), now, register.ended()))
             .limit(SEATS_A_STEP)
@@ -255,11 +260,11 @@
     if (!cleared.isEmpty()) {
       return new Step(Step.Kind.CLEAR, cleared);
     }
-    List<Seat> news =
+    List<GroupAssignment> news =
         wanted.values().stream()
             .filter(
                 seat -> {
-                  Seat known = register.seat(seat.member());
+                  GroupAssignment known = register.seat(seat.member());
                   return known == null
                       || (known.cleared()
                           && known.group() != seat.group()
@@ -287,8 +292,8 @@
   }
 
   /** Lists of one generation that are not the same: discovery tells two things. */
-  public List<Fork> forks(Moment now) {
-    Map<Stamp, Map<Long, List<String>>> held = new TreeMap<>();
+  public List<ListFork> forks(Moment now) {
+    Map<ListVersion, Map<Long, List<String>>> held = new TreeMap<>();
     reports.forEach(
         (name, report) -> {
           if (report.digest() != 0 && leases.isLive(name, now)) {
@@ -299,18 +304,18 @@
         });
     return held.entrySet().stream()
         .filter(entry -> entry.getValue().size() > 1)
-        .map(entry -> new Fork(entry.getKey(), entry.getValue()))
+        .map(entry -> new ListFork(entry.getKey(), entry.getValue()))
         .toList();
   }
 
   /**
    * What a router said last; what one that has heard of no list would say where it said nothing.
    */
-  public Report said(String name) {
-    return reports.getOrDefault(name, Report.NONE);
+  public HeartbeatReport said(String name) {
+    return reports.getOrDefault(name, HeartbeatReport.NONE);
   }
 
-  public Verdict verdictOn(String name, Moment now, Register register) {
+  public ListAgreement verdictOn(String name, Moment now, VersionRegister register) {
     return verdict(now, said(name), register);
   }
 }
--- a/router/src/main/java/basaltlever/agree/Sight.java
+++ b/router/src/main/java/basaltlever/membership/MembershipUpdate.java
@@ -1,4 +1,4 @@
-package basaltlever.agree;
+package basaltlever.membership;
 
 import java.util.List;
 
@@ -16,14 +16,14 @@
  * @param seatsNumber of the table of seats as these bring it
  * @param seats that have changed since the number that the router has
  */
-public record Sight(
+public record MembershipUpdate(
     long book,
     long place,
-    List<Mark> marks,
+    List<DrainMark> marks,
     long marksEnd,
-    Verdict verdict,
-    Stamp at,
+    ListAgreement verdict,
+    ListVersion at,
     long digest,
     long era,
     long seatsNumber,
-    List<Seat> seats) {}
+    List<GroupAssignment> seats) {}
--- a/router/src/main/java/basaltlever/agree/Roll.java
+++ b/router/src/main/java/basaltlever/membership/MembershipView.java
@@ -1,6 +1,6 @@
-package basaltlever.agree;
+package basaltlever.membership;
 
-import basaltlever.gateway.Listing;
+import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.nio.ByteBuffer;
@@ -26,7 +26,7 @@
  * empties or shrinks at once is held off: what it forbids by name binds, the rest is used for
  * nothing.
  */
-public final class Roll {
+public final class MembershipView {
   /** A list that names less than this share of the members in service at once is held off. */
   private static final double LEAST_LEFT = 0.5;
 
@@ -41,18 +41,18 @@
   private static final int MOST_UNSETTLED = 32;
 
   /** What may be done with a member: its listing, and the group in which it may be used. */
-  public record Use(Listing listing, int group) {}
+  public record MemberUse(EndpointLifecycle listing, int group) {}
 
   /** A list that was taken. */
-  private static final class Copy {
-    final SortedMap<String, Said> list;
-    final Stamp at;
+  private static final class ListCopy {
+    final SortedMap<String, ListedEndpoint> list;
+    final ListVersion at;
     final long digest;
     final Moment since;
-    Verdict verdict = Verdict.UNTOLD;
+    ListAgreement verdict = ListAgreement.UNTOLD;
     Moment seenSince = Moment.NEVER;
 
-    Copy(SortedMap<String, Said> list, Stamp at, long digest, Moment since) {
+    ListCopy(SortedMap<String, ListedEndpoint> list, ListVersion at, long digest, Moment since) {
       this.list = list;
       this.at = at;
       this.digest = digest;
@@ -64,26 +64,26 @@
   private final Span assigned;
 
   /** What discovery told last, held off or not; null before the first list. */
-  private Copy told;
+  private ListCopy told;
 
-  private Doubt doubt = Doubt.NONE;
+  private ListAnomaly doubt = ListAnomaly.NONE;
 
   /**
    * The list that is taken, and those since the last one that is settled, oldest first, this one
    * too.
    */
-  private Copy own = new Copy(new TreeMap<>(), Stamp.NEVER, 0, Moment.LONG_AGO);
+  private ListCopy own = new ListCopy(new TreeMap<>(), ListVersion.NEVER, 0, Moment.LONG_AGO);
 
-  private final ArrayDeque<Copy> unsettled = new ArrayDeque<>();
-  private SortedMap<String, Said> settled = new TreeMap<>();
-  private Stamp settledAt = Stamp.NEVER;
-  private final Map<String, Mark> marks = new HashMap<>();
+  private final ArrayDeque<ListCopy> unsettled = new ArrayDeque<>();
+  private SortedMap<String, ListedEndpoint> settled = new TreeMap<>();
+  private ListVersion settledAt = ListVersion.NEVER;
+  private final Map<String, DrainMark> marks = new HashMap<>();
 
   /** What the leader may lack, and how many went before these. */
-  private final ArrayDeque<Mark> unsent = new ArrayDeque<>();
+  private final ArrayDeque<DrainMark> unsent = new ArrayDeque<>();
 
   private long sent;
-  private final Map<String, Seat> seats = new TreeMap<>();
+  private final Map<String, GroupAssignment> seats = new TreeMap<>();
 
   /**
    * Below 0 before the first word: a fresh process knows of no member in which group others use it.
@@ -100,7 +100,7 @@
    * Within the stated time nobody acts on an older version; for as long as assigned a router that
    * hears nothing may go on using members in the groups that it knows.
    */
-  public Roll(Span stated, Span assigned) {
+  public MembershipView(Span stated, Span assigned) {
     this.stated = stated;
     this.assigned = assigned;
   }
@@ -111,60 +111,64 @@
    * A whole list, or entries that have changed since the one before. Tells whether it is held off,
    * and why.
    */
-  public Doubt told(Moment now, boolean whole, long generation, Map<String, Said> entries) {
-    TreeMap<String, Said> list = whole || told == null ? new TreeMap<>() : new TreeMap<>(told.list);
+  public ListAnomaly told(
+      Moment now, boolean whole, long generation, Map<String, ListedEndpoint> entries) {
+    TreeMap<String, ListedEndpoint> list =
+        whole || told == null ? new TreeMap<>() : new TreeMap<>(told.list);
     list.putAll(entries);
     revision++;
     boolean back = own.at.era() == era && generation < own.at.generation();
-    told = new Copy(list, new Stamp(era, generation), digest(list, generation), now);
-    doubt = back ? Doubt.BACK : doubt();
+    told = new ListCopy(list, new ListVersion(era, generation), digest(list, generation), now);
+    doubt = back ? ListAnomaly.BACK : doubt();
     heed();
     return doubt;
   }
 
   private void heed() {
-    if (doubt != Doubt.BACK) {
+    if (doubt != ListAnomaly.BACK) {
       // Of a list that is held off as well: what it says by name is no slip of its length.
       told.list.forEach(
           (member, said) -> {
-            if (said.listing() != Listing.READY) {
-              mark(new Mark(member, told.at, said.listing() == Listing.GONE), true);
+            if (said.listing() != EndpointLifecycle.READY) {
+              mark(new DrainMark(member, told.at, said.listing() == EndpointLifecycle.GONE), true);
             }
           });
     }
-    if (doubt == Doubt.NONE) {
+    if (doubt == ListAnomaly.NONE) {
       take();
     }
   }
 
-  private Doubt doubt() {
-    if (told.list.values().stream().allMatch(said -> said.listing() == Listing.GONE)) {
-      return Doubt.EMPTY;
+  private ListAnomaly doubt() {
+    if (told.list.values().stream().allMatch(said -> said.listing() == EndpointLifecycle.GONE)) {
+      return ListAnomaly.EMPTY;
     }
     long serving =
-        own.list.values().stream().filter(said -> said.listing() == Listing.READY).count();
+        own.list.values().stream()
+            .filter(said -> said.listing() == EndpointLifecycle.READY)
+            .count();
     long named =
         own.list.entrySet().stream()
             .filter(
                 entry ->
-                    entry.getValue().listing() == Listing.READY
+                    entry.getValue().listing() == EndpointLifecycle.READY
                         && told.list.containsKey(entry.getKey()))
             .count();
-    return named < LEAST_LEFT * serving ? Doubt.SHRUNK : Doubt.NONE;
+    return named < LEAST_LEFT * serving ? ListAnomaly.SHRUNK : ListAnomaly.NONE;
   }
 
   private void take() {
     revision++;
     for (String member : own.list.keySet()) {
       if (!told.list.containsKey(member)) {
-        mark(new Mark(member, told.at, true), true);
+        mark(new DrainMark(member, told.at, true), true);
       }
     }
     own = told;
     unsettled.add(own);
     if (unsettled.size() > MOST_UNSETTLED) {
       // Whom it alone names nobody has borne out.
-      SortedMap<String, Said> strictest = new TreeMap<>(settled);
+      SortedMap<String, ListedEndpoint> strictest = new TreeMap<>(settled);
       unsettled
           .removeFirst()
           .list
@@ -177,7 +181,7 @@
     }
   }
 
-  private void mark(Mark mark, boolean isOwn) {
+  private void mark(DrainMark mark, boolean isOwn) {
     if (mark.outdoes(marks.get(mark.member()))) {
       marks.put(mark.member(), mark);
       revision++;
@@ -186,19 +190,19 @@
       }
       if (marks.size() > MOST_MARKS) {
         marks.values().stream()
-            .min(Comparator.comparing(Mark::at))
+            .min(Comparator.comparing(DrainMark::at))
             .ifPresent(oldest -> marks.remove(oldest.member()));
       }
     }
   }
 
   /** Of what routers may contradict each other by; addresses may differ by network. */
-  private static long digest(SortedMap<String, Said> list, long generation) {
+  private static long digest(SortedMap<String, ListedEndpoint> list, long generation) {
     try {
       MessageDigest sum = MessageDigest.getInstance("SHA-256");
       list.forEach(
           (member, said) -> {
-            if (said.listing() != Listing.GONE) {
+            if (said.listing() != EndpointLifecycle.GONE) {
               sum.update(
                   (member + '\0' + said.listing() + '\0' + said.group() + '\n')
                       .getBytes(StandardCharsets.UTF_8));
@@ -215,7 +219,7 @@
   // ---- What the fleet tells.
 
   /** To be taken in before the grant that it comes with. */
-  public void heard(Moment now, Sight sight) {
+  public void heard(Moment now, MembershipUpdate sight) {
     if (sight.book() != book) {
       // Another leader: all that this router knows may be news to it.
       book = sight.book();
@@ -243,17 +247,18 @@
     if (told != null && sight.at().equals(told.at) && sight.digest() == told.digest) {
       // Another leader may not know any more who contradicted it.
       told.verdict =
-          told.verdict == Verdict.DISPUTED
-                  && sight.verdict() != Verdict.SEEN
-                  && sight.verdict() != Verdict.PASSED
+          told.verdict == ListAgreement.DISPUTED
+                  && sight.verdict() != ListAgreement.SEEN
+                  && sight.verdict() != ListAgreement.PASSED
               ? told.verdict
               : sight.verdict();
       // For so long that, did it go back for most, they would have agreed to count anew.
-      told.seenSince = told.verdict == Verdict.SEEN ? told.seenSince.earlier(now) : Moment.NEVER;
+      told.seenSince =
+          told.verdict == ListAgreement.SEEN ? told.seenSince.earlier(now) : Moment.NEVER;
       boolean holds = now.since(told.seenSince).isLongerThan(stated);
-      if (holds && (doubt == Doubt.SHRUNK || doubt == Doubt.BACK)) {
+      if (holds && (doubt == ListAnomaly.SHRUNK || doubt == ListAnomaly.BACK)) {
         // Most hold it: theirs was no slip, or what this one came to hold before was one.
-        doubt = Doubt.NONE;
+        doubt = ListAnomaly.NONE;
         heed();
       }
     }
@@ -263,21 +268,21 @@
   // The newest that most hold, or that nobody has contradicted for so long; what came before it is
   // over.
   private void settle(Moment now) {
-    Copy newest = null;
-    for (Copy copy : unsettled) {
+    ListCopy newest = null;
+    for (ListCopy copy : unsettled) {
       // One that was replaced since is judged no more: who would contradict it may not have spoken
       // yet. One
       // that is older than what most hold allows nothing: a newer one is on its way here too.
       boolean stands =
-          copy.verdict == Verdict.SEEN
-              || copy.verdict == Verdict.PASSED
+          copy.verdict == ListAgreement.SEEN
+              || copy.verdict == ListAgreement.PASSED
               || (copy == told
-                  && copy.verdict == Verdict.AHEAD
+                  && copy.verdict == ListAgreement.AHEAD
                   && now.since(copy.since).isLongerThan(stated));
       newest = stands ? copy : newest;
     }
     while (newest != null && !unsettled.isEmpty() && settled != newest.list) {
-      Copy next = unsettled.removeFirst();
+      ListCopy next = unsettled.removeFirst();
       settled = next.list;
       settledAt = next.at;
       revision++;
@@ -310,28 +315,29 @@
   }
 
   /** The strictest of what is known at this moment. */
-  public Use use(Moment now, String member) {
-    Said mine = own.list.get(member);
-    Listing listing = mine == null ? Listing.GONE : mine.listing();
+  public MemberUse use(Moment now, String member) {
+    ListedEndpoint mine = own.list.get(member);
+    EndpointLifecycle listing = mine == null ? EndpointLifecycle.GONE : mine.listing();
     if (!unsettled.isEmpty()) {
       // Known to no settled list: nobody needs it at once, and most may know nothing of it.
-      Said before = settled.get(member);
-      listing = stricter(listing, before != null ? before.listing() : Listing.DRAINING);
-      for (Copy copy : unsettled) {
-        Said once = copy.list.get(member);
-        listing = stricter(listing, once == null ? Listing.DRAINING : once.listing());
+      ListedEndpoint before = settled.get(member);
+      listing = stricter(listing, before != null ? before.listing() : EndpointLifecycle.DRAINING);
+      for (ListCopy copy : unsettled) {
+        ListedEndpoint once = copy.list.get(member);
+        listing = stricter(listing, once == null ? EndpointLifecycle.DRAINING : once.listing());
       }
     }
-    if (doubt == Doubt.BACK && told.list.containsKey(member)) {
+    if (doubt == ListAnomaly.BACK && told.list.containsKey(member)) {
       // Older, so it is no news for others; yet this router was told.
       listing = stricter(listing, told.list.get(member).listing());
     }
-    Mark mark = marks.get(member);
+    DrainMark mark = marks.get(member);
     // A newer list undoes it once it is settled: by then most hold it, or nobody contradicts it.
     if (mark != null && !settledAt.isNewerThan(mark.at())) {
-      listing = stricter(listing, mark.gone() ? Listing.GONE : Listing.DRAINING);
+      listing =
+          stricter(listing, mark.gone() ? EndpointLifecycle.GONE : EndpointLifecycle.DRAINING);
     }
-    Seat seat = seats.get(member);
+    GroupAssignment seat = seats.get(member);
     // Its own list may be older than where the member went, or newer than what is agreed: neither
     // is used.
     boolean waits =
@@ -339,34 +345,34 @@
             || !seat.cleared()
             || (mine != null && mine.group() != seat.group())
             || isAdrift(now);
-    return new Use(
-        waits ? stricter(listing, Listing.DRAINING) : listing,
+    return new MemberUse(
+        waits ? stricter(listing, EndpointLifecycle.DRAINING) : listing,
         seat != null ? seat.group() : mine != null ? mine.group() : 0);
   }
 
-  private static Listing stricter(Listing one, Listing other) {
+  private static EndpointLifecycle stricter(EndpointLifecycle one, EndpointLifecycle other) {
     return one.compareTo(other) >= 0 ? one : other;
   }
 
   /** What its own list says of a member's group where that is not agreed; null where it is. */
-  private Seat wants(String member, Said said) {
-    Seat seat = seats.get(member);
+  private GroupAssignment wants(String member, ListedEndpoint said) {
+    GroupAssignment seat = seats.get(member);
     return seat == null
             || (seat.cleared() && said.group() != seat.group() && own.at.isNewerThan(seat.at()))
-        ? new Seat(member, said.group(), own.at, false)
+        ? new GroupAssignment(member, said.group(), own.at, false)
         : null;
   }
 
   /** For the next beat; nothing is out at a member where the test says so. */
-  public Report report(Moment now, Predicate<String> nothingOut) {
-    List<Seat> wanted = new ArrayList<>();
+  public HeartbeatReport report(Moment now, Predicate<String> nothingOut) {
+    List<GroupAssignment> wanted = new ArrayList<>();
     own.list.forEach(
         (member, said) -> {
           // Of a list that is held off nothing is wanted, and who holds it off reports no other.
-          Seat wants =
+          GroupAssignment wants =
               seatsNumber < 0
-                      || doubt != Doubt.NONE
-                      || said.listing() == Listing.GONE
+                      || doubt != ListAnomaly.NONE
+                      || said.listing() == EndpointLifecycle.GONE
                       || wanted.size() >= SEATS_A_BEAT
                   ? null
                   : wants(member, said);
@@ -374,14 +380,14 @@
             wanted.add(wants);
           }
         });
-    List<Mark> some = unsent.stream().limit(MARKS_A_BEAT).toList();
+    List<DrainMark> some = unsent.stream().limit(MARKS_A_BEAT).toList();
     List<String> free =
         seats.values().stream()
             .filter(seat -> !seat.cleared() && nothingOut.test(seat.member()))
-            .map(Seat::member)
+            .map(GroupAssignment::member)
             .toList();
-    return new Report(
-        told == null ? Stamp.NEVER : told.at,
+    return new HeartbeatReport(
+        told == null ? ListVersion.NEVER : told.at,
         told == null ? 0 : told.digest,
         doubt,
         some,
@@ -396,7 +402,7 @@
   /** Whether all that its own list allows holds by now. */
   public boolean isSettled() {
     return told != null
-        && doubt == Doubt.NONE
+        && doubt == ListAnomaly.NONE
         && unsettled.isEmpty()
         && own.list.entrySet().stream()
             .allMatch(entry -> wants(entry.getKey(), entry.getValue()) == null);
@@ -413,17 +419,17 @@
   }
 
   /** What the fleet made of the latest list. */
-  public Verdict verdict() {
-    return told == null ? Verdict.UNTOLD : told.verdict;
+  public ListAgreement verdict() {
+    return told == null ? ListAgreement.UNTOLD : told.verdict;
   }
 
   /** Of the list that is taken. */
-  Stamp ownAt() {
+  public ListVersion ownAt() {
     return own.at;
   }
 
   /** Of the latest list, taken or held off. */
-  public Stamp at() {
-    return told == null ? Stamp.NEVER : told.at;
+  public ListVersion at() {
+    return told == null ? ListVersion.NEVER : told.at;
   }
 }
--- a/router/src/main/java/basaltlever/agree/Standing.java
+++ b/router/src/main/java/basaltlever/membership/VoterEligibility.java
@@ -1,4 +1,4 @@
-package basaltlever.agree;
+package basaltlever.membership;
 
 import java.util.Collection;
 import java.util.Comparator;
@@ -14,7 +14,7 @@
  * @param members with whom, itself among them
  * @param why it waits; empty where it doesn't
  */
-public record Standing(Kind kind, long charter, List<String> members, String why) {
+public record VoterEligibility(Kind kind, long charter, List<String> members, String why) {
   /**
    * FOUND with an empty folder, RESUME with what it holds, JOIN under a newer charter, or WAIT and
    * ask again.
@@ -27,13 +27,14 @@
   }
 
   /** What the folder of a voter says; its id is that folder's own. */
-  public record Seal(String fleet, String name, String id, long charter, List<String> members) {}
+  public record VoterIdentity(
+      String fleet, String name, String id, long charter, List<String> members) {}
 
   /**
    * What another voter tells: its charter, who votes, by which folder it knows the one that asks,
    * whether its own folder is empty, and whether it leads.
    */
-  public record Told(
+  public record PeerStatus(
       String voter,
       long charter,
       List<String> members,
@@ -46,11 +47,12 @@
    * the operator's files name; told holds those who answered, with no members where one does not
    * vote itself.
    */
-  public static Standing of(String name, Seal own, List<String> founders, Collection<Told> told) {
-    Told newest =
+  public static VoterEligibility of(
+      String name, VoterIdentity own, List<String> founders, Collection<PeerStatus> told) {
+    PeerStatus newest =
         told.stream()
             .filter(one -> !one.members().isEmpty())
-            .max(Comparator.comparingLong(Told::charter))
+            .max(Comparator.comparingLong(PeerStatus::charter))
             .orElse(null);
     boolean newer = newest != null && (own == null || newest.charter() > own.charter());
     if (newer && !newest.members().contains(name)) {
@@ -77,7 +79,7 @@
     boolean allTell =
         told.stream()
             .filter(one -> one.fresh() || !one.members().isEmpty())
-            .map(Told::voter)
+            .map(PeerStatus::voter)
             .toList()
             .containsAll(others);
     if (own == null
@@ -88,10 +90,10 @@
       return waits("its folder is empty, and not all other voters tell whether it has voted");
     }
     if (newer) {
-      return new Standing(Kind.JOIN, newest.charter(), newest.members(), "");
+      return new VoterEligibility(Kind.JOIN, newest.charter(), newest.members(), "");
     }
     if (own == null) {
-      return new Standing(Kind.FOUND, 0, founders, "");
+      return new VoterEligibility(Kind.FOUND, 0, founders, "");
     }
     boolean out =
         newest != null
@@ -100,10 +102,10 @@
                 .allMatch(one -> one.members().isEmpty() || !one.members().contains(name));
     return out
         ? waits("it was taken out")
-        : new Standing(Kind.RESUME, own.charter(), own.members(), "");
+        : new VoterEligibility(Kind.RESUME, own.charter(), own.members(), "");
   }
 
-  private static Standing waits(String why) {
-    return new Standing(Kind.WAIT, 0, List.of(), why);
+  private static VoterEligibility waits(String why) {
+    return new VoterEligibility(Kind.WAIT, 0, List.of(), why);
   }
 }
--- a/router/src/main/java/basaltlever/model/Fading.java
+++ b/router/src/main/java/basaltlever/model/DecayingValue.java
@@ -4,7 +4,7 @@
 import basaltlever.time.Span;
 
 /** A value that fades by itself; how fast is said by who reads it. */
-public final class Fading {
+public final class DecayingValue {
   private double value;
   private Moment since = Moment.LONG_AGO;
 
--- a/router/src/main/java/basaltlever/model/Node.java
+++ b/router/src/main/java/basaltlever/model/Endpoint.java
@@ -1,15 +1,15 @@
 package basaltlever.model;
 
-import basaltlever.gateway.Listing;
+import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.time.Moment;
 
 /** All that this router holds of one node. */
-public final class Node {
+public final class Endpoint {
   public final int id;
-  public Group group;
+  public ReplicaGroup group;
   public int zone;
   public double size = 1;
-  public Listing listing = Listing.GONE;
+  public EndpointLifecycle listing = EndpointLifecycle.GONE;
   public boolean drainSeen;
 
   /** Replaced as primary, and has not said since that it is a replica. */
@@ -74,7 +74,7 @@
   public Moment downSince = Moment.NEVER;
 
   /** Response time over SLO time lately, less what is usual. */
-  public final Fading strained = new Fading();
+  public final DecayingValue strained = new DecayingValue();
 
   /** How many executions this router may have out here. */
   public double room;
@@ -84,13 +84,13 @@
   public Moment restsUntil = Moment.LONG_AGO;
 
   /** Executions given up on that may still take up the node, fading. */
-  public final Fading ghosts = new Fading();
+  public final DecayingValue ghosts = new DecayingValue();
 
   /** How often it lost or failed what it was given, lately. */
-  public final Fading failing = new Fading();
+  public final DecayingValue failing = new DecayingValue();
 
   /** How far behind it was when last seen; a guess, never proof. */
-  public final Fading lag = new Fading();
+  public final DecayingValue lag = new DecayingValue();
 
   public Moment silentSince = Moment.LONG_AGO;
 
@@ -100,7 +100,7 @@
   public Moment startedAt = Moment.LONG_AGO;
 
   /** Work that it answered for this router, lately. */
-  public final Fading borne = new Fading();
+  public final DecayingValue borne = new DecayingValue();
 
   public double coldWork;
 
@@ -111,7 +111,7 @@
 
   /** In service as the list has it. */
   public boolean isInService() {
-    return listing == Listing.READY;
+    return listing == EndpointLifecycle.READY;
   }
 
   /** This router has polled it or sent it something. */
@@ -119,7 +119,7 @@
     return pollSent.isAfter(Moment.LONG_AGO) || triedFirst;
   }
 
-  public Node(int id, double room) {
+  public Endpoint(int id, double room) {
     this.id = id;
     rank = id;
     this.room = room;
--- a/router/src/main/java/basaltlever/model/Held.java
+++ b/router/src/main/java/basaltlever/model/HoldQueue.java
@@ -13,7 +13,7 @@
  * earliest, and those of one session always in the order in which they came. Each step costs the
  * logarithm of how many there are.
  */
-public final class Held {
+public final class HoldQueue {
   private static final Comparator<Statement> ORDER =
       Comparator.comparingDouble((Statement statement) -> -statement.rank)
           .thenComparingLong(statement -> statement.takenAt.micros())
@@ -27,7 +27,7 @@
   private int[] ofWorkload;
   private long bytes;
 
-  public Held(int workloads) {
+  public HoldQueue(int workloads) {
     ofWorkload = new int[workloads];
   }
 
--- a/router/src/main/java/basaltlever/model/Group.java
+++ b/router/src/main/java/basaltlever/model/ReplicaGroup.java
@@ -1,7 +1,7 @@
 package basaltlever.model;
 
-import basaltlever.change.Change;
-import basaltlever.gateway.Outbound;
+import basaltlever.gateway.DecisionSink;
+import basaltlever.switchover.PlannedSwitchover;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
 import java.util.PriorityQueue;
 
 /** One primary and its replicas, and the statements that wait for one of them. */
-public final class Group {
+public final class ReplicaGroup {
   /** HOLD: no member is trusted to be primary, and what needs one waits. */
   public enum Phase {
     HOLD,
@@ -18,14 +18,14 @@
   }
 
   public final int number;
-  public final List<Node> members = new ArrayList<>();
-  public final Held held;
+  public final List<Endpoint> members = new ArrayList<>();
+  public final HoldQueue held;
 
   /** Reads that wait for room or a position. */
   public final PriorityQueue<Statement> waiting;
 
   /** What its members announce. */
-  public final Change change;
+  public final PlannedSwitchover change;
 
   public Phase phase = Phase.HOLD;
   public Moment holdSince;
@@ -33,19 +33,19 @@
   /** When it last found a primary. */
   public Moment foundAt = Moment.LONG_AGO;
 
-  public Node primary;
-  public Node lost;
+  public Endpoint primary;
+  public Endpoint lost;
 
   /** How old reports have lately been on arrival, at most. */
   public Span reportAge;
 
   /** Statements a second, lately. */
-  public final Fading rate = new Fading();
+  public final DecayingValue rate = new DecayingValue();
 
   /** Share of reads that busy replicas, or a busy primary, answered late or not at all, lately. */
-  public final Fading jam = new Fading();
+  public final DecayingValue jam = new DecayingValue();
 
-  public final Fading primaryJam = new Fading();
+  public final DecayingValue primaryJam = new DecayingValue();
   public boolean changed;
 
   /** Its members are polled all the time, not only when a statement needs it. */
@@ -55,7 +55,7 @@
    * Of a large group: the members that reads go to, kept by {@code endpoints.ReplicaSubset}; null
    * before the first.
    */
-  public List<Node> subset;
+  public List<Endpoint> subset;
 
   public Moment subsetAt = Moment.LONG_AGO;
   public boolean subsetStale = true;
@@ -69,7 +69,7 @@
    * Of a search for the primary: members asked that have not answered, the next one's place, when
    * its round began.
    */
-  public final List<Node> searching = new ArrayList<>();
+  public final List<Endpoint> searching = new ArrayList<>();
 
   public int searchCursor;
 
@@ -79,20 +79,20 @@
   public Moment searchFrom = Moment.LONG_AGO;
 
   /** Members that have claimed to be primary at some time. */
-  public final List<Node> claimants = new ArrayList<>();
+  public final List<Endpoint> claimants = new ArrayList<>();
 
   /** Some member has answered something. */
   public boolean heard;
 
-  public Group(
+  public ReplicaGroup(
       int number,
       Moment now,
       Span reportAge,
       Comparator<Statement> order,
-      Held held,
-      Outbound outbound) {
+      HoldQueue held,
+      DecisionSink outbound) {
     this.number = number;
-    change = new Change((phase, target) -> outbound.change(number, phase, target));
+    change = new PlannedSwitchover((phase, target) -> outbound.change(number, phase, target));
     this.held = held;
     this.waiting = new PriorityQueue<>(order);
     this.holdSince = now;
--- a/router/src/main/java/basaltlever/model/Sessions.java
+++ b/router/src/main/java/basaltlever/model/SessionWrites.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /** When each session last wrote through this router, of as many sessions as are kept. */
-public final class Sessions {
+public final class SessionWrites {
   private final int most;
   private final LinkedHashMap<Long, Moment> writes = new LinkedHashMap<>();
   private Moment forgotten = Moment.LONG_AGO;
 
-  public Sessions(int most) {
+  public SessionWrites(int most) {
     this.most = most;
   }
 
--- a/router/src/main/java/basaltlever/model/Statement.java
+++ b/router/src/main/java/basaltlever/model/Statement.java
@@ -9,7 +9,7 @@
   public final int id;
   public final int workload;
   public final Workload terms;
-  public final Group group;
+  public final ReplicaGroup group;
   public final long session;
   public final Moment takenAt;
   public final Moment clientLeaves;
@@ -20,7 +20,7 @@
   /** Drawn once, so that what is asked again and again is not granted by chance in the end. */
   public final double luck;
 
-  public final Node[] nodes;
+  public final Endpoint[] nodes;
   public final Moment[] sentAt;
   public final boolean[] isOut;
   public final boolean[] erred;
@@ -47,7 +47,7 @@
       int id,
       int workload,
       Workload terms,
-      Group group,
+      ReplicaGroup group,
       long session,
       Moment takenAt,
       Moment clientLeaves,
@@ -65,14 +65,14 @@
     this.clientLeaves = clientLeaves;
     this.mustSee = mustSee;
     this.luck = luck;
-    this.nodes = new Node[mostExecutions];
+    this.nodes = new Endpoint[mostExecutions];
     this.sentAt = new Moment[mostExecutions];
     this.isOut = new boolean[mostExecutions];
     this.erred = new boolean[mostExecutions];
     this.opens = new boolean[mostExecutions];
   }
 
-  public void sentTo(Node node, Moment now, boolean opensConnection) {
+  public void sentTo(Endpoint node, Moment now, boolean opensConnection) {
     nodes[executions] = node;
     sentAt[executions] = now;
     isOut[executions] = true;
@@ -85,7 +85,7 @@
     out--;
   }
 
-  public boolean wasSentTo(Node node) {
+  public boolean wasSentTo(Endpoint node) {
     for (int i = 0; i < executions; i++) {
       if (nodes[i] == node) {
         return true;
@@ -96,7 +96,7 @@
 
   /** How far behind a replica may be that is sent it at that moment. */
   public Span allowedLag(Moment at) {
-    return terms.needs() == Workload.Needs.BOUNDED ? terms.bound() : at.since(mustSee);
+    return terms.needs() == Workload.ReadConsistency.BOUNDED ? terms.bound() : at.since(mustSee);
   }
 
   public int firstOut() {
--- a/router/src/main/java/basaltlever/net/AcceptHandler.java
+++ b/router/src/main/java/basaltlever/net/AcceptHandler.java
@@ -1,7 +1,7 @@
 package basaltlever.net;
 
 import basaltlever.log.Counter;
-import basaltlever.log.Tally;
+import basaltlever.log.RateLimitedLog;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import io.netty.buffer.ByteBuf;
@@ -44,10 +44,10 @@
 
   private static final Span SECOND = Span.ofMillis(1_000);
 
-  private final Turn turn;
+  private final LoopIteration turn;
   private final Descriptors descriptors;
   private final ListenQueue queue;
-  private final Tally pauses;
+  private final RateLimitedLog pauses;
   private Channel listener;
   private int accepted;
 
@@ -63,7 +63,8 @@
   /** For how many more room may be made by now. */
   private double allowance = MOST_ROOM_AT_ONCE;
 
-  AcceptHandler(Turn turn, Descriptors descriptors, int queueLength, Tally pauses) {
+  AcceptHandler(
+      LoopIteration turn, Descriptors descriptors, int queueLength, RateLimitedLog pauses) {
     this.turn = turn;
     this.descriptors = descriptors;
     this.pauses = pauses;
--- a/router/src/main/java/basaltlever/net/Carrier.java
+++ b/router/src/main/java/basaltlever/net/AttemptExecutor.java
@@ -1,21 +1,21 @@
 package basaltlever.net;
 
-import basaltlever.change.Change;
-import basaltlever.change.Note;
-import basaltlever.core.Core;
-import basaltlever.core.Gauges;
-import basaltlever.core.Outside;
-import basaltlever.gateway.Ending;
-import basaltlever.gateway.Refusal;
+import basaltlever.core.Effects;
+import basaltlever.core.LoadReportFormat;
+import basaltlever.core.StatementRouter;
+import basaltlever.gateway.AttemptOutcome;
+import basaltlever.gateway.RejectReason;
 import basaltlever.gateway.Role;
 import basaltlever.log.Counter;
 import basaltlever.log.Counters;
 import basaltlever.log.Event;
-import basaltlever.log.Lives;
-import basaltlever.pg.Answer;
-import basaltlever.pg.Budget;
-import basaltlever.pg.Pg;
-import basaltlever.pg.Write;
+import basaltlever.log.StatementTrace;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.ProtocolCodes;
+import basaltlever.pg.QueryResponse;
+import basaltlever.switchover.PlannedSwitchover;
+import basaltlever.switchover.SwitchoverAnnouncement;
 import basaltlever.time.ClockOffset;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
@@ -37,8 +37,8 @@
 import org.slf4j.event.Level;
 
 /** Carries out on sockets what the decisions want, and brings them what became of it. */
-final class Carrier implements Outside<String> {
-  private static final Logger LOG = LoggerFactory.getLogger(Carrier.class);
+final class AttemptExecutor implements Effects<String> {
+  private static final Logger LOG = LoggerFactory.getLogger(AttemptExecutor.class);
 
   /** The decisions' own timers, and executions cut to the same moment, come first. */
   private static final Span GUARD = Span.ofMillis(10);
@@ -46,14 +46,14 @@
   /** Members that are asked for planned changes. */
   private static final int MOST_ASKED = 128;
 
-  private final Turn turn;
+  private final LoopIteration turn;
   private final EventLoop loop;
-  private final Function<String, NodeLink> links;
+  private final Function<String, ConnectionPool> links;
   private final Consumer<String> forgotten;
-  private Gauges gauges;
+  private LoadReportFormat gauges;
   private Span pollTimeout;
-  private final Budget budget;
-  private final Lives lives;
+  private final MemoryBudget budget;
+  private final StatementTrace lives;
   private final Counters counters;
   private final ClockOffset clockOffset;
 
@@ -63,12 +63,12 @@
   /** What is kept to, by number: what was decided under another is not sent. */
   private ToIntFunction<Moment> stance = now -> 0;
 
-  private final LongObjectHashMap<Taken> statements = new LongObjectHashMap<>();
+  private final LongObjectHashMap<PendingStatement> statements = new LongObjectHashMap<>();
 
   /** All that are unanswered, by the time at which they are owed an answer. */
-  private final TreeSet<Taken> owed =
+  private final TreeSet<PendingStatement> owed =
       new TreeSet<>(
-          Comparator.comparingLong((Taken taken) -> taken.owedBy.micros())
+          Comparator.comparingLong((PendingStatement taken) -> taken.owedBy.micros())
               .thenComparingLong(taken -> taken.ticket));
 
   private Future<?> look;
@@ -83,18 +83,18 @@
   private final Set<String> absent = new HashSet<>();
   private boolean looked;
   private final LinkedHashSet<String> polledLately = new LinkedHashSet<>();
-  private Core<String> core;
+  private StatementRouter<String> core;
   private Runnable watch;
 
-  Carrier(
-      Turn turn,
+  AttemptExecutor(
+      LoopIteration turn,
       EventLoop loop,
-      Function<String, NodeLink> links,
+      Function<String, ConnectionPool> links,
       Consumer<String> forgotten,
-      Gauges gauges,
+      LoadReportFormat gauges,
       Span pollTimeout,
-      Budget budget,
-      Lives lives) {
+      MemoryBudget budget,
+      StatementTrace lives) {
     this.turn = turn;
     this.loop = loop;
     this.links = links;
@@ -107,7 +107,7 @@
     clockOffset = turn.clockOffset();
   }
 
-  void serve(Core<String> with, Runnable watchStarts) {
+  void serve(StatementRouter<String> with, Runnable watchStarts) {
     core = with;
     watch = watchStarts;
   }
@@ -129,7 +129,7 @@
   }
 
   /** What members' reports hold from now on, and how long one may take. */
-  void reads(Gauges by, Span within) {
+  void reads(LoadReportFormat by, Span within) {
     gauges = by;
     pollTimeout = within;
   }
@@ -157,7 +157,7 @@
    */
   void readTable(String node) {
     if (!changeTable.isEmpty()) {
-      start(new Reading(node), node, pollTimeout);
+      start(new AnnouncementQuery(node), node, pollTimeout);
     }
   }
 
@@ -167,7 +167,7 @@
     return statements.size();
   }
 
-  void add(Taken taken) {
+  void add(PendingStatement taken) {
     statements.put(taken.ticket, taken);
     owed.add(taken);
     lookAt(taken.owedBy.plus(GUARD));
@@ -193,7 +193,7 @@
   private void overdue(Moment now, Moment upTo) {
     looksAt = Moment.NEVER;
     while (!owed.isEmpty() && !owed.first().owedBy.plus(GUARD).isAfter(upTo)) {
-      Taken taken = owed.pollFirst();
+      PendingStatement taken = owed.pollFirst();
       guarded(taken, () -> core.timeIsOver(now, taken.ticket));
       turn.act(() -> abortForgotten(taken));
     }
@@ -202,7 +202,7 @@
     }
   }
 
-  private void abortForgotten(Taken taken) {
+  private void abortForgotten(PendingStatement taken) {
     if (!taken.answered) {
       counters.add(Counter.STATEMENT_OVERDUE);
       Event.OVERDUE.log(
@@ -212,7 +212,7 @@
           taken.query.id,
           taken.executions.size(),
           taken.out);
-      settle(taken, Pg.UNKNOWN_EFFECT, "the statement's time is over", null);
+      settle(taken, ProtocolCodes.UNKNOWN_EFFECT, "the statement's time is over", null);
     }
   }
 
@@ -222,12 +222,12 @@
   }
 
   /** Beyond what the settings allow to be open, before the decisions hear of it. */
-  void turnAway(Taken taken) {
+  void turnAway(PendingStatement taken) {
     counters.add(Counter.REFUSED_TOO_MANY_OPEN);
-    turn.act(() -> settle(taken, Pg.TOO_MANY, "too many statements are open", null));
+    turn.act(() -> settle(taken, ProtocolCodes.TOO_MANY, "too many statements are open", null));
   }
 
-  void left(Taken taken) {
+  void left(PendingStatement taken) {
     turn.hear(
         now -> {
           lives.ends(taken.life, "left");
@@ -238,19 +238,19 @@
   }
 
   /** A fault in the decisions must not cost the statement its answer. */
-  void guarded(Taken taken, Runnable step) {
+  void guarded(PendingStatement taken, Runnable step) {
     try {
       step.run();
     } catch (RuntimeException fault) {
       Event.FAULT.fault(LOG, "", fault, "deciding on statement " + taken.ticket);
       if (!taken.answered) {
-        turn.act(() -> settle(taken, Pg.UNKNOWN_EFFECT, "the router failed", null));
+        turn.act(() -> settle(taken, ProtocolCodes.UNKNOWN_EFFECT, "the router failed", null));
         left(taken);
       }
     }
   }
 
-  private void settle(Taken taken, String code, String message, String detail) {
+  private void settle(PendingStatement taken, String code, String message, String detail) {
     if (!taken.answered) {
       lives.step(taken.life, code);
       taken.answered = true;
@@ -259,7 +259,7 @@
     forget(taken);
   }
 
-  private void forget(Taken taken) {
+  private void forget(PendingStatement taken) {
     if (taken.answered) {
       owed.remove(taken);
     }
@@ -278,10 +278,10 @@
    */
   @Override
   public void execute(long ticket, int execution, String node, Span timeout, Moment sendBy) {
-    Taken taken = statements.get(ticket);
+    PendingStatement taken = statements.get(ticket);
     Span owed = taken.owedBy.since(turn.now());
     Span limit = timeout.micros() == 0 ? owed : timeout.shorter(owed);
-    Execution job = new Execution(taken, execution, turn.now().plus(limit), sendBy);
+    Attempt job = new Attempt(taken, execution, turn.now().plus(limit), sendBy);
     taken.executions.add(job);
     counters.add(Counter.EXECUTION_SENT);
     if (execution > 0) {
@@ -297,27 +297,27 @@
           // statement.
           Span left = job.until.since(turn.clock().now());
           if (taken.answered || left.micros() <= 0) {
-            job.endLost(Ending.NEVER_SENT, Ending.NEVER_SENT);
+            job.endLost(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
             return;
           }
           start(job, node, left);
         });
   }
 
-  private void start(Job job, String node, Span limit) {
+  private void start(ServerQuery job, String node, Span limit) {
     job.endsBy(loop.schedule(job::timeIsOver, Math.max(1, limit.micros()), TimeUnit.MICROSECONDS));
     links.apply(node).start(job);
   }
 
   @Override
   public void cancel(long ticket, int execution) {
-    Taken taken = statements.get(ticket);
-    turn.act(() -> taken.executions.get(execution).giveUp(Ending.CANCELLED));
+    PendingStatement taken = statements.get(ticket);
+    turn.act(() -> taken.executions.get(execution).giveUp(AttemptOutcome.CANCELLED));
   }
 
   @Override
-  public void reject(long ticket, Span comeBackAfter, Refusal why) {
-    Taken taken = statements.get(ticket);
+  public void reject(long ticket, Span comeBackAfter, RejectReason why) {
+    PendingStatement taken = statements.get(ticket);
     counters.add(
         switch (why) {
           case OVERDUE -> Counter.REFUSED_OVERDUE;
@@ -333,19 +333,22 @@
         () ->
             settle(
                 taken,
-                Pg.TOO_MANY,
+                ProtocolCodes.TOO_MANY,
                 "nothing was done, try again",
                 millis > 0 ? "" + millis : null));
   }
 
   @Override
   public void abort(long ticket) {
-    Taken taken = statements.get(ticket);
+    PendingStatement taken = statements.get(ticket);
     counters.add(Counter.FAILED_EFFECT_UNKNOWN);
     turn.act(
         () ->
             settle(
-                taken, Pg.UNKNOWN_EFFECT, "the statement may or may not have had an effect", null));
+                taken,
+                ProtocolCodes.UNKNOWN_EFFECT,
+                "the statement may or may not have had an effect",
+                null));
   }
 
   @Override
@@ -415,13 +418,13 @@
     turn.act(
         () -> {
           for (int more = links.apply(node).missing(connections); more > 0; more--) {
-            start(new Opening(), node, pollTimeout);
+            start(new ConnectionWarmUp(), node, pollTimeout);
           }
         });
   }
 
   @Override
-  public void change(int group, Change.Phase phase, String target) {
+  public void change(int group, PlannedSwitchover.Phase phase, String target) {
     Event.CHANGE.log(LOG, Level.INFO, "", group, phase, target);
   }
 
@@ -438,34 +441,34 @@
 
   // ---- What became of it.
 
-  private Role role(Answer answer) {
+  private Role role(QueryResponse answer) {
     return answer.role.equals("master")
         ? Role.PRIMARY
         : answer.role.equals("replica") ? Role.REPLICA : Role.UNTOLD;
   }
 
-  private static Ending ending(Answer answer) {
+  private static AttemptOutcome ending(QueryResponse answer) {
     String code = answer.error();
     return answer.isRow()
-        ? Ending.COMPLETED
+        ? AttemptOutcome.COMPLETED
         : code == null
-            ? Ending.UNKNOWN
+            ? AttemptOutcome.UNKNOWN
             : switch (code) {
-              case "25006", "72000" -> Ending.MISS;
-              case "53300" -> Ending.FULL;
-              case "XX000" -> Ending.ERROR;
-              default -> Ending.UNKNOWN;
+              case "25006", "72000" -> AttemptOutcome.MISS;
+              case "53300" -> AttemptOutcome.FULL;
+              case "XX000" -> AttemptOutcome.ERROR;
+              default -> AttemptOutcome.UNKNOWN;
             };
   }
 
-  private final class Execution extends Job {
-    private final Taken taken;
+  private final class Attempt extends ServerQuery {
+    private final PendingStatement taken;
     private final int number;
     private final Moment until;
     private final Moment sendBy;
     private final int decidedUnder = stance.applyAsInt(turn.now());
 
-    Execution(Taken taken, int number, Moment until, Moment sendBy) {
+    Attempt(PendingStatement taken, int number, Moment until, Moment sendBy) {
       this.taken = taken;
       this.number = number;
       this.until = until;
@@ -498,20 +501,21 @@
         lives.step(taken.life, number + "w");
       }
       long left = Math.max(1, until.since(turn.clock().now()).micros());
-      Write.query(out, taken.text, taken.query.waitFrom, taken.query.waitTo, (left + 999) / 1_000);
+      MessageEncoder.query(
+          out, taken.text, taken.query.waitFrom, taken.query.waitTo, (left + 999) / 1_000);
     }
 
     @Override
-    void answered(Answer answer) {
+    void answered(QueryResponse answer) {
       turn.hear(now -> ended(now, ending(answer), answer));
     }
 
     @Override
-    void lost(Ending ending) {
-      turn.hear(now -> ended(now, ending, new Answer()));
+    void lost(AttemptOutcome ending) {
+      turn.hear(now -> ended(now, ending, new QueryResponse()));
     }
 
-    private void ended(Moment now, Ending ending, Answer answer) {
+    private void ended(Moment now, AttemptOutcome ending, QueryResponse answer) {
       taken.out--;
       // Text put together for nobody costs a process that has just started most.
       if (taken.life != null) {
@@ -538,7 +542,7 @@
     }
   }
 
-  private final class Poll extends Job {
+  private final class Poll extends ServerQuery {
     private final String node;
 
     Poll(String node) {
@@ -552,13 +556,13 @@
 
     @Override
     void write(ByteBuf out) {
-      Write.query(out, gauges.names.isEmpty() ? "SELECT 1" : "SHOW gauges");
+      MessageEncoder.query(out, gauges.names.isEmpty() ? "SELECT 1" : "SHOW gauges");
     }
 
     @Override
-    void answered(Answer answer) {
+    void answered(QueryResponse answer) {
       firstLook.remove(node);
-      Ending ending = ending(answer);
+      AttemptOutcome ending = ending(answer);
       Role role = role(answer);
       double[] values = gauges.values(answer.text());
       Moment told =
@@ -597,7 +601,7 @@
     }
 
     @Override
-    void lost(Ending ending) {
+    void lost(AttemptOutcome ending) {
       firstLook.remove(node);
       turn.hear(
           now ->
@@ -606,10 +610,10 @@
   }
 
   /** What a member's table says of a planned change of its group's primary. */
-  private final class Reading extends Job {
+  private final class AnnouncementQuery extends ServerQuery {
     private final String node;
 
-    Reading(String node) {
+    AnnouncementQuery(String node) {
       this.node = node;
     }
 
@@ -620,12 +624,12 @@
 
     @Override
     void write(ByteBuf out) {
-      Write.query(out, Note.query(changeTable));
+      MessageEncoder.query(out, SwitchoverAnnouncement.query(changeTable));
     }
 
     @Override
-    void answered(Answer answer) {
-      Note note = Note.read(answer.text());
+    void answered(QueryResponse answer) {
+      SwitchoverAnnouncement note = SwitchoverAnnouncement.read(answer.text());
       answer.release();
       if (note != null) {
         turn.hear(
@@ -641,13 +645,13 @@
     }
 
     @Override
-    void lost(Ending ending) {
+    void lost(AttemptOutcome ending) {
       // Polls tell what there is to tell.
     }
   }
 
   /** Opens a connection, and has it answer something. */
-  private static final class Opening extends Job {
+  private static final class ConnectionWarmUp extends ServerQuery {
     @Override
     Descriptors.Use use() {
       return Descriptors.Use.WARM_UP;
@@ -655,16 +659,16 @@
 
     @Override
     void write(ByteBuf out) {
-      Write.query(out, "SELECT 1");
+      MessageEncoder.query(out, "SELECT 1");
     }
 
     @Override
-    void answered(Answer answer) {
+    void answered(QueryResponse answer) {
       answer.release();
     }
 
     @Override
-    void lost(Ending ending) {
+    void lost(AttemptOutcome ending) {
       // One more or less.
     }
   }
--- a/router/src/main/java/basaltlever/net/ClientConnection.java
+++ b/router/src/main/java/basaltlever/net/ClientConnection.java
@@ -2,14 +2,14 @@
 
 import basaltlever.log.Counter;
 import basaltlever.log.Event;
-import basaltlever.log.Lives;
-import basaltlever.pg.Arrivals;
-import basaltlever.pg.Budget;
-import basaltlever.pg.Frames;
-import basaltlever.pg.Pg;
-import basaltlever.pg.PgFault;
+import basaltlever.log.StatementTrace;
+import basaltlever.pg.ArrivalTimes;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.pg.MessageDecoder;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.ProtocolCodes;
+import basaltlever.pg.ProtocolException;
 import basaltlever.pg.Query;
-import basaltlever.pg.Write;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import io.netty.buffer.ByteBuf;
@@ -22,7 +22,7 @@
  * One client: its statements are taken one after the other, in the order in which they came. {@link
  * ClientLifecycle} says when its connection may be ended, {@link ClientSocket} moves the bytes.
  */
-final class ClientConnection implements Descriptors.Lingering, ClientLifecycle.Connection {
+final class ClientConnection implements Descriptors.EvictableClient, ClientLifecycle.Connection {
   private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
 
   /** A value of 64 KiB in hexadecimal, with its statement. */
@@ -62,11 +62,11 @@
   private static final int COPIED = 512;
 
   private final ClientHost clients;
-  private final Budget budget;
-  private final Frames frames;
+  private final MemoryBudget budget;
+  private final MessageDecoder frames;
   private final ClientLifecycle lifecycle = new ClientLifecycle(this);
   private ClientSocket socket;
-  private final Arrivals arrivals = new Arrivals();
+  private final ArrivalTimes arrivals = new ArrivalTimes();
 
   /** Of the message in hand. */
   private Moment arrived = Moment.LONG_AGO;
@@ -75,9 +75,9 @@
    * What ends this connection once all that came whole before it is answered; what comes now is no
    * use.
    */
-  private PgFault after;
+  private ProtocolException after;
 
-  private Taken taken;
+  private PendingStatement taken;
 
   /** After an error in the extended protocol all is skipped up to the next Sync. */
   private boolean skipping;
@@ -110,13 +110,13 @@
 
   /** The number tells connections apart in the log. One that is not admitted is told so at once. */
   ClientConnection(
-      ClientHost clients, Budget budget, boolean admitted, long number, Moment queuedSince) {
+      ClientHost clients, MemoryBudget budget, boolean admitted, long number, Moment queuedSince) {
     this.admitted = admitted;
     this.clients = clients;
     this.budget = budget;
     this.number = number;
     this.queuedSince = queuedSince;
-    frames = new Frames(LARGEST_START, budget);
+    frames = new MessageDecoder(LARGEST_START, budget);
     since = clients.now();
     idleSince = since;
     readAt = since;
@@ -158,9 +158,10 @@
     try {
       frames.add(read);
       if (lifecycle.isBusy() && frames.size() > AHEAD) {
-        throw new PgFault(Pg.TOO_MANY, "more than " + AHEAD + " bytes were sent ahead");
+        throw new ProtocolException(
+            ProtocolCodes.TOO_MANY, "more than " + AHEAD + " bytes were sent ahead");
       }
-    } catch (PgFault fault) {
+    } catch (ProtocolException fault) {
       // What came whole is owed its own answers first: this one would say nothing was done.
       after = fault;
     }
@@ -188,13 +189,13 @@
         // leave.
         socket.setReading(lifecycle.isBusy() || after != null || frames.size() <= LARGEST);
       }
-    } catch (PgFault fault) {
+    } catch (ProtocolException fault) {
       refuse(fault, CloseReason.PROTOCOL_ERROR);
     }
   }
 
   /** False where more messages have come whole, whose turn comes later. */
-  private boolean cutMessages(int most) throws PgFault {
+  private boolean cutMessages(int most) throws ProtocolException {
     for (int left = most; lifecycle.takesMessages() && socket.isWritable(); left--) {
       if (left == 0) {
         goesOn();
@@ -274,7 +275,9 @@
     if (lifecycle.state() == ClientLifecycle.State.IDLE && frames.size() == 0) {
       endIdle(CloseReason.SILENT);
     } else {
-      refuse(new PgFault(Pg.VIOLATION, "a message did not come whole in time"), CloseReason.SILENT);
+      refuse(
+          new ProtocolException(ProtocolCodes.VIOLATION, "a message did not come whole in time"),
+          CloseReason.SILENT);
     }
   }
 
@@ -286,38 +289,39 @@
     pump();
   }
 
-  private boolean refuse(PgFault fault, CloseReason why) {
+  private boolean refuse(ProtocolException fault, CloseReason why) {
     if (lifecycle.beginsToEndWithError(why)) {
       if (why != CloseReason.SHUTDOWN) {
         clients.spoilt(socket.peer(), fault.getMessage());
       }
       ByteBuf out = socket.alloc().buffer();
-      Write.error(out, "FATAL", fault.code, fault.getMessage(), null);
+      MessageEncoder.error(out, "FATAL", fault.code, fault.getMessage(), null);
       ends(out);
       return true;
     }
     return false;
   }
 
-  private void start(ByteBuf message) throws PgFault {
+  private void start(ByteBuf message) throws ProtocolException {
     if (message.readableBytes() < 8) {
-      throw new PgFault(Pg.VIOLATION, "a startup message is too short");
+      throw new ProtocolException(ProtocolCodes.VIOLATION, "a startup message is too short");
     }
     int version = message.getInt(message.readerIndex() + 4);
-    if (version == Pg.SSL || version == Pg.GSS) {
+    if (version == ProtocolCodes.SSL || version == ProtocolCodes.GSS) {
       socket.write(socket.alloc().buffer(1).writeByte('N'));
-    } else if (version == Pg.CANCEL) {
+    } else if (version == ProtocolCodes.CANCEL) {
       // Nobody was given a key to cancel with, and no answer is owed.
       close(CloseReason.PEER_CLOSED);
-    } else if (version >>> 16 != Pg.VERSION >>> 16) {
-      throw new PgFault(
-          Pg.UNSUPPORTED, "protocol version " + (version >>> 16) + " is not spoken here");
+    } else if (version >>> 16 != ProtocolCodes.VERSION >>> 16) {
+      throw new ProtocolException(
+          ProtocolCodes.UNSUPPORTED,
+          "protocol version " + (version >>> 16) + " is not spoken here");
     } else {
       ByteBuf out = socket.alloc().buffer();
-      if (version != Pg.VERSION) {
-        Write.negotiate(out);
+      if (version != ProtocolCodes.VERSION) {
+        MessageEncoder.negotiate(out);
       }
-      Write.welcome(out);
+      MessageEncoder.welcome(out);
       socket.write(out);
       frames.admit(LARGEST);
       lifecycle.started();
@@ -325,7 +329,7 @@
     }
   }
 
-  private void message(ByteBuf message) throws PgFault {
+  private void message(ByteBuf message) throws ProtocolException {
     byte type = message.readByte();
     message.skipBytes(4);
     if (!asked) {
@@ -333,40 +337,41 @@
       clients.descriptors().asks(this);
     }
     partSince = Moment.NEVER;
-    if (type == Pg.TERMINATE) {
+    if (type == ProtocolCodes.TERMINATE) {
       close(CloseReason.PEER_CLOSED);
-    } else if (type == Pg.SYNC) {
+    } else if (type == ProtocolCodes.SYNC) {
       skipping = false;
       reply(out -> {});
-    } else if (type == Pg.QUERY) {
+    } else if (type == ProtocolCodes.QUERY) {
       skipping = false;
       query(message);
     } else if ("PBEDCHF".indexOf(type) >= 0) {
       if (!skipping) {
         skipping = type != 'F';
         ByteBuf out = socket.alloc().buffer();
-        Write.error(out, "ERROR", Pg.UNSUPPORTED, "only simple queries are taken here", null);
+        MessageEncoder.error(
+            out, "ERROR", ProtocolCodes.UNSUPPORTED, "only simple queries are taken here", null);
         if (type == 'F') {
-          Write.ready(out);
+          MessageEncoder.ready(out);
         }
         socket.write(out);
       }
     } else if ("dcf".indexOf(type) < 0) {
-      throw new PgFault(Pg.VIOLATION, "a message of unknown type " + type);
+      throw new ProtocolException(ProtocolCodes.VIOLATION, "a message of unknown type " + type);
     }
   }
 
-  private void query(ByteBuf message) throws PgFault {
+  private void query(ByteBuf message) throws ProtocolException {
     int last = message.writerIndex() - 1;
     if (!message.isReadable() || message.getByte(last) != 0) {
-      throw new PgFault(Pg.VIOLATION, "a query does not end in a zero byte");
+      throw new ProtocolException(ProtocolCodes.VIOLATION, "a query does not end in a zero byte");
     }
     ByteBuf text = message.slice(message.readerIndex(), message.readableBytes() - 1);
     String idle = Query.idleCommand(text);
     if (Query.isBlank(text)) {
-      reply(Write::empty);
+      reply(MessageEncoder::empty);
     } else if (idle != null) {
-      reply(out -> Write.complete(out, idle));
+      reply(out -> MessageEncoder.complete(out, idle));
     } else {
       take(text);
     }
@@ -378,16 +383,17 @@
       int workload = clients.workload(query);
       if (clients.refusesAll()) {
         clients.counters().add(Counter.REFUSED_SHUTDOWN);
-        throw new PgFault(Pg.TOO_MANY, "this router ends, and nothing was done");
+        throw new ProtocolException(
+            ProtocolCodes.TOO_MANY, "this router ends, and nothing was done");
       }
       // It outlives the buffer that it was read into: later executions send it again.
       ByteBuf kept = socket.alloc().buffer(text.readableBytes()).writeBytes(text);
       taken = clients.take(this, kept, query, workload, arrived);
       lifecycle.takes();
       clients.descriptors().busy(this);
-    } catch (PgFault fault) {
+    } catch (ProtocolException fault) {
       clients.spoilt(socket.peer(), fault.getMessage());
-      reply(out -> Write.error(out, "ERROR", fault.code, fault.getMessage(), null));
+      reply(out -> MessageEncoder.error(out, "ERROR", fault.code, fault.getMessage(), null));
     }
   }
 
@@ -395,7 +401,7 @@
   private void reply(Consumer<ByteBuf> what) {
     ByteBuf out = socket.alloc().buffer();
     what.accept(out);
-    Write.ready(out);
+    MessageEncoder.ready(out);
     socket.write(out);
   }
 
@@ -409,7 +415,7 @@
     if (!budget.hold(size)) {
       budget.release(size);
       row.forEach(ByteBuf::release);
-      answerError(Pg.UNKNOWN_EFFECT, "there is no memory for the answer", null);
+      answerError(ProtocolCodes.UNKNOWN_EFFECT, "there is no memory for the answer", null);
       return;
     }
     ByteBuf end = socket.alloc().buffer();
@@ -421,8 +427,8 @@
         socket.write(slice);
       }
     }
-    Write.ready(end);
-    Lives.Life life = taken.life;
+    MessageEncoder.ready(end);
+    StatementTrace.Life life = taken.life;
     socket.writeAndFlush(
         end,
         written -> {
@@ -434,10 +440,10 @@
 
   void answerError(String code, String message, String detail) {
     if (lifecycle.isBusy()) {
-      Lives.Life life = taken.life;
+      StatementTrace.Life life = taken.life;
       ByteBuf out = socket.alloc().buffer();
-      Write.error(out, "ERROR", code, message, detail);
-      Write.ready(out);
+      MessageEncoder.error(out, "ERROR", code, message, detail);
+      MessageEncoder.ready(out);
       socket.writeAndFlush(out, written -> clients.lives().ends(life, written ? "out" : "lost"));
       answered();
     }
@@ -525,10 +531,10 @@
     }
     ByteBuf out = socket.alloc().buffer();
     long millis = clients.comeBackMillis();
-    Write.error(
+    MessageEncoder.error(
         out,
         "FATAL",
-        Pg.TOO_MANY,
+        ProtocolCodes.TOO_MANY,
         "too many connections are open",
         millis > 0 ? "" + millis : null);
     ends(out);
@@ -542,8 +548,9 @@
     }
   }
 
-  private static PgFault routerEnds() {
-    return new PgFault(Pg.CANNOT_CONNECT_NOW, "this router ends, and nothing was done");
+  private static ProtocolException routerEnds() {
+    return new ProtocolException(
+        ProtocolCodes.CANNOT_CONNECT_NOW, "this router ends, and nothing was done");
   }
 
   /**
@@ -604,7 +611,7 @@
   }
 
   /** Whether its client is there and has had no answer to the statement. */
-  boolean waitsFor(Taken statement) {
+  boolean waitsFor(PendingStatement statement) {
     return lifecycle.isBusy() && taken == statement;
   }
 
@@ -637,7 +644,8 @@
   void failed(Throwable cause) {
     Event.FAULT.fault(LOG, "", cause, "talking to client " + socket.peer());
     if (lifecycle.isOpen()) {
-      after = new PgFault(Pg.TOO_MANY, "the router could not read what was sent");
+      after =
+          new ProtocolException(ProtocolCodes.TOO_MANY, "the router could not read what was sent");
       if (lifecycle.takesMessages()) {
         refuse(after, CloseReason.FAULT);
       }
--- a/router/src/main/java/basaltlever/net/ClientHost.java
+++ b/router/src/main/java/basaltlever/net/ClientHost.java
@@ -1,8 +1,8 @@
 package basaltlever.net;
 
 import basaltlever.log.Counters;
-import basaltlever.log.Lives;
-import basaltlever.pg.PgFault;
+import basaltlever.log.StatementTrace;
+import basaltlever.pg.ProtocolException;
 import basaltlever.pg.Query;
 import basaltlever.time.Moment;
 import io.netty.buffer.ByteBuf;
@@ -18,18 +18,19 @@
 
   Descriptors descriptors();
 
-  Lives lives();
+  StatementTrace lives();
 
   /** The place of the query's class among the workloads; a fault where none has that name. */
-  int workload(Query query) throws PgFault;
+  int workload(Query query) throws ProtocolException;
 
   /**
    * Takes a statement over, with its text, which came whole at that moment; the answer comes later.
    */
-  Taken take(ClientConnection client, ByteBuf text, Query query, int workload, Moment arrived);
+  PendingStatement take(
+      ClientConnection client, ByteBuf text, Query query, int workload, Moment arrived);
 
   /** The client waits for nothing any more, if it did for this statement; null for none. */
-  void left(ClientConnection connection, Taken taken);
+  void left(ClientConnection connection, PendingStatement taken);
 
   /** The system has closed the connection. */
   void closed(ClientConnection connection);
--- a/router/src/main/java/basaltlever/net/Clients.java
+++ b/router/src/main/java/basaltlever/net/ClientSessions.java
@@ -1,14 +1,14 @@
 package basaltlever.net;
 
-import basaltlever.config.Places;
-import basaltlever.core.Core;
+import basaltlever.config.WorkloadSlots;
+import basaltlever.core.StatementRouter;
 import basaltlever.log.Counter;
 import basaltlever.log.Counters;
-import basaltlever.log.Lives;
-import basaltlever.log.Tally;
-import basaltlever.pg.Budget;
-import basaltlever.pg.Pg;
-import basaltlever.pg.PgFault;
+import basaltlever.log.RateLimitedLog;
+import basaltlever.log.StatementTrace;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.pg.ProtocolCodes;
+import basaltlever.pg.ProtocolException;
 import basaltlever.pg.Query;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
@@ -17,7 +17,7 @@
 import java.util.LinkedHashSet;
 
 /** The clients' connections, and the way of their statements to the decisions. */
-final class Clients implements ClientHost {
+final class ClientSessions implements ClientHost {
   /** A client may rely on an idle connection for this long. */
   private static final Span KEPT = Span.ofMillis(2_000);
 
@@ -27,16 +27,16 @@
    */
   private static final double COMES_BACK = 0.25;
 
-  private final Turn turn;
+  private final LoopIteration turn;
   private final Descriptors descriptors;
-  private Places places;
+  private WorkloadSlots places;
   private final int mostOpen;
-  private final Budget budget;
-  private final Tally bad;
-  private final Lives lives;
+  private final MemoryBudget budget;
+  private final RateLimitedLog bad;
+  private final StatementTrace lives;
   private final LinkedHashSet<ClientConnection> connections = new LinkedHashSet<>();
-  private Core<String> core;
-  private Carrier carrier;
+  private StatementRouter<String> core;
+  private AttemptExecutor carrier;
   private long tickets;
   private long accepted;
   private Span comeBack = Span.NONE;
@@ -47,14 +47,14 @@
   /** When this router ends, if it is known: no statement's time is longer than its own. */
   private Moment ends = Moment.NEVER;
 
-  Clients(
-      Turn turn,
+  ClientSessions(
+      LoopIteration turn,
       Descriptors descriptors,
-      Places places,
+      WorkloadSlots places,
       int mostOpen,
-      Budget budget,
-      Tally bad,
-      Lives lives) {
+      MemoryBudget budget,
+      RateLimitedLog bad,
+      StatementTrace lives) {
     this.turn = turn;
     this.descriptors = descriptors;
     this.places = places;
@@ -65,7 +65,7 @@
     ended = new EndedConnections(turn.clock()::now);
   }
 
-  void serve(Core<String> with, Carrier by) {
+  void serve(StatementRouter<String> with, AttemptExecutor by) {
     core = with;
     carrier = by;
   }
@@ -133,25 +133,26 @@
   }
 
   /** For what is read from here on. */
-  void goBy(Places now) {
+  void goBy(WorkloadSlots now) {
     places = now;
   }
 
   @Override
-  public int workload(Query query) throws PgFault {
+  public int workload(Query query) throws ProtocolException {
     int workload = places.of(query.workload);
     if (workload < 0) {
-      throw new PgFault(Pg.VIOLATION, "the workload " + query.workload + " is unknown");
+      throw new ProtocolException(
+          ProtocolCodes.VIOLATION, "the workload " + query.workload + " is unknown");
     }
     return workload;
   }
 
   /** Takes the text over. */
   @Override
-  public Taken take(
+  public PendingStatement take(
       ClientConnection client, ByteBuf text, Query query, int workload, Moment arrived) {
-    Taken taken =
-        new Taken(
+    PendingStatement taken =
+        new PendingStatement(
             ++tickets,
             client,
             text,
@@ -208,7 +209,7 @@
   }
 
   @Override
-  public Lives lives() {
+  public StatementTrace lives() {
     return lives;
   }
 
@@ -225,7 +226,7 @@
 
   /** Its client has gone away, or must go. */
   @Override
-  public void left(ClientConnection connection, Taken taken) {
+  public void left(ClientConnection connection, PendingStatement taken) {
     descriptors.busy(connection);
     if (taken != null) {
       carrier.left(taken);
--- a/router/src/main/java/basaltlever/net/NodeLink.java
+++ b/router/src/main/java/basaltlever/net/ConnectionPool.java
@@ -1,9 +1,9 @@
 package basaltlever.net;
 
-import basaltlever.gateway.Ending;
+import basaltlever.gateway.AttemptOutcome;
 import basaltlever.log.Counter;
-import basaltlever.log.Tally;
-import basaltlever.pg.Budget;
+import basaltlever.log.RateLimitedLog;
+import basaltlever.pg.MemoryBudget;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import io.netty.bootstrap.Bootstrap;
@@ -18,17 +18,17 @@
  * The connections to one node: those idle are used again, the longest idle first, and closed in
  * time.
  */
-final class NodeLink {
+final class ConnectionPool {
   private final String name;
   private final Bootstrap bootstrap;
   private final EventLoop loop;
-  private final Turn turn;
+  private final LoopIteration turn;
   private final Descriptors descriptors;
-  private final Budget budget;
+  private final MemoryBudget budget;
   private Span connectTimeout;
   private Span keptFor;
-  private final Tally bad;
-  private final ArrayDeque<NodeConnection> idle = new ArrayDeque<>();
+  private final RateLimitedLog bad;
+  private final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
   private InetSocketAddress address;
   private int opening;
   private boolean sweeping;
@@ -36,16 +36,16 @@
   /**
    * An idle connection is closed a connect time-out before the node may: a path can take that long.
    */
-  NodeLink(
+  ConnectionPool(
       String name,
       Bootstrap bootstrap,
       EventLoop loop,
-      Turn turn,
+      LoopIteration turn,
       Descriptors descriptors,
-      Budget budget,
+      MemoryBudget budget,
       Span connectTimeout,
       Span idleClose,
-      Tally bad) {
+      RateLimitedLog bad) {
     this.name = name;
     this.bootstrap = bootstrap;
     this.loop = loop;
@@ -85,12 +85,12 @@
     }
   }
 
-  void start(Job job) {
+  void start(ServerQuery job) {
     // What a node sends unasked right behind an answer, or that it closes then, has shown by now on
     // the
     // longest idle; on the latest it would meet the next query.
     closeStale();
-    NodeConnection next = idle.peekLast();
+    PooledConnection next = idle.peekLast();
     if (next == null) {
       open(job);
     } else {
@@ -113,9 +113,9 @@
     }
   }
 
-  private void open(Job job) {
+  private void open(ServerQuery job) {
     if (address == null) {
-      job.endLost(Ending.NO_CONNECTION, Ending.RESET);
+      job.endLost(AttemptOutcome.NO_CONNECTION, AttemptOutcome.RESET);
       return;
     }
     switch (descriptors.admitsNode(job.use())) {
@@ -127,22 +127,22 @@
                 job.use() == Descriptors.Use.EXECUTION
                     ? Counter.EXECUTION_WITHOUT_DESCRIPTOR
                     : Counter.POLL_WITHOUT_DESCRIPTOR);
-        job.endLost(Ending.NO_DESCRIPTOR, Ending.NO_DESCRIPTOR);
+        job.endLost(AttemptOutcome.NO_DESCRIPTOR, AttemptOutcome.NO_DESCRIPTOR);
       }
     }
   }
 
   /** While it waited for a descriptor its time may have passed, or a connection become free. */
-  private void openIfWanted(Job job) {
+  private void openIfWanted(ServerQuery job) {
     if (job.isOver() || job.isTooLate(now())) {
-      job.endLost(Ending.NEVER_SENT, Ending.NEVER_SENT);
+      job.endLost(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
     } else {
       start(job);
     }
   }
 
-  private void connect(Job job) {
-    NodeConnection connection = new NodeConnection(this, address, budget, job);
+  private void connect(ServerQuery job) {
+    PooledConnection connection = new PooledConnection(this, address, budget, job);
     ChannelFuture connecting = bootstrap.clone().handler(connection).connect(address);
     if (connecting.isDone() && !connecting.isSuccess()) {
       // No socket was to be had, or no way leads there: such a channel may belong to no loop.
@@ -166,12 +166,12 @@
    * After a turn that took long both have waited, and a statement went out for a client that had
    * left long before.
    */
-  void welcomed(NodeConnection connection) {
+  void welcomed(PooledConnection connection) {
     turn.hear(
         now ->
             turn.act(
                 () -> {
-                  Job first = connection.first();
+                  ServerQuery first = connection.first();
                   if (first != null) {
                     run(connection, first);
                   }
@@ -179,16 +179,16 @@
   }
 
   /** Its job may have ended while the connection came up. */
-  void run(NodeConnection connection, Job job) {
+  void run(PooledConnection connection, ServerQuery job) {
     if (job.isOver() || job.isTooLate(now())) {
-      job.endLost(Ending.NEVER_SENT, Ending.NEVER_SENT);
+      job.endLost(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
       free(connection);
     } else {
       connection.run(job);
     }
   }
 
-  void free(NodeConnection connection) {
+  void free(PooledConnection connection) {
     if (!connection.address().equals(address)) {
       connection.close();
       return;
@@ -198,14 +198,14 @@
     sweepLater();
   }
 
-  void closed(NodeConnection connection) {
+  void closed(PooledConnection connection) {
     idle.remove(connection);
     descriptors.busy(connection);
     descriptors.nodeClosed();
   }
 
   void letGo() {
-    new ArrayList<>(idle).forEach(NodeConnection::close);
+    new ArrayList<>(idle).forEach(PooledConnection::close);
   }
 
   private void sweepLater() {
--- a/router/src/main/java/basaltlever/net/Descriptors.java
+++ b/router/src/main/java/basaltlever/net/Descriptors.java
@@ -32,7 +32,7 @@
    * A client's connection that was told to go and keeps a descriptor until its client has taken
    * note.
    */
-  interface Lingering extends Idle {
+  interface EvictableClient extends Idle {
     /** True where it has had the time that is always left to it, and was closed. */
     boolean closeIfNoted();
   }
@@ -126,7 +126,7 @@
   /** Of clients that have not sent a whole message yet, the oldest first. */
   private final LinkedHashSet<Idle> unasked = new LinkedHashSet<>();
 
-  private final LinkedHashSet<Lingering> lingering = new LinkedHashSet<>();
+  private final LinkedHashSet<EvictableClient> lingering = new LinkedHashSet<>();
 
   /** Told of each descriptor that has become free. */
   private Runnable freed = () -> {};
@@ -291,7 +291,7 @@
   }
 
   /** It has been told to go; where a place is kept for it, its own is free for another client. */
-  void lingers(Lingering connection) {
+  void lingers(EvictableClient connection) {
     if (lingering.size() < kept()) {
       clients--;
       lingering.add(connection);
@@ -383,7 +383,7 @@
    */
   private void closeNoted() {
     int looked = 0;
-    for (Lingering told : new ArrayList<>(lingering)) {
+    for (EvictableClient told : new ArrayList<>(lingering)) {
       if (!told.closeIfNoted() || ++looked == MOST_CANDIDATES) {
         return;
       }
