--- a/router/src/main/java/basaltlever/net/Watch.java
+++ b/router/src/main/java/basaltlever/net/DiscoveryWatch.java
@@ -1,12 +1,12 @@
 package basaltlever.net;
 
-import basaltlever.core.Core;
-import basaltlever.discovery.ListFault;
-import basaltlever.discovery.ListReader;
-import basaltlever.discovery.MemberEntry;
-import basaltlever.discovery.MemberList;
-import basaltlever.discovery.MemberUpdate;
-import basaltlever.gateway.Listing;
+import basaltlever.core.StatementRouter;
+import basaltlever.discovery.EndpointEntry;
+import basaltlever.discovery.EndpointList;
+import basaltlever.discovery.EndpointListReader;
+import basaltlever.discovery.EndpointUpdate;
+import basaltlever.discovery.InvalidEndpointListException;
+import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.log.Counter;
 import basaltlever.log.Event;
 import basaltlever.time.Moment;
@@ -33,8 +33,8 @@
  * matter. A watch that has fallen silent stands until another one has answered: it may only be
  * late, and calls may fail.
  */
-final class Watch {
-  private static final Logger LOG = LoggerFactory.getLogger(Watch.class);
+final class DiscoveryWatch {
+  private static final Logger LOG = LoggerFactory.getLogger(DiscoveryWatch.class);
 
   /**
    * An empty line comes every 2 s; half of the 6 s in which silence must be made up for are left
@@ -57,25 +57,25 @@
   private static final Span READS_FOR = Span.ofMillis(15);
 
   private final Bootstrap bootstrap;
-  private final Turn turn;
-  private final MemberList list;
-  private final Core<String> core;
+  private final LoopIteration turn;
+  private final EndpointList list;
+  private final StatementRouter<String> core;
   private InetSocketAddress discovery;
 
   /** The one whose news is taken; null while none has answered. */
-  private Call standing;
+  private DiscoveryCall standing;
 
   /** The latest call while it has not answered. */
-  private Call opening;
+  private DiscoveryCall opening;
 
   private int calls;
 
-  Watch(
+  DiscoveryWatch(
       Bootstrap bootstrap,
       InetSocketAddress discovery,
-      Turn turn,
-      MemberList list,
-      Core<String> core) {
+      LoopIteration turn,
+      EndpointList list,
+      StatementRouter<String> core) {
     this.bootstrap = bootstrap;
     this.discovery = discovery;
     this.turn = turn;
@@ -116,7 +116,7 @@
     if (opening != null) {
       opening.drop();
     }
-    Call call = new Call();
+    DiscoveryCall call = new DiscoveryCall();
     opening = call;
     calls++;
     ChannelFuture connecting =
@@ -140,11 +140,12 @@
         });
   }
 
-  private final class Call extends ChannelInboundHandlerAdapter implements ListReader.Listener {
-    private final ListReader reader = new ListReader(this);
+  private final class DiscoveryCall extends ChannelInboundHandlerAdapter
+      implements EndpointListReader.Listener {
+    private final EndpointListReader reader = new EndpointListReader(this);
 
     /** Entries of a message under way that bind before it has come whole. */
-    private List<MemberEntry> early = new ArrayList<>();
+    private List<EndpointEntry> early = new ArrayList<>();
 
     private Channel channel;
     private Future<?> timer;
@@ -201,7 +202,8 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) throws ListFault {
+    public void channelRead(ChannelHandlerContext context, Object in)
+        throws InvalidEndpointListException {
       lastByte = System.nanoTime();
       // The head of an answer is a sign of life too.
       lastWhole = spoke ? lastWhole : lastByte;
@@ -227,10 +229,10 @@
      * the rest.
      */
     @Override
-    public void entry(MemberEntry entry) {
+    public void entry(EndpointEntry entry) {
       lastWhole = lastByte;
       turn.counters().add(Counter.LIST_ENTRIES_READ);
-      if (entry.listing() != Listing.READY && !outdated) {
+      if (entry.listing() != EndpointLifecycle.READY && !outdated) {
         if (early.isEmpty()) {
           turn.hearNews(this::takeEarly);
         }
@@ -239,7 +241,7 @@
     }
 
     private void takeEarly(Moment now) {
-      List<MemberEntry> come = early;
+      List<EndpointEntry> come = early;
       early = new ArrayList<>();
       if (!outdated) {
         list.takeEarly(now, come);
@@ -247,7 +249,7 @@
     }
 
     @Override
-    public void update(MemberUpdate update) {
+    public void update(EndpointUpdate update) {
       lastWhole = lastByte;
       if (outdated) {
         return;
@@ -262,12 +264,12 @@
       turn.hearNews(now -> take(now, update));
     }
 
-    private void take(Moment now, MemberUpdate update) {
+    private void take(Moment now, EndpointUpdate update) {
       try {
         if (!outdated) {
           list.take(now, update, true);
         }
-      } catch (ListFault broken) {
+      } catch (InvalidEndpointListException broken) {
         list.forget();
         outdated = true;
         fail(broken.getMessage());
@@ -281,7 +283,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      fail(cause instanceof ListFault ? cause.getMessage() : cause.toString());
+      fail(cause instanceof InvalidEndpointListException ? cause.getMessage() : cause.toString());
     }
 
     private void fail(String why) {
--- a/router/src/main/java/basaltlever/net/TurnLoad.java
+++ b/router/src/main/java/basaltlever/net/IterationLoad.java
@@ -1,13 +1,13 @@
 package basaltlever.net;
 
 /** What one turn of the loop had to do, for the log line of a slow one. */
-final class TurnLoad {
+final class IterationLoad {
   private static final long KILOBYTE = 1 << 10;
   private int accepted;
   private int messages;
   private long heapAtStart;
 
-  TurnLoad() {
+  IterationLoad() {
     begins();
   }
 
--- a/router/src/main/java/basaltlever/net/Keeping.java
+++ b/router/src/main/java/basaltlever/net/LeaseGuard.java
@@ -1,17 +1,17 @@
 package basaltlever.net;
 
-import basaltlever.agree.Ceilings;
-import basaltlever.agree.Follower;
-import basaltlever.agree.Grant;
-import basaltlever.agree.Meet;
-import basaltlever.agree.Roll;
-import basaltlever.agree.Sight;
-import basaltlever.agree.Version;
-import basaltlever.config.StartFault;
+import basaltlever.config.InvalidSettingsException;
 import basaltlever.config.StartFile;
-import basaltlever.discovery.MemberList;
-import basaltlever.gateway.Agreed;
+import basaltlever.discovery.EndpointList;
+import basaltlever.gateway.Settings;
 import basaltlever.log.Event;
+import basaltlever.membership.MembershipUpdate;
+import basaltlever.membership.MembershipView;
+import basaltlever.settings.LeaseGrant;
+import basaltlever.settings.LeaseHolder;
+import basaltlever.settings.SettingsConstraints;
+import basaltlever.settings.SettingsVersion;
+import basaltlever.settings.StricterSettings;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.List;
@@ -25,17 +25,17 @@
  * and before every write to a node: a process that was stopped finds its lease over before it does
  * anything else, and what was decided under another stance is not sent any more but decided anew.
  */
-final class Keeping {
-  private static final Logger LOG = LoggerFactory.getLogger(Keeping.class);
+final class LeaseGuard {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaseGuard.class);
 
   private static final int NONE = -1;
 
-  private final Follower follower = new Follower();
+  private final LeaseHolder follower = new LeaseHolder();
   private final StartFile own;
   private final Span widestBound;
-  private final Roll roll;
-  private final MemberList list;
-  private final BiConsumer<StartFile, Agreed> keepTo;
+  private final MembershipView roll;
+  private final EndpointList list;
+  private final BiConsumer<StartFile, Settings> keepTo;
 
   /** Asks discovery for the whole list. */
   private final Runnable asksAnew;
@@ -51,13 +51,13 @@
    * Own is the start file as installed; roll and list are this router's; keepTo is given the file
    * in force and what holds for now.
    */
-  Keeping(
+  LeaseGuard(
       StartFile own,
       Span widestBound,
-      Roll roll,
-      MemberList list,
+      MembershipView roll,
+      EndpointList list,
       Runnable asksAnew,
-      BiConsumer<StartFile, Agreed> keepTo) {
+      BiConsumer<StartFile, Settings> keepTo) {
     this.own = own;
     this.roll = roll;
     this.list = list;
@@ -67,7 +67,7 @@
     force = own;
   }
 
-  Follower follower() {
+  LeaseHolder follower() {
     return follower;
   }
 
@@ -84,13 +84,13 @@
    * earlier process of this router was told last bounds what no care can: how many share a cold
    * node's budget, how long it takes to warm, how long a list may be kept.
    */
-  void begin(Version told) {
-    Agreed holds = own.values().agreed();
+  void begin(SettingsVersion told) {
+    Settings holds = own.values().agreed();
     if (told != null) {
       // As any version: by place, other names would give one workload the times of another.
       String fault = fault(told);
       if (fault.isEmpty()) {
-        holds = Meet.of(holds, agreed(told));
+        holds = StricterSettings.of(holds, agreed(told));
       } else {
         Event.FLEET_TURNED_DOWN.log(
             LOG,
@@ -107,7 +107,7 @@
         told == null ? "none" : told.number(),
         "none",
         true);
-    keepTo.accept(own, Meet.careful(holds));
+    keepTo.accept(own, StricterSettings.careful(holds));
   }
 
   /**
@@ -143,7 +143,7 @@
   }
 
   /** With what the fleet makes of lists; null where its leader says nothing of them. */
-  void granted(Moment now, Grant grant, Sight sight) {
+  void granted(Moment now, LeaseGrant grant, MembershipUpdate sight) {
     if (sight != null) {
       roll.heard(now, sight);
     }
@@ -161,7 +161,8 @@
         now,
         takes
             ? grant
-            : new Grant(grant.beat(), grant.lasts(), grant.inForce(), null, grant.changes()))) {
+            : new LeaseGrant(
+                grant.beat(), grant.lasts(), grant.inForce(), null, grant.changes()))) {
       keep();
     }
     if (grant.lasts().micros() > 0) {
@@ -179,7 +180,7 @@
     }
   }
 
-  private String fault(Version version) {
+  private String fault(SettingsVersion version) {
     try {
       StartFile next = file(version);
       List<String> fixed = next.fixedInFleet(own);
@@ -187,45 +188,46 @@
         return String.join(", ", fixed) + ": takes a restart";
       }
       return String.join(
-          "; ", Ceilings.brokenBy(next.values().agreed(), own.values().agreed(), widestBound));
-    } catch (StartFault fault) {
+          "; ",
+          SettingsConstraints.brokenBy(next.values().agreed(), own.values().agreed(), widestBound));
+    } catch (InvalidSettingsException fault) {
       return fault.getMessage().replace('\n', ';');
     }
   }
 
   /** Of one that is free of faults. */
-  private Agreed agreed(Version version) {
+  private Settings agreed(SettingsVersion version) {
     try {
       return file(version).values().agreed();
-    } catch (StartFault impossible) {
+    } catch (InvalidSettingsException impossible) {
       throw new IllegalStateException(impossible);
     }
   }
 
-  private StartFile file(Version version) throws StartFault {
+  private StartFile file(SettingsVersion version) throws InvalidSettingsException {
     return own.with(version.text(), version.routers());
   }
 
   private void keep() {
     stance++;
-    Version known = follower.inForce();
-    Version next = follower.prepared();
-    Agreed holds;
+    SettingsVersion known = follower.inForce();
+    SettingsVersion next = follower.prepared();
+    Settings holds;
     try {
       force = known == null ? own : file(known);
       holds = force.values().agreed();
       if (follower.isCareful()) {
-        holds = Meet.careful(holds);
+        holds = StricterSettings.careful(holds);
       } else if (next != null) {
-        holds = Meet.of(holds, file(next).values().agreed());
+        holds = StricterSettings.of(holds, file(next).values().agreed());
       }
-    } catch (StartFault impossible) {
+    } catch (InvalidSettingsException impossible) {
       // It was checked before it came into force, by this build or by another: whoever can't read
       // what
       // all others act on acts on nothing that could contradict it.
       Event.FLEET_TURNED_DOWN.log(
           LOG, Level.ERROR, "kept to with care", known.number(), impossible.getMessage());
-      holds = Meet.careful(own.values().agreed());
+      holds = StricterSettings.careful(own.values().agreed());
     }
     Event.FLEET_KEEPS.log(
         LOG,
--- a/router/src/main/java/basaltlever/net/Turn.java
+++ b/router/src/main/java/basaltlever/net/LoopIteration.java
@@ -3,7 +3,7 @@
 import basaltlever.log.Counter;
 import basaltlever.log.Counters;
 import basaltlever.log.Event;
-import basaltlever.log.Tally;
+import basaltlever.log.RateLimitedLog;
 import basaltlever.time.ClockOffset;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
@@ -17,11 +17,11 @@
 /**
  * One turn of the loop: what the handlers heard is handed to the decisions in one go, after all I/O
  * of the turn and with one reading of the clock; only then is carried out what came back, in order.
- * What comes while a turn goes on is read late: {@link LookClock} knows since when what is read may
- * have waited.
+ * What comes while a turn goes on is read late: {@link ReadinessClock} knows since when what is
+ * read may have waited.
  */
-final class Turn {
-  private static final Logger LOG = LoggerFactory.getLogger(Turn.class);
+final class LoopIteration {
+  private static final Logger LOG = LoggerFactory.getLogger(LoopIteration.class);
   private final SingleThreadEventLoop loop;
   private final Clock clock;
   private final Counters counters = new Counters();
@@ -30,7 +30,7 @@
   /** A turn that takes longer than this is counted, and named in the log. */
   private static final Span SLOW = Span.ofMillis(20);
 
-  private final Tally slowTurns;
+  private final RateLimitedLog slowTurns;
 
   /** A turn that comes this much after its reading does not know any more what has come since. */
   private static final Span HELD_UP = Span.ofMillis(50);
@@ -52,17 +52,17 @@
   private boolean looksAgain;
   private Moment now;
   private Moment began;
-  private final LookClock looks;
-  private final TurnLoad load = new TurnLoad();
+  private final ReadinessClock looks;
+  private final IterationLoad load = new IterationLoad();
 
   /** What is to be done behind each turn. */
   private Runnable last = () -> {};
 
-  Turn(SingleThreadEventLoop loop, Clock clock, LookClock looks) {
+  LoopIteration(SingleThreadEventLoop loop, Clock clock, ReadinessClock looks) {
     this.loop = loop;
     this.clock = clock;
     this.looks = looks;
-    slowTurns = new Tally(LOG, Event.TURN_SLOW, clock::now);
+    slowTurns = new RateLimitedLog(LOG, Event.TURN_SLOW, clock::now);
     now = clock.now();
     began = now;
     tick();
@@ -98,7 +98,7 @@
   }
 
   /** What the turn under way has had to do. */
-  TurnLoad load() {
+  IterationLoad load() {
     return load;
   }
 
--- a/router/src/main/java/basaltlever/net/Taken.java
+++ b/router/src/main/java/basaltlever/net/PendingStatement.java
@@ -1,6 +1,6 @@
 package basaltlever.net;
 
-import basaltlever.log.Lives;
+import basaltlever.log.StatementTrace;
 import basaltlever.pg.Query;
 import basaltlever.time.Moment;
 import io.netty.buffer.ByteBuf;
@@ -8,17 +8,17 @@
 import java.util.List;
 
 /** A statement taken from a client, with its text until nothing needs that any more. */
-final class Taken {
+final class PendingStatement {
   final long ticket;
   final ClientConnection client;
   final ByteBuf text;
   final Query query;
 
   /** Null where nobody follows it. */
-  final Lives.Life life;
+  final StatementTrace.Life life;
 
   /** By the count that the decisions give them. */
-  final List<Job> executions = new ArrayList<>(2);
+  final List<ServerQuery> executions = new ArrayList<>(2);
 
   /** Its last byte had come by then at the latest, and its answer goes out by then. */
   final Moment arrived;
@@ -29,13 +29,13 @@
   boolean forgotten;
 
   /** Takes the text over. */
-  Taken(
+  PendingStatement(
       long ticket,
       ClientConnection client,
       ByteBuf text,
       Query query,
       Moment arrived,
-      Lives.Life life) {
+      StatementTrace.Life life) {
     this.ticket = ticket;
     this.client = client;
     this.text = text;
--- a/router/src/main/java/basaltlever/net/NodeConnection.java
+++ b/router/src/main/java/basaltlever/net/PooledConnection.java
@@ -1,14 +1,14 @@
 package basaltlever.net;
 
-import basaltlever.gateway.Ending;
+import basaltlever.gateway.AttemptOutcome;
 import basaltlever.log.Counter;
 import basaltlever.log.Event;
-import basaltlever.pg.Answer;
-import basaltlever.pg.Budget;
-import basaltlever.pg.Frames;
-import basaltlever.pg.Pg;
-import basaltlever.pg.PgFault;
-import basaltlever.pg.Write;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.pg.MessageDecoder;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.ProtocolCodes;
+import basaltlever.pg.ProtocolException;
+import basaltlever.pg.QueryResponse;
 import basaltlever.time.Moment;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -22,8 +22,8 @@
 import org.slf4j.LoggerFactory;
 
 /** One connection to a node, with one query on it at a time. */
-final class NodeConnection extends ChannelInboundHandlerAdapter implements Descriptors.Idle {
-  private static final Logger LOG = LoggerFactory.getLogger(NodeConnection.class);
+final class PooledConnection extends ChannelInboundHandlerAdapter implements Descriptors.Idle {
+  private static final Logger LOG = LoggerFactory.getLogger(PooledConnection.class);
 
   /**
    * Values of up to 400 KB were met, though 64 KiB are agreed: a bound on memory, not on what is
@@ -38,13 +38,13 @@
     CLOSED
   }
 
-  private final NodeLink link;
+  private final ConnectionPool link;
   private final InetSocketAddress address;
-  private final Frames frames;
+  private final MessageDecoder frames;
   private Channel channel;
   private State state = State.OPENING;
-  private Job job;
-  private Answer answer;
+  private ServerQuery job;
+  private QueryResponse answer;
   private Future<?> upBy;
   private Moment idleSince;
 
@@ -55,10 +55,11 @@
   private boolean welcomed;
 
   /** Opens it for the job, which is its own until the job is over. */
-  NodeConnection(NodeLink link, InetSocketAddress address, Budget budget, Job job) {
+  PooledConnection(
+      ConnectionPool link, InetSocketAddress address, MemoryBudget budget, ServerQuery job) {
     this.link = link;
     this.address = address;
-    frames = new Frames(LARGEST, budget);
+    frames = new MessageDecoder(LARGEST, budget);
     this.job = job;
     job.on(this);
   }
@@ -85,20 +86,20 @@
   }
 
   /** The job that it was opened for, which may be over by now; null where this connection is. */
-  Job first() {
+  ServerQuery first() {
     if (state != State.OPENING) {
       return null;
     }
-    Job first = job;
+    ServerQuery first = job;
     idle();
     return first;
   }
 
-  void run(Job next) {
+  void run(ServerQuery next) {
     state = State.BUSY;
     job = next;
     next.on(this);
-    answer = new Answer();
+    answer = new QueryResponse();
     ByteBuf out = channel.alloc().buffer();
     next.write(out);
     channel
@@ -114,12 +115,12 @@
   @Override
   public void channelActive(ChannelHandlerContext context) {
     ByteBuf out = context.alloc().buffer();
-    Write.startup(out, "app", "shop");
+    MessageEncoder.startup(out, "app", "shop");
     context.writeAndFlush(out);
   }
 
   @Override
-  public void channelRead(ChannelHandlerContext context, Object in) throws PgFault {
+  public void channelRead(ChannelHandlerContext context, Object in) throws ProtocolException {
     if (state == State.CLOSED) {
       ((ByteBuf) in).release();
       return;
@@ -130,46 +131,50 @@
     }
     if ((state == State.IDLE || (state == State.OPENING && welcomed)) && frames.size() > 0) {
       // Its rest would be taken for the beginning of the next query's answer.
-      throw new PgFault(Pg.VIOLATION, "half a message that nobody asked for");
+      throw new ProtocolException(ProtocolCodes.VIOLATION, "half a message that nobody asked for");
     }
   }
 
-  private void message(ByteBuf message) throws PgFault {
+  private void message(ByteBuf message) throws ProtocolException {
     byte type = message.getByte(message.readerIndex());
     if (state == State.BUSY) {
       if (answer.add(message)) {
         finished();
       } else if (answer.isHopeless()) {
-        throw new PgFault(Pg.VIOLATION, "an answer is no row, or goes on without end");
+        throw new ProtocolException(
+            ProtocolCodes.VIOLATION, "an answer is no row, or goes on without end");
       }
-    } else if (type == Pg.READY && state == State.OPENING && !welcomed) {
+    } else if (type == ProtocolCodes.READY && state == State.OPENING && !welcomed) {
       if (frames.size() > 0) {
-        throw new PgFault(Pg.VIOLATION, "more than a welcome");
+        throw new ProtocolException(ProtocolCodes.VIOLATION, "more than a welcome");
       }
       upBy.cancel(false);
       welcomed = true;
       link.welcomed(this);
-    } else if (type == Pg.ERROR && state == State.OPENING) {
-      LOG.debug("{} turned a connection away: {}", link, Answer.field(message, 'C'));
+    } else if (type == ProtocolCodes.ERROR && state == State.OPENING) {
+      LOG.debug("{} turned a connection away: {}", link, QueryResponse.field(message, 'C'));
       close();
-    } else if (type == Pg.ERROR && state == State.IDLE) {
+    } else if (type == ProtocolCodes.ERROR && state == State.IDLE) {
       close();
-    } else if (type != Pg.STATUS
-        && type != Pg.NOTICE
-        && type != Pg.KEY
-        && !(type == Pg.AUTHENTICATION && state == State.OPENING && isAdmission(message))) {
-      throw new PgFault(Pg.VIOLATION, "a message of type " + type + " that nobody asked for");
+    } else if (type != ProtocolCodes.STATUS
+        && type != ProtocolCodes.NOTICE
+        && type != ProtocolCodes.KEY
+        && !(type == ProtocolCodes.AUTHENTICATION
+            && state == State.OPENING
+            && isAdmission(message))) {
+      throw new ProtocolException(
+          ProtocolCodes.VIOLATION, "a message of type " + type + " that nobody asked for");
     }
   }
 
   private static boolean isAdmission(ByteBuf message) {
-    return message.readableBytes() == Frames.HEAD + 4
-        && message.getInt(message.readerIndex() + Frames.HEAD) == 0;
+    return message.readableBytes() == MessageDecoder.HEAD + 4
+        && message.getInt(message.readerIndex() + MessageDecoder.HEAD) == 0;
   }
 
   private void finished() {
-    Job done = job;
-    Answer whole = answer;
+    ServerQuery done = job;
+    QueryResponse whole = answer;
     answer = null;
     if (frames.size() == 0 && (whole.isRow() || whole.error() != null)) {
       idle();
@@ -232,7 +237,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    if (cause instanceof PgFault) {
+    if (cause instanceof ProtocolException) {
       spoilt = true;
       link.spoilt(cause.getMessage());
     } else if (!(cause instanceof java.io.IOException)) {
@@ -252,9 +257,9 @@
     }
     frames.release();
     link.closed(this);
-    Job lost = job;
+    ServerQuery lost = job;
     job = null;
-    Answer cut = answer;
+    QueryResponse cut = answer;
     answer = null;
     if (lost != null && cut != null && cut.error() != null && !spoilt) {
       // A fatal error needs no ReadyForQuery: what it says was proven before the end.
@@ -262,7 +267,8 @@
       return;
     }
     if (lost != null) {
-      lost.endLost(Ending.NO_CONNECTION, spoilt ? Ending.UNKNOWN : Ending.RESET);
+      lost.endLost(
+          AttemptOutcome.NO_CONNECTION, spoilt ? AttemptOutcome.UNKNOWN : AttemptOutcome.RESET);
     }
     if (cut != null) {
       cut.release();
--- a/router/src/main/java/basaltlever/net/Waiting.java
+++ b/router/src/main/java/basaltlever/net/PreciseSelectStrategy.java
@@ -16,7 +16,7 @@
  * timer, far more than all that a turn does. Here what is left is rounded up, so that a timer comes
  * up to a millisecond late and costs one look.
  */
-final class Waiting implements IoHandler {
+final class PreciseSelectStrategy implements IoHandler {
   private static final long MICRO = TimeUnit.MICROSECONDS.toNanos(1);
 
   /** No loop waits for longer: a timer of the turn is always due sooner. */
@@ -26,17 +26,17 @@
   private final IoHandler sockets;
   private final Rounded rounded = new Rounded();
 
-  private final LookClock looks;
+  private final ReadinessClock looks;
 
-  private Waiting(IoHandler sockets, LookClock looks) {
+  private PreciseSelectStrategy(IoHandler sockets, ReadinessClock looks) {
     this.sockets = sockets;
     this.looks = looks;
   }
 
   /** For one loop, whose looks at its sockets the clock is told of. */
-  static IoHandlerFactory newFactory(LookClock looks) {
+  static IoHandlerFactory newFactory(ReadinessClock looks) {
     IoHandlerFactory sockets = NioIoHandler.newFactory();
-    return executor -> new Waiting(sockets.newHandler(executor), looks);
+    return executor -> new PreciseSelectStrategy(sockets.newHandler(executor), looks);
   }
 
   private final class Rounded implements IoHandlerContext {
--- a/router/src/main/java/basaltlever/net/LookClock.java
+++ b/router/src/main/java/basaltlever/net/ReadinessClock.java
@@ -10,7 +10,7 @@
  * loop waited in a look, what it found came while it waited; where the process stood still in one,
  * nobody knows when in that time it came, and the look proves nothing.
  */
-final class LookClock {
+final class ReadinessClock {
   /**
    * A look that found something sooner did not wait for it: it may have come since the look before.
    */
@@ -33,7 +33,7 @@
 
   private Moment bound;
 
-  LookClock(Supplier<Moment> clock) {
+  ReadinessClock(Supplier<Moment> clock) {
     this.clock = clock;
     began = clock.get();
     waitsUntil = began;
--- a/router/src/main/java/basaltlever/net/Router.java
+++ b/router/src/main/java/basaltlever/net/Router.java
@@ -1,33 +1,33 @@
 package basaltlever.net;
 
-import basaltlever.agree.Follower;
-import basaltlever.agree.Roll;
 import basaltlever.config.Addresses;
+import basaltlever.config.FleetSettings;
+import basaltlever.config.InvalidSettingsException;
 import basaltlever.config.OperatorFile;
-import basaltlever.config.Places;
-import basaltlever.config.StartFault;
 import basaltlever.config.StartFile;
 import basaltlever.config.StartValues;
-import basaltlever.config.Terms;
-import basaltlever.core.Core;
-import basaltlever.discovery.ListFault;
-import basaltlever.discovery.MemberList;
-import basaltlever.discovery.MemberUpdate;
-import basaltlever.fleet.Fleet;
-import basaltlever.fleet.Papers;
+import basaltlever.config.WorkloadSlots;
+import basaltlever.core.StatementRouter;
+import basaltlever.discovery.EndpointList;
+import basaltlever.discovery.EndpointUpdate;
+import basaltlever.discovery.InvalidEndpointListException;
+import basaltlever.fleet.FleetMember;
+import basaltlever.fleet.VoterStore;
 import basaltlever.hold.HoldBudget;
-import basaltlever.keep.Keeper;
-import basaltlever.keep.Machine;
 import basaltlever.log.Counter;
 import basaltlever.log.Event;
-import basaltlever.log.Lives;
-import basaltlever.log.Tally;
-import basaltlever.pg.Budget;
+import basaltlever.log.RateLimitedLog;
+import basaltlever.log.StatementTrace;
+import basaltlever.membership.MembershipView;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.settings.LeaseHolder;
+import basaltlever.snapshot.KnownEndpoint;
+import basaltlever.snapshot.LearnedState;
+import basaltlever.snapshot.StateRestore;
+import basaltlever.storage.SnapshotWriter;
+import basaltlever.storage.SystemClocks;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
-import basaltlever.view.Known;
-import basaltlever.view.Recollection;
-import basaltlever.view.View;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.PooledByteBufAllocator;
@@ -112,8 +112,8 @@
 
   private final SystemListenQueue listenQueue = new SystemListenQueue(LISTEN_QUEUE);
   private final CountDownLatch stopped = new CountDownLatch(1);
-  private final Map<String, NodeLink> links = new LinkedHashMap<>();
-  private Phase phase = Phase.READING;
+  private final Map<String, ConnectionPool> links = new LinkedHashMap<>();
+  private RouterPhase phase = RouterPhase.READING;
   private Path file;
   private StartFile start;
 
@@ -123,12 +123,12 @@
   private volatile OperatorFile operator;
 
   /** Set by the thread that starts and reloads, ended by the loop. */
-  private volatile Keeper keeper;
+  private volatile SnapshotWriter keeper;
 
-  private Turn turn;
-  private Core<String> core;
-  private MemberList list;
-  private Watch watch;
+  private LoopIteration turn;
+  private StatementRouter<String> core;
+  private EndpointList list;
+  private DiscoveryWatch watch;
   private Descriptors descriptors;
   private Bootstrap outwards;
   private int reserved;
@@ -141,22 +141,22 @@
   private volatile Channel listener;
   private AcceptHandler accepting;
   private Clock clock;
-  private LookClock looks;
-  private Clients clients;
-  private Places places;
-  private Tally badClients;
-  private Carrier carrier;
+  private ReadinessClock looks;
+  private ClientSessions clients;
+  private WorkloadSlots places;
+  private RateLimitedLog badClients;
+  private AttemptExecutor carrier;
   private HoldBudget holds;
   private Span longestTimeout;
 
   /** Statements that take longer are followed in the log; null for none. */
   private Span follows;
 
-  private Lives lives;
+  private StatementTrace lives;
   private Moment swept;
-  private volatile Fleet fleet;
-  private Keeping keeping;
-  private Roll roll;
+  private volatile FleetMember fleet;
+  private LeaseGuard keeping;
+  private MembershipView roll;
   private PooledByteBufAllocator buffers;
 
   /** To be said before it starts: the life of each statement that takes longer goes to the log. */
@@ -167,7 +167,8 @@
   /**
    * Reads, listens, and returns once it serves. The operator's file is null where there is none.
    */
-  public void start(Path from, OperatorFile with) throws StartFault, InterruptedException {
+  public void start(Path from, OperatorFile with)
+      throws InvalidSettingsException, InterruptedException {
     file = from;
     start = StartFile.read(from);
     inForce = start;
@@ -177,21 +178,21 @@
     if (with != null
         && with.fleet() != null
         && with.fleet().assigned().isShorterThan(longest.plus(with.fleet().stated()))) {
-      throw new StartFault(
+      throw new InvalidSettingsException(
           List.of(
               "fleet.assigned_ms is "
                   + with.fleet().assigned().micros() / 1_000
                   + ", less than fleet.stated_ms and the longest HardLimit together: what is out at a member then"
                   + " would not be over"));
     }
-    enter(Phase.LOOKING);
+    enter(RouterPhase.DISCOVERING);
     clock = new Clock();
-    looks = new LookClock(clock::now);
-    group = new MultiThreadIoEventLoopGroup(1, Waiting.newFactory(looks));
+    looks = new ReadinessClock(clock::now);
+    group = new MultiThreadIoEventLoopGroup(1, PreciseSelectStrategy.newFactory(looks));
     loop = (SingleThreadEventLoop) group.next();
     loop.submit(this::build).sync();
     // Read meanwhile, on the keeper's thread: what it loads first would else be added to the start.
-    Recollection recollection = keeper == null ? Recollection.NONE : keeper.recall();
+    StateRestore recollection = keeper == null ? StateRestore.NONE : keeper.recall();
     loop.submit(() -> begin(recollection)).sync();
     joinFleet();
     Promise<Void> looked = loop.newPromise();
@@ -203,14 +204,14 @@
       if (keeper != null) {
         keeper.ends(null);
       }
-      throw new StartFault(
+      throw new InvalidSettingsException(
           List.of("listen: " + start.listen() + " can't be bound: " + bound.cause().getMessage()));
     }
     listener = bound.channel();
     loop.submit(
             () -> {
               carrier.serves();
-              enter(Phase.SERVING);
+              enter(RouterPhase.SERVING);
             })
         .sync();
     Event.SERVES.log(LOG, Level.INFO, "", start.name(), address());
@@ -230,7 +231,7 @@
       next = StartFile.read(file);
       next.releaseKnown();
       nextOperator = operator == null ? null : OperatorFile.read(operator.path());
-    } catch (StartFault fault) {
+    } catch (InvalidSettingsException fault) {
       Event.RELOAD_REFUSED.log(LOG, Level.ERROR, "all stays as it was", fault.getMessage());
       return;
     }
@@ -272,8 +273,8 @@
           String.join(",", fixed));
       return;
     }
-    Places room = places.with(next.values().workloadNames());
-    if (room.size() > Places.MOST) {
+    WorkloadSlots room = places.with(next.values().workloadNames());
+    if (room.size() > WorkloadSlots.MOST) {
       Event.SETTINGS_LEFT.log(
           LOG,
           Level.ERROR,
@@ -318,10 +319,10 @@
 
   // ---- What outlives the process.
 
-  private Keeper keeper() {
+  private SnapshotWriter keeper() {
     return operator == null || operator.folder() == null
         ? null
-        : new Keeper(
+        : new SnapshotWriter(
             operator.folder(),
             operator.deployment(),
             start.name(),
@@ -337,7 +338,7 @@
     if (same && keeper != null) {
       keeper.adjust(next.period(), next.mostBytes());
     } else if (!same) {
-      Keeper former = keeper;
+      SnapshotWriter former = keeper;
       keeper = keeper();
       if (former != null) {
         former.ends(null);
@@ -352,9 +353,9 @@
     }
   }
 
-  private View learnedOffLoop() throws InterruptedException {
-    Promise<View> told = loop.newPromise();
-    List<Known> nodes = new ArrayList<>();
+  private LearnedState learnedOffLoop() throws InterruptedException {
+    Promise<LearnedState> told = loop.newPromise();
+    List<KnownEndpoint> nodes = new ArrayList<>();
     loop.execute(() -> turn.hear(now -> learnedOfSome(now, 0, nodes, told)));
     return told.await(LONGEST_EXPORT.micros(), TimeUnit.MICROSECONDS) ? told.getNow() : null;
   }
@@ -363,7 +364,8 @@
    * A few a turn: between them statements go on. Ages are told to the turn of each node, some ms
    * apart.
    */
-  private void learnedOfSome(Moment now, int from, List<Known> nodes, Promise<View> told) {
+  private void learnedOfSome(
+      Moment now, int from, List<KnownEndpoint> nodes, Promise<LearnedState> told) {
     if (learnedFrom(now, from, NODES_A_TURN, nodes)) {
       loop.execute(() -> turn.hear(next -> learnedOfSome(next, from + NODES_A_TURN, nodes, told)));
     } else {
@@ -371,27 +373,27 @@
     }
   }
 
-  private boolean learnedFrom(Moment now, int from, int places, List<Known> nodes) {
+  private boolean learnedFrom(Moment now, int from, int places, List<KnownEndpoint> nodes) {
     return core.learned(
         now,
         from,
         places,
         (node, view) -> {
-          NodeLink link = links.get(node);
+          ConnectionPool link = links.get(node);
           if (link != null && link.address() != null) {
-            nodes.add(new Known(node, Addresses.text(link.address()), view));
+            nodes.add(new KnownEndpoint(node, Addresses.text(link.address()), view));
           }
         });
   }
 
-  private View learned(Moment now, List<Known> nodes) {
-    return new View(
+  private LearnedState learned(Moment now, List<KnownEndpoint> nodes) {
+    return new LearnedState(
         operator.deployment(),
         start.name(),
         0,
-        Machine.now(),
-        Machine.steady(),
-        Machine.boot(),
+        SystemClocks.now(),
+        SystemClocks.steady(),
+        SystemClocks.boot(),
         list.generation(),
         nodes,
         core.learnedOfGroups(now));
@@ -414,8 +416,8 @@
   }
 
   /** Waits for its first grant, for as long as an election takes; then it serves with care. */
-  private void joinFleet() throws StartFault, InterruptedException {
-    Terms terms = operator == null ? null : operator.fleet();
+  private void joinFleet() throws InvalidSettingsException, InterruptedException {
+    FleetSettings terms = operator == null ? null : operator.fleet();
     if (terms == null) {
       return;
     }
@@ -423,7 +425,7 @@
     loop.submit(
             () -> {
               keeping =
-                  new Keeping(
+                  new LeaseGuard(
                       start,
                       operator.widestBound(),
                       roll,
@@ -445,7 +447,7 @@
             })
         .sync();
     try {
-      Papers papers = Papers.read(terms.folder(), terms.name(), start.name());
+      VoterStore papers = VoterStore.read(terms.folder(), terms.name(), start.name());
       loop.submit(
               () -> {
                 keeping.follower().knows(papers.knows());
@@ -453,7 +455,7 @@
               })
           .sync();
       fleet =
-          new Fleet(
+          new FleetMember(
               terms,
               start.name(),
               papers,
@@ -475,13 +477,14 @@
       while (cause.getCause() != null) {
         cause = cause.getCause();
       }
-      throw new StartFault(List.of("fleet: " + start.name() + " can't take part: " + cause));
+      throw new InvalidSettingsException(
+          List.of("fleet: " + start.name() + " can't take part: " + cause));
     }
     granted.await(JOINS.longer(terms.lease().times(4)).micros(), TimeUnit.MICROSECONDS);
   }
 
   private void beat() {
-    Follower follower = keeping.follower();
+    LeaseHolder follower = keeping.follower();
     Moment now = turn.clock().now();
     boolean holds = !follower.isCareful() && !follower.isOver(now);
     fleet.beat(
@@ -497,8 +500,8 @@
 
   private void build() {
     StartValues values = start.values();
-    turn = new Turn(loop, clock, looks);
-    lives = new Lives(follows, clock::now);
+    turn = new LoopIteration(loop, clock, looks);
+    lives = new StatementTrace(follows, clock::now);
     swept = clock.now();
     buffers =
         new PooledByteBufAllocator(
@@ -512,7 +515,7 @@
             true);
     // Half of what buffers may take: the other half is for what is being read and written right
     // now.
-    Budget budget = new Budget(PlatformDependent.maxDirectMemory() / 2);
+    MemoryBudget budget = new MemoryBudget(PlatformDependent.maxDirectMemory() / 2);
     reserved = inUse() + RESERVED;
     descriptors = new Descriptors(start.sockets() - reserved, this::afterNextLook);
     outwards =
@@ -522,13 +525,15 @@
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.ALLOCATOR, buffers);
     connectWithin(values.connectTimeout());
-    Tally badNodes = new Tally(LoggerFactory.getLogger(NodeLink.class), Event.NODE_BAD, clock::now);
-    Function<String, NodeLink> linkTo =
+    RateLimitedLog badNodes =
+        new RateLimitedLog(
+            LoggerFactory.getLogger(ConnectionPool.class), Event.NODE_BAD, clock::now);
+    Function<String, ConnectionPool> linkTo =
         node ->
             links.computeIfAbsent(
                 node,
                 name ->
-                    new NodeLink(
+                    new ConnectionPool(
                         name,
                         outwards,
                         loop,
@@ -539,7 +544,7 @@
                         inForce.values().idleClose(),
                         badNodes));
     carrier =
-        new Carrier(
+        new AttemptExecutor(
             turn,
             loop,
             linkTo,
@@ -548,26 +553,30 @@
             values.connectTimeout(),
             budget,
             lives);
-    badClients = new Tally(LoggerFactory.getLogger(Clients.class), Event.CLIENT_BAD, clock::now);
-    places = Places.of(values.workloadNames());
-    clients = new Clients(turn, descriptors, places, values.mostOpen(), budget, badClients, lives);
+    badClients =
+        new RateLimitedLog(
+            LoggerFactory.getLogger(ClientSessions.class), Event.CLIENT_BAD, clock::now);
+    places = WorkloadSlots.of(values.workloadNames());
+    clients =
+        new ClientSessions(turn, descriptors, places, values.mostOpen(), budget, badClients, lives);
     clients.comeBackWithin(values.agreed().allowance().longestComeBack());
     turn.last(descriptors::endLongestIdle);
     longestTimeout = values.longestTimeout();
     holds = values.holds();
-    core = new Core<>(carrier, values.balance(start.seed(), turn.now(), holds));
+    core = new StatementRouter<>(carrier, values.balance(start.seed(), turn.now(), holds));
     heed(operator);
-    list = new MemberList(core, values.zones(), (node, address) -> linkTo.apply(node).at(address));
+    list =
+        new EndpointList(core, values.zones(), (node, address) -> linkTo.apply(node).at(address));
     if (operator != null && operator.fleet() != null) {
       // What was begun before it lets go of a member is over when others may use it in another
       // group.
       roll =
-          new Roll(
+          new MembershipView(
               operator.fleet().stated(),
               operator.fleet().assigned().minus(values.longestTimeout()));
       list.agreeBy(roll, clock::now);
     }
-    watch = new Watch(outwards, start.discovery(), turn, list, core);
+    watch = new DiscoveryWatch(outwards, start.discovery(), turn, list, core);
     list.startsBy(turn.clockOffset());
     carrier.onClockMoved(list::tellStarts);
     clients.serve(core, carrier);
@@ -637,16 +646,16 @@
     }
   }
 
-  private void begin(Recollection recollection) {
+  private void begin(StateRestore recollection) {
     list.recalls(recollection, carrier::isAbsent);
     turn.hear(
         now -> {
           try {
             if (start.hasKnown()) {
-              list.take(now, MemberUpdate.of(start.releaseKnown()), false);
+              list.take(now, EndpointUpdate.of(start.releaseKnown()), false);
               return;
             }
-          } catch (ListFault fault) {
+          } catch (InvalidEndpointListException fault) {
             Event.KNOWN_LEFT_OUT.log(LOG, Level.WARN, "", fault.getMessage());
           }
           list.expect(now);
@@ -654,14 +663,14 @@
   }
 
   private ChannelFuture listen() {
-    enter(Phase.LISTENING);
+    enter(RouterPhase.LISTENING);
     int queueLength = listenQueue.length();
     accepting =
         new AcceptHandler(
             turn,
             descriptors,
             queueLength,
-            new Tally(
+            new RateLimitedLog(
                 LoggerFactory.getLogger(AcceptHandler.class), Event.ACCEPT_PAUSED, clock::now));
     return new ServerBootstrap()
         .group(loop, loop)
@@ -686,7 +695,7 @@
   }
 
   private void forget(String node) {
-    NodeLink link = links.remove(node);
+    ConnectionPool link = links.remove(node);
     if (link != null) {
       link.letGo();
     }
@@ -698,7 +707,7 @@
     return open == null ? RESERVED : open.length;
   }
 
-  private void enter(Phase next) {
+  private void enter(RouterPhase next) {
     if (next.ordinal() > phase.ordinal()) {
       Event.PHASE.log(LOG, Level.INFO, "", next, phase);
       phase = next;
@@ -721,8 +730,8 @@
   }
 
   private void beginDrain() {
-    if (phase == Phase.SERVING || phase == Phase.LISTENING) {
-      enter(Phase.DRAINING);
+    if (phase == RouterPhase.SERVING || phase == RouterPhase.LISTENING) {
+      enter(RouterPhase.DRAINING);
       Span left = SPARED.plus(longestTimeout.shorter(LONGEST_SPARED)).minus(ANSWERS_BEFORE);
       clients.endBy(turn.clock().now().plus(left));
       loop.schedule(
@@ -735,7 +744,7 @@
           STILL_LISTENS.micros(),
           TimeUnit.MICROSECONDS);
       loop.schedule(this::stop, left.micros(), TimeUnit.MICROSECONDS);
-    } else if (phase != Phase.DRAINING) {
+    } else if (phase != RouterPhase.DRAINING) {
       stop();
     }
   }
@@ -752,16 +761,16 @@
   private void stopOnceAnswered() {
     if (clients.areGone() && carrier.open() == 0) {
       stop();
-    } else if (phase == Phase.DRAINING) {
+    } else if (phase == RouterPhase.DRAINING) {
       loop.schedule(this::stopOnceAnswered, LOOK_AGAIN.micros(), TimeUnit.MICROSECONDS);
     }
   }
 
   private void stop() {
-    if (phase == Phase.STOPPED) {
+    if (phase == RouterPhase.STOPPED) {
       return;
     }
-    enter(Phase.STOPPED);
+    enter(RouterPhase.STOPPED);
     if (turn == null) {
       end();
       return;
@@ -781,7 +790,7 @@
     if (keeper != null && core != null) {
       turn.hear(
           now -> {
-            List<Known> nodes = new ArrayList<>();
+            List<KnownEndpoint> nodes = new ArrayList<>();
             learnedFrom(now, 0, Integer.MAX_VALUE / 2, nodes);
             keeper.ends(learned(now, nodes));
             turn.act(() -> endOnceLeft(Moment.NEVER));
--- a/router/src/main/java/basaltlever/net/Phase.java
+++ b/router/src/main/java/basaltlever/net/RouterPhase.java
@@ -1,9 +1,9 @@
 package basaltlever.net;
 
 /** The phases of a router's life, in their order; none is entered twice. */
-public enum Phase {
+public enum RouterPhase {
   READING,
-  LOOKING,
+  DISCOVERING,
   LISTENING,
   SERVING,
   DRAINING,
--- a/router/src/main/java/basaltlever/net/Job.java
+++ b/router/src/main/java/basaltlever/net/ServerQuery.java
@@ -1,7 +1,7 @@
 package basaltlever.net;
 
-import basaltlever.gateway.Ending;
-import basaltlever.pg.Answer;
+import basaltlever.gateway.AttemptOutcome;
+import basaltlever.pg.QueryResponse;
 import basaltlever.time.Moment;
 import io.netty.buffer.ByteBuf;
 import io.netty.util.concurrent.Future;
@@ -10,8 +10,8 @@
  * One query to one node: an execution or a poll. It ends once, with an answer or with the loss of
  * it.
  */
-abstract class Job {
-  private NodeConnection connection;
+abstract class ServerQuery {
+  private PooledConnection connection;
   private Future<?> limit;
 
   /** Whether its last byte was written: before, it is proven that nothing ran. */
@@ -30,11 +30,11 @@
   }
 
   /** The answer is the job's to release. */
-  abstract void answered(Answer answer);
+  abstract void answered(QueryResponse answer);
 
-  abstract void lost(Ending ending);
+  abstract void lost(AttemptOutcome ending);
 
-  final void on(NodeConnection connection) {
+  final void on(PooledConnection connection) {
     this.connection = connection;
   }
 
@@ -50,7 +50,7 @@
     return over;
   }
 
-  final void endAnswered(Answer answer) {
+  final void endAnswered(QueryResponse answer) {
     if (end()) {
       answered(answer);
     } else {
@@ -58,7 +58,7 @@
     }
   }
 
-  final void endLost(Ending before, Ending after) {
+  final void endLost(AttemptOutcome before, AttemptOutcome after) {
     if (end()) {
       lost(written ? after : before);
     }
@@ -72,16 +72,16 @@
     if (connection != null) {
       connection.readReceived();
     }
-    giveUp(Ending.TIMED_OUT);
+    giveUp(AttemptOutcome.TIMED_OUT);
   }
 
   /**
    * Stops waiting: a connection that carries it can't be used again, since the answer may still
    * come.
    */
-  final void giveUp(Ending after) {
-    NodeConnection in = connection;
-    endLost(Ending.NEVER_SENT, after);
+  final void giveUp(AttemptOutcome after) {
+    PooledConnection in = connection;
+    endLost(AttemptOutcome.NEVER_SENT, after);
     if (in != null) {
       in.abandon();
     }
--- a/router/src/main/java/basaltlever/pg/Arrivals.java
+++ b/router/src/main/java/basaltlever/pg/ArrivalTimes.java
@@ -8,7 +8,7 @@
  * counts from its own last byte. What is kept is bounded: beyond that, bytes count as come with
  * those before them, which makes their message seem older than it is, never younger.
  */
-public final class Arrivals {
+public final class ArrivalTimes {
   private static final int MOST = 32;
 
   private record Read(long upTo, Moment at) {}
--- a/router/src/main/java/basaltlever/pg/Budget.java
+++ b/router/src/main/java/basaltlever/pg/MemoryBudget.java
@@ -3,11 +3,11 @@
 /**
  * Counts the bytes of messages held, so that peers who send or read slowly can't fill the memory.
  */
-public final class Budget {
+public final class MemoryBudget {
   private final long most;
   private long held;
 
-  public Budget(long most) {
+  public MemoryBudget(long most) {
     this.most = most;
   }
 
--- a/router/src/main/java/basaltlever/pg/Frames.java
+++ b/router/src/main/java/basaltlever/pg/MessageDecoder.java
@@ -7,14 +7,14 @@
  * has not come whole is kept until it has, so there is one copy at most, and only of messages that
  * come in pieces.
  */
-public final class Frames {
+public final class MessageDecoder {
   /** Type byte and length. */
   public static final int HEAD = 5;
 
   private static final int PIECE = 512;
 
   private int largest;
-  private final Budget budget;
+  private final MemoryBudget budget;
 
   /** Owned here; null where all that came was used. */
   private ByteBuf kept;
@@ -22,13 +22,13 @@
   private int counted;
 
   /** No message may be larger, and all that is kept goes by the budget. */
-  public Frames(int largest, Budget budget) {
+  public MessageDecoder(int largest, MemoryBudget budget) {
     this.largest = largest;
     this.budget = budget;
   }
 
   /** Takes the buffer over. */
-  public void add(ByteBuf in) throws PgFault {
+  public void add(ByteBuf in) throws ProtocolException {
     if (kept == null || !kept.isReadable()) {
       release();
       kept = in;
@@ -38,7 +38,7 @@
     int more = kept.capacity() - counted;
     counted += more;
     if (!budget.hold(more)) {
-      throw new PgFault(Pg.TOO_MANY, "too many messages are under way");
+      throw new ProtocolException(ProtocolCodes.TOO_MANY, "too many messages are under way");
     }
   }
 
@@ -60,7 +60,7 @@
   }
 
   /** The next whole message with its head, valid until the next call, or null. */
-  public ByteBuf next() throws PgFault {
+  public ByteBuf next() throws ProtocolException {
     if (size() < HEAD) {
       return spent();
     }
@@ -68,17 +68,18 @@
   }
 
   /** As next, for the messages before the start, which have no type byte. */
-  public ByteBuf nextUntyped() throws PgFault {
+  public ByteBuf nextUntyped() throws ProtocolException {
     if (size() < HEAD - 1) {
       return spent();
     }
     return cut(kept.getInt(kept.readerIndex()), 0);
   }
 
-  private ByteBuf cut(int length, int before) throws PgFault {
+  private ByteBuf cut(int length, int before) throws ProtocolException {
     if (length < HEAD - 1 || length > largest) {
-      throw new PgFault(
-          length > largest ? Pg.TOO_LARGE : Pg.VIOLATION, "a message states a length of " + length);
+      throw new ProtocolException(
+          length > largest ? ProtocolCodes.TOO_LARGE : ProtocolCodes.VIOLATION,
+          "a message states a length of " + length);
     }
     return kept.readableBytes() < length + before ? null : kept.readSlice(length + before);
   }
--- a/router/src/main/java/basaltlever/pg/Write.java
+++ b/router/src/main/java/basaltlever/pg/MessageEncoder.java
@@ -5,8 +5,8 @@
 import java.nio.charset.StandardCharsets;
 
 /** Writes messages into a buffer of the caller's. */
-public final class Write {
-  private Write() {}
+public final class MessageEncoder {
+  private MessageEncoder() {}
 
   private static int begin(ByteBuf out, byte type) {
     out.writeByte(type);
@@ -25,7 +25,7 @@
 
   public static void startup(ByteBuf out, String user, String database) {
     int from = out.writerIndex();
-    out.writeInt(0).writeInt(Pg.VERSION);
+    out.writeInt(0).writeInt(ProtocolCodes.VERSION);
     text(out, "user");
     text(out, user);
     text(out, "database");
@@ -36,38 +36,38 @@
 
   /** All that a client is told before its first query. */
   public static void welcome(ByteBuf out) {
-    out.writeByte(Pg.AUTHENTICATION).writeInt(8).writeInt(0);
+    out.writeByte(ProtocolCodes.AUTHENTICATION).writeInt(8).writeInt(0);
     status(out, "server_version", "15.0 (basaltlever)");
     status(out, "server_encoding", "UTF8");
     status(out, "client_encoding", "UTF8");
     status(out, "standard_conforming_strings", "on");
     status(out, "integer_datetimes", "on");
-    out.writeByte(Pg.KEY).writeInt(12).writeInt(0).writeInt(0);
+    out.writeByte(ProtocolCodes.KEY).writeInt(12).writeInt(0).writeInt(0);
     ready(out);
   }
 
   /** Older minor versions than asked for are spoken here, and no option of the protocol. */
   public static void negotiate(ByteBuf out) {
-    out.writeByte('v').writeInt(12).writeInt(Pg.VERSION).writeInt(0);
+    out.writeByte('v').writeInt(12).writeInt(ProtocolCodes.VERSION).writeInt(0);
   }
 
   public static void status(ByteBuf out, String name, String value) {
-    int from = begin(out, Pg.STATUS);
+    int from = begin(out, ProtocolCodes.STATUS);
     text(out, name);
     text(out, value);
     end(out, from);
   }
 
   public static void ready(ByteBuf out) {
-    out.writeByte(Pg.READY).writeInt(5).writeByte('I');
+    out.writeByte(ProtocolCodes.READY).writeInt(5).writeByte('I');
   }
 
   public static void empty(ByteBuf out) {
-    out.writeByte(Pg.EMPTY).writeInt(4);
+    out.writeByte(ProtocolCodes.EMPTY).writeInt(4);
   }
 
   public static void complete(ByteBuf out, String tag) {
-    int from = begin(out, Pg.COMPLETE);
+    int from = begin(out, ProtocolCodes.COMPLETE);
     text(out, tag);
     end(out, from);
   }
@@ -75,7 +75,7 @@
   /** A detail of null is left out. */
   public static void error(
       ByteBuf out, String severity, String code, String message, String detail) {
-    int from = begin(out, Pg.ERROR);
+    int from = begin(out, ProtocolCodes.ERROR);
     field(out, 'S', severity);
     field(out, 'V', severity);
     field(out, 'C', code);
@@ -93,14 +93,14 @@
   }
 
   public static void query(ByteBuf out, String text) {
-    int from = begin(out, Pg.QUERY);
+    int from = begin(out, ProtocolCodes.QUERY);
     text(out, text);
     end(out, from);
   }
 
   /** The text as it came, but for the wait that stands from and to the given places. */
   public static void query(ByteBuf out, ByteBuf text, int waitFrom, int waitTo, long waitMillis) {
-    int from = begin(out, Pg.QUERY);
+    int from = begin(out, ProtocolCodes.QUERY);
     int start = text.readerIndex();
     out.writeBytes(text, start, waitFrom);
     out.writeCharSequence(Long.toString(waitMillis), StandardCharsets.US_ASCII);
--- a/router/src/main/java/basaltlever/pg/Pg.java
+++ b/router/src/main/java/basaltlever/pg/ProtocolCodes.java
@@ -1,7 +1,7 @@
 package basaltlever.pg;
 
 /** The numbers and letters of version 3 of the wire protocol, as far as they are spoken here. */
-public final class Pg {
+public final class ProtocolCodes {
   public static final int VERSION = 196_608;
   public static final int CANCEL = 80_877_102;
   public static final int SSL = 80_877_103;
@@ -34,5 +34,5 @@
   /** No promise about what has happened. */
   public static final String UNKNOWN_EFFECT = "58000";
 
-  private Pg() {}
+  private ProtocolCodes() {}
 }
--- a/router/src/main/java/basaltlever/pg/Query.java
+++ b/router/src/main/java/basaltlever/pg/Query.java
@@ -34,12 +34,13 @@
   private Query() {}
 
   /** Text is the query without the zero byte that ends it. */
-  public static Query read(ByteBuf text) throws PgFault {
+  public static Query read(ByteBuf text) throws ProtocolException {
     int from = skipSpace(text, 0);
     if (text.readableBytes() < from + 2
         || text.getByte(text.readerIndex() + from) != OPEN[0]
         || text.getByte(text.readerIndex() + from + 1) != OPEN[1]) {
-      throw new PgFault(Pg.VIOLATION, "the statement does not begin with its comment");
+      throw new ProtocolException(
+          ProtocolCodes.VIOLATION, "the statement does not begin with its comment");
     }
     int end = -1;
     int most = Math.min(text.readableBytes() - 1, from + LONGEST_COMMENT);
@@ -47,7 +48,8 @@
       end = at(text, i) == '*' && at(text, i + 1) == '/' ? i : -1;
     }
     if (end < 0) {
-      throw new PgFault(Pg.VIOLATION, "the comment before the statement is not closed");
+      throw new ProtocolException(
+          ProtocolCodes.VIOLATION, "the comment before the statement is not closed");
     }
     Query query = new Query();
     String comment =
@@ -58,22 +60,23 @@
     return query;
   }
 
-  private void names(String comment, int offset) throws PgFault {
+  private void names(String comment, int offset) throws ProtocolException {
     int at = 0;
     while (at <= comment.length()) {
       int comma = comment.indexOf(',', at);
       int to = comma < 0 ? comment.length() : comma;
       int equals = comment.indexOf('=', at);
       if (equals < 0 || equals > to) {
-        throw new PgFault(
-            Pg.VIOLATION,
+        throw new ProtocolException(
+            ProtocolCodes.VIOLATION,
             "the comment holds '"
                 + comment.substring(at, to).trim()
                 + "' where a name and a value belong");
       }
       String name = comment.substring(at, equals).trim();
       if (names.put(name, comment.substring(equals + 1, to).trim()) != null) {
-        throw new PgFault(Pg.VIOLATION, "the comment names " + name + " twice");
+        throw new ProtocolException(
+            ProtocolCodes.VIOLATION, "the comment names " + name + " twice");
       }
       if (name.equals("d")) {
         waitFrom = offset + equals + 1;
@@ -83,7 +86,7 @@
     }
   }
 
-  private void fields() throws PgFault {
+  private void fields() throws ProtocolException {
     workload = need("c");
     id = need("id");
     waitMillis = number("d", need("d"), LONGEST_WAIT);
@@ -91,15 +94,15 @@
     after = number("after", names.getOrDefault("after", "0"), Long.MAX_VALUE / 4_000);
   }
 
-  private String need(String name) throws PgFault {
+  private String need(String name) throws ProtocolException {
     String value = names.get(name);
     if (value == null || value.isEmpty()) {
-      throw new PgFault(Pg.VIOLATION, "the comment lacks " + name);
+      throw new ProtocolException(ProtocolCodes.VIOLATION, "the comment lacks " + name);
     }
     return value;
   }
 
-  private static long number(String name, String value, long most) throws PgFault {
+  private static long number(String name, String value, long most) throws ProtocolException {
     long number = 0;
     boolean sound = !value.isEmpty();
     for (int i = 0; i < value.length() && sound; i++) {
@@ -108,7 +111,8 @@
       number = 10 * number + digit;
     }
     if (!sound) {
-      throw new PgFault(Pg.VIOLATION, "the comment's " + name + " is no number from 0 to " + most);
+      throw new ProtocolException(
+          ProtocolCodes.VIOLATION, "the comment's " + name + " is no number from 0 to " + most);
     }
     return number;
   }
--- a/router/src/main/java/basaltlever/pg/Answer.java
+++ b/router/src/main/java/basaltlever/pg/QueryResponse.java
@@ -7,7 +7,7 @@
 import java.util.regex.Pattern;
 
 /** What a node says to one query, up to its ReadyForQuery. */
-public final class Answer {
+public final class QueryResponse {
   private static final int LONGEST_TEXT = 1_024;
 
   /** Bytes of all its messages together: twice what the longest row may take up. */
@@ -31,29 +31,31 @@
   public long position;
 
   /** True once the answer is whole. */
-  public boolean add(ByteBuf message) throws PgFault {
+  public boolean add(ByteBuf message) throws ProtocolException {
     size += message.readableBytes();
     byte type = message.getByte(message.readerIndex());
     switch (type) {
-      case Pg.ROW_DESCRIPTION, Pg.DATA_ROW, Pg.COMPLETE -> {
+      case ProtocolCodes.ROW_DESCRIPTION, ProtocolCodes.DATA_ROW, ProtocolCodes.COMPLETE -> {
         order.append((char) type);
         spoilt |= order.length() > 3 || !isSound(type, message);
         if (!spoilt) {
           row.add(message.retainedSlice());
         }
       }
-      case Pg.ERROR -> {
+      case ProtocolCodes.ERROR -> {
         spoilt |= error != null || order.length() > 0;
         error = field(message, 'C');
       }
-      case Pg.STATUS -> status(message);
-      case Pg.READY -> {
-        spoilt |= message.readableBytes() != Frames.HEAD + 1;
+      case ProtocolCodes.STATUS -> status(message);
+      case ProtocolCodes.READY -> {
+        spoilt |= message.readableBytes() != MessageDecoder.HEAD + 1;
         return true;
       }
-      case Pg.EMPTY -> spoilt = true;
-      case Pg.NOTICE, Pg.KEY -> {}
-      default -> throw new PgFault(Pg.VIOLATION, "a node sent a message of type " + type);
+      case ProtocolCodes.EMPTY -> spoilt = true;
+      case ProtocolCodes.NOTICE, ProtocolCodes.KEY -> {}
+      default ->
+          throw new ProtocolException(
+              ProtocolCodes.VIOLATION, "a node sent a message of type " + type);
     }
     return false;
   }
@@ -89,7 +91,7 @@
       return "";
     }
     ByteBuf data = row.get(1);
-    int at = data.readerIndex() + Frames.HEAD + 2;
+    int at = data.readerIndex() + MessageDecoder.HEAD + 2;
     int length = data.getInt(at);
     return length > LONGEST_TEXT ? "" : data.toString(at + 4, length, StandardCharsets.UTF_8);
   }
@@ -104,9 +106,9 @@
    * else.
    */
   private static boolean isSound(byte type, ByteBuf message) {
-    int at = message.readerIndex() + Frames.HEAD;
+    int at = message.readerIndex() + MessageDecoder.HEAD;
     int size = message.writerIndex() - at;
-    if (type == Pg.COMPLETE) {
+    if (type == ProtocolCodes.COMPLETE) {
       int end = message.indexOf(at, message.writerIndex(), (byte) 0);
       return size > 1
           && end == message.writerIndex() - 1
@@ -115,7 +117,7 @@
     if (size < 6 || message.getShort(at) != 1) {
       return false;
     }
-    if (type == Pg.DATA_ROW) {
+    if (type == ProtocolCodes.DATA_ROW) {
       return message.getInt(at + 2) == size - 6;
     }
     int end = message.indexOf(at + 2, message.writerIndex(), (byte) 0);
@@ -123,7 +125,7 @@
   }
 
   private void status(ByteBuf message) {
-    int at = message.readerIndex() + Frames.HEAD;
+    int at = message.readerIndex() + MessageDecoder.HEAD;
     int end = message.indexOf(at, message.writerIndex(), (byte) 0);
     int last = end < 0 ? -1 : message.indexOf(end + 1, message.writerIndex(), (byte) 0);
     if (last < 0 || last - at > LONGEST_TEXT) {
@@ -140,7 +142,7 @@
 
   /** A field of an error or notice, empty where it is missing. */
   public static String field(ByteBuf message, char name) {
-    int at = message.readerIndex() + Frames.HEAD;
+    int at = message.readerIndex() + MessageDecoder.HEAD;
     while (at < message.writerIndex() && message.getByte(at) != 0) {
       int end = message.indexOf(at + 1, message.writerIndex(), (byte) 0);
       if (end < 0) {
--- a/router/src/main/java/basaltlever/agree/Grant.java
+++ b/router/src/main/java/basaltlever/settings/LeaseGrant.java
@@ -1,4 +1,4 @@
-package basaltlever.agree;
+package basaltlever.settings;
 
 import basaltlever.time.Span;
 
@@ -11,4 +11,5 @@
  * @param prepared the version on its way, or null
  * @param changes of the voters' register when it was given: a leader that was replaced knows fewer
  */
-public record Grant(long beat, Span lasts, Version inForce, Version prepared, long changes) {}
+public record LeaseGrant(
+    long beat, Span lasts, SettingsVersion inForce, SettingsVersion prepared, long changes) {}
--- a/router/src/main/java/basaltlever/agree/Follower.java
+++ b/router/src/main/java/basaltlever/settings/LeaseHolder.java
@@ -1,4 +1,4 @@
-package basaltlever.agree;
+package basaltlever.settings;
 
 import basaltlever.time.Moment;
 import java.util.ArrayDeque;
@@ -9,24 +9,24 @@
  * as over. Whoever was stopped, or cut off, finds its lease over before its next act and keeps to
  * what no version could forbid until a grant says which holds.
  */
-public final class Follower {
+public final class LeaseHolder {
   /**
    * Beats without an answer that are remembered: an answer to an older one is worth nothing any
    * more.
    */
   private static final int MOST_OUT = 64;
 
-  private record Beat(long number, Moment sent) {}
+  private record SentHeartbeat(long number, Moment sent) {}
 
-  private final ArrayDeque<Beat> out = new ArrayDeque<>();
+  private final ArrayDeque<SentHeartbeat> out = new ArrayDeque<>();
   private long beats;
 
   /** Of the latest grant; those of an older charter never reach it. */
   private long changes;
 
   private Moment leaseEnds = Moment.LONG_AGO;
-  private Version inForce;
-  private Version prepared;
+  private SettingsVersion inForce;
+  private SettingsVersion prepared;
 
   /** Before the first grant nothing is known to hold. */
   private boolean careful = true;
@@ -35,17 +35,17 @@
    * A process before this one was told of that charter: what came before it binds nobody any more.
    */
   public void knows(long charter) {
-    changes = Math.max(changes, Register.first(charter));
+    changes = Math.max(changes, VersionRegister.first(charter));
   }
 
   /** The latest charter that it was told of. */
   public long charter() {
-    return Register.charter(changes);
+    return VersionRegister.charter(changes);
   }
 
   /** Number of a beat that is sent now. */
   public long beat(Moment now) {
-    out.addLast(new Beat(++beats, now));
+    out.addLast(new SentHeartbeat(++beats, now));
     if (out.size() > MOST_OUT) {
       out.removeFirst();
     }
@@ -53,10 +53,10 @@
   }
 
   /** True where what it keeps to is another than before. */
-  public boolean granted(Moment now, Grant grant) {
+  public boolean granted(Moment now, LeaseGrant grant) {
     Moment sent = null;
     while (!out.isEmpty() && out.peekFirst().number() <= grant.beat()) {
-      Beat beat = out.removeFirst();
+      SentHeartbeat beat = out.removeFirst();
       sent = beat.number() == grant.beat() ? beat.sent() : sent;
     }
     if (sent == null || grant.changes() < changes) {
@@ -90,7 +90,7 @@
     return ends;
   }
 
-  private static long number(Version version) {
+  private static long number(SettingsVersion version) {
     return version == null ? 0 : version.number();
   }
 
@@ -104,12 +104,12 @@
   }
 
   /** Null before the first grant. */
-  public Version inForce() {
+  public SettingsVersion inForce() {
     return inForce;
   }
 
   /** The version on its way, to which it keeps as well; null where there is none. */
-  public Version prepared() {
+  public SettingsVersion prepared() {
     return prepared;
   }
 
--- a/router/src/main/java/basaltlever/agree/Leases.java
+++ b/router/src/main/java/basaltlever/settings/LeaseTable.java
@@ -1,4 +1,4 @@
-package basaltlever.agree;
+package basaltlever.settings;
 
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
@@ -15,7 +15,7 @@
  * on; and one that was just elected counts everybody as leased for that long. Clocks may run apart
  * by the drift, either way.
  */
-public final class Leases {
+public final class LeaseTable {
   /** One that asked nothing for so many leases is forgotten. */
   private static final int FORGOTTEN_AFTER = 20;
 
@@ -65,13 +65,13 @@
   private Moment quietUntil = Moment.NEVER;
 
   /** Drift is the share by which any clock may run faster or slower than any other, below 0.5. */
-  public Leases(Span lease, double drift) {
+  public LeaseTable(Span lease, double drift) {
     this.lease = lease;
     this.drift = drift;
   }
 
   /** How long a lease may last by the leader's clock that a router counts on its own. */
-  Span atMost(Span granted) {
+  public Span atMost(Span granted) {
     return granted.times(1 + 2 * drift);
   }
 
@@ -100,7 +100,7 @@
    * way to which it keeps, why it can't, empty where it can, and whether it held a lease as it sent
    * this. The grant lasts nothing where none is given.
    */
-  public Grant beat(
+  public LeaseGrant beat(
       Moment now,
       String name,
       long incarnation,
@@ -110,10 +110,10 @@
       long refused,
       String refusal,
       boolean holds,
-      Register register) {
+      VersionRegister register) {
     Span lasts = lease.shorter(confirmed.plus(lease).since(now)).longer(Span.NONE);
     if (!peers.containsKey(name) && peers.size() >= MOST_PEERS) {
-      return new Grant(
+      return new LeaseGrant(
           number, Span.NONE, register.inForce(), register.prepared(), register.changes());
     }
     Peer peer = peers.computeIfAbsent(name, Peer::new);
@@ -148,7 +148,8 @@
     if (lasts.micros() > 0) {
       peer.leaseEnds = peer.leaseEnds.later(now.plus(atMost(lasts)));
     }
-    return new Grant(number, lasts, register.inForce(), register.prepared(), register.changes());
+    return new LeaseGrant(
+        number, lasts, register.inForce(), register.prepared(), register.changes());
   }
 
   private static boolean isLive(Peer peer, Moment now) {
@@ -160,14 +161,14 @@
   }
 
   /** What follows, by the first rule that applies. */
-  public Step next(Moment now, Register register) {
+  public Step next(Moment now, VersionRegister register) {
     peers
         .values()
         .removeIf(
             peer ->
                 now.since(peer.heard).isLongerThan(lease.times(FORGOTTEN_AFTER))
                     && !isLive(peer, now));
-    Version prepared = register.prepared();
+    SettingsVersion prepared = register.prepared();
     if (prepared != null) {
       for (Peer peer : peers.values()) {
         if (peer.refused == prepared.number() && isHeard(peer, now)) {
@@ -194,27 +195,27 @@
         : Step.NOTHING;
   }
 
-  Span lease() {
+  public Span lease() {
     return lease;
   }
 
   /** Whether somebody of this name may act under a lease. */
-  boolean isLive(String name, Moment now) {
+  public boolean isLive(String name, Moment now) {
     return peers.containsKey(name) && isLive(peers.get(name), now);
   }
 
   /** Whether leases that the leader before has granted may go on. */
-  boolean isQuiet(Moment now) {
+  public boolean isQuiet(Moment now) {
     return now.isBefore(quietUntil);
   }
 
   /** Whether a majority has borne this leader out of late: another may lead by now where not. */
-  boolean isBorneOut(Moment now) {
+  public boolean isBorneOut(Moment now) {
     return now.isBefore(confirmed.plus(lease));
   }
 
   /** When this leader heard from it last. */
-  Moment heard(String name) {
+  public Moment heard(String name) {
     return heardAt.getOrDefault(name, Moment.LONG_AGO);
   }
 
--- a/router/src/main/java/basaltlever/agree/Ceilings.java
+++ b/router/src/main/java/basaltlever/settings/SettingsConstraints.java
@@ -1,9 +1,9 @@
-package basaltlever.agree;
+package basaltlever.settings;
 
-import basaltlever.gateway.Agreed;
+import basaltlever.gateway.Settings;
 import basaltlever.gateway.Workload;
-import basaltlever.gateway.Workload.Needs;
-import basaltlever.gateway.Workload.Repeat;
+import basaltlever.gateway.Workload.Idempotency;
+import basaltlever.gateway.Workload.ReadConsistency;
 import basaltlever.time.Span;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,21 +12,21 @@
  * What no version may change in an installation, whoever proposes it: what the start files say of
  * writes and of repeats is a fact about the application, not a wish.
  */
-public final class Ceilings {
-  private Ceilings() {}
+public final class SettingsConstraints {
+  private SettingsConstraints() {}
 
   /** Why a router turns the proposed agreement down, by key; empty where it takes it. */
-  public static List<String> brokenBy(Agreed proposed, Agreed installed, Span widestBound) {
-    List<String> faults = new ArrayList<>(Meet.exclusive(installed, proposed));
+  public static List<String> brokenBy(Settings proposed, Settings installed, Span widestBound) {
+    List<String> faults = new ArrayList<>(StricterSettings.exclusive(installed, proposed));
     double weights = 0;
     for (int i = 0; faults.isEmpty() && i < proposed.workloads().length; i++) {
       Workload kind = proposed.workloads()[i];
-      Repeat own = installed.workloads()[i].repeat();
+      Idempotency own = installed.workloads()[i].repeat();
       weights += kind.importance();
-      if (own == Repeat.NON_IDEMPOTENT && kind.repeat() != own) {
+      if (own == Idempotency.NON_IDEMPOTENT && kind.repeat() != own) {
         faults.add("Classes." + i + ".Repeat: what must not run twice would be repeated");
       }
-      if (kind.needs() == Needs.BOUNDED
+      if (kind.needs() == ReadConsistency.BOUNDED
           && widestBound.micros() > 0
           && kind.bound().isLongerThan(widestBound)) {
         faults.add(
--- a/router/src/main/java/basaltlever/agree/Version.java
+++ b/router/src/main/java/basaltlever/settings/SettingsVersion.java
@@ -1,4 +1,4 @@
-package basaltlever.agree;
+package basaltlever.settings;
 
 /**
  * One content of the settings. Numbers count up and are never given again; 0 is the start file's
@@ -10,5 +10,5 @@
  * @param why in the proposer's words
  * @param atMillis Unix time at the proposer
  */
-public record Version(
+public record SettingsVersion(
     long number, String text, int routers, String who, String why, long atMillis) {}
--- a/router/src/main/java/basaltlever/agree/Meet.java
+++ b/router/src/main/java/basaltlever/settings/StricterSettings.java
@@ -1,15 +1,15 @@
-package basaltlever.agree;
+package basaltlever.settings;
 
-import basaltlever.gateway.Agreed;
-import basaltlever.gateway.Allowance;
-import basaltlever.gateway.Connections;
-import basaltlever.gateway.Drains;
+import basaltlever.gateway.AttemptLimits;
+import basaltlever.gateway.DrainPolicy;
+import basaltlever.gateway.PoolSettings;
 import basaltlever.gateway.Replication;
-import basaltlever.gateway.Standing;
-import basaltlever.gateway.WarmUp;
+import basaltlever.gateway.RouterIdentity;
+import basaltlever.gateway.Settings;
+import basaltlever.gateway.SlowStartPolicy;
 import basaltlever.gateway.Workload;
-import basaltlever.gateway.Workload.Needs;
-import basaltlever.gateway.Workload.Repeat;
+import basaltlever.gateway.Workload.Idempotency;
+import basaltlever.gateway.Workload.ReadConsistency;
 import basaltlever.time.Span;
 import java.util.ArrayList;
 import java.util.List;
@@ -20,18 +20,18 @@
  * other (docs/agreement.md holds the table). Keys that only weigh one router's own choices are
  * independent: the newer one's value is taken.
  */
-public final class Meet {
-  private static final Needs[] FROM_STRICTEST = {
-    Needs.FRESH, Needs.SESSION, Needs.BOUNDED, Needs.ANY
+public final class StricterSettings {
+  private static final ReadConsistency[] FROM_STRICTEST = {
+    ReadConsistency.FRESH, ReadConsistency.SESSION, ReadConsistency.BOUNDED, ReadConsistency.ANY
   };
 
-  private Meet() {}
+  private StricterSettings() {}
 
   /**
    * What keeps two agreements from having one that is stricter than both, by key and reason; empty
    * where there is one.
    */
-  public static List<String> exclusive(Agreed older, Agreed newer) {
+  public static List<String> exclusive(Settings older, Settings newer) {
     List<String> faults = new ArrayList<>();
     if (older.workloads().length != newer.workloads().length) {
       faults.add(
@@ -43,8 +43,8 @@
       return faults;
     }
     for (int i = 0; i < older.workloads().length; i++) {
-      boolean writes = newer.workloads()[i].needs() == Needs.WRITE;
-      if (writes != (older.workloads()[i].needs() == Needs.WRITE)) {
+      boolean writes = newer.workloads()[i].needs() == ReadConsistency.WRITE;
+      if (writes != (older.workloads()[i].needs() == ReadConsistency.WRITE)) {
         faults.add(
             "FamilyInfo.ClassRead: class "
                 + i
@@ -55,14 +55,14 @@
   }
 
   /** Both must be free of {@link #exclusive} faults. */
-  public static Agreed of(Agreed older, Agreed newer) {
+  public static Settings of(Settings older, Settings newer) {
     boolean sameTokens =
         older.replication().sessionsCarryTokens() == newer.replication().sessionsCarryTokens();
     Workload[] workloads = new Workload[newer.workloads().length];
     for (int i = 0; i < workloads.length; i++) {
       workloads[i] = workload(older.workloads()[i], newer.workloads()[i], sameTokens);
     }
-    return new Agreed(
+    return new Settings(
         standing(older.standing(), newer.standing()),
         workloads,
         replication(older.replication(), newer.replication()),
@@ -77,37 +77,37 @@
    * primary alone and once, writes once. A limit that some agreement may have lowered is at its
    * least.
    */
-  public static Agreed careful(Agreed known) {
+  public static Settings careful(Settings known) {
     Workload[] workloads = new Workload[known.workloads().length];
     for (int i = 0; i < workloads.length; i++) {
       Workload kind = known.workloads()[i];
       workloads[i] =
           new Workload(
-              kind.needs() == Needs.WRITE ? Needs.WRITE : Needs.FRESH,
+              kind.needs() == ReadConsistency.WRITE ? ReadConsistency.WRITE : ReadConsistency.FRESH,
               Span.NONE,
-              Repeat.NON_IDEMPOTENT,
-              Workload.Within.GROUP,
+              Idempotency.NON_IDEMPOTENT,
+              Workload.DeduplicationScope.GROUP,
               Span.NONE,
               kind.slo(),
               kind.timeout(),
               kind.importance(),
               kind.lateShare());
     }
-    Allowance allowance = known.allowance();
-    return new Agreed(
+    AttemptLimits allowance = known.allowance();
+    return new Settings(
         known.standing(),
         workloads,
         new Replication(false, false, known.replication().sessionsCarryTokens()),
-        new Drains(known.drains().askedFor(), known.drains().mustAskIn(), true),
+        new DrainPolicy(known.drains().askedFor(), known.drains().mustAskIn(), true),
         known.warmUp(),
-        new Allowance(
+        new AttemptLimits(
             1, false, allowance.cancels(), allowance.polls(), Span.NONE, allowance.answerSlack()),
         known.connections());
   }
 
-  private static Standing standing(Standing older, Standing newer) {
+  private static RouterIdentity standing(RouterIdentity older, RouterIdentity newer) {
     // More routers make the share of each smaller.
-    return new Standing(
+    return new RouterIdentity(
         Math.max(older.routers(), newer.routers()),
         newer.index(),
         newer.zone(),
@@ -116,34 +116,37 @@
   }
 
   private static Workload workload(Workload older, Workload newer, boolean sameTokens) {
-    Needs needs = Needs.WRITE;
-    for (int i = FROM_STRICTEST.length - 1; i >= 0 && newer.needs() != Needs.WRITE; i--) {
+    ReadConsistency needs = ReadConsistency.WRITE;
+    for (int i = FROM_STRICTEST.length - 1; i >= 0 && newer.needs() != ReadConsistency.WRITE; i--) {
       boolean either = older.needs() == FROM_STRICTEST[i] || newer.needs() == FROM_STRICTEST[i];
       needs = either ? FROM_STRICTEST[i] : needs;
     }
-    if (needs == Needs.SESSION && !sameTokens) {
+    if (needs == ReadConsistency.SESSION && !sameTokens) {
       // Where a session's last commit is to be found differs, so only the primary is sure to have
       // it.
-      needs = Needs.FRESH;
+      needs = ReadConsistency.FRESH;
     }
     Span bound =
-        older.needs() != Needs.BOUNDED
+        older.needs() != ReadConsistency.BOUNDED
             ? newer.bound()
-            : newer.needs() != Needs.BOUNDED ? older.bound() : older.bound().shorter(newer.bound());
-    Repeat repeat = older.repeat().compareTo(newer.repeat()) > 0 ? older.repeat() : newer.repeat();
+            : newer.needs() != ReadConsistency.BOUNDED
+                ? older.bound()
+                : older.bound().shorter(newer.bound());
+    Idempotency repeat =
+        older.repeat().compareTo(newer.repeat()) > 0 ? older.repeat() : newer.repeat();
     boolean bothDropped =
-        older.repeat() == Repeat.DEDUPLICATED && newer.repeat() == Repeat.DEDUPLICATED;
-    Workload.Within within =
-        older.repeat() == Repeat.DEDUPLICATED ? older.within() : newer.within();
-    Span window = older.repeat() == Repeat.DEDUPLICATED ? older.window() : newer.window();
+        older.repeat() == Idempotency.DEDUPLICATED && newer.repeat() == Idempotency.DEDUPLICATED;
+    Workload.DeduplicationScope within =
+        older.repeat() == Idempotency.DEDUPLICATED ? older.within() : newer.within();
+    Span window = older.repeat() == Idempotency.DEDUPLICATED ? older.window() : newer.window();
     if (bothDropped) {
       window = older.window().shorter(newer.window());
-      within = older.within() == Workload.Within.ALL ? newer.within() : older.within();
+      within = older.within() == Workload.DeduplicationScope.ALL ? newer.within() : older.within();
       if (older.within() != newer.within()
-          && older.within() != Workload.Within.ALL
-          && newer.within() != Workload.Within.ALL) {
+          && older.within() != Workload.DeduplicationScope.ALL
+          && newer.within() != Workload.DeduplicationScope.ALL) {
         // A zone and a group do not hold each other: where both must hold, nothing runs twice.
-        repeat = Repeat.NON_IDEMPOTENT;
+        repeat = Idempotency.NON_IDEMPOTENT;
       }
     }
     return new Workload(
@@ -166,23 +169,23 @@
         newer.sessionsCarryTokens());
   }
 
-  private static Drains drains(Drains older, Drains newer) {
-    return new Drains(
+  private static DrainPolicy drains(DrainPolicy older, DrainPolicy newer) {
+    return new DrainPolicy(
         older.askedFor() || newer.askedFor(),
         older.mustAskIn().shorter(newer.mustAskIn()),
         older.removalBinds() || newer.removalBinds());
   }
 
-  private static WarmUp warmUp(WarmUp older, WarmUp newer) {
-    return new WarmUp(
+  private static SlowStartPolicy warmUp(SlowStartPolicy older, SlowStartPolicy newer) {
+    return new SlowStartPolicy(
         Math.min(older.coldFrom(), newer.coldFrom()),
         older.warmAfter().longer(newer.warmAfter()),
         Math.min(older.topplesAt(), newer.topplesAt()),
         older.topplesIn().shorter(newer.topplesIn()));
   }
 
-  private static Allowance allowance(Allowance older, Allowance newer) {
-    return new Allowance(
+  private static AttemptLimits allowance(AttemptLimits older, AttemptLimits newer) {
+    return new AttemptLimits(
         Math.min(older.executions(), newer.executions()),
         older.secondCopies() && newer.secondCopies(),
         older.cancels() && newer.cancels(),
@@ -191,8 +194,8 @@
         older.answerSlack().shorter(newer.answerSlack()));
   }
 
-  private static Connections connections(Connections older, Connections newer) {
-    return new Connections(
+  private static PoolSettings connections(PoolSettings older, PoolSettings newer) {
+    return new PoolSettings(
         Math.min(older.streams(), newer.streams()), older.idleClose().shorter(newer.idleClose()));
   }
 }
--- a/router/src/main/java/basaltlever/agree/Register.java
+++ b/router/src/main/java/basaltlever/settings/VersionRegister.java
@@ -1,5 +1,7 @@
-package basaltlever.agree;
+package basaltlever.settings;
 
+import basaltlever.membership.GroupAssignment;
+import basaltlever.membership.ListVersion;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -17,7 +19,7 @@
  * comes to the same answer; it looks at no clock. A version goes from proposed to prepared, while
  * all keep to the stricter of it and the one in force, and from there to in force or withdrawn.
  */
-public final class Register {
+public final class VersionRegister {
   private static final int MOST_HISTORY = 200;
   private static final int MOST_SEATS = 4_000;
 
@@ -39,21 +41,22 @@
   public static final int LARGEST = 128 * 1024;
 
   /** What became of a version. */
-  public enum End {
+  public enum VersionOutcome {
     IN_FORCE,
     WITHDRAWN,
     REFUSED
   }
 
   /** One line of the history; the reason says why it was not taken, else it is empty. */
-  public record Chapter(Version version, End end, String reason) {}
+  public record HistoryEntry(SettingsVersion version, VersionOutcome end, String reason) {}
 
-  private Version inForce = new Version(0, "", 1, "", "the start file of each router", 0);
-  private Version prepared;
+  private SettingsVersion inForce =
+      new SettingsVersion(0, "", 1, "", "the start file of each router", 0);
+  private SettingsVersion prepared;
   private long last;
   private long changes;
-  private final ArrayDeque<Chapter> history = new ArrayDeque<>();
-  private final TreeMap<String, Seat> seats = new TreeMap<>();
+  private final ArrayDeque<HistoryEntry> history = new ArrayDeque<>();
+  private final TreeMap<String, GroupAssignment> seats = new TreeMap<>();
 
   /** At which number each has changed last. */
   private final Map<String, Long> seatedAt = new HashMap<>();
@@ -89,11 +92,12 @@
                     + " came into force since version "
                     + basis
                 : text.length() > LARGEST ? "it is longer than " + LARGEST + " characters" : "";
-    Version version = new Version(reason.isEmpty() ? ++last : 0, text, routers, who, why, atMillis);
+    SettingsVersion version =
+        new SettingsVersion(reason.isEmpty() ? ++last : 0, text, routers, who, why, atMillis);
     if (reason.isEmpty()) {
       prepared = version;
     } else {
-      note(new Chapter(version, End.REFUSED, reason));
+      note(new HistoryEntry(version, VersionOutcome.REFUSED, reason));
     }
     return reason;
   }
@@ -109,7 +113,7 @@
     }
     inForce = prepared;
     prepared = null;
-    note(new Chapter(inForce, End.IN_FORCE, ""));
+    note(new HistoryEntry(inForce, VersionOutcome.IN_FORCE, ""));
     return true;
   }
 
@@ -118,7 +122,7 @@
     if (prepared == null || prepared.number() != number) {
       return false;
     }
-    note(new Chapter(prepared, End.WITHDRAWN, reason));
+    note(new HistoryEntry(prepared, VersionOutcome.WITHDRAWN, reason));
     prepared = null;
     return true;
   }
@@ -129,20 +133,20 @@
    * A member belongs to a group from here on: at once where it has no other, else once that is
    * cleared. False where nothing is changed.
    */
-  public boolean seat(String member, int group, Stamp at) {
+  public boolean seat(String member, int group, ListVersion at) {
     changes++;
-    Seat known = seats.get(member);
+    GroupAssignment known = seats.get(member);
     if (known != null
         && (!known.cleared() || known.group() == group || !at.isNewerThan(known.at()))) {
       return false;
     }
-    put(new Seat(member, group, at, known == null));
+    put(new GroupAssignment(member, group, at, known == null));
     if (seats.size() > MOST_SEATS) {
       // A list from long ago may name it in another group: the oldest is the least likely to be
       // met.
       seats.values().stream()
-          .filter(Seat::cleared)
-          .min(Comparator.comparing(Seat::at))
+          .filter(GroupAssignment::cleared)
+          .min(Comparator.comparing(GroupAssignment::at))
           .ifPresent(
               oldest -> {
                 seats.remove(oldest.member());
@@ -155,15 +159,15 @@
   /** Every router has let go of it. */
   public boolean clear(String member) {
     changes++;
-    Seat known = seats.get(member);
+    GroupAssignment known = seats.get(member);
     if (known == null || known.cleared()) {
       return false;
     }
-    put(new Seat(member, known.group(), known.at(), true));
+    put(new GroupAssignment(member, known.group(), known.at(), true));
     return true;
   }
 
-  private void put(Seat seat) {
+  private void put(GroupAssignment seat) {
     seats.put(seat.member(), seat);
     seatedAt.put(seat.member(), ++seatsNumber);
   }
@@ -185,19 +189,19 @@
   }
 
   /** Those that have changed after that number. */
-  public List<Seat> seats(long after) {
+  public List<GroupAssignment> seats(long after) {
     return after >= seatsNumber
         ? List.of()
         : seats.values().stream().filter(seat -> seatedAt.get(seat.member()) > after).toList();
   }
 
   /** Null where no group has used it yet. */
-  public Seat seat(String member) {
+  public GroupAssignment seat(String member) {
     return seats.get(member);
   }
 
   /** As a snapshot held it. */
-  public void restore(long ofEra, long number, List<Seat> table) {
+  public void restore(long ofEra, long number, List<GroupAssignment> table) {
     era = ofEra;
     seatsNumber = number;
     seats.clear();
@@ -253,18 +257,18 @@
   public void recover(Set<String> lost, String who, String why, long atMillis) {
     changes = first(charter() + 1);
     if (prepared != null) {
-      note(new Chapter(prepared, End.WITHDRAWN, "a majority was lost"));
+      note(new HistoryEntry(prepared, VersionOutcome.WITHDRAWN, "a majority was lost"));
       prepared = null;
     }
     last = Math.max(last, inForce.number()) + BEYOND;
-    inForce = new Version(last, inForce.text(), inForce.routers(), who, why, atMillis);
+    inForce = new SettingsVersion(last, inForce.text(), inForce.routers(), who, why, atMillis);
     note(
-        new Chapter(
+        new HistoryEntry(
             inForce,
-            End.IN_FORCE,
+            VersionOutcome.IN_FORCE,
             "charter " + charter() + ", without " + String.join(", ", lost)));
     seatsNumber += SEATS_BEYOND;
-    seats.replaceAll((member, seat) -> new Seat(member, seat.group(), seat.at(), false));
+    seats.replaceAll((member, seat) -> new GroupAssignment(member, seat.group(), seat.at(), false));
     seatedAt.replaceAll((member, number) -> seatsNumber);
     seals.clear();
     ended.clear();
@@ -288,19 +292,19 @@
     ended.addAll(lost);
   }
 
-  private void note(Chapter chapter) {
+  private void note(HistoryEntry chapter) {
     history.addLast(chapter);
     if (history.size() > MOST_HISTORY) {
       history.removeFirst();
     }
   }
 
-  public Version inForce() {
+  public SettingsVersion inForce() {
     return inForce;
   }
 
   /** Null where none is on its way. */
-  public Version prepared() {
+  public SettingsVersion prepared() {
     return prepared;
   }
 
@@ -314,13 +318,17 @@
   }
 
   /** Oldest first, bounded. */
-  public List<Chapter> history() {
+  public List<HistoryEntry> history() {
     return new ArrayList<>(history);
   }
 
   /** As a snapshot held it. */
   public void restore(
-      Version force, Version onItsWay, long number, long changed, List<Chapter> chapters) {
+      SettingsVersion force,
+      SettingsVersion onItsWay,
+      long number,
+      long changed,
+      List<HistoryEntry> chapters) {
     changes = changed;
     inForce = force;
     prepared = onItsWay;
--- a/router/src/main/java/basaltlever/view/NodeView.java
+++ b/router/src/main/java/basaltlever/snapshot/EndpointState.java
@@ -1,4 +1,4 @@
-package basaltlever.view;
+package basaltlever.snapshot;
 
 import basaltlever.time.Span;
 
@@ -26,7 +26,7 @@
  *     executions
  * @param coldAgo since when that has been coming back
  */
-public record NodeView(
+public record EndpointState(
     int group,
     long listedStart,
     boolean drains,
--- a/router/src/main/java/basaltlever/view/GroupView.java
+++ b/router/src/main/java/basaltlever/snapshot/GroupState.java
@@ -1,4 +1,4 @@
-package basaltlever.view;
+package basaltlever.snapshot;
 
 /**
  * What was learned of one group.
@@ -6,4 +6,4 @@
  * @param jam share of its reads that busy replicas answered late or not at all, 0 to 1
  * @param primaryJam the same of its primary
  */
-public record GroupView(int group, double jam, double primaryJam) {}
+public record GroupState(int group, double jam, double primaryJam) {}
--- a/router/src/main/java/basaltlever/view/View.java
+++ b/router/src/main/java/basaltlever/snapshot/LearnedState.java
@@ -1,4 +1,4 @@
-package basaltlever.view;
+package basaltlever.snapshot;
 
 import java.util.List;
 
@@ -12,7 +12,7 @@
  *     known
  * @param listed the version of the member list
  */
-public record View(
+public record LearnedState(
     String deployment,
     String router,
     long number,
@@ -20,9 +20,10 @@
     long steady,
     String boot,
     long listed,
-    List<Known> nodes,
-    List<GroupView> groups) {
-  public View numbered(long next) {
-    return new View(deployment, router, next, writtenAt, steady, boot, listed, nodes, groups);
+    List<KnownEndpoint> nodes,
+    List<GroupState> groups) {
+  public LearnedState numbered(long next) {
+    return new LearnedState(
+        deployment, router, next, writtenAt, steady, boot, listed, nodes, groups);
   }
 }
--- a/router/src/main/java/basaltlever/view/Aging.java
+++ b/router/src/main/java/basaltlever/snapshot/StateDecay.java
@@ -1,4 +1,4 @@
-package basaltlever.view;
+package basaltlever.snapshot;
 
 import basaltlever.time.Span;
 
@@ -7,7 +7,7 @@
  * the half in 83 s for what a node is like and in 10 s for what traffic made of it; docs/restart.md
  * tells why.
  */
-public final class Aging {
+public final class StateDecay {
   /**
    * A node that fails is mended, moved or restarted within minutes: after 9 min under 1 % is left.
    */
@@ -21,7 +21,7 @@
    */
   private static final double STATE_HOLDS = 0.5;
 
-  private Aging() {}
+  private StateDecay() {}
 
   /** From 1 for what has just been learned towards 0; nothing for a negative age. */
   public static double weight(Span age, Span fades) {
@@ -37,12 +37,12 @@
    * The same view, that much later. Drains and cold budgets don't fade: they bind until they are
    * over.
    */
-  public static NodeView aged(NodeView view, Span age) {
+  public static EndpointState aged(EndpointState view, Span age) {
     double condition = weight(age, CONDITION);
     double load = weight(age, LOAD);
     boolean holds = condition >= STATE_HOLDS;
     double was = view.silent() || view.isDown() ? 1 : view.failing();
-    return new NodeView(
+    return new EndpointState(
         view.group(),
         view.listedStart(),
         view.drains(),
@@ -50,7 +50,7 @@
         later(view.startedAgo(), age),
         later(view.deniedAgo(), age),
         view.silent() && holds,
-        holds ? later(view.downFor(), age) : NodeView.NEVER,
+        holds ? later(view.downFor(), age) : EndpointState.NEVER,
         was * condition,
         Math.max(0, view.strained()) * load,
         view.room() / Math.max(load, 1e-6),
@@ -61,12 +61,12 @@
         later(view.coldAgo(), age));
   }
 
-  public static GroupView aged(GroupView view, Span age) {
+  public static GroupState aged(GroupState view, Span age) {
     double load = weight(age, LOAD);
-    return new GroupView(view.group(), view.jam() * load, view.primaryJam() * load);
+    return new GroupState(view.group(), view.jam() * load, view.primaryJam() * load);
   }
 
   private static Span later(Span ago, Span age) {
-    return ago.isShorterThan(NodeView.NEVER) ? ago.plus(age) : ago;
+    return ago.isShorterThan(EndpointState.NEVER) ? ago.plus(age) : ago;
   }
 }
--- a/router/src/main/java/basaltlever/view/Recollection.java
+++ b/router/src/main/java/basaltlever/snapshot/StateRestore.java
@@ -1,4 +1,4 @@
-package basaltlever.view;
+package basaltlever.snapshot;
 
 import basaltlever.time.Span;
 import java.util.ArrayList;
@@ -11,10 +11,10 @@
  * them. What was learned counts only for the same start under the same id at the same address; all
  * else is new. A decision of its own, free of I/O.
  */
-public final class Recollection {
+public final class StateRestore {
   /** For a router that has nothing to go by. */
-  public static final Recollection NONE =
-      new Recollection("there is none", Span.NONE, 0, List.of(), List.of());
+  public static final StateRestore NONE =
+      new StateRestore("there is none", Span.NONE, 0, List.of(), List.of());
 
   /** How far the system's clock may stray from the steady one before neither is believed. */
   private static final Span STRAYS = Span.ofMillis(2_000);
@@ -24,11 +24,11 @@
   private final String why;
   private final Span age;
   private final long listed;
-  private final Map<String, Known> nodes = new LinkedHashMap<>();
-  private List<GroupView> groups;
+  private final Map<String, KnownEndpoint> nodes = new LinkedHashMap<>();
+  private List<GroupState> groups;
 
-  private Recollection(
-      String why, Span age, long listed, List<Known> nodes, List<GroupView> groups) {
+  private StateRestore(
+      String why, Span age, long listed, List<KnownEndpoint> nodes, List<GroupState> groups) {
     this.why = why;
     this.age = age;
     this.listed = listed;
@@ -37,8 +37,8 @@
   }
 
   /** What the view is worth now, by the system's clock and the steady one, in microseconds. */
-  public static Recollection of(
-      View view, String deployment, String router, long now, long steady, String boot) {
+  public static StateRestore of(
+      LearnedState view, String deployment, String router, long now, long steady, String boot) {
     Span age = new Span(now - view.writtenAt());
     if (!view.deployment().equals(deployment) || !view.router().equals(router)) {
       return nothing(
@@ -55,21 +55,21 @@
       }
       age = steadily;
     }
-    List<Known> aged = new ArrayList<>(view.nodes().size());
-    for (Known known : view.nodes()) {
-      aged.add(new Known(known.id(), known.address(), Aging.aged(known.view(), age)));
+    List<KnownEndpoint> aged = new ArrayList<>(view.nodes().size());
+    for (KnownEndpoint known : view.nodes()) {
+      aged.add(new KnownEndpoint(known.id(), known.address(), StateDecay.aged(known.view(), age)));
     }
     Span since = age;
-    return new Recollection(
+    return new StateRestore(
         "",
         age,
         view.listed(),
         aged,
-        view.groups().stream().map(group -> Aging.aged(group, since)).toList());
+        view.groups().stream().map(group -> StateDecay.aged(group, since)).toList());
   }
 
-  private static Recollection nothing(String why) {
-    return new Recollection(why, Span.NONE, 0, List.of(), List.of());
+  private static StateRestore nothing(String why) {
+    return new StateRestore(why, Span.NONE, 0, List.of(), List.of());
   }
 
   /** Why it counts for nothing; empty where it counts. */
@@ -86,7 +86,7 @@
   }
 
   /** Those not listed yet, in the view's order: whom to ask first, and no more than that. */
-  public List<Known> members() {
+  public List<KnownEndpoint> members() {
     return List.copyOf(nodes.values());
   }
 
@@ -95,8 +95,8 @@
    * did not ask for may be older than the view: then the view's word on its start and on a drain is
    * the later one.
    */
-  public NodeView of(String id, String address, long listedStart, long version, boolean live) {
-    Known known = nodes.get(id);
+  public EndpointState of(String id, String address, long listedStart, long version, boolean live) {
+    KnownEndpoint known = nodes.get(id);
     boolean older = !live && version < listed;
     if (known == null
         || !known.address().equals(address)
@@ -105,12 +105,12 @@
       return null;
     }
     nodes.remove(id);
-    NodeView view = known.view();
+    EndpointState view = known.view();
     return view.drains() && !older ? withoutDrain(view) : view;
   }
 
-  private static NodeView withoutDrain(NodeView view) {
-    return new NodeView(
+  private static EndpointState withoutDrain(EndpointState view) {
+    return new EndpointState(
         view.group(),
         view.listedStart(),
         false,
@@ -130,8 +130,8 @@
   }
 
   /** What is known of the groups, once. */
-  public List<GroupView> groups() {
-    List<GroupView> told = groups;
+  public List<GroupState> groups() {
+    List<GroupState> told = groups;
     groups = List.of();
     return told;
   }
--- a/router/src/main/java/basaltlever/view/package-info.java
+++ b/router/src/main/java/basaltlever/snapshot/package-info.java
@@ -1,2 +1,2 @@
 /** Records of what a router has learned, how they age and how they are restored. */
-package basaltlever.view;
+package basaltlever.snapshot;
--- a/router/src/main/java/basaltlever/keep/Disk.java
+++ b/router/src/main/java/basaltlever/storage/DirectoryOperations.java
@@ -1,4 +1,4 @@
-package basaltlever.keep;
+package basaltlever.storage;
 
 import java.io.IOException;
 import java.util.List;
@@ -7,7 +7,7 @@
  * One folder, by the few steps that writing safely needs; tests put one in its place that fails
  * between any two.
  */
-public interface Disk {
+public interface DirectoryOperations {
   List<String> names() throws IOException;
 
   /** Throws where the file is longer than the given number of bytes. */
--- a/router/src/main/java/basaltlever/keep/ViewFault.java
+++ b/router/src/main/java/basaltlever/storage/InvalidSnapshotException.java
@@ -1,10 +1,10 @@
-package basaltlever.keep;
+package basaltlever.storage;
 
 /** A file that holds no whole view; the message says what is wrong and where. */
-public final class ViewFault extends Exception {
+public final class InvalidSnapshotException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  public ViewFault(String message) {
+  public InvalidSnapshotException(String message) {
     super(message);
   }
 }
--- a/router/src/main/java/basaltlever/keep/Folder.java
+++ b/router/src/main/java/basaltlever/storage/LockedDirectory.java
@@ -1,4 +1,4 @@
-package basaltlever.keep;
+package basaltlever.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -13,13 +13,13 @@
 import java.util.stream.Stream;
 
 /** A folder of the file system, held by one process at a time. */
-public final class Folder implements Disk, AutoCloseable {
+public final class LockedDirectory implements DirectoryOperations, AutoCloseable {
   private static final String LOCK = "lock";
   private static final int PIECE = 1 << 16;
   private final Path path;
   private FileChannel held;
 
-  public Folder(Path path) {
+  public LockedDirectory(Path path) {
     this.path = path;
   }
 
--- a/router/src/main/java/basaltlever/keep/ViewFile.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotCodec.java
@@ -1,10 +1,10 @@
-package basaltlever.keep;
+package basaltlever.storage;
 
+import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.GroupState;
+import basaltlever.snapshot.KnownEndpoint;
+import basaltlever.snapshot.LearnedState;
 import basaltlever.time.Span;
-import basaltlever.view.GroupView;
-import basaltlever.view.Known;
-import basaltlever.view.NodeView;
-import basaltlever.view.View;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -28,7 +28,7 @@
  * group. Readers pass over keys and kinds of record that they don't know and take defaults for
  * those that are missing, so that versions read each other; only another format number is refused.
  */
-public final class ViewFile {
+public final class SnapshotCodec {
   /** No view is larger, whatever the operator allows. */
   public static final int LARGEST = 16 << 20;
 
@@ -45,23 +45,23 @@
 
   private static final CBORFactory CBOR = new CBORFactory();
 
-  private ViewFile() {}
+  private SnapshotCodec() {}
 
   // ---- Writing.
 
   /**
    * At most as many bytes as given: beyond that the nodes of which little was learned are left out.
    */
-  public static byte[] write(View view, int most) {
+  public static byte[] write(LearnedState view, int most) {
     int left = Math.min(most, LARGEST) - HEAD - FRAME - LONGEST_RECORD - SUM;
     List<byte[]> records = new ArrayList<>();
-    List<Known> nodes = new ArrayList<>(view.nodes());
+    List<KnownEndpoint> nodes = new ArrayList<>(view.nodes());
     nodes.sort(Comparator.comparing(known -> known.view().saysLittle()));
     List<byte[]> groups = new ArrayList<>();
-    for (GroupView group : view.groups()) {
+    for (GroupState group : view.groups()) {
       groups.add(record(out -> group(out, group)));
     }
-    for (Known known : nodes) {
+    for (KnownEndpoint known : nodes) {
       if (known.id().length() <= LONGEST_NAME && known.address().length() <= LONGEST_NAME) {
         records.add(record(out -> node(out, known)));
       }
@@ -103,7 +103,7 @@
     file.putInt(record.length).putInt(crc(record, 0, record.length)).put(record);
   }
 
-  private static void head(JsonGenerator out, View view, int records) throws IOException {
+  private static void head(JsonGenerator out, LearnedState view, int records) throws IOException {
     out.writeStringField("kind", "view");
     out.writeStringField("deployment", view.deployment());
     out.writeStringField("router", view.router());
@@ -115,8 +115,8 @@
     out.writeNumberField("records", records);
   }
 
-  private static void node(JsonGenerator out, Known known) throws IOException {
-    NodeView view = known.view();
+  private static void node(JsonGenerator out, KnownEndpoint known) throws IOException {
+    EndpointState view = known.view();
     out.writeStringField("kind", "node");
     out.writeStringField("id", known.id());
     out.writeStringField("address", known.address());
@@ -138,7 +138,7 @@
     span(out, "spent_ago", view.coldAgo());
   }
 
-  private static void group(JsonGenerator out, GroupView view) throws IOException {
+  private static void group(JsonGenerator out, GroupState view) throws IOException {
     out.writeStringField("kind", "group");
     out.writeNumberField("group", view.group());
     out.writeNumberField("jam", view.jam());
@@ -152,7 +152,7 @@
   }
 
   private static void span(JsonGenerator out, String name, Span ago) throws IOException {
-    if (ago.isShorterThan(NodeView.NEVER)) {
+    if (ago.isShorterThan(EndpointState.NEVER)) {
       out.writeNumberField(name, ago.micros());
     }
   }
@@ -163,26 +163,28 @@
    * Never throws anything else, whatever the bytes are, and takes up no more than a few times their
    * size.
    */
-  public static View read(byte[] file) throws ViewFault {
+  public static LearnedState read(byte[] file) throws InvalidSnapshotException {
     if (file.length < HEAD + SUM) {
-      throw new ViewFault("it ends after " + file.length + " bytes, before its head and its sum");
+      throw new InvalidSnapshotException(
+          "it ends after " + file.length + " bytes, before its head and its sum");
     }
     ByteBuffer in = ByteBuffer.wrap(file);
     if (in.getInt() != MAGIC) {
-      throw new ViewFault("byte 0: no view begins like this");
+      throw new InvalidSnapshotException("byte 0: no view begins like this");
     }
     int format = in.getInt();
     if (format != FORMAT) {
-      throw new ViewFault("byte 4: format " + format + ", where this program reads " + FORMAT);
+      throw new InvalidSnapshotException(
+          "byte 4: format " + format + ", where this program reads " + FORMAT);
     }
     int end = file.length - SUM;
     if (!MessageDigest.isEqual(sum(file, end), Arrays.copyOfRange(file, end, file.length))) {
-      throw new ViewFault(
+      throw new InvalidSnapshotException(
           "byte " + whereBroken(file, end) + ": the sum over the file does not fit");
     }
     Map<String, Object> head = next(in, end);
-    List<Known> nodes = new ArrayList<>();
-    List<GroupView> groups = new ArrayList<>();
+    List<KnownEndpoint> nodes = new ArrayList<>();
+    List<GroupState> groups = new ArrayList<>();
     int records = 0;
     while (in.position() < end) {
       int at = in.position();
@@ -193,7 +195,7 @@
         case "node" -> nodes.add(node(record));
         case "group" ->
             groups.add(
-                new GroupView(
+                new GroupState(
                     (int) record.number("group", 0, Integer.MAX_VALUE, 0),
                     record.number("jam", 0, 1, 0),
                     record.number("primary_jam", 0, 1, 0)));
@@ -202,9 +204,10 @@
     }
     RecordFields first = new RecordFields(head, HEAD);
     if (!first.text("kind").equals("view") || first.whole("records", 0) != records) {
-      throw new ViewFault("byte " + HEAD + ": the first record does not describe what follows");
+      throw new InvalidSnapshotException(
+          "byte " + HEAD + ": the first record does not describe what follows");
     }
-    return new View(
+    return new LearnedState(
         first.text("deployment"),
         first.text("router"),
         first.whole("number", 0),
@@ -216,9 +219,9 @@
         groups);
   }
 
-  private static Known node(RecordFields record) throws ViewFault {
-    NodeView view =
-        new NodeView(
+  private static KnownEndpoint node(RecordFields record) throws InvalidSnapshotException {
+    EndpointState view =
+        new EndpointState(
             (int) record.number("group", 0, Integer.MAX_VALUE, 0),
             record.whole("start", 0),
             record.flag("drains"),
@@ -235,7 +238,7 @@
             new Span((long) record.number("lag", 0, MOST, 0)),
             record.number("spent", 0, MOST, 0),
             record.span("spent_ago"));
-    return new Known(record.text("id"), record.text("address"), view);
+    return new KnownEndpoint(record.text("id"), record.text("address"), view);
   }
 
   /** The record that its own checksum shows to be broken, or else the sum itself. */
@@ -245,38 +248,38 @@
       int at = in.position();
       try {
         next(in, end);
-      } catch (ViewFault broken) {
+      } catch (InvalidSnapshotException broken) {
         return at;
       }
     }
     return end;
   }
 
-  private static Map<String, Object> next(ByteBuffer in, int end) throws ViewFault {
+  private static Map<String, Object> next(ByteBuffer in, int end) throws InvalidSnapshotException {
     int at = in.position();
     if (end - at < FRAME) {
-      throw new ViewFault("byte " + at + ": half of a record");
+      throw new InvalidSnapshotException("byte " + at + ": half of a record");
     }
     int length = in.getInt();
     int crc = in.getInt();
     if (length < 0 || length > LONGEST_RECORD || length > end - in.position()) {
-      throw new ViewFault("byte " + at + ": a record of " + length + " bytes");
+      throw new InvalidSnapshotException("byte " + at + ": a record of " + length + " bytes");
     }
     if (crc(in.array(), in.arrayOffset() + in.position(), length) != crc) {
-      throw new ViewFault("byte " + at + ": the record's checksum does not fit");
+      throw new InvalidSnapshotException("byte " + at + ": the record's checksum does not fit");
     }
     try (JsonParser parser =
         CBOR.createParser(in.array(), in.arrayOffset() + in.position(), length)) {
       in.position(in.position() + length);
       Map<String, Object> fields = new HashMap<>();
       if (parser.nextToken() != JsonToken.START_OBJECT) {
-        throw new ViewFault("byte " + at + ": the record is no map");
+        throw new InvalidSnapshotException("byte " + at + ": the record is no map");
       }
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
         String name = parser.currentName();
         JsonToken value = parser.nextToken();
         if (value == null) {
-          throw new ViewFault("byte " + at + ": the record ends within its map");
+          throw new InvalidSnapshotException("byte " + at + ": the record ends within its map");
         } else if (value.isStructStart()) {
           parser.skipChildren();
         } else if (value == JsonToken.VALUE_NUMBER_INT
@@ -293,14 +296,14 @@
       return fields;
     } catch (IOException | RuntimeException broken) {
       // The library throws more than it declares on bytes that are no CBOR.
-      throw new ViewFault(
+      throw new InvalidSnapshotException(
           "byte " + at + ": the record can't be read: " + broken.getClass().getSimpleName());
     }
   }
 
   /** The fields of a record, read with their bounds. */
   private record RecordFields(Map<String, Object> fields, int at) {
-    String text(String name) throws ViewFault {
+    String text(String name) throws InvalidSnapshotException {
       Object value = fields.getOrDefault(name, "");
       if (value instanceof String text && text.length() <= LONGEST_NAME) {
         return text;
@@ -312,14 +315,15 @@
       return Boolean.TRUE.equals(fields.get(name));
     }
 
-    long whole(String name, long otherwise) throws ViewFault {
+    long whole(String name, long otherwise) throws InvalidSnapshotException {
       if (fields.getOrDefault(name, otherwise) instanceof Long value && value >= 0) {
         return value;
       }
       throw fault(name);
     }
 
-    double number(String name, double least, double most, double otherwise) throws ViewFault {
+    double number(String name, double least, double most, double otherwise)
+        throws InvalidSnapshotException {
       if (fields.getOrDefault(name, otherwise) instanceof Number value
           && value.doubleValue() >= least
           && value.doubleValue() <= most) {
@@ -328,14 +332,14 @@
       throw fault(name);
     }
 
-    Span span(String name) throws ViewFault {
+    Span span(String name) throws InvalidSnapshotException {
       return fields.containsKey(name)
           ? new Span((long) number(name, -MOST, MOST, 0))
-          : NodeView.NEVER;
+          : EndpointState.NEVER;
     }
 
-    private ViewFault fault(String name) {
-      return new ViewFault("byte " + at + ": " + name + " is out of its bounds");
+    private InvalidSnapshotException fault(String name) {
+      return new InvalidSnapshotException("byte " + at + ": " + name + " is out of its bounds");
     }
   }
 
--- a/router/src/main/java/basaltlever/keep/Generations.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotStore.java
@@ -1,6 +1,6 @@
-package basaltlever.keep;
+package basaltlever.storage;
 
-import basaltlever.view.View;
+import basaltlever.snapshot.LearnedState;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -11,7 +11,7 @@
  * then the third newest goes. So two whole ones are there at any time, but for the first, and the
  * newest name that is whole wins.
  */
-public final class Generations {
+public final class SnapshotStore {
   private static final String ASIDE = "view.new";
 
   /** Numbers stay so far from the end that the next one always sorts behind all there are. */
@@ -19,23 +19,23 @@
 
   private static final int KEPT = 2;
 
-  private final Disk disk;
+  private final DirectoryOperations disk;
 
-  public Generations(Disk disk) {
+  public SnapshotStore(DirectoryOperations disk) {
     this.disk = disk;
   }
 
   /**
    * What was found: the view is null where none is whole. The number is the highest of all names.
    */
-  public record Found(View view, String name, long number, List<String> faults) {}
+  public record Found(LearnedState view, String name, long number, List<String> faults) {}
 
   public static String name(long number) {
     return String.format("view-%016x.blv", number);
   }
 
   /** Names of views, the newest first. */
-  public static List<String> names(Disk disk) throws IOException {
+  public static List<String> names(DirectoryOperations disk) throws IOException {
     return disk.names().stream()
         .filter(name -> name.matches(NAME))
         .sorted(Comparator.reverseOrder())
@@ -49,20 +49,21 @@
       long named = Long.parseLong(name.substring(5, 21), 16);
       number = Math.max(number, named);
       try {
-        View view = ViewFile.read(disk.read(name, ViewFile.LARGEST));
+        LearnedState view = SnapshotCodec.read(disk.read(name, SnapshotCodec.LARGEST));
         if (view.number() != named) {
-          throw new ViewFault("it is number " + view.number() + ", under another's name");
+          throw new InvalidSnapshotException(
+              "it is number " + view.number() + ", under another's name");
         }
         return new Found(view, name, number, faults);
-      } catch (ViewFault | IOException fault) {
+      } catch (InvalidSnapshotException | IOException fault) {
         faults.add(name + ": " + fault.getMessage());
       }
     }
     return new Found(null, "", number, faults);
   }
 
-  public void store(View view, int most) throws IOException {
-    disk.write(ASIDE, ViewFile.write(view, most));
+  public void store(LearnedState view, int most) throws IOException {
+    disk.write(ASIDE, SnapshotCodec.write(view, most));
     disk.sync(ASIDE);
     disk.rename(ASIDE, name(view.number()));
     disk.syncFolder();
--- a/router/src/main/java/basaltlever/keep/Keeper.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotWriter.java
@@ -1,12 +1,12 @@
-package basaltlever.keep;
+package basaltlever.storage;
 
 import basaltlever.log.Event;
-import basaltlever.log.Tally;
+import basaltlever.log.RateLimitedLog;
+import basaltlever.snapshot.LearnedState;
+import basaltlever.snapshot.StateDecay;
+import basaltlever.snapshot.StateRestore;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
-import basaltlever.view.Aging;
-import basaltlever.view.Recollection;
-import basaltlever.view.View;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.SplittableRandom;
@@ -25,8 +25,8 @@
  * slow the disk is, nobody waits for it but this thread, and the start and the end for a stated
  * while.
  */
-public final class Keeper {
-  private static final Logger LOG = LoggerFactory.getLogger(Keeper.class);
+public final class SnapshotWriter {
+  private static final Logger LOG = LoggerFactory.getLogger(SnapshotWriter.class);
 
   /** A disk that takes longer to be read would cost a start more than the view is worth. */
   private static final Span READ_WITHIN = Span.ofMillis(1_000);
@@ -41,18 +41,18 @@
    * thread.
    */
   public interface Source {
-    View view() throws InterruptedException;
+    LearnedState view() throws InterruptedException;
   }
 
-  private final Folder folder;
-  private final Generations generations;
+  private final LockedDirectory folder;
+  private final SnapshotStore generations;
   private final String deployment;
   private final String router;
   private final SplittableRandom chance;
   private final Source source;
-  private final Tally failures;
+  private final RateLimitedLog failures;
   private final ScheduledThreadPoolExecutor thread;
-  private final Future<Recollection> reading;
+  private final Future<StateRestore> reading;
   private volatile Span period;
   private volatile int most;
   private boolean held;
@@ -60,7 +60,7 @@
   private boolean read;
   private long number;
 
-  public Keeper(
+  public SnapshotWriter(
       Path folder,
       String deployment,
       String router,
@@ -68,15 +68,16 @@
       int most,
       SplittableRandom chance,
       Source source) {
-    this.folder = new Folder(folder);
+    this.folder = new LockedDirectory(folder);
     this.deployment = deployment;
     this.router = router;
     this.period = period;
     this.most = most;
     this.chance = chance;
     this.source = source;
-    generations = new Generations(this.folder);
-    failures = new Tally(LOG, Event.VIEW_NOT_KEPT, () -> new Moment(Machine.steady()));
+    generations = new SnapshotStore(this.folder);
+    failures =
+        new RateLimitedLog(LOG, Event.VIEW_NOT_KEPT, () -> new Moment(SystemClocks.steady()));
     thread =
         new ScheduledThreadPoolExecutor(
             1,
@@ -92,7 +93,7 @@
    * What the folder's view is worth, read since this was made; never fails, and takes a second at
    * most.
    */
-  public Recollection recall() throws InterruptedException {
+  public StateRestore recall() throws InterruptedException {
     try {
       return reading.get(READ_WITHIN.micros(), TimeUnit.MICROSECONDS);
     } catch (TimeoutException slow) {
@@ -101,7 +102,7 @@
     } catch (ExecutionException fault) {
       Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault.getCause());
     }
-    return Recollection.NONE;
+    return StateRestore.NONE;
   }
 
   /** Each period from now on, and a random part of it sooner or later. */
@@ -130,7 +131,7 @@
   }
 
   /** One view more, or none where it is null, then the folder is let go. Returns at once. */
-  public void ends(View last) {
+  public void ends(LearnedState last) {
     thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     thread.execute(
         () -> {
@@ -149,21 +150,26 @@
     }
   }
 
-  private Recollection read() {
+  private StateRestore read() {
     try {
       if (!take()) {
-        return Recollection.NONE;
+        return StateRestore.NONE;
       }
-      Generations.Found found = newest();
+      SnapshotStore.Found found = newest();
       found.faults().stream()
           .limit(2)
           .forEach(fault -> Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault));
       if (found.view() == null) {
-        return Recollection.NONE;
+        return StateRestore.NONE;
       }
-      Recollection recollection =
-          Recollection.of(
-              found.view(), deployment, router, Machine.now(), Machine.steady(), Machine.boot());
+      StateRestore recollection =
+          StateRestore.of(
+              found.view(),
+              deployment,
+              router,
+              SystemClocks.now(),
+              SystemClocks.steady(),
+              SystemClocks.boot());
       if (!recollection.worthless().isEmpty()) {
         Event.VIEW_LEFT_OUT.log(
             LOG, Level.WARN, "", found.name() + ": " + recollection.worthless());
@@ -175,17 +181,17 @@
             found.name(),
             recollection.age().micros() / 1_000,
             recollection.nodesLeft(),
-            String.format("%.4f", Aging.weight(recollection.age())));
+            String.format("%.4f", StateDecay.weight(recollection.age())));
       }
       return recollection;
     } catch (IOException fault) {
       Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault);
-      return Recollection.NONE;
+      return StateRestore.NONE;
     }
   }
 
-  private Generations.Found newest() throws IOException {
-    Generations.Found found = generations.newest();
+  private SnapshotStore.Found newest() throws IOException {
+    SnapshotStore.Found found = generations.newest();
     number = Math.max(number, found.number());
     read = true;
     return found;
@@ -203,7 +209,7 @@
 
   private void writeAnother() {
     try {
-      View view = source.view();
+      LearnedState view = source.view();
       if (view != null) {
         write(view);
       }
@@ -215,7 +221,7 @@
   }
 
   /** A folder that vanished and came back is taken again; numbers go on from what is there. */
-  private void write(View view) {
+  private void write(LearnedState view) {
     try {
       if (!held && !take()) {
         return;
--- a/router/src/main/java/basaltlever/keep/Machine.java
+++ b/router/src/main/java/basaltlever/storage/SystemClocks.java
@@ -1,4 +1,4 @@
-package basaltlever.keep;
+package basaltlever.storage;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,10 +10,10 @@
  * The clocks by which a view is dated: the system's, and the steady one with the run of the machine
  * it belongs to.
  */
-public final class Machine {
+public final class SystemClocks {
   private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
 
-  private Machine() {}
+  private SystemClocks() {}
 
   public static long now() {
     return ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
--- a/router/src/main/java/basaltlever/keep/package-info.java
+++ b/router/src/main/java/basaltlever/storage/package-info.java
@@ -1,2 +1,2 @@
 /** Keeps the learned state in files: format, generations, locking and the writer thread. */
-package basaltlever.keep;
+package basaltlever.storage;
--- a/router/src/main/java/basaltlever/change/Change.java
+++ b/router/src/main/java/basaltlever/switchover/PlannedSwitchover.java
@@ -1,16 +1,16 @@
-package basaltlever.change;
+package basaltlever.switchover;
 
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 
 /**
  * The planned change of one group's primary, as announced by its members: named phases of one
- * record, which are those of the source (the post's status table). Free of I/O; {@code Balance}
- * asks it and tells it what it sees. A router never believes an announcement more than a claim: it
- * only holds for it, for a bounded time, and the target gets nothing before it reports itself
- * primary.
+ * record, which are those of the source (the post's status table). Free of I/O; {@code
+ * LoadBalancer} asks it and tells it what it sees. A router never believes an announcement more
+ * than a claim: it only holds for it, for a bounded time, and the target gets nothing before it
+ * reports itself primary.
  */
-public final class Change {
+public final class PlannedSwitchover {
   /**
    * In their order; an announcement that ends without its target as primary is called off from any
    * of them.
@@ -61,7 +61,7 @@
   private Moment at = Moment.NEVER;
   private Moment since = Moment.LONG_AGO;
 
-  public Change(Listener listener) {
+  public PlannedSwitchover(Listener listener) {
     this.listener = listener;
   }
 
--- a/router/src/main/java/basaltlever/change/Note.java
+++ b/router/src/main/java/basaltlever/switchover/SwitchoverAnnouncement.java
@@ -1,4 +1,4 @@
-package basaltlever.change;
+package basaltlever.switchover;
 
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -11,7 +11,7 @@
  * @param target the member that is to be primary
  * @param atMillis from when on, in milliseconds of Unix time
  */
-public record Note(long number, String target, long atMillis, boolean off) {
+public record SwitchoverAnnouncement(long number, String target, long atMillis, boolean off) {
   private static final Pattern FORM =
       Pattern.compile(
           "number=([0-9]{1,15}),"
@@ -19,10 +19,10 @@
               + "at=([0-9]{1,15}),state=(announced|off)");
 
   /** Null where the text is none. */
-  public static Note read(String text) {
+  public static SwitchoverAnnouncement read(String text) {
     Matcher match = FORM.matcher(text);
     return match.matches()
-        ? new Note(
+        ? new SwitchoverAnnouncement(
             Long.parseLong(match.group(1)),
             match.group(2),
             Long.parseLong(match.group(3)),
--- a/router/src/main/java/basaltlever/change/package-info.java
+++ b/router/src/main/java/basaltlever/switchover/package-info.java
@@ -1,2 +1,2 @@
 /** Planned switchovers of a group's primary: announcements and phases. Free of I/O. */
-package basaltlever.change;
+package basaltlever.switchover;
--- a/router/src/test/java/basaltlever/AdapterTest.java
+++ b/router/src/test/java/basaltlever/AdapterTest.java
@@ -3,7 +3,7 @@
 import static basaltlever.StandIn.*;
 
 import basaltlever.adapter.Adapter;
-import basaltlever.adapter.WireFault;
+import basaltlever.adapter.MalformedFrameException;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -60,7 +60,7 @@
     return this;
   }
 
-  private ByteBuffer run() throws IOException, WireFault {
+  private ByteBuffer run() throws IOException, MalformedFrameException {
     ByteArrayOutputStream output = new ByteArrayOutputStream();
     new Adapter(new ByteArrayInputStream(input.toByteArray()), output).run();
     return ByteBuffer.wrap(output.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
@@ -69,7 +69,7 @@
   private String fault() throws IOException {
     try {
       run();
-    } catch (WireFault fault) {
+    } catch (MalformedFrameException fault) {
       return fault.getMessage();
     }
     return "";
--- a/router/src/test/java/basaltlever/WatchTest.java
+++ b/router/src/test/java/basaltlever/DiscoveryWatchTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.Example;
 
 /** The list that goes quiet: a discovery that each test scripts byte by byte. */
-class WatchTest {
+class DiscoveryWatchTest {
   private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
   /** Every call is the test's to answer. */
--- a/router/src/test/java/basaltlever/EndingsTest.java
+++ b/router/src/test/java/basaltlever/EndingsTest.java
@@ -5,7 +5,7 @@
 
 import basaltlever.SocketWorld.Client;
 import basaltlever.SocketWorld.Mode;
-import basaltlever.config.StartFault;
+import basaltlever.config.InvalidSettingsException;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -307,7 +307,7 @@
       try {
         world.router.start(world.file, null);
         check(false, "its address is taken");
-      } catch (StartFault fault) {
+      } catch (InvalidSettingsException fault) {
         check(fault.getMessage().contains("can't be bound"), fault.getMessage());
       }
       Thread ends =
--- a/router/src/test/java/basaltlever/HoldBudgetTest.java
+++ b/router/src/test/java/basaltlever/HoldBudgetTest.java
@@ -5,7 +5,7 @@
 import basaltlever.gateway.Role;
 import basaltlever.gateway.Workload;
 import basaltlever.hold.HoldBudget;
-import basaltlever.model.Held;
+import basaltlever.model.HoldQueue;
 import basaltlever.model.Statement;
 import basaltlever.time.Moment;
 import java.util.ArrayList;
@@ -39,7 +39,7 @@
 
   @Example
   void theMostImportantGoFirstAndSessionsKeepTheirOrder() {
-    Held held = new HoldBudget(100, 1 << 20).group(WORKLOADS.length);
+    HoldQueue held = new HoldBudget(100, 1 << 20).group(WORKLOADS.length);
     held.add(statement(1, FRESH, 5, 10));
     held.add(statement(2, WRITE, 5, 10));
     held.add(statement(3, WRITE, 6, 10));
@@ -56,8 +56,8 @@
   @Example
   void aFloodOfOneGroupTakesNoRoomFromAnother() {
     HoldBudget budget = new HoldBudget(100, 1 << 20);
-    Held quiet = budget.group(WORKLOADS.length);
-    Held flood = budget.group(WORKLOADS.length);
+    HoldQueue quiet = budget.group(WORKLOADS.length);
+    HoldQueue flood = budget.group(WORKLOADS.length);
     for (int i = 0; i < 30; i++) {
       quiet.add(statement(i, WRITE, 0, 100));
       check(budget.beyond(quiet, WRITE) == null, "room");
@@ -86,7 +86,7 @@
     SplittableRandom chance = new SplittableRandom(seed);
     HoldBudget budget = new HoldBudget(chance.nextInt(2, 40), chance.nextInt(1_000, 20_000));
     int most = 40;
-    List<Held> groups =
+    List<HoldQueue> groups =
         List.of(
             budget.group(WORKLOADS.length),
             budget.group(WORKLOADS.length),
@@ -94,7 +94,7 @@
     List<List<Statement>> plain = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
     for (int id = 0; id < 400; id++) {
       int group = chance.nextInt(3);
-      Held held = groups.get(group);
+      HoldQueue held = groups.get(group);
       if (chance.nextInt(3) == 0 && !held.isEmpty()) {
         Statement gone =
             chance.nextBoolean()
@@ -125,7 +125,7 @@
       }
       check(budget.held() <= most, "too many");
       for (int g = 0; g < 3; g++) {
-        Held own = groups.get(g);
+        HoldQueue own = groups.get(g);
         check(
             own.size() == plain.get(g).size()
                 && own.bytes() == plain.get(g).stream().mapToLong(one -> one.bytes).sum(),
--- a/router/src/test/java/basaltlever/HoldTest.java
+++ b/router/src/test/java/basaltlever/HoldTest.java
@@ -2,8 +2,8 @@
 
 import static basaltlever.StandIn.*;
 
-import basaltlever.gateway.Ending;
-import basaltlever.gateway.Listing;
+import basaltlever.gateway.AttemptOutcome;
+import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.gateway.Role;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
@@ -39,7 +39,7 @@
   void aMissStartsTheHoldAndTheNewPrimaryGetsTheHeldInOrder() {
     StandIn world = StandIn.plain().steady(20);
     int first = world.take(WRITE);
-    world.later(10).end(world.last(), Ending.MISS, Role.REPLICA);
+    world.later(10).end(world.last(), AttemptOutcome.MISS, Role.REPLICA);
     int second = world.take(WRITE);
     check(world.sent.size() == 1, "nothing new goes to the old primary");
     world.later(20).poll(1, Role.PRIMARY, world.now);
@@ -53,7 +53,7 @@
     StandIn world = StandIn.plain().steady(20);
     world.take(WRITE);
     Moment before = world.now;
-    world.later(10).end(world.last(), Ending.NO_CONNECTION, Role.UNTOLD);
+    world.later(10).end(world.last(), AttemptOutcome.NO_CONNECTION, Role.UNTOLD);
     world.later(10).poll(0, Role.PRIMARY, before);
     check(world.sent.size() == 1, "the report is older than the loss");
     world.later(50).poll(0, Role.PRIMARY, world.now);
@@ -64,7 +64,7 @@
   void aPrimaryThatAnswersAsReplicaStartsTheHold() {
     StandIn world = StandIn.plain().steady(20);
     world.take(FRESH);
-    world.later(10).end(world.last(), Ending.COMPLETED, Role.REPLICA);
+    world.later(10).end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA);
     world.take(WRITE);
     check(world.sent.size() == 1, "held");
   }
@@ -87,7 +87,7 @@
     StandIn world = StandIn.plain().steady(20);
     world.take(FRESH);
     world.later(150).polled.clear();
-    world.end(world.last(), Ending.TIMED_OUT, Role.UNTOLD);
+    world.end(world.last(), AttemptOutcome.TIMED_OUT, Role.UNTOLD);
     check(world.polled.contains(0), "polled at once");
     int next = world.take(WRITE);
     check(world.last().statement() == next, "no hold");
@@ -102,7 +102,7 @@
     }
     int next = world.take(WRITE);
     check(world.last().statement() != next, "held");
-    world.end(world.last(), Ending.COMPLETED, Role.PRIMARY, world.now);
+    world.end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
     world.poll(0, Role.PRIMARY, world.now);
     check(world.last().statement() == next, "an answer makes it primary again");
   }
@@ -111,7 +111,7 @@
   void aHoldThatOutlastsAStatementRejectsWhatNeverRanAndAbortsWhatMayHave() {
     StandIn world = StandIn.plain().steady(20);
     int maybe = world.take(WRITE);
-    world.end(world.last(), Ending.RESET, Role.UNTOLD);
+    world.end(world.last(), AttemptOutcome.RESET, Role.UNTOLD);
     check(world.aborted.equals(List.of(maybe)), "aborted at once, since it can't be sent again");
     int never = world.take(WRITE);
     world.later(1_100);
@@ -123,7 +123,7 @@
   void aMemberThatMissedAWriteIsNotBelievedAtOnceToBePrimary() {
     StandIn world = StandIn.plain().steady(20);
     world.take(WRITE, 9, Moment.LONG_AGO, 4_000);
-    world.later(10).end(world.last(), Ending.MISS, Role.REPLICA);
+    world.later(10).end(world.last(), AttemptOutcome.MISS, Role.REPLICA);
     for (int i = 0; i < 5; i++) {
       world.later(100).poll(0, Role.PRIMARY, world.now);
     }
@@ -145,9 +145,10 @@
     world = new StandIn(true, true, true, false, true).steady(20);
     int missed = world.take(BOUNDED);
     Sent kept = world.last();
-    world.balance.polled(world.now, 0, Ending.COMPLETED, Role.PRIMARY, world.now, 1, Double.NaN);
-    world.relist(3 - kept.node(), Listing.DRAINING, Moment.LONG_AGO);
-    world.later(45).end(kept, Ending.MISS, Role.REPLICA);
+    world.balance.polled(
+        world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, 1, Double.NaN);
+    world.relist(3 - kept.node(), EndpointLifecycle.DRAINING, Moment.LONG_AGO);
+    world.later(45).end(kept, AttemptOutcome.MISS, Role.REPLICA);
     check(world.sent.size() == 1 && world.rejected.isEmpty(), "the primary is busy for now");
     world.later(25).poll(0, Role.PRIMARY, world.now);
     check(world.last().statement() == missed && world.last().node() == 0, "its turn after all");
@@ -166,7 +167,7 @@
     }
     world.later(22);
     check(world.rejected.isEmpty(), "it waits");
-    world.end(world.sent.get(0), Ending.COMPLETED, Role.UNTOLD);
+    world.end(world.sent.get(0), AttemptOutcome.COMPLETED, Role.UNTOLD);
     check(world.last().statement() == last, "placed at once");
   }
 
@@ -174,13 +175,13 @@
   @Example
   void aMemberThatIsGoneIsForgottenOnceNoRuleAsksForItAndComesBackAsNew() {
     StandIn world = StandIn.plain().steady(20);
-    world.relist(2, Listing.GONE, Moment.LONG_AGO);
-    world.later(8_000).relist(1, Listing.READY, Moment.LONG_AGO);
+    world.relist(2, EndpointLifecycle.GONE, Moment.LONG_AGO);
+    world.later(8_000).relist(1, EndpointLifecycle.READY, Moment.LONG_AGO);
     check(world.forgotten.isEmpty(), "its drain is still known");
-    world.later(16_000).relist(1, Listing.READY, Moment.LONG_AGO);
+    world.later(16_000).relist(1, EndpointLifecycle.READY, Moment.LONG_AGO);
     check(world.forgotten.equals(List.of(2)), "forgotten");
     world.polled.clear();
-    world.relist(2, Listing.READY, Moment.LONG_AGO);
+    world.relist(2, EndpointLifecycle.READY, Moment.LONG_AGO);
     check(world.polled.contains(2), "and there again");
   }
 
@@ -202,7 +203,7 @@
     int trial = world.take(WRITE);
     int next = world.take(WRITE);
     check(world.last().statement() == trial, "one trial");
-    world.end(world.last(), Ending.COMPLETED, Role.PRIMARY);
+    world.end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY);
     world.later(20);
     check(world.last().statement() == next, "its answer ends the hold");
   }
@@ -229,7 +230,7 @@
   void aDeduplicatedStatementIsSentAgainOnlyWithinItsWindow() {
     StandIn world = StandIn.plain().steady(20);
     int keyed = world.take(KEYED, 9, Moment.LONG_AGO, 5_000);
-    world.end(world.last(), Ending.RESET, Role.UNTOLD);
+    world.end(world.last(), AttemptOutcome.RESET, Role.UNTOLD);
     world.later(100).poll(1, Role.PRIMARY, world.now);
     check(world.sent.size() == 2 && world.last().statement() == keyed, "sent to the new primary");
     check(
@@ -267,12 +268,18 @@
     StandIn world = StandIn.plain().steady(20);
     world.take(ANY);
     int node = world.last().node();
-    world.later(300).end(world.last(), Ending.COMPLETED, Role.REPLICA);
+    world.later(300).end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA);
     for (int i = 0; i < 3; i++) {
       world.balance.polled(
-          world.now, 3 - node, Ending.NO_CONNECTION, Role.UNTOLD, Moment.LONG_AGO, 0, Double.NaN);
+          world.now,
+          3 - node,
+          AttemptOutcome.NO_CONNECTION,
+          Role.UNTOLD,
+          Moment.LONG_AGO,
+          0,
+          Double.NaN);
       world.balance.polled(
-          world.now, node, Ending.TIMED_OUT, Role.UNTOLD, Moment.LONG_AGO, 0, Double.NaN);
+          world.now, node, AttemptOutcome.TIMED_OUT, Role.UNTOLD, Moment.LONG_AGO, 0, Double.NaN);
     }
     world.take(ANY);
     check(world.last().node() == node, "it answered just before");
@@ -285,11 +292,11 @@
     for (int i = 0; i < 2; i++) {
       world.take(ANY);
       int full = world.last().node();
-      world.later(5).end(world.last(), Ending.NO_CONNECTION, Role.UNTOLD);
+      world.later(5).end(world.last(), AttemptOutcome.NO_CONNECTION, Role.UNTOLD);
       check(world.letGo.isEmpty(), "it may be gone, or the path broke once");
       world.later(5).poll(full, Role.REPLICA, world.now);
     }
-    world.end(world.last(), Ending.COMPLETED, Role.REPLICA);
+    world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA);
     check(!world.letGo.isEmpty(), "at its limit");
   }
 
@@ -309,10 +316,10 @@
       Sent broken =
           world.sent.stream().filter(s -> s.statement() == first).findFirst().orElseThrow();
       if (i == 30 && world.ended.add(broken)) {
-        world.end(broken, Ending.NO_CONNECTION, Role.UNTOLD);
+        world.end(broken, AttemptOutcome.NO_CONNECTION, Role.UNTOLD);
         world.later(5).poll(broken.node(), Role.UNTOLD, world.now);
       }
-      world.later(30).endThose(s -> true, Ending.COMPLETED, Role.UNTOLD);
+      world.later(30).endThose(s -> true, AttemptOutcome.COMPLETED, Role.UNTOLD);
     }
     check(world.letGo.isEmpty(), "kept");
   }
@@ -324,8 +331,8 @@
   void whatErrsAtASecondNodeIsGivenUpAndNoNodeBlamed() {
     StandIn world = StandIn.plain().steady(20);
     int id = world.take(ANY);
-    world.end(world.last(), Ending.ERROR, Role.UNTOLD);
-    world.end(world.last(), Ending.ERROR, Role.UNTOLD);
+    world.end(world.last(), AttemptOutcome.ERROR, Role.UNTOLD);
+    world.end(world.last(), AttemptOutcome.ERROR, Role.UNTOLD);
     check(
         world.sent.size() == 2 && world.rejected.equals(List.of(id)), "two executions, one answer");
   }
@@ -339,12 +346,12 @@
     StandIn world = StandIn.plain().steady(20);
     world.take(ANY);
     int lossy = world.last().node();
-    world.later(300).end(world.last(), Ending.TIMED_OUT, Role.UNTOLD);
+    world.later(300).end(world.last(), AttemptOutcome.TIMED_OUT, Role.UNTOLD);
     for (int i = 0; i < 10; i++) {
       world.later(300).poll(lossy, Role.REPLICA, world.now);
       world.take(ANY);
       check(world.last().node() != lossy, "the other replica serves it");
-      world.end(world.last(), Ending.COMPLETED, Role.REPLICA);
+      world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA);
     }
   }
 
@@ -362,12 +369,18 @@
       for (int node = 0; node < 3; node++) {
         Role role = node == 0 ? Role.PRIMARY : Role.REPLICA;
         world.balance.polled(
-            world.now, node, Ending.COMPLETED, role, world.now, jammed ? 1.1 : 0.5, Double.NaN);
+            world.now,
+            node,
+            AttemptOutcome.COMPLETED,
+            role,
+            world.now,
+            jammed ? 1.1 : 0.5,
+            Double.NaN);
       }
       int before = world.sent.size();
       world.take(ANY);
       admitted[i / 100] += i % 100 > 50 ? world.sent.size() - before : 0;
-      Ending ending = jammed ? Ending.TIMED_OUT : Ending.COMPLETED;
+      AttemptOutcome ending = jammed ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMPLETED;
       world.endThose(s -> !jammed || world.isOlder(s, 290), ending, Role.REPLICA);
     }
     check(admitted[0] == 49 && admitted[1] < 35 && admitted[2] == 49, Arrays.toString(admitted));
@@ -389,7 +402,7 @@
     for (int i = 0; i < 200; i++) {
       world.later(5).poll(1 + i % 2, Role.REPLICA, world.now);
       world.take(ANY);
-      world.endThose(s -> world.isOlder(s, 290), Ending.TIMED_OUT, Role.UNTOLD);
+      world.endThose(s -> world.isOlder(s, 290), AttemptOutcome.TIMED_OUT, Role.UNTOLD);
     }
     long out = world.sent.stream().filter(s -> s.node() != 0 && !world.ended.contains(s)).count();
     check(out <= 6, "still out: " + out);
@@ -404,7 +417,7 @@
     StandIn world = StandIn.plain().list(1);
     world.poll(0, Role.PRIMARY, world.now);
     int id = world.take(WRITE);
-    world.end(world.last(), Ending.FULL, Role.UNTOLD);
+    world.end(world.last(), AttemptOutcome.FULL, Role.UNTOLD);
     check(world.sent.size() == 1, "not sent back at once");
     world.later(400);
     check(world.sent.size() == 2 && world.last().statement() == id, "sent again later");
@@ -417,9 +430,9 @@
     for (int i = 0; i < 400; i++) {
       world.later(10);
       world.take(ANY);
-      world.endThose(s -> world.isOlder(s, 90), Ending.COMPLETED, Role.REPLICA);
+      world.endThose(s -> world.isOlder(s, 90), AttemptOutcome.COMPLETED, Role.REPLICA);
       if (i == 200) {
-        world.relist(1, Listing.READY, world.now);
+        world.relist(1, EndpointLifecycle.READY, world.now);
       }
     }
     long cold = world.sent.stream().skip(200).filter(s -> s.node() == 1).count();
@@ -449,7 +462,7 @@
   @Example
   void aWriteIsNotStartedWithTooLittleTimeLeft() {
     StandIn world = StandIn.plain().steady(20);
-    world.later(10).relist(0, Listing.DRAINING, Moment.LONG_AGO);
+    world.later(10).relist(0, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
     int id = world.take(WRITE, 9, Moment.LONG_AGO, 500);
     world.later(440).poll(1, Role.PRIMARY, world.now);
     check(
@@ -466,9 +479,9 @@
         world.poll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
       }
       world.take(ANY);
-      world.endThose(s -> world.isOlder(s, 285), Ending.COMPLETED, Role.REPLICA);
+      world.endThose(s -> world.isOlder(s, 285), AttemptOutcome.COMPLETED, Role.REPLICA);
     }
-    world.endThose(s -> true, Ending.COMPLETED, Role.REPLICA);
+    world.endThose(s -> true, AttemptOutcome.COMPLETED, Role.REPLICA);
     for (int i = 0; i < 40; i++) {
       world.later(50).poll(i % 3, i % 3 == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
     }
--- a/router/src/test/java/basaltlever/KeptViews.java
+++ b/router/src/test/java/basaltlever/KeptViews.java
@@ -1,10 +1,10 @@
 package basaltlever;
 
+import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.GroupState;
+import basaltlever.snapshot.KnownEndpoint;
+import basaltlever.snapshot.LearnedState;
 import basaltlever.time.Span;
-import basaltlever.view.GroupView;
-import basaltlever.view.Known;
-import basaltlever.view.NodeView;
-import basaltlever.view.View;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -14,23 +14,23 @@
   private KeptViews() {}
 
   /** The number gives all else, so that a mixture of two shows. */
-  public static View view(long number, int nodes) {
+  public static LearnedState view(long number, int nodes) {
     SplittableRandom chance = new SplittableRandom(number);
-    List<Known> known = new ArrayList<>();
+    List<KnownEndpoint> known = new ArrayList<>();
     for (int i = 0; i < nodes; i++) {
       known.add(
-          new Known(
+          new KnownEndpoint(
               "n-" + i + "-" + number,
               "127.0.0.1:" + (1_000 + i),
-              new NodeView(
+              new EndpointState(
                   i % 3,
                   1_000L * chance.nextInt(1_000),
                   chance.nextBoolean(),
                   i == 0,
                   new Span(chance.nextInt(1_000_000)),
-                  chance.nextBoolean() ? NodeView.NEVER : new Span(chance.nextInt()),
+                  chance.nextBoolean() ? EndpointState.NEVER : new Span(chance.nextInt()),
                   chance.nextBoolean(),
-                  chance.nextBoolean() ? NodeView.NEVER : new Span(chance.nextInt(1_000_000)),
+                  chance.nextBoolean() ? EndpointState.NEVER : new Span(chance.nextInt(1_000_000)),
                   chance.nextDouble(),
                   chance.nextDouble() - 0.5,
                   12 * chance.nextDouble(),
@@ -40,7 +40,7 @@
                   chance.nextDouble(),
                   new Span(chance.nextInt(1_000_000)))));
     }
-    return new View(
+    return new LearnedState(
         "fleet",
         "n3",
         number,
@@ -50,6 +50,6 @@
         41,
         known,
         List.of(
-            new GroupView(0, chance.nextDouble(), 0), new GroupView(1, 0, chance.nextDouble())));
+            new GroupState(0, chance.nextDouble(), 0), new GroupState(1, 0, chance.nextDouble())));
   }
 }
--- a/router/src/test/java/basaltlever/MoveTest.java
+++ b/router/src/test/java/basaltlever/MoveTest.java
@@ -2,9 +2,9 @@
 
 import static basaltlever.StandIn.*;
 
-import basaltlever.gateway.Allowance;
-import basaltlever.gateway.Ending;
-import basaltlever.gateway.Listing;
+import basaltlever.gateway.AttemptLimits;
+import basaltlever.gateway.AttemptOutcome;
+import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.gateway.Role;
 import basaltlever.time.Moment;
 import java.util.HashSet;
@@ -33,7 +33,7 @@
           .later(millis)
           .end(
               world.last(),
-              Ending.COMPLETED,
+              AttemptOutcome.COMPLETED,
               world.last().node() == 0 ? Role.PRIMARY : Role.REPLICA,
               world.now);
     }
@@ -50,7 +50,7 @@
     }
     check(world.cancelled.size() >= 1 && world.cancelled.get(0).statement() == read, "called off");
     check(world.last() == first, "nothing more is out before its end");
-    world.end(first, Ending.CANCELLED, Role.UNTOLD);
+    world.end(first, AttemptOutcome.CANCELLED, Role.UNTOLD);
     check(world.last().statement() == read && world.last().node() != first.node(), "another node");
   }
 
@@ -63,14 +63,14 @@
     answers(world, ANY, 80, 10);
     world.take(ANY);
     Sent first = world.last();
-    world.later(250).end(first, Ending.CANCELLED, Role.UNTOLD);
+    world.later(250).end(first, AttemptOutcome.CANCELLED, Role.UNTOLD);
     world.later(700).poll(1, Role.REPLICA, world.now);
     world.cancelled.clear();
     int trial = world.take(ANY);
     check(world.last().node() == 1 && world.last().statement() == trial, "its trial");
     world.later(15);
     check(world.cancelled.isEmpty(), "not called off for a silence from before it");
-    world.end(world.last(), Ending.COMPLETED, Role.REPLICA, world.now);
+    world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
     world.take(ANY);
     check(world.last().node() == 1, "an answer ends the silence");
   }
@@ -84,8 +84,9 @@
       int before = world.sent.size();
       world.take(ANY);
       tried += world.sent.size() > before && world.last().node() == 1 ? 1 : 0;
-      world.later(25).endThose(s -> s.node() == 0, Ending.COMPLETED, Role.PRIMARY);
-      world.endThose(s -> s.node() == 1 && world.isOlder(s, 100), Ending.TIMED_OUT, Role.UNTOLD);
+      world.later(25).endThose(s -> s.node() == 0, AttemptOutcome.COMPLETED, Role.PRIMARY);
+      world.endThose(
+          s -> s.node() == 1 && world.isOlder(s, 100), AttemptOutcome.TIMED_OUT, Role.UNTOLD);
       world.poll(1, Role.REPLICA, world.now);
     }
     check(tried >= 3 && tried <= 14, "in 10 s it was tried " + tried + " times");
@@ -96,7 +97,7 @@
   void aNodeThatNeverSaidAWordGetsNothing() {
     StandIn world = steady(2);
     for (int node = 2; node < 8; node++) {
-      world.relist(node, Listing.READY, Moment.LONG_AGO);
+      world.relist(node, EndpointLifecycle.READY, Moment.LONG_AGO);
     }
     answers(world, ANY, 40, 10);
     check(world.sent.stream().allMatch(sent -> sent.node() < 2), "no ghost is sent anything");
@@ -109,7 +110,7 @@
   void whatIsListedAsGoneWithoutADrainIsPolledAndUsedAndWhatDrainedIsNot() {
     StandIn world = steady(3);
     for (int node = 0; node < 3; node++) {
-      world.relist(node, Listing.GONE, Moment.LONG_AGO);
+      world.relist(node, EndpointLifecycle.GONE, Moment.LONG_AGO);
       world.poll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
     }
     world.polled.clear();
@@ -119,8 +120,8 @@
     check(
         world.last().node() == 0 && world.polled.containsAll(List.of(0, 1, 2)),
         "as before: " + world.polled);
-    world.relist(0, Listing.DRAINING, Moment.LONG_AGO);
-    world.relist(0, Listing.GONE, Moment.LONG_AGO);
+    world.relist(0, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
+    world.relist(0, EndpointLifecycle.GONE, Moment.LONG_AGO);
     int sent = world.sent.size();
     world.poll(0, Role.PRIMARY, world.now);
     world.take(WRITE);
@@ -140,8 +141,8 @@
       bearers.add(report.node());
       world.take(BOUNDED);
       others.add(world.last().node());
-      world.later(10).end(world.last(), Ending.COMPLETED, Role.REPLICA, world.now);
-      world.later(190).end(report, Ending.COMPLETED, Role.REPLICA, world.now);
+      world.later(10).end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
+      world.later(190).end(report, AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
       for (int node = 0; node < 4; node++) {
         world.poll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
       }
@@ -156,25 +157,32 @@
     StandIn world = steady(2);
     for (double queue : new double[] {0, 3}) {
       world.balance.polled(
-          world.now, 1, Ending.COMPLETED, Role.REPLICA, world.now.minus(ms(2_000)), Double.NaN, 0);
+          world.now,
+          1,
+          AttemptOutcome.COMPLETED,
+          Role.REPLICA,
+          world.now.minus(ms(2_000)),
+          Double.NaN,
+          0);
       world
           .later(600)
           .balance
-          .polled(world.now, 0, Ending.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queue);
+          .polled(
+              world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queue);
       int before = world.sent.size();
       world.take(ANY);
       world.balance.polled(
-          world.now, 0, Ending.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queue);
-      world.relist(1, Listing.DRAINING, Moment.LONG_AGO);
+          world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queue);
+      world.relist(1, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
       world.take(ANY);
       world.balance.polled(
-          world.now, 0, Ending.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queue);
+          world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queue);
       world.later(25);
       boolean primary =
           world.sent.subList(before, world.sent.size()).stream().anyMatch(s -> s.node() == 0);
       check(primary == (queue == 0), "with " + queue + " waiting");
-      world.relist(1, Listing.READY, Moment.LONG_AGO);
-      world.endThose(s -> true, Ending.COMPLETED, Role.PRIMARY);
+      world.relist(1, EndpointLifecycle.READY, Moment.LONG_AGO);
+      world.endThose(s -> true, AttemptOutcome.COMPLETED, Role.PRIMARY);
     }
   }
 
@@ -186,7 +194,7 @@
     int write = world.take(KEYED);
     Sent first = world.last();
     check(first.timeout().micros() > 0 && first.timeout().isShorterThan(ms(300)), "it ends early");
-    world.later(first.timeout().micros() / 1e3).end(first, Ending.TIMED_OUT, Role.UNTOLD);
+    world.later(first.timeout().micros() / 1e3).end(first, AttemptOutcome.TIMED_OUT, Role.UNTOLD);
     check(
         world.last() != first && world.last().statement() == write && world.last().node() == 0,
         "again");
@@ -202,7 +210,7 @@
     Sent first = world.last();
     world.later(400);
     check(world.sent.stream().filter(s -> s.statement() == read).count() >= 2, "a copy is out");
-    Allowance one = new Allowance(2, false, true, true, ms(1_000), SLACK);
+    AttemptLimits one = new AttemptLimits(2, false, true, true, ms(1_000), SLACK);
     world.balance.agree(world.now, world.with(one, false));
     check(
         world.cancelled.stream()
@@ -211,10 +219,10 @@
     check(
         world.cancelled.stream().noneMatch(s -> s.statement() == read && s.execution() == 0),
         "the first goes on");
-    world.end(first, Ending.COMPLETED, Role.REPLICA, world.now);
+    world.end(first, AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
     world.balance.agree(world.now, world.with(world.allowance, true));
-    world.relist(1, Listing.GONE, Moment.LONG_AGO);
-    world.relist(2, Listing.GONE, Moment.LONG_AGO);
+    world.relist(1, EndpointLifecycle.GONE, Moment.LONG_AGO);
+    world.relist(2, EndpointLifecycle.GONE, Moment.LONG_AGO);
     int before = world.sent.size();
     answers(world, ANY, 10, 10);
     check(
--- a/router/src/test/java/basaltlever/OperatorTest.java
+++ b/router/src/test/java/basaltlever/OperatorTest.java
@@ -2,8 +2,8 @@
 
 import static basaltlever.StandIn.check;
 
+import basaltlever.config.InvalidSettingsException;
 import basaltlever.config.OperatorFile;
-import basaltlever.config.StartFault;
 import basaltlever.log.Event;
 import basaltlever.time.Span;
 import java.io.IOException;
@@ -20,7 +20,7 @@
  * truth.
  */
 class OperatorTest {
-  static OperatorFile file(String text) throws IOException, StartFault {
+  static OperatorFile file(String text) throws IOException, InvalidSettingsException {
     Path path = Files.createTempFile("operator", ".ini");
     try {
       return OperatorFile.read(Files.writeString(path, text));
@@ -33,7 +33,7 @@
     try {
       file(text);
       return "";
-    } catch (StartFault fault) {
+    } catch (InvalidSettingsException fault) {
       return fault.getMessage();
     }
   }
--- a/router/src/test/java/basaltlever/ParserTest.java
+++ b/router/src/test/java/basaltlever/ParserTest.java
@@ -2,20 +2,20 @@
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.core.Core;
-import basaltlever.core.Gauges;
-import basaltlever.discovery.ChunkReader;
-import basaltlever.discovery.ListFault;
-import basaltlever.discovery.MemberList;
-import basaltlever.gateway.Listing;
+import basaltlever.core.LoadReportFormat;
+import basaltlever.core.StatementRouter;
+import basaltlever.discovery.ChunkedResponseReader;
+import basaltlever.discovery.EndpointList;
+import basaltlever.discovery.InvalidEndpointListException;
+import basaltlever.gateway.EndpointLifecycle;
+import basaltlever.json.InvalidJsonException;
 import basaltlever.json.Json;
-import basaltlever.json.JsonFault;
-import basaltlever.pg.Answer;
-import basaltlever.pg.Budget;
-import basaltlever.pg.Frames;
-import basaltlever.pg.PgFault;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.pg.MessageDecoder;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.ProtocolException;
 import basaltlever.pg.Query;
-import basaltlever.pg.Write;
+import basaltlever.pg.QueryResponse;
 import basaltlever.time.Moment;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -42,16 +42,16 @@
   }
 
   @Property(tries = 200, seed = "97", shrinking = ShrinkingMode.OFF)
-  void framesAreTheSameHoweverTheyAreCut(@ForAll long seed) throws PgFault {
+  void framesAreTheSameHoweverTheyAreCut(@ForAll long seed) throws ProtocolException {
     SplittableRandom chance = new SplittableRandom(seed);
-    Budget budget = new Budget(1 << 20);
-    Frames frames = new Frames(1 << 16, budget);
+    MemoryBudget budget = new MemoryBudget(1 << 20);
+    MessageDecoder frames = new MessageDecoder(1 << 16, budget);
     ByteBuf all = Unpooled.buffer();
     List<String> sent = new ArrayList<>();
     for (int i = chance.nextInt(1, 12); i > 0; i--) {
       String query = "x".repeat(chance.nextInt(chance.nextInt(2) == 0 ? 9 : 3_000));
       sent.add(query);
-      Write.query(all, query);
+      MessageEncoder.query(all, query);
     }
     List<String> got = new ArrayList<>();
     List<ByteBuf> parts = new ArrayList<>();
@@ -71,14 +71,14 @@
   @Property(tries = 500, seed = "98", shrinking = ShrinkingMode.OFF)
   void nonsenseEndsInAFaultOrNothing(@ForAll byte[] bytes, @ForAll long seed) throws Exception {
     SplittableRandom chance = new SplittableRandom(seed);
-    Frames frames = new Frames(1 << 12, new Budget(1 << 16));
-    Answer answer = new Answer();
+    MessageDecoder frames = new MessageDecoder(1 << 12, new MemoryBudget(1 << 16));
+    QueryResponse answer = new QueryResponse();
     try {
       frames.add(Unpooled.copiedBuffer(bytes));
       for (ByteBuf m = frames.next(); m != null; m = frames.next()) {
         answer.add(m);
       }
-    } catch (PgFault expected) {
+    } catch (ProtocolException expected) {
       check(expected.code.length() == 5, "a fault has a code");
     }
     check(
@@ -95,51 +95,51 @@
     try {
       Query query = Query.read(text(spoilt));
       check(query.waitFrom < query.waitTo && query.waitMillis >= 0, "the wait has a place");
-    } catch (PgFault expected) {
+    } catch (ProtocolException expected) {
       check(!expected.getMessage().isEmpty(), "a fault says what");
     }
     try {
       Json.read(spoilt.substring(chance.nextInt(spoilt.length())));
-    } catch (JsonFault expected) {
+    } catch (InvalidJsonException expected) {
       check(expected.getMessage().contains("at character"), "a fault says where");
     }
     try {
-      new ChunkReader(line -> {}).read(Unpooled.copiedBuffer(bytes));
-      new ChunkReader(line -> {})
+      new ChunkedResponseReader(line -> {}).read(Unpooled.copiedBuffer(bytes));
+      new ChunkedResponseReader(line -> {})
           .read(
               text(
                   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                       + new String(bytes, StandardCharsets.ISO_8859_1)));
-    } catch (ListFault expected) {
+    } catch (InvalidEndpointListException expected) {
       check(!expected.getMessage().isEmpty(), "a fault says what");
     }
   }
 
   @Example
-  void lengthsThatCannotBeAreFaults() throws PgFault {
+  void lengthsThatCannotBeAreFaults() throws ProtocolException {
     for (int length : new int[] {-1, 0, 3, Integer.MIN_VALUE, Integer.MAX_VALUE, 5_000}) {
-      Frames frames = new Frames(4_096, new Budget(1 << 16));
+      MessageDecoder frames = new MessageDecoder(4_096, new MemoryBudget(1 << 16));
       frames.add(Unpooled.buffer().writeByte('Q').writeInt(length).writeByte(0));
       try {
         frames.next();
         check(false, "a length of " + length);
-      } catch (PgFault fault) {
+      } catch (ProtocolException fault) {
         check(fault.getMessage().contains("" + length), "the length is named");
       }
       frames.release();
     }
-    Frames small = new Frames(4_096, new Budget(8));
+    MessageDecoder small = new MessageDecoder(4_096, new MemoryBudget(8));
     try {
       small.add(Unpooled.buffer(64).writeZero(64));
       check(false, "more than the budget holds");
-    } catch (PgFault fault) {
+    } catch (ProtocolException fault) {
       check(fault.code.equals("53300"), "turned away as too much");
     }
     small.release();
   }
 
   @Example
-  void theCommentIsReadAndOnlyItsWaitIsWritten() throws PgFault {
+  void theCommentIsReadAndOnlyItsWaitIsWritten() throws ProtocolException {
     String statement =
         "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT doc FROM items"
             + " WHERE id = '7f3a9c21e0b4d655'";
@@ -153,7 +153,7 @@
             && query.session != 0,
         "its fields");
     ByteBuf out = Unpooled.buffer();
-    Write.query(out, text, query.waitFrom, query.waitTo, 77);
+    MessageEncoder.query(out, text, query.waitFrom, query.waitTo, 77);
     check(
         out.toString(5, out.readableBytes() - 6, StandardCharsets.UTF_8)
             .equals(statement.replace("d=480", "d=77")),
@@ -177,7 +177,7 @@
       try {
         Query.read(text(bad));
         check(false, "taken: " + bad);
-      } catch (PgFault fault) {
+      } catch (ProtocolException fault) {
         check(fault.code.equals("08P01"), "the protocol's own error");
       }
     }
@@ -188,10 +188,10 @@
         "commands that do nothing");
   }
 
-  private static Answer answer(ByteBuf all) throws PgFault {
-    Frames frames = new Frames(1 << 16, new Budget(1 << 20));
+  private static QueryResponse answer(ByteBuf all) throws ProtocolException {
+    MessageDecoder frames = new MessageDecoder(1 << 16, new MemoryBudget(1 << 20));
     frames.add(all);
-    Answer answer = new Answer();
+    QueryResponse answer = new QueryResponse();
     for (ByteBuf m = frames.next(); m != null; m = frames.next()) {
       answer.add(m);
     }
@@ -205,11 +205,11 @@
   }
 
   @Example
-  void anAnswerIsARowAnErrorOrNeither() throws PgFault {
+  void anAnswerIsARowAnErrorOrNeither() throws ProtocolException {
     ByteBuf good = row("7");
-    Write.status(good, "caught_up_to", "1767225600123");
-    Write.status(good, "part", "replica");
-    Answer answer = answer(good);
+    MessageEncoder.status(good, "caught_up_to", "1767225600123");
+    MessageEncoder.status(good, "part", "replica");
+    QueryResponse answer = answer(good);
     check(
         answer.isRow()
             && answer.text().equals("7")
@@ -220,11 +220,11 @@
     answer.release();
     check(good.refCnt() == 0, "the buffer it was read into is free");
     ByteBuf error = Unpooled.buffer();
-    Write.error(error, "ERROR", "25006", "no primary", null);
+    MessageEncoder.error(error, "ERROR", "25006", "no primary", null);
     answer = answer(error);
     check(!answer.isRow() && answer.error().equals("25006"), "an error");
     ByteBuf behind = row("7");
-    Write.error(behind, "ERROR", "25006", "too late", null);
+    MessageEncoder.error(behind, "ERROR", "25006", "too late", null);
     answer = answer(behind);
     check(!answer.isRow() && answer.error() == null, "an error behind a row proves nothing");
     answer.release();
@@ -253,7 +253,7 @@
 
   @Example
   void loadReportsAreReadByNameAndRoundedDown() {
-    Gauges gauges = new Gauges(List.of("x0", "x1", "utilization"), 0);
+    LoadReportFormat gauges = new LoadReportFormat(List.of("x0", "x1", "utilization"), 0);
     double[] values = gauges.values("utilization=0.61,x0=1767225600.123, odd, x9=4,x1=1");
     Moment position = gauges.position(Math.nextDown(gauges.value(values, gauges.position)));
     check(
@@ -267,10 +267,11 @@
   }
 
   @Property(tries = 200, seed = "99", shrinking = ShrinkingMode.OFF)
-  void linesOfAWatchAreTheSameHoweverTheyAreCut(@ForAll long seed) throws ListFault {
+  void linesOfAWatchAreTheSameHoweverTheyAreCut(@ForAll long seed)
+      throws InvalidEndpointListException {
     SplittableRandom chance = new SplittableRandom(seed);
     List<String> got = new ArrayList<>();
-    ChunkReader reader = new ChunkReader(got::add);
+    ChunkedResponseReader reader = new ChunkedResponseReader(got::add);
     List<String> sent = new ArrayList<>();
     StringBuilder body = new StringBuilder();
     int lines = 0;
@@ -339,9 +340,10 @@
   }
 
   @Example
-  void anObjectIsHandedOnWithItsLastBraceAndNoneThatBreaksOff() throws ListFault {
+  void anObjectIsHandedOnWithItsLastBraceAndNoneThatBreaksOff()
+      throws InvalidEndpointListException {
     List<String> got = new ArrayList<>();
-    ChunkReader reader = new ChunkReader(got::add);
+    ChunkedResponseReader reader = new ChunkedResponseReader(got::add);
     reader.read(text("HTTP/1.1 200 OK\r\n\r\n{\n \"a\": [\n  {}\n ]\n"));
     check(got.isEmpty(), "lines within are no sign of life: " + got);
     reader.read(text("}"));
@@ -365,9 +367,9 @@
           "HTTP/1.1 200 OK\r\nX: " + "z".repeat(9_000)
         }) {
       try {
-        new ChunkReader(line -> {}).read(text(bad));
+        new ChunkedResponseReader(line -> {}).read(text(bad));
         check(false, "taken: " + bad);
-      } catch (ListFault fault) {
+      } catch (InvalidEndpointListException fault) {
         check(!fault.getMessage().isEmpty(), "it says what");
       }
     }
@@ -376,14 +378,15 @@
   @Example
   void listsAreTakenWholeOrNotAtAll() throws Exception {
     SocketWorld.Silent outside = new SocketWorld.Silent();
-    Core<String> core = new Core<>(outside, SocketWorld.values().balance(1, new Moment(0)));
-    MemberList list =
-        new MemberList(core, List.of("a", "b"), (node, address) -> outside.told.add(node));
+    StatementRouter<String> core =
+        new StatementRouter<>(outside, SocketWorld.values().balance(1, new Moment(0)));
+    EndpointList list =
+        new EndpointList(core, List.of("a", "b"), (node, address) -> outside.told.add(node));
     String entry =
         "{\"instanceId\":\"n1\",\"hostPort\":\"127.0.0.1:5\",\"zone\":\"q\",\"cell\":1,"
             + "\"lifecycle\":\"in_service\",\"weight\":1.0,\"startedAtMs\":0,\"more\":[1,null]}";
     String shape = "{\"generation\":%s,\"reset\":%s,\"instances\":[%s]}";
-    list.take(new Moment(0), MemberList.parse(shape.formatted("7", "true", entry)), true);
+    list.take(new Moment(0), EndpointList.parse(shape.formatted("7", "true", entry)), true);
     check(list.generation() == 7 && outside.told.equals(List.of("n1")), "taken");
     for (String bad :
         new String[] {
@@ -396,25 +399,26 @@
           "{"
         }) {
       try {
-        list.take(new Moment(0), MemberList.parse(bad), true);
+        list.take(new Moment(0), EndpointList.parse(bad), true);
         check(false, "taken: " + bad);
-      } catch (ListFault fault) {
+      } catch (InvalidEndpointListException fault) {
         check(list.generation() == 7 && outside.told.size() == 1, "nothing of it is taken");
       }
     }
-    list.take(new Moment(0), MemberList.parse(shape.formatted("2", "true", "")), true);
+    list.take(new Moment(0), EndpointList.parse(shape.formatted("2", "true", "")), true);
     check(list.generation() == 2, "a whole list may count anew");
   }
 
   @Example
   void nothingIsKeptOfMembersThatAreGone() throws Exception {
     SocketWorld.Silent outside = new SocketWorld.Silent();
-    Core<String> core = new Core<>(outside, SocketWorld.values().balance(1, new Moment(0)));
+    StatementRouter<String> core =
+        new StatementRouter<>(outside, SocketWorld.values().balance(1, new Moment(0)));
     List<Integer> known = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
       Moment now = new Moment(i * 1_000_000L);
       core.listBegins();
-      core.listed(now, "n" + i, Listing.READY, 0, 0, 1, Moment.LONG_AGO);
+      core.listed(now, "n" + i, EndpointLifecycle.READY, 0, 0, 1, Moment.LONG_AGO);
       core.listEnds(now, true, true);
       core.woken(now);
       known.add(core.nodesKnown());
@@ -424,7 +428,7 @@
   }
 
   @Example
-  void jsonIsReadExactlyAndItsFaultsHaveAPlace() throws JsonFault {
+  void jsonIsReadExactlyAndItsFaultsHaveAPlace() throws InvalidJsonException {
     Object read = Json.read(" {\"a\":[1,-2.5e3,true,null,\"\\u00e9\\n\"],\"b\":{}} ");
     check(
         read instanceof Map<?, ?> map
@@ -452,7 +456,7 @@
       try {
         Json.read(bad);
         check(false, "taken: " + bad);
-      } catch (JsonFault fault) {
+      } catch (InvalidJsonException fault) {
         check(fault.getMessage().contains("at character"), "a place");
       }
     }
--- a/router/src/test/java/basaltlever/ChangeTest.java
+++ b/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
@@ -2,12 +2,12 @@
 
 import static basaltlever.StandIn.*;
 
-import basaltlever.change.Change;
-import basaltlever.change.Change.Phase;
-import basaltlever.change.Note;
-import basaltlever.gateway.Ending;
-import basaltlever.gateway.Listing;
+import basaltlever.gateway.AttemptOutcome;
+import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.gateway.Role;
+import basaltlever.switchover.PlannedSwitchover;
+import basaltlever.switchover.PlannedSwitchover.Phase;
+import basaltlever.switchover.SwitchoverAnnouncement;
 import basaltlever.time.Moment;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,7 +21,7 @@
  * Planned changes: the phases by themselves, what they do to holds, and seeded runs in which all
  * goes wrong.
  */
-class ChangeTest {
+class PlannedSwitchoverTest {
   private static StandIn announced(double inMillis) {
     StandIn world = StandIn.plain().steady(20);
     check(
@@ -57,7 +57,7 @@
     check(
         world.last().statement() == early && world.last().node() == 0,
         "the old primary serves until then");
-    world.end(world.last(), Ending.COMPLETED, Role.PRIMARY, world.now);
+    world.end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
     polls(world, 1_600, 0);
     check(last(world) == Phase.IN_PROGRESS, "" + world.phases);
     int sent = world.sent.size();
@@ -125,7 +125,7 @@
   @Example
   void aTargetThatDiesOrDrainsOrAnotherThatTakesOverEndsIt() {
     StandIn world = announced(1_000);
-    world.relist(1, Listing.DRAINING, Moment.LONG_AGO);
+    world.relist(1, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
     check(last(world) == Phase.CALLED_OFF, "the target drains");
     world = announced(1_000);
     polls(world, 1_200, 0);
@@ -133,7 +133,7 @@
     world.later(700).poll(0, Role.REPLICA, world.now);
     int held = world.take(WRITE);
     world.balance.polled(
-        world.now, 1, Ending.NO_CONNECTION, Role.UNTOLD, Moment.LONG_AGO, 0, Double.NaN);
+        world.now, 1, AttemptOutcome.NO_CONNECTION, Role.UNTOLD, Moment.LONG_AGO, 0, Double.NaN);
     check(last(world) == Phase.CALLED_OFF, "the target died");
     world.later(20).poll(2, Role.PRIMARY, world.now);
     check(
@@ -152,7 +152,7 @@
     check(
         !world.balance.announced(world.now, 1, 9, 2, world.now.plus(ms(1e9)), false), "far ahead");
     world.balance.listBegins();
-    world.balance.listed(world.now, 7, Listing.READY, 2, 0, 1, Moment.LONG_AGO);
+    world.balance.listed(world.now, 7, EndpointLifecycle.READY, 2, 0, 1, Moment.LONG_AGO);
     world.balance.listEnds(world.now, false, true);
     check(!world.balance.announced(world.now, 1, 9, 7, at, false), "a member of another group");
     check(world.balance.announced(world.now, 1, 9, 2, at, false), "a later one takes its place");
@@ -167,10 +167,10 @@
             "number=1,target=a b,at=1," + "state=off",
             "number=1,target=a,at=1,state=gone",
             "number=99999999999999999999,target=a,at=1,state=off")) {
-      check(Note.read(text) == null, "no note: " + text);
+      check(SwitchoverAnnouncement.read(text) == null, "no note: " + text);
     }
-    Note note = new Note(7, "db-2", 1_767_225_600_123L, true);
-    check(note.equals(Note.read(note.text())), "as written");
+    SwitchoverAnnouncement note = new SwitchoverAnnouncement(7, "db-2", 1_767_225_600_123L, true);
+    check(note.equals(SwitchoverAnnouncement.read(note.text())), "as written");
   }
 
   /**
@@ -181,13 +181,13 @@
   void aReplacedPrimaryThatComesBackIsNotBelievedWhileItsSuccessorStands() {
     StandIn world = StandIn.plain().steady(20);
     world.take(WRITE);
-    world.later(20).end(world.last(), Ending.NO_CONNECTION, Role.UNTOLD);
+    world.later(20).end(world.last(), AttemptOutcome.NO_CONNECTION, Role.UNTOLD);
     world.later(300).poll(1, Role.PRIMARY, world.now);
-    world.end(world.last(), Ending.COMPLETED, Role.PRIMARY, world.now);
+    world.end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
     world.later(900).poll(0, Role.PRIMARY, world.now);
     world.take(WRITE);
     check(world.last().node() == 1, "its successor stands");
-    world.end(world.last(), Ending.COMPLETED, Role.PRIMARY, world.now);
+    world.end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
     world.later(50).poll(0, Role.REPLICA, world.now);
     world.later(900).poll(0, Role.PRIMARY, world.now);
     world.take(WRITE);
@@ -202,7 +202,7 @@
   void aMissedWriteIsBelievedOverTheRoleInTheSameAnswer() {
     StandIn world = StandIn.plain().steady(20);
     world.take(WRITE);
-    world.later(5).end(world.last(), Ending.MISS, Role.PRIMARY);
+    world.later(5).end(world.last(), AttemptOutcome.MISS, Role.PRIMARY);
     check(world.sent.size() == 1, "held until somebody proves to be primary");
   }
 
@@ -211,13 +211,13 @@
     StandIn world = StandIn.plain().steady(20);
     int write = world.take(LATE, 9, Moment.LONG_AGO, 1_900);
     for (int primary : new int[] {1, 2, 0}) {
-      world.later(20).end(world.last(), Ending.MISS, Role.REPLICA);
+      world.later(20).end(world.last(), AttemptOutcome.MISS, Role.REPLICA);
       world.later(400).poll(primary, Role.PRIMARY, world.now);
       check(
           world.last().statement() == write && world.last().node() == primary,
           "released to " + primary);
     }
-    world.later(20).end(world.last(), Ending.COMPLETED, Role.PRIMARY, world.now);
+    world.later(20).end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
     check(
         world.fates.get(write).answered && world.rejected.isEmpty() && world.aborted.isEmpty(),
         "completed once");
@@ -241,7 +241,8 @@
     StandIn world = StandIn.plain();
     world.balance.listBegins();
     for (int node = 0; node < 30; node++) {
-      world.balance.listed(world.now, node, Listing.READY, node / 3, 0, 1, Moment.LONG_AGO);
+      world.balance.listed(
+          world.now, node, EndpointLifecycle.READY, node / 3, 0, 1, Moment.LONG_AGO);
     }
     world.balance.listEnds(world.now, true, true);
     for (int node = 0; node < 30; node++) {
@@ -310,7 +311,7 @@
   void phasesOnlyGoForwardAndAHoldEnds(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     List<Phase> entered = new ArrayList<>();
-    Change change = new Change((phase, target) -> entered.add(phase));
+    PlannedSwitchover change = new PlannedSwitchover((phase, target) -> entered.add(phase));
     Moment now = new Moment(1_000_000_000L);
     Moment held = Moment.NEVER;
     long number = 0;
@@ -326,7 +327,7 @@
       }
       change.step(
           now,
-          chance.nextInt(20) == 0 ? chance.nextInt(3) : Change.NOBODY,
+          chance.nextInt(20) == 0 ? chance.nextInt(3) : PlannedSwitchover.NOBODY,
           chance.nextInt(80) != 0);
       for (int i = Math.max(1, from); i < entered.size(); i++) {
         check(
--- a/router/src/test/java/basaltlever/RulesTest.java
+++ b/router/src/test/java/basaltlever/RulesTest.java
@@ -2,13 +2,13 @@
 
 import static basaltlever.StandIn.*;
 
-import basaltlever.config.Places;
-import basaltlever.gateway.Ending;
-import basaltlever.gateway.Listing;
+import basaltlever.config.WorkloadSlots;
+import basaltlever.gateway.AttemptOutcome;
+import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.gateway.Role;
 import basaltlever.gateway.Workload;
+import basaltlever.snapshot.StateDecay;
 import basaltlever.time.Moment;
-import basaltlever.view.Aging;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -84,7 +84,7 @@
         named.clear();
         for (int place = 0; place < next.length; place++) {
           boolean gone = place > 0 && chance.nextInt(4) == 0;
-          next[place] = gone ? Places.GONE : kinds[chance.nextInt(kinds.length)];
+          next[place] = gone ? WorkloadSlots.GONE : kinds[chance.nextInt(kinds.length)];
           named.addAll(gone ? List.of() : List.of(place));
         }
         world.agree(next);
@@ -143,7 +143,7 @@
         world.poll(1, Role.REPLICA, world.now);
         world.poll(2, Role.REPLICA, world.now);
         if (step == 120) {
-          world.relist(1, Listing.READY, world.now);
+          world.relist(1, EndpointLifecycle.READY, world.now);
         }
         if ((step + i) % every == 0) {
           world.take(StandIn.ANY);
@@ -151,7 +151,7 @@
         if (!world.sent.isEmpty() && world.ended.add(world.last())) {
           warm += step >= 80 && step < 120 && world.last().node() == 2 ? 1 : 0;
           cold[Math.max(0, step - 120)] += step >= 120 && world.last().node() == 1 ? 1 : 0;
-          world.end(world.last(), Ending.COMPLETED, Role.REPLICA, world.now);
+          world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
         }
       }
     }
@@ -188,7 +188,13 @@
           world.poll(1, Role.REPLICA, world.now);
         } else {
           world.balance.polled(
-              world.now, 1, Ending.NO_CONNECTION, Role.UNTOLD, Moment.LONG_AGO, 0, Double.NaN);
+              world.now,
+              1,
+              AttemptOutcome.NO_CONNECTION,
+              Role.UNTOLD,
+              Moment.LONG_AGO,
+              0,
+              Double.NaN);
         }
         world.poll(2, Role.REPLICA, world.now);
         if (step == 120) {
@@ -197,12 +203,14 @@
           world.now = before.now.plus(StandIn.ms(1_000));
           world.balance.listBegins();
           for (int node = 0; node < 3; node++) {
-            world.balance.listed(world.now, node, Listing.READY, 1, 0, 1, Moment.LONG_AGO);
+            world.balance.listed(
+                world.now, node, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
             if (withViews) {
               world.balance.recall.recalled(
                   world.now,
                   node,
-                  Aging.aged(before.balance.recall.learned(before.now, node), StandIn.ms(1_000)));
+                  StateDecay.aged(
+                      before.balance.recall.learned(before.now, node), StandIn.ms(1_000)));
             }
           }
           world.balance.listEnds(world.now, true, true);
@@ -216,7 +224,7 @@
         if (!world.sent.isEmpty() && world.ended.add(world.last())) {
           warm += step >= 40 && step < 80 && world.last().node() == 2 ? 1 : 0;
           cold[Math.max(0, step - 120)] += step >= 120 && world.last().node() == 1 ? 1 : 0;
-          world.end(world.last(), Ending.COMPLETED, Role.REPLICA, world.now);
+          world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
         }
       }
     }
@@ -236,7 +244,7 @@
     StandIn world =
         new StandIn(check, true, tokens, true, true, chance.nextBoolean() ? 2 : 500, seed);
     world.list(seed % 2 == 0 ? 1 : 3).later(60_000).list(3);
-    Ending[] endings = Ending.values();
+    AttemptOutcome[] endings = AttemptOutcome.values();
     double[] odd = {Double.NaN, Double.POSITIVE_INFINITY, -3, 0.5, 1e300};
     for (int step = 0; step < 600; step++) {
       world.later(chance.nextInt(10));
@@ -271,7 +279,7 @@
                       world.now,
                       old.statement(),
                       old.execution(),
-                      Ending.MISS,
+                      AttemptOutcome.MISS,
                       Role.REPLICA,
                       when,
                       false),
@@ -292,7 +300,7 @@
       world.later(5);
       world.timeOutWhoseClientLeft();
     }
-    world.endThose(open -> true, Ending.TIMED_OUT, Role.UNTOLD);
+    world.endThose(open -> true, AttemptOutcome.TIMED_OUT, Role.UNTOLD);
     StandIn.check(
         world.fates.stream().allMatch(fate -> fate.answered), "a statement without an answer");
   }
--- a/router/src/test/java/basaltlever/KeepTest.java
+++ b/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
@@ -2,13 +2,13 @@
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.keep.Disk;
-import basaltlever.keep.Generations;
-import basaltlever.keep.ViewFault;
-import basaltlever.keep.ViewFile;
-import basaltlever.view.Known;
-import basaltlever.view.NodeView;
-import basaltlever.view.View;
+import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.KnownEndpoint;
+import basaltlever.snapshot.LearnedState;
+import basaltlever.storage.DirectoryOperations;
+import basaltlever.storage.InvalidSnapshotException;
+import basaltlever.storage.SnapshotCodec;
+import basaltlever.storage.SnapshotStore;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -23,7 +23,7 @@
  * Views on a disk whose power is cut between any two operations and at any byte, and files that are
  * no views.
  */
-class KeepTest {
+class SnapshotStorePowerCutTest {
   enum Bug {
     NONE,
     NO_SYNC,
@@ -40,7 +40,7 @@
    * What is written is in the cache; power cuts after a number of steps, and of each unsynced file
    * any sectors have reached the disk, and of the names' unsynced changes any part, in any order.
    */
-  private static final class Cut implements Disk {
+  private static final class Cut implements DirectoryOperations {
     private static final int SECTOR = 64;
     private final SplittableRandom chance;
     private final Bug bug;
@@ -99,7 +99,7 @@
 
     /** One bit of the newest file. */
     void flips() throws IOException {
-      List<String> all = Generations.names(this);
+      List<String> all = SnapshotStore.names(this);
       if (!all.isEmpty()) {
         byte[] bytes = bytes(names.get(all.get(0)));
         if (bytes.length == 0) {
@@ -181,16 +181,17 @@
   }
 
   /** Stores with one order of steps turned round. */
-  private static void store(Disk disk, View view, Bug bug) throws IOException {
+  private static void store(DirectoryOperations disk, LearnedState view, Bug bug)
+      throws IOException {
     if (bug == Bug.RENAME_FIRST) {
-      disk.write(Generations.name(view.number()), ViewFile.write(view, 1 << 20));
-      for (String old : Generations.names(disk).subList(1, Generations.names(disk).size())) {
+      disk.write(SnapshotStore.name(view.number()), SnapshotCodec.write(view, 1 << 20));
+      for (String old : SnapshotStore.names(disk).subList(1, SnapshotStore.names(disk).size())) {
         disk.delete(old);
       }
-      disk.sync(Generations.name(view.number()));
+      disk.sync(SnapshotStore.name(view.number()));
       disk.syncFolder();
     } else {
-      new Generations(disk).store(view, 1 << 20);
+      new SnapshotStore(disk).store(view, 1 << 20);
     }
   }
 
@@ -227,16 +228,16 @@
         disk.flips();
         kept--;
       }
-      Generations.Found found = new Generations(disk).newest();
+      SnapshotStore.Found found = new SnapshotStore(disk).newest();
       boolean sound =
           found.view() == null
               ? kept <= 0
               : found.view().equals(KeptViews.view(found.view().number(), 3))
                   && found.view().number() >= kept;
       // And the next one must be found again, whatever the cut left behind.
-      View next = KeptViews.view(found.number() + 1, 3);
+      LearnedState next = KeptViews.view(found.number() + 1, 3);
       store(disk, next, bug);
-      sound &= next.equals(new Generations(disk).newest().view());
+      sound &= next.equals(new SnapshotStore(disk).newest().view());
       broken += sound ? 0 : 1;
     }
     return broken;
@@ -255,15 +256,15 @@
   }
 
   @Example
-  void whatIsWrittenIsReadAndLittleIsLeftOutFirst() throws ViewFault {
-    View view = KeptViews.view(7, 500);
-    byte[] whole = ViewFile.write(view, 1 << 20);
+  void whatIsWrittenIsReadAndLittleIsLeftOutFirst() throws InvalidSnapshotException {
+    LearnedState view = KeptViews.view(7, 500);
+    byte[] whole = SnapshotCodec.write(view, 1 << 20);
     check(
-        ViewFile.read(whole).groups().equals(view.groups())
-            && ViewFile.read(whole).nodes().containsAll(view.nodes()),
+        SnapshotCodec.read(whole).groups().equals(view.groups())
+            && SnapshotCodec.read(whole).nodes().containsAll(view.nodes()),
         "all of it");
-    byte[] cut = ViewFile.write(view, 32 << 10);
-    List<Known> kept = ViewFile.read(cut).nodes();
+    byte[] cut = SnapshotCodec.write(view, 32 << 10);
+    List<KnownEndpoint> kept = SnapshotCodec.read(cut).nodes();
     check(
         cut.length <= 32 << 10 && kept.size() > 50 && kept.size() < 500, "bounded: " + kept.size());
     check(
@@ -280,7 +281,7 @@
    */
   @Example
   void olderAndNewerVersionsReadEachOther() throws Exception {
-    byte[] sound = ViewFile.write(KeptViews.view(3, 1), 1 << 20);
+    byte[] sound = SnapshotCodec.write(KeptViews.view(3, 1), 1 << 20);
     java.io.ByteArrayOutputStream record = new java.io.ByteArrayOutputStream();
     try (var out =
         new com.fasterxml.jackson.dataformat.cbor.CBORFactory().createGenerator(record)) {
@@ -305,16 +306,16 @@
         .putInt(0)
         .put(record.toByteArray())
         .put(sound, third, sound.length - third);
-    View read = ViewFile.read(Resum.over(made.array()));
+    LearnedState read = SnapshotCodec.read(Resum.over(made.array()));
     check(read.nodes().size() == 1 && read.groups().size() == 2, "as many records");
-    NodeView node = read.nodes().get(0).view();
+    EndpointState node = read.nodes().get(0).view();
     check(
         read.nodes().get(0).id().equals("later")
             && !node.silent()
             && !node.isDown()
             && node.failing() == 0
             && node.room() > 1e9
-            && node.startedAgo().equals(NodeView.NEVER),
+            && node.startedAgo().equals(EndpointState.NEVER),
         "nothing of it makes for more care");
     made.putInt(4, 2);
     check(
@@ -324,9 +325,9 @@
 
   private static String fault(byte[] bytes) {
     try {
-      ViewFile.read(bytes);
+      SnapshotCodec.read(bytes);
       return "";
-    } catch (ViewFault fault) {
+    } catch (InvalidSnapshotException fault) {
       return fault.getMessage();
     }
   }
@@ -336,10 +337,10 @@
    * by construction.
    */
   @Example
-  void aMillionMutatedFilesAreEachReadOrRefused() throws ViewFault {
+  void aMillionMutatedFilesAreEachReadOrRefused() throws InvalidSnapshotException {
     SplittableRandom chance = new SplittableRandom(815);
-    byte[] sound = ViewFile.write(KeptViews.view(3, 1), 1 << 20);
-    byte[] other = ViewFile.write(KeptViews.view(4, 1), 1 << 20);
+    byte[] sound = SnapshotCodec.write(KeptViews.view(3, 1), 1 << 20);
+    byte[] other = SnapshotCodec.write(KeptViews.view(4, 1), 1 << 20);
     int refused = 0;
     for (int i = 0; i < 1_000_000; i++) {
       byte[] bytes =
--- a/router/src/test/java/basaltlever/KeeperTest.java
+++ b/router/src/test/java/basaltlever/SnapshotWriterTest.java
@@ -7,16 +7,16 @@
 import basaltlever.SocketWorld.Client;
 import basaltlever.SocketWorld.Mode;
 import basaltlever.config.OperatorFile;
-import basaltlever.discovery.MemberList;
-import basaltlever.keep.Folder;
-import basaltlever.keep.Generations;
-import basaltlever.keep.Keeper;
-import basaltlever.keep.Machine;
-import basaltlever.keep.ViewFile;
+import basaltlever.discovery.EndpointList;
+import basaltlever.snapshot.KnownEndpoint;
+import basaltlever.snapshot.LearnedState;
+import basaltlever.snapshot.StateRestore;
+import basaltlever.storage.LockedDirectory;
+import basaltlever.storage.SnapshotCodec;
+import basaltlever.storage.SnapshotStore;
+import basaltlever.storage.SnapshotWriter;
+import basaltlever.storage.SystemClocks;
 import basaltlever.time.Moment;
-import basaltlever.view.Known;
-import basaltlever.view.Recollection;
-import basaltlever.view.View;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -29,23 +29,24 @@
 import net.jqwik.api.Example;
 
 /** A folder of the file system, with its keeper and with a whole router. */
-class KeeperTest {
-  private static View view(long writtenAt) {
-    View view = KeptViews.view(1, 4);
-    return new View(
+class SnapshotWriterTest {
+  private static LearnedState view(long writtenAt) {
+    LearnedState view = KeptViews.view(1, 4);
+    return new LearnedState(
         "fleet",
         "n3",
         0,
         writtenAt,
-        Machine.steady(),
-        Machine.boot(),
+        SystemClocks.steady(),
+        SystemClocks.boot(),
         41,
         view.nodes(),
         view.groups());
   }
 
-  private static Keeper keeper(Path folder, Keeper.Source source) {
-    return new Keeper(folder, "fleet", "n3", ms(100), 1 << 20, new SplittableRandom(3), source);
+  private static SnapshotWriter keeper(Path folder, SnapshotWriter.Source source) {
+    return new SnapshotWriter(
+        folder, "fleet", "n3", ms(100), 1 << 20, new SplittableRandom(3), source);
   }
 
   private static void clear(Path folder) throws IOException {
@@ -58,8 +59,8 @@
     }
   }
 
-  private static View newest(Path folder) throws IOException {
-    return new Generations(new Folder(folder)).newest().view();
+  private static LearnedState newest(Path folder) throws IOException {
+    return new SnapshotStore(new LockedDirectory(folder)).newest().view();
   }
 
   private interface Truth {
@@ -78,25 +79,25 @@
     Path folder = Files.createTempDirectory("view");
     try {
       AtomicInteger asked = new AtomicInteger();
-      Keeper keeper =
+      SnapshotWriter keeper =
           keeper(
               folder,
               () -> {
                 asked.incrementAndGet();
-                return view(Machine.now());
+                return view(SystemClocks.now());
               });
-      check(keeper.recall() == Recollection.NONE, "none at first");
+      check(keeper.recall() == StateRestore.NONE, "none at first");
       keeper.keeps();
       await("it writes each period", () -> asked.get() > 4);
-      Keeper second = keeper(folder, () -> view(Machine.now()));
-      check(second.recall() == Recollection.NONE, "held by another: left alone");
-      second.ends(view(Machine.now()));
+      SnapshotWriter second = keeper(folder, () -> view(SystemClocks.now()));
+      check(second.recall() == StateRestore.NONE, "held by another: left alone");
+      second.ends(view(SystemClocks.now()));
       second.awaitEnd();
-      keeper.ends(view(Machine.now()));
+      keeper.ends(view(SystemClocks.now()));
       keeper.awaitEnd();
-      check(Generations.names(new Folder(folder)).size() == 2, "two generations");
-      Keeper next = keeper(folder, () -> null);
-      Recollection recollection = next.recall();
+      check(SnapshotStore.names(new LockedDirectory(folder)).size() == 2, "two generations");
+      SnapshotWriter next = keeper(folder, () -> null);
+      StateRestore recollection = next.recall();
       check(recollection.worthless().isEmpty() && recollection.nodesLeft() == 4, "recalled");
       next.ends(null);
       next.awaitEnd();
@@ -108,8 +109,8 @@
   @Example
   void aFaultyFolderCostsNothingAndIsTakenAgainWhenItIsBack() throws Exception {
     Path folder = Files.createTempDirectory("view").resolve("mount");
-    Keeper keeper = keeper(folder, () -> view(Machine.now()));
-    check(keeper.recall() == Recollection.NONE, "no folder, no view");
+    SnapshotWriter keeper = keeper(folder, () -> view(SystemClocks.now()));
+    check(keeper.recall() == StateRestore.NONE, "no folder, no view");
     keeper.keeps();
     Thread.sleep(300);
     Files.createDirectory(folder);
@@ -121,18 +122,19 @@
     Files.delete(folder);
     Files.createDirectory(folder);
     await("kept again", () -> newest(folder) != null);
-    byte[] bytes = Files.readAllBytes(folder.resolve(Generations.names(new Folder(folder)).get(0)));
+    byte[] bytes =
+        Files.readAllBytes(folder.resolve(SnapshotStore.names(new LockedDirectory(folder)).get(0)));
     keeper.ends(null);
     keeper.awaitEnd();
     bytes[60] ^= 4;
-    Files.write(folder.resolve(Generations.name(900)), bytes);
+    Files.write(folder.resolve(SnapshotStore.name(900)), bytes);
     Files.write(folder.resolve("view-ffffffffffffffff.blv"), bytes);
-    Files.createDirectory(folder.resolve(Generations.name(901)));
-    Keeper next = keeper(folder, () -> null);
+    Files.createDirectory(folder.resolve(SnapshotStore.name(901)));
+    SnapshotWriter next = keeper(folder, () -> null);
     check(
         next.recall().nodesLeft() == 4,
         "past a broken one and a folder to the newest that is whole");
-    next.ends(view(Machine.now()));
+    next.ends(view(SystemClocks.now()));
     next.awaitEnd();
     check(newest(folder).number() == 902, "numbers go on");
     clear(folder.getParent());
@@ -141,7 +143,7 @@
   @Example
   void aStuckSourceOrDiskHoldsUpNeitherStartNorEnd() throws Exception {
     Path folder = Files.createTempDirectory("view");
-    Keeper keeper =
+    SnapshotWriter keeper =
         keeper(
             folder,
             () -> {
@@ -152,7 +154,7 @@
     keeper.keeps();
     Thread.sleep(200);
     long start = System.nanoTime();
-    keeper.ends(view(Machine.now()));
+    keeper.ends(view(SystemClocks.now()));
     keeper.awaitEnd();
     check(System.nanoTime() - start < 1_500_000_000L, "bounded");
     clear(folder);
@@ -179,7 +181,7 @@
       await("now in b", () -> newest(b) != null);
       long last = newest(a).number();
       Thread.sleep(300);
-      check(newest(a).number() == last && new Folder(a).take(), "a is let go");
+      check(newest(a).number() == last && new LockedDirectory(a).take(), "a is let go");
     } finally {
       clear(folder);
     }
@@ -188,14 +190,14 @@
   /** The list has 20 of 2,000: they are known again, and the rest is not kept for anybody. */
   @Example
   void aViewOfThousandsServesAShortListAndIsGone() {
-    View view = KeptViews.view(9, 2_000);
-    Recollection recollection =
-        Recollection.of(view, "fleet", "n3", view.writtenAt() + 9, view.steady() + 9, "boot");
-    basaltlever.core.Core<String> core = SocketWorld.core();
-    MemberList list = new MemberList(core, List.of(), (node, address) -> {});
+    LearnedState view = KeptViews.view(9, 2_000);
+    StateRestore recollection =
+        StateRestore.of(view, "fleet", "n3", view.writtenAt() + 9, view.steady() + 9, "boot");
+    basaltlever.core.StatementRouter<String> core = SocketWorld.core();
+    EndpointList list = new EndpointList(core, List.of(), (node, address) -> {});
     list.recalls(recollection, node -> {});
     StringBuilder members = new StringBuilder();
-    for (Known known : view.nodes().subList(0, 20)) {
+    for (KnownEndpoint known : view.nodes().subList(0, 20)) {
       members
           .append(members.isEmpty() ? "" : ",")
           .append(
@@ -210,10 +212,10 @@
     try {
       list.take(
           new Moment(view.writtenAt()),
-          MemberList.parse(
+          EndpointList.parse(
               "{\"generation\":50,\"reset\":true," + "\"instances\":[" + members + "]}"),
           true);
-    } catch (basaltlever.discovery.ListFault fault) {
+    } catch (basaltlever.discovery.InvalidEndpointListException fault) {
       throw new AssertionError(fault);
     }
     check(core.nodesKnown() == 20, "no node but the listed");
@@ -260,9 +262,9 @@
       check(
           reached[0] > 0 && reached[1] == 0,
           "with a view " + reached[1] + ", without one " + reached[0]);
-      List<Known> kept = newest(folder).nodes();
+      List<KnownEndpoint> kept = newest(folder).nodes();
       check(
-          kept.size() == 3 && ViewFile.write(newest(folder), 1 << 20).length < 1_500,
+          kept.size() == 3 && SnapshotCodec.write(newest(folder), 1 << 20).length < 1_500,
           "three nodes, small");
     } finally {
       clear(folder);
