--- a/router/src/test/java/basaltlever/SocketWorld.java
+++ b/router/src/test/java/basaltlever/SocketWorld.java
@@ -2,14 +2,14 @@
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.change.Change;
-import basaltlever.config.StartFault;
+import basaltlever.config.InvalidSettingsException;
 import basaltlever.config.StartFile;
 import basaltlever.config.StartValues;
-import basaltlever.gateway.Refusal;
+import basaltlever.gateway.RejectReason;
 import basaltlever.net.Router;
-import basaltlever.pg.Answer;
-import basaltlever.pg.Write;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.QueryResponse;
+import basaltlever.switchover.PlannedSwitchover;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import io.netty.buffer.ByteBuf;
@@ -72,7 +72,7 @@
   }
 
   /** Carries nothing out. */
-  public static final class Silent implements basaltlever.core.Outside<String> {
+  public static final class Silent implements basaltlever.core.Effects<String> {
     public final List<String> told = new ArrayList<>();
 
     @Override
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void reject(long ticket, Span comeBackAfter, Refusal why) {
+    public void reject(long ticket, Span comeBackAfter, RejectReason why) {
       told.add("reject");
     }
 
@@ -118,7 +118,7 @@
     public void prepare(String node, int connections) {}
 
     @Override
-    public void change(int group, Change.Phase phase, String target) {}
+    public void change(int group, PlannedSwitchover.Phase phase, String target) {}
 
     @Override
     public void primary(int group, String node, boolean found) {}
@@ -166,7 +166,7 @@
         }
       }
       ByteBuf out = Unpooled.buffer();
-      Write.welcome(out);
+      MessageEncoder.welcome(out);
       send(socket, out);
       while (in.readByte() == 'Q') {
         byte[] text = new byte[in.readInt() - 4];
@@ -191,7 +191,7 @@
                 + ",x1="
                 + (primary ? 1 : 0)
                 + ",utilization=0.2");
-        Write.ready(out);
+        MessageEncoder.ready(out);
         send(socket, out);
         return;
       }
@@ -211,7 +211,7 @@
             default -> null;
           };
       if (code != null) {
-        Write.error(out, "ERROR", code, "as asked", null);
+        MessageEncoder.error(out, "ERROR", code, "as asked", null);
       }
       switch (as) {
         case SILENT -> {
@@ -222,7 +222,7 @@
           return;
         }
         case FATAL -> {
-          Write.error(out, "FATAL", "XX000", "as asked", null);
+          MessageEncoder.error(out, "FATAL", "XX000", "as asked", null);
           send(socket, out);
           socket.close();
           return;
@@ -233,7 +233,7 @@
             send(socket, out.writeBytes(description(1)).writeBytes(data(1, id)));
             out.clear().writeBytes(data(1, id));
           } else {
-            Write.status(out, "more", "and more");
+            MessageEncoder.status(out, "more", "and more");
           }
           while (true) {
             send(socket, out.duplicate());
@@ -250,12 +250,12 @@
         case LARGE -> row(out, id + "-" + "v".repeat(1 << 16));
         case TWO_ROWS -> {
           out.writeBytes(description(1)).writeBytes(data(1, id)).writeBytes(data(1, id));
-          Write.complete(out, "SELECT 2");
+          MessageEncoder.complete(out, "SELECT 2");
         }
         default -> {}
       }
       if (as == Mode.ERROR_AFTER_ROW) {
-        Write.error(out, "ERROR", "25006", "as asked", null);
+        MessageEncoder.error(out, "ERROR", "25006", "as asked", null);
       }
       if (as == Mode.CUT) {
         out.writerIndex(out.writerIndex() - 3);
@@ -263,12 +263,12 @@
         socket.close();
         return;
       }
-      Write.status(out, "part", primary ? "master" : "replica");
-      Write.status(out, "caught_up_to", "" + now);
-      Write.ready(out);
+      MessageEncoder.status(out, "part", primary ? "master" : "replica");
+      MessageEncoder.status(out, "caught_up_to", "" + now);
+      MessageEncoder.ready(out);
       if (as == Mode.TWICE) {
         row(out, "another");
-        Write.ready(out);
+        MessageEncoder.ready(out);
       } else if (as == Mode.NOISE_BEHIND) {
         out.writeBytes(new byte[] {'D', 0, 0});
       }
@@ -305,7 +305,7 @@
 
     public Client start() throws IOException {
       ByteBuf out = Unpooled.buffer();
-      Write.startup(out, "app", "shop");
+      MessageEncoder.startup(out, "app", "shop");
       send(socket, out);
       return this;
     }
@@ -316,7 +316,7 @@
 
     public Client ask(String query) throws IOException {
       ByteBuf out = Unpooled.buffer();
-      Write.query(out, query);
+      MessageEncoder.query(out, query);
       send(socket, out);
       return this;
     }
@@ -344,9 +344,9 @@
                   .append(new String(body, 6, body.length - 6, StandardCharsets.UTF_8));
           case 'E' ->
               told.append("error:")
-                  .append(Answer.field(whole, 'C'))
+                  .append(QueryResponse.field(whole, 'C'))
                   .append(':')
-                  .append(Answer.field(whole, 'D'));
+                  .append(QueryResponse.field(whole, 'D'));
           case 'T', 'C', 'R', 'S', 'K' -> {}
           default -> told.append((char) type);
         }
@@ -428,16 +428,16 @@
   }
 
   /** One that carries nothing out. */
-  public static basaltlever.core.Core<String> core() {
+  public static basaltlever.core.StatementRouter<String> core() {
     try {
-      return new basaltlever.core.Core<>(
+      return new basaltlever.core.StatementRouter<>(
           new Silent(), values().balance(1, new Moment(0), values().holds()));
-    } catch (StartFault fault) {
+    } catch (InvalidSettingsException fault) {
       throw new AssertionError(fault);
     }
   }
 
-  public static StartValues values() throws StartFault {
+  public static StartValues values() throws InvalidSettingsException {
     return StartFile.of(startFile(1, 2, "[]")).values();
   }
 
@@ -579,7 +579,7 @@
 
   static void row(ByteBuf out, String value) {
     out.writeBytes(description(1)).writeBytes(data(1, value));
-    Write.complete(out, "SELECT 1");
+    MessageEncoder.complete(out, "SELECT 1");
   }
 
   public static ServerSocket listen(int port) {
--- a/router/src/test/java/basaltlever/StandIn.java
+++ b/router/src/test/java/basaltlever/StandIn.java
@@ -1,23 +1,24 @@
 package basaltlever;
 
-import basaltlever.change.Change;
-import basaltlever.gateway.Agreed;
-import basaltlever.gateway.Allowance;
-import basaltlever.gateway.Connections;
-import basaltlever.gateway.Drains;
-import basaltlever.gateway.Ending;
-import basaltlever.gateway.Listing;
-import basaltlever.gateway.Outbound;
-import basaltlever.gateway.Refusal;
+import basaltlever.balancer.LoadBalancer;
+import basaltlever.gateway.AttemptLimits;
+import basaltlever.gateway.AttemptOutcome;
+import basaltlever.gateway.DecisionSink;
+import basaltlever.gateway.DrainPolicy;
+import basaltlever.gateway.EndpointLifecycle;
+import basaltlever.gateway.PoolSettings;
+import basaltlever.gateway.RejectReason;
 import basaltlever.gateway.Replication;
 import basaltlever.gateway.Role;
-import basaltlever.gateway.Standing;
-import basaltlever.gateway.WarmUp;
+import basaltlever.gateway.RouterIdentity;
+import basaltlever.gateway.Settings;
+import basaltlever.gateway.SlowStartPolicy;
 import basaltlever.gateway.Workload;
-import basaltlever.gateway.Workload.Needs;
-import basaltlever.gateway.Workload.Repeat;
-import basaltlever.gateway.Workload.Within;
+import basaltlever.gateway.Workload.DeduplicationScope;
+import basaltlever.gateway.Workload.Idempotency;
+import basaltlever.gateway.Workload.ReadConsistency;
 import basaltlever.hold.HoldBudget;
+import basaltlever.switchover.PlannedSwitchover;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.ArrayList;
@@ -35,7 +36,7 @@
  * Stands in for the world of one router: records what it does, checks the rules at each act, and
  * can play nodes.
  */
-public final class StandIn implements Outbound {
+public final class StandIn implements DecisionSink {
   static final int ANY = 0;
   static final int BOUNDED = 1;
   static final int SESSION = 2;
@@ -81,16 +82,16 @@
   }
 
   Moment now = new Moment(1_000_000_000L);
-  final Balance balance;
+  final LoadBalancer balance;
   final HoldBudget holds = new HoldBudget(10_000, 1 << 20);
-  final List<Change.Phase> phases = new ArrayList<>();
+  final List<PlannedSwitchover.Phase> phases = new ArrayList<>();
   int prepared;
-  final Agreed agreed;
+  final Settings agreed;
   private final Span slo;
   Workload[] workloads;
   final Replication replication;
-  final Allowance allowance;
-  final WarmUp warmUp = new WarmUp(0.2, ms(10_000), 2, ms(1_000));
+  final AttemptLimits allowance;
+  final SlowStartPolicy warmUp = new SlowStartPolicy(0.2, ms(10_000), 2, ms(1_000));
   final List<Sent> sent = new ArrayList<>();
   final List<Integer> polled = new ArrayList<>();
   final List<Integer> letGo = new ArrayList<>();
@@ -117,9 +118,18 @@
     return Span.ofMillis(millis);
   }
 
-  private Workload workload(Needs needs, Repeat repeat, double importance, double late) {
+  private Workload workload(
+      ReadConsistency needs, Idempotency repeat, double importance, double late) {
     return new Workload(
-        needs, ms(300), repeat, Within.GROUP, ms(600), slo, ms(2_000), importance, late);
+        needs,
+        ms(300),
+        repeat,
+        DeduplicationScope.GROUP,
+        ms(600),
+        slo,
+        ms(2_000),
+        importance,
+        late);
   }
 
   StandIn(boolean check, boolean positions, boolean tokens, boolean asked, boolean copies) {
@@ -165,22 +175,22 @@
       int longMillis) {
     slo = ms(sloMillis);
     Workload[] usual = {
-      workload(Needs.ANY, Repeat.IDEMPOTENT, 1, 0),
-      workload(Needs.BOUNDED, Repeat.IDEMPOTENT, 2, 0.2),
-      workload(Needs.SESSION, Repeat.IDEMPOTENT, 2, 0),
-      workload(Needs.FRESH, Repeat.IDEMPOTENT, 1, 0.2),
-      workload(Needs.WRITE, Repeat.NON_IDEMPOTENT, 4, 0.5),
-      workload(Needs.WRITE, Repeat.DEDUPLICATED, 3, 0.5),
-      workload(Needs.WRITE, Repeat.NON_IDEMPOTENT, 3, 0.8)
+      workload(ReadConsistency.ANY, Idempotency.IDEMPOTENT, 1, 0),
+      workload(ReadConsistency.BOUNDED, Idempotency.IDEMPOTENT, 2, 0.2),
+      workload(ReadConsistency.SESSION, Idempotency.IDEMPOTENT, 2, 0),
+      workload(ReadConsistency.FRESH, Idempotency.IDEMPOTENT, 1, 0.2),
+      workload(ReadConsistency.WRITE, Idempotency.NON_IDEMPOTENT, 4, 0.5),
+      workload(ReadConsistency.WRITE, Idempotency.DEDUPLICATED, 3, 0.5),
+      workload(ReadConsistency.WRITE, Idempotency.NON_IDEMPOTENT, 3, 0.8)
     };
     workloads = longMillis == 0 ? usual : Arrays.copyOf(usual, LONG + 1);
     if (longMillis > 0) {
       workloads[LONG] =
           new Workload(
-              Needs.ANY,
+              ReadConsistency.ANY,
               ms(0),
-              Repeat.IDEMPOTENT,
-              Within.GROUP,
+              Idempotency.IDEMPOTENT,
+              DeduplicationScope.GROUP,
               ms(0),
               ms(longMillis),
               ms(2 * longMillis),
@@ -188,17 +198,17 @@
               0);
     }
     replication = new Replication(check, positions, tokens);
-    allowance = new Allowance(6, copies, true, true, ms(1_000), SLACK);
+    allowance = new AttemptLimits(6, copies, true, true, ms(1_000), SLACK);
     agreed =
-        new Agreed(
-            new Standing(routers, 0, 0.01, 0.02),
+        new Settings(
+            new RouterIdentity(routers, 0, 0.01, 0.02),
             workloads,
             replication,
-            new Drains(asked, ms(10_000), true),
+            new DrainPolicy(asked, ms(10_000), true),
             warmUp,
             allowance,
-            new Connections(1, ms(15_000)));
-    balance = new Balance(this, new SplittableRandom(seed), agreed, holds, now);
+            new PoolSettings(1, ms(15_000)));
+    balance = new LoadBalancer(this, new SplittableRandom(seed), agreed, holds, now);
   }
 
   /**
@@ -211,12 +221,12 @@
     return world;
   }
 
-  Agreed with(Allowance allows, boolean removalBinds) {
-    return new Agreed(
+  Settings with(AttemptLimits allows, boolean removalBinds) {
+    return new Settings(
         agreed.standing(),
         workloads,
         replication,
-        new Drains(false, ms(10_000), removalBinds),
+        new DrainPolicy(false, ms(10_000), removalBinds),
         warmUp,
         allows,
         agreed.connections());
@@ -227,7 +237,7 @@
     workloads = next;
     balance.agree(
         now,
-        new Agreed(
+        new Settings(
             agreed.standing(),
             next,
             replication,
@@ -246,13 +256,13 @@
   StandIn list(int nodes) {
     balance.listBegins();
     for (int i = 0; i < nodes; i++) {
-      balance.listed(now, i, Listing.READY, 1, 0, 1, Moment.LONG_AGO);
+      balance.listed(now, i, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
     }
     balance.listEnds(now, true, true);
     return this;
   }
 
-  void relist(int node, Listing state, Moment startedAt) {
+  void relist(int node, EndpointLifecycle state, Moment startedAt) {
     balance.listBegins();
     balance.listed(now, node, state, 1, 0, 1, startedAt);
     balance.listEnds(now, false, true);
@@ -267,7 +277,7 @@
   }
 
   void poll(int node, Role role, Moment position) {
-    balance.polled(now, node, Ending.COMPLETED, role, position, 0.5, Double.NaN);
+    balance.polled(now, node, AttemptOutcome.COMPLETED, role, position, 0.5, Double.NaN);
   }
 
   /** Three members, node 0 primary, the replicas shown at the given age. */
@@ -288,11 +298,11 @@
     fate.terms = workloads[workload];
     fate.session = session;
     fate.leaves = now.plus(ms(leavesMillis));
-    Needs needs = workloads[workload].needs();
+    ReadConsistency needs = workloads[workload].needs();
     fate.needed =
-        needs == Needs.FRESH
+        needs == ReadConsistency.FRESH
             ? now
-            : needs != Needs.SESSION
+            : needs != ReadConsistency.SESSION
                 ? Moment.LONG_AGO
                 : replication.sessionsCarryTokens()
                     ? committed
@@ -314,18 +324,18 @@
     return sent.get(sent.size() - 1);
   }
 
-  void end(Sent execution, Ending ending, Role role) {
+  void end(Sent execution, AttemptOutcome ending, Role role) {
     end(execution, ending, role, Moment.LONG_AGO);
   }
 
-  void end(Sent execution, Ending ending, Role role, Moment position) {
+  void end(Sent execution, AttemptOutcome ending, Role role, Moment position) {
     Fate fate = fates.get(execution.statement);
     fate.out--;
     if (!ending.provesNotRun) {
       fate.mayHaveRun = true;
       fate.firstMaybe = fate.firstMaybe.earlier(execution.at);
     }
-    boolean first = ending == Ending.COMPLETED && !fate.answered;
+    boolean first = ending == AttemptOutcome.COMPLETED && !fate.answered;
     if (first) {
       check(!now.isAfter(fate.leaves.plus(SLACK)), "answered late");
       fate.answered = true;
@@ -338,13 +348,14 @@
   }
 
   /** Ends, once each, those executions that the test picks. */
-  void endThose(Predicate<Sent> which, Ending ending, Role role) {
+  void endThose(Predicate<Sent> which, AttemptOutcome ending, Role role) {
     sent.stream().filter(which).filter(ended::add).toList().forEach(s -> end(s, ending, role));
   }
 
   /** What is still out when its client leaves times out then. */
   void timeOutWhoseClientLeft() {
-    endThose(s -> !now.isBefore(fates.get(s.statement).leaves), Ending.TIMED_OUT, Role.UNTOLD);
+    endThose(
+        s -> !now.isBefore(fates.get(s.statement).leaves), AttemptOutcome.TIMED_OUT, Role.UNTOLD);
   }
 
   boolean isOlder(Sent execution, double millis) {
@@ -366,9 +377,9 @@
     check(!fate.answered, "rule 1: sent after the final answer");
     check(fate.executions < allowance.executions(), "too many executions");
     check(allowance.secondCopies() || fate.out == 0, "two at once");
-    if (terms.repeat() == Repeat.NON_IDEMPOTENT) {
+    if (terms.repeat() == Idempotency.NON_IDEMPOTENT) {
       check(!fate.mayHaveRun && fate.out == 0, "rule 2: non-idempotent sent again");
-    } else if (terms.repeat() == Repeat.DEDUPLICATED && (fate.mayHaveRun || fate.out > 0)) {
+    } else if (terms.repeat() == Idempotency.DEDUPLICATED && (fate.mayHaveRun || fate.out > 0)) {
       check(
           now.isBefore(fate.firstMaybe.plus(terms.window()))
               && !sendBy.isAfter(fate.firstMaybe.plus(terms.window())),
@@ -388,7 +399,8 @@
   private void checkNode(Member member, Fate fate, Workload terms) {
     check(member.listedReady, "rule 3: sent to a node known to drain or be gone");
     if (!replication.replicasCheck() && !(member.wasPrimary && !member.toldReplica)) {
-      Moment needed = terms.needs() == Needs.BOUNDED ? now.minus(terms.bound()) : fate.needed;
+      Moment needed =
+          terms.needs() == ReadConsistency.BOUNDED ? now.minus(terms.bound()) : fate.needed;
       check(!truth(member).isBefore(needed), "rule 5: stale read");
     }
     Span age = now.since(member.startedAt);
@@ -411,11 +423,11 @@
   }
 
   @Override
-  public void reject(int statement, Span comeBackAfter, Refusal why) {
+  public void reject(int statement, Span comeBackAfter, RejectReason why) {
     Fate fate = fates.get(statement);
     check(!comeBackAfter.isLongerThan(allowance.longestComeBack()), "advice too long");
     check(
-        fate.terms.repeat() == Repeat.IDEMPOTENT || (!fate.mayHaveRun && fate.out == 0),
+        fate.terms.repeat() == Idempotency.IDEMPOTENT || (!fate.mayHaveRun && fate.out == 0),
         "rule 2: rejected what may have run");
     answer(fate);
     advice = comeBackAfter;
@@ -451,7 +463,7 @@
             balance.polled(
                 now,
                 node,
-                Ending.COMPLETED,
+                AttemptOutcome.COMPLETED,
                 primary ? Role.PRIMARY : Role.REPLICA,
                 position,
                 plays.nextInt(20) == 0 ? Double.NaN : plays.nextDouble(),
@@ -460,7 +472,7 @@
             balance.polled(
                 now,
                 node,
-                plays.nextBoolean() ? Ending.TIMED_OUT : Ending.NO_CONNECTION,
+                plays.nextBoolean() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.NO_CONNECTION,
                 Role.UNTOLD,
                 Moment.LONG_AGO,
                 Double.NaN,
@@ -510,7 +522,7 @@
   }
 
   @Override
-  public void change(int group, Change.Phase phase, int target) {
+  public void change(int group, PlannedSwitchover.Phase phase, int target) {
     phases.add(phase);
   }
 
@@ -537,7 +549,7 @@
       balance.listed(
           now,
           i,
-          member.listedReady ? Listing.READY : Listing.DRAINING,
+          member.listedReady ? EndpointLifecycle.READY : EndpointLifecycle.DRAINING,
           1,
           i % 2,
           1,
@@ -555,33 +567,37 @@
   }
 
   private void play(Sent execution, Member member, Fate fate) {
-    boolean write = fate.terms.needs() == Needs.WRITE;
+    boolean write = fate.terms.needs() == ReadConsistency.WRITE;
     double last = execution.timeout.micros() > 0 ? execution.timeout.micros() / 1e3 : 1e9;
     double left = Math.max(1, Math.min(last, fate.leaves.since(now).micros() / 1e3));
     double takes = member.alive ? 1 + plays.nextInt(40) : 3;
-    Ending ending =
+    AttemptOutcome ending =
         !member.alive
-            ? plays.nextBoolean() ? Ending.NO_CONNECTION : Ending.RESET
+            ? plays.nextBoolean() ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.RESET
             : member.hangs
-                ? Ending.TIMED_OUT
+                ? AttemptOutcome.TIMED_OUT
                 : plays.nextDouble() < member.failing
-                    ? Ending.ERROR
+                    ? AttemptOutcome.ERROR
                     : plays.nextInt(50) == 0
-                        ? Ending.FULL
-                        : write && !member.primary ? Ending.MISS : Ending.COMPLETED;
-    if (ending == Ending.TIMED_OUT || takes > left) {
+                        ? AttemptOutcome.FULL
+                        : write && !member.primary ? AttemptOutcome.MISS : AttemptOutcome.COMPLETED;
+    if (ending == AttemptOutcome.TIMED_OUT || takes > left) {
       takes = left;
-      ending = Ending.TIMED_OUT;
+      ending = AttemptOutcome.TIMED_OUT;
     }
-    Ending planned = ending;
+    AttemptOutcome planned = ending;
     after(
         takes,
         () -> {
           // A write that its node still holds when it loses the role ends in an error.
-          boolean lost = write && planned == Ending.COMPLETED && !(member.primary && member.alive);
-          Ending how = lost ? Ending.ERROR : planned;
-          boolean told = how == Ending.COMPLETED || how == Ending.MISS || how == Ending.ERROR;
-          boolean wrote = write && how == Ending.COMPLETED;
+          boolean lost =
+              write && planned == AttemptOutcome.COMPLETED && !(member.primary && member.alive);
+          AttemptOutcome how = lost ? AttemptOutcome.ERROR : planned;
+          boolean told =
+              how == AttemptOutcome.COMPLETED
+                  || how == AttemptOutcome.MISS
+                  || how == AttemptOutcome.ERROR;
+          boolean wrote = write && how == AttemptOutcome.COMPLETED;
           if (wrote && !fate.answered) {
             commits.merge(fate.session, now, Moment::later);
           }
--- a/router/src/test/java/basaltlever/StartTest.java
+++ b/router/src/test/java/basaltlever/StartTest.java
@@ -2,9 +2,9 @@
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.config.StartFault;
+import basaltlever.config.InvalidSettingsException;
 import basaltlever.config.StartFile;
-import basaltlever.core.Core;
+import basaltlever.core.StatementRouter;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.nio.file.Path;
@@ -18,14 +18,14 @@
   private static String faults(String text) {
     try {
       StartFile.of(text);
-    } catch (StartFault fault) {
+    } catch (InvalidSettingsException fault) {
       return fault.getMessage();
     }
     return "";
   }
 
   @Example
-  void aSoundFileGivesItsValues() throws StartFault {
+  void aSoundFileGivesItsValues() throws InvalidSettingsException {
     StartFile file = StartFile.of(SOUND);
     check(file.listen().getPort() == 5432 && file.discovery().getPort() == 8500, "addresses");
     check(file.seed() == 0x8c1f30d27a5be964L && file.sockets() == 200, "seed and limits");
@@ -65,12 +65,12 @@
   }
 
   @Example
-  void onSocketsTheListIsWatchedEvenWhereItIsPushed() throws StartFault {
+  void onSocketsTheListIsWatchedEvenWhereItIsPushed() throws InvalidSettingsException {
     String pushed =
         SOUND.replace("\"on_request\"", "\"pushed\"").replace(",\n   \"MustAskIn\":10000000", "");
     SocketWorld.Silent outside = new SocketWorld.Silent();
-    Core<String> core =
-        new Core<>(outside, StartFile.of(pushed).values().balance(1, new Moment(0)));
+    StatementRouter<String> core =
+        new StatementRouter<>(outside, StartFile.of(pushed).values().balance(1, new Moment(0)));
     core.woken(new Moment(0));
     check(outside.told.equals(List.of("watch")), "asked for at once");
   }
@@ -81,7 +81,7 @@
       try {
         StartFile.read(Path.of(path));
         check(false, "read: " + path);
-      } catch (StartFault fault) {
+      } catch (InvalidSettingsException fault) {
         check(fault.getMessage().contains(path), "the path");
       }
     }
--- a/router/src/test/java/basaltlever/ViewTest.java
+++ b/router/src/test/java/basaltlever/StateRestoreTest.java
@@ -5,16 +5,16 @@
 import static basaltlever.StandIn.check;
 import static basaltlever.StandIn.ms;
 
-import basaltlever.gateway.Ending;
-import basaltlever.gateway.Listing;
+import basaltlever.gateway.AttemptOutcome;
+import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.gateway.Role;
+import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.KnownEndpoint;
+import basaltlever.snapshot.LearnedState;
+import basaltlever.snapshot.StateDecay;
+import basaltlever.snapshot.StateRestore;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
-import basaltlever.view.Aging;
-import basaltlever.view.Known;
-import basaltlever.view.NodeView;
-import basaltlever.view.Recollection;
-import basaltlever.view.View;
 import java.util.List;
 import java.util.SplittableRandom;
 import net.jqwik.api.Example;
@@ -23,19 +23,19 @@
 import net.jqwik.api.ShrinkingMode;
 
 /** What of a view counts, for which node, and that it only ever makes for more care. */
-class ViewTest {
+class StateRestoreTest {
   private static final long HOUR = 3_600_000_000L;
 
-  private static NodeView bad(boolean silent, boolean down, double failing) {
-    return new NodeView(
+  private static EndpointState bad(boolean silent, boolean down, double failing) {
+    return new EndpointState(
         0,
         77,
         false,
         false,
-        NodeView.NEVER,
-        NodeView.NEVER,
+        EndpointState.NEVER,
+        EndpointState.NEVER,
         silent,
-        down ? ms(3_000) : NodeView.NEVER,
+        down ? ms(3_000) : EndpointState.NEVER,
         failing,
         0.4,
         0.5,
@@ -43,21 +43,21 @@
         ms(200),
         ms(900),
         0,
-        NodeView.NEVER);
+        EndpointState.NEVER);
   }
 
   /** One reason for care and no other. */
-  private static NodeView only(
+  private static EndpointState only(
       boolean drains, boolean silent, boolean down, double failing, double restsMillis) {
-    return new NodeView(
+    return new EndpointState(
         0,
         77,
         drains,
         false,
-        NodeView.NEVER,
-        NodeView.NEVER,
+        EndpointState.NEVER,
+        EndpointState.NEVER,
         silent,
-        down ? ms(3_000) : NodeView.NEVER,
+        down ? ms(3_000) : EndpointState.NEVER,
         failing,
         0,
         9,
@@ -65,19 +65,19 @@
         ms(restsMillis),
         Span.NONE,
         0,
-        NodeView.NEVER);
+        EndpointState.NEVER);
   }
 
-  private static NodeView drained(boolean cold) {
-    return new NodeView(
+  private static EndpointState drained(boolean cold) {
+    return new EndpointState(
         0,
         77,
         !cold,
         false,
         ms(500),
-        NodeView.NEVER,
+        EndpointState.NEVER,
         false,
-        NodeView.NEVER,
+        EndpointState.NEVER,
         0,
         0,
         5,
@@ -88,8 +88,8 @@
         ms(100));
   }
 
-  private static View view(NodeView node) {
-    return new View(
+  private static LearnedState view(EndpointState node) {
+    return new LearnedState(
         "fleet",
         "n3",
         5,
@@ -97,22 +97,22 @@
         50 * HOUR,
         "b1",
         40,
-        List.of(new Known("s-1", "127.0.0.1:7001", node)),
+        List.of(new KnownEndpoint("s-1", "127.0.0.1:7001", node)),
         List.of());
   }
 
-  private static Recollection after(View view, long age, long steadily, String boot) {
-    return Recollection.of(
+  private static StateRestore after(LearnedState view, long age, long steadily, String boot) {
+    return StateRestore.of(
         view, "fleet", "n3", view.writtenAt() + age, view.steady() + steadily, boot);
   }
 
-  private static NodeView aged(NodeView node, long age) {
+  private static EndpointState aged(EndpointState node, long age) {
     return after(view(node), age, age, "b1").of("s-1", "127.0.0.1:7001", 77, 41, true);
   }
 
   @Example
   void whatWasLearnedFadesByItsCurveAndDaysOldIsNothing() {
-    NodeView node = aged(bad(true, true, 0.8), 10_000_000);
+    EndpointState node = aged(bad(true, true, 0.8), 10_000_000);
     check(
         node.silent()
             && node.downFor().equals(ms(13_000))
@@ -122,11 +122,11 @@
         Math.abs(node.strained() - 0.4 * Math.exp(-10 / 15.0)) < 1e-9
             && node.rests().equals(Span.NONE),
         "load");
-    NodeView later = aged(bad(true, true, 0.8), 200_000_000);
+    EndpointState later = aged(bad(true, true, 0.8), 200_000_000);
     check(
         !later.silent() && !later.isDown() && later.failing() > 0.1 && later.failing() < 0.2,
         "minutes: a guess");
-    NodeView days = aged(bad(true, true, 1), 48 * HOUR);
+    EndpointState days = aged(bad(true, true, 1), 48 * HOUR);
     check(
         days.failing() < 0.01
             && days.strained() < 0.01
@@ -134,16 +134,16 @@
             && days.room() > 12,
         "days: nothing");
     check(
-        Aging.weight(ms(553_000)) < 0.01
-            && Aging.weight(ms(83_000)) > 0.5
-            && Aging.weight(ms(-1)) == 0,
+        StateDecay.weight(ms(553_000)) < 0.01
+            && StateDecay.weight(ms(83_000)) > 0.5
+            && StateDecay.weight(ms(-1)) == 0,
         "the curve");
     check(aged(drained(false), 0).drains() == false, "a live list has the later word on a drain");
   }
 
   @Example
   void aViewWithoutADateOrOfAnotherCountsForNothing() {
-    View view = view(bad(true, false, 1));
+    LearnedState view = view(bad(true, false, 1));
     check(after(view, 5_000_000, 5_000_000, "b1").worthless().isEmpty(), "sound");
     check(after(view, 5_000_000, 5_000_000, "b1").age().equals(ms(5_000)), "dated");
     check(!after(view, -1, 5, "b1").worthless().isEmpty(), "the future");
@@ -155,15 +155,15 @@
         after(view, HOUR, 5, "b2").age().micros() == HOUR,
         "another run of the machine: the system's clock");
     check(
-        !Recollection.of(view, "other", "n3", 2_000 * HOUR, 0, "").worthless().isEmpty(),
+        !StateRestore.of(view, "other", "n3", 2_000 * HOUR, 0, "").worthless().isEmpty(),
         "deployment");
     check(
-        !Recollection.of(view, "fleet", "n4", 2_000 * HOUR, 0, "").worthless().isEmpty(), "router");
+        !StateRestore.of(view, "fleet", "n4", 2_000 * HOUR, 0, "").worthless().isEmpty(), "router");
   }
 
   @Example
   void anotherStartIdOrAddressIsNewAndAnOlderListDoesNotUndoADrain() {
-    View view = view(drained(false));
+    LearnedState view = view(drained(false));
     check(after(view, 1, 1, "b1").of("s-2", "127.0.0.1:7001", 77, 40, false) == null, "id");
     check(after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7002", 77, 40, false) == null, "address");
     check(
@@ -175,7 +175,7 @@
     check(
         after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 76, 39, false) != null,
         "an older list");
-    Recollection recollection = after(view, 1, 1, "b1");
+    StateRestore recollection = after(view, 1, 1, "b1");
     check(recollection.of("s-1", "127.0.0.1:7001", 77, 39, false).drains(), "told since: binds");
     check(recollection.of("s-1", "127.0.0.1:7001", 77, 39, false) == null, "once");
     check(
@@ -184,11 +184,11 @@
   }
 
   /** A fresh router of three members, before it has heard anything else. */
-  private static StandIn fresh(NodeView... views) {
+  private static StandIn fresh(EndpointState... views) {
     StandIn world = StandIn.plain();
     world.balance.listBegins();
     for (int i = 0; i < 3; i++) {
-      world.balance.listed(world.now, i, Listing.READY, 1, 0, 1, Moment.LONG_AGO);
+      world.balance.listed(world.now, i, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
       if (i < views.length && views[i] != null) {
         world.balance.recall.recalled(world.now, i, views[i]);
       }
@@ -199,16 +199,16 @@
 
   @Example
   void aPrimaryOfTheViewIsAskedFirstAndNotBelieved() {
-    NodeView was =
-        new NodeView(
+    EndpointState was =
+        new EndpointState(
             0,
             0,
             false,
             true,
-            NodeView.NEVER,
-            NodeView.NEVER,
+            EndpointState.NEVER,
+            EndpointState.NEVER,
             false,
-            NodeView.NEVER,
+            EndpointState.NEVER,
             0,
             0,
             1e9,
@@ -216,7 +216,7 @@
             Span.NONE,
             Span.NONE,
             0,
-            NodeView.NEVER);
+            EndpointState.NEVER);
     StandIn world = fresh(null, null, was);
     check(world.polled.equals(List.of(2, 0, 1)), "asked first, and each once: " + world.polled);
     world.take(WRITE);
@@ -229,7 +229,7 @@
 
   @Example
   void silentFailingAndDrainingMembersAreSparedFromTheStart() {
-    for (NodeView view :
+    for (EndpointState view :
         List.of(
             only(true, false, false, 0, 0),
             only(false, true, false, 0, 0),
@@ -245,7 +245,7 @@
       for (int i = 0; i < 6; i++) {
         world.take(BOUNDED);
         check(world.last().node() != 1, "sent to the bad one: " + view);
-        world.end(world.last(), Ending.COMPLETED, Role.REPLICA, world.now);
+        world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
       }
     }
   }
@@ -256,7 +256,7 @@
     for (int with = 0; with < 2; with++) {
       StandIn world = fresh(null, with == 1 ? drained(true) : null, null);
       if (with == 0) {
-        world.relist(1, Listing.READY, world.now.minus(ms(500)));
+        world.relist(1, EndpointLifecycle.READY, world.now.minus(ms(500)));
       }
       world.poll(0, Role.REPLICA, Moment.LONG_AGO);
       for (int step = 0; step < 400; step++) {
@@ -264,7 +264,7 @@
         world.take(BOUNDED);
         if (!world.sent.isEmpty() && world.ended.add(world.last())) {
           sent[with] += world.last().node() == 1 ? 1 : 0;
-          world.end(world.last(), Ending.COMPLETED, Role.REPLICA, world.now);
+          world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
         }
       }
     }
--- a/router/src/test/java/basaltlever/discovery/ListReaderTest.java
+++ b/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
@@ -2,7 +2,7 @@
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.gateway.Listing;
+import basaltlever.gateway.EndpointLifecycle;
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -17,23 +17,23 @@
  * Lists of thousands of entries as discovery may write them: in pieces, indented, cut off, several
  * in a row.
  */
-class ListReaderTest {
+class EndpointListReaderTest {
   private static final int LONG = 3_200;
 
-  private static final class Heard implements ListReader.Listener {
-    final List<MemberEntry> entries = new ArrayList<>();
-    final List<MemberUpdate> updates = new ArrayList<>();
+  private static final class Heard implements EndpointListReader.Listener {
+    final List<EndpointEntry> entries = new ArrayList<>();
+    final List<EndpointUpdate> updates = new ArrayList<>();
 
     @Override
     public void keepAlive() {}
 
     @Override
-    public void entry(MemberEntry entry) {
+    public void entry(EndpointEntry entry) {
       entries.add(entry);
     }
 
     @Override
-    public void update(MemberUpdate update) {
+    public void update(EndpointUpdate update) {
       updates.add(update);
     }
   }
@@ -76,8 +76,9 @@
         .toString();
   }
 
-  private static void read(ListReader reader, String text, SplittableRandom random, int largest)
-      throws ListFault {
+  private static void read(
+      EndpointListReader reader, String text, SplittableRandom random, int largest)
+      throws InvalidEndpointListException {
     for (int at = 0; at < text.length(); ) {
       int size = Math.min(text.length() - at, 1 + random.nextInt(largest));
       reader.read(Unpooled.copiedBuffer(text.substring(at, at + size), StandardCharsets.US_ASCII));
@@ -86,10 +87,11 @@
   }
 
   @Property(tries = 80, seed = "3838", shrinking = ShrinkingMode.OFF)
-  void severalListsInARowAreTheSameHoweverTheyAreCut(@ForAll long seed) throws ListFault {
+  void severalListsInARowAreTheSameHoweverTheyAreCut(@ForAll long seed)
+      throws InvalidEndpointListException {
     SplittableRandom random = new SplittableRandom(seed);
     Heard heard = new Heard();
-    ListReader reader = new ListReader(heard);
+    EndpointListReader reader = new EndpointListReader(heard);
     StringBuilder body = new StringBuilder();
     int lists = 1 + random.nextInt(4);
     int[] sizes = new int[lists];
@@ -102,22 +104,22 @@
     check(heard.updates.size() == lists, "each list: " + heard.updates.size() + " of " + lists);
     int total = 0;
     for (int i = 0; i < lists; i++) {
-      MemberUpdate update = heard.updates.get(i);
+      EndpointUpdate update = heard.updates.get(i);
       check(
           update.generation() == i + 5 && update.whole() && update.entries().size() == sizes[i],
           "list " + i);
       check(
           update.equals(
-              MemberUpdate.of(
-                  MemberUpdate.object(
+              EndpointUpdate.of(
+                  EndpointUpdate.object(
                       list(
                           new SplittableRandom(1),
                           i + 5,
                           sizes[i],
                           update.entries().stream()
-                              .map(MemberEntry::listing)
+                              .map(EndpointEntry::listing)
                               .toList()
-                              .indexOf(Listing.DRAINING))))),
+                              .indexOf(EndpointLifecycle.DRAINING))))),
           "the entries as a parser of whole texts reads them");
       total += sizes[i];
     }
@@ -125,16 +127,16 @@
   }
 
   @Example
-  void anEntryIsToldBeforeItsListHasCome() throws ListFault {
+  void anEntryIsToldBeforeItsListHasCome() throws InvalidEndpointListException {
     SplittableRandom random = new SplittableRandom(1);
     String list = list(random, 9, LONG, 7);
     Heard heard = new Heard();
-    ListReader reader = new ListReader(heard);
+    EndpointListReader reader = new EndpointListReader(heard);
     read(reader, "HTTP/1.1 200 OK\r\n\r\n" + list.substring(0, list.length() / 2), random, 8_192);
     check(
         heard.updates.isEmpty() && heard.entries.size() > LONG / 3,
         "half of it: " + heard.entries.size());
-    check(heard.entries.get(7).listing() == Listing.DRAINING, "the drain is among it");
+    check(heard.entries.get(7).listing() == EndpointLifecycle.DRAINING, "the drain is among it");
     read(reader, list.substring(list.length() / 2), random, 8_192);
     check(
         heard.updates.size() == 1 && heard.updates.get(0).entries().size() == LONG,
@@ -153,11 +155,11 @@
             "{\"instances\":[{\"instanceId\":\"a\",\"lifecycle\":\"terminated\"}],\"generation\":-1}")) {
       Heard heard = new Heard();
       try {
-        new ListReader(heard)
+        new EndpointListReader(heard)
             .read(
                 Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\n\r\n" + bad, StandardCharsets.US_ASCII));
         check(false, "taken: " + bad);
-      } catch (ListFault fault) {
+      } catch (InvalidEndpointListException fault) {
         check(heard.updates.isEmpty() && !fault.getMessage().isEmpty(), "it says what");
       }
     }
--- a/router/src/test/java/basaltlever/endpoints/ReplicaSubsetTest.java
+++ b/router/src/test/java/basaltlever/endpoints/ReplicaSubsetTest.java
@@ -2,10 +2,10 @@
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.gateway.Listing;
+import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.hold.HoldBudget;
-import basaltlever.model.Group;
-import basaltlever.model.Node;
+import basaltlever.model.Endpoint;
+import basaltlever.model.ReplicaGroup;
 import basaltlever.model.Statement;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
@@ -21,9 +21,9 @@
 class ReplicaSubsetTest {
   private static final Moment NOW = new Moment(1_000_000_000);
 
-  private static Group group(int members, SplittableRandom random) {
-    Group group =
-        new Group(
+  private static ReplicaGroup group(int members, SplittableRandom random) {
+    ReplicaGroup group =
+        new ReplicaGroup(
             1,
             NOW,
             Span.ofMillis(500),
@@ -31,20 +31,20 @@
             new HoldBudget(10, 1_000).group(1),
             null);
     for (int i = 0; i < members; i++) {
-      Node node = new Node(i, 1);
+      Endpoint node = new Endpoint(i, 1);
       node.rank = random.nextInt();
-      node.listing = Listing.READY;
+      node.listing = EndpointLifecycle.READY;
       node.group = group;
       group.members.add(node);
     }
     return group;
   }
 
-  private static int[] covered(Group group, int routers) {
+  private static int[] covered(ReplicaGroup group, int routers) {
     int[] covered = new int[group.members.size()];
     for (int router = 0; router < routers; router++) {
       group.subset = null;
-      for (Node member : ReplicaSubset.of(group, NOW, routers, router, Node::isInService)) {
+      for (Endpoint member : ReplicaSubset.of(group, NOW, routers, router, Endpoint::isInService)) {
         covered[member.id]++;
       }
     }
@@ -53,9 +53,9 @@
 
   @Example
   void aSmallGroupIsUsedWhole() {
-    Group group = group(ReplicaSubset.LEAST, new SplittableRandom(1));
+    ReplicaGroup group = group(ReplicaSubset.LEAST, new SplittableRandom(1));
     check(
-        ReplicaSubset.of(group, NOW, 100, 7, Node::isInService) == group.members,
+        ReplicaSubset.of(group, NOW, 100, 7, Endpoint::isInService) == group.members,
         "the list itself");
   }
 
@@ -86,41 +86,42 @@
 
   @Example
   void anotherStandsInForOneThatIsLost() {
-    Group group = group(64, new SplittableRandom(3));
-    List<Node> before = List.copyOf(ReplicaSubset.of(group, NOW, 100, 0, Node::isInService));
+    ReplicaGroup group = group(64, new SplittableRandom(3));
+    List<Endpoint> before =
+        List.copyOf(ReplicaSubset.of(group, NOW, 100, 0, Endpoint::isInService));
     check(before.size() == ReplicaSubset.LEAST, "the least: " + before.size());
     before.get(0).down = true;
     before.get(3).silent = true;
     group.subsetStale = true;
     check(
-        ReplicaSubset.of(group, NOW.plus(Span.ofMillis(50)), 100, 0, Node::isInService)
+        ReplicaSubset.of(group, NOW.plus(Span.ofMillis(50)), 100, 0, Endpoint::isInService)
             .equals(before),
         "not at once");
-    List<Node> after =
-        ReplicaSubset.of(group, NOW.plus(Span.ofMillis(150)), 100, 0, Node::isInService);
+    List<Endpoint> after =
+        ReplicaSubset.of(group, NOW.plus(Span.ofMillis(150)), 100, 0, Endpoint::isInService);
     check(
         after.size() == before.size() + 2 && after.containsAll(before),
         "two more: " + after.size());
     ReplicaSubset.widen(group, 100);
     check(
-        ReplicaSubset.of(group, NOW.plus(Span.ofMillis(300)), 100, 0, Node::isInService).size()
+        ReplicaSubset.of(group, NOW.plus(Span.ofMillis(300)), 100, 0, Endpoint::isInService).size()
             > after.size(),
         "wider");
     ReplicaSubset.narrow(group);
     check(
-        ReplicaSubset.of(group, NOW.plus(Span.ofMillis(450)), 100, 0, Node::isInService).size()
+        ReplicaSubset.of(group, NOW.plus(Span.ofMillis(450)), 100, 0, Endpoint::isInService).size()
             == after.size(),
         "and back");
   }
 
   @Example
   void whoDrainsIsLeftOut() {
-    Group group = group(64, new SplittableRandom(4));
-    Node first = ReplicaSubset.of(group, NOW, 100, 0, Node::isInService).get(0);
-    first.listing = Listing.DRAINING;
+    ReplicaGroup group = group(64, new SplittableRandom(4));
+    Endpoint first = ReplicaSubset.of(group, NOW, 100, 0, Endpoint::isInService).get(0);
+    first.listing = EndpointLifecycle.DRAINING;
     group.subsetStale = true;
     check(
-        !ReplicaSubset.of(group, NOW.plus(Span.ofMillis(150)), 100, 0, Node::isInService)
+        !ReplicaSubset.of(group, NOW.plus(Span.ofMillis(150)), 100, 0, Endpoint::isInService)
             .contains(first),
         "another in its place");
   }
--- a/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
+++ b/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
@@ -2,22 +2,22 @@
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.Balance;
-import basaltlever.change.Change;
-import basaltlever.gateway.Agreed;
-import basaltlever.gateway.Allowance;
-import basaltlever.gateway.Connections;
-import basaltlever.gateway.Drains;
-import basaltlever.gateway.Ending;
-import basaltlever.gateway.Listing;
-import basaltlever.gateway.Outbound;
-import basaltlever.gateway.Refusal;
+import basaltlever.balancer.LoadBalancer;
+import basaltlever.gateway.AttemptLimits;
+import basaltlever.gateway.AttemptOutcome;
+import basaltlever.gateway.DecisionSink;
+import basaltlever.gateway.DrainPolicy;
+import basaltlever.gateway.EndpointLifecycle;
+import basaltlever.gateway.PoolSettings;
+import basaltlever.gateway.RejectReason;
 import basaltlever.gateway.Replication;
 import basaltlever.gateway.Role;
-import basaltlever.gateway.Standing;
-import basaltlever.gateway.WarmUp;
+import basaltlever.gateway.RouterIdentity;
+import basaltlever.gateway.Settings;
+import basaltlever.gateway.SlowStartPolicy;
 import basaltlever.gateway.Workload;
 import basaltlever.hold.HoldBudget;
+import basaltlever.switchover.PlannedSwitchover;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.ArrayDeque;
@@ -56,8 +56,8 @@
   private long order;
 
   /** One router, and what its decisions want done. */
-  private final class Router implements Outbound {
-    private final Balance balance;
+  private final class Router implements DecisionSink {
+    private final LoadBalancer balance;
     private final SplittableRandom random;
     private final List<List<Moment>> arrivals;
     private final int groups;
@@ -73,10 +73,10 @@
       this.groups = groups;
       Workload read =
           new Workload(
-              Workload.Needs.ANY,
+              Workload.ReadConsistency.ANY,
               Span.NONE,
-              Workload.Repeat.IDEMPOTENT,
-              Workload.Within.GROUP,
+              Workload.Idempotency.IDEMPOTENT,
+              Workload.DeduplicationScope.GROUP,
               Span.NONE,
               Span.ofMillis(600),
               Span.ofMillis(2_000),
@@ -84,10 +84,10 @@
               0);
       Workload write =
           new Workload(
-              Workload.Needs.WRITE,
+              Workload.ReadConsistency.WRITE,
               Span.NONE,
-              Workload.Repeat.NON_IDEMPOTENT,
-              Workload.Within.GROUP,
+              Workload.Idempotency.NON_IDEMPOTENT,
+              Workload.DeduplicationScope.GROUP,
               Span.NONE,
               Span.ofMillis(1_000),
               Span.ofMillis(2_000),
@@ -95,17 +95,17 @@
               0.5);
       this.members = members;
       balance =
-          new Balance(
+          new LoadBalancer(
               this,
               random.split(),
-              new Agreed(
-                  new Standing(ROUTERS, index, 0, 0.01, 0.02),
+              new Settings(
+                  new RouterIdentity(ROUTERS, index, 0, 0.01, 0.02),
                   new Workload[] {read, write},
                   new Replication(true, true, true),
-                  new Drains(false, Span.ofMillis(10_000), true),
-                  new WarmUp(COLD_FROM, WARMS_IN, FALL_MULTIPLE, Span.ofMillis(1_000)),
-                  new Allowance(4, true, true, true, Span.ofMillis(1_000), Span.ofMillis(20)),
-                  new Connections(1, Span.ofMillis(15_000))),
+                  new DrainPolicy(false, Span.ofMillis(10_000), true),
+                  new SlowStartPolicy(COLD_FROM, WARMS_IN, FALL_MULTIPLE, Span.ofMillis(1_000)),
+                  new AttemptLimits(4, true, true, true, Span.ofMillis(1_000), Span.ofMillis(20)),
+                  new PoolSettings(1, Span.ofMillis(15_000))),
               new HoldBudget(1_000, 1 << 20),
               now);
       list(groups, members, Moment.LONG_AGO, node -> false);
@@ -118,7 +118,7 @@
         balance.listed(
             now,
             node,
-            Listing.READY,
+            EndpointLifecycle.READY,
             node / members,
             0,
             1,
@@ -151,7 +151,13 @@
           () -> {
             served +=
                 balance.ended(
-                        now, statement, 0, Ending.COMPLETED, role(node), Moment.LONG_AGO, true)
+                        now,
+                        statement,
+                        0,
+                        AttemptOutcome.COMPLETED,
+                        role(node),
+                        Moment.LONG_AGO,
+                        true)
                     ? 1
                     : 0;
           });
@@ -161,7 +167,9 @@
     public void poll(int node) {
       after(
           Span.ofMillis(5),
-          () -> balance.polled(now, node, Ending.COMPLETED, role(node), now, 0.3, Double.NaN));
+          () ->
+              balance.polled(
+                  now, node, AttemptOutcome.COMPLETED, role(node), now, 0.3, Double.NaN));
     }
 
     private Role role(int node) {
@@ -174,7 +182,7 @@
     }
 
     @Override
-    public void reject(int statement, Span comeBackAfter, Refusal why) {
+    public void reject(int statement, Span comeBackAfter, RejectReason why) {
       refused++;
     }
 
@@ -199,7 +207,7 @@
     public void prepare(int node, int connections) {}
 
     @Override
-    public void change(int group, Change.Phase phase, int target) {}
+    public void change(int group, PlannedSwitchover.Phase phase, int target) {}
 
     @Override
     public void primary(int group, int node, boolean found) {}
--- a/router/src/test/java/basaltlever/fleet/ToldTest.java
+++ b/router/src/test/java/basaltlever/fleet/StoredVersionTest.java
@@ -2,10 +2,10 @@
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.agree.Grant;
-import basaltlever.agree.Roll;
-import basaltlever.agree.Version;
-import basaltlever.config.Terms;
+import basaltlever.config.FleetSettings;
+import basaltlever.membership.MembershipView;
+import basaltlever.settings.LeaseGrant;
+import basaltlever.settings.SettingsVersion;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.net.InetSocketAddress;
@@ -24,7 +24,7 @@
  * A fleet of one, on loopback: what its leader tells is in the folder before the router hears of
  * it.
  */
-class ToldTest {
+class StoredVersionTest {
   private static InetSocketAddress free() throws Exception {
     try (ServerSocket socket = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
       return new InetSocketAddress("127.0.0.1", socket.getLocalPort());
@@ -34,8 +34,8 @@
   @Example
   void theVersionInForceIsKeptByTheTimeARouterIsGrantedIt() throws Exception {
     Path folder = Files.createTempDirectory("told");
-    Terms terms =
-        new Terms(
+    FleetSettings terms =
+        new FleetSettings(
             "cards",
             Map.of("n1", free()),
             Map.of("n1", free()),
@@ -43,16 +43,16 @@
             Span.ofMillis(400),
             Span.ofMillis(1_000),
             Span.ofMillis(3_000));
-    Papers papers = Papers.read(folder, "cards", "n1");
+    VoterStore papers = VoterStore.read(folder, "cards", "n1");
     check(papers.told() == null, "an empty folder was told nothing");
-    Roll roll = new Roll(Span.ofMillis(1_000), Span.ofMillis(3_000));
+    MembershipView roll = new MembershipView(Span.ofMillis(1_000), Span.ofMillis(3_000));
     AtomicLong beats = new AtomicLong();
-    AtomicReference<Fleet> fleet = new AtomicReference<>();
-    AtomicReference<Version> kept = new AtomicReference<>();
-    AtomicReference<Grant> granted = new AtomicReference<>();
+    AtomicReference<FleetMember> fleet = new AtomicReference<>();
+    AtomicReference<SettingsVersion> kept = new AtomicReference<>();
+    AtomicReference<LeaseGrant> granted = new AtomicReference<>();
     CountDownLatch leased = new CountDownLatch(1);
     fleet.set(
-        new Fleet(
+        new FleetMember(
             terms,
             "n1",
             papers,
@@ -88,7 +88,7 @@
       fleet.get().close();
     }
     check(
-        Papers.read(folder, "cards", "n1").told().equals(kept.get()),
+        VoterStore.read(folder, "cards", "n1").told().equals(kept.get()),
         "and found by the next process");
   }
 }
--- a/router/src/test/java/basaltlever/fleet/PapersTest.java
+++ b/router/src/test/java/basaltlever/fleet/VoterStoreTest.java
@@ -2,18 +2,18 @@
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.agree.Version;
 import basaltlever.golden.Golden;
+import basaltlever.settings.SettingsVersion;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import net.jqwik.api.Example;
 
-class PapersTest {
+class VoterStoreTest {
   private static String refused(Path folder, String fleet, String name) {
     try {
-      Papers.read(folder, fleet, name);
+      VoterStore.read(folder, fleet, name);
       return "";
     } catch (IOException fault) {
       return fault.getMessage();
@@ -23,15 +23,15 @@
   @Example
   void whatWasWrittenIsFoundAndNobodyElsesOrDamagedIsTaken() throws Exception {
     Path folder = Files.createTempDirectory("papers");
-    Papers papers = Papers.read(folder, "cards", "n1");
+    VoterStore papers = VoterStore.read(folder, "cards", "n1");
     papers.votes(2, List.of("n1", "n4"));
     papers.isTold(3);
     papers.areTold(List.of("n4", "n5"));
-    Version version =
-        new Version(7, "{\"Balancers\":3}", 12, "ops", "fewer copies", 1_796_000_000_000L);
-    papers.isTold(new Version(6, "{}", 11, "ops", "before", 1));
+    SettingsVersion version =
+        new SettingsVersion(7, "{\"Balancers\":3}", 12, "ops", "fewer copies", 1_796_000_000_000L);
+    papers.isTold(new SettingsVersion(6, "{}", 11, "ops", "before", 1));
     papers.isTold(version);
-    Papers again = Papers.read(folder, "cards", "n1");
+    VoterStore again = VoterStore.read(folder, "cards", "n1");
     check(
         again.seal().equals(papers.seal())
             && again.knows() == 3
@@ -61,9 +61,9 @@
     Path folder = Files.createTempDirectory("papers");
     Path file = folder.resolve("papers");
     Files.write(file, Golden.bytes("voter/papers"));
-    Papers papers = Papers.read(folder, "cards", "n1");
-    Version told = papers.told();
-    papers.isTold(new Version(1, "{}", 1, "ops", "another", 1));
+    VoterStore papers = VoterStore.read(folder, "cards", "n1");
+    SettingsVersion told = papers.told();
+    papers.isTold(new SettingsVersion(1, "{}", 1, "ops", "another", 1));
     papers.isTold(told);
     Golden.check("voter/papers", Files.readAllBytes(file));
   }
@@ -72,10 +72,11 @@
   @Example
   void settingsThatFillAMessageAreLeftOutAndNothingElseIs() throws Exception {
     Path folder = Files.createTempDirectory("papers");
-    Papers papers = Papers.read(folder, "cards", "n1");
+    VoterStore papers = VoterStore.read(folder, "cards", "n1");
     papers.votes(2, List.of("n1"));
-    papers.isTold(new Version(7, "x".repeat(Message.LARGEST - 60), 12, "ops", "large", 1));
-    Papers again = Papers.read(folder, "cards", "n1");
+    papers.isTold(
+        new SettingsVersion(7, "x".repeat(MessageCodec.LARGEST - 60), 12, "ops", "large", 1));
+    VoterStore again = VoterStore.read(folder, "cards", "n1");
     check(
         again.told() == null && again.seal().equals(papers.seal()) && again.knows() == 2,
         "all but the version");
--- a/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
@@ -2,15 +2,15 @@
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.agree.Doubt;
-import basaltlever.agree.Grant;
-import basaltlever.agree.Report;
-import basaltlever.agree.Seat;
-import basaltlever.agree.Stamp;
 import basaltlever.cli.Main;
-import basaltlever.config.Terms;
-import basaltlever.fleet.Fleet;
-import basaltlever.fleet.Papers;
+import basaltlever.config.FleetSettings;
+import basaltlever.fleet.FleetMember;
+import basaltlever.fleet.VoterStore;
+import basaltlever.membership.GroupAssignment;
+import basaltlever.membership.HeartbeatReport;
+import basaltlever.membership.ListAnomaly;
+import basaltlever.membership.ListVersion;
+import basaltlever.settings.LeaseGrant;
 import basaltlever.time.Span;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -56,9 +56,9 @@
     }
   }
 
-  private static Terms terms(Path folder, InetSocketAddress voter, InetSocketAddress peer)
+  private static FleetSettings terms(Path folder, InetSocketAddress voter, InetSocketAddress peer)
       throws IOException {
-    return new Terms(
+    return new FleetSettings(
         "cards",
         Map.of(NAME, peer, "n2", free()),
         Map.of(NAME, voter),
@@ -69,26 +69,26 @@
   }
 
   /** An instance whose router reports what it is given and takes whatever it is granted. */
-  private static Fleet instance(
-      Terms terms,
+  private static FleetMember instance(
+      FleetSettings terms,
       String name,
-      Papers papers,
-      BlockingQueue<Grant> grants,
-      Supplier<Report> reports)
+      VoterStore papers,
+      BlockingQueue<LeaseGrant> grants,
+      Supplier<HeartbeatReport> reports)
       throws Exception {
     AtomicLong beats = new AtomicLong();
-    AtomicReference<Fleet> fleet = new AtomicReference<>();
-    AtomicReference<Grant> latest = new AtomicReference<>();
+    AtomicReference<FleetMember> fleet = new AtomicReference<>();
+    AtomicReference<LeaseGrant> latest = new AtomicReference<>();
     fleet.set(
-        new Fleet(
+        new FleetMember(
             terms,
             name,
             papers,
             new SplittableRandom(1),
             () -> {
               if (fleet.get() != null) {
-                Report report = reports.get();
-                Grant last = latest.get();
+                HeartbeatReport report = reports.get();
+                LeaseGrant last = latest.get();
                 long force = last == null ? 0 : last.inForce().number();
                 long keeps =
                     last == null || last.prepared() == null ? force : last.prepared().number();
@@ -130,16 +130,16 @@
    * What the router of the voter itself says of a list, so that both routers of the fleet say the
    * same.
    */
-  private static Report report(long generation) {
-    Stamp at = new Stamp(0, generation);
-    Seat seat = new Seat("db-1", generation == 41 ? 0 : 1, at, false);
+  private static HeartbeatReport report(long generation) {
+    ListVersion at = new ListVersion(0, generation);
+    GroupAssignment seat = new GroupAssignment("db-1", generation == 41 ? 0 : 1, at, false);
     List<String> free = generation == 41 ? List.of() : List.of("db-1");
-    Doubt doubt = generation < 41 ? Doubt.BACK : Doubt.NONE;
-    return new Report(at, 99, doubt, List.of(), 0, List.of(seat), free, 0, 0, 0);
+    ListAnomaly doubt = generation < 41 ? ListAnomaly.BACK : ListAnomaly.NONE;
+    return new HeartbeatReport(at, 99, doubt, List.of(), 0, List.of(seat), free, 0, 0, 0);
   }
 
-  private static void leads(BlockingQueue<Grant> grants) throws InterruptedException {
-    Grant grant = grants.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+  private static void leads(BlockingQueue<LeaseGrant> grants) throws InterruptedException {
+    LeaseGrant grant = grants.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
     while (grant != null && grant.lasts().micros() <= 0) {
       grant = grants.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
@@ -165,12 +165,12 @@
   void aVoterAnswersRecordedRequestsAndLogsTheSameCommands() throws Exception {
     Path folder = Files.createTempDirectory("golden");
     InetSocketAddress peer = free();
-    Terms terms = terms(folder, free(), peer);
-    BlockingQueue<Grant> grants = new LinkedBlockingQueue<>();
+    FleetSettings terms = terms(folder, free(), peer);
+    BlockingQueue<LeaseGrant> grants = new LinkedBlockingQueue<>();
     StringBuilder answers = new StringBuilder();
-    AtomicReference<Report> list = new AtomicReference<>(Report.NONE);
-    try (Fleet voter =
-        instance(terms, NAME, Papers.read(folder, "cards", NAME), grants, list::get)) {
+    AtomicReference<HeartbeatReport> list = new AtomicReference<>(HeartbeatReport.NONE);
+    try (FleetMember voter =
+        instance(terms, NAME, VoterStore.read(folder, "cards", NAME), grants, list::get)) {
       check(voter != null, "started");
       leads(grants);
       byte[] status = HexFormat.of().parseHex(requests().get(0)[1]);
@@ -195,26 +195,32 @@
             Stream.concat(command.stream(), Stream.of("--operator", operator.toString())).toList();
         answers.append(command).append(' ').append(Golden.lines(Commands.run(Main.class, line)));
       }
-      for (String[] request : requests()) {
-        if (request[0].startsWith("heartbeat")) {
-          long generation = Long.parseLong(request[0].substring("heartbeat-".length()));
-          list.set(report(generation));
-          String told = "";
-          for (int i = 0; i < BEATS && !told.contains(EXPECTED.get(generation)); i++) {
-            exchange(peer, HexFormat.of().parseHex(request[1]));
-            Thread.sleep(BEAT_MS);
-            told = Golden.json(exchange(peer, status));
-          }
-          check(told.contains(EXPECTED.get(generation)), told);
-        }
-      }
+      reportLists(peer, status, list);
       settled(peer, status, "\"number\":4,");
     }
     Golden.check("fleet-answers.txt", answers.toString());
     Golden.check("fleet-commands.txt", String.join("\n", commands(folder)) + "\n");
   }
 
-  private static Path operatorFile(Path folder, Terms terms) throws IOException {
+  private static void reportLists(
+      InetSocketAddress peer, byte[] status, AtomicReference<HeartbeatReport> list)
+      throws IOException, InterruptedException {
+    for (String[] request : requests()) {
+      if (request[0].startsWith("heartbeat")) {
+        long generation = Long.parseLong(request[0].substring("heartbeat-".length()));
+        list.set(report(generation));
+        String told = "";
+        for (int i = 0; i < BEATS && !told.contains(EXPECTED.get(generation)); i++) {
+          exchange(peer, HexFormat.of().parseHex(request[1]));
+          Thread.sleep(BEAT_MS);
+          told = Golden.json(exchange(peer, status));
+        }
+        check(told.contains(EXPECTED.get(generation)), told);
+      }
+    }
+  }
+
+  private static Path operatorFile(Path folder, FleetSettings terms) throws IOException {
     StringBuilder text = new StringBuilder("[fleet]\nname = cards\npeers = ");
     terms
         .peers()
@@ -259,13 +265,14 @@
   @Example
   void aRouterBeatsInTheSameFormAndTakesARecordedGrant() throws Exception {
     Path folder = Files.createTempDirectory("golden");
-    BlockingQueue<Grant> grants = new LinkedBlockingQueue<>();
+    BlockingQueue<LeaseGrant> grants = new LinkedBlockingQueue<>();
     try (ServerSocket voter = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
       voter.setSoTimeout(PATIENCE_MS);
       InetSocketAddress at = new InetSocketAddress("127.0.0.1", voter.getLocalPort());
-      Papers papers = Papers.read(folder, "cards", "n2");
-      try (Fleet router =
-              instance(terms(folder, free(), at), "n2", papers, grants, () -> Report.NONE);
+      VoterStore papers = VoterStore.read(folder, "cards", "n2");
+      try (FleetMember router =
+              instance(
+                  terms(folder, free(), at), "n2", papers, grants, () -> HeartbeatReport.NONE);
           Socket open = voter.accept()) {
         check(router != null, "started");
         Golden.check("fleet-beat.txt", Golden.json(frame(open)) + "\n");
@@ -274,7 +281,7 @@
         out.writeInt(grant.length);
         out.write(grant);
         out.flush();
-        Grant taken = grants.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        LeaseGrant taken = grants.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
         check(taken != null && taken.beat() == 1 && taken.lasts().micros() == 390_000, "its lease");
         check(
             taken.inForce().number() == 2 && taken.inForce().routers() == 2,
@@ -289,19 +296,19 @@
   @Example
   void aFolderOfAnEarlierReleaseIsRead() throws Exception {
     Path folder = recordedFolder();
-    Papers papers = Papers.read(folder, "cards", NAME);
+    VoterStore papers = VoterStore.read(folder, "cards", NAME);
     check(
         papers.told().number() == 3 && papers.told().text().equals("{\"MaxOpen\":400}"),
         "the version told last");
-    BlockingQueue<Grant> grants = new LinkedBlockingQueue<>();
+    BlockingQueue<LeaseGrant> grants = new LinkedBlockingQueue<>();
     InetSocketAddress peer = free();
-    try (Fleet voter =
+    try (FleetMember voter =
         instance(
             terms(folder, free(), peer),
             NAME,
-            Papers.read(folder, "cards", NAME),
+            VoterStore.read(folder, "cards", NAME),
             grants,
-            () -> Report.NONE)) {
+            () -> HeartbeatReport.NONE)) {
       check(voter != null, "started");
       leads(grants);
       byte[] status = HexFormat.of().parseHex(requests().get(0)[1]);
--- a/router/src/test/java/basaltlever/golden/SnapshotGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/SnapshotGoldenTest.java
@@ -4,8 +4,8 @@
 
 import basaltlever.KeptViews;
 import basaltlever.cli.Main;
-import basaltlever.keep.ViewFile;
-import basaltlever.view.View;
+import basaltlever.snapshot.LearnedState;
+import basaltlever.storage.SnapshotCodec;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -20,9 +20,9 @@
 
   @Example
   void aKeptStateIsReadAndWrittenWithTheSameBytes() throws Exception {
-    View recorded = ViewFile.read(Golden.bytes("snapshot-7.view"));
+    LearnedState recorded = SnapshotCodec.read(Golden.bytes("snapshot-7.view"));
     check(recorded.equals(KeptViews.view(7, 5)), "read as it was meant");
-    Golden.check("snapshot-7.view", ViewFile.write(recorded, LARGEST));
+    Golden.check("snapshot-7.view", SnapshotCodec.write(recorded, LARGEST));
   }
 
   @Example
--- a/router/src/test/java/basaltlever/net/ClientModel.java
+++ b/router/src/test/java/basaltlever/net/ClientModel.java
@@ -1,13 +1,13 @@
 package basaltlever.net;
 
-import basaltlever.config.Places;
+import basaltlever.config.WorkloadSlots;
 import basaltlever.log.Counters;
-import basaltlever.log.Lives;
-import basaltlever.pg.Budget;
-import basaltlever.pg.Pg;
-import basaltlever.pg.PgFault;
+import basaltlever.log.StatementTrace;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.ProtocolCodes;
+import basaltlever.pg.ProtocolException;
 import basaltlever.pg.Query;
-import basaltlever.pg.Write;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import io.netty.buffer.ByteBuf;
@@ -70,15 +70,15 @@
   private final Map<Step, Integer> used = new EnumMap<>(Step.class);
   private final Counters counters = new Counters();
   private final Descriptors descriptors = new Descriptors(64);
-  private final Places places = Places.of(List.of("view"));
-  private final Lives lives = new Lives(null, this::now);
+  private final WorkloadSlots places = WorkloadSlots.of(List.of("view"));
+  private final StatementTrace lives = new StatementTrace(null, this::now);
   private final ArrayDeque<Runnable> later = new ArrayDeque<>();
   private final ClientConnection connection;
   private final ArrayDeque<byte[]> unsent = new ArrayDeque<>();
   private Moment now = new Moment(1_000_000_000);
   private boolean closesIdle;
   private boolean refusesAll;
-  private Taken taken;
+  private PendingStatement taken;
 
   private ByteBuf received = Unpooled.buffer();
   private boolean clientGone;
@@ -98,16 +98,16 @@
   ClientModel(Planted planted) {
     this.planted = planted;
     ByteBuf out = Unpooled.buffer();
-    Write.startup(out, "app", "shop");
+    MessageEncoder.startup(out, "app", "shop");
     unsent.add(bytes(out));
-    Write.query(out, "/* id=s1,c=view,d=900,cluster=1 */ SELECT 1");
+    MessageEncoder.query(out, "/* id=s1,c=view,d=900,cluster=1 */ SELECT 1");
     byte[] first = bytes(out);
     unsent.add(java.util.Arrays.copyOf(first, 9));
     unsent.add(java.util.Arrays.copyOfRange(first, 9, first.length));
-    Write.query(out, "/* id=s2,c=view,d=900,cluster=1 */ SELECT 1");
+    MessageEncoder.query(out, "/* id=s2,c=view,d=900,cluster=1 */ SELECT 1");
     unsent.add(bytes(out));
     descriptors.admitsClient();
-    connection = new ClientConnection(this, new Budget(1 << 20), true, 1, now);
+    connection = new ClientConnection(this, new MemoryBudget(1 << 20), true, 1, now);
     connection.on(this);
     connection.accepted();
     if (planted == Planted.CLOSED_UNREAD) {
@@ -224,7 +224,7 @@
   private void answer() {
     if (taken != null) {
       taken = null;
-      connection.answerError(Pg.UNKNOWN_EFFECT, "as planned", null);
+      connection.answerError(ProtocolCodes.UNKNOWN_EFFECT, "as planned", null);
     }
   }
 
@@ -281,8 +281,8 @@
       int length = in.readInt() - 4;
       String body = in.toString(in.readerIndex(), length, java.nio.charset.StandardCharsets.UTF_8);
       in.skipBytes(length);
-      ready += type == Pg.READY ? 1 : 0;
-      if (type == Pg.ERROR && body.contains("FATAL")) {
+      ready += type == ProtocolCodes.READY ? 1 : 0;
+      if (type == ProtocolCodes.ERROR && body.contains("FATAL")) {
         return Integer.MAX_VALUE;
       }
     }
@@ -346,7 +346,7 @@
   public void writeAndFlush(ByteBuf out, Consumer<Boolean> written) {
     boolean fatal =
         out.readableBytes() > 0
-            && out.getByte(out.readerIndex()) == Pg.ERROR
+            && out.getByte(out.readerIndex()) == ProtocolCodes.ERROR
             && out.toString(java.nio.charset.StandardCharsets.UTF_8).contains("FATAL");
     if (planted == Planted.WORDS_LOST && fatal) {
       out.release();
@@ -444,27 +444,27 @@
   }
 
   @Override
-  public Lives lives() {
+  public StatementTrace lives() {
     return lives;
   }
 
   @Override
-  public int workload(Query query) throws PgFault {
+  public int workload(Query query) throws ProtocolException {
     return places.of(query.workload);
   }
 
   @Override
-  public Taken take(
+  public PendingStatement take(
       ClientConnection client, ByteBuf text, Query query, int workload, Moment arrived) {
     if (sendingEnded || closed) {
       broken = "a statement was taken behind the end";
     }
-    taken = new Taken(1, client, text, query, arrived, null);
+    taken = new PendingStatement(1, client, text, query, arrived, null);
     return taken;
   }
 
   @Override
-  public void left(ClientConnection left, Taken statement) {
+  public void left(ClientConnection left, PendingStatement statement) {
     taken = null;
   }
 
--- a/router/src/test/java/basaltlever/net/ComesUpTest.java
+++ b/router/src/test/java/basaltlever/net/ComesUpTest.java
@@ -2,12 +2,12 @@
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.gateway.Ending;
+import basaltlever.gateway.AttemptOutcome;
 import basaltlever.log.Event;
-import basaltlever.log.Tally;
-import basaltlever.pg.Answer;
-import basaltlever.pg.Budget;
-import basaltlever.pg.Write;
+import basaltlever.log.RateLimitedLog;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.QueryResponse;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import io.netty.bootstrap.Bootstrap;
@@ -36,7 +36,7 @@
  */
 class ComesUpTest {
   /** Over once its client has gone, as the decisions make it. */
-  private static final class Waits extends Job {
+  private static final class Waits extends ServerQuery {
     final CompletableFuture<String> became = new CompletableFuture<>();
     final CompletableFuture<Boolean> answered = new CompletableFuture<>();
     boolean hasLeft;
@@ -49,7 +49,7 @@
     @Override
     void write(ByteBuf out) {
       became.complete("written");
-      Write.query(out, "SELECT 1");
+      MessageEncoder.query(out, "SELECT 1");
     }
 
     @Override
@@ -58,13 +58,13 @@
     }
 
     @Override
-    void answered(Answer answer) {
+    void answered(QueryResponse answer) {
       answered.complete(true);
       answer.release();
     }
 
     @Override
-    void lost(Ending ending) {
+    void lost(AttemptOutcome ending) {
       became.complete("" + ending);
       answered.complete(false);
     }
@@ -77,17 +77,18 @@
   @Example
   void anAnswerThatHasComeInTimeIsHeardThoughItsTimeIsOverByThen() throws Exception {
     MultiThreadIoEventLoopGroup group =
-        new MultiThreadIoEventLoopGroup(1, Waiting.newFactory(new LookClock(new Clock()::now)));
+        new MultiThreadIoEventLoopGroup(
+            1, PreciseSelectStrategy.newFactory(new ReadinessClock(new Clock()::now)));
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
     try (ServerSocket node = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
       Waits job = new Waits();
-      Turn turn = HeldUpRouter.turn(loop);
+      LoopIteration turn = HeldUpRouter.turn(loop);
       Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class);
       loop.submit(() -> link(bootstrap, loop, turn, node).start(job)).sync();
       try (Socket opened = node.accept()) {
         opened.getInputStream().read(new byte[200]);
         ByteBuf welcome = Unpooled.buffer();
-        Write.welcome(welcome);
+        MessageEncoder.welcome(welcome);
         opened.getOutputStream().write(ByteBufUtil.getBytes(welcome));
         check(job.became.get(2, TimeUnit.SECONDS).equals("written"), "it is out");
         opened.getInputStream().read(new byte[200]);
@@ -102,8 +103,8 @@
               job.timeIsOver();
             });
         ByteBuf answer = Unpooled.buffer();
-        Write.error(answer, "ERROR", "XX000", "as asked", null);
-        Write.ready(answer);
+        MessageEncoder.error(answer, "ERROR", "XX000", "as asked", null);
+        MessageEncoder.ready(answer);
         opened.getOutputStream().write(ByteBufUtil.getBytes(answer));
         Thread.sleep(20);
         goesOn.countDown();
@@ -114,19 +115,19 @@
     }
   }
 
-  private static NodeLink link(
-      Bootstrap bootstrap, SingleThreadEventLoop loop, Turn turn, ServerSocket node) {
-    NodeLink link =
-        new NodeLink(
+  private static ConnectionPool link(
+      Bootstrap bootstrap, SingleThreadEventLoop loop, LoopIteration turn, ServerSocket node) {
+    ConnectionPool link =
+        new ConnectionPool(
             "s-1",
             bootstrap,
             loop,
             turn,
             new Descriptors(50),
-            new Budget(1 << 20),
+            new MemoryBudget(1 << 20),
             Span.ofMillis(5_000),
             Span.ofMillis(9_000),
-            new Tally(
+            new RateLimitedLog(
                 LoggerFactory.getLogger(ComesUpTest.class), Event.NODE_BAD, turn.clock()::now));
     link.at((InetSocketAddress) node.getLocalSocketAddress());
     return link;
@@ -135,14 +136,15 @@
   @Example
   void nothingIsSentForAClientWhoseEndIsReadInTheSameLook() throws Exception {
     MultiThreadIoEventLoopGroup group =
-        new MultiThreadIoEventLoopGroup(1, Waiting.newFactory(new LookClock(new Clock()::now)));
+        new MultiThreadIoEventLoopGroup(
+            1, PreciseSelectStrategy.newFactory(new ReadinessClock(new Clock()::now)));
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
     InetAddress here = InetAddress.getLoopbackAddress();
     try (ServerSocket node = new ServerSocket(0, 5, here);
         ServerSocket front = new ServerSocket(0, 5, here)) {
       Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class);
       Waits job = new Waits();
-      Turn turn = HeldUpRouter.turn(loop);
+      LoopIteration turn = HeldUpRouter.turn(loop);
       bootstrap
           .clone()
           .handler(
@@ -171,7 +173,7 @@
             });
         stands.await();
         ByteBuf welcome = Unpooled.buffer();
-        Write.welcome(welcome);
+        MessageEncoder.welcome(welcome);
         opened.getOutputStream().write(ByteBufUtil.getBytes(welcome));
         client.close();
         // For both to lie ready; the node's is first in line.
--- a/router/src/test/java/basaltlever/net/DescriptorsTest.java
+++ b/router/src/test/java/basaltlever/net/DescriptorsTest.java
@@ -23,7 +23,7 @@
    * A connection as its owner tells of it; one of a client that has asked lingers when it is told
    * to go.
    */
-  private static final class Party implements Descriptors.Lingering {
+  private static final class Party implements Descriptors.EvictableClient {
     final Descriptors in;
     final boolean node;
     boolean asked;
--- a/router/src/test/java/basaltlever/net/OwedTest.java
+++ b/router/src/test/java/basaltlever/net/FinalAnswerTest.java
@@ -31,7 +31,7 @@
  * never say a word of any statement, which is the worst that they could forget, and the loop is
  * held up.
  */
-class OwedTest {
+class FinalAnswerTest {
   /** Of a machine that runs other tests beside this. */
   private static final long SLACK_MILLIS = 90;
 
--- a/router/src/test/java/basaltlever/net/FloodTest.java
+++ b/router/src/test/java/basaltlever/net/FloodTest.java
@@ -2,12 +2,12 @@
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.config.Places;
+import basaltlever.config.WorkloadSlots;
 import basaltlever.log.Event;
-import basaltlever.log.Lives;
-import basaltlever.log.Tally;
-import basaltlever.pg.Budget;
-import basaltlever.pg.Write;
+import basaltlever.log.RateLimitedLog;
+import basaltlever.log.StatementTrace;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.pg.MessageEncoder;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -46,28 +46,28 @@
   @Example
   void eachReadOfAFloodAddsNoShareOfItsOwn() throws Exception {
     Clock clock = new Clock();
-    LookClock looks = new LookClock(clock::now);
+    ReadinessClock looks = new ReadinessClock(clock::now);
     MultiThreadIoEventLoopGroup group =
-        new MultiThreadIoEventLoopGroup(1, Waiting.newFactory(looks));
+        new MultiThreadIoEventLoopGroup(1, PreciseSelectStrategy.newFactory(looks));
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
     AtomicInteger answered = new AtomicInteger();
     AtomicInteger most = new AtomicInteger();
     try {
-      Clients clients =
+      ClientSessions clients =
           loop.submit(
                   () -> {
-                    Clients made =
-                        new Clients(
-                            new Turn(loop, clock, looks),
+                    ClientSessions made =
+                        new ClientSessions(
+                            new LoopIteration(loop, clock, looks),
                             new Descriptors(50),
-                            Places.of(List.of("view")),
+                            WorkloadSlots.of(List.of("view")),
                             100,
-                            new Budget(1 << 24),
-                            new Tally(
+                            new MemoryBudget(1 << 24),
+                            new RateLimitedLog(
                                 LoggerFactory.getLogger(FloodTest.class),
                                 Event.CLIENT_BAD,
                                 clock::now),
-                            new Lives(null, clock::now));
+                            new StatementTrace(null, clock::now));
                     return made;
                   })
               .sync()
@@ -104,7 +104,7 @@
               InetAddress.getLoopbackAddress(),
               ((InetSocketAddress) listener.localAddress()).getPort())) {
         ByteBuf out = Unpooled.buffer();
-        Write.startup(out, "app", "shop");
+        MessageEncoder.startup(out, "app", "shop");
         for (int i = 0; i < FLOOD; i++) {
           out.writeBytes(EMPTY);
         }
--- a/router/src/test/java/basaltlever/net/HeldUpRouter.java
+++ b/router/src/test/java/basaltlever/net/HeldUpRouter.java
@@ -1,14 +1,14 @@
 package basaltlever.net;
 
-import basaltlever.config.Places;
 import basaltlever.config.StartFile;
-import basaltlever.core.Core;
-import basaltlever.core.Gauges;
-import basaltlever.core.Outside;
+import basaltlever.config.WorkloadSlots;
+import basaltlever.core.Effects;
+import basaltlever.core.LoadReportFormat;
+import basaltlever.core.StatementRouter;
 import basaltlever.log.Event;
-import basaltlever.log.Lives;
-import basaltlever.log.Tally;
-import basaltlever.pg.Budget;
+import basaltlever.log.RateLimitedLog;
+import basaltlever.log.StatementTrace;
+import basaltlever.pg.MemoryBudget;
 import basaltlever.time.Span;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -29,13 +29,13 @@
 final class HeldUpRouter implements AutoCloseable {
   private static final int QUEUE = 100;
   private final Clock clock = new Clock();
-  private final LookClock looks = new LookClock(clock::now);
+  private final ReadinessClock looks = new ReadinessClock(clock::now);
   final MultiThreadIoEventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, Waiting.newFactory(looks));
+      new MultiThreadIoEventLoopGroup(1, PreciseSelectStrategy.newFactory(looks));
   final SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-  Clients clients;
-  Carrier carrier;
-  Turn turn;
+  ClientSessions clients;
+  AttemptExecutor carrier;
+  LoopIteration turn;
 
   /** Whether the final answers of the decisions are given; nothing else that they want is done. */
   volatile boolean answers;
@@ -62,7 +62,7 @@
             turn,
             descriptors,
             QUEUE,
-            new Tally(
+            new RateLimitedLog(
                 LoggerFactory.getLogger(HeldUpRouter.class), Event.ACCEPT_PAUSED, clock::now));
     listener =
         new ServerBootstrap()
@@ -89,26 +89,26 @@
   @SuppressWarnings("unchecked")
   private Object build() throws Exception {
     var values = StartFile.read(Path.of("deploy/example.json")).values();
-    turn = new Turn(loop, clock, looks);
+    turn = new LoopIteration(loop, clock, looks);
     descriptors = new Descriptors(sockets);
     turn.last(descriptors::endLongestIdle);
-    Budget budget = new Budget(1 << 24);
-    Lives lives = new Lives(null, clock::now);
+    MemoryBudget budget = new MemoryBudget(1 << 24);
+    StatementTrace lives = new StatementTrace(null, clock::now);
     carrier =
-        new Carrier(
+        new AttemptExecutor(
             turn,
             loop,
             node -> null,
             node -> {},
-            new Gauges(List.of(), 0),
+            new LoadReportFormat(List.of(), 0),
             Span.ofMillis(100),
             budget,
             lives);
-    Outside<String> silent =
-        (Outside<String>)
+    Effects<String> silent =
+        (Effects<String>)
             Proxy.newProxyInstance(
                 getClass().getClassLoader(),
-                new Class<?>[] {Outside.class},
+                new Class<?>[] {Effects.class},
                 (proxy, method, arguments) -> {
                   if (throwsUp) {
                     throw new IllegalStateException("planted");
@@ -119,15 +119,17 @@
                   return null;
                 });
     clients =
-        new Clients(
+        new ClientSessions(
             turn,
             descriptors,
-            Places.of(values.workloadNames()),
+            WorkloadSlots.of(values.workloadNames()),
             500,
             budget,
-            new Tally(LoggerFactory.getLogger(HeldUpRouter.class), Event.CLIENT_BAD, clock::now),
+            new RateLimitedLog(
+                LoggerFactory.getLogger(HeldUpRouter.class), Event.CLIENT_BAD, clock::now),
             lives);
-    Core<String> core = new Core<>(silent, values.balance(1, clock.now(), values.holds()));
+    StatementRouter<String> core =
+        new StatementRouter<>(silent, values.balance(1, clock.now(), values.holds()));
     clients.serve(core, carrier);
     carrier.serve(core, () -> {});
     return null;
@@ -145,9 +147,11 @@
   }
 
   /** A turn whose loop tells nobody when it looks. */
-  static Turn turn(SingleThreadEventLoop loop) throws InterruptedException {
+  static LoopIteration turn(SingleThreadEventLoop loop) throws InterruptedException {
     Clock clock = new Clock();
-    return loop.submit(() -> new Turn(loop, clock, new LookClock(clock::now))).sync().getNow();
+    return loop.submit(() -> new LoopIteration(loop, clock, new ReadinessClock(clock::now)))
+        .sync()
+        .getNow();
   }
 
   void stall(long millis) {
--- a/router/src/test/java/basaltlever/net/KeepingTest.java
+++ b/router/src/test/java/basaltlever/net/LeaseGuardTest.java
@@ -2,15 +2,15 @@
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.agree.Grant;
-import basaltlever.agree.Report;
-import basaltlever.agree.Roll;
-import basaltlever.agree.Sight;
-import basaltlever.agree.Verdict;
-import basaltlever.agree.Version;
 import basaltlever.config.StartFile;
-import basaltlever.discovery.MemberList;
-import basaltlever.gateway.Agreed;
+import basaltlever.discovery.EndpointList;
+import basaltlever.gateway.Settings;
+import basaltlever.membership.HeartbeatReport;
+import basaltlever.membership.ListAgreement;
+import basaltlever.membership.MembershipUpdate;
+import basaltlever.membership.MembershipView;
+import basaltlever.settings.LeaseGrant;
+import basaltlever.settings.SettingsVersion;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.nio.file.Files;
@@ -19,7 +19,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-class KeepingTest {
+class LeaseGuardTest {
   private static final Span ASSIGNED = Span.ofMillis(3_000);
 
   /**
@@ -32,21 +32,36 @@
         Files.exists(Path.of("deploy"))
             ? Path.of("deploy/example.json")
             : Path.of("../deploy/example.json");
-    Roll roll = new Roll(Span.ofMillis(1_000), ASSIGNED);
-    MemberList list = new MemberList(null, List.of(), null);
+    MembershipView roll = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
+    EndpointList list = new EndpointList(null, List.of(), null);
     list.agreeBy(roll, () -> new Moment(0));
-    Keeping keeping =
-        new Keeping(StartFile.read(example), Span.NONE, roll, list, () -> {}, (file, holds) -> {});
-    Report report = roll.report(new Moment(0), member -> true);
-    Sight sight =
-        new Sight(
-            1, 0, List.of(), 0, Verdict.UNTOLD, report.at(), report.digest(), 0, 0, List.of());
+    LeaseGuard keeping =
+        new LeaseGuard(
+            StartFile.read(example), Span.NONE, roll, list, () -> {}, (file, holds) -> {});
+    HeartbeatReport report = roll.report(new Moment(0), member -> true);
+    MembershipUpdate sight =
+        new MembershipUpdate(
+            1,
+            0,
+            List.of(),
+            0,
+            ListAgreement.UNTOLD,
+            report.at(),
+            report.digest(),
+            0,
+            0,
+            List.of());
     Moment now = new Moment(1_000_000);
     for (int i = 0; i < 60; i++) {
       Span lasts = i < 3 ? Span.ofMillis(400) : Span.NONE;
       keeping.granted(
           now,
-          new Grant(keeping.follower().beat(now), lasts, new Version(0, "", 1, "", "", 0), null, 0),
+          new LeaseGrant(
+              keeping.follower().beat(now),
+              lasts,
+              new SettingsVersion(0, "", 1, "", "", 0),
+              null,
+              0),
           sight);
       check(i >= 3 || !roll.isAdrift(now), "under a lease");
       now = now.plus(Span.ofMillis(100));
@@ -57,18 +72,18 @@
     check(keeping.stance(now) >= 0, "and it knows: what is decided now may go out, to nobody");
   }
 
-  private static Agreed begins(Version told) throws Exception {
+  private static Settings begins(SettingsVersion told) throws Exception {
     Path example =
         Files.exists(Path.of("deploy"))
             ? Path.of("deploy/example.json")
             : Path.of("../deploy/example.json");
-    Roll roll = new Roll(Span.ofMillis(1_000), ASSIGNED);
-    MemberList list = new MemberList(null, List.of(), null);
+    MembershipView roll = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
+    EndpointList list = new EndpointList(null, List.of(), null);
     list.agreeBy(roll, () -> new Moment(0));
-    List<Agreed> kept = new ArrayList<>();
+    List<Settings> kept = new ArrayList<>();
     StartFile own = StartFile.read(example);
-    Keeping keeping =
-        new Keeping(
+    LeaseGuard keeping =
+        new LeaseGuard(
             own,
             Span.NONE,
             roll,
@@ -91,28 +106,30 @@
   @Example
   void aProcessThatStartsWithoutAWordKeepsToNothingLooserThanWhatItsLastOneWasTold()
       throws Exception {
-    Agreed own = begins(null);
-    Agreed more = begins(new Version(7, "", own.standing().routers() + 40, "ops", "grown", 1));
+    Settings own = begins(null);
+    Settings more =
+        begins(new SettingsVersion(7, "", own.standing().routers() + 40, "ops", "grown", 1));
     check(
         more.standing().routers() == own.standing().routers() + 40,
         "a smaller share of each cold node");
-    Agreed fewer = begins(new Version(8, "", 1, "ops", "shrunk", 1));
+    Settings fewer = begins(new SettingsVersion(8, "", 1, "ops", "shrunk", 1));
     check(
         fewer.standing().routers() == own.standing().routers(),
         "never a larger one than its file says");
-    for (Agreed holds : List.of(own, more, fewer)) {
+    for (Settings holds : List.of(own, more, fewer)) {
       check(
           holds.allowance().executions() == 1 && !holds.allowance().secondCopies(),
           "with care in any case");
     }
-    Agreed unread =
-        begins(new Version(9, "{\"Balancers\":\"many\"}", 90, "ops", "of a later release", 1));
+    Settings unread =
+        begins(
+            new SettingsVersion(9, "{\"Balancers\":\"many\"}", 90, "ops", "of a later release", 1));
     check(
         unread.standing().routers() == own.standing().routers(), "what can't be read is left out");
   }
 
   /** The example's settings, but for one thing. */
-  private static Version changed(String from, String to) throws Exception {
+  private static SettingsVersion changed(String from, String to) throws Exception {
     Path example =
         Files.exists(Path.of("deploy"))
             ? Path.of("deploy/example.json")
@@ -121,19 +138,19 @@
     String settings =
         text.substring(text.indexOf('{', text.indexOf("\"settings\"")), text.lastIndexOf('}'));
     check(settings.contains(from), from + " is in the example");
-    return new Version(7, settings.replace(from, to), 2, "ops", to, 1);
+    return new SettingsVersion(7, settings.replace(from, to), 2, "ops", to, 1);
   }
 
   @Example
   void whatItWasToldIsStricterKeyByKeyAndLeftOutWhereItIsOfOtherWorkloads() throws Exception {
-    Agreed own = begins(null);
-    Agreed colder = begins(changed("\"Cold\": 9000000", "\"Cold\": 19000000"));
+    Settings own = begins(null);
+    Settings colder = begins(changed("\"Cold\": 9000000", "\"Cold\": 19000000"));
     check(colder.warmUp().warmAfter().equals(Span.ofMillis(19_000)), "nodes warm for longer");
-    Agreed warmer = begins(changed("\"Cold\": 9000000", "\"Cold\": 1000000"));
+    Settings warmer = begins(changed("\"Cold\": 9000000", "\"Cold\": 1000000"));
     check(
         warmer.warmUp().warmAfter().equals(own.warmUp().warmAfter()),
         "and never for less than its file says");
-    Agreed renamed =
+    Settings renamed =
         begins(
             changed(
                 "\"list\", \"Repeat\": \"idempotent\", \"Slo\": 400000",
@@ -141,7 +158,7 @@
     check(
         renamed.workloads()[0].slo().equals(own.workloads()[0].slo()),
         "not the time of another workload");
-    Agreed flipped = begins(changed("[\"bounded\", \"write\"]", "[\"write\", \"bounded\"]"));
+    Settings flipped = begins(changed("[\"bounded\", \"write\"]", "[\"write\", \"bounded\"]"));
     check(flipped.workloads()[0].needs() == own.workloads()[0].needs(), "no write for a read");
   }
 }
--- a/router/src/test/java/basaltlever/net/WaitingTest.java
+++ b/router/src/test/java/basaltlever/net/PreciseSelectStrategyTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Example;
 
 /** A loop that has nothing to do but to wait for its next timer waits. */
-class WaitingTest {
+class PreciseSelectStrategyTest {
   private static final int TIMERS = 100;
 
   /** Counts the looks at the sockets. */
@@ -78,7 +78,8 @@
   void aTimerCostsOneLookAtTheSocketsAndNotOneAfterTheOther() throws Exception {
     AtomicLong looks = new AtomicLong();
     AtomicLong early = new AtomicLong();
-    IoHandlerFactory sockets = Waiting.newFactory(new LookClock(new Clock()::now));
+    IoHandlerFactory sockets =
+        PreciseSelectStrategy.newFactory(new ReadinessClock(new Clock()::now));
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(
             1, executor -> new Counted(sockets.newHandler(executor), looks));
--- a/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
+++ b/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
@@ -3,14 +3,14 @@
 import static basaltlever.StandIn.check;
 
 import basaltlever.SocketWorld;
-import basaltlever.core.Core;
-import basaltlever.discovery.MemberList;
-import basaltlever.gateway.Ending;
+import basaltlever.core.StatementRouter;
+import basaltlever.discovery.EndpointList;
+import basaltlever.gateway.AttemptOutcome;
 import basaltlever.log.Event;
-import basaltlever.log.Tally;
-import basaltlever.pg.Answer;
-import basaltlever.pg.Budget;
-import basaltlever.pg.Write;
+import basaltlever.log.RateLimitedLog;
+import basaltlever.pg.MemoryBudget;
+import basaltlever.pg.MessageEncoder;
+import basaltlever.pg.QueryResponse;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import io.netty.bootstrap.Bootstrap;
@@ -36,13 +36,13 @@
  */
 class SystemCallFaultsTest {
   /** Where it ended, and on which thread. */
-  private static final class Query extends Job {
+  private static final class Query extends ServerQuery {
     final CompletableFuture<String> became = new CompletableFuture<>();
 
     @Override
     void write(ByteBuf out) {
       became.complete("written");
-      Write.query(out, "SELECT 1");
+      MessageEncoder.query(out, "SELECT 1");
     }
 
     @Override
@@ -51,12 +51,12 @@
     }
 
     @Override
-    void answered(Answer answer) {
+    void answered(QueryResponse answer) {
       answer.release();
     }
 
     @Override
-    void lost(Ending ending) {
+    void lost(AttemptOutcome ending) {
       became.complete(ending + " on " + Thread.currentThread().getName());
     }
   }
@@ -81,21 +81,21 @@
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
     try (ServerSocket node = SocketWorld.listen(0)) {
       Bootstrap bootstrap = failing(loop, new AtomicInteger(3));
-      Turn turn = HeldUpRouter.turn(loop);
+      LoopIteration turn = HeldUpRouter.turn(loop);
       Descriptors descriptors = new Descriptors(64);
-      NodeLink link =
+      ConnectionPool link =
           loop.submit(
                   () ->
-                      new NodeLink(
+                      new ConnectionPool(
                           "s-1",
                           bootstrap,
                           loop,
                           turn,
                           descriptors,
-                          new Budget(1 << 20),
+                          new MemoryBudget(1 << 20),
                           Span.ofMillis(5_000),
                           Span.ofMillis(9_000),
-                          new Tally(
+                          new RateLimitedLog(
                               LoggerFactory.getLogger(SystemCallFaultsTest.class),
                               Event.NODE_BAD,
                               turn.clock()::now)))
@@ -118,7 +118,7 @@
       try (Socket opened = node.accept()) {
         opened.getInputStream().read(new byte[200]);
         ByteBuf welcome = io.netty.buffer.Unpooled.buffer();
-        Write.welcome(welcome);
+        MessageEncoder.welcome(welcome);
         SocketWorld.send(opened, welcome);
         check(next.became.get(1, TimeUnit.SECONDS).equals("written"), next.became.get());
       }
@@ -134,13 +134,14 @@
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
     try (ServerSocket discovery = SocketWorld.listen(0)) {
       SocketWorld.Silent outside = new SocketWorld.Silent();
-      Turn turn = HeldUpRouter.turn(loop);
+      LoopIteration turn = HeldUpRouter.turn(loop);
       Moment now = turn.clock().now();
-      Core<String> core =
-          new Core<>(outside, SocketWorld.values().balance(1, now, SocketWorld.values().holds()));
-      MemberList list = new MemberList(core, List.of(), (node, address) -> {});
-      Watch watch =
-          new Watch(
+      StatementRouter<String> core =
+          new StatementRouter<>(
+              outside, SocketWorld.values().balance(1, now, SocketWorld.values().holds()));
+      EndpointList list = new EndpointList(core, List.of(), (node, address) -> {});
+      DiscoveryWatch watch =
+          new DiscoveryWatch(
               failing(loop, new AtomicInteger(1)),
               (InetSocketAddress) discovery.getLocalSocketAddress(),
               turn,
--- a/router/src/test/java/basaltlever/net/WatchReadsTest.java
+++ b/router/src/test/java/basaltlever/net/WatchReadsTest.java
@@ -3,8 +3,8 @@
 import static basaltlever.StandIn.check;
 
 import basaltlever.SocketWorld;
-import basaltlever.core.Core;
-import basaltlever.discovery.MemberList;
+import basaltlever.core.StatementRouter;
+import basaltlever.discovery.EndpointList;
 import basaltlever.log.Counter;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -52,11 +52,11 @@
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
     try (ServerSocket discovery = SocketWorld.listen(0)) {
-      Turn turn = HeldUpRouter.turn(loop);
-      Core<String> core = SocketWorld.core();
-      MemberList list = new MemberList(core, List.of("a"), (node, address) -> {});
-      Watch watch =
-          new Watch(
+      LoopIteration turn = HeldUpRouter.turn(loop);
+      StatementRouter<String> core = SocketWorld.core();
+      EndpointList list = new EndpointList(core, List.of("a"), (node, address) -> {});
+      DiscoveryWatch watch =
+          new DiscoveryWatch(
               new Bootstrap().group(loop).channel(NioSocketChannel.class),
               (InetSocketAddress) discovery.getLocalSocketAddress(),
               turn,
--- a/router/src/test/java/basaltlever/pg/ArrivalsTest.java
+++ b/router/src/test/java/basaltlever/pg/ArrivalTimesTest.java
@@ -10,11 +10,11 @@
 import net.jqwik.api.Property;
 
 /** Against a list with the moment of each byte. */
-class ArrivalsTest {
+class ArrivalTimesTest {
   @Property(tries = 300, seed = "282")
   void aMessageCameWithItsLastByteOrCountsAsOlder(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    Arrivals arrivals = new Arrivals();
+    ArrivalTimes arrivals = new ArrivalTimes();
     List<Moment> bytes = new ArrayList<>();
     int cut = 0;
     for (int step = 0; step < 200; step++) {
--- a/router/src/test/java/basaltlever/agree/ListsTest.java
+++ b/router/src/test/java/basaltlever/settings/EndpointListAgreementTest.java
@@ -1,8 +1,17 @@
-package basaltlever.agree;
+package basaltlever.settings;
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.gateway.Listing;
+import basaltlever.gateway.EndpointLifecycle;
+import basaltlever.membership.GroupAssignment;
+import basaltlever.membership.HeartbeatReport;
+import basaltlever.membership.ListAgreement;
+import basaltlever.membership.ListAnomaly;
+import basaltlever.membership.ListVersion;
+import basaltlever.membership.ListedEndpoint;
+import basaltlever.membership.MembershipCoordinator;
+import basaltlever.membership.MembershipUpdate;
+import basaltlever.membership.MembershipView;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.ArrayList;
@@ -19,7 +28,7 @@
  * groups. The judge are the members, which see who comes for which group, and the truth of which
  * discovery tells.
  */
-class ListsTest {
+class EndpointListAgreementTest {
   private static final long STATED = 1_000_000;
   private static final Span ASSIGNED = Span.ofMillis(3_000);
 
@@ -31,7 +40,7 @@
   /** What came to a member. */
   private static final class Member {
     int group;
-    Listing listing = Listing.READY;
+    EndpointLifecycle listing = EndpointLifecycle.READY;
     int moves;
     int flips;
     int last = -1;
@@ -42,22 +51,22 @@
         new HashMap<>(Map.of(1, new HashMap<>(), 2, new HashMap<>()));
   }
 
-  private record Drain(String member, long generation, long at, FleetRun.Router by) {}
+  private record Drain(String member, long generation, long at, VirtualFleet.Router by) {}
 
   private static final class Holder {
-    Roll roll;
+    MembershipView roll;
     final Map<String, Integer> out = new HashMap<>();
     long startsAt;
     boolean late;
     long deafUntil;
   }
 
-  private static final class Run extends FleetRun {
+  private static final class Run extends VirtualFleet {
     final Map<String, Member> members = new TreeMap<>();
     final List<Holder> more = new ArrayList<>();
-    final Map<Leader, Census> censuses = new HashMap<>();
+    final Map<Leader, MembershipCoordinator> censuses = new HashMap<>();
     final List<Drain> drains = new ArrayList<>();
-    final List<Map<String, Said>> history = new ArrayList<>();
+    final List<Map<String, ListedEndpoint>> history = new ArrayList<>();
 
     /** Far from where one that lost its state begins: nobody could tell the two rows apart else. */
     long generation = 1_000;
@@ -78,7 +87,7 @@
         member.group = 1 + i % 2;
         members.put("m" + names++, member);
       }
-      for (FleetRun.Router router : routers) {
+      for (VirtualFleet.Router router : routers) {
         Holder own = new Holder();
         more.add(own);
         begin(router);
@@ -93,14 +102,14 @@
       after(700_000, this::changes);
     }
 
-    Holder of(FleetRun.Router router) {
+    Holder of(VirtualFleet.Router router) {
       return more.get(router.number);
     }
 
-    void begin(FleetRun.Router router) {
+    void begin(VirtualFleet.Router router) {
       Holder own = of(router);
       own.roll =
-          new Roll(
+          new MembershipView(
               Span.ofMillis(STATED / 1_000),
               bug == Bug.NEVER_ADRIFT ? ASSIGNED.times(1_000) : ASSIGNED);
       own.out.clear();
@@ -110,7 +119,7 @@
     }
 
     @Override
-    void restarted(FleetRun.Router router) {
+    void restarted(VirtualFleet.Router router) {
       begin(router);
     }
 
@@ -124,22 +133,22 @@
       for (int i = 0; i < routers.size(); i++) {
         names.add("r" + i);
       }
-      Census census =
+      MembershipCoordinator census =
           censuses.computeIfAbsent(
-              leader, l -> new Census(l.leases, names, ASSIGNED.plus(LONGEST)));
+              leader, l -> new MembershipCoordinator(l.leases, names, ASSIGNED.plus(LONGEST)));
       census.elected(clock(leader), 1 + orders++);
     }
 
     @Override
-    Report says(FleetRun.Router router) {
+    HeartbeatReport says(VirtualFleet.Router router) {
       Holder own = of(router);
-      Report report =
+      HeartbeatReport report =
           own.roll.report(
               clock(router),
               member -> bug == Bug.LETS_GO_EARLY || own.out.getOrDefault(member, 0) == 0);
       return bug != Bug.MARKS_KEPT_TO_ITSELF
           ? report
-          : new Report(
+          : new HeartbeatReport(
               report.at(),
               report.digest(),
               report.doubt(),
@@ -153,12 +162,12 @@
     }
 
     @Override
-    Sight answers(Leader leader, FleetRun.Router router, Report report) {
-      Sight sight =
+    MembershipUpdate answers(Leader leader, VirtualFleet.Router router, HeartbeatReport report) {
+      MembershipUpdate sight =
           censuses.get(leader).beat(clock(leader), "r" + router.number, report, knownTo(leader));
       return bug != Bug.MOVES_AT_ONCE
           ? sight
-          : new Sight(
+          : new MembershipUpdate(
               sight.book(),
               sight.place(),
               sight.marks(),
@@ -169,17 +178,17 @@
               sight.era(),
               sight.seatsNumber(),
               sight.seats().stream()
-                  .map(seat -> new Seat(seat.member(), seat.group(), seat.at(), true))
+                  .map(seat -> new GroupAssignment(seat.member(), seat.group(), seat.at(), true))
                   .toList());
     }
 
     @Override
-    void leased(FleetRun.Router router) {
+    void leased(VirtualFleet.Router router) {
       of(router).roll.leased(router.follower.leaseEnds());
     }
 
     @Override
-    void hears(FleetRun.Router router, Sight sight) {
+    void hears(VirtualFleet.Router router, MembershipUpdate sight) {
       Holder own = of(router);
       if (sight != null && now >= own.startsAt) {
         own.roll.heard(clock(router), sight);
@@ -192,10 +201,10 @@
 
     @Override
     void steps(Leader leader) {
-      Census.Step step = censuses.get(leader).next(clock(leader), register);
+      MembershipCoordinator.Step step = censuses.get(leader).next(clock(leader), register);
       switch (step.kind()) {
         case SEAT -> {
-          for (Seat seat : step.seats()) {
+          for (GroupAssignment seat : step.seats()) {
             register.seat(seat.member(), seat.group(), seat.at());
             if (bug == Bug.CLEARS_EARLY) {
               register.clear(seat.member());
@@ -203,7 +212,7 @@
           }
         }
         case CLEAR -> {
-          for (Seat seat : step.seats()) {
+          for (GroupAssignment seat : step.seats()) {
             cleared += register.clear(seat.member()) ? 1 : 0;
           }
         }
@@ -214,12 +223,12 @@
 
     // ---- Discovery.
 
-    Map<String, Said> truth() {
-      Map<String, Said> list = new TreeMap<>();
+    Map<String, ListedEndpoint> truth() {
+      Map<String, ListedEndpoint> list = new TreeMap<>();
       members.forEach(
           (name, member) -> {
-            if (member.listing != Listing.GONE) {
-              list.put(name, new Said(member.listing, member.group));
+            if (member.listing != EndpointLifecycle.GONE) {
+              list.put(name, new ListedEndpoint(member.listing, member.group));
             }
           });
       return list;
@@ -227,7 +236,7 @@
 
     Member some() {
       List<Member> serving =
-          members.values().stream().filter(one -> one.listing != Listing.GONE).toList();
+          members.values().stream().filter(one -> one.listing != EndpointLifecycle.GONE).toList();
       return serving.get(chance.nextInt(serving.size()));
     }
 
@@ -242,13 +251,14 @@
         return;
       }
       after(400_000 + chance.nextInt(900_000), this::changes);
-      long ready = members.values().stream().filter(one -> one.listing == Listing.READY).count();
+      long ready =
+          members.values().stream().filter(one -> one.listing == EndpointLifecycle.READY).count();
       String drained = "";
       Member one = some();
       switch (chance.nextInt(6)) {
         case 0, 1 -> {
-          if (ready > 5 && one.listing == Listing.READY) {
-            one.listing = Listing.DRAINING;
+          if (ready > 5 && one.listing == EndpointLifecycle.READY) {
+            one.listing = EndpointLifecycle.DRAINING;
             drained =
                 members.entrySet().stream()
                     .filter(entry -> entry.getValue() == one)
@@ -259,11 +269,11 @@
         }
         case 2 ->
             members.values().stream()
-                .filter(any -> any.listing == Listing.DRAINING)
+                .filter(any -> any.listing == EndpointLifecycle.DRAINING)
                 .findFirst()
                 .ifPresent(
                     any -> {
-                      any.listing = Listing.READY;
+                      any.listing = EndpointLifecycle.READY;
                       any.readyAt = now + 2_500_000;
                     });
         case 3 -> {
@@ -278,8 +288,8 @@
           }
         }
         default -> {
-          if (ready > 5 && one.listing == Listing.READY) {
-            one.listing = Listing.GONE;
+          if (ready > 5 && one.listing == EndpointLifecycle.READY) {
+            one.listing = EndpointLifecycle.GONE;
           }
         }
       }
@@ -293,12 +303,12 @@
       }
       generation++;
       history.add(truth());
-      for (FleetRun.Router router : routers) {
+      for (VirtualFleet.Router router : routers) {
         Holder own = of(router);
         own.late = router.number % 3 == 2 && chance.nextInt(2) == 0;
         long late = own.late ? chance.nextInt(2_500_000) : 2_000 + chance.nextInt(40_000);
         long incarnation = router.incarnation;
-        Map<String, Said> list = odd(router);
+        Map<String, ListedEndpoint> list = odd(router);
         long of = generation;
         String member = drained;
         long counted = eras;
@@ -312,7 +322,7 @@
               if (!member.isEmpty()
                   && list.get(member) != null
                   && router.incarnation == incarnation
-                  && list.get(member).listing() == Listing.DRAINING) {
+                  && list.get(member).listing() == EndpointLifecycle.DRAINING) {
                 long told = now;
                 after(
                     LEASE.micros() + 20_000,
@@ -332,18 +342,21 @@
     }
 
     /** One router in some is told another thing under the same generation. */
-    Map<String, Said> odd(FleetRun.Router router) {
-      Map<String, Said> list = new TreeMap<>(truth());
+    Map<String, ListedEndpoint> odd(VirtualFleet.Router router) {
+      Map<String, ListedEndpoint> list = new TreeMap<>(truth());
       if (router.number == 1 && routers.size() > 3 && chance.nextInt(4) == 0) {
-        list.put("ghost" + chance.nextInt(3), new Said(Listing.READY, 1));
+        list.put("ghost" + chance.nextInt(3), new ListedEndpoint(EndpointLifecycle.READY, 1));
         list.replaceAll(
             (name, said) ->
-                new Said(Listing.READY, chance.nextInt(5) == 0 ? 3 - said.group() : said.group()));
+                new ListedEndpoint(
+                    EndpointLifecycle.READY,
+                    chance.nextInt(5) == 0 ? 3 - said.group() : said.group()));
       }
       return list;
     }
 
-    void tell(FleetRun.Router router, long incarnation, Map<String, Said> list, long of) {
+    void tell(
+        VirtualFleet.Router router, long incarnation, Map<String, ListedEndpoint> list, long of) {
       Holder own = of(router);
       if (router.incarnation == incarnation && now < router.stoppedUntil) {
         // It reads what had come once it goes on.
@@ -360,7 +373,7 @@
       if (router.incarnation != incarnation || now < own.deafUntil) {
         return;
       }
-      Stamp at = own.roll.at();
+      ListVersion at = own.roll.at();
       if (at.generation() > of && eras == 0 && chance.nextInt(3) > 0 && now < FAULTS_END) {
         return;
       }
@@ -370,7 +383,7 @@
         own.roll.told(clock, true, of, Map.of());
         held++;
       } else if (odd == 2) {
-        Map<String, Said> few = new TreeMap<>(list);
+        Map<String, ListedEndpoint> few = new TreeMap<>(list);
         few.keySet().retainAll(list.keySet().stream().limit(2).toList());
         own.roll.told(clock, true, of, few);
         held++;
@@ -390,15 +403,15 @@
 
     // ---- What members see.
 
-    void visits(FleetRun.Router router) {
+    void visits(VirtualFleet.Router router) {
       after(10_000 + chance.nextInt(20_000), () -> visits(router));
       Holder own = of(router);
       if (now < router.stoppedUntil || now < own.startsAt) {
         return;
       }
       for (String name : own.roll.members()) {
-        Roll.Use use = own.roll.use(clock(router), name);
-        if (use.listing() != Listing.READY || chance.nextInt(3) > 0) {
+        MembershipView.MemberUse use = own.roll.use(clock(router), name);
+        if (use.listing() != EndpointLifecycle.READY || chance.nextInt(3) > 0) {
           continue;
         }
         if (name.startsWith("ghost")) {
@@ -473,11 +486,11 @@
           // Who was told and its leader, which both know, are not lost at once.
           continue;
         }
-        for (FleetRun.Router router : routers) {
+        for (VirtualFleet.Router router : routers) {
           Holder own = of(router);
           if (now >= router.stoppedUntil
               && !router.follower.isCareful()
-              && own.roll.use(clock(router), drain.member).listing() == Listing.READY
+              && own.roll.use(clock(router), drain.member).listing() == EndpointLifecycle.READY
               && drains(drain)) {
             broken =
                 drain.member
@@ -498,14 +511,14 @@
     /** Every list since has said so. */
     private boolean drains(Drain drain) {
       Member member = members.get(drain.member);
-      return member.listing != Listing.READY && member.readyAt < drain.at;
+      return member.listing != EndpointLifecycle.READY && member.readyAt < drain.at;
     }
 
     String ends() {
-      for (FleetRun.Router router : routers) {
-        Roll roll = of(router).roll;
-        for (Map.Entry<String, Said> entry : truth().entrySet()) {
-          Roll.Use use = roll.use(clock(router), entry.getKey());
+      for (VirtualFleet.Router router : routers) {
+        MembershipView roll = of(router).roll;
+        for (Map.Entry<String, ListedEndpoint> entry : truth().entrySet()) {
+          MembershipView.MemberUse use = roll.use(clock(router), entry.getKey());
           if (use.listing() != entry.getValue().listing()
               || use.group() != entry.getValue().group()) {
             return "r"
@@ -535,7 +548,7 @@
       if (chance.nextInt(12) == 0) {
         // From its voters and its discovery, and not from members and clients; longer than groups
         // hold.
-        FleetRun.Router router = routers.get(chance.nextInt(routers.size()));
+        VirtualFleet.Router router = routers.get(chance.nextInt(routers.size()));
         long until = now + 6_000_000 + chance.nextInt(3_000_000);
         of(router).deafUntil = until;
         router.cutUntil = until;
@@ -552,7 +565,7 @@
     int cleared = 0;
     int held = 0;
     for (int seed = 0; seed < 60; seed++) {
-      Run run = new Run(seed, FleetRun.Bug.NONE, 4 + seed % 6);
+      Run run = new Run(seed, VirtualFleet.Bug.NONE, 4 + seed % 6);
       String broken = run.play(FAULTS_END + 20_000_000);
       check(broken.isEmpty(), "seed " + seed + ": " + broken);
       check(run.ends().isEmpty(), "seed " + seed + ": " + run.ends());
@@ -564,8 +577,8 @@
 
   @Example
   void plantedBugsAreFound() {
-    for (FleetRun.Bug bug :
-        EnumSet.range(FleetRun.Bug.MARKS_KEPT_TO_ITSELF, FleetRun.Bug.OLDER_LIST_TAKEN)) {
+    for (VirtualFleet.Bug bug :
+        EnumSet.range(VirtualFleet.Bug.MARKS_KEPT_TO_ITSELF, VirtualFleet.Bug.OLDER_LIST_TAKEN)) {
       boolean found = false;
       for (int seed = 0; seed < 60 && !found; seed++) {
         found = !new Run(seed, bug, 6).play(FAULTS_END).isEmpty();
@@ -574,12 +587,17 @@
     }
   }
 
-  private static Map<String, Said> list(Listing listing, int group) {
-    return Map.of("m", new Said(listing, group), "n", new Said(Listing.READY, 1));
+  private static Map<String, ListedEndpoint> list(EndpointLifecycle listing, int group) {
+    return Map.of(
+        "m",
+        new ListedEndpoint(listing, group),
+        "n",
+        new ListedEndpoint(EndpointLifecycle.READY, 1));
   }
 
-  private static Sight sight(long book, long seats, Report of, Verdict verdict) {
-    return new Sight(
+  private static MembershipUpdate sight(
+      long book, long seats, HeartbeatReport of, ListAgreement verdict) {
+    return new MembershipUpdate(
         book,
         0,
         List.of(),
@@ -589,7 +607,9 @@
         of.digest(),
         0,
         seats,
-        List.of(new Seat("m", 1, new Stamp(0, 1), true), new Seat("n", 1, new Stamp(0, 1), true)));
+        List.of(
+            new GroupAssignment("m", 1, new ListVersion(0, 1), true),
+            new GroupAssignment("n", 1, new ListVersion(0, 1), true)));
   }
 
   /**
@@ -598,32 +618,38 @@
   @Example
   void whoHoldsAListOffWantsNothingOfAnother() {
     Moment now = new Moment(1_000_000);
-    Roll roll = new Roll(Span.ofMillis(1_000), ASSIGNED);
-    roll.told(now, true, 5, list(Listing.READY, 2));
-    roll.heard(now, sight(1, 1, roll.report(now, member -> true), Verdict.SEEN));
+    MembershipView roll = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
+    roll.told(now, true, 5, list(EndpointLifecycle.READY, 2));
+    roll.heard(now, sight(1, 1, roll.report(now, member -> true), ListAgreement.SEEN));
     check(roll.report(now, member -> true).wanted().size() == 1, "its list has a member elsewhere");
-    check(roll.told(now, true, 4, list(Listing.READY, 1)) == Doubt.BACK, "it goes back");
+    check(
+        roll.told(now, true, 4, list(EndpointLifecycle.READY, 1)) == ListAnomaly.BACK,
+        "it goes back");
     check(roll.report(now, member -> true).wanted().isEmpty(), "and says nothing of groups");
   }
 
   @Example
   void whatAListForbidsBindsAtOnceAndWhatItAllowsWaits() {
     Moment now = new Moment(1_000_000);
-    Roll roll = new Roll(Span.ofMillis(1_000), ASSIGNED);
-    roll.told(now, true, 2, list(Listing.READY, 1));
-    roll.heard(now, sight(1, 1, roll.report(now, member -> true), Verdict.SEEN));
+    MembershipView roll = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
+    roll.told(now, true, 2, list(EndpointLifecycle.READY, 1));
+    roll.heard(now, sight(1, 1, roll.report(now, member -> true), ListAgreement.SEEN));
     roll.leased(now);
-    check(roll.use(now, "m").listing() == Listing.READY, "settled, and in its seat");
-    roll.told(now, true, 3, list(Listing.DRAINING, 1));
-    check(roll.use(now, "m").listing() == Listing.DRAINING, "at once");
-    roll.told(now, true, 4, list(Listing.READY, 1));
-    check(roll.use(now, "m").listing() == Listing.DRAINING, "nobody has borne it out");
-    roll.heard(now, sight(1, 1, roll.report(now, member -> true), Verdict.DISPUTED));
-    check(roll.use(now.plus(ASSIGNED), "m").listing() == Listing.DRAINING, "others hold another");
-    roll.heard(now, sight(1, 1, roll.report(now, member -> true), Verdict.SEEN));
-    check(roll.use(now, "m").listing() == Listing.READY, "most hold it");
-    check(roll.told(now, true, 5, Map.of()) == Doubt.EMPTY, "an empty one");
-    check(roll.use(now, "m").listing() == Listing.READY, "is used for nothing");
-    check(roll.use(now.plus(ASSIGNED.times(1.1)), "m").listing() == Listing.DRAINING, "adrift");
+    check(roll.use(now, "m").listing() == EndpointLifecycle.READY, "settled, and in its seat");
+    roll.told(now, true, 3, list(EndpointLifecycle.DRAINING, 1));
+    check(roll.use(now, "m").listing() == EndpointLifecycle.DRAINING, "at once");
+    roll.told(now, true, 4, list(EndpointLifecycle.READY, 1));
+    check(roll.use(now, "m").listing() == EndpointLifecycle.DRAINING, "nobody has borne it out");
+    roll.heard(now, sight(1, 1, roll.report(now, member -> true), ListAgreement.DISPUTED));
+    check(
+        roll.use(now.plus(ASSIGNED), "m").listing() == EndpointLifecycle.DRAINING,
+        "others hold another");
+    roll.heard(now, sight(1, 1, roll.report(now, member -> true), ListAgreement.SEEN));
+    check(roll.use(now, "m").listing() == EndpointLifecycle.READY, "most hold it");
+    check(roll.told(now, true, 5, Map.of()) == ListAnomaly.EMPTY, "an empty one");
+    check(roll.use(now, "m").listing() == EndpointLifecycle.READY, "is used for nothing");
+    check(
+        roll.use(now.plus(ASSIGNED.times(1.1)), "m").listing() == EndpointLifecycle.DRAINING,
+        "adrift");
   }
 }
--- a/router/src/test/java/basaltlever/agree/AgreementTest.java
+++ b/router/src/test/java/basaltlever/settings/SettingsAgreementTest.java
@@ -1,4 +1,4 @@
-package basaltlever.agree;
+package basaltlever.settings;
 
 import static basaltlever.StandIn.check;
 
@@ -10,12 +10,12 @@
  * Leases and versions: after each step no two routers may act on versions of which neither keeps to
  * the other.
  */
-class AgreementTest {
+class SettingsAgreementTest {
   @Example
   void noTwoRoutersEverActOnContradictingVersions() {
     int inForce = 0;
     for (int seed = 0; seed < 150; seed++) {
-      FleetRun run = new FleetRun(seed, FleetRun.Bug.NONE, 3 + seed % 10);
+      VirtualFleet run = new VirtualFleet(seed, VirtualFleet.Bug.NONE, 3 + seed % 10);
       String broken = run.play(12_000_000);
       check(broken.isEmpty(), "seed " + seed + ": " + broken);
       inForce += run.inForce;
@@ -25,10 +25,10 @@
 
   @Example
   void plantedBugsAreFound() {
-    for (FleetRun.Bug bug : EnumSet.range(FleetRun.Bug.NO_LEASE, FleetRun.Bug.SHARES)) {
+    for (VirtualFleet.Bug bug : EnumSet.range(VirtualFleet.Bug.NO_LEASE, VirtualFleet.Bug.SHARES)) {
       boolean found = false;
       for (int seed = 0; seed < 60 && !found; seed++) {
-        found = !new FleetRun(seed, bug, 6).play(12_000_000).isEmpty();
+        found = !new VirtualFleet(seed, bug, 6).play(12_000_000).isEmpty();
       }
       check(found, bug + " was not found");
     }
@@ -37,15 +37,18 @@
   /** It was replaced without knowing it, and knows nothing of what its successor was promised. */
   @Example
   void aFormerLeadersOlderRegisterUndoesNoPromise() {
-    Version force = new Version(12, "", 1, "", "", 0);
-    Version next = new Version(13, "", 1, "", "", 0);
-    Follower follower = new Follower();
-    follower.granted(at(0), new Grant(follower.beat(at(0)), FleetRun.LEASE, force, next, 5));
+    SettingsVersion force = new SettingsVersion(12, "", 1, "", "", 0);
+    SettingsVersion next = new SettingsVersion(13, "", 1, "", "", 0);
+    LeaseHolder follower = new LeaseHolder();
+    follower.granted(
+        at(0), new LeaseGrant(follower.beat(at(0)), VirtualFleet.LEASE, force, next, 5));
     check(follower.keepsTo() == 13, "it keeps to what is on its way");
     boolean taken =
-        follower.granted(at(9), new Grant(follower.beat(at(9)), FleetRun.LEASE, force, null, 4));
+        follower.granted(
+            at(9), new LeaseGrant(follower.beat(at(9)), VirtualFleet.LEASE, force, null, 4));
     check(!taken && follower.keepsTo() == 13, "it keeps to it still, under the lease that goes on");
-    follower.granted(at(9), new Grant(follower.beat(at(9)), FleetRun.LEASE, force, null, 6));
+    follower.granted(
+        at(9), new LeaseGrant(follower.beat(at(9)), VirtualFleet.LEASE, force, null, 6));
     check(follower.keepsTo() == 0, "it was withdrawn");
   }
 
--- a/router/src/test/java/basaltlever/agree/MeetTest.java
+++ b/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
@@ -1,18 +1,18 @@
-package basaltlever.agree;
+package basaltlever.settings;
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.gateway.Agreed;
-import basaltlever.gateway.Allowance;
-import basaltlever.gateway.Connections;
-import basaltlever.gateway.Drains;
+import basaltlever.gateway.AttemptLimits;
+import basaltlever.gateway.DrainPolicy;
+import basaltlever.gateway.PoolSettings;
 import basaltlever.gateway.Replication;
-import basaltlever.gateway.Standing;
-import basaltlever.gateway.WarmUp;
+import basaltlever.gateway.RouterIdentity;
+import basaltlever.gateway.Settings;
+import basaltlever.gateway.SlowStartPolicy;
 import basaltlever.gateway.Workload;
-import basaltlever.gateway.Workload.Needs;
-import basaltlever.gateway.Workload.Repeat;
-import basaltlever.gateway.Workload.Within;
+import basaltlever.gateway.Workload.DeduplicationScope;
+import basaltlever.gateway.Workload.Idempotency;
+import basaltlever.gateway.Workload.ReadConsistency;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.List;
@@ -22,41 +22,42 @@
 
 /** Seen through what a router might do: what the meet allows, both allow. */
 @SuppressWarnings("ReferenceEquality") // Asks which of two values it holds.
-class MeetTest {
-  private static Agreed any(SplittableRandom chance) {
+class StricterSettingsTest {
+  private static Settings any(SplittableRandom chance) {
     Workload[] kinds = new Workload[3];
     for (int i = 0; i < kinds.length; i++) {
-      Needs needs = i == 0 ? Needs.WRITE : Needs.values()[1 + chance.nextInt(4)];
+      ReadConsistency needs =
+          i == 0 ? ReadConsistency.WRITE : ReadConsistency.values()[1 + chance.nextInt(4)];
       kinds[i] =
           new Workload(
               needs,
-              Span.ofMillis(needs == Needs.BOUNDED ? chance.nextInt(900) : 0),
-              Repeat.values()[chance.nextInt(3)],
-              Within.values()[chance.nextInt(3)],
+              Span.ofMillis(needs == ReadConsistency.BOUNDED ? chance.nextInt(900) : 0),
+              Idempotency.values()[chance.nextInt(3)],
+              DeduplicationScope.values()[chance.nextInt(3)],
               Span.ofMillis(chance.nextInt(900)),
               Span.ofMillis(300),
               Span.ofMillis(900),
               1,
               0);
     }
-    return new Agreed(
-        new Standing(1 + chance.nextInt(9), 0, 0, 0),
+    return new Settings(
+        new RouterIdentity(1 + chance.nextInt(9), 0, 0, 0),
         kinds,
         new Replication(chance.nextBoolean(), chance.nextBoolean(), chance.nextBoolean()),
-        new Drains(true, Span.ofMillis(chance.nextInt(900)), chance.nextBoolean()),
-        new WarmUp(
+        new DrainPolicy(true, Span.ofMillis(chance.nextInt(900)), chance.nextBoolean()),
+        new SlowStartPolicy(
             chance.nextDouble(),
             Span.ofMillis(1 + chance.nextInt(900)),
             1 + chance.nextInt(5),
             Span.ofMillis(1 + chance.nextInt(900))),
-        new Allowance(
+        new AttemptLimits(
             1 + chance.nextInt(6),
             chance.nextBoolean(),
             chance.nextBoolean(),
             true,
             Span.ofMillis(chance.nextInt(900)),
             Span.ofMillis(20)),
-        new Connections(1 + chance.nextInt(3), Span.ofMillis(chance.nextInt(900))));
+        new PoolSettings(1 + chance.nextInt(3), Span.ofMillis(chance.nextInt(900))));
   }
 
   /**
@@ -64,11 +65,11 @@
    * not?
    */
   private static boolean mayRepeat(Workload kind, int millis, boolean sameZone, boolean sameGroup) {
-    return kind.repeat() == Repeat.IDEMPOTENT
-        || (kind.repeat() == Repeat.DEDUPLICATED
+    return kind.repeat() == Idempotency.IDEMPOTENT
+        || (kind.repeat() == Idempotency.DEDUPLICATED
             && millis < kind.window().micros() / 1_000
-            && (kind.within() == Within.ALL
-                || (kind.within() == Within.ZONE ? sameZone : sameGroup)));
+            && (kind.within() == DeduplicationScope.ALL
+                || (kind.within() == DeduplicationScope.ZONE ? sameZone : sameGroup)));
   }
 
   /** May a replica answer that lacks so much, to a session that has written or not? */
@@ -84,11 +85,11 @@
   @Property(tries = 2_000, seed = "291")
   void whatTheMeetAllowsBothAllow(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    Agreed older = any(chance);
-    Agreed newer = any(chance);
-    Agreed meet = Meet.of(older, newer);
-    for (Agreed strict : List.of(meet, Meet.careful(newer))) {
-      for (Agreed one : strict == meet ? List.of(older, newer) : List.of(older, newer, meet)) {
+    Settings older = any(chance);
+    Settings newer = any(chance);
+    Settings meet = StricterSettings.of(older, newer);
+    for (Settings strict : List.of(meet, StricterSettings.careful(newer))) {
+      for (Settings one : strict == meet ? List.of(older, newer) : List.of(older, newer, meet)) {
         noMore(chance, strict, one);
       }
     }
@@ -96,13 +97,17 @@
         older.replication().sessionsCarryTokens() == newer.replication().sessionsCarryTokens();
     check(
         tokens
-            || List.of(meet.workloads()).stream().noneMatch(kind -> kind.needs() == Needs.SESSION),
+            || List.of(meet.workloads()).stream()
+                .noneMatch(kind -> kind.needs() == ReadConsistency.SESSION),
         "where a session's commit is to be found differs, so none relies on it");
-    check(Meet.exclusive(older, newer).isEmpty(), "reads and writes stay what they are");
-    check(Meet.of(newer, newer).allowance().equals(newer.allowance()), "a version meets itself");
+    check(
+        StricterSettings.exclusive(older, newer).isEmpty(), "reads and writes stay what they are");
+    check(
+        StricterSettings.of(newer, newer).allowance().equals(newer.allowance()),
+        "a version meets itself");
   }
 
-  private static void noMore(SplittableRandom chance, Agreed strict, Agreed one) {
+  private static void noMore(SplittableRandom chance, Settings strict, Settings one) {
     for (int i = 0; i < 3; i++) {
       Workload kind = strict.workloads()[i];
       Workload other = one.workloads()[i];
@@ -116,9 +121,9 @@
         // A session's read and one of a bounded age are no stricter than each other: fresh reads
         // are.
         boolean compares =
-            kind.needs() == Needs.FRESH
+            kind.needs() == ReadConsistency.FRESH
                 || kind.needs() == other.needs()
-                || other.needs() == Needs.ANY;
+                || other.needs() == ReadConsistency.ANY;
         check(
             i == 0 || !compares || !mayRead(kind, millis, zone) || mayRead(other, millis, zone),
             "reads: " + kind + " and " + other);
@@ -134,11 +139,11 @@
   @Property(tries = 500, seed = "292")
   void sharesAndBudgetsAreNoLarger(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    Agreed older = any(chance);
-    Agreed newer = any(chance);
-    Agreed meet = Meet.of(older, newer);
+    Settings older = any(chance);
+    Settings newer = any(chance);
+    Settings meet = StricterSettings.of(older, newer);
     Span age = new Moment(chance.nextInt(1_000_000)).since(new Moment(0));
-    for (Agreed one : List.of(older, newer)) {
+    for (Settings one : List.of(older, newer)) {
       check(
           meet.warmUp().at(age) * meet.warmUp().topplesAt() / meet.standing().routers()
               <= one.warmUp().at(age) * one.warmUp().topplesAt() / one.standing().routers() + 1e-9,
--- a/router/src/test/java/basaltlever/agree/FleetRun.java
+++ b/router/src/test/java/basaltlever/settings/VirtualFleet.java
@@ -1,5 +1,7 @@
-package basaltlever.agree;
+package basaltlever.settings;
 
+import basaltlever.membership.HeartbeatReport;
+import basaltlever.membership.MembershipUpdate;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.ArrayList;
@@ -16,7 +18,7 @@
  * knowing it. The engine is stood in for by one register, the order of elections, and the rule that
  * an old leader's commands are taken no more once another was elected.
  */
-class FleetRun {
+class VirtualFleet {
   static final Span LEASE = Span.ofMillis(400);
   static final double DRIFT = 0.02;
 
@@ -39,7 +41,7 @@
   private record Due(long at, long order, Runnable what) {}
 
   static final class Router {
-    Follower follower = new Follower();
+    LeaseHolder follower = new LeaseHolder();
     long incarnation = 1;
     double speed;
     long offset;
@@ -55,14 +57,14 @@
   }
 
   static final class Leader {
-    Leases leases = new Leases(LEASE, DRIFT);
+    LeaseTable leases = new LeaseTable(LEASE, DRIFT);
     double speed;
     long offset;
     long term;
     boolean cut;
 
     /** What it knows since it was replaced. */
-    Register former;
+    VersionRegister former;
   }
 
   final SplittableRandom chance;
@@ -71,7 +73,7 @@
       new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
   final List<Router> routers = new ArrayList<>();
   final Leader[] leaders = new Leader[3];
-  final Register register = new Register();
+  final VersionRegister register = new VersionRegister();
 
   /** Versions that some router has kept to while they were on their way. */
   final Set<Long> kept = new HashSet<>();
@@ -86,7 +88,7 @@
   /** No leader is ever replaced: what waits for time since an election would wait for good else. */
   boolean steady;
 
-  FleetRun(long seed, Bug bug, int count) {
+  VirtualFleet(long seed, Bug bug, int count) {
     chance = new SplittableRandom(seed);
     this.bug = bug;
     for (int i = 0; i < count; i++) {
@@ -147,8 +149,8 @@
     elected(leaders[number]);
   }
 
-  private Register copy() {
-    Register copy = new Register();
+  private VersionRegister copy() {
+    VersionRegister copy = new VersionRegister();
     copy.restore(
         register.inForce(),
         register.prepared(),
@@ -159,7 +161,7 @@
     return copy;
   }
 
-  Register knownTo(Leader leader) {
+  VersionRegister knownTo(Leader leader) {
     return leader.former == null ? register : leader.former;
   }
 
@@ -167,15 +169,15 @@
 
   void elected(Leader leader) {}
 
-  Report says(Router router) {
-    return Report.NONE;
+  HeartbeatReport says(Router router) {
+    return HeartbeatReport.NONE;
   }
 
-  Sight answers(Leader leader, Router router, Report report) {
+  MembershipUpdate answers(Leader leader, Router router, HeartbeatReport report) {
     return null;
   }
 
-  void hears(Router router, Sight sight) {}
+  void hears(Router router, MembershipUpdate sight) {}
 
   void leased(Router router) {}
 
@@ -197,7 +199,7 @@
     long keeps = router.follower.keepsTo();
     long incarnation = router.incarnation;
     boolean holds = !router.follower.isCareful();
-    Report report = says(router);
+    HeartbeatReport report = says(router);
     Leader leader = leaders[router.leader];
     // It goes on to the leader that it last heard of, which may have been replaced.
     router.leader = chance.nextInt(number % 2 == 0 ? 3 : 12) == 0 ? leads : router.leader;
@@ -205,7 +207,7 @@
         now < router.cutUntil,
         () -> {
           if (leader.term > 0) {
-            Grant grant =
+            LeaseGrant grant =
                 leader.leases.beat(
                     clock(leader),
                     "r" + number,
@@ -217,7 +219,7 @@
                     "",
                     holds,
                     knownTo(leader));
-            Sight sight = answers(leader, router, report);
+            MembershipUpdate sight = answers(leader, router, report);
             Span lasts = bug == Bug.NO_LEASE ? Span.ofMillis(3_600_000) : grant.lasts();
             sends(
                 now < router.cutUntil,
@@ -226,7 +228,8 @@
                     hears(router, sight);
                     router.follower.granted(
                         clock(router),
-                        new Grant(beat, lasts, grant.inForce(), grant.prepared(), grant.changes()));
+                        new LeaseGrant(
+                            beat, lasts, grant.inForce(), grant.prepared(), grant.changes()));
                     if (lasts.micros() > 0) {
                       leased(router);
                     }
@@ -257,10 +260,10 @@
     if (leader.term != term) {
       return;
     }
-    Leases.Step step = leader.leases.next(clock(leader), register);
-    Version prepared = register.prepared();
+    LeaseTable.Step step = leader.leases.next(clock(leader), register);
+    SettingsVersion prepared = register.prepared();
     if (bug == Bug.EARLY && prepared != null) {
-      step = new Leases.Step(Leases.Step.Kind.BRING_INTO_FORCE, prepared.number(), "", 0);
+      step = new LeaseTable.Step(LeaseTable.Step.Kind.BRING_INTO_FORCE, prepared.number(), "", 0);
     }
     switch (step.kind()) {
       case BRING_INTO_FORCE -> {
@@ -298,7 +301,7 @@
       }
       case 2 -> {
         router.incarnation++;
-        router.follower = new Follower();
+        router.follower = new LeaseHolder();
         restarted(router);
       }
       case 3 -> {
@@ -315,17 +318,18 @@
     }
     if (bug == Bug.OLDER_TAKEN && router.follower.inForce() != null) {
       // As if a follower took any grant, however old what it names.
-      router.follower = new Follower();
+      router.follower = new LeaseHolder();
       long beat = router.follower.beat(clock(router));
       router.follower.granted(
-          clock(router), new Grant(beat, LEASE, new Version(0, "", 99, "", "", 0), null, 0));
+          clock(router),
+          new LeaseGrant(beat, LEASE, new SettingsVersion(0, "", 99, "", "", 0), null, 0));
     }
   }
 
   /** Versions that a router may act on as if they held alone: none while it is careful. */
   static boolean contradict(Router a, Router b) {
-    Follower one = a.follower;
-    Follower two = b.follower;
+    LeaseHolder one = a.follower;
+    LeaseHolder two = b.follower;
     long force = one.inForce().number();
     long other = two.inForce().number();
     boolean sees =
@@ -348,7 +352,7 @@
     }
     double shares = 0;
     for (Router one : acting) {
-      Version prepared = one.follower.prepared();
+      SettingsVersion prepared = one.follower.prepared();
       int by =
           Math.max(one.follower.inForce().routers(), prepared == null ? 0 : prepared.routers());
       shares += 1.0 / (bug == Bug.SHARES ? one.follower.inForce().routers() - 1.5 : by);
--- a/router/src/test/java/basaltlever/agree/StandingTest.java
+++ b/router/src/test/java/basaltlever/settings/VoterEligibilityTest.java
@@ -1,10 +1,12 @@
-package basaltlever.agree;
+package basaltlever.settings;
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.agree.Standing.Kind;
-import basaltlever.agree.Standing.Seal;
-import basaltlever.agree.Standing.Told;
+import basaltlever.membership.ListVersion;
+import basaltlever.membership.VoterEligibility;
+import basaltlever.membership.VoterEligibility.Kind;
+import basaltlever.membership.VoterEligibility.PeerStatus;
+import basaltlever.membership.VoterEligibility.VoterIdentity;
 import basaltlever.time.Moment;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -19,36 +21,36 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-class StandingTest {
+class VoterEligibilityTest {
   private static final Moment AT = new Moment(1_000_000);
   private static final List<String> FOUNDERS = List.of("n1", "n2", "n3");
 
-  private static Seal seal(long charter, String... members) {
-    return new Seal("cards", "n3", "own", charter, List.of(members));
+  private static VoterIdentity seal(long charter, String... members) {
+    return new VoterIdentity("cards", "n3", "own", charter, List.of(members));
   }
 
-  private static Told told(String voter, long charter, String seal, String... members) {
-    return new Told(voter, charter, List.of(members), seal, members.length == 0, false);
+  private static PeerStatus told(String voter, long charter, String seal, String... members) {
+    return new PeerStatus(voter, charter, List.of(members), seal, members.length == 0, false);
   }
 
-  private static Told leads(String voter, long charter, String... members) {
-    return new Told(voter, charter, List.of(members), "", false, true);
+  private static PeerStatus leads(String voter, long charter, String... members) {
+    return new PeerStatus(voter, charter, List.of(members), "", false, true);
   }
 
-  private static Kind kind(Seal own, Told... told) {
-    return Standing.of("n3", own, FOUNDERS, List.of(told)).kind();
+  private static Kind kind(VoterIdentity own, PeerStatus... told) {
+    return VoterEligibility.of("n3", own, FOUNDERS, List.of(told)).kind();
   }
 
   @Example
   void whoMayVoteAndWhoWaits() {
-    Told[] founding = {told("n1", 0, ""), told("n2", 0, "")};
+    PeerStatus[] founding = {told("n1", 0, ""), told("n2", 0, "")};
     check(kind(null, founding) == Kind.FOUND, "all are there, and nobody knows of a vote");
     check(kind(null, founding[0]) == Kind.WAIT, "the one that is missing may know of its vote");
     check(
         kind(null, founding[0], told("n2", 0, "", "n1", "n2", "n3")) == Kind.JOIN,
         "one has founded");
     check(
-        kind(null, new Told("n1", 0, List.of(), "", false, false), founding[1]) == Kind.WAIT,
+        kind(null, new PeerStatus("n1", 0, List.of(), "", false, false), founding[1]) == Kind.WAIT,
         "one that has voted " + "before, and is no further yet");
     check(kind(null, told("n1", 0, "", "n1", "n2", "n3")) == Kind.WAIT, "one that may lag");
     check(kind(null, leads("n1", 0, "n1", "n2", "n3")) == Kind.JOIN, "who leads knows all");
@@ -80,7 +82,7 @@
   @Property(tries = 500, seed = "2912", shrinking = ShrinkingMode.OFF)
   void noFolderVotesWhereAnotherOfThatNameHasVoted(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    Map<String, Seal> folders = new TreeMap<>();
+    Map<String, VoterIdentity> folders = new TreeMap<>();
     Map<String, String> agreed = new TreeMap<>();
     Map<String, Set<String>> knowing = new TreeMap<>();
     FOUNDERS.forEach(name -> knowing.put(name, new HashSet<>()));
@@ -110,7 +112,7 @@
           }
         }
         default -> {
-          List<Told> told = new ArrayList<>();
+          List<PeerStatus> told = new ArrayList<>();
           String leader =
               up.size() < 2
                   ? ""
@@ -124,7 +126,7 @@
           for (String other : others) {
             if (chance.nextInt(3) > 0) {
               told.add(
-                  new Told(
+                  new PeerStatus(
                       other,
                       0,
                       up.contains(other) ? FOUNDERS : List.of(),
@@ -135,13 +137,14 @@
                       other.equals(leader)));
             }
           }
-          Seal own = folders.get(name);
-          if (!up.contains(name) && Standing.of(name, own, FOUNDERS, told).kind() != Kind.WAIT) {
+          VoterIdentity own = folders.get(name);
+          if (!up.contains(name)
+              && VoterEligibility.of(name, own, FOUNDERS, told).kind() != Kind.WAIT) {
             String id = own != null ? own.id() : "folder" + step;
             check(
                 agreed.getOrDefault(name, id).equals(id),
                 name + " votes by " + id + ", and has by " + agreed.get(name));
-            folders.put(name, new Seal("cards", name, id, 0, FOUNDERS));
+            folders.put(name, new VoterIdentity("cards", name, id, 0, FOUNDERS));
             up.add(name);
           }
           if (up.contains(name) && up.size() > 1 && !agreed.containsKey(name)) {
@@ -159,19 +162,19 @@
 
   @Example
   void aNewCharterStandsAboveAllThatTheLostOnesCanHaveSaid() {
-    Register left = new Register();
+    VersionRegister left = new VersionRegister();
     left.propose(0, "{}", 5, "op", "one", 1);
     left.bringIntoForce(1);
-    left.seat("db-1", 1, new Stamp(0, 3));
+    left.seat("db-1", 1, new ListVersion(0, 3));
     left.seal("n3", "own");
-    Register lost = new Register();
+    VersionRegister lost = new VersionRegister();
     lost.propose(0, "{}", 5, "op", "one", 1);
     lost.bringIntoForce(1);
     for (int i = 1; i < 400; i++) {
       lost.propose(i, "{}", 5, "op", "more", 1);
       lost.bringIntoForce(i + 1);
     }
-    lost.seat("db-1", 1, new Stamp(0, 3));
+    lost.seat("db-1", 1, new ListVersion(0, 3));
     left.propose(1, "{\"a\":1}", 5, "op", "on its way", 1);
     left.recover(Set.of("n2"), "op", "burnt", 2);
     check(
@@ -187,11 +190,13 @@
             && left.sealOf("n3").isEmpty()
             && left.ended().equals(Set.of("n2")),
         "what is left is taken back");
-    Follower follower = new Follower();
+    LeaseHolder follower = new LeaseHolder();
     follower.knows(1);
     check(
         !follower.granted(
-            AT, new Grant(follower.beat(AT), FleetRun.LEASE, lost.inForce(), null, lost.changes())),
+            AT,
+            new LeaseGrant(
+                follower.beat(AT), VirtualFleet.LEASE, lost.inForce(), null, lost.changes())),
         "an older charter's grant is worth nothing");
   }
 }
