--- a/lab/src/test/java/basaltlever/lab/endtoend/NewClientsTest.java
+++ b/lab/src/test/java/basaltlever/lab/endtoend/NewClientsTest.java
@@ -16,6 +16,9 @@
 class NewClientsTest {
   private static final long SEED = 61;
 
+  /** Share of the clients that ask once and are served, of the stated target. */
+  private static final double LEAST_SERVED = 0.8;
+
   private static void check(boolean holds, String what) {
     if (!holds) {
       throw new AssertionError(what);
@@ -54,9 +57,7 @@
             "closes_after_ms=20",
             "seconds=2");
     nothingBroke(told);
-    // How many of them depends on the cores that are free: who asks waits in the listen queue
-    // behind the crowd.
-    check((double) told.get("served_share") > 0.5, "those who ask are served: " + told);
+    check((double) told.get("served_share") > LEAST_SERVED, "those who ask are served: " + told);
   }
 
   @Example
--- a/router/src/test/java/basaltlever/KnownRedTest.java
+++ b/router/src/test/java/basaltlever/KnownRedTest.java
@@ -22,6 +22,7 @@
           <testcase name="isOther" classname="basaltlever.ATest" time="0.1">%s
             <system-out><![CDATA[said <b>this</b>]]></system-out>
           </testcase>
+          <testcase name="isLast" classname="basaltlever.ATest" time="0.1"/>
         </testsuite>
         """;
   private static final String FAILURE =
@@ -69,14 +70,17 @@
     }
   }
 
+  private static final String ENTRY = RED + " | mvn test, seed 5 | what was seen | 34\n";
+
   @Example
-  void itPassesOverJustWhatIsNamedAndTellsHowThatEnded() throws Exception {
-    String line = RED + " | the cause | 34\n";
+  void itPassesOverExactlyTheListedTestsAndPrintsTheirResults() throws Exception {
     check(
-        judged(line, FAILURE, "").equals("0 known red: " + RED + " failed (issue 34)\n"),
+        judged(ENTRY, FAILURE, "").equals("0 known red: " + RED + " failed (issue 34)\n"),
         "it failed");
-    check(judged(line, "", "").equals("0 known red: " + RED + " passed (issue 34)\n"), "it passed");
-    String other = judged(line, FAILURE, "<error type=\"y\">at z</error>");
+    String passed = judged(ENTRY, "", "");
+    check(passed.startsWith("0 known red: " + RED + " passed (issue 34)\n"), passed);
+    check(passed.contains(RED + " passed this time"), passed);
+    String other = judged(ENTRY, FAILURE, "<error type=\"y\">at z</error>");
     check(
         other.startsWith("1 ") && other.contains("failed and not known: basaltlever.ATest#isOther"),
         other);
@@ -84,23 +88,37 @@
     check(judged("\n", FAILURE, "").startsWith("1 "), "and one fails");
   }
 
+  @Example
+  void anEntryMayTakeSeveralLinesAndThereMayBeManyEntries() throws Exception {
+    String spread = RED + " | mvn test,\n  seed 5 | what was\n  seen | 34\n";
+    check(judged(spread, FAILURE, "").startsWith("0 known red: " + RED + " failed"), "spread");
+    StringBuilder many = new StringBuilder(ENTRY);
+    for (String name : List.of("isOther", "isGreen", "isLast")) {
+      many.append("basaltlever.ATest#").append(name).append(" | mvn test | seen | 35\n");
+    }
+    String said = judged(many.toString(), FAILURE, FAILURE);
+    check(said.startsWith("0 ") && said.contains("#isLast passed"), said);
+  }
+
   @Example
   void aClassWithoutAReportIsNoPass() throws Exception {
-    String said = judged(RED + " | the cause | 34\n", FAILURE, "", "ATest", "BrokeOffTest");
+    String said = judged(ENTRY, FAILURE, "", "ATest", "BrokeOffTest");
     check(said.startsWith("1 ") && said.contains("basaltlever.BrokeOffTest has no report"), said);
   }
 
   @Example
-  void aFaultyLineIsNoExcuse() throws Exception {
+  void aFaultyEntryIsNoExcuse() throws Exception {
     for (String bad :
         List.of(
             RED + "\n",
-            RED + " | cause\n",
-            RED + " | | 34\n",
-            RED + " | cause | \n",
-            "basaltlever.ATest | cause | 34\n",
-            "basaltlever.ATest#isGone | cause | 34\n",
-            (RED + " | cause | 34\n").repeat(4))) {
+            RED + " | cause | 34\n",
+            RED + " | | seen | 34\n",
+            RED + " | mvn test | | 34\n",
+            RED + " | mvn test | seen | \n",
+            RED + " | mvn test | seen | 34 | more\n",
+            "basaltlever.ATest | mvn test | seen | 34\n",
+            "basaltlever.ATest#isGone | mvn test | seen | 34\n",
+            ENTRY.repeat(2))) {
       String said = judged(bad, FAILURE, "");
       check(said.startsWith("2 ") && said.contains("known-red: "), bad + " got " + said);
     }
