--- a/router/src/test/java/basaltlever/SocketWorld.java
+++ b/router/src/test/java/basaltlever/SocketWorld.java
@@ -137,6 +137,10 @@
     volatile java.util.concurrent.CountDownLatch welcomes;
 
     final AtomicInteger connects = new AtomicInteger();
+
+    /** What each connection began with, behind its length. */
+    final Queue<byte[]> startups = new java.util.concurrent.ConcurrentLinkedQueue<>();
+
     final List<Socket> open = Collections.synchronizedList(new ArrayList<>());
 
     /** When it got each of its statements. */
@@ -156,7 +160,9 @@
         return;
       }
       DataInputStream in = new DataInputStream(socket.getInputStream());
-      in.readFully(new byte[in.readInt() - 4]);
+      byte[] startup = new byte[in.readInt() - 4];
+      in.readFully(startup);
+      startups.add(startup);
       connects.incrementAndGet();
       if (welcomes != null) {
         try {
