--- a/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
+++ b/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
@@ -27,8 +27,11 @@
     Moment now = at;
     Endpoint node = balance.node(id);
     ReplicaGroup home = node.group;
-    Moment denied = home.lost == node ? node.denied.later(home.holdSince) : node.denied;
-    boolean cold = balance.warmth(node) < 1;
+    Moment denied =
+        home.lostPrimary == node
+            ? node.lastNotPrimaryReportAt.later(home.holdSince)
+            : node.lastNotPrimaryReportAt;
+    boolean cold = balance.warmUpShare(node) < 1;
     return new EndpointState(
         home.number,
         Math.max(0, node.listedStart.micros()),
@@ -38,19 +41,19 @@
         ago(denied),
         node.silent,
         node.down ? ago(node.downSince) : EndpointState.NEVER,
-        Math.min(1, balance.failing(node)),
-        node.strained.at(now, LoadBalancer.FORGIVEN),
-        node.room,
-        node.fullInRow,
-        node.restsUntil.since(now).longer(Span.NONE),
-        balance.lag(node),
-        cold ? node.coldWork / balance.typicalOfAll : 0,
-        cold ? ago(node.coldAt) : EndpointState.NEVER);
+        Math.min(1, balance.failureRate(node)),
+        node.latencyStrain.at(now, LoadBalancer.FORGIVEN),
+        node.capacity,
+        node.consecutiveFullAnswers,
+        node.backoffUntil.since(now).longer(Span.NONE),
+        balance.estimatedLag(node),
+        cold ? node.warmUpWork / balance.typicalTime : 0,
+        cold ? ago(node.warmUpWorkAt) : EndpointState.NEVER);
   }
 
   /** Executions that are out at it. */
   public int out(int id) {
-    return balance.node(id).out;
+    return balance.node(id).inFlight;
   }
 
   private Span ago(Moment then) {
@@ -66,8 +69,8 @@
             group ->
                 new GroupState(
                     group.number,
-                    group.jam.at(now, LoadBalancer.REMEMBERED),
-                    group.primaryJam.at(now, LoadBalancer.REMEMBERED)))
+                    group.replicaCongestion.at(now, LoadBalancer.REMEMBERED),
+                    group.primaryCongestion.at(now, LoadBalancer.REMEMBERED)))
         .toList();
   }
 
@@ -80,40 +83,45 @@
     balance.now = at;
     Moment now = at;
     Endpoint node = balance.node(id);
-    node.denied = node.denied.later(then(view.deniedAgo()).earlier(now.plus(LoadBalancer.SECOND)));
-    node.failing.set(now, Math.max(balance.failing(node), view.failing()));
-    node.strained.set(now, Math.max(node.strained.at(now, LoadBalancer.FORGIVEN), view.strained()));
-    node.room = Math.max(LoadBalancer.LEAST_ROOM, Math.min(node.room, view.room()));
-    node.fullInRow = Math.min(5, Math.max(node.fullInRow, view.turnedAway()));
-    node.restsUntil = node.restsUntil.later(now.plus(view.rests().shorter(LoadBalancer.SECOND)));
-    balance.sight(node, balance.lag(node).longer(view.lag()));
+    node.lastNotPrimaryReportAt =
+        node.lastNotPrimaryReportAt.later(
+            then(view.deniedAgo()).earlier(now.plus(LoadBalancer.SECOND)));
+    node.failureRate.set(now, Math.max(balance.failureRate(node), view.failing()));
+    node.latencyStrain.set(
+        now, Math.max(node.latencyStrain.at(now, LoadBalancer.FORGIVEN), view.strained()));
+    node.capacity = Math.max(LoadBalancer.LEAST_ROOM, Math.min(node.capacity, view.room()));
+    node.consecutiveFullAnswers =
+        Math.min(5, Math.max(node.consecutiveFullAnswers, view.turnedAway()));
+    node.backoffUntil =
+        node.backoffUntil.later(now.plus(view.rests().shorter(LoadBalancer.SECOND)));
+    balance.observeLag(node, balance.estimatedLag(node).longer(view.lag()));
     if (view.silent() && !node.silent) {
-      balance.fallSilent(node);
+      balance.markSilent(node);
     }
     if (view.isDown() && !node.down) {
-      balance.goDown(node);
+      balance.markDown(node);
       node.downSince = then(view.downFor());
     }
-    balance.starts(node, then(view.startedAgo()));
-    if (balance.warmth(node) < 1) {
+    balance.started(node, then(view.startedAgo()));
+    if (balance.warmUpShare(node) < 1) {
       // Of what has come back since, only what the least rate gives: the yardstick is not known
       // yet.
       Moment since = then(view.coldAgo()).later(Moment.LONG_AGO).earlier(now);
       double back =
-          balance.coldRate(node)
+          balance.allowedWorkPerSecond(node)
               * (1 - LoadBalancer.COLD_BURST)
               * now.since(since).over(LoadBalancer.SECOND);
-      node.coldWork =
-          Math.max(balance.coldLevel(node), view.coldSpent() * balance.typicalOfAll - back);
-      node.coldAt = now;
+      node.warmUpWork =
+          Math.max(balance.remainingWork(node), view.coldSpent() * balance.typicalTime - back);
+      node.warmUpWorkAt = now;
       // What the earlier process sent counts as this one's: a restart is no fresh budget.
-      node.coldUntried &= view.coldSpent() <= 0;
+      node.unusedSinceStart &= view.coldSpent() <= 0;
     }
-    if (view.drains() && node.listing != EndpointLifecycle.GONE) {
-      node.drainSeen = true;
+    if (view.drains() && node.lifecycle != EndpointLifecycle.GONE) {
+      node.wasDraining = true;
       balance.relist(node, EndpointLifecycle.DRAINING);
     }
-    if (view.primary() && balance.agreed.allowance().polls() && !node.pollOut) {
+    if (view.primary() && balance.agreed.allowance().polls() && !node.pollInFlight) {
       // Asked before all others, in whatever order the list names them.
       balance.poll(node);
     }
@@ -128,9 +136,11 @@
     Moment now = at;
     ReplicaGroup group = balance.groups.get(view.group());
     if (group != null) {
-      group.jam.set(now, Math.max(group.jam.at(now, LoadBalancer.REMEMBERED), view.jam()));
-      group.primaryJam.set(
-          now, Math.max(group.primaryJam.at(now, LoadBalancer.REMEMBERED), view.primaryJam()));
+      group.replicaCongestion.set(
+          now, Math.max(group.replicaCongestion.at(now, LoadBalancer.REMEMBERED), view.jam()));
+      group.primaryCongestion.set(
+          now,
+          Math.max(group.primaryCongestion.at(now, LoadBalancer.REMEMBERED), view.primaryJam()));
     }
   }
 }
--- a/router/src/main/java/basaltlever/balancer/LoadBalancer.java
+++ b/router/src/main/java/basaltlever/balancer/LoadBalancer.java
@@ -101,22 +101,23 @@
   private static final int MOST_CANDIDATES = 16;
 
   private static final Comparator<Statement> BY_IMPORTANCE =
-      Comparator.comparingDouble((Statement statement) -> -statement.terms.importance())
-          .thenComparingLong(statement -> statement.takenAt.micros())
+      Comparator.comparingDouble((Statement statement) -> -statement.workload.importance())
+          .thenComparingLong(statement -> statement.receivedAt.micros())
           .thenComparingInt(statement -> statement.id);
 
-  private static final Comparator<Endpoint> BY_RANK = Comparator.comparingInt(node -> node.rank);
+  private static final Comparator<Endpoint> BY_RANK =
+      Comparator.comparingInt(node -> node.ringOrder);
 
   private record Rule(String name, BooleanSupplier when, Runnable then) {}
 
   private final DecisionSink outbound;
   private final SplittableRandom chance;
   Settings agreed;
-  private double topImportance;
+  private double highestPriorityWeight;
   private Span cadence;
 
   /** By their ids, which are small; null where none has that id. */
-  final List<Endpoint> nodes = new ArrayList<>();
+  final List<Endpoint> endpoints = new ArrayList<>();
 
   /** Listed anew, or by other rules, and to be polled where their group is watched. */
   private final List<Endpoint> relisted = new ArrayList<>();
@@ -132,11 +133,11 @@
   private final List<Statement> open = new ArrayList<>();
   private final ArrayDeque<Statement> unplaced = new ArrayDeque<>();
   private final ArrayDeque<ReplicaGroup> changed = new ArrayDeque<>();
-  private double[] typical = {};
-  double typicalOfAll;
-  private double usualStrain = 0.25;
-  private double opening;
-  private final DecayingValue scarce = new DecayingValue();
+  private double[] typicalTimes = {};
+  double typicalTime;
+  private double usualLatencyStrain = 0.25;
+  private double connectionSetupMicros;
+  private final DecayingValue connectionScarcity = new DecayingValue();
   private final SessionWrites sessions = new SessionWrites(SESSIONS);
   private final HoldBudget holds;
 
@@ -152,15 +153,16 @@
   private final Rule[] rules = {
     new Rule("ask for the list", () -> !now.isBefore(watchDue), this::askForList),
     new Rule("go on with planned changes", () -> !now.isBefore(changeDue), this::goOnWithChanges),
-    new Rule("judge a group that changed", () -> !changed.isEmpty(), () -> judge(changed.poll())),
-    new Rule("place a statement", () -> !unplaced.isEmpty(), () -> place(unplaced.poll())),
+    new Rule(
+        "judge a group that changed", () -> !changed.isEmpty(), () -> evaluate(changed.poll())),
+    new Rule("place a statement", () -> !unplaced.isEmpty(), () -> dispatch(unplaced.poll())),
     new Rule("look over what is open", () -> !now.isBefore(scanDue), this::scan),
     new Rule("poll who is due", () -> !now.isBefore(polls.next()), this::pollDue),
     new Rule("ask to be woken", () -> nextWake().isBefore(wakeAt), this::wake),
   };
 
   /** What was learned, told and taken in. */
-  public final LearnedStateTransfer recall = new LearnedStateTransfer(this);
+  public final LearnedStateTransfer learnedState = new LearnedStateTransfer(this);
 
   public LoadBalancer(
       DecisionSink outbound,
@@ -173,7 +175,7 @@
     this.holds = holds;
     agree(now, agreed);
     watchDue = agreed.drains().askedFor() ? now : Moment.NEVER;
-    typicalOfAll = Arrays.stream(typical).average().orElse(0);
+    typicalTime = Arrays.stream(typicalTimes).average().orElse(0);
   }
 
   /**
@@ -184,15 +186,15 @@
   public void agree(Moment at, Settings by) {
     now = at;
     agreed = by;
-    typical =
+    typicalTimes =
         IntStream.range(0, by.workloads().length)
             .mapToDouble(
                 kind ->
-                    kind < typical.length
-                        ? typical[kind]
+                    kind < typicalTimes.length
+                        ? typicalTimes[kind]
                         : by.workloads()[kind].slo().micros() / 4.0)
             .toArray();
-    topImportance =
+    highestPriorityWeight =
         Arrays.stream(agreed.workloads()).mapToDouble(Workload::importance).max().orElse(1);
     Span tightest =
         Arrays.stream(agreed.workloads())
@@ -205,26 +207,26 @@
             .longer(FASTEST_POLL)
             .shorter(SECOND);
     for (Statement statement : open) {
-      if (statement.out > 1 && !agreed.allowance().secondCopies()) {
-        callOff(statement, statement.firstOut() + 1);
+      if (statement.attemptsInFlight > 1 && !agreed.allowance().secondCopies()) {
+        cancelAttempts(statement, statement.firstInFlight() + 1);
       }
     }
     // A member may be bound, or free, by the new rules; each is asked at once.
-    nodes.stream().filter(Objects::nonNull).forEach(node -> relist(node, node.listing));
+    endpoints.stream().filter(Objects::nonNull).forEach(node -> relist(node, node.lifecycle));
     pollRelisted();
   }
 
   Endpoint node(int id) {
-    return id >= 0 && id < nodes.size() ? nodes.get(id) : null;
+    return id >= 0 && id < endpoints.size() ? endpoints.get(id) : null;
   }
 
   // ---- What the router hears.
 
-  public void listBegins() {
+  public void listStarted() {
     listing++;
   }
 
-  public void listed(
+  public void endpointListed(
       Moment at,
       int id,
       EndpointLifecycle state,
@@ -239,51 +241,54 @@
     Endpoint node = node(id);
     if (node == null) {
       node = new Endpoint(id, room);
-      while (nodes.size() <= id) {
-        nodes.add(null);
+      while (endpoints.size() <= id) {
+        endpoints.add(null);
       }
-      nodes.set(id, node);
+      endpoints.set(id, node);
     }
     ReplicaGroup home = group(group);
     if (node.group != home) {
       if (node.group != null) {
-        lose(node);
+        losePrimary(node);
         leaveGroup(node);
       }
       node.group = home;
       home.members.add(node);
-      if (node.claimed.isAfter(Moment.LONG_AGO)) {
-        home.claimants.add(node);
+      if (node.lastPrimaryReportAt.isAfter(Moment.LONG_AGO)) {
+        home.primaryReporters.add(node);
       }
     }
     node.listedStart = startedAt;
     node.zone = zone;
     node.size = size > 0 && size < 1e9 ? size : 1;
-    node.listedIn = listing;
-    node.drainSeen =
-        state == EndpointLifecycle.DRAINING || (node.drainSeen && state == EndpointLifecycle.GONE);
-    starts(node, startedAt);
+    node.listGeneration = listing;
+    node.wasDraining =
+        state == EndpointLifecycle.DRAINING
+            || (node.wasDraining && state == EndpointLifecycle.GONE);
+    started(node, startedAt);
     relist(node, state);
   }
 
   private void leaveGroup(Endpoint node) {
     node.group.members.remove(node);
-    node.group.claimants.remove(node);
-    node.group.searching.remove(node);
+    node.group.primaryReporters.remove(node);
+    node.group.searchPolls.remove(node);
     node.group.subsetStale = true;
   }
 
   /** A figure of the node that is the same at all routers and tells nothing of it. */
-  public void ranked(int id, int rank) {
-    nodes.get(id).rank = rank;
-    nodes.get(id).group.subsetStale = true;
+  public void ringOrderKnown(int id, int rank) {
+    endpoints.get(id).ringOrder = rank;
+    endpoints.get(id).group.subsetStale = true;
   }
 
-  public void listEnds(Moment at, boolean complete, boolean answered) {
+  public void listFinished(Moment at, boolean complete, boolean answered) {
     now = at;
-    for (int i = 0; complete && i < nodes.size(); i++) {
-      Endpoint node = nodes.get(i);
-      if (node != null && node.listedIn != listing && node.listing != EndpointLifecycle.GONE) {
+    for (int i = 0; complete && i < endpoints.size(); i++) {
+      Endpoint node = endpoints.get(i);
+      if (node != null
+          && node.listGeneration != listing
+          && node.lifecycle != EndpointLifecycle.GONE) {
         relist(node, EndpointLifecycle.GONE);
       }
     }
@@ -300,10 +305,10 @@
   private void forgetGone() {
     List<Endpoint> over = new ArrayList<>();
     gone.removeIf(
-        node -> node.listing != EndpointLifecycle.GONE || (isOver(node) && over.add(node)));
+        node -> node.lifecycle != EndpointLifecycle.GONE || (isOver(node) && over.add(node)));
     over.sort(Comparator.comparingInt(node -> node.id));
     for (Endpoint node : over) {
-      nodes.set(node.id, null);
+      endpoints.set(node.id, null);
       leaveGroup(node);
       polls.remove(node);
       outbound.forget(node.id);
@@ -327,18 +332,18 @@
   /** Positions that are known were dated by a clock that was wrong: each has to be proven anew. */
   public void forgetPositions(Moment at) {
     now = at;
-    for (Endpoint node : nodes) {
+    for (Endpoint node : endpoints) {
       if (node != null) {
-        node.position = Moment.LONG_AGO;
+        node.provenPosition = Moment.LONG_AGO;
       }
     }
   }
 
   /** To the log of whoever is on call, where it has changed. */
-  public void reportWatched() {
+  public void reportPolledGroups() {
     int listed = 0;
-    for (Endpoint node : nodes) {
-      listed += node != null && node.listing != EndpointLifecycle.GONE ? 1 : 0;
+    for (Endpoint node : endpoints) {
+      listed += node != null && node.lifecycle != EndpointLifecycle.GONE ? 1 : 0;
     }
     String told = watchedGroups.size() + " " + watchedGroups.members() + " " + listed;
     if (!told.equals(toldWatched)) {
@@ -355,10 +360,10 @@
     lookedAround = true;
     List<ReplicaGroup> order =
         new ArrayList<>(new LinkedHashSet<>(relisted.stream().map(node -> node.group).toList()));
-    Collections.rotate(order, -startPlace(order.size()));
+    Collections.rotate(order, -startPosition(order.size()));
     int looked = 0;
     for (ReplicaGroup group : order) {
-      for (Endpoint member : inUse(group)) {
+      for (Endpoint member : membersInUse(group)) {
         if (looked++ < PolledGroups.FIRST_LOOK) {
           pollNow(member);
         }
@@ -367,15 +372,15 @@
   }
 
   /** Where this router begins among so many, the routers evenly apart. */
-  private int startPlace(int count) {
+  private int startPosition(int count) {
     int routers = Math.max(1, agreed.standing().routers());
     return (int) ((long) (agreed.standing().index() % routers) * count / routers);
   }
 
   private void watchNoMore(ReplicaGroup group) {
-    for (Endpoint member : inUse(group)) {
-      if (!member.pollOut) {
-        member.pollDue = Moment.NEVER;
+    for (Endpoint member : membersInUse(group)) {
+      if (!member.pollInFlight) {
+        member.nextPollAt = Moment.NEVER;
         polls.update(member);
       }
     }
@@ -383,7 +388,7 @@
 
   private void pollRelisted() {
     for (Endpoint node : relisted) {
-      if (isWatched(node)) {
+      if (isPolledRegularly(node)) {
         pollNow(node);
       }
     }
@@ -394,23 +399,23 @@
    * Polled all the time: in a watched group, and of a large one only who is in this router's
    * subset.
    */
-  private boolean isWatched(Endpoint node) {
+  private boolean isPolledRegularly(Endpoint node) {
     ReplicaGroup group = node.group;
-    return group.watched
+    return group.polledRegularly
         && (group.members.size() <= ReplicaSubset.LEAST
             || node == group.primary
-            || inUse(group).contains(node));
+            || membersInUse(group).contains(node));
   }
 
   /** The members that this router sends reads to: all but in large groups. */
-  private List<Endpoint> inUse(ReplicaGroup group) {
+  private List<Endpoint> membersInUse(ReplicaGroup group) {
     return ReplicaSubset.of(
         group, now, agreed.standing().routers(), agreed.standing().index(), this::listedForUse);
   }
 
   /** Those to choose among for one read. */
   private List<Endpoint> candidates(ReplicaGroup group) {
-    List<Endpoint> all = inUse(group);
+    List<Endpoint> all = membersInUse(group);
     if (all.size() <= MOST_CANDIDATES) {
       return all;
     }
@@ -425,7 +430,7 @@
   /**
    * The notice does not tell whether the watch still stands, so it is asked for anew in any case.
    */
-  public void listFailed(Moment at) {
+  public void listCallFailed(Moment at) {
     now = at;
     if (agreed.drains().askedFor()) {
       // Some calls may fail within the 6 s in which news must be heard: pauses count from their
@@ -441,7 +446,7 @@
   /**
    * The session is 0 where there is none; committed is its last write where statements carry it.
    */
-  public void taken(
+  public void statementReceived(
       Moment at,
       int id,
       int workload,
@@ -475,8 +480,8 @@
     statements = id < statements.length ? statements : Arrays.copyOf(statements, 2 * id);
     statements[id] = statement;
     open.add(statement);
-    statement.group.rate.add(now, REMEMBERED, 1 / REMEMBERED.over(SECOND));
-    if (!statement.group.watched && bearsPolls(statement.group)) {
+    statement.group.statementRate.add(now, REMEMBERED, 1 / REMEMBERED.over(SECOND));
+    if (!statement.group.polledRegularly && bearsPolls(statement.group)) {
       watchByTraffic(statement.group);
     }
     scanDue = scanDue.earlier(now.plus(SCAN));
@@ -486,33 +491,36 @@
 
   /** Asked again and again, so often that its statements pay for polls at the rarest. */
   private boolean bearsPolls(ReplicaGroup group) {
-    double rate = group.rate.at(now, REMEMBERED);
+    double rate = group.statementRate.at(now, REMEMBERED);
     double perSecond =
         agreed.standing().pollPrice() <= 0
             ? rate
-            : POLL_POINTS / agreed.standing().pollPrice() * rate / Math.max(1, inUse(group).size());
+            : POLL_POINTS
+                / agreed.standing().pollPrice()
+                * rate
+                / Math.max(1, membersInUse(group).size());
     return rate > REGULAR && perSecond * RAREST_POLL.over(SECOND) >= 1;
   }
 
   private void watchByTraffic(ReplicaGroup group) {
     watchedGroups
-        .admitByTraffic(group, one -> one.rate.at(now, REMEMBERED))
+        .admitByTraffic(group, one -> one.statementRate.at(now, REMEMBERED))
         .forEach(this::watchNoMore);
-    if (group.watched) {
-      for (Endpoint member : inUse(group)) {
-        member.pollDue =
-            member.pollDue.earlier(now.plus(pollPeriod(member).times(chance.nextDouble())));
+    if (group.polledRegularly) {
+      for (Endpoint member : membersInUse(group)) {
+        member.nextPollAt =
+            member.nextPollAt.earlier(now.plus(pollPeriod(member).times(chance.nextDouble())));
         polls.update(member);
       }
     }
   }
 
   public boolean needsFresh(int id) {
-    return statements[id].terms.needs() == ReadConsistency.FRESH;
+    return statements[id].workload.needs() == ReadConsistency.FRESH;
   }
 
   /** False where no such execution is out. */
-  public boolean ended(
+  public boolean attemptEnded(
       Moment at,
       int id,
       int execution,
@@ -522,56 +530,63 @@
       boolean answered) {
     now = at;
     Statement statement = statements[id];
-    if (statement == null || execution >= statement.executions || !statement.isOut[execution]) {
+    if (statement == null || execution >= statement.attempts || !statement.isInFlight[execution]) {
       return false;
     }
-    Endpoint node = statement.nodes[execution];
+    Endpoint node = statement.endpoints[execution];
     Moment sent = statement.sentAt[execution];
-    statement.ends(execution);
-    node.out--;
+    statement.endAttempt(execution);
+    node.inFlight--;
     if (ending.answered) {
-      node.idle++;
-      node.usedAt = now;
-      scarce.move(now, REMEMBERED, statement.opens[execution] ? LEARN : 0, 0);
+      node.idleConnections++;
+      node.lastAnswerAt = now;
+      connectionScarcity.move(now, REMEMBERED, statement.opensConnection[execution] ? LEARN : 0, 0);
     } else if (ending == AttemptOutcome.NO_CONNECTION
         && now.since(sent).isShorterThan(FASTEST_POLL)) {
-      node.refusedAt = now;
+      node.connectionRefusedAt = now;
     }
-    if (scarce.at(now, REMEMBERED) > 0.2 && node.out == 0 && node.idle > 0) {
+    if (connectionScarcity.at(now, REMEMBERED) > 0.2
+        && node.inFlight == 0
+        && node.idleConnections > 0) {
       // Hundreds of routers that keep idle connections shut each other out of nodes that could
       // serve.
-      node.idle = 0;
+      node.idleConnections = 0;
       outbound.letGo(node.id);
     }
-    if (statement.opens[execution] && (ending == AttemptOutcome.COMPLETED || !ending.answered)) {
-      opening += LEARN * (now.since(sent).micros() - typical[statement.workload] - opening);
+    if (statement.opensConnection[execution]
+        && (ending == AttemptOutcome.COMPLETED || !ending.answered)) {
+      connectionSetupMicros +=
+          LEARN
+              * (now.since(sent).micros()
+                  - typicalTimes[statement.workloadIndex]
+                  - connectionSetupMicros);
     }
     learnHealth(node, statement, ending, now.since(sent));
     learnRole(node, statement, ending, role, sent);
     learnPosition(node, statement, ending, position);
     if (!ending.provesNotRun) {
       statement.mayHaveRun = true;
-      statement.firstMayHaveRun = statement.firstMayHaveRun.earlier(sent);
+      statement.earliestPossibleRun = statement.earliestPossibleRun.earlier(sent);
     }
-    statement.misses += ending == AttemptOutcome.MISS ? 1 : 0;
+    statement.staleAnswers += ending == AttemptOutcome.MISS ? 1 : 0;
     judgeError(statement, execution, ending);
-    if (!statement.terms.onlyPrimary()
+    if (!statement.workload.onlyPrimary()
         && (ending == AttemptOutcome.MISS || ending == AttemptOutcome.COMPLETED)) {
       Span allowed = statement.allowedLag(sent);
-      sight(
+      observeLag(
           node,
           ending == AttemptOutcome.MISS
-              ? allowed.times(2).longer(lag(node))
-              : allowed.shorter(lag(node)));
+              ? allowed.times(2).longer(estimatedLag(node))
+              : allowed.shorter(estimatedLag(node)));
     }
     if (answered && !statement.finished) {
       finish(statement);
     }
-    if (!statement.finished && statement.out == 0 && !statement.queued) {
+    if (!statement.finished && statement.attemptsInFlight == 0 && !statement.queued) {
       unplaced.add(statement);
     }
-    if (!node.group.waiting.isEmpty() || !node.group.held.isEmpty()) {
-      change(node.group);
+    if (!node.group.waitingReads.isEmpty() || !node.group.held.isEmpty()) {
+      evaluateLater(node.group);
     }
     settle();
     return true;
@@ -581,7 +596,7 @@
    * Share of its cores that is busy, and statements that wait: not a number where a report lacks
    * them.
    */
-  public void polled(
+  public void pollEnded(
       Moment at,
       int id,
       AttemptOutcome ending,
@@ -590,48 +605,50 @@
       double util,
       double queue) {
     now = at;
-    Endpoint node = nodes.get(id);
-    node.pollOut = false;
+    Endpoint node = endpoints.get(id);
+    node.pollInFlight = false;
     if (ending == AttemptOutcome.NO_DESCRIPTOR) {
       // Nothing is known of the node by it: asked again when the next poll would be due.
-      node.pollDue = isWatched(node) ? now.plus(pollPeriod(node).longer(SECOND)) : Moment.NEVER;
+      node.nextPollAt =
+          isPolledRegularly(node) ? now.plus(pollPeriod(node).longer(SECOND)) : Moment.NEVER;
     } else if (ending == AttemptOutcome.COMPLETED) {
-      up(node);
+      markUp(node);
       // Whoever has statements waiting has no core to spare; how many cores it has is not told.
-      node.tellsCores = util >= 0;
-      node.util =
+      node.reportsCpu = util >= 0;
+      node.cpuUtilization =
           util >= 0 && util <= 2
               ? Math.min(1, util)
-              : queue >= 0 ? queue < 0.5 ? UNTOLD_UTIL : 1 : node.util;
-      Span reportAge = node.group.reportAge;
+              : queue >= 0 ? queue < 0.5 ? UNTOLD_UTIL : 1 : node.cpuUtilization;
+      Span reportAge = node.group.maxReportAge;
       boolean sane = position.isAfter(Moment.LONG_AGO) && !position.isAfter(now);
       if (sane) {
-        node.position = node.position.later(position);
-        sight(node, now.since(position).minus(reportAge));
+        node.provenPosition = node.provenPosition.later(position);
+        observeLag(node, now.since(position).minus(reportAge));
       }
       if (role == Role.PRIMARY) {
         // A primary stands at the present, so the position in its report dates the claim.
-        claims(node, sane ? position : node.pollSent);
+        reportedPrimary(node, sane ? position : node.pollSentAt);
         Span age = sane ? now.since(position).shorter(RAREST_POLL) : reportAge;
-        node.group.reportAge = reportAge.times(0.9).longer(age);
+        node.group.maxReportAge = reportAge.times(0.9).longer(age);
       } else if (role == Role.REPLICA) {
         // The report may be older than an answer that said primary.
-        node.denied = node.denied.later(node.pollSent.minus(reportAge));
+        node.lastNotPrimaryReportAt =
+            node.lastNotPrimaryReportAt.later(node.pollSentAt.minus(reportAge));
         node.deposed = false;
       }
     } else if (ending == AttemptOutcome.FULL) {
       // Too many ask it at once: no sign of a loss, but one to ask less.
-      node.heard = node.group.heard = true;
-      node.pollDue = now.plus(pollPeriod(node).longer(HOLD_POLL).times(1 + chance.nextDouble()));
+      node.hasAnswered = node.group.hasAnswered = true;
+      node.nextPollAt = now.plus(pollPeriod(node).longer(HOLD_POLL).times(1 + chance.nextDouble()));
     } else {
       pollMissed(node, ending == AttemptOutcome.NO_CONNECTION || ending == AttemptOutcome.RESET);
     }
     polls.update(node);
-    change(node.group);
+    evaluateLater(node.group);
     settle();
   }
 
-  public void clientLeft(Moment at, int id) {
+  public void clientDisconnected(Moment at, int id) {
     now = at;
     Statement statement = statements[id];
     if (statement != null && !statement.finished) {
@@ -641,7 +658,7 @@
   }
 
   /** Its client waits no longer: refused where that is proven to be harmless, else it failed. */
-  public void timeIsOver(Moment at, int id) {
+  public void deadlinePassed(Moment at, int id) {
     now = at;
     Statement statement = statements[id];
     if (statement != null && !statement.finished) {
@@ -650,7 +667,7 @@
     settle();
   }
 
-  public void woken(Moment at) {
+  public void timerFired(Moment at) {
     now = at;
     wakeAt = now.isBefore(wakeAt) ? wakeAt : Moment.NEVER;
     settle();
@@ -676,36 +693,36 @@
   }
 
   void relist(Endpoint node, EndpointLifecycle state) {
-    node.listing = state;
+    node.lifecycle = state;
     node.group.subsetStale = true;
     relisted.add(node);
     if (state == EndpointLifecycle.GONE) {
       gone.add(node);
     }
     if (!listedForUse(node)) {
-      lose(node);
+      losePrimary(node);
     }
-    change(node.group);
+    evaluateLater(node.group);
   }
 
   /**
    * Nothing new goes to it from the moment the list says so; the grace is for what is on its way.
    */
   boolean listedForUse(Endpoint node) {
-    return node.listing == EndpointLifecycle.READY
-        || (node.listing == EndpointLifecycle.GONE
+    return node.lifecycle == EndpointLifecycle.READY
+        || (node.lifecycle == EndpointLifecycle.GONE
             && !agreed.drains().removalBinds()
-            && !node.drainSeen);
+            && !node.wasDraining);
   }
 
   // Kept for all time, each choice would go through all there ever were; till then it may be listed
   // again.
   private boolean isOver(Endpoint node) {
-    return node.listing == EndpointLifecycle.GONE
+    return node.lifecycle == EndpointLifecycle.GONE
         && !listedForUse(node)
-        && node.out == 0
-        && warmth(node) >= 1
-        && now.since(node.pollSent).isLongerThan(REMEMBERED);
+        && node.inFlight == 0
+        && warmUpShare(node) >= 1
+        && now.since(node.pollSentAt).isLongerThan(REMEMBERED);
   }
 
   private ReplicaGroup group(int number) {
@@ -723,9 +740,9 @@
 
   // ---- The phases of a group: who is primary, and the hold.
 
-  private void change(ReplicaGroup group) {
-    if (!group.changed) {
-      group.changed = true;
+  private void evaluateLater(ReplicaGroup group) {
+    if (!group.evaluationPending) {
+      group.evaluationPending = true;
       changed.add(group);
     }
   }
@@ -733,19 +750,19 @@
   /**
    * A sign that the primary is lost: what needs one is held from here on, and asks every member.
    */
-  private void lose(Endpoint node) {
+  private void losePrimary(Endpoint node) {
     ReplicaGroup group = node.group;
     if (group.primary != node) {
       return;
     }
     group.phase = Phase.HOLD;
     group.holdSince = now;
-    group.lost = node;
+    group.lostPrimary = node;
     group.primary = null;
     group.searchCursor = 0;
-    group.searchFrom = Moment.LONG_AGO;
+    group.searchRoundStartedAt = Moment.LONG_AGO;
     outbound.primary(group.number, node.id, false);
-    change(group);
+    evaluateLater(group);
   }
 
   // Everyone is asked at once, then ever more rarely where the router has little traffic to pay for
@@ -753,7 +770,7 @@
   // router for which nothing waits asks nobody: it finds the primary in a round trip once something
   // does.
   private void askAround(ReplicaGroup group) {
-    if (!group.watched || group.members.size() > ReplicaSubset.LEAST) {
+    if (!group.polledRegularly || group.members.size() > ReplicaSubset.LEAST) {
       search(group);
       return;
     }
@@ -773,48 +790,53 @@
    */
   private void search(ReplicaGroup group) {
     Span pause = now.since(group.holdSince).shorter(SECOND).longer(HOLD_POLL);
-    PrimarySearch.next(group, now, pause, startPlace(group.members.size()), this::mayBePrimary)
+    PrimarySearch.next(group, now, pause, startPosition(group.members.size()), this::mayBePrimary)
         .forEach(node -> pollWithin(node, HOLD_POLL));
   }
 
   /** One that has just said that it is none need not be asked, but while its group elects. */
   private boolean mayBePrimary(Endpoint node) {
     boolean denied =
-        node.denied.isAfter(node.claimed) && now.since(node.denied).isShorterThan(REMEMBERED);
+        node.lastNotPrimaryReportAt.isAfter(node.lastPrimaryReportAt)
+            && now.since(node.lastNotPrimaryReportAt).isShorterThan(REMEMBERED);
     return listedForUse(node)
-        && !(denied && node.group.lost == null && node.group.searchRounds == 0);
+        && !(denied && node.group.lostPrimary == null && node.group.searchRounds == 0);
   }
 
-  private void claims(Endpoint node, Moment at) {
-    if (!node.claimed.isAfter(Moment.LONG_AGO)) {
-      node.group.claimants.add(node);
+  private void reportedPrimary(Endpoint node, Moment at) {
+    if (!node.lastPrimaryReportAt.isAfter(Moment.LONG_AGO)) {
+      node.group.primaryReporters.add(node);
     }
-    node.claimed = node.claimed.later(at);
+    node.lastPrimaryReportAt = node.lastPrimaryReportAt.later(at);
   }
 
-  private void judge(ReplicaGroup group) {
-    if (group.primary != null && group.primary.denied.isAfter(group.primary.claimed)) {
-      lose(group.primary);
+  private void evaluate(ReplicaGroup group) {
+    if (group.primary != null
+        && group.primary.lastNotPrimaryReportAt.isAfter(group.primary.lastPrimaryReportAt)) {
+      losePrimary(group.primary);
     }
-    follow(group);
-    group.changed = false;
+    followSwitchover(group);
+    group.evaluationPending = false;
     Endpoint claimant = null;
     for (Endpoint member :
-        group.members.size() > ReplicaSubset.LEAST ? group.claimants : group.members) {
+        group.members.size() > ReplicaSubset.LEAST ? group.primaryReporters : group.members) {
       boolean fresh =
-          member.claimed.isAfter(member.denied)
-              && (member != group.lost || member.claimed.isAfter(group.holdSince));
+          member.lastPrimaryReportAt.isAfter(member.lastNotPrimaryReportAt)
+              && (member != group.lostPrimary
+                  || member.lastPrimaryReportAt.isAfter(group.holdSince));
       // A group without reads has no other trial than a write: the silence would never be seen to
       // end.
       boolean heard = !member.silent || now.since(member.silentSince).isLongerThan(FORGIVEN);
       // One that was replaced and comes back goes on claiming: no proof while its successor stands.
-      boolean past = (member.deposed && group.primary != null) || group.change.bars(member.id);
+      boolean past =
+          (member.deposed && group.primary != null) || group.switchover.excludes(member.id);
       if (fresh
           && listedForUse(member)
           && !member.down
           && heard
           && !past
-          && (claimant == null || member.claimed.isAfter(claimant.claimed))) {
+          && (claimant == null
+              || member.lastPrimaryReportAt.isAfter(claimant.lastPrimaryReportAt))) {
         claimant = member;
       }
     }
@@ -822,18 +844,21 @@
         || (group.primary != null
             && claimant != null
             && claimant != group.primary
-            && claimant.claimed.since(group.primary.claimed).isLongerThan(FIRST_REPORT_AGE))) {
-      Endpoint former = group.primary != null ? group.primary : group.lost;
+            && claimant
+                .lastPrimaryReportAt
+                .since(group.primary.lastPrimaryReportAt)
+                .isLongerThan(FIRST_REPORT_AGE))) {
+      Endpoint former = group.primary != null ? group.primary : group.lostPrimary;
       if (former != null) {
         former.deposed = true;
       }
       group.phase = Phase.STEADY;
-      group.foundAt = now;
+      group.primaryFoundAt = now;
       group.searchRounds = 0;
       group.searchCursor = 0;
       group.primary = claimant;
       claimant.deposed = false;
-      group.lost = null;
+      group.lostPrimary = null;
       outbound.primary(group.number, claimant.id, true);
     }
     // In order, as far as the primary has room: the rest stays where it is.
@@ -841,19 +866,19 @@
         top != null && (isOverdue(top) || primaryFor(top) != null);
         top = group.held.first()) {
       takeOut(top);
-      place(top);
+      dispatch(top);
     }
-    List<Statement> due = new ArrayList<>(group.waiting.size());
-    while (!group.waiting.isEmpty()) {
-      due.add(group.waiting.poll());
+    List<Statement> due = new ArrayList<>(group.waitingReads.size());
+    while (!group.waitingReads.isEmpty()) {
+      due.add(group.waitingReads.poll());
     }
     for (Statement statement : due) {
       statement.queued = false;
-      place(statement);
+      dispatch(statement);
     }
     if (group.phase == Phase.HOLD
         && !group.held.isEmpty()
-        && (!group.watched || group.members.size() > ReplicaSubset.LEAST)) {
+        && (!group.polledRegularly || group.members.size() > ReplicaSubset.LEAST)) {
       search(group);
     }
   }
@@ -864,41 +889,43 @@
   }
 
   /** A member's word on a planned change of its group's primary; false where it changes nothing. */
-  public boolean announced(
+  public boolean switchoverAnnounced(
       Moment at, int member, long number, int target, Moment from, boolean off) {
     now = at;
     ReplicaGroup group = node(member).group;
-    int named = node(target).group == group ? target : PlannedSwitchover.NOBODY;
-    boolean told = group.change.told(now, number, named, from, off);
-    change(group);
+    int named = node(target).group == group ? target : PlannedSwitchover.UNKNOWN_MEMBER;
+    boolean told = group.switchover.announced(now, number, named, from, off);
+    evaluateLater(group);
     settle();
     return told;
   }
 
   private void goOnWithChanges() {
     changeDue = Moment.NEVER;
-    groups.values().forEach(this::change);
+    groups.values().forEach(this::evaluateLater);
   }
 
   // Its phases are in Change; what they mean for the hold, polls and connections is here.
-  private void follow(ReplicaGroup group) {
-    PlannedSwitchover change = group.change;
+  private void followSwitchover(ReplicaGroup group) {
+    PlannedSwitchover change = group.switchover;
     Endpoint target = node(change.target());
-    change.step(
+    change.advance(
         now,
-        group.primary == null ? PlannedSwitchover.NOBODY : group.primary.id,
+        group.primary == null ? PlannedSwitchover.UNKNOWN_MEMBER : group.primary.id,
         target != null && target.group == group && listedForUse(target) && !target.down);
-    changeDue = changeDue.earlier(change.due());
-    if (group.primary != null && change.bars(group.primary.id)) {
-      lose(group.primary);
+    changeDue = changeDue.earlier(change.nextStepAt());
+    if (group.primary != null && change.excludes(group.primary.id)) {
+      losePrimary(group.primary);
     } else if (change.phase() == PlannedSwitchover.Phase.PREPARATION && group.primary != null) {
       // A cold one bears no more than one at a time.
       outbound.prepare(
           target.id,
-          warmth(target) < 1 ? 1 : Math.min(MOST_PREPARED, group.primary.out + group.primary.idle));
+          warmUpShare(target) < 1
+              ? 1
+              : Math.min(MOST_PREPARED, group.primary.inFlight + group.primary.idleConnections));
     }
-    if (change.watches()) {
-      inUse(group).forEach(member -> pollWithin(member, HOLD_POLL));
+    if (change.needsFrequentPolls()) {
+      membersInUse(group).forEach(member -> pollWithin(member, HOLD_POLL));
       if (target != null && target.group == group) {
         pollWithin(target, HOLD_POLL);
       }
@@ -907,38 +934,38 @@
 
   // ---- Placing a statement.
 
-  private void place(Statement statement) {
+  private void dispatch(Statement statement) {
     if (statement.finished) {
       return;
     }
     ReplicaGroup group = statement.group;
     RejectReason refusal = refusal(statement);
     if (refusal != null) {
-      if (statement.out == 0) {
+      if (statement.attemptsInFlight == 0) {
         giveUp(
             statement,
             group.phase == Phase.HOLD
-                && statement.terms.onlyPrimary()
+                && statement.workload.onlyPrimary()
                 && mayTryElsewhere(statement),
             refusal);
       }
       return;
     }
-    Endpoint node = statement.terms.onlyPrimary() ? primaryFor(statement) : readerFor(statement);
+    Endpoint node = statement.workload.onlyPrimary() ? primaryFor(statement) : readerFor(statement);
     if (node != null) {
       execute(statement, node);
-    } else if (statement.out == 0) {
+    } else if (statement.attemptsInFlight == 0) {
       statement.queued = true;
-      if (statement.terms.onlyPrimary()) {
+      if (statement.workload.onlyPrimary()) {
         group.held.add(statement);
-        for (Statement over = holds.beyond(group.held, statement.workload);
+        for (Statement over = holds.nextToReject(group.held, statement.workloadIndex);
             over != null;
-            over = holds.beyond(group.held, statement.workload)) {
+            over = holds.nextToReject(group.held, statement.workloadIndex)) {
           takeOut(over);
           giveUp(over, false, RejectReason.HOLD_FULL);
         }
       } else {
-        group.waiting.add(statement);
+        group.waitingReads.add(statement);
       }
       if (group.phase == Phase.HOLD) {
         askAround(group);
@@ -951,11 +978,13 @@
     if (isOverdue(statement)) {
       return RejectReason.OVERDUE;
     }
-    if (!mayRunAgain(statement, statement.out) || statement.errors > 1) {
+    if (!mayRunAgain(statement, statement.attemptsInFlight) || statement.unexplainedErrors > 1) {
       return RejectReason.NO_ATTEMPT_LEFT;
     }
     DecayingValue jam =
-        statement.terms.onlyPrimary() ? statement.group.primaryJam : statement.group.jam;
+        statement.workload.onlyPrimary()
+            ? statement.group.primaryCongestion
+            : statement.group.replicaCongestion;
     return isShed(statement, jam) ? RejectReason.SHED : null;
   }
 
@@ -964,10 +993,10 @@
   // sheds, the less important first. The primary counts apart, or its jam kept reads off idle
   // replicas.
   private boolean isShed(Statement statement, DecayingValue jam) {
-    double share = statement.terms.importance() / topImportance;
+    double share = statement.workload.importance() / highestPriorityWeight;
     double sent = (TOLERATED + share / 4) * Math.pow(1 - jam.at(now, REMEMBERED), 3);
-    return statement.executions == 0
-        && statement.terms.needs() != ReadConsistency.WRITE
+    return statement.attempts == 0
+        && statement.workload.needs() != ReadConsistency.WRITE
         && chance.nextDouble() < Math.min(MOST_SHED, 1 - sent);
   }
 
@@ -976,22 +1005,22 @@
     if (primary == null || !isUsable(primary, statement)) {
       return null;
     }
-    if (statement.terms.onlyPrimary()) {
-      return hasRoom(primary, 1) ? primary : null;
+    if (statement.workload.onlyPrimary()) {
+      return hasCapacity(primary, 1) ? primary : null;
     }
     ReplicaGroup group = statement.group;
     boolean outranked =
         !group.held.isEmpty()
-            || (!group.waiting.isEmpty()
-                && BY_IMPORTANCE.compare(group.waiting.peek(), statement) < 0);
+            || (!group.waitingReads.isEmpty()
+                && BY_IMPORTANCE.compare(group.waitingReads.peek(), statement) < 0);
     // Hundreds of routers, each with room for one, would leave it none for what only it may take.
-    if (now.since(primary.pollSent).isLongerThan(TRIAL)) {
+    if (now.since(primary.pollSentAt).isLongerThan(TRIAL)) {
       pollNow(primary);
     }
     boolean told =
-        (!primary.pollOut && now.isBefore(primary.pollDue)) || !agreed.allowance().polls();
-    boolean spare = told && statement.luck < EAGER * (FULLY_BUSY - primary.util);
-    return spare && hasRoom(primary, 1 - FOR_WRITES) && !outranked ? primary : null;
+        (!primary.pollInFlight && now.isBefore(primary.nextPollAt)) || !agreed.allowance().polls();
+    boolean spare = told && statement.randomShare < EAGER * (FULLY_BUSY - primary.cpuUtilization);
+    return spare && hasCapacity(primary, 1 - FOR_WRITES) && !outranked ? primary : null;
   }
 
   // Less busy of two replicas proven new enough; else of two that check and were new enough when
@@ -1002,7 +1031,7 @@
   private Endpoint readerFor(Statement statement) {
     ReplicaGroup group = statement.group;
     Span allowed = statement.allowedLag(now);
-    boolean checks = agreed.replication().replicasCheck() && statement.misses < 2;
+    boolean checks = agreed.replication().replicasCheck() && statement.staleAnswers < 2;
     Endpoint first = null;
     Endpoint second = null;
     Endpoint advanced = null;
@@ -1010,35 +1039,38 @@
     int out = 0;
     int best = 16;
     int seen = 0;
-    Endpoint burdened = burdened(statement);
+    Endpoint burdened = longReadReplica(statement);
     if (burdened != null
-        && statement.terms.needs() == ReadConsistency.ANY
-        && isLong(statement.workload)) {
+        && statement.workload.needs() == ReadConsistency.ANY
+        && isLongRunning(statement.workloadIndex)) {
       return burdened;
     }
     for (Endpoint member : candidates(group)) {
-      if (member.down && !group.watched) {
+      if (member.down && !group.polledRegularly) {
         // Polled by nobody else: whether it is back is asked when it is missed.
         pollWithin(member, retryPause(member));
       }
       if (member == group.primary || statement.wasSentTo(member) || !isUsable(member, statement)) {
         continue;
       }
-      out += member.out;
-      boolean proven = !now.since(member.position).isLongerThan(allowed);
-      if (!proven && !(checks && !lag(member).isLongerThan(allowed))) {
-        advanced = advanced == null || lag(member).isShorterThan(lag(advanced)) ? member : advanced;
+      out += member.inFlight;
+      boolean proven = !now.since(member.provenPosition).isLongerThan(allowed);
+      if (!proven && !(checks && !estimatedLag(member).isLongerThan(allowed))) {
+        advanced =
+            advanced == null || estimatedLag(member).isShorterThan(estimatedLag(advanced))
+                ? member
+                : advanced;
         continue;
       }
       fits = true;
       int tier =
-          (avoids(member) || (!group.watched && !isConnected(member)) ? 1 : 0)
+          (avoidsNewConnection(member) || (!group.polledRegularly && !isConnected(member)) ? 1 : 0)
               + (proven ? 0 : 2)
               + (member == burdened ? 4 : 0)
-              + (failing(member) < FAILING ? 0 : 8);
+              + (failureRate(member) < FAILING ? 0 : 8);
       // A cold one is drawn as often as it is warm: by busyness a light router would never choose
       // it.
-      if (!hasRoom(member, 1) || tier > best || chance.nextDouble() >= warmth(member)) {
+      if (!hasCapacity(member, 1) || tier > best || chance.nextDouble() >= warmUpShare(member)) {
         continue;
       }
       seen = tier < best ? 1 : seen + 1;
@@ -1048,22 +1080,25 @@
       second = seen == 1 ? null : slot == 1 ? member : second;
     }
     if (first != null
-        && avoids(first)
+        && avoidsNewConnection(first)
         && out > 0
-        && now.since(statement.takenAt)
-            .isShorterThan(statement.terms.slo().times(0.8 * PATIENCE))) {
+        && now.since(statement.receivedAt)
+            .isShorterThan(statement.workload.slo().times(0.8 * PATIENCE))) {
       // One of its connections will be free before a new one would stand.
       return null;
     }
     if (first != null) {
       // Without a little chance all routers would break their ties alike, towards the first listed.
       double slightly = 0.95 + 0.1 * chance.nextDouble();
-      return second == null || busyness(first) * slightly < busyness(second) ? first : second;
+      return second == null || loadScore(first) * slightly < loadScore(second) ? first : second;
     }
     widenSubset(group);
     // Far behind, it would keep the read for a while only to turn it away.
-    if (!fits && checks && advanced != null && !lag(advanced).isLongerThan(allowed.times(2))) {
-      return hasRoom(advanced, 1) ? advanced : null;
+    if (!fits
+        && checks
+        && advanced != null
+        && !estimatedLag(advanced).isLongerThan(allowed.times(2))) {
+      return hasCapacity(advanced, 1) ? advanced : null;
     }
     return primaryFor(statement);
   }
@@ -1073,8 +1108,8 @@
    */
   private void widenSubset(ReplicaGroup group) {
     if (group.members.size() > ReplicaSubset.LEAST
-        && now.since(group.widenedAt).isLongerThan(HOLD_POLL)) {
-      group.widenedAt = now;
+        && now.since(group.subsetWidenedAt).isLongerThan(HOLD_POLL)) {
+      group.subsetWidenedAt = now;
       ReplicaSubset.widen(group, agreed.standing().routers());
     }
   }
@@ -1082,9 +1117,9 @@
   /**
    * What any member may answer, yet takes far longer than most: its node applies no log meanwhile.
    */
-  private boolean isLong(int workload) {
+  private boolean isLongRunning(int workload) {
     return agreed.workloads()[workload].needs() == ReadConsistency.ANY
-        && typical[workload] > LONG * typicalOfAll;
+        && typicalTimes[workload] > LONG * typicalTime;
   }
 
   // Spread out, long statements would keep every replica of a group from applying the log. All
@@ -1092,19 +1127,19 @@
   // the same order of its members, so they agree without a word on who bears them: the first that
   // is not
   // crowded, out of the first half.
-  private Endpoint burdened(Statement statement) {
+  private Endpoint longReadReplica(Statement statement) {
     Endpoint primary = statement.group.primary;
     List<Endpoint> able = List.of();
-    for (int kind = 0; kind < typical.length && able.isEmpty(); kind++) {
+    for (int kind = 0; kind < typicalTimes.length && able.isEmpty(); kind++) {
       able =
-          !isLong(kind)
+          !isLongRunning(kind)
               ? able
-              : inUse(statement.group).stream()
+              : membersInUse(statement.group).stream()
                   .filter(
                       member ->
                           member != primary
                               && isUsable(member, statement)
-                              && failing(member) < FAILING)
+                              && failureRate(member) < FAILING)
                   .sorted(BY_RANK)
                   .toList();
     }
@@ -1112,7 +1147,8 @@
     for (Endpoint member : able.subList(0, Math.max(Math.min(1, able.size()), able.size() / 2))) {
       if (!statement.wasSentTo(member)
           && (bears == null
-              || (strain(bears) > usualStrain + CROWDED && strain(member) < strain(bears)))) {
+              || (latencyStrain(bears) > usualLatencyStrain + CROWDED
+                  && latencyStrain(member) < latencyStrain(bears)))) {
         bears = member;
       }
     }
@@ -1123,74 +1159,74 @@
   // its own
   // check keeps a stale answer back. Less the age of reports, or late ones make all look equally
   // behind.
-  Span lag(Endpoint node) {
-    return new Span((long) node.lag.at(now, FORGIVEN));
+  Span estimatedLag(Endpoint node) {
+    return new Span((long) node.estimatedLag.at(now, FORGIVEN));
   }
 
-  void sight(Endpoint node, Span lag) {
-    node.lag.set(now, (double) Math.max(0, lag.micros()));
+  void observeLag(Endpoint node, Span lag) {
+    node.estimatedLag.set(now, (double) Math.max(0, lag.micros()));
   }
 
   private boolean isUsable(Endpoint node, Statement statement) {
     boolean onTrial =
-        node.out == 0
-            && !now.since(node.silentSince.later(node.triedAt))
-                .isShorterThan(TRIAL.times(1 << node.trials));
+        node.inFlight == 0
+            && !now.since(node.silentSince.later(node.lastTrialAt))
+                .isShorterThan(TRIAL.times(1 << node.silenceTrials));
     // A list may name what does not exist: who never said a word gets nothing where another member
     // did.
     return listedForUse(node)
         && !node.down
-        && (node.heard || !node.group.heard || !node.wasContacted())
-        && !now.isBefore(node.restsUntil)
+        && (node.hasAnswered || !node.group.hasAnswered || !node.wasContacted())
+        && !now.isBefore(node.backoffUntil)
         && (!node.silent || onTrial)
-        && (warmth(node) >= 1
-            || coldAllows(node, typical[statement.workload])
-            || isFirstToCold(node, statement));
+        && (warmUpShare(node) >= 1
+            || hasBudget(node, typicalTimes[statement.workloadIndex])
+            || isAdmittedAsFirst(node, statement));
   }
 
   private boolean isConnected(Endpoint node) {
-    return now.since(node.usedAt).isShorterThan(agreed.connections().idleClose())
-        && agreed.connections().hasRoom(node.out, node.idle);
+    return now.since(node.lastAnswerAt).isShorterThan(agreed.connections().idleClose())
+        && agreed.connections().hasRoom(node.inFlight, node.idleConnections);
   }
 
   /**
    * Where new connections cost much time, or fail, one that is open is worth more than a choice.
    */
-  private boolean avoids(Endpoint node) {
-    return !isConnected(node) && opening > DEAR * typicalOfAll;
+  private boolean avoidsNewConnection(Endpoint node) {
+    return !isConnected(node) && connectionSetupMicros > DEAR * typicalTime;
   }
 
-  private double busyness(Endpoint node) {
+  private double loadScore(Endpoint node) {
     double crossing = agreed.standing().isPricedTo(node.zone) ? 1.3 : 1;
-    return (node.out + 1)
-        * strain(node)
-        * (1 + 2 * node.util * node.util)
-        * (1 + 10 * failing(node))
+    return (node.inFlight + 1)
+        * latencyStrain(node)
+        * (1 + 2 * node.cpuUtilization * node.cpuUtilization)
+        * (1 + 10 * failureRate(node))
         * crossing
         / node.size;
   }
 
   private void execute(Statement statement, Endpoint node) {
-    Workload terms = statement.terms;
+    Workload terms = statement.workload;
     Span timeout = Span.NONE;
     if (terms.lateShare() < 0.5 && terms.repeat() == Idempotency.IDEMPOTENT) {
       // Even where late is worth a little, a queue of what is late would make all others late.
-      timeout = statement.takenAt.plus(terms.slo().times(1 + 2 * terms.lateShare())).since(now);
+      timeout = statement.receivedAt.plus(terms.slo().times(1 + 2 * terms.lateShare())).since(now);
     }
     // Where only one may be out, what a node loses is found out early enough to try another: reads
     // where
     // it is known to lose some, writes that may run again after twice as long.
-    double usual = typical[statement.workload];
+    double usual = typicalTimes[statement.workloadIndex];
     boolean write =
         terms.repeat() == Idempotency.DEDUPLICATED
             && terms.within() != Workload.DeduplicationScope.ZONE;
     Span early = new Span((long) (usual * (write ? 2 * UNUSUAL : UNUSUAL)));
-    boolean suspect = node.silent || failing(node) >= FAILING;
+    boolean suspect = node.silent || failureRate(node) >= FAILING;
     if (!agreed.allowance().secondCopies()
         && (write || (terms.repeat() == Idempotency.IDEMPOTENT && suspect))
         && now.plus(early)
             .plus(new Span((long) (LEAST_CHANCE * usual)))
-            .isBefore(statement.takenAt.plus(terms.slo()))
+            .isBefore(statement.receivedAt.plus(terms.slo()))
         && (!write
             || statement
                 .mayHaveRunSince()
@@ -1201,21 +1237,21 @@
     }
     Moment within = write ? statement.mayHaveRunSince().plus(terms.window()) : Moment.NEVER;
     boolean opens = !isConnected(node);
-    node.idle = opens ? 0 : node.idle - 1;
-    statement.sentTo(node, now, opens);
+    node.idleConnections = opens ? 0 : node.idleConnections - 1;
+    statement.startAttempt(node, now, opens);
     if (node.silent) {
       // Each trial that fails costs a statement, or an execution: the next one waits twice as long.
-      node.trials = Math.min(MOST_TRIALS, node.trials + 1);
-      node.triedAt = now;
+      node.silenceTrials = Math.min(MOST_TRIALS, node.silenceTrials + 1);
+      node.lastTrialAt = now;
     }
-    node.triedFirst = true;
-    if (node.out++ == 0) {
-      node.owesSince = now;
+    node.wasSentStatement = true;
+    if (node.inFlight++ == 0) {
+      node.unansweredSince = now;
     }
-    if (warmth(node) < 1) {
-      node.coldWork = coldLevel(node) + typical[statement.workload];
-      node.coldAt = now;
-      node.coldUntried = false;
+    if (warmUpShare(node) < 1) {
+      node.warmUpWork = remainingWork(node) + typicalTimes[statement.workloadIndex];
+      node.warmUpWorkAt = now;
+      node.unusedSinceStart = false;
     }
     // A connection may have to be opened first: later, no proof covers the bound and no window a
     // repeat.
@@ -1224,56 +1260,56 @@
             && !agreed.replication().replicasCheck()
             && node != statement.group.primary;
     outbound.execute(
-        statement.id, node.id, timeout, proven ? node.position.plus(terms.bound()) : within);
+        statement.id, node.id, timeout, proven ? node.provenPosition.plus(terms.bound()) : within);
   }
 
   // ---- Further executions and final answers.
 
   /** How often by importance; whether at all by what an earlier execution may have done. */
   private boolean mayRunAgain(Statement statement, int stillOut) {
-    int spare = statement.nodes.length - 2;
-    double share = statement.terms.importance() / topImportance;
-    int most = Math.min(statement.nodes.length, 2 + (int) Math.ceil(spare * share));
-    return statement.executions < most
-        && switch (statement.terms.repeat()) {
+    int spare = statement.endpoints.length - 2;
+    double share = statement.workload.importance() / highestPriorityWeight;
+    int most = Math.min(statement.endpoints.length, 2 + (int) Math.ceil(spare * share));
+    return statement.attempts < most
+        && switch (statement.workload.repeat()) {
           case IDEMPOTENT -> stillOut == 0 || agreed.allowance().secondCopies();
-          case NON_IDEMPOTENT -> !statement.mayHaveRun && statement.out == 0;
+          case NON_IDEMPOTENT -> !statement.mayHaveRun && statement.attemptsInFlight == 0;
           case DEDUPLICATED ->
-              statement.terms.within() != Workload.DeduplicationScope.ZONE
+              statement.workload.within() != Workload.DeduplicationScope.ZONE
                   ? (stillOut == 0 || agreed.allowance().secondCopies())
-                      && now.isBefore(statement.mayHaveRunSince().plus(statement.terms.window()))
-                  : !statement.mayHaveRun && statement.out == 0;
+                      && now.isBefore(statement.mayHaveRunSince().plus(statement.workload.window()))
+                  : !statement.mayHaveRun && statement.attemptsInFlight == 0;
         };
   }
 
   private boolean isOverdue(Statement statement) {
-    Moment end = statement.clientLeaves.minus(agreed.allowance().answerSlack());
-    if (statement.terms.lateShare() <= 0) {
-      end = end.earlier(statement.takenAt.plus(statement.terms.slo()));
+    Moment end = statement.clientDeadline.minus(agreed.allowance().answerSlack());
+    if (statement.workload.lateShare() <= 0) {
+      end = end.earlier(statement.receivedAt.plus(statement.workload.slo()));
     }
-    if (statement.out == 0) {
+    if (statement.attemptsInFlight == 0) {
       // Sent with less time than its work takes, it would only load a node that is behind already.
       // At
       // most half the SLO time: with nothing admitted the response time would never be seen to
       // fall.
       end =
           end.minus(
-              new Span((long) (LEAST_CHANCE * typical[statement.workload]))
-                  .shorter(statement.terms.slo().times(0.5)));
-      Span held = statement.clientLeaves.since(statement.takenAt).times(HELD);
-      end = mayTryElsewhere(statement) ? end.earlier(statement.takenAt.plus(held)) : end;
+              new Span((long) (LEAST_CHANCE * typicalTimes[statement.workloadIndex]))
+                  .shorter(statement.workload.slo().times(0.5)));
+      Span held = statement.clientDeadline.since(statement.receivedAt).times(HELD);
+      end = mayTryElsewhere(statement) ? end.earlier(statement.receivedAt.plus(held)) : end;
       if (statement.group.phase == Phase.STEADY
-          && statement.terms.needs() != ReadConsistency.WRITE) {
+          && statement.workload.needs() != ReadConsistency.WRITE) {
         // Any longer for room would leave too little of the SLO time for the work itself. What a
         // node
         // kept for a while, to turn away or lose it, is past that already, yet has a turn
         // elsewhere.
-        double share = statement.misses > 0 || statement.mayHaveRun ? 0.75 : PATIENCE;
+        double share = statement.staleAnswers > 0 || statement.mayHaveRun ? 0.75 : PATIENCE;
         Moment since =
-            statement.terms.onlyPrimary()
-                ? statement.takenAt.later(statement.group.foundAt)
-                : statement.takenAt;
-        end = end.earlier(since.plus(statement.terms.slo().times(share).longer(LEAST_PATIENCE)));
+            statement.workload.onlyPrimary()
+                ? statement.receivedAt.later(statement.group.primaryFoundAt)
+                : statement.receivedAt;
+        end = end.earlier(since.plus(statement.workload.slo().times(share).longer(LEAST_PATIENCE)));
       }
     }
     return !now.isBefore(end);
@@ -1283,15 +1319,15 @@
   // elsewhere.
   // Not where a late answer is worth most of one in time: there the end of a hold is waited for.
   private boolean mayTryElsewhere(Statement statement) {
-    return statement.executions == 0 && statement.terms.lateShare() <= 0.5;
+    return statement.attempts == 0 && statement.workload.lateShare() <= 0.5;
   }
 
   private void giveUp(Statement statement, boolean mayReturnAtOnce, RejectReason why) {
     boolean harmless =
-        statement.terms.repeat() == Idempotency.IDEMPOTENT
-            || (!statement.mayHaveRun && statement.out == 0)
-            || (statement.terms.repeat() == Idempotency.DEDUPLICATED
-                && statement.terms.within() == Workload.DeduplicationScope.ALL);
+        statement.workload.repeat() == Idempotency.IDEMPOTENT
+            || (!statement.mayHaveRun && statement.attemptsInFlight == 0)
+            || (statement.workload.repeat() == Idempotency.DEDUPLICATED
+                && statement.workload.within() == Workload.DeduplicationScope.ALL);
     finish(statement);
     if (harmless) {
       // In a hold it may come back at once: only what is held is released in order to a new
@@ -1305,15 +1341,15 @@
 
   private void finish(Statement statement) {
     statement.finished = true;
-    if (statement.queued && statement.terms.onlyPrimary()) {
+    if (statement.queued && statement.workload.onlyPrimary()) {
       takeOut(statement);
     }
-    callOff(statement, 0);
+    cancelAttempts(statement, 0);
   }
 
-  private void callOff(Statement statement, int from) {
-    for (int i = from; statement.out > 0 && i < statement.executions; i++) {
-      if (statement.isOut[i] && agreed.allowance().cancels()) {
+  private void cancelAttempts(Statement statement, int from) {
+    for (int i = from; statement.attemptsInFlight > 0 && i < statement.attempts; i++) {
+      if (statement.isInFlight[i] && agreed.allowance().cancels()) {
         outbound.cancel(statement.id, i);
       }
     }
@@ -1327,11 +1363,11 @@
     boolean copies = agreed.allowance().secondCopies();
     for (int i = open.size() - 1; i >= 0; i--) {
       Statement statement = open.get(i);
-      boolean stuck = statement.out > 0;
-      for (int k = 0; statement.out > 0 && k < statement.executions; k++) {
-        if (statement.isOut[k]) {
-          Endpoint node = statement.nodes[k];
-          noteSilence(node, statement, statement.sentAt[k]);
+      boolean stuck = statement.attemptsInFlight > 0;
+      for (int k = 0; statement.attemptsInFlight > 0 && k < statement.attempts; k++) {
+        if (statement.isInFlight[k]) {
+          Endpoint node = statement.endpoints[k];
+          detectSilence(node, statement, statement.sentAt[k]);
           // A trial has its own time: called off with the rest, none would ever end a silence.
           stuck &=
               node.down
@@ -1345,21 +1381,22 @@
         ReplicaGroup named = statement.group;
         if (named.members.isEmpty() && groups.remove(named.number, named)) {
           holds.forget(named.held);
-        } else if (named.subsetExtra > 0 && now.since(named.widenedAt).isLongerThan(REMEMBERED)) {
+        } else if (named.subsetExtraMembers > 0
+            && now.since(named.subsetWidenedAt).isLongerThan(REMEMBERED)) {
           ReplicaSubset.narrow(named);
         }
       } else if (statement.queued) {
-        change(statement.group);
-        if (statement.terms.onlyPrimary() && isOverdue(statement)) {
+        evaluateLater(statement.group);
+        if (statement.workload.onlyPrimary() && isOverdue(statement)) {
           takeOut(statement);
           unplaced.add(statement);
         }
-      } else if (stuck && mayRunAgain(statement, copies ? statement.out : 0)) {
+      } else if (stuck && mayRunAgain(statement, copies ? statement.attemptsInFlight : 0)) {
         // Waiting on nodes that answer nobody: another execution elsewhere may still be in time.
         if (copies) {
           unplaced.add(statement);
         } else {
-          callOff(statement, 0);
+          cancelAttempts(statement, 0);
         }
       }
     }
@@ -1369,31 +1406,33 @@
   /**
    * What commonly takes long tells of a silence only late, and what was sent just now of none yet.
    */
-  private void noteSilence(Endpoint node, Statement statement, Moment sent) {
-    double usual = typical[statement.workload] * Math.max(1, strain(node) / usualStrain);
+  private void detectSilence(Endpoint node, Statement statement, Moment sent) {
+    double usual =
+        typicalTimes[statement.workloadIndex]
+            * Math.max(1, latencyStrain(node) / usualLatencyStrain);
     Span patience =
-        new Span((long) (usual * (2 + 4.0 / Math.max(1, node.out)))).longer(LEAST_SILENCE);
-    if (!node.silent && now.since(node.owesSince.later(sent)).isLongerThan(patience)) {
+        new Span((long) (usual * (2 + 4.0 / Math.max(1, node.inFlight)))).longer(LEAST_SILENCE);
+    if (!node.silent && now.since(node.unansweredSince.later(sent)).isLongerThan(patience)) {
       pollNow(node);
-      fallSilent(node);
+      markSilent(node);
     }
   }
 
-  void fallSilent(Endpoint node) {
+  void markSilent(Endpoint node) {
     node.silent = true;
     node.silentSince = now;
     node.group.subsetStale = true;
-    lose(node);
+    losePrimary(node);
   }
 
   // ---- Health: what executions and polls tell.
 
-  double failing(Endpoint node) {
-    return node.failing.at(now, REMEMBERED);
+  double failureRate(Endpoint node) {
+    return node.failureRate.at(now, REMEMBERED);
   }
 
-  private double strain(Endpoint node) {
-    return usualStrain + node.strained.at(now, FORGIVEN);
+  private double latencyStrain(Endpoint node) {
+    return usualLatencyStrain + node.latencyStrain.at(now, FORGIVEN);
   }
 
   /**
@@ -1404,8 +1443,8 @@
     return Math.min(0.5, Math.max(LEARN, 1 - Math.exp(-now.since(last).micros() / 2e6)));
   }
 
-  private void fail(Endpoint node, double how) {
-    node.failing.move(now, REMEMBERED, weight(node.failing.since()), how);
+  private void recordFailure(Endpoint node, double how) {
+    node.failureRate.move(now, REMEMBERED, weight(node.failureRate.updatedAt()), how);
   }
 
   private void learnHealth(Endpoint node, Statement statement, AttemptOutcome ending, Span took) {
@@ -1413,64 +1452,68 @@
       case NEVER_SENT, UNKNOWN -> {}
       case FULL -> {
         // A hanging node with a full queue does so at once: no sign of life, and burns executions.
-        node.fullInRow = Math.min(5, node.fullInRow + 1);
-        node.restsUntil = now.plus(new Span((long) (typicalOfAll * (1 << node.fullInRow) / 2)));
-        if (now.since(node.cutAt).isLongerThan(new Span((long) typicalOfAll))) {
-          node.room = Math.max(LEAST_ROOM, 0.7 * Math.min(node.room, node.out + 1));
-          node.cutAt = now;
+        node.consecutiveFullAnswers = Math.min(5, node.consecutiveFullAnswers + 1);
+        node.backoffUntil =
+            now.plus(new Span((long) (typicalTime * (1 << node.consecutiveFullAnswers) / 2)));
+        if (now.since(node.capacityReducedAt).isLongerThan(new Span((long) typicalTime))) {
+          node.capacity = Math.max(LEAST_ROOM, 0.7 * Math.min(node.capacity, node.inFlight + 1));
+          node.capacityReducedAt = now;
         }
       }
       case COMPLETED, ERROR, MISS -> {
-        node.fullInRow = 0;
-        up(node);
+        node.consecutiveFullAnswers = 0;
+        markUp(node);
         node.silent = false;
-        node.trials = 0;
-        node.owesSince = now;
+        node.silenceTrials = 0;
+        node.unansweredSince = now;
         if (ending != AttemptOutcome.ERROR) {
-          fail(node, 0);
+          recordFailure(node, 0);
         }
       }
       case RESET, NO_CONNECTION -> {
-        fail(node, 1);
-        goDown(node);
+        recordFailure(node, 1);
+        markDown(node);
       }
       case NO_DESCRIPTOR -> {
         // Told by the state of this router, and of no node.
         return;
       }
-      case CANCELLED -> node.ghosts.set(now, ghosts(node) + 1);
+      case CANCELLED -> node.abandonedAttempts.set(now, abandonedAttempts(node) + 1);
       case TIMED_OUT -> {
-        node.ghosts.set(now, ghosts(node) + 1);
-        if (!node.owesSince.isAfter(now.minus(took))) {
+        node.abandonedAttempts.set(now, abandonedAttempts(node) + 1);
+        if (!node.unansweredSince.isAfter(now.minus(took))) {
           // Nothing came back since: lost, where a node that answers others is but slow.
-          fail(node, 1);
+          recordFailure(node, 1);
         }
         learnStrain(node, statement, took);
         pollNow(node);
       }
     }
-    boolean late = !took.isShorterThan(statement.terms.slo().times(0.9));
-    boolean untold = !node.tellsCores && now.since(node.pollSent).isLongerThan(SECOND.times(2));
-    if (late && now.since(node.pollSent).isLongerThan(SECOND)) {
+    boolean late = !took.isShorterThan(statement.workload.slo().times(0.9));
+    boolean untold = !node.reportsCpu && now.since(node.pollSentAt).isLongerThan(SECOND.times(2));
+    if (late && now.since(node.pollSentAt).isLongerThan(SECOND)) {
       pollNow(node);
     }
-    boolean jammed = (late && (node.util > BUSY || untold)) || ending == AttemptOutcome.FULL;
+    boolean jammed =
+        (late && (node.cpuUtilization > BUSY || untold)) || ending == AttemptOutcome.FULL;
     if ((jammed || (ending == AttemptOutcome.COMPLETED && !late))
-        && statement.terms.needs() != ReadConsistency.WRITE) {
-      DecayingValue jam = node == node.group.primary ? node.group.primaryJam : node.group.jam;
-      jam.move(now, REMEMBERED, weight(jam.since()), jammed ? 1 : 0);
+        && statement.workload.needs() != ReadConsistency.WRITE) {
+      DecayingValue jam =
+          node == node.group.primary ? node.group.primaryCongestion : node.group.replicaCongestion;
+      jam.move(now, REMEMBERED, weight(jam.updatedAt()), jammed ? 1 : 0);
     }
     if (ending == AttemptOutcome.COMPLETED) {
       learnStrain(node, statement, took);
-      typical[statement.workload] += LEARN / 4 * (took.micros() - typical[statement.workload]);
-      typicalOfAll += LEARN / 4 * (took.micros() - typicalOfAll);
+      typicalTimes[statement.workloadIndex] +=
+          LEARN / 4 * (took.micros() - typicalTimes[statement.workloadIndex]);
+      typicalTime += LEARN / 4 * (took.micros() - typicalTime);
       // Only what was answered shows what a node can bear; what is sent may be a storm of retries.
-      node.borne.add(now, FORGIVEN, typical[statement.workload]);
+      node.answeredWork.add(now, FORGIVEN, typicalTimes[statement.workloadIndex]);
     }
-    node.owesSince = node.out == 0 ? Moment.NEVER : node.owesSince;
-    if (node.room < 1) {
+    node.unansweredSince = node.inFlight == 0 ? Moment.NEVER : node.unansweredSince;
+    if (node.capacity < 1) {
       // Room for less than one execution at a time: a pause after each one makes up for the rest.
-      node.ghosts.set(now, Math.max(ghosts(node), 1 / node.room - 1));
+      node.abandonedAttempts.set(now, Math.max(abandonedAttempts(node), 1 / node.capacity - 1));
     }
   }
 
@@ -1479,15 +1522,17 @@
   // where it is strained and its cores are busy; past the hopeless mark always, as timed-out work
   // goes on.
   private void learnStrain(Endpoint node, Statement statement, Span took) {
-    double latest = Math.min(5, took.over(statement.terms.slo()));
-    double strain = strain(node) + weight(node.strained.since()) * (latest - strain(node));
-    usualStrain += LEARN / 4 * (strain - usualStrain);
-    node.strained.set(now, strain - usualStrain);
-    if (Math.min(strain, latest) > (node.util > BUSY ? STRAINED : HOPELESS)) {
-      node.room = Math.max(LEAST_ROOM, node.room - Math.min(0.3, 0.1 * node.room));
-    } else if (node.out + 1 > 0.7 * node.room && strain < 1.5 * STRAINED) {
-      double step = node.util < BUSY ? 0.5 : 1 / Math.max(2, node.room);
-      node.room = Math.min(MOST_ROOM, node.room + step);
+    double latest = Math.min(5, took.over(statement.workload.slo()));
+    double strain =
+        latencyStrain(node)
+            + weight(node.latencyStrain.updatedAt()) * (latest - latencyStrain(node));
+    usualLatencyStrain += LEARN / 4 * (strain - usualLatencyStrain);
+    node.latencyStrain.set(now, strain - usualLatencyStrain);
+    if (Math.min(strain, latest) > (node.cpuUtilization > BUSY ? STRAINED : HOPELESS)) {
+      node.capacity = Math.max(LEAST_ROOM, node.capacity - Math.min(0.3, 0.1 * node.capacity));
+    } else if (node.inFlight + 1 > 0.7 * node.capacity && strain < 1.5 * STRAINED) {
+      double step = node.cpuUtilization < BUSY ? 0.5 : 1 / Math.max(2, node.capacity);
+      node.capacity = Math.min(MOST_ROOM, node.capacity + step);
     }
   }
 
@@ -1495,12 +1540,12 @@
    * What was given up on may still run in its node: it takes up room for about as long as work
    * takes.
    */
-  private double ghosts(Endpoint node) {
-    return node.ghosts.at(now, new Span((long) typicalOfAll));
+  private double abandonedAttempts(Endpoint node) {
+    return node.abandonedAttempts.at(now, new Span((long) typicalTime));
   }
 
-  private boolean hasRoom(Endpoint node, double share) {
-    return node.out + ghosts(node) < node.room * share;
+  private boolean hasCapacity(Endpoint node, double share) {
+    return node.inFlight + abandonedAttempts(node) < node.capacity * share;
   }
 
   // An error may be the node's or the statement's own. What erred once and then went through shows
@@ -1511,12 +1556,12 @@
   // through.
   private void judgeError(Statement statement, int execution, AttemptOutcome ending) {
     if (ending == AttemptOutcome.ERROR) {
-      statement.erred[execution] = true;
-      statement.errors += failing(statement.nodes[execution]) < FAILING ? 1 : 0;
+      statement.endedInError[execution] = true;
+      statement.unexplainedErrors += failureRate(statement.endpoints[execution]) < FAILING ? 1 : 0;
     } else if (ending == AttemptOutcome.COMPLETED) {
-      for (int i = 0; statement.errors > 0 && i < statement.executions; i++) {
-        if (statement.erred[i]) {
-          fail(statement.nodes[i], 1);
+      for (int i = 0; statement.unexplainedErrors > 0 && i < statement.attempts; i++) {
+        if (statement.endedInError[i]) {
+          recordFailure(statement.endpoints[i], 1);
         }
       }
     }
@@ -1524,57 +1569,58 @@
 
   private void learnRole(
       Endpoint node, Statement statement, AttemptOutcome ending, Role role, Moment sent) {
-    if (ending == AttemptOutcome.MISS && statement.terms.needs() == ReadConsistency.WRITE) {
+    if (ending == AttemptOutcome.MISS && statement.workload.needs() == ReadConsistency.WRITE) {
       // It turns writes away before it stops calling itself primary: believed at once, every such
       // claim
       // cost what was held one more execution.
-      node.denied = now.plus(SECOND);
+      node.lastNotPrimaryReportAt = now.plus(SECOND);
     } else if (role == Role.PRIMARY) {
       // Answers can overtake each other: counted from the sending, a claim undoes no later denial.
-      claims(node, sent);
+      reportedPrimary(node, sent);
     } else if (role == Role.REPLICA) {
-      node.denied = node.denied.later(now);
+      node.lastNotPrimaryReportAt = node.lastNotPrimaryReportAt.later(now);
     }
     node.deposed &= role != Role.REPLICA;
-    if (node.denied.isAfter(node.claimed)) {
-      lose(node);
+    if (node.lastNotPrimaryReportAt.isAfter(node.lastPrimaryReportAt)) {
+      losePrimary(node);
     }
   }
 
   private void learnPosition(
       Endpoint node, Statement statement, AttemptOutcome ending, Moment position) {
     boolean wrote =
-        ending == AttemptOutcome.COMPLETED && statement.terms.needs() == ReadConsistency.WRITE;
+        ending == AttemptOutcome.COMPLETED && statement.workload.needs() == ReadConsistency.WRITE;
     if (position.isAfter(Moment.LONG_AGO) && !position.isAfter(now)) {
       // A commit comes rounded up to its millisecond, which is too new for a position.
-      node.position = node.position.later(wrote ? position.minus(Span.ofMillis(1)) : position);
-      sight(node, now.since(position));
+      node.provenPosition =
+          node.provenPosition.later(wrote ? position.minus(Span.ofMillis(1)) : position);
+      observeLag(node, now.since(position));
     }
     if (wrote && !agreed.replication().sessionsCarryTokens()) {
-      sessions.wrote(statement.session, position.isAfter(Moment.LONG_AGO) ? position : now);
+      sessions.recordWrite(statement.session, position.isAfter(Moment.LONG_AGO) ? position : now);
     }
   }
 
-  void goDown(Endpoint node) {
+  void markDown(Endpoint node) {
     node.downSince = node.down ? node.downSince : now;
     node.group.subsetStale |= !node.down;
     node.down = true;
     pollNow(node);
-    lose(node);
+    losePrimary(node);
   }
 
-  private void up(Endpoint node) {
-    node.heard = node.group.heard = true;
-    node.pollMisses = 0;
-    if (now.since(node.refusedAt).isShorterThan(SECOND)) {
+  private void markUp(Endpoint node) {
+    node.hasAnswered = node.group.hasAnswered = true;
+    node.missedPolls = 0;
+    if (now.since(node.connectionRefusedAt).isShorterThan(SECOND)) {
       // It refused a connection at once and yet answers: at its limit, not gone. One shows nothing:
       // some always break, and letting go for it opened a connection for every second execution.
-      node.refusedAt = Moment.LONG_AGO;
-      scarce.move(now, REMEMBERED, 2 * LEARN, 1);
+      node.connectionRefusedAt = Moment.LONG_AGO;
+      connectionScarcity.move(now, REMEMBERED, 2 * LEARN, 1);
     }
     if (node.down && now.since(node.downSince).isLongerThan(SECOND)) {
       // The list tells of a restart only seconds later.
-      starts(node, now);
+      started(node, now);
     }
     node.down = false;
   }
@@ -1583,12 +1629,12 @@
    * One execution of each router at once would topple a node, so each waits a random part of its
    * share.
    */
-  void starts(Endpoint node, Moment at) {
+  void started(Endpoint node, Moment at) {
     if (at.isAfter(node.startedAt)) {
       node.startedAt = at;
-      node.coldWork = chance.nextDouble() * typicalOfAll;
-      node.coldUntried = true;
-      node.coldAt = now;
+      node.warmUpWork = chance.nextDouble() * typicalTime;
+      node.unusedSinceStart = true;
+      node.warmUpWorkAt = now;
     }
   }
 
@@ -1596,55 +1642,58 @@
   // stays
   // open to a trial, or a router that polls rarely would do without it for long.
   private void pollMissed(Endpoint node, boolean refused) {
-    node.pollMisses++;
-    boolean serves = now.since(node.usedAt).isShorterThan(SECOND.times(2));
+    node.missedPolls++;
+    boolean serves = now.since(node.lastAnswerAt).isShorterThan(SECOND.times(2));
     if (refused) {
-      goDown(node);
-    } else if (node.pollMisses > 1 && !serves && !node.silent) {
-      fallSilent(node);
+      markDown(node);
+    } else if (node.missedPolls > 1 && !serves && !node.silent) {
+      markSilent(node);
     }
-    boolean asksAgain = isWatched(node) || node.pollMisses == 1;
-    node.pollDue =
+    boolean asksAgain = isPolledRegularly(node) || node.missedPolls == 1;
+    node.nextPollAt =
         !asksAgain
             ? Moment.NEVER
-            : now.plus(refused || node.pollMisses > 1 ? retryPause(node) : FASTEST_POLL);
+            : now.plus(refused || node.missedPolls > 1 ? retryPause(node) : FASTEST_POLL);
   }
 
   private Span retryPause(Endpoint node) {
-    return HOLD_POLL.times(1 << Math.min(7, node.pollMisses)).shorter(pollPeriod(node));
+    return HOLD_POLL.times(1 << Math.min(7, node.missedPolls)).shorter(pollPeriod(node));
   }
 
   // ---- Cold nodes.
 
-  double warmth(Endpoint node) {
+  double warmUpShare(Endpoint node) {
     return agreed.warmUp().at(now.since(node.startedAt));
   }
 
-  double coldLevel(Endpoint node) {
-    double faded = coldRate(node) * (1 - COLD_BURST) * now.since(node.coldAt).over(SECOND);
-    return Math.max(0, node.coldWork - faded);
+  double remainingWork(Endpoint node) {
+    double faded =
+        allowedWorkPerSecond(node) * (1 - COLD_BURST) * now.since(node.warmUpWorkAt).over(SECOND);
+    return Math.max(0, node.warmUpWork - faded);
   }
 
   // The work a second that this router may add to a cold node: what warm members bear from it is
   // its share
   // of what a node can do. Where a whole group is cold, the warm nodes of the others are the
   // yardstick.
-  double coldRate(Endpoint node) {
-    double perSize = warmRate(inUse(node.group));
+  double allowedWorkPerSecond(Endpoint node) {
+    double perSize = workPerSize(membersInUse(node.group));
     double borne =
-        (perSize > 0 ? perSize : warmCapacity.perSize(nodes, this::isWarm, this::bornePerSecond))
+        (perSize > 0
+                ? perSize
+                : warmCapacity.perSize(endpoints, this::isWarm, this::answeredWorkPerSecond))
             * node.size;
     return Math.max(
-        COLD_SAFETY * agreed.warmUp().topplesAt() * warmth(node) * borne,
-        typicalOfAll / agreed.warmUp().topplesIn().over(SECOND) / agreed.standing().routers());
+        COLD_SAFETY * agreed.warmUp().topplesAt() * warmUpShare(node) * borne,
+        typicalTime / agreed.warmUp().topplesIn().over(SECOND) / agreed.standing().routers());
   }
 
-  private double warmRate(Collection<Endpoint> among) {
+  private double workPerSize(Collection<Endpoint> among) {
     double sum = 0;
     double size = 0;
     for (Endpoint node : among) {
       if (isWarm(node)) {
-        sum += bornePerSecond(node);
+        sum += answeredWorkPerSecond(node);
         size += node.size;
       }
     }
@@ -1652,11 +1701,11 @@
   }
 
   private boolean isWarm(Endpoint node) {
-    return listedForUse(node) && !node.down && warmth(node) >= 1;
+    return listedForUse(node) && !node.down && warmUpShare(node) >= 1;
   }
 
-  private double bornePerSecond(Endpoint node) {
-    return node.borne.at(now, FORGIVEN) / FORGIVEN.over(SECOND);
+  private double answeredWorkPerSecond(Endpoint node) {
+    return node.answeredWork.at(now, FORGIVEN) / FORGIVEN.over(SECOND);
   }
 
   /**
@@ -1666,20 +1715,21 @@
    * thinned, its sum stays within the budget. What has waited is not: all routers may have some,
    * and would send it at once.
    */
-  private boolean isFirstToCold(Endpoint node, Statement statement) {
-    if (!node.coldUntried || statement.executions > 0 || !statement.takenAt.equals(now)) {
+  private boolean isAdmittedAsFirst(Endpoint node, Statement statement) {
+    if (!node.unusedSinceStart || statement.attempts > 0 || !statement.receivedAt.equals(now)) {
       return false;
     }
     double share =
-        statement.terms.onlyPrimary()
-            ? COLD_SAFETY * agreed.warmUp().topplesAt() * warmth(node)
-            : warmth(node);
+        statement.workload.onlyPrimary()
+            ? COLD_SAFETY * agreed.warmUp().topplesAt() * warmUpShare(node)
+            : warmUpShare(node);
     return chance.nextDouble() < share;
   }
 
-  private boolean coldAllows(Endpoint node, double work) {
-    double burst = coldRate(node) * COLD_BURST * agreed.warmUp().topplesIn().over(SECOND);
-    return coldLevel(node) <= 0 || coldLevel(node) + work <= burst;
+  private boolean hasBudget(Endpoint node, double work) {
+    double burst =
+        allowedWorkPerSecond(node) * COLD_BURST * agreed.warmUp().topplesIn().over(SECOND);
+    return remainingWork(node) <= 0 || remainingWork(node) + work <= burst;
   }
 
   // ---- Polls and waking.
@@ -1689,23 +1739,23 @@
   }
 
   private void pollWithin(Endpoint node, Span sinceTheLast) {
-    node.pollDue = node.pollDue.earlier(node.pollSent.plus(sinceTheLast).later(now));
+    node.nextPollAt = node.nextPollAt.earlier(node.pollSentAt.plus(sinceTheLast).later(now));
     polls.update(node);
   }
 
   private void pollDue() {
     for (Endpoint node : polls.takeDue(now)) {
-      if ((node.listing == EndpointLifecycle.GONE && !listedForUse(node))
+      if ((node.lifecycle == EndpointLifecycle.GONE && !listedForUse(node))
           || !agreed.allowance().polls()) {
-        node.pollOut = false;
-        node.pollDue = Moment.NEVER;
+        node.pollInFlight = false;
+        node.nextPollAt = Moment.NEVER;
         continue;
       }
-      if (node.pollOut && now.since(node.pollSent).isLongerThan(SECOND)) {
-        node.pollOut = false;
+      if (node.pollInFlight && now.since(node.pollSentAt).isLongerThan(SECOND)) {
+        node.pollInFlight = false;
         pollMissed(node, false);
       }
-      if (!node.pollOut && !now.isBefore(node.pollDue)) {
+      if (!node.pollInFlight && !now.isBefore(node.nextPollAt)) {
         poll(node);
       } else {
         polls.update(node);
@@ -1714,10 +1764,10 @@
   }
 
   void poll(Endpoint node) {
-    node.pollOut = true;
-    node.pollSent = now;
-    node.pollDue =
-        isWatched(node)
+    node.pollInFlight = true;
+    node.pollSentAt = now;
+    node.nextPollAt =
+        isPolledRegularly(node)
             ? now.plus(pollPeriod(node).times(0.75 + 0.5 * chance.nextDouble()))
             : Moment.NEVER;
     polls.update(node);
@@ -1732,7 +1782,8 @@
     if (agreed.standing().pollPrice() <= 0) {
       return cadence;
     }
-    double rate = node.group.rate.at(now, REMEMBERED) / Math.max(1, inUse(node.group).size());
+    double rate =
+        node.group.statementRate.at(now, REMEMBERED) / Math.max(1, membersInUse(node.group).size());
     double perSecond = POLL_POINTS / agreed.standing().pollPrice() * rate;
     return Span.ofMillis(1_000 / Math.max(1e-3, perSecond)).longer(cadence).shorter(RAREST_POLL);
   }
--- a/router/src/main/java/basaltlever/core/StatementRouter.java
+++ b/router/src/main/java/basaltlever/core/StatementRouter.java
@@ -61,11 +61,11 @@
   /** Other values for the decisions, as agreed from now on. */
   public void agree(Moment now, Consumer<LoadBalancer> values) {
     values.accept(balance);
-    balance.woken(now);
+    balance.timerFired(now);
   }
 
   public void listBegins() {
-    balance.listBegins();
+    balance.listStarted();
   }
 
   public void listed(
@@ -87,10 +87,10 @@
       nodes.set(known, node);
       nodeIndices.put(node, known);
     }
-    balance.listed(now, known, listing, group, zone, size, startedAt);
+    balance.endpointListed(now, known, listing, group, zone, size, startedAt);
     if (first) {
       // Spread by the odd multiplier of Knuth's multiplicative hash: ids may share their low bits.
-      balance.ranked(known, node.hashCode() * 0x9E3779B1);
+      balance.ringOrderKnown(known, node.hashCode() * 0x9E3779B1);
     }
   }
 
@@ -101,7 +101,7 @@
 
   /** Tells on-call how much of the list is polled regularly, where that has changed. */
   public void reportWatched() {
-    balance.reportWatched();
+    balance.reportPolledGroups();
   }
 
   /** Members there are, and those gone that a rule may still ask for. */
@@ -112,16 +112,16 @@
   /** Whether no execution is out at it; so it is where nobody knows it. */
   public boolean isIdle(N node) {
     Integer known = nodeIndices.get(node);
-    return known == null || balance.recall.out(known) == 0;
+    return known == null || balance.learnedState.out(known) == 0;
   }
 
   /** What was known of a node before this process, right after it is listed. */
   public void recalled(Moment now, N node, EndpointState view) {
-    balance.recall.recalled(now, nodeIndices.get(node), view);
+    balance.learnedState.recalled(now, nodeIndices.get(node), view);
   }
 
   public void recalled(Moment now, List<GroupState> groups) {
-    groups.forEach(group -> balance.recall.recalled(now, group));
+    groups.forEach(group -> balance.learnedState.recalled(now, group));
   }
 
   /**
@@ -132,22 +132,22 @@
     int end = Math.min(nodes.size(), from + places);
     for (int index = from; index < end; index++) {
       if (nodes.get(index) != null) {
-        each.accept(nodes.get(index), balance.recall.learned(now, index));
+        each.accept(nodes.get(index), balance.learnedState.learned(now, index));
       }
     }
     return end < nodes.size();
   }
 
   public List<GroupState> learnedOfGroups(Moment now) {
-    return balance.recall.learnedOfGroups(now);
+    return balance.learnedState.learnedOfGroups(now);
   }
 
   public void listEnds(Moment now, boolean complete, boolean asked) {
-    balance.listEnds(now, complete, asked);
+    balance.listFinished(now, complete, asked);
   }
 
   public void listFailed(Moment now) {
-    balance.listFailed(now);
+    balance.listCallFailed(now);
   }
 
   /** False where a statement with this ticket is still here. */
@@ -177,7 +177,7 @@
     pending[slot] = 1;
     executions[slot] = 0;
     answered[slot] = false;
-    balance.taken(now, slot, workload, group, session, clientLeaves, committed, bytes);
+    balance.statementReceived(now, slot, workload, group, session, clientLeaves, committed, bytes);
     return true;
   }
 
@@ -206,7 +206,7 @@
             : ending;
     boolean completes = heard == AttemptOutcome.COMPLETED && !answered[slot];
     boolean over = finished || completes || answered[slot];
-    boolean known = balance.ended(now, slot, execution, heard, role, position, over);
+    boolean known = balance.attemptEnded(now, slot, execution, heard, role, position, over);
     if (over) {
       settle(slot);
     }
@@ -226,7 +226,7 @@
       double queue) {
     Integer known = nodeIndices.get(node);
     if (known != null) {
-      balance.polled(now, known, ending, role, position, util, queue);
+      balance.pollEnded(now, known, ending, role, position, util, queue);
     }
   }
 
@@ -237,13 +237,15 @@
   public boolean announced(Moment now, N member, long number, N target, Moment at, boolean off) {
     Integer from = nodeIndices.get(member);
     Integer named = nodeIndices.get(target);
-    return from != null && named != null && balance.announced(now, from, number, named, at, off);
+    return from != null
+        && named != null
+        && balance.switchoverAnnounced(now, from, number, named, at, off);
   }
 
   public void clientLeft(Moment now, long ticket) {
     int slot = slots.find(ticket);
     if (slot >= 0) {
-      balance.clientLeft(now, slot);
+      balance.clientDisconnected(now, slot);
       settle(slot);
     }
   }
@@ -255,13 +257,13 @@
   public void timeIsOver(Moment now, long ticket) {
     int slot = slots.find(ticket);
     if (slot >= 0) {
-      balance.timeIsOver(now, slot);
+      balance.deadlinePassed(now, slot);
       settle(slot);
     }
   }
 
   public void woken(Moment now) {
-    balance.woken(now);
+    balance.timerFired(now);
   }
 
   private void settle(int slot) {
--- a/router/src/main/java/basaltlever/endpoints/PolledGroups.java
+++ b/router/src/main/java/basaltlever/endpoints/PolledGroups.java
@@ -46,13 +46,13 @@
   public boolean admitAll(Collection<ReplicaGroup> groups) {
     int more = 0;
     for (ReplicaGroup group : groups) {
-      more += group.watched ? 0 : size(group);
+      more += group.polledRegularly ? 0 : size(group);
       if (members + more > MOST_MEMBERS) {
         return false;
       }
     }
     for (ReplicaGroup group : groups) {
-      if (!group.watched) {
+      if (!group.polledRegularly) {
         add(group);
       }
     }
@@ -91,7 +91,7 @@
     members = 0;
     for (ReplicaGroup group : former) {
       boolean stays = !group.members.isEmpty() && members + size(group) <= MOST_MEMBERS;
-      group.watched = false;
+      group.polledRegularly = false;
       if (stays) {
         add(group);
       } else {
@@ -102,13 +102,13 @@
   }
 
   private void add(ReplicaGroup group) {
-    group.watched = true;
+    group.polledRegularly = true;
     watched.add(group);
     members += size(group);
   }
 
   private void remove(ReplicaGroup group) {
-    group.watched = false;
+    group.polledRegularly = false;
     watched.remove(group);
     members -= size(group);
   }
--- a/router/src/main/java/basaltlever/endpoints/PrimarySearch.java
+++ b/router/src/main/java/basaltlever/endpoints/PrimarySearch.java
@@ -32,20 +32,22 @@
       Span betweenRounds,
       int startPlace,
       Predicate<Endpoint> mayBeAsked) {
-    List<Endpoint> asked = group.searching;
-    asked.removeIf(node -> !node.pollOut || now.since(node.pollSent).isLongerThan(STALLED));
+    List<Endpoint> asked = group.searchPolls;
+    asked.removeIf(node -> !node.pollInFlight || now.since(node.pollSentAt).isLongerThan(STALLED));
     boolean roundOver = group.searchCursor >= group.members.size();
-    if (roundOver && asked.isEmpty() && !now.since(group.searchFrom).isShorterThan(betweenRounds)) {
+    if (roundOver
+        && asked.isEmpty()
+        && !now.since(group.searchRoundStartedAt).isShorterThan(betweenRounds)) {
       group.searchRounds++;
       group.searchCursor = 0;
-      group.searchFrom = now;
+      group.searchRoundStartedAt = now;
     }
-    int atOnce = group.lost == null ? AT_FIRST : AFTER_LOSS;
+    int atOnce = group.lostPrimary == null ? AT_FIRST : AFTER_LOSS;
     List<Endpoint> next = new ArrayList<>(atOnce);
     while (asked.size() < atOnce && group.searchCursor < group.members.size()) {
       Endpoint member =
           group.members.get((startPlace + group.searchCursor++) % group.members.size());
-      if (mayBeAsked.test(member) && !member.pollOut) {
+      if (mayBeAsked.test(member) && !member.pollInFlight) {
         asked.add(member);
         next.add(member);
       }
--- a/router/src/main/java/basaltlever/endpoints/ReplicaSubset.java
+++ b/router/src/main/java/basaltlever/endpoints/ReplicaSubset.java
@@ -26,7 +26,7 @@
   private static final Span APART = Span.ofMillis(100);
 
   private static final Comparator<Endpoint> BY_RANK =
-      Comparator.comparingInt((Endpoint node) -> node.rank).thenComparingInt(node -> node.id);
+      Comparator.comparingInt((Endpoint node) -> node.ringOrder).thenComparingInt(node -> node.id);
 
   private ReplicaSubset() {}
 
@@ -54,16 +54,16 @@
   /** Takes in half as many again, where those of the subset have no room or were lost. */
   public static void widen(ReplicaGroup group, int routers) {
     int most = group.members.size();
-    int width = Math.min(most, width(most, routers) + group.subsetExtra);
+    int width = Math.min(most, width(most, routers) + group.subsetExtraMembers);
     if (width < most) {
-      group.subsetExtra += Math.max(1, width / 2);
+      group.subsetExtraMembers += Math.max(1, width / 2);
       group.subsetStale = true;
     }
   }
 
   /** Gives up what it was widened by. */
   public static void narrow(ReplicaGroup group) {
-    group.subsetExtra = 0;
+    group.subsetExtraMembers = 0;
     group.subsetStale = true;
   }
 
@@ -76,7 +76,7 @@
       }
     }
     ring.sort(BY_RANK);
-    int width = Math.min(ring.size(), width(ring.size(), routers) + group.subsetExtra);
+    int width = Math.min(ring.size(), width(ring.size(), routers) + group.subsetExtraMembers);
     int start =
         (int)
             ((long) Math.floorMod(index, Math.max(1, routers))
--- a/router/src/main/java/basaltlever/hold/HoldBudget.java
+++ b/router/src/main/java/basaltlever/hold/HoldBudget.java
@@ -54,7 +54,7 @@
    * Who has to go since one of the workload was added there; null where all have room. To be asked
    * until then.
    */
-  public Statement beyond(HoldQueue added, int workload) {
+  public Statement nextToReject(HoldQueue added, int workload) {
     holding.add(added);
     int mostOfGroup = (int) Math.max(1, statements * OF_ALL);
     if (added.size() > mostOfGroup || (added.bytes() > bytes * OF_ALL && added.size() > 1)) {
--- a/router/src/main/java/basaltlever/model/DecayingValue.java
+++ b/router/src/main/java/basaltlever/model/DecayingValue.java
@@ -6,15 +6,15 @@
 /** A value that fades by itself; how fast is said by who reads it. */
 public final class DecayingValue {
   private double value;
-  private Moment since = Moment.LONG_AGO;
+  private Moment updatedAt = Moment.LONG_AGO;
 
   public double at(Moment now, Span span) {
-    return value == 0 ? 0 : value * Math.exp(-now.since(since).over(span));
+    return value == 0 ? 0 : value * Math.exp(-now.since(updatedAt).over(span));
   }
 
   public void set(Moment now, double value) {
     this.value = value;
-    since = now;
+    updatedAt = now;
   }
 
   public void add(Moment now, Span span, double more) {
@@ -26,7 +26,7 @@
     add(now, span, weight * (target - at(now, span)));
   }
 
-  public Moment since() {
-    return since;
+  public Moment updatedAt() {
+    return updatedAt;
   }
 }
--- a/router/src/main/java/basaltlever/model/Endpoint.java
+++ b/router/src/main/java/basaltlever/model/Endpoint.java
@@ -9,88 +9,88 @@
   public ReplicaGroup group;
   public int zone;
   public double size = 1;
-  public EndpointLifecycle listing = EndpointLifecycle.GONE;
-  public boolean drainSeen;
+  public EndpointLifecycle lifecycle = EndpointLifecycle.GONE;
+  public boolean wasDraining;
 
   /** Replaced as primary, and has not said since that it is a replica. */
   public boolean deposed;
 
-  public int listedIn;
+  public int listGeneration;
 
   /** By which all routers order the members of a group alike. */
-  public int rank;
+  public int ringOrder;
 
   /** It was sent a statement. */
-  public boolean triedFirst;
+  public boolean wasSentStatement;
 
   /** It has answered something, if only a poll. */
-  public boolean heard;
+  public boolean hasAnswered;
 
   /** The latest moments at which it is known to have been primary, and not to have been. */
-  public Moment claimed = Moment.LONG_AGO;
+  public Moment lastPrimaryReportAt = Moment.LONG_AGO;
 
-  public Moment denied = Moment.LONG_AGO;
+  public Moment lastNotPrimaryReportAt = Moment.LONG_AGO;
 
   /** All commits up to here are in its data: proven, never guessed. */
-  public Moment position = Moment.LONG_AGO;
+  public Moment provenPosition = Moment.LONG_AGO;
 
-  public double util;
+  public double cpuUtilization;
 
   /**
    * Its latest report told how busy its cores are: a switch of settings changes what reports hold.
    */
-  public boolean tellsCores;
+  public boolean reportsCpu;
 
   /** When it is to be polled next; never where nothing asks for it. */
-  public Moment pollDue = Moment.NEVER;
+  public Moment nextPollAt = Moment.NEVER;
 
   /** When its next poll is due, or the one under way is missed: kept by the schedule of polls. */
-  public Moment pollWake = Moment.NEVER;
+  public Moment pollWakeAt = Moment.NEVER;
 
-  public Moment pollSent = Moment.LONG_AGO;
-  public boolean pollOut;
-  public int pollMisses;
+  public Moment pollSentAt = Moment.LONG_AGO;
+  public boolean pollInFlight;
+  public int missedPolls;
 
-  public int out;
+  public int inFlight;
 
   /** Since when it owes an answer without having given any. */
-  public Moment owesSince = Moment.NEVER;
+  public Moment unansweredSince = Moment.NEVER;
 
   /** Open connections that carry nothing, and when one was last seen to be open. */
-  public int idle;
+  public int idleConnections;
 
-  public Moment usedAt = Moment.LONG_AGO;
+  public Moment lastAnswerAt = Moment.LONG_AGO;
 
   /** When it last refused a connection at once. */
-  public Moment refusedAt = Moment.LONG_AGO;
+  public Moment connectionRefusedAt = Moment.LONG_AGO;
 
   public boolean silent;
 
   /** Statements sent to it in vain to see whether the silence is over. */
-  public int trials;
+  public int silenceTrials;
 
-  public Moment triedAt = Moment.LONG_AGO;
+  public Moment lastTrialAt = Moment.LONG_AGO;
   public boolean down;
   public Moment downSince = Moment.NEVER;
 
   /** Response time over SLO time lately, less what is usual. */
-  public final DecayingValue strained = new DecayingValue();
+  public final DecayingValue latencyStrain = new DecayingValue();
 
   /** How many executions this router may have out here. */
-  public double room;
+  public double capacity;
 
-  public Moment cutAt = Moment.LONG_AGO;
-  public int fullInRow;
-  public Moment restsUntil = Moment.LONG_AGO;
+  public Moment capacityReducedAt = Moment.LONG_AGO;
+  public int consecutiveFullAnswers;
+  public Moment backoffUntil = Moment.LONG_AGO;
 
   /** Executions given up on that may still take up the node, fading. */
-  public final DecayingValue ghosts = new DecayingValue();
+  public final DecayingValue abandonedAttempts = new DecayingValue();
 
   /** How often it lost or failed what it was given, lately. */
-  public final DecayingValue failing = new DecayingValue();
+  public final DecayingValue failureRate = new DecayingValue();
 
   /** How far behind it was when last seen; a guess, never proof. */
-  public final DecayingValue lag = new DecayingValue();
+  public final DecayingValue estimatedLag = new DecayingValue();
 
   public Moment silentSince = Moment.LONG_AGO;
 
@@ -100,28 +100,28 @@
   public Moment startedAt = Moment.LONG_AGO;
 
   /** Work that it answered for this router, lately. */
-  public final DecayingValue borne = new DecayingValue();
+  public final DecayingValue answeredWork = new DecayingValue();
 
-  public double coldWork;
+  public double warmUpWork;
 
   /** Since its last start this router has sent it nothing. */
-  public boolean coldUntried;
+  public boolean unusedSinceStart;
 
-  public Moment coldAt = Moment.LONG_AGO;
+  public Moment warmUpWorkAt = Moment.LONG_AGO;
 
   /** In service as the list has it. */
   public boolean isInService() {
-    return listing == EndpointLifecycle.READY;
+    return lifecycle == EndpointLifecycle.READY;
   }
 
   /** This router has polled it or sent it something. */
   public boolean wasContacted() {
-    return pollSent.isAfter(Moment.LONG_AGO) || triedFirst;
+    return pollSentAt.isAfter(Moment.LONG_AGO) || wasSentStatement;
   }
 
   public Endpoint(int id, double room) {
     this.id = id;
-    rank = id;
-    this.room = room;
+    ringOrder = id;
+    this.capacity = room;
   }
 }
--- a/router/src/main/java/basaltlever/model/HoldQueue.java
+++ b/router/src/main/java/basaltlever/model/HoldQueue.java
@@ -15,8 +15,8 @@
  */
 public final class HoldQueue {
   private static final Comparator<Statement> ORDER =
-      Comparator.comparingDouble((Statement statement) -> -statement.rank)
-          .thenComparingLong(statement -> statement.takenAt.micros())
+      Comparator.comparingDouble((Statement statement) -> -statement.holdPriority)
+          .thenComparingLong(statement -> statement.receivedAt.micros())
           .thenComparingInt(statement -> statement.id);
 
   private final TreeSet<Statement> order = new TreeSet<>(ORDER);
@@ -61,7 +61,7 @@
   public Statement last(int workload) {
     for (Iterator<Statement> each = order.descendingIterator(); each.hasNext(); ) {
       Statement next = each.next();
-      if (next.workload == workload) {
+      if (next.workloadIndex == workload) {
         return next;
       }
     }
@@ -69,7 +69,7 @@
   }
 
   public void add(Statement statement) {
-    statement.rank = statement.terms.importance();
+    statement.holdPriority = statement.workload.importance();
     if (statement.session != 0) {
       ArrayDeque<Statement> own =
           sessions.computeIfAbsent(statement.session, id -> new ArrayDeque<>(2));
@@ -77,13 +77,13 @@
       while (!own.isEmpty() && isLater(own.peekLast(), statement)) {
         // It was sent before and has come back: those that came after it stay behind it.
         later.push(own.pollLast());
-        statement.rank = Math.max(statement.rank, later.peek().rank);
+        statement.holdPriority = Math.max(statement.holdPriority, later.peek().holdPriority);
       }
       if (!own.isEmpty()) {
-        statement.rank = Math.min(statement.rank, own.peekLast().rank);
+        statement.holdPriority = Math.min(statement.holdPriority, own.peekLast().holdPriority);
         for (Statement behind : later) {
           order.remove(behind);
-          behind.rank = Math.min(behind.rank, statement.rank);
+          behind.holdPriority = Math.min(behind.holdPriority, statement.holdPriority);
           order.add(behind);
         }
       }
@@ -91,25 +91,25 @@
       own.addAll(later);
     }
     order.add(statement);
-    if (statement.workload >= ofWorkload.length) {
+    if (statement.workloadIndex >= ofWorkload.length) {
       // Settings may bring workloads while this group holds others.
-      ofWorkload = Arrays.copyOf(ofWorkload, statement.workload + 1);
+      ofWorkload = Arrays.copyOf(ofWorkload, statement.workloadIndex + 1);
     }
-    ofWorkload[statement.workload]++;
-    bytes += statement.bytes;
+    ofWorkload[statement.workloadIndex]++;
+    bytes += statement.textBytes;
   }
 
   private static boolean isLater(Statement one, Statement other) {
-    return one.takenAt.isAfter(other.takenAt)
-        || (one.takenAt.equals(other.takenAt) && one.id > other.id);
+    return one.receivedAt.isAfter(other.receivedAt)
+        || (one.receivedAt.equals(other.receivedAt) && one.id > other.id);
   }
 
   public void remove(Statement statement) {
     if (!order.remove(statement)) {
       return;
     }
-    ofWorkload[statement.workload]--;
-    bytes -= statement.bytes;
+    ofWorkload[statement.workloadIndex]--;
+    bytes -= statement.textBytes;
     ArrayDeque<Statement> own = sessions.get(statement.session);
     if (own != null) {
       own.remove(statement);
--- a/router/src/main/java/basaltlever/model/ReplicaGroup.java
+++ b/router/src/main/java/basaltlever/model/ReplicaGroup.java
@@ -22,34 +22,34 @@
   public final HoldQueue held;
 
   /** Reads that wait for room or a position. */
-  public final PriorityQueue<Statement> waiting;
+  public final PriorityQueue<Statement> waitingReads;
 
   /** What its members announce. */
-  public final PlannedSwitchover change;
+  public final PlannedSwitchover switchover;
 
   public Phase phase = Phase.HOLD;
   public Moment holdSince;
 
   /** When it last found a primary. */
-  public Moment foundAt = Moment.LONG_AGO;
+  public Moment primaryFoundAt = Moment.LONG_AGO;
 
   public Endpoint primary;
-  public Endpoint lost;
+  public Endpoint lostPrimary;
 
   /** How old reports have lately been on arrival, at most. */
-  public Span reportAge;
+  public Span maxReportAge;
 
   /** Statements a second, lately. */
-  public final DecayingValue rate = new DecayingValue();
+  public final DecayingValue statementRate = new DecayingValue();
 
   /** Share of reads that busy replicas, or a busy primary, answered late or not at all, lately. */
-  public final DecayingValue jam = new DecayingValue();
+  public final DecayingValue replicaCongestion = new DecayingValue();
 
-  public final DecayingValue primaryJam = new DecayingValue();
-  public boolean changed;
+  public final DecayingValue primaryCongestion = new DecayingValue();
+  public boolean evaluationPending;
 
   /** Its members are polled all the time, not only when a statement needs it. */
-  public boolean watched;
+  public boolean polledRegularly;
 
   /**
    * Of a large group: the members that reads go to, kept by {@code endpoints.ReplicaSubset}; null
@@ -61,28 +61,28 @@
   public boolean subsetStale = true;
 
   /** By how many members the subset was widened, and when last. */
-  public int subsetExtra;
+  public int subsetExtraMembers;
 
-  public Moment widenedAt = Moment.LONG_AGO;
+  public Moment subsetWidenedAt = Moment.LONG_AGO;
 
   /**
    * Of a search for the primary: members asked that have not answered, the next one's place, when
    * its round began.
    */
-  public final List<Endpoint> searching = new ArrayList<>();
+  public final List<Endpoint> searchPolls = new ArrayList<>();
 
   public int searchCursor;
 
   /** Rounds that have found none since a primary was known. */
   public int searchRounds;
 
-  public Moment searchFrom = Moment.LONG_AGO;
+  public Moment searchRoundStartedAt = Moment.LONG_AGO;
 
   /** Members that have claimed to be primary at some time. */
-  public final List<Endpoint> claimants = new ArrayList<>();
+  public final List<Endpoint> primaryReporters = new ArrayList<>();
 
   /** Some member has answered something. */
-  public boolean heard;
+  public boolean hasAnswered;
 
   public ReplicaGroup(
       int number,
@@ -92,10 +92,10 @@
       HoldQueue held,
       DecisionSink outbound) {
     this.number = number;
-    change = new PlannedSwitchover((phase, target) -> outbound.change(number, phase, target));
+    switchover = new PlannedSwitchover((phase, target) -> outbound.change(number, phase, target));
     this.held = held;
-    this.waiting = new PriorityQueue<>(order);
+    this.waitingReads = new PriorityQueue<>(order);
     this.holdSince = now;
-    this.reportAge = reportAge;
+    this.maxReportAge = reportAge;
   }
 }
--- a/router/src/main/java/basaltlever/model/SessionWrites.java
+++ b/router/src/main/java/basaltlever/model/SessionWrites.java
@@ -18,7 +18,7 @@
     return writes.getOrDefault(session, forgotten);
   }
 
-  public void wrote(long session, Moment commit) {
+  public void recordWrite(long session, Moment commit) {
     Moment earlier = writes.remove(session);
     writes.put(session, earlier == null ? commit : commit.later(earlier));
     if (writes.size() > most) {
--- a/router/src/main/java/basaltlever/model/Statement.java
+++ b/router/src/main/java/basaltlever/model/Statement.java
@@ -7,39 +7,39 @@
 /** One statement taken from a client. */
 public final class Statement {
   public final int id;
-  public final int workload;
-  public final Workload terms;
+  public final int workloadIndex;
+  public final Workload workload;
   public final ReplicaGroup group;
   public final long session;
-  public final Moment takenAt;
-  public final Moment clientLeaves;
+  public final Moment receivedAt;
+  public final Moment clientDeadline;
 
   /** What its data must hold at least; a bounded statement's moves with the clock instead. */
-  public final Moment mustSee;
+  public final Moment requiredPosition;
 
   /** Drawn once, so that what is asked again and again is not granted by chance in the end. */
-  public final double luck;
+  public final double randomShare;
 
-  public final Endpoint[] nodes;
+  public final Endpoint[] endpoints;
   public final Moment[] sentAt;
-  public final boolean[] isOut;
-  public final boolean[] erred;
+  public final boolean[] isInFlight;
+  public final boolean[] endedInError;
 
   /** Which executions had to open a connection. */
-  public final boolean[] opens;
+  public final boolean[] opensConnection;
 
   /** Of its text, as far as it is kept for it. */
-  public final int bytes;
+  public final int textBytes;
 
   /** Importance, less where an earlier one of its session has less: set by who holds it. */
-  public double rank;
+  public double holdPriority;
 
-  public int executions;
-  public int out;
-  public int misses;
-  public int errors;
+  public int attempts;
+  public int attemptsInFlight;
+  public int staleAnswers;
+  public int unexplainedErrors;
   public boolean mayHaveRun;
-  public Moment firstMayHaveRun = Moment.NEVER;
+  public Moment earliestPossibleRun = Moment.NEVER;
   public boolean finished;
   public boolean queued;
 
@@ -55,39 +55,39 @@
       int mostExecutions,
       double luck,
       int bytes) {
-    this.bytes = bytes;
+    this.textBytes = bytes;
     this.id = id;
-    this.workload = workload;
-    this.terms = terms;
+    this.workloadIndex = workload;
+    this.workload = terms;
     this.group = group;
     this.session = session;
-    this.takenAt = takenAt;
-    this.clientLeaves = clientLeaves;
-    this.mustSee = mustSee;
-    this.luck = luck;
-    this.nodes = new Endpoint[mostExecutions];
+    this.receivedAt = takenAt;
+    this.clientDeadline = clientLeaves;
+    this.requiredPosition = mustSee;
+    this.randomShare = luck;
+    this.endpoints = new Endpoint[mostExecutions];
     this.sentAt = new Moment[mostExecutions];
-    this.isOut = new boolean[mostExecutions];
-    this.erred = new boolean[mostExecutions];
-    this.opens = new boolean[mostExecutions];
+    this.isInFlight = new boolean[mostExecutions];
+    this.endedInError = new boolean[mostExecutions];
+    this.opensConnection = new boolean[mostExecutions];
   }
 
-  public void sentTo(Endpoint node, Moment now, boolean opensConnection) {
-    nodes[executions] = node;
-    sentAt[executions] = now;
-    isOut[executions] = true;
-    opens[executions++] = opensConnection;
-    out++;
+  public void startAttempt(Endpoint node, Moment now, boolean opensConnection) {
+    endpoints[attempts] = node;
+    sentAt[attempts] = now;
+    isInFlight[attempts] = true;
+    this.opensConnection[attempts++] = opensConnection;
+    attemptsInFlight++;
   }
 
-  public void ends(int execution) {
-    isOut[execution] = false;
-    out--;
+  public void endAttempt(int execution) {
+    isInFlight[execution] = false;
+    attemptsInFlight--;
   }
 
   public boolean wasSentTo(Endpoint node) {
-    for (int i = 0; i < executions; i++) {
-      if (nodes[i] == node) {
+    for (int i = 0; i < attempts; i++) {
+      if (endpoints[i] == node) {
         return true;
       }
     }
@@ -96,12 +96,14 @@
 
   /** How far behind a replica may be that is sent it at that moment. */
   public Span allowedLag(Moment at) {
-    return terms.needs() == Workload.ReadConsistency.BOUNDED ? terms.bound() : at.since(mustSee);
+    return workload.needs() == Workload.ReadConsistency.BOUNDED
+        ? workload.bound()
+        : at.since(requiredPosition);
   }
 
-  public int firstOut() {
+  public int firstInFlight() {
     int first = 0;
-    while (!isOut[first]) {
+    while (!isInFlight[first]) {
       first++;
     }
     return first;
@@ -109,9 +111,9 @@
 
   /** The earliest sending of those that may have run or may be running. */
   public Moment mayHaveRunSince() {
-    Moment since = firstMayHaveRun;
-    for (int i = 0; i < executions; i++) {
-      if (isOut[i]) {
+    Moment since = earliestPossibleRun;
+    for (int i = 0; i < attempts; i++) {
+      if (isInFlight[i]) {
         since = since.earlier(sentAt[i]);
       }
     }
--- a/router/src/main/java/basaltlever/switchover/PlannedSwitchover.java
+++ b/router/src/main/java/basaltlever/switchover/PlannedSwitchover.java
@@ -46,7 +46,7 @@
   static final Span FURTHEST = Span.ofMillis(24 * 3_600_000.0);
 
   /** Where a member is not known; members go by the small indices that the decisions use. */
-  public static final int NOBODY = -1;
+  public static final int UNKNOWN_MEMBER = -1;
 
   /** Hears of each phase as it is entered. */
   public interface Listener {
@@ -56,8 +56,8 @@
   private final Listener listener;
   private Phase phase = Phase.NOT_CREATED;
   private long number;
-  private int target = NOBODY;
-  private int from = NOBODY;
+  private int target = UNKNOWN_MEMBER;
+  private int from = UNKNOWN_MEMBER;
   private Moment at = Moment.NEVER;
   private Moment since = Moment.LONG_AGO;
 
@@ -84,12 +84,12 @@
   }
 
   /** The members are polled often. */
-  public boolean watches() {
+  public boolean needsFrequentPolls() {
     return phase == Phase.PREPARATION || phase == Phase.IN_PROGRESS || phase == Phase.POST;
   }
 
   /** While the change goes on, what the old primary claims is its past. */
-  public boolean bars(int member) {
+  public boolean excludes(int member) {
     return phase == Phase.IN_PROGRESS && member == from;
   }
 
@@ -98,11 +98,11 @@
    * when on. True where anything changed. Members may lag behind each other: an older number says
    * nothing any more.
    */
-  public boolean told(Moment now, long told, int named, Moment when, boolean off) {
+  public boolean announced(Moment now, long told, int named, Moment when, boolean off) {
     if (off) {
       return told == number && isOpen() && enter(now, Phase.CALLED_OFF);
     }
-    if (named == NOBODY
+    if (named == UNKNOWN_MEMBER
         || told <= number
         || now.since(when).isLongerThan(LATEST)
         || when.since(now).isLongerThan(FURTHEST)) {
@@ -121,7 +121,7 @@
    * Moves on by the clock and by what the router sees: its primary, NOBODY where it knows none, and
    * whether it would send the target anything.
    */
-  public void step(Moment now, int primary, boolean targetIsFit) {
+  public void advance(Moment now, int primary, boolean targetIsFit) {
     while (stepped(now, primary, targetIsFit)) {
       // Several phases may be over at once.
     }
@@ -130,7 +130,7 @@
   private boolean stepped(Moment now, int primary, boolean targetIsFit) {
     switch (phase) {
       case CREATED, PREPARATION -> {
-        if (primary != NOBODY && primary == target) {
+        if (primary != UNKNOWN_MEMBER && primary == target) {
           // It came before its time.
           return enter(now, Phase.POST);
         }
@@ -139,7 +139,7 @@
         }
         if (!now.isBefore(at)) {
           // Where one change takes the place of another the old primary is out of use already.
-          from = primary == NOBODY ? from : primary;
+          from = primary == UNKNOWN_MEMBER ? from : primary;
           return enter(now, Phase.IN_PROGRESS);
         }
         return phase == Phase.CREATED
@@ -147,10 +147,10 @@
             && enter(now, Phase.PREPARATION);
       }
       case IN_PROGRESS -> {
-        if (primary != NOBODY && primary == target) {
+        if (primary != UNKNOWN_MEMBER && primary == target) {
           return enter(now, Phase.POST);
         }
-        boolean another = primary != NOBODY && primary != from;
+        boolean another = primary != UNKNOWN_MEMBER && primary != from;
         return (another || !targetIsFit || now.since(since).isLongerThan(LONGEST))
             && enter(now, Phase.CALLED_OFF);
       }
@@ -164,7 +164,7 @@
   }
 
   /** When it has to be looked at next by the clock alone. */
-  public Moment due() {
+  public Moment nextStepAt() {
     Moment step =
         switch (phase) {
           case CREATED -> at.minus(PREPARES);
--- a/router/src/test/java/basaltlever/HoldBudgetTest.java
+++ b/router/src/test/java/basaltlever/HoldBudgetTest.java
@@ -60,14 +60,14 @@
     HoldQueue flood = budget.group(WORKLOADS.length);
     for (int i = 0; i < 30; i++) {
       quiet.add(statement(i, WRITE, 0, 100));
-      check(budget.beyond(quiet, WRITE) == null, "room");
+      check(budget.nextToReject(quiet, WRITE) == null, "room");
     }
     for (int i = 100; i < 5_000; i++) {
       Statement next = statement(i, i % 3 == 0 ? WRITE : FRESH, 0, 100);
       flood.add(next);
-      for (Statement over = budget.beyond(flood, next.workload);
+      for (Statement over = budget.nextToReject(flood, next.workloadIndex);
           over != null;
-          over = budget.beyond(flood, next.workload)) {
+          over = budget.nextToReject(flood, next.workloadIndex)) {
         check(
             flood.size() > 50 || flood.size(FRESH) > 37 || flood.size(WRITE) > 37,
             "only what is beyond");
@@ -76,7 +76,7 @@
     }
     check(quiet.size() == 30 && flood.size() == 50, quiet.size() + " and " + flood.size());
     check(
-        flood.last().workload == FRESH && flood.size(WRITE) == 37,
+        flood.last().workloadIndex == FRESH && flood.size(WRITE) == 37,
         "the least important went: " + flood.size(WRITE));
   }
 
@@ -113,9 +113,9 @@
         held.add(next);
         plain.get(group).add(next);
       }
-      for (Statement over = budget.beyond(held, WRITE);
+      for (Statement over = budget.nextToReject(held, WRITE);
           over != null;
-          over = budget.beyond(held, WRITE)) {
+          over = budget.nextToReject(held, WRITE)) {
         int in =
             groups.get(0).last() == over || plain.get(0).contains(over)
                 ? 0
@@ -128,14 +128,16 @@
         HoldQueue own = groups.get(g);
         check(
             own.size() == plain.get(g).size()
-                && own.bytes() == plain.get(g).stream().mapToLong(one -> one.bytes).sum(),
+                && own.bytes() == plain.get(g).stream().mapToLong(one -> one.textBytes).sum(),
             "counted wrongly");
         Map<Long, Integer> latest = new HashMap<>();
         List<Statement> out = new ArrayList<>();
         double rank = Double.MAX_VALUE;
         for (Statement next = own.first(); next != null; next = own.first()) {
-          check(next.rank <= rank && next.rank <= next.terms.importance() + 9, "by rank");
-          rank = next.rank;
+          check(
+              next.holdPriority <= rank && next.holdPriority <= next.workload.importance() + 9,
+              "by rank");
+          rank = next.holdPriority;
           check(
               next.session == 0 || latest.getOrDefault(next.session, -1) < next.id,
               "a session's order is broken");
--- a/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
+++ b/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
@@ -25,7 +25,7 @@
   private static StandIn announced(double inMillis) {
     StandIn world = StandIn.plain().steady(20);
     check(
-        world.balance.announced(world.now, 2, 1, 1, world.now.plus(ms(inMillis)), false),
+        world.balance.switchoverAnnounced(world.now, 2, 1, 1, world.now.plus(ms(inMillis)), false),
         "it stands");
     return world;
   }
@@ -91,7 +91,7 @@
       int held = world.take(WRITE, 9, Moment.LONG_AGO, 9_000);
       int before = world.sent.size();
       if (takenBack) {
-        check(world.balance.announced(world.now, 1, 1, 1, world.now, true), "taken back");
+        check(world.balance.switchoverAnnounced(world.now, 1, 1, 1, world.now, true), "taken back");
       }
       polls(world, takenBack ? 100 : 3_200, 0);
       check(last(world) == Phase.CALLED_OFF, "" + world.phases);
@@ -110,7 +110,7 @@
     StandIn world = announced(1_000);
     polls(world, 1_200, 0);
     check(last(world) == Phase.IN_PROGRESS, "" + world.phases);
-    check(world.balance.announced(world.now, 1, 2, 2, world.now, false), "a later one");
+    check(world.balance.switchoverAnnounced(world.now, 1, 2, 2, world.now, false), "a later one");
     int held = world.take(WRITE);
     int sent = world.sent.size();
     polls(world, 300, 0);
@@ -132,7 +132,7 @@
     world.take(WRITE);
     world.later(700).poll(0, Role.REPLICA, world.now);
     int held = world.take(WRITE);
-    world.balance.polled(
+    world.balance.pollEnded(
         world.now, 1, AttemptOutcome.NO_CONNECTION, Role.UNTOLD, Moment.LONG_AGO, 0, Double.NaN);
     check(last(world) == Phase.CALLED_OFF, "the target died");
     world.later(20).poll(2, Role.PRIMARY, world.now);
@@ -145,19 +145,25 @@
   void whatIsNoAnnouncementChangesNothing() {
     StandIn world = announced(5_000);
     Moment at = world.now.plus(ms(4_000));
-    check(!world.balance.announced(world.now, 1, 1, 2, at, false), "the same number again");
     check(
-        !world.balance.announced(world.now, 1, 9, 2, world.now.minus(ms(9_000)), false),
+        !world.balance.switchoverAnnounced(world.now, 1, 1, 2, at, false), "the same number again");
+    check(
+        !world.balance.switchoverAnnounced(world.now, 1, 9, 2, world.now.minus(ms(9_000)), false),
         "long past");
     check(
-        !world.balance.announced(world.now, 1, 9, 2, world.now.plus(ms(1e9)), false), "far ahead");
-    world.balance.listBegins();
-    world.balance.listed(world.now, 7, EndpointLifecycle.READY, 2, 0, 1, Moment.LONG_AGO);
-    world.balance.listEnds(world.now, false, true);
-    check(!world.balance.announced(world.now, 1, 9, 7, at, false), "a member of another group");
-    check(world.balance.announced(world.now, 1, 9, 2, at, false), "a later one takes its place");
+        !world.balance.switchoverAnnounced(world.now, 1, 9, 2, world.now.plus(ms(1e9)), false),
+        "far ahead");
+    world.balance.listStarted();
+    world.balance.endpointListed(world.now, 7, EndpointLifecycle.READY, 2, 0, 1, Moment.LONG_AGO);
+    world.balance.listFinished(world.now, false, true);
+    check(
+        !world.balance.switchoverAnnounced(world.now, 1, 9, 7, at, false),
+        "a member of another group");
+    check(
+        world.balance.switchoverAnnounced(world.now, 1, 9, 2, at, false),
+        "a later one takes its place");
     check(
-        !world.balance.announced(world.now, 1, 1, 1, at, true),
+        !world.balance.switchoverAnnounced(world.now, 1, 1, 1, at, true),
         "an old one can't be taken back any more");
     for (String text :
         List.of(
@@ -229,7 +235,7 @@
     int left = world.take(WRITE);
     int stays = world.take(WRITE);
     world.fates.get(left).answered = true;
-    world.balance.clientLeft(world.now, left);
+    world.balance.clientDisconnected(world.now, left);
     check(world.holds.held() == 1, "its place is free at once");
     world.poll(0, Role.PRIMARY, world.now);
     check(world.sent.size() == 1 && world.last().statement() == stays, "nothing is sent for it");
@@ -239,17 +245,17 @@
   @Example
   void allGroupsMayChangeAtOnce() {
     StandIn world = StandIn.plain();
-    world.balance.listBegins();
+    world.balance.listStarted();
     for (int node = 0; node < 30; node++) {
-      world.balance.listed(
+      world.balance.endpointListed(
           world.now, node, EndpointLifecycle.READY, node / 3, 0, 1, Moment.LONG_AGO);
     }
-    world.balance.listEnds(world.now, true, true);
+    world.balance.listFinished(world.now, true, true);
     for (int node = 0; node < 30; node++) {
       world.poll(node, node % 3 == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
     }
     for (int group = 0; group < 10; group++) {
-      world.balance.announced(
+      world.balance.switchoverAnnounced(
           world.now, 3 * group, 1, 3 * group + 1, world.now.plus(ms(50)), false);
     }
     world.later(100);
@@ -286,7 +292,7 @@
       }
       if (chance.nextInt(30) == 0) {
         notes.add(new int[] {notes.size() + 1, chance.nextInt(nodes)});
-        world.balance.announced(
+        world.balance.switchoverAnnounced(
             world.now,
             chance.nextInt(nodes),
             notes.size(),
@@ -296,7 +302,8 @@
       }
       if (!notes.isEmpty() && chance.nextInt(30) == 0) {
         int[] old = notes.get(chance.nextInt(notes.size()));
-        world.balance.announced(world.now, 0, old[0], old[1], world.now, chance.nextBoolean());
+        world.balance.switchoverAnnounced(
+            world.now, 0, old[0], old[1], world.now, chance.nextBoolean());
       }
     }
     world.run(4_000);
@@ -319,15 +326,15 @@
       int from = entered.size();
       now = now.plus(ms(chance.nextInt(200)));
       if (chance.nextInt(40) == 0) {
-        change.told(
+        change.announced(
             now, ++number, chance.nextInt(3), now.plus(ms(chance.nextInt(3_000) - 500)), false);
         held = Moment.NEVER;
       } else if (chance.nextInt(60) == 0) {
-        change.told(now, number, 0, now, true);
+        change.announced(now, number, 0, now, true);
       }
-      change.step(
+      change.advance(
           now,
-          chance.nextInt(20) == 0 ? chance.nextInt(3) : PlannedSwitchover.NOBODY,
+          chance.nextInt(20) == 0 ? chance.nextInt(3) : PlannedSwitchover.UNKNOWN_MEMBER,
           chance.nextInt(80) != 0);
       for (int i = Math.max(1, from); i < entered.size(); i++) {
         check(
@@ -338,7 +345,7 @@
       held = change.holds() ? held.earlier(now) : Moment.NEVER;
       check(!now.since(held).isLongerThan(ms(3_000 + 400)), "held for longer than a bound");
       check(
-          change.due().isAfter(now) || change.due().equals(now) || !change.holds(),
+          change.nextStepAt().isAfter(now) || change.nextStepAt().equals(now) || !change.holds(),
           "it would not be woken");
     }
   }
--- a/router/src/test/java/basaltlever/RulesTest.java
+++ b/router/src/test/java/basaltlever/RulesTest.java
@@ -187,7 +187,7 @@
         if (step < 80 || step > 105) {
           world.poll(1, Role.REPLICA, world.now);
         } else {
-          world.balance.polled(
+          world.balance.pollEnded(
               world.now,
               1,
               AttemptOutcome.NO_CONNECTION,
@@ -201,19 +201,19 @@
           StandIn before = world;
           world = new StandIn(true, true, true, false, true, 150, chance.nextLong());
           world.now = before.now.plus(StandIn.ms(1_000));
-          world.balance.listBegins();
+          world.balance.listStarted();
           for (int node = 0; node < 3; node++) {
-            world.balance.listed(
+            world.balance.endpointListed(
                 world.now, node, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
             if (withViews) {
-              world.balance.recall.recalled(
+              world.balance.learnedState.recalled(
                   world.now,
                   node,
                   StateDecay.aged(
-                      before.balance.recall.learned(before.now, node), StandIn.ms(1_000)));
+                      before.balance.learnedState.learned(before.now, node), StandIn.ms(1_000)));
             }
           }
-          world.balance.listEnds(world.now, true, true);
+          world.balance.listFinished(world.now, true, true);
           for (int node = 0; node < 3; node++) {
             world.poll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
           }
@@ -250,7 +250,7 @@
       world.later(chance.nextInt(10));
       world.timeOutWhoseClientLeft();
       if (chance.nextInt(20) == 0) {
-        world.balance.listFailed(world.now);
+        world.balance.listCallFailed(world.now);
       }
       Moment when =
           chance.nextInt(9) == 0
@@ -259,7 +259,7 @@
       switch (chance.nextInt(4)) {
         case 0 -> world.take(chance.nextInt(6), chance.nextInt(3), world.now.minus(ms(50)), 400);
         case 1 ->
-            world.balance.polled(
+            world.balance.pollEnded(
                 world.now,
                 chance.nextInt(3),
                 endings[chance.nextInt(endings.length)],
@@ -275,7 +275,7 @@
             StandIn.check(old.execution() < world.fates.get(old.statement()).executions, "unknown");
             if (!world.ended.add(old)) {
               StandIn.check(
-                  !world.balance.ended(
+                  !world.balance.attemptEnded(
                       world.now,
                       old.statement(),
                       old.execution(),
@@ -293,7 +293,7 @@
             }
           }
         }
-        default -> world.balance.clientLeft(world.now, world.leave(chance));
+        default -> world.balance.clientDisconnected(world.now, world.leave(chance));
       }
     }
     for (int i = 0; i < 100; i++) {
--- a/router/src/test/java/basaltlever/StandIn.java
+++ b/router/src/test/java/basaltlever/StandIn.java
@@ -254,30 +254,30 @@
   // ---- Driving by hand.
 
   StandIn list(int nodes) {
-    balance.listBegins();
+    balance.listStarted();
     for (int i = 0; i < nodes; i++) {
-      balance.listed(now, i, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
+      balance.endpointListed(now, i, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
     }
-    balance.listEnds(now, true, true);
+    balance.listFinished(now, true, true);
     return this;
   }
 
   void relist(int node, EndpointLifecycle state, Moment startedAt) {
-    balance.listBegins();
-    balance.listed(now, node, state, 1, 0, 1, startedAt);
-    balance.listEnds(now, false, true);
+    balance.listStarted();
+    balance.endpointListed(now, node, state, 1, 0, 1, startedAt);
+    balance.listFinished(now, false, true);
   }
 
   StandIn later(double millis) {
     for (Moment end = now.plus(ms(millis)); now.isBefore(end); ) {
       now = now.plus(ms(5)).earlier(end);
-      balance.woken(now);
+      balance.timerFired(now);
     }
     return this;
   }
 
   void poll(int node, Role role, Moment position) {
-    balance.polled(now, node, AttemptOutcome.COMPLETED, role, position, 0.5, Double.NaN);
+    balance.pollEnded(now, node, AttemptOutcome.COMPLETED, role, position, 0.5, Double.NaN);
   }
 
   /** Three members, node 0 primary, the replicas shown at the given age. */
@@ -309,7 +309,7 @@
                     : commits.getOrDefault(session, Moment.LONG_AGO);
     fates.add(fate);
     int id = fates.size() - 1;
-    balance.taken(now, id, workload, 1, session, fate.leaves, committed, 100);
+    balance.statementReceived(now, id, workload, 1, session, fate.leaves, committed, 100);
     return id;
   }
 
@@ -343,7 +343,7 @@
     if (role == Role.REPLICA && execution.node < members.size()) {
       members.get(execution.node).toldReplica = true;
     }
-    balance.ended(
+    balance.attemptEnded(
         now, execution.statement, execution.execution, ending, role, position, fate.answered);
   }
 
@@ -460,7 +460,7 @@
         plays.nextInt(1, 10),
         () -> {
           if (member.alive) {
-            balance.polled(
+            balance.pollEnded(
                 now,
                 node,
                 AttemptOutcome.COMPLETED,
@@ -469,7 +469,7 @@
                 plays.nextInt(20) == 0 ? Double.NaN : plays.nextDouble(),
                 Double.NaN);
           } else {
-            balance.polled(
+            balance.pollEnded(
                 now,
                 node,
                 plays.nextBoolean() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.NO_CONNECTION,
@@ -499,7 +499,7 @@
           plays.nextInt(5, 200),
           () -> {
             if (plays.nextInt(3) == 0) {
-              balance.listFailed(now);
+              balance.listCallFailed(now);
             } else {
               listAll();
             }
@@ -510,7 +510,7 @@
   @Override
   public void wake(Span fromNow) {
     check(fromNow.micros() > 0, "woken in the past");
-    after(Math.max(1, fromNow.micros() / 1_000.0), () -> balance.woken(now));
+    after(Math.max(1, fromNow.micros() / 1_000.0), () -> balance.timerFired(now));
   }
 
   @Override
@@ -542,11 +542,11 @@
   }
 
   void listAll() {
-    balance.listBegins();
+    balance.listStarted();
     for (int i = 0; i < members.size(); i++) {
       Member member = members.get(i);
       member.toldStart = member.startedAt;
-      balance.listed(
+      balance.endpointListed(
           now,
           i,
           member.listedReady ? EndpointLifecycle.READY : EndpointLifecycle.DRAINING,
@@ -555,7 +555,7 @@
           1,
           member.startedAt);
     }
-    balance.listEnds(now, true, true);
+    balance.listFinished(now, true, true);
   }
 
   private Moment truth(Member member) {
--- a/router/src/test/java/basaltlever/StateRestoreTest.java
+++ b/router/src/test/java/basaltlever/StateRestoreTest.java
@@ -186,14 +186,14 @@
   /** A fresh router of three members, before it has heard anything else. */
   private static StandIn fresh(EndpointState... views) {
     StandIn world = StandIn.plain();
-    world.balance.listBegins();
+    world.balance.listStarted();
     for (int i = 0; i < 3; i++) {
-      world.balance.listed(world.now, i, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
+      world.balance.endpointListed(world.now, i, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
       if (i < views.length && views[i] != null) {
-        world.balance.recall.recalled(world.now, i, views[i]);
+        world.balance.learnedState.recalled(world.now, i, views[i]);
       }
     }
-    world.balance.listEnds(world.now, true, true);
+    world.balance.listFinished(world.now, true, true);
     return world;
   }
 
@@ -281,9 +281,9 @@
     SplittableRandom chance = new SplittableRandom(seed);
     StandIn world = new StandIn(chance.nextBoolean(), positions, tokens, true, true, 2, seed);
     world.playWith(chance.split(), 4);
-    world.balance.listBegins();
+    world.balance.listStarted();
     for (int i = 0; i < 4; i++) {
-      world.balance.recall.recalled(
+      world.balance.learnedState.recalled(
           world.now, i, KeptViews.view(seed & 0xFFFF, 4).nodes().get(i).view());
     }
     world.listAll();
@@ -297,7 +297,8 @@
     }
     world.run(4_000);
     for (int i = 0; i < 4; i++) {
-      check(world.balance.recall.learned(world.now, i) != null, "what was learned can be told");
+      check(
+          world.balance.learnedState.learned(world.now, i) != null, "what was learned can be told");
     }
   }
 }
--- a/router/src/test/java/basaltlever/endpoints/ReplicaSubsetTest.java
+++ b/router/src/test/java/basaltlever/endpoints/ReplicaSubsetTest.java
@@ -32,8 +32,8 @@
             null);
     for (int i = 0; i < members; i++) {
       Endpoint node = new Endpoint(i, 1);
-      node.rank = random.nextInt();
-      node.listing = EndpointLifecycle.READY;
+      node.ringOrder = random.nextInt();
+      node.lifecycle = EndpointLifecycle.READY;
       node.group = group;
       group.members.add(node);
     }
@@ -118,7 +118,7 @@
   void whoDrainsIsLeftOut() {
     ReplicaGroup group = group(64, new SplittableRandom(4));
     Endpoint first = ReplicaSubset.of(group, NOW, 100, 0, Endpoint::isInService).get(0);
-    first.listing = EndpointLifecycle.DRAINING;
+    first.lifecycle = EndpointLifecycle.DRAINING;
     group.subsetStale = true;
     check(
         !ReplicaSubset.of(group, NOW.plus(Span.ofMillis(150)), 100, 0, Endpoint::isInService)
--- a/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
+++ b/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
@@ -113,9 +113,9 @@
 
     void list(
         int groups, int members, Moment startedAt, java.util.function.IntPredicate restarted) {
-      balance.listBegins();
+      balance.listStarted();
       for (int node = 0; node < groups * members; node++) {
-        balance.listed(
+        balance.endpointListed(
             now,
             node,
             EndpointLifecycle.READY,
@@ -123,13 +123,13 @@
             0,
             1,
             restarted.test(node) ? startedAt : Moment.LONG_AGO);
-        balance.ranked(node, node * 0x9E3779B1);
+        balance.ringOrderKnown(node, node * 0x9E3779B1);
       }
-      balance.listEnds(now, true, true);
+      balance.listFinished(now, true, true);
     }
 
     void traffic() {
-      balance.taken(
+      balance.statementReceived(
           now,
           statements++,
           random.nextDouble() < WRITES ? 1 : 0,
@@ -150,7 +150,7 @@
           WORK.times(0.5 + random.nextDouble()),
           () -> {
             served +=
-                balance.ended(
+                balance.attemptEnded(
                         now,
                         statement,
                         0,
@@ -168,7 +168,7 @@
       after(
           Span.ofMillis(5),
           () ->
-              balance.polled(
+              balance.pollEnded(
                   now, node, AttemptOutcome.COMPLETED, role(node), now, 0.3, Double.NaN));
     }
 
@@ -178,7 +178,7 @@
 
     @Override
     public void wake(Span fromNow) {
-      after(fromNow.longer(Span.ofMillis(1)), () -> balance.woken(now));
+      after(fromNow.longer(Span.ofMillis(1)), () -> balance.timerFired(now));
     }
 
     @Override
