--- a/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
+++ b/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
@@ -26,34 +26,34 @@
     balance.now = at;
     Moment now = at;
     Endpoint node = balance.node(id);
-    ReplicaGroup home = node.group;
+    ReplicaGroup home = node.group();
     Moment denied =
-        home.lostPrimary == node
-            ? node.lastNotPrimaryReportAt.later(home.holdSince)
-            : node.lastNotPrimaryReportAt;
+        home.lostPrimary() == node
+            ? node.roles().lastNotPrimaryReportAt().later(home.holdSince())
+            : node.roles().lastNotPrimaryReportAt();
     boolean cold = balance.warmUpShare(node) < 1;
     return new EndpointState(
-        home.number,
-        Math.max(0, node.listedStart.micros()),
+        home.number(),
+        Math.max(0, node.listedStart().micros()),
         !balance.listedForUse(node),
-        home.primary == node,
-        ago(node.startedAt),
+        home.primary() == node,
+        ago(node.warmUp().startedAt()),
         ago(denied),
-        node.silent,
-        node.down ? ago(node.downSince) : EndpointState.NEVER,
+        node.health().isSilent(),
+        node.health().isDown() ? ago(node.health().downSince()) : EndpointState.NEVER,
         Math.min(1, balance.failureRate(node)),
-        node.latencyStrain.at(now, LoadBalancer.FORGIVEN),
-        node.capacity,
-        node.consecutiveFullAnswers,
-        node.backoffUntil.since(now).longer(Span.NONE),
+        node.load().latencyStrain().at(now, LoadBalancer.FORGIVEN),
+        node.load().capacity(),
+        node.health().consecutiveFullAnswers(),
+        node.health().backoffUntil().since(now).longer(Span.NONE),
         balance.estimatedLag(node),
-        cold ? node.warmUpWork / balance.typicalTime : 0,
-        cold ? ago(node.warmUpWorkAt) : EndpointState.NEVER);
+        cold ? node.warmUp().chargedMicros() / balance.typicalTime : 0,
+        cold ? ago(node.warmUp().chargedAt()) : EndpointState.NEVER);
   }
 
   /** Executions that are out at it. */
   public int out(int id) {
-    return balance.node(id).inFlight;
+    return balance.node(id).load().inFlight();
   }
 
   private Span ago(Moment then) {
@@ -64,13 +64,13 @@
     balance.now = at;
     Moment now = at;
     return balance.groups.values().stream()
-        .sorted(Comparator.comparingInt(group -> group.number))
+        .sorted(Comparator.comparingInt(group -> group.number()))
         .map(
             group ->
                 new GroupState(
-                    group.number,
-                    group.replicaCongestion.at(now, LoadBalancer.REMEMBERED),
-                    group.primaryCongestion.at(now, LoadBalancer.REMEMBERED)))
+                    group.number(),
+                    group.replicaCongestion().at(now, LoadBalancer.REMEMBERED),
+                    group.primaryCongestion().at(now, LoadBalancer.REMEMBERED)))
         .toList();
   }
 
@@ -83,24 +83,29 @@
     balance.now = at;
     Moment now = at;
     Endpoint node = balance.node(id);
-    node.lastNotPrimaryReportAt =
-        node.lastNotPrimaryReportAt.later(
-            then(view.deniedAgo()).earlier(now.plus(LoadBalancer.SECOND)));
-    node.failureRate.set(now, Math.max(balance.failureRate(node), view.failing()));
-    node.latencyStrain.set(
-        now, Math.max(node.latencyStrain.at(now, LoadBalancer.FORGIVEN), view.strained()));
-    node.capacity = Math.max(LoadBalancer.LEAST_ROOM, Math.min(node.capacity, view.room()));
-    node.consecutiveFullAnswers =
-        Math.min(5, Math.max(node.consecutiveFullAnswers, view.turnedAway()));
-    node.backoffUntil =
-        node.backoffUntil.later(now.plus(view.rests().shorter(LoadBalancer.SECOND)));
+    node.roles().recordNotPrimary(then(view.deniedAgo()).earlier(now.plus(LoadBalancer.SECOND)));
+    node.health().failureRate().set(now, Math.max(balance.failureRate(node), view.failing()));
+    node.load()
+        .latencyStrain()
+        .set(
+            now,
+            Math.max(node.load().latencyStrain().at(now, LoadBalancer.FORGIVEN), view.strained()));
+    node.load()
+        .setCapacity(
+            Math.max(LoadBalancer.LEAST_ROOM, Math.min(node.load().capacity(), view.room())));
+    node.health().restoreFullAnswers(view.turnedAway());
+    node.health()
+        .backOffUntil(
+            node.health()
+                .backoffUntil()
+                .later(now.plus(view.rests().shorter(LoadBalancer.SECOND))));
     balance.observeLag(node, balance.estimatedLag(node).longer(view.lag()));
-    if (view.silent() && !node.silent) {
+    if (view.silent() && !node.health().isSilent()) {
       balance.markSilent(node);
     }
-    if (view.isDown() && !node.down) {
+    if (view.isDown() && !node.health().isDown()) {
       balance.markDown(node);
-      node.downSince = then(view.downFor());
+      node.health().restoreDownSince(then(view.downFor()));
     }
     balance.started(node, then(view.startedAgo()));
     if (balance.warmUpShare(node) < 1) {
@@ -111,17 +116,18 @@
           balance.allowedWorkPerSecond(node)
               * (1 - LoadBalancer.COLD_BURST)
               * now.since(since).over(LoadBalancer.SECOND);
-      node.warmUpWork =
-          Math.max(balance.remainingWork(node), view.coldSpent() * balance.typicalTime - back);
-      node.warmUpWorkAt = now;
       // What the earlier process sent counts as this one's: a restart is no fresh budget.
-      node.unusedSinceStart &= view.coldSpent() <= 0;
+      node.warmUp()
+          .restore(
+              now,
+              Math.max(balance.remainingWork(node), view.coldSpent() * balance.typicalTime - back),
+              view.coldSpent() > 0);
     }
-    if (view.drains() && node.lifecycle != EndpointLifecycle.GONE) {
-      node.wasDraining = true;
+    if (view.drains() && node.lifecycle() != EndpointLifecycle.GONE) {
+      node.setWasDraining(true);
       balance.relist(node, EndpointLifecycle.DRAINING);
     }
-    if (view.primary() && balance.agreed.allowance().polls() && !node.pollInFlight) {
+    if (view.primary() && balance.agreed.allowance().polls() && !node.polling().isInFlight()) {
       // Asked before all others, in whatever order the list names them.
       balance.poll(node);
     }
@@ -136,11 +142,17 @@
     Moment now = at;
     ReplicaGroup group = balance.groups.get(view.group());
     if (group != null) {
-      group.replicaCongestion.set(
-          now, Math.max(group.replicaCongestion.at(now, LoadBalancer.REMEMBERED), view.jam()));
-      group.primaryCongestion.set(
-          now,
-          Math.max(group.primaryCongestion.at(now, LoadBalancer.REMEMBERED), view.primaryJam()));
+      group
+          .replicaCongestion()
+          .set(
+              now,
+              Math.max(group.replicaCongestion().at(now, LoadBalancer.REMEMBERED), view.jam()));
+      group
+          .primaryCongestion()
+          .set(
+              now,
+              Math.max(
+                  group.primaryCongestion().at(now, LoadBalancer.REMEMBERED), view.primaryJam()));
     }
   }
 }
--- a/router/src/main/java/basaltlever/balancer/LoadBalancer.java
+++ b/router/src/main/java/basaltlever/balancer/LoadBalancer.java
@@ -21,6 +21,7 @@
 import basaltlever.model.ReplicaGroup.Phase;
 import basaltlever.model.SessionWrites;
 import basaltlever.model.Statement;
+import basaltlever.model.StatementArrival;
 import basaltlever.switchover.PlannedSwitchover;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
@@ -87,7 +88,6 @@
   private static final double LONG = 2;
   private static final double CROWDED = 0.2;
   private static final double UNUSUAL = 2.5;
-  private static final int MOST_TRIALS = 2;
   private static final double UNTOLD_UTIL = 0.5;
   private static final int MOST_PREPARED = 16;
 
@@ -101,12 +101,12 @@
   private static final int MOST_CANDIDATES = 16;
 
   private static final Comparator<Statement> BY_IMPORTANCE =
-      Comparator.comparingDouble((Statement statement) -> -statement.workload.importance())
-          .thenComparingLong(statement -> statement.receivedAt.micros())
-          .thenComparingInt(statement -> statement.id);
+      Comparator.comparingDouble((Statement statement) -> -statement.workload().importance())
+          .thenComparingLong(statement -> statement.receivedAt().micros())
+          .thenComparingInt(statement -> statement.id());
 
   private static final Comparator<Endpoint> BY_RANK =
-      Comparator.comparingInt(node -> node.ringOrder);
+      Comparator.comparingInt(node -> node.ringOrder());
 
   private record Rule(String name, BooleanSupplier when, Runnable then) {}
 
@@ -207,12 +207,12 @@
             .longer(FASTEST_POLL)
             .shorter(SECOND);
     for (Statement statement : open) {
-      if (statement.attemptsInFlight > 1 && !agreed.allowance().secondCopies()) {
+      if (statement.attemptsInFlight() > 1 && !agreed.allowance().secondCopies()) {
         cancelAttempts(statement, statement.firstInFlight() + 1);
       }
     }
     // A member may be bound, or free, by the new rules; each is asked at once.
-    endpoints.stream().filter(Objects::nonNull).forEach(node -> relist(node, node.lifecycle));
+    endpoints.stream().filter(Objects::nonNull).forEach(node -> relist(node, node.lifecycle()));
     pollRelisted();
   }
 
@@ -247,39 +247,30 @@
       endpoints.set(id, node);
     }
     ReplicaGroup home = group(group);
-    if (node.group != home) {
-      if (node.group != null) {
+    if (node.group() != home) {
+      if (node.group() != null) {
         losePrimary(node);
         leaveGroup(node);
       }
-      node.group = home;
-      home.members.add(node);
-      if (node.lastPrimaryReportAt.isAfter(Moment.LONG_AGO)) {
-        home.primaryReporters.add(node);
-      }
+      node.assignTo(home);
+      home.addMember(node);
     }
-    node.listedStart = startedAt;
-    node.zone = zone;
-    node.size = size > 0 && size < 1e9 ? size : 1;
-    node.listGeneration = listing;
-    node.wasDraining =
+    node.updateListing(zone, size > 0 && size < 1e9 ? size : 1, startedAt, listing);
+    node.setWasDraining(
         state == EndpointLifecycle.DRAINING
-            || (node.wasDraining && state == EndpointLifecycle.GONE);
+            || (node.wasDraining() && state == EndpointLifecycle.GONE));
     started(node, startedAt);
     relist(node, state);
   }
 
   private void leaveGroup(Endpoint node) {
-    node.group.members.remove(node);
-    node.group.primaryReporters.remove(node);
-    node.group.searchPolls.remove(node);
-    node.group.subsetStale = true;
+    node.group().removeMember(node);
   }
 
   /** A figure of the node that is the same at all routers and tells nothing of it. */
   public void ringOrderKnown(int id, int rank) {
-    endpoints.get(id).ringOrder = rank;
-    endpoints.get(id).group.subsetStale = true;
+    endpoints.get(id).setRingOrder(rank);
+    endpoints.get(id).group().subset().markStale();
   }
 
   public void listFinished(Moment at, boolean complete, boolean answered) {
@@ -287,8 +278,8 @@
     for (int i = 0; complete && i < endpoints.size(); i++) {
       Endpoint node = endpoints.get(i);
       if (node != null
-          && node.listGeneration != listing
-          && node.lifecycle != EndpointLifecycle.GONE) {
+          && node.listGeneration() != listing
+          && node.lifecycle() != EndpointLifecycle.GONE) {
         relist(node, EndpointLifecycle.GONE);
       }
     }
@@ -305,13 +296,13 @@
   private void forgetGone() {
     List<Endpoint> over = new ArrayList<>();
     gone.removeIf(
-        node -> node.lifecycle != EndpointLifecycle.GONE || (isOver(node) && over.add(node)));
-    over.sort(Comparator.comparingInt(node -> node.id));
+        node -> node.lifecycle() != EndpointLifecycle.GONE || (isOver(node) && over.add(node)));
+    over.sort(Comparator.comparingInt(node -> node.id()));
     for (Endpoint node : over) {
-      endpoints.set(node.id, null);
+      endpoints.set(node.id(), null);
       leaveGroup(node);
       polls.remove(node);
-      outbound.forget(node.id);
+      outbound.forget(node.id());
     }
   }
 
@@ -334,7 +325,7 @@
     now = at;
     for (Endpoint node : endpoints) {
       if (node != null) {
-        node.provenPosition = Moment.LONG_AGO;
+        node.replication().forgetPosition();
       }
     }
   }
@@ -343,7 +334,7 @@
   public void reportPolledGroups() {
     int listed = 0;
     for (Endpoint node : endpoints) {
-      listed += node != null && node.lifecycle != EndpointLifecycle.GONE ? 1 : 0;
+      listed += node != null && node.lifecycle() != EndpointLifecycle.GONE ? 1 : 0;
     }
     String told = watchedGroups.size() + " " + watchedGroups.members() + " " + listed;
     if (!told.equals(toldWatched)) {
@@ -359,7 +350,7 @@
   private void lookAround() {
     lookedAround = true;
     List<ReplicaGroup> order =
-        new ArrayList<>(new LinkedHashSet<>(relisted.stream().map(node -> node.group).toList()));
+        new ArrayList<>(new LinkedHashSet<>(relisted.stream().map(node -> node.group()).toList()));
     Collections.rotate(order, -startPosition(order.size()));
     int looked = 0;
     for (ReplicaGroup group : order) {
@@ -379,8 +370,8 @@
 
   private void watchNoMore(ReplicaGroup group) {
     for (Endpoint member : membersInUse(group)) {
-      if (!member.pollInFlight) {
-        member.nextPollAt = Moment.NEVER;
+      if (!member.polling().isInFlight()) {
+        member.polling().scheduleAt(Moment.NEVER);
         polls.update(member);
       }
     }
@@ -400,10 +391,10 @@
    * subset.
    */
   private boolean isPolledRegularly(Endpoint node) {
-    ReplicaGroup group = node.group;
-    return group.polledRegularly
-        && (group.members.size() <= ReplicaSubset.LEAST
-            || node == group.primary
+    ReplicaGroup group = node.group();
+    return group.isPolledRegularly()
+        && (group.members().size() <= ReplicaSubset.LEAST
+            || node == group.primary()
             || membersInUse(group).contains(node));
   }
 
@@ -467,22 +458,16 @@
     Statement statement =
         new Statement(
             id,
-            workload,
-            terms,
+            new StatementArrival(workload, terms, session, now, clientLeaves, mustSee, bytes),
             group(group),
-            session,
-            now,
-            clientLeaves,
-            mustSee,
             agreed.allowance().executions(),
-            chance.nextDouble(),
-            bytes);
+            chance.nextDouble());
     statements = id < statements.length ? statements : Arrays.copyOf(statements, 2 * id);
     statements[id] = statement;
     open.add(statement);
-    statement.group.statementRate.add(now, REMEMBERED, 1 / REMEMBERED.over(SECOND));
-    if (!statement.group.polledRegularly && bearsPolls(statement.group)) {
-      watchByTraffic(statement.group);
+    statement.group().statementRate().add(now, REMEMBERED, 1 / REMEMBERED.over(SECOND));
+    if (!statement.group().isPolledRegularly() && bearsPolls(statement.group())) {
+      watchByTraffic(statement.group());
     }
     scanDue = scanDue.earlier(now.plus(SCAN));
     unplaced.add(statement);
@@ -491,7 +476,7 @@
 
   /** Asked again and again, so often that its statements pay for polls at the rarest. */
   private boolean bearsPolls(ReplicaGroup group) {
-    double rate = group.statementRate.at(now, REMEMBERED);
+    double rate = group.statementRate().at(now, REMEMBERED);
     double perSecond =
         agreed.standing().pollPrice() <= 0
             ? rate
@@ -504,19 +489,24 @@
 
   private void watchByTraffic(ReplicaGroup group) {
     watchedGroups
-        .admitByTraffic(group, one -> one.statementRate.at(now, REMEMBERED))
+        .admitByTraffic(group, one -> one.statementRate().at(now, REMEMBERED))
         .forEach(this::watchNoMore);
-    if (group.polledRegularly) {
+    if (group.isPolledRegularly()) {
       for (Endpoint member : membersInUse(group)) {
-        member.nextPollAt =
-            member.nextPollAt.earlier(now.plus(pollPeriod(member).times(chance.nextDouble())));
+        member
+            .polling()
+            .scheduleAt(
+                member
+                    .polling()
+                    .nextPollAt()
+                    .earlier(now.plus(pollPeriod(member).times(chance.nextDouble()))));
         polls.update(member);
       }
     }
   }
 
   public boolean needsFresh(int id) {
-    return statements[id].workload.needs() == ReadConsistency.FRESH;
+    return statements[id].workload().needs() == ReadConsistency.FRESH;
   }
 
   /** False where no such execution is out. */
@@ -530,47 +520,50 @@
       boolean answered) {
     now = at;
     Statement statement = statements[id];
-    if (statement == null || execution >= statement.attempts || !statement.isInFlight[execution]) {
+    if (statement == null
+        || execution >= statement.attempts()
+        || !statement.isInFlight(execution)) {
       return false;
     }
-    Endpoint node = statement.endpoints[execution];
-    Moment sent = statement.sentAt[execution];
+    Endpoint node = statement.endpoint(execution);
+    Moment sent = statement.sentAt(execution);
     statement.endAttempt(execution);
-    node.inFlight--;
+    node.load().attemptEnded();
     if (ending.answered) {
-      node.idleConnections++;
-      node.lastAnswerAt = now;
-      connectionScarcity.move(now, REMEMBERED, statement.opensConnection[execution] ? LEARN : 0, 0);
+      node.load().connectionIsIdle(now);
+      connectionScarcity.move(
+          now, REMEMBERED, statement.openedConnection(execution) ? LEARN : 0, 0);
     } else if (ending == AttemptOutcome.NO_CONNECTION
         && now.since(sent).isShorterThan(FASTEST_POLL)) {
-      node.connectionRefusedAt = now;
+      node.load().recordRefusedConnection(now);
     }
     if (connectionScarcity.at(now, REMEMBERED) > 0.2
-        && node.inFlight == 0
-        && node.idleConnections > 0) {
+        && node.load().inFlight() == 0
+        && node.load().idleConnections() > 0) {
       // Hundreds of routers that keep idle connections shut each other out of nodes that could
       // serve.
-      node.idleConnections = 0;
-      outbound.letGo(node.id);
+      node.load().closeIdleConnections();
+      outbound.letGo(node.id());
     }
-    if (statement.opensConnection[execution]
+    if (statement.openedConnection(execution)
         && (ending == AttemptOutcome.COMPLETED || !ending.answered)) {
       connectionSetupMicros +=
           LEARN
               * (now.since(sent).micros()
-                  - typicalTimes[statement.workloadIndex]
+                  - typicalTimes[statement.workloadIndex()]
                   - connectionSetupMicros);
     }
     learnHealth(node, statement, ending, now.since(sent));
     learnRole(node, statement, ending, role, sent);
     learnPosition(node, statement, ending, position);
     if (!ending.provesNotRun) {
-      statement.mayHaveRun = true;
-      statement.earliestPossibleRun = statement.earliestPossibleRun.earlier(sent);
+      statement.recordPossibleRun(sent);
+    }
+    if (ending == AttemptOutcome.MISS) {
+      statement.recordStaleAnswer();
     }
-    statement.staleAnswers += ending == AttemptOutcome.MISS ? 1 : 0;
     judgeError(statement, execution, ending);
-    if (!statement.workload.onlyPrimary()
+    if (!statement.workload().onlyPrimary()
         && (ending == AttemptOutcome.MISS || ending == AttemptOutcome.COMPLETED)) {
       Span allowed = statement.allowedLag(sent);
       observeLag(
@@ -579,14 +572,14 @@
               ? allowed.times(2).longer(estimatedLag(node))
               : allowed.shorter(estimatedLag(node)));
     }
-    if (answered && !statement.finished) {
+    if (answered && !statement.isFinished()) {
       finish(statement);
     }
-    if (!statement.finished && statement.attemptsInFlight == 0 && !statement.queued) {
+    if (!statement.isFinished() && statement.attemptsInFlight() == 0 && !statement.isQueued()) {
       unplaced.add(statement);
     }
-    if (!node.group.waitingReads.isEmpty() || !node.group.held.isEmpty()) {
-      evaluateLater(node.group);
+    if (!node.group().waitingReads().isEmpty() || !node.group().held().isEmpty()) {
+      evaluateLater(node.group());
     }
     settle();
     return true;
@@ -606,52 +599,55 @@
       double queue) {
     now = at;
     Endpoint node = endpoints.get(id);
-    node.pollInFlight = false;
+    node.polling().pollEnded();
     if (ending == AttemptOutcome.NO_DESCRIPTOR) {
       // Nothing is known of the node by it: asked again when the next poll would be due.
-      node.nextPollAt =
-          isPolledRegularly(node) ? now.plus(pollPeriod(node).longer(SECOND)) : Moment.NEVER;
+      node.polling()
+          .scheduleAt(
+              isPolledRegularly(node) ? now.plus(pollPeriod(node).longer(SECOND)) : Moment.NEVER);
     } else if (ending == AttemptOutcome.COMPLETED) {
       markUp(node);
       // Whoever has statements waiting has no core to spare; how many cores it has is not told.
-      node.reportsCpu = util >= 0;
-      node.cpuUtilization =
-          util >= 0 && util <= 2
-              ? Math.min(1, util)
-              : queue >= 0 ? queue < 0.5 ? UNTOLD_UTIL : 1 : node.cpuUtilization;
-      Span reportAge = node.group.maxReportAge;
+      node.load()
+          .recordReport(
+              util >= 0,
+              util >= 0 && util <= 2
+                  ? Math.min(1, util)
+                  : queue >= 0 ? queue < 0.5 ? UNTOLD_UTIL : 1 : node.load().cpuUtilization());
+      Span reportAge = node.group().maxReportAge();
       boolean sane = position.isAfter(Moment.LONG_AGO) && !position.isAfter(now);
       if (sane) {
-        node.provenPosition = node.provenPosition.later(position);
+        node.replication().recordPosition(position);
         observeLag(node, now.since(position).minus(reportAge));
       }
       if (role == Role.PRIMARY) {
         // A primary stands at the present, so the position in its report dates the claim.
-        reportedPrimary(node, sane ? position : node.pollSentAt);
+        reportedPrimary(node, sane ? position : node.polling().sentAt());
         Span age = sane ? now.since(position).shorter(RAREST_POLL) : reportAge;
-        node.group.maxReportAge = reportAge.times(0.9).longer(age);
+        node.group().setMaxReportAge(reportAge.times(0.9).longer(age));
       } else if (role == Role.REPLICA) {
         // The report may be older than an answer that said primary.
-        node.lastNotPrimaryReportAt =
-            node.lastNotPrimaryReportAt.later(node.pollSentAt.minus(reportAge));
-        node.deposed = false;
+        node.roles().recordNotPrimary(node.polling().sentAt().minus(reportAge));
+        node.roles().clearReplaced();
       }
     } else if (ending == AttemptOutcome.FULL) {
       // Too many ask it at once: no sign of a loss, but one to ask less.
-      node.hasAnswered = node.group.hasAnswered = true;
-      node.nextPollAt = now.plus(pollPeriod(node).longer(HOLD_POLL).times(1 + chance.nextDouble()));
+      node.health().recordAnswer();
+      node.group().recordAnswer();
+      node.polling()
+          .scheduleAt(now.plus(pollPeriod(node).longer(HOLD_POLL).times(1 + chance.nextDouble())));
     } else {
       pollMissed(node, ending == AttemptOutcome.NO_CONNECTION || ending == AttemptOutcome.RESET);
     }
     polls.update(node);
-    evaluateLater(node.group);
+    evaluateLater(node.group());
     settle();
   }
 
   public void clientDisconnected(Moment at, int id) {
     now = at;
     Statement statement = statements[id];
-    if (statement != null && !statement.finished) {
+    if (statement != null && !statement.isFinished()) {
       finish(statement);
     }
     settle();
@@ -661,7 +657,7 @@
   public void deadlinePassed(Moment at, int id) {
     now = at;
     Statement statement = statements[id];
-    if (statement != null && !statement.finished) {
+    if (statement != null && !statement.isFinished()) {
       giveUp(statement, false, RejectReason.OVERDUE);
     }
     settle();
@@ -693,8 +689,8 @@
   }
 
   void relist(Endpoint node, EndpointLifecycle state) {
-    node.lifecycle = state;
-    node.group.subsetStale = true;
+    node.setLifecycle(state);
+    node.group().subset().markStale();
     relisted.add(node);
     if (state == EndpointLifecycle.GONE) {
       gone.add(node);
@@ -702,27 +698,27 @@
     if (!listedForUse(node)) {
       losePrimary(node);
     }
-    evaluateLater(node.group);
+    evaluateLater(node.group());
   }
 
   /**
    * Nothing new goes to it from the moment the list says so; the grace is for what is on its way.
    */
   boolean listedForUse(Endpoint node) {
-    return node.lifecycle == EndpointLifecycle.READY
-        || (node.lifecycle == EndpointLifecycle.GONE
+    return node.lifecycle() == EndpointLifecycle.READY
+        || (node.lifecycle() == EndpointLifecycle.GONE
             && !agreed.drains().removalBinds()
-            && !node.wasDraining);
+            && !node.wasDraining());
   }
 
   // Kept for all time, each choice would go through all there ever were; till then it may be listed
   // again.
   private boolean isOver(Endpoint node) {
-    return node.lifecycle == EndpointLifecycle.GONE
+    return node.lifecycle() == EndpointLifecycle.GONE
         && !listedForUse(node)
-        && node.inFlight == 0
+        && node.load().inFlight() == 0
         && warmUpShare(node) >= 1
-        && now.since(node.pollSentAt).isLongerThan(REMEMBERED);
+        && now.since(node.polling().sentAt()).isLongerThan(REMEMBERED);
   }
 
   private ReplicaGroup group(int number) {
@@ -741,8 +737,8 @@
   // ---- The phases of a group: who is primary, and the hold.
 
   private void evaluateLater(ReplicaGroup group) {
-    if (!group.evaluationPending) {
-      group.evaluationPending = true;
+    if (!group.isEvaluationPending()) {
+      group.setEvaluationPending(true);
       changed.add(group);
     }
   }
@@ -751,17 +747,12 @@
    * A sign that the primary is lost: what needs one is held from here on, and asks every member.
    */
   private void losePrimary(Endpoint node) {
-    ReplicaGroup group = node.group;
-    if (group.primary != node) {
+    ReplicaGroup group = node.group();
+    if (group.primary() != node) {
       return;
     }
-    group.phase = Phase.HOLD;
-    group.holdSince = now;
-    group.lostPrimary = node;
-    group.primary = null;
-    group.searchCursor = 0;
-    group.searchRoundStartedAt = Moment.LONG_AGO;
-    outbound.primary(group.number, node.id, false);
+    group.losePrimary(now);
+    outbound.primary(group.number(), node.id(), false);
     evaluateLater(group);
   }
 
@@ -770,14 +761,14 @@
   // router for which nothing waits asks nobody: it finds the primary in a round trip once something
   // does.
   private void askAround(ReplicaGroup group) {
-    if (!group.polledRegularly || group.members.size() > ReplicaSubset.LEAST) {
+    if (!group.isPolledRegularly() || group.members().size() > ReplicaSubset.LEAST) {
       search(group);
       return;
     }
-    for (Endpoint member : group.members) {
+    for (Endpoint member : group.members()) {
       pollWithin(
           member,
-          now.since(group.holdSince)
+          now.since(group.holdSince())
               .shorter(pollPeriod(member).times(0.5))
               .shorter(SECOND)
               .longer(HOLD_POLL));
@@ -789,112 +780,113 @@
    * group.
    */
   private void search(ReplicaGroup group) {
-    Span pause = now.since(group.holdSince).shorter(SECOND).longer(HOLD_POLL);
-    PrimarySearch.next(group, now, pause, startPosition(group.members.size()), this::mayBePrimary)
+    Span pause = now.since(group.holdSince()).shorter(SECOND).longer(HOLD_POLL);
+    PrimarySearch.next(group, now, pause, startPosition(group.members().size()), this::mayBePrimary)
         .forEach(node -> pollWithin(node, HOLD_POLL));
   }
 
   /** One that has just said that it is none need not be asked, but while its group elects. */
   private boolean mayBePrimary(Endpoint node) {
     boolean denied =
-        node.lastNotPrimaryReportAt.isAfter(node.lastPrimaryReportAt)
-            && now.since(node.lastNotPrimaryReportAt).isShorterThan(REMEMBERED);
+        node.roles().lastNotPrimaryReportAt().isAfter(node.roles().lastPrimaryReportAt())
+            && now.since(node.roles().lastNotPrimaryReportAt()).isShorterThan(REMEMBERED);
     return listedForUse(node)
-        && !(denied && node.group.lostPrimary == null && node.group.searchRounds == 0);
+        && !(denied && node.group().lostPrimary() == null && node.group().search().rounds() == 0);
   }
 
   private void reportedPrimary(Endpoint node, Moment at) {
-    if (!node.lastPrimaryReportAt.isAfter(Moment.LONG_AGO)) {
-      node.group.primaryReporters.add(node);
+    if (!node.roles().lastPrimaryReportAt().isAfter(Moment.LONG_AGO)) {
+      node.group().addPrimaryReporter(node);
     }
-    node.lastPrimaryReportAt = node.lastPrimaryReportAt.later(at);
+    node.roles().recordPrimary(at);
   }
 
   private void evaluate(ReplicaGroup group) {
-    if (group.primary != null
-        && group.primary.lastNotPrimaryReportAt.isAfter(group.primary.lastPrimaryReportAt)) {
-      losePrimary(group.primary);
+    if (group.primary() != null
+        && group
+            .primary()
+            .roles()
+            .lastNotPrimaryReportAt()
+            .isAfter(group.primary().roles().lastPrimaryReportAt())) {
+      losePrimary(group.primary());
     }
     followSwitchover(group);
-    group.evaluationPending = false;
+    group.setEvaluationPending(false);
     Endpoint claimant = null;
     for (Endpoint member :
-        group.members.size() > ReplicaSubset.LEAST ? group.primaryReporters : group.members) {
+        group.members().size() > ReplicaSubset.LEAST ? group.primaryReporters() : group.members()) {
       boolean fresh =
-          member.lastPrimaryReportAt.isAfter(member.lastNotPrimaryReportAt)
-              && (member != group.lostPrimary
-                  || member.lastPrimaryReportAt.isAfter(group.holdSince));
+          member.roles().lastPrimaryReportAt().isAfter(member.roles().lastNotPrimaryReportAt())
+              && (member != group.lostPrimary()
+                  || member.roles().lastPrimaryReportAt().isAfter(group.holdSince()));
       // A group without reads has no other trial than a write: the silence would never be seen to
       // end.
-      boolean heard = !member.silent || now.since(member.silentSince).isLongerThan(FORGIVEN);
+      boolean heard =
+          !member.health().isSilent()
+              || now.since(member.health().silentSince()).isLongerThan(FORGIVEN);
       // One that was replaced and comes back goes on claiming: no proof while its successor stands.
       boolean past =
-          (member.deposed && group.primary != null) || group.switchover.excludes(member.id);
+          (member.roles().isReplaced() && group.primary() != null)
+              || group.switchover().excludes(member.id());
       if (fresh
           && listedForUse(member)
-          && !member.down
+          && !member.health().isDown()
           && heard
           && !past
           && (claimant == null
-              || member.lastPrimaryReportAt.isAfter(claimant.lastPrimaryReportAt))) {
+              || member
+                  .roles()
+                  .lastPrimaryReportAt()
+                  .isAfter(claimant.roles().lastPrimaryReportAt()))) {
         claimant = member;
       }
     }
-    if ((group.phase == Phase.HOLD && claimant != null)
-        || (group.primary != null
+    if ((group.phase() == Phase.HOLD && claimant != null)
+        || (group.primary() != null
             && claimant != null
-            && claimant != group.primary
+            && claimant != group.primary()
             && claimant
-                .lastPrimaryReportAt
-                .since(group.primary.lastPrimaryReportAt)
+                .roles()
+                .lastPrimaryReportAt()
+                .since(group.primary().roles().lastPrimaryReportAt())
                 .isLongerThan(FIRST_REPORT_AGE))) {
-      Endpoint former = group.primary != null ? group.primary : group.lostPrimary;
-      if (former != null) {
-        former.deposed = true;
-      }
-      group.phase = Phase.STEADY;
-      group.primaryFoundAt = now;
-      group.searchRounds = 0;
-      group.searchCursor = 0;
-      group.primary = claimant;
-      claimant.deposed = false;
-      group.lostPrimary = null;
-      outbound.primary(group.number, claimant.id, true);
+      group.setPrimary(claimant, now);
+      outbound.primary(group.number(), claimant.id(), true);
     }
     // In order, as far as the primary has room: the rest stays where it is.
-    for (Statement top = group.held.first();
+    for (Statement top = group.held().first();
         top != null && (isOverdue(top) || primaryFor(top) != null);
-        top = group.held.first()) {
+        top = group.held().first()) {
       takeOut(top);
       dispatch(top);
     }
-    List<Statement> due = new ArrayList<>(group.waitingReads.size());
-    while (!group.waitingReads.isEmpty()) {
-      due.add(group.waitingReads.poll());
+    List<Statement> due = new ArrayList<>(group.waitingReads().size());
+    while (!group.waitingReads().isEmpty()) {
+      due.add(group.waitingReads().poll());
     }
     for (Statement statement : due) {
-      statement.queued = false;
+      statement.setQueued(false);
       dispatch(statement);
     }
-    if (group.phase == Phase.HOLD
-        && !group.held.isEmpty()
-        && (!group.polledRegularly || group.members.size() > ReplicaSubset.LEAST)) {
+    if (group.phase() == Phase.HOLD
+        && !group.held().isEmpty()
+        && (!group.isPolledRegularly() || group.members().size() > ReplicaSubset.LEAST)) {
       search(group);
     }
   }
 
   private void takeOut(Statement held) {
-    held.queued = false;
-    held.group.held.remove(held);
+    held.setQueued(false);
+    held.group().held().remove(held);
   }
 
   /** A member's word on a planned change of its group's primary; false where it changes nothing. */
   public boolean switchoverAnnounced(
       Moment at, int member, long number, int target, Moment from, boolean off) {
     now = at;
-    ReplicaGroup group = node(member).group;
-    int named = node(target).group == group ? target : PlannedSwitchover.UNKNOWN_MEMBER;
-    boolean told = group.switchover.announced(now, number, named, from, off);
+    ReplicaGroup group = node(member).group();
+    int named = node(target).group() == group ? target : PlannedSwitchover.UNKNOWN_MEMBER;
+    boolean told = group.switchover().announced(now, number, named, from, off);
     evaluateLater(group);
     settle();
     return told;
@@ -907,26 +899,31 @@
 
   // Its phases are in Change; what they mean for the hold, polls and connections is here.
   private void followSwitchover(ReplicaGroup group) {
-    PlannedSwitchover change = group.switchover;
+    PlannedSwitchover change = group.switchover();
     Endpoint target = node(change.target());
     change.advance(
         now,
-        group.primary == null ? PlannedSwitchover.UNKNOWN_MEMBER : group.primary.id,
-        target != null && target.group == group && listedForUse(target) && !target.down);
+        group.primary() == null ? PlannedSwitchover.UNKNOWN_MEMBER : group.primary().id(),
+        target != null
+            && target.group() == group
+            && listedForUse(target)
+            && !target.health().isDown());
     changeDue = changeDue.earlier(change.nextStepAt());
-    if (group.primary != null && change.excludes(group.primary.id)) {
-      losePrimary(group.primary);
-    } else if (change.phase() == PlannedSwitchover.Phase.PREPARATION && group.primary != null) {
+    if (group.primary() != null && change.excludes(group.primary().id())) {
+      losePrimary(group.primary());
+    } else if (change.phase() == PlannedSwitchover.Phase.PREPARATION && group.primary() != null) {
       // A cold one bears no more than one at a time.
       outbound.prepare(
-          target.id,
+          target.id(),
           warmUpShare(target) < 1
               ? 1
-              : Math.min(MOST_PREPARED, group.primary.inFlight + group.primary.idleConnections));
+              : Math.min(
+                  MOST_PREPARED,
+                  group.primary().load().inFlight() + group.primary().load().idleConnections()));
     }
     if (change.needsFrequentPolls()) {
       membersInUse(group).forEach(member -> pollWithin(member, HOLD_POLL));
-      if (target != null && target.group == group) {
+      if (target != null && target.group() == group) {
         pollWithin(target, HOLD_POLL);
       }
     }
@@ -935,39 +932,40 @@
   // ---- Placing a statement.
 
   private void dispatch(Statement statement) {
-    if (statement.finished) {
+    if (statement.isFinished()) {
       return;
     }
-    ReplicaGroup group = statement.group;
+    ReplicaGroup group = statement.group();
     RejectReason refusal = refusal(statement);
     if (refusal != null) {
-      if (statement.attemptsInFlight == 0) {
+      if (statement.attemptsInFlight() == 0) {
         giveUp(
             statement,
-            group.phase == Phase.HOLD
-                && statement.workload.onlyPrimary()
+            group.phase() == Phase.HOLD
+                && statement.workload().onlyPrimary()
                 && mayTryElsewhere(statement),
             refusal);
       }
       return;
     }
-    Endpoint node = statement.workload.onlyPrimary() ? primaryFor(statement) : readerFor(statement);
+    Endpoint node =
+        statement.workload().onlyPrimary() ? primaryFor(statement) : readerFor(statement);
     if (node != null) {
       execute(statement, node);
-    } else if (statement.attemptsInFlight == 0) {
-      statement.queued = true;
-      if (statement.workload.onlyPrimary()) {
-        group.held.add(statement);
-        for (Statement over = holds.nextToReject(group.held, statement.workloadIndex);
+    } else if (statement.attemptsInFlight() == 0) {
+      statement.setQueued(true);
+      if (statement.workload().onlyPrimary()) {
+        group.held().add(statement);
+        for (Statement over = holds.nextToReject(group.held(), statement.workloadIndex());
             over != null;
-            over = holds.nextToReject(group.held, statement.workloadIndex)) {
+            over = holds.nextToReject(group.held(), statement.workloadIndex())) {
           takeOut(over);
           giveUp(over, false, RejectReason.HOLD_FULL);
         }
       } else {
-        group.waitingReads.add(statement);
+        group.waitingReads().add(statement);
       }
-      if (group.phase == Phase.HOLD) {
+      if (group.phase() == Phase.HOLD) {
         askAround(group);
       }
     }
@@ -978,13 +976,14 @@
     if (isOverdue(statement)) {
       return RejectReason.OVERDUE;
     }
-    if (!mayRunAgain(statement, statement.attemptsInFlight) || statement.unexplainedErrors > 1) {
+    if (!mayRunAgain(statement, statement.attemptsInFlight())
+        || statement.unexplainedErrors() > 1) {
       return RejectReason.NO_ATTEMPT_LEFT;
     }
     DecayingValue jam =
-        statement.workload.onlyPrimary()
-            ? statement.group.primaryCongestion
-            : statement.group.replicaCongestion;
+        statement.workload().onlyPrimary()
+            ? statement.group().primaryCongestion()
+            : statement.group().replicaCongestion();
     return isShed(statement, jam) ? RejectReason.SHED : null;
   }
 
@@ -993,33 +992,35 @@
   // sheds, the less important first. The primary counts apart, or its jam kept reads off idle
   // replicas.
   private boolean isShed(Statement statement, DecayingValue jam) {
-    double share = statement.workload.importance() / highestPriorityWeight;
+    double share = statement.workload().importance() / highestPriorityWeight;
     double sent = (TOLERATED + share / 4) * Math.pow(1 - jam.at(now, REMEMBERED), 3);
-    return statement.attempts == 0
-        && statement.workload.needs() != ReadConsistency.WRITE
+    return statement.attempts() == 0
+        && statement.workload().needs() != ReadConsistency.WRITE
         && chance.nextDouble() < Math.min(MOST_SHED, 1 - sent);
   }
 
   private Endpoint primaryFor(Statement statement) {
-    Endpoint primary = statement.group.primary;
+    Endpoint primary = statement.group().primary();
     if (primary == null || !isUsable(primary, statement)) {
       return null;
     }
-    if (statement.workload.onlyPrimary()) {
+    if (statement.workload().onlyPrimary()) {
       return hasCapacity(primary, 1) ? primary : null;
     }
-    ReplicaGroup group = statement.group;
+    ReplicaGroup group = statement.group();
     boolean outranked =
-        !group.held.isEmpty()
-            || (!group.waitingReads.isEmpty()
-                && BY_IMPORTANCE.compare(group.waitingReads.peek(), statement) < 0);
+        !group.held().isEmpty()
+            || (!group.waitingReads().isEmpty()
+                && BY_IMPORTANCE.compare(group.waitingReads().peek(), statement) < 0);
     // Hundreds of routers, each with room for one, would leave it none for what only it may take.
-    if (now.since(primary.pollSentAt).isLongerThan(TRIAL)) {
+    if (now.since(primary.polling().sentAt()).isLongerThan(TRIAL)) {
       pollNow(primary);
     }
     boolean told =
-        (!primary.pollInFlight && now.isBefore(primary.nextPollAt)) || !agreed.allowance().polls();
-    boolean spare = told && statement.randomShare < EAGER * (FULLY_BUSY - primary.cpuUtilization);
+        (!primary.polling().isInFlight() && now.isBefore(primary.polling().nextPollAt()))
+            || !agreed.allowance().polls();
+    boolean spare =
+        told && statement.randomShare() < EAGER * (FULLY_BUSY - primary.load().cpuUtilization());
     return spare && hasCapacity(primary, 1 - FOR_WRITES) && !outranked ? primary : null;
   }
 
@@ -1029,9 +1030,9 @@
   // last: a
   // path may be bad for this router alone while the node serves the others and answers polls.
   private Endpoint readerFor(Statement statement) {
-    ReplicaGroup group = statement.group;
+    ReplicaGroup group = statement.group();
     Span allowed = statement.allowedLag(now);
-    boolean checks = agreed.replication().replicasCheck() && statement.staleAnswers < 2;
+    boolean checks = agreed.replication().replicasCheck() && statement.staleAnswers() < 2;
     Endpoint first = null;
     Endpoint second = null;
     Endpoint advanced = null;
@@ -1041,20 +1042,22 @@
     int seen = 0;
     Endpoint burdened = longReadReplica(statement);
     if (burdened != null
-        && statement.workload.needs() == ReadConsistency.ANY
-        && isLongRunning(statement.workloadIndex)) {
+        && statement.workload().needs() == ReadConsistency.ANY
+        && isLongRunning(statement.workloadIndex())) {
       return burdened;
     }
     for (Endpoint member : candidates(group)) {
-      if (member.down && !group.polledRegularly) {
+      if (member.health().isDown() && !group.isPolledRegularly()) {
         // Polled by nobody else: whether it is back is asked when it is missed.
         pollWithin(member, retryPause(member));
       }
-      if (member == group.primary || statement.wasSentTo(member) || !isUsable(member, statement)) {
+      if (member == group.primary()
+          || statement.wasSentTo(member)
+          || !isUsable(member, statement)) {
         continue;
       }
-      out += member.inFlight;
-      boolean proven = !now.since(member.provenPosition).isLongerThan(allowed);
+      out += member.load().inFlight();
+      boolean proven = !now.since(member.replication().provenPosition()).isLongerThan(allowed);
       if (!proven && !(checks && !estimatedLag(member).isLongerThan(allowed))) {
         advanced =
             advanced == null || estimatedLag(member).isShorterThan(estimatedLag(advanced))
@@ -1064,7 +1067,9 @@
       }
       fits = true;
       int tier =
-          (avoidsNewConnection(member) || (!group.polledRegularly && !isConnected(member)) ? 1 : 0)
+          (avoidsNewConnection(member) || (!group.isPolledRegularly() && !isConnected(member))
+                  ? 1
+                  : 0)
               + (proven ? 0 : 2)
               + (member == burdened ? 4 : 0)
               + (failureRate(member) < FAILING ? 0 : 8);
@@ -1082,8 +1087,8 @@
     if (first != null
         && avoidsNewConnection(first)
         && out > 0
-        && now.since(statement.receivedAt)
-            .isShorterThan(statement.workload.slo().times(0.8 * PATIENCE))) {
+        && now.since(statement.receivedAt())
+            .isShorterThan(statement.workload().slo().times(0.8 * PATIENCE))) {
       // One of its connections will be free before a new one would stand.
       return null;
     }
@@ -1107,9 +1112,9 @@
    * No member in use has room for a read: more of a large group are taken into use, for a while.
    */
   private void widenSubset(ReplicaGroup group) {
-    if (group.members.size() > ReplicaSubset.LEAST
-        && now.since(group.subsetWidenedAt).isLongerThan(HOLD_POLL)) {
-      group.subsetWidenedAt = now;
+    if (group.members().size() > ReplicaSubset.LEAST
+        && now.since(group.subset().widenedAt()).isLongerThan(HOLD_POLL)) {
+      group.subset().recordWidening(now);
       ReplicaSubset.widen(group, agreed.standing().routers());
     }
   }
@@ -1128,13 +1133,13 @@
   // is not
   // crowded, out of the first half.
   private Endpoint longReadReplica(Statement statement) {
-    Endpoint primary = statement.group.primary;
+    Endpoint primary = statement.group().primary();
     List<Endpoint> able = List.of();
     for (int kind = 0; kind < typicalTimes.length && able.isEmpty(); kind++) {
       able =
           !isLongRunning(kind)
               ? able
-              : membersInUse(statement.group).stream()
+              : membersInUse(statement.group()).stream()
                   .filter(
                       member ->
                           member != primary
@@ -1160,33 +1165,33 @@
   // check keeps a stale answer back. Less the age of reports, or late ones make all look equally
   // behind.
   Span estimatedLag(Endpoint node) {
-    return new Span((long) node.estimatedLag.at(now, FORGIVEN));
+    return node.replication().estimatedLag(now);
   }
 
   void observeLag(Endpoint node, Span lag) {
-    node.estimatedLag.set(now, (double) Math.max(0, lag.micros()));
+    node.replication().observeLag(now, lag);
   }
 
   private boolean isUsable(Endpoint node, Statement statement) {
     boolean onTrial =
-        node.inFlight == 0
-            && !now.since(node.silentSince.later(node.lastTrialAt))
-                .isShorterThan(TRIAL.times(1 << node.silenceTrials));
+        node.load().inFlight() == 0
+            && !now.since(node.health().silentSince().later(node.health().lastTrialAt()))
+                .isShorterThan(TRIAL.times(1 << node.health().silenceTrials()));
     // A list may name what does not exist: who never said a word gets nothing where another member
     // did.
     return listedForUse(node)
-        && !node.down
-        && (node.hasAnswered || !node.group.hasAnswered || !node.wasContacted())
-        && !now.isBefore(node.backoffUntil)
-        && (!node.silent || onTrial)
+        && !node.health().isDown()
+        && (node.health().hasAnswered() || !node.group().hasAnswered() || !node.wasContacted())
+        && !now.isBefore(node.health().backoffUntil())
+        && (!node.health().isSilent() || onTrial)
         && (warmUpShare(node) >= 1
-            || hasBudget(node, typicalTimes[statement.workloadIndex])
+            || hasBudget(node, typicalTimes[statement.workloadIndex()])
             || isAdmittedAsFirst(node, statement));
   }
 
   private boolean isConnected(Endpoint node) {
-    return now.since(node.lastAnswerAt).isShorterThan(agreed.connections().idleClose())
-        && agreed.connections().hasRoom(node.inFlight, node.idleConnections);
+    return now.since(node.load().lastAnswerAt()).isShorterThan(agreed.connections().idleClose())
+        && agreed.connections().hasRoom(node.load().inFlight(), node.load().idleConnections());
   }
 
   /**
@@ -1197,36 +1202,37 @@
   }
 
   private double loadScore(Endpoint node) {
-    double crossing = agreed.standing().isPricedTo(node.zone) ? 1.3 : 1;
-    return (node.inFlight + 1)
+    double crossing = agreed.standing().isPricedTo(node.zone()) ? 1.3 : 1;
+    return (node.load().inFlight() + 1)
         * latencyStrain(node)
-        * (1 + 2 * node.cpuUtilization * node.cpuUtilization)
+        * (1 + 2 * node.load().cpuUtilization() * node.load().cpuUtilization())
         * (1 + 10 * failureRate(node))
         * crossing
-        / node.size;
+        / node.relativeSize();
   }
 
   private void execute(Statement statement, Endpoint node) {
-    Workload terms = statement.workload;
+    Workload terms = statement.workload();
     Span timeout = Span.NONE;
     if (terms.lateShare() < 0.5 && terms.repeat() == Idempotency.IDEMPOTENT) {
       // Even where late is worth a little, a queue of what is late would make all others late.
-      timeout = statement.receivedAt.plus(terms.slo().times(1 + 2 * terms.lateShare())).since(now);
+      timeout =
+          statement.receivedAt().plus(terms.slo().times(1 + 2 * terms.lateShare())).since(now);
     }
     // Where only one may be out, what a node loses is found out early enough to try another: reads
     // where
     // it is known to lose some, writes that may run again after twice as long.
-    double usual = typicalTimes[statement.workloadIndex];
+    double usual = typicalTimes[statement.workloadIndex()];
     boolean write =
         terms.repeat() == Idempotency.DEDUPLICATED
             && terms.within() != Workload.DeduplicationScope.ZONE;
     Span early = new Span((long) (usual * (write ? 2 * UNUSUAL : UNUSUAL)));
-    boolean suspect = node.silent || failureRate(node) >= FAILING;
+    boolean suspect = node.health().isSilent() || failureRate(node) >= FAILING;
     if (!agreed.allowance().secondCopies()
         && (write || (terms.repeat() == Idempotency.IDEMPOTENT && suspect))
         && now.plus(early)
             .plus(new Span((long) (LEAST_CHANCE * usual)))
-            .isBefore(statement.receivedAt.plus(terms.slo()))
+            .isBefore(statement.receivedAt().plus(terms.slo()))
         && (!write
             || statement
                 .mayHaveRunSince()
@@ -1237,79 +1243,77 @@
     }
     Moment within = write ? statement.mayHaveRunSince().plus(terms.window()) : Moment.NEVER;
     boolean opens = !isConnected(node);
-    node.idleConnections = opens ? 0 : node.idleConnections - 1;
     statement.startAttempt(node, now, opens);
-    if (node.silent) {
+    if (node.health().isSilent()) {
       // Each trial that fails costs a statement, or an execution: the next one waits twice as long.
-      node.silenceTrials = Math.min(MOST_TRIALS, node.silenceTrials + 1);
-      node.lastTrialAt = now;
-    }
-    node.wasSentStatement = true;
-    if (node.inFlight++ == 0) {
-      node.unansweredSince = now;
+      node.health().recordTrial(now);
     }
+    node.load().attemptStarted(now, opens);
     if (warmUpShare(node) < 1) {
-      node.warmUpWork = remainingWork(node) + typicalTimes[statement.workloadIndex];
-      node.warmUpWorkAt = now;
-      node.unusedSinceStart = false;
+      node.warmUp().charge(now, remainingWork(node) + typicalTimes[statement.workloadIndex()]);
     }
     // A connection may have to be opened first: later, no proof covers the bound and no window a
     // repeat.
     boolean proven =
         terms.needs() == ReadConsistency.BOUNDED
             && !agreed.replication().replicasCheck()
-            && node != statement.group.primary;
+            && node != statement.group().primary();
     outbound.execute(
-        statement.id, node.id, timeout, proven ? node.provenPosition.plus(terms.bound()) : within);
+        statement.id(),
+        node.id(),
+        timeout,
+        proven ? node.replication().provenPosition().plus(terms.bound()) : within);
   }
 
   // ---- Further executions and final answers.
 
   /** How often by importance; whether at all by what an earlier execution may have done. */
   private boolean mayRunAgain(Statement statement, int stillOut) {
-    int spare = statement.endpoints.length - 2;
-    double share = statement.workload.importance() / highestPriorityWeight;
-    int most = Math.min(statement.endpoints.length, 2 + (int) Math.ceil(spare * share));
-    return statement.attempts < most
-        && switch (statement.workload.repeat()) {
+    int spare = statement.maxAttempts() - 2;
+    double share = statement.workload().importance() / highestPriorityWeight;
+    int most = Math.min(statement.maxAttempts(), 2 + (int) Math.ceil(spare * share));
+    return statement.attempts() < most
+        && switch (statement.workload().repeat()) {
           case IDEMPOTENT -> stillOut == 0 || agreed.allowance().secondCopies();
-          case NON_IDEMPOTENT -> !statement.mayHaveRun && statement.attemptsInFlight == 0;
+          case NON_IDEMPOTENT -> !statement.mayHaveRun() && statement.attemptsInFlight() == 0;
           case DEDUPLICATED ->
-              statement.workload.within() != Workload.DeduplicationScope.ZONE
+              statement.workload().within() != Workload.DeduplicationScope.ZONE
                   ? (stillOut == 0 || agreed.allowance().secondCopies())
-                      && now.isBefore(statement.mayHaveRunSince().plus(statement.workload.window()))
-                  : !statement.mayHaveRun && statement.attemptsInFlight == 0;
+                      && now.isBefore(
+                          statement.mayHaveRunSince().plus(statement.workload().window()))
+                  : !statement.mayHaveRun() && statement.attemptsInFlight() == 0;
         };
   }
 
   private boolean isOverdue(Statement statement) {
-    Moment end = statement.clientDeadline.minus(agreed.allowance().answerSlack());
-    if (statement.workload.lateShare() <= 0) {
-      end = end.earlier(statement.receivedAt.plus(statement.workload.slo()));
+    Moment end = statement.clientDeadline().minus(agreed.allowance().answerSlack());
+    if (statement.workload().lateShare() <= 0) {
+      end = end.earlier(statement.receivedAt().plus(statement.workload().slo()));
     }
-    if (statement.attemptsInFlight == 0) {
+    if (statement.attemptsInFlight() == 0) {
       // Sent with less time than its work takes, it would only load a node that is behind already.
       // At
       // most half the SLO time: with nothing admitted the response time would never be seen to
       // fall.
       end =
           end.minus(
-              new Span((long) (LEAST_CHANCE * typicalTimes[statement.workloadIndex]))
-                  .shorter(statement.workload.slo().times(0.5)));
-      Span held = statement.clientDeadline.since(statement.receivedAt).times(HELD);
-      end = mayTryElsewhere(statement) ? end.earlier(statement.receivedAt.plus(held)) : end;
-      if (statement.group.phase == Phase.STEADY
-          && statement.workload.needs() != ReadConsistency.WRITE) {
+              new Span((long) (LEAST_CHANCE * typicalTimes[statement.workloadIndex()]))
+                  .shorter(statement.workload().slo().times(0.5)));
+      Span held = statement.clientDeadline().since(statement.receivedAt()).times(HELD);
+      end = mayTryElsewhere(statement) ? end.earlier(statement.receivedAt().plus(held)) : end;
+      if (statement.group().phase() == Phase.STEADY
+          && statement.workload().needs() != ReadConsistency.WRITE) {
         // Any longer for room would leave too little of the SLO time for the work itself. What a
         // node
         // kept for a while, to turn away or lose it, is past that already, yet has a turn
         // elsewhere.
-        double share = statement.staleAnswers > 0 || statement.mayHaveRun ? 0.75 : PATIENCE;
+        double share = statement.staleAnswers() > 0 || statement.mayHaveRun() ? 0.75 : PATIENCE;
         Moment since =
-            statement.workload.onlyPrimary()
-                ? statement.receivedAt.later(statement.group.primaryFoundAt)
-                : statement.receivedAt;
-        end = end.earlier(since.plus(statement.workload.slo().times(share).longer(LEAST_PATIENCE)));
+            statement.workload().onlyPrimary()
+                ? statement.receivedAt().later(statement.group().primaryFoundAt())
+                : statement.receivedAt();
+        end =
+            end.earlier(since.plus(statement.workload().slo().times(share).longer(LEAST_PATIENCE)));
       }
     }
     return !now.isBefore(end);
@@ -1319,38 +1323,38 @@
   // elsewhere.
   // Not where a late answer is worth most of one in time: there the end of a hold is waited for.
   private boolean mayTryElsewhere(Statement statement) {
-    return statement.attempts == 0 && statement.workload.lateShare() <= 0.5;
+    return statement.attempts() == 0 && statement.workload().lateShare() <= 0.5;
   }
 
   private void giveUp(Statement statement, boolean mayReturnAtOnce, RejectReason why) {
     boolean harmless =
-        statement.workload.repeat() == Idempotency.IDEMPOTENT
-            || (!statement.mayHaveRun && statement.attemptsInFlight == 0)
-            || (statement.workload.repeat() == Idempotency.DEDUPLICATED
-                && statement.workload.within() == Workload.DeduplicationScope.ALL);
+        statement.workload().repeat() == Idempotency.IDEMPOTENT
+            || (!statement.mayHaveRun() && statement.attemptsInFlight() == 0)
+            || (statement.workload().repeat() == Idempotency.DEDUPLICATED
+                && statement.workload().within() == Workload.DeduplicationScope.ALL);
     finish(statement);
     if (harmless) {
       // In a hold it may come back at once: only what is held is released in order to a new
       // primary.
       double share = mayReturnAtOnce ? 0 : 0.75 + 0.25 * chance.nextDouble();
-      outbound.reject(statement.id, agreed.allowance().longestComeBack().times(share), why);
+      outbound.reject(statement.id(), agreed.allowance().longestComeBack().times(share), why);
     } else {
-      outbound.abort(statement.id);
+      outbound.abort(statement.id());
     }
   }
 
   private void finish(Statement statement) {
-    statement.finished = true;
-    if (statement.queued && statement.workload.onlyPrimary()) {
+    statement.finish();
+    if (statement.isQueued() && statement.workload().onlyPrimary()) {
       takeOut(statement);
     }
     cancelAttempts(statement, 0);
   }
 
   private void cancelAttempts(Statement statement, int from) {
-    for (int i = from; statement.attemptsInFlight > 0 && i < statement.attempts; i++) {
-      if (statement.isInFlight[i] && agreed.allowance().cancels()) {
-        outbound.cancel(statement.id, i);
+    for (int i = from; statement.attemptsInFlight() > 0 && i < statement.attempts(); i++) {
+      if (statement.isInFlight(i) && agreed.allowance().cancels()) {
+        outbound.cancel(statement.id(), i);
       }
     }
   }
@@ -1363,35 +1367,36 @@
     boolean copies = agreed.allowance().secondCopies();
     for (int i = open.size() - 1; i >= 0; i--) {
       Statement statement = open.get(i);
-      boolean stuck = statement.attemptsInFlight > 0;
-      for (int k = 0; statement.attemptsInFlight > 0 && k < statement.attempts; k++) {
-        if (statement.isInFlight[k]) {
-          Endpoint node = statement.endpoints[k];
-          detectSilence(node, statement, statement.sentAt[k]);
+      boolean stuck = statement.attemptsInFlight() > 0;
+      for (int k = 0; statement.attemptsInFlight() > 0 && k < statement.attempts(); k++) {
+        if (statement.isInFlight(k)) {
+          Endpoint node = statement.endpoint(k);
+          detectSilence(node, statement, statement.sentAt(k));
           // A trial has its own time: called off with the rest, none would ever end a silence.
           stuck &=
-              node.down
-                  || (node.silent && (copies || !statement.sentAt[k].isAfter(node.silentSince)));
+              node.health().isDown()
+                  || (node.health().isSilent()
+                      && (copies || !statement.sentAt(k).isAfter(node.health().silentSince())));
         }
       }
-      if (statement.finished) {
+      if (statement.isFinished()) {
         Collections.swap(open, i, open.size() - 1);
         open.remove(open.size() - 1);
         // Anybody may name groups that nobody has listed.
-        ReplicaGroup named = statement.group;
-        if (named.members.isEmpty() && groups.remove(named.number, named)) {
-          holds.forget(named.held);
-        } else if (named.subsetExtraMembers > 0
-            && now.since(named.subsetWidenedAt).isLongerThan(REMEMBERED)) {
+        ReplicaGroup named = statement.group();
+        if (named.members().isEmpty() && groups.remove(named.number(), named)) {
+          holds.forget(named.held());
+        } else if (named.subset().extraMembers() > 0
+            && now.since(named.subset().widenedAt()).isLongerThan(REMEMBERED)) {
           ReplicaSubset.narrow(named);
         }
-      } else if (statement.queued) {
-        evaluateLater(statement.group);
-        if (statement.workload.onlyPrimary() && isOverdue(statement)) {
+      } else if (statement.isQueued()) {
+        evaluateLater(statement.group());
+        if (statement.workload().onlyPrimary() && isOverdue(statement)) {
           takeOut(statement);
           unplaced.add(statement);
         }
-      } else if (stuck && mayRunAgain(statement, copies ? statement.attemptsInFlight : 0)) {
+      } else if (stuck && mayRunAgain(statement, copies ? statement.attemptsInFlight() : 0)) {
         // Waiting on nodes that answer nobody: another execution elsewhere may still be in time.
         if (copies) {
           unplaced.add(statement);
@@ -1408,31 +1413,32 @@
    */
   private void detectSilence(Endpoint node, Statement statement, Moment sent) {
     double usual =
-        typicalTimes[statement.workloadIndex]
+        typicalTimes[statement.workloadIndex()]
             * Math.max(1, latencyStrain(node) / usualLatencyStrain);
     Span patience =
-        new Span((long) (usual * (2 + 4.0 / Math.max(1, node.inFlight)))).longer(LEAST_SILENCE);
-    if (!node.silent && now.since(node.unansweredSince.later(sent)).isLongerThan(patience)) {
+        new Span((long) (usual * (2 + 4.0 / Math.max(1, node.load().inFlight()))))
+            .longer(LEAST_SILENCE);
+    if (!node.health().isSilent()
+        && now.since(node.load().unansweredSince().later(sent)).isLongerThan(patience)) {
       pollNow(node);
       markSilent(node);
     }
   }
 
   void markSilent(Endpoint node) {
-    node.silent = true;
-    node.silentSince = now;
-    node.group.subsetStale = true;
+    node.health().markSilent(now);
+    node.group().subset().markStale();
     losePrimary(node);
   }
 
   // ---- Health: what executions and polls tell.
 
   double failureRate(Endpoint node) {
-    return node.failureRate.at(now, REMEMBERED);
+    return node.health().failureRate().at(now, REMEMBERED);
   }
 
   private double latencyStrain(Endpoint node) {
-    return usualLatencyStrain + node.latencyStrain.at(now, FORGIVEN);
+    return usualLatencyStrain + node.load().latencyStrain().at(now, FORGIVEN);
   }
 
   /**
@@ -1444,7 +1450,9 @@
   }
 
   private void recordFailure(Endpoint node, double how) {
-    node.failureRate.move(now, REMEMBERED, weight(node.failureRate.updatedAt()), how);
+    node.health()
+        .failureRate()
+        .move(now, REMEMBERED, weight(node.health().failureRate().updatedAt()), how);
   }
 
   private void learnHealth(Endpoint node, Statement statement, AttemptOutcome ending, Span took) {
@@ -1452,20 +1460,26 @@
       case NEVER_SENT, UNKNOWN -> {}
       case FULL -> {
         // A hanging node with a full queue does so at once: no sign of life, and burns executions.
-        node.consecutiveFullAnswers = Math.min(5, node.consecutiveFullAnswers + 1);
-        node.backoffUntil =
-            now.plus(new Span((long) (typicalTime * (1 << node.consecutiveFullAnswers) / 2)));
-        if (now.since(node.capacityReducedAt).isLongerThan(new Span((long) typicalTime))) {
-          node.capacity = Math.max(LEAST_ROOM, 0.7 * Math.min(node.capacity, node.inFlight + 1));
-          node.capacityReducedAt = now;
+        node.health().recordFullAnswer();
+        node.health()
+            .backOffUntil(
+                now.plus(
+                    new Span(
+                        (long) (typicalTime * (1 << node.health().consecutiveFullAnswers()) / 2))));
+        if (now.since(node.load().capacityReducedAt()).isLongerThan(new Span((long) typicalTime))) {
+          node.load()
+              .reduceCapacity(
+                  now,
+                  Math.max(
+                      LEAST_ROOM,
+                      0.7 * Math.min(node.load().capacity(), node.load().inFlight() + 1)));
         }
       }
       case COMPLETED, ERROR, MISS -> {
-        node.consecutiveFullAnswers = 0;
+        node.health().resetFullAnswers();
         markUp(node);
-        node.silent = false;
-        node.silenceTrials = 0;
-        node.unansweredSince = now;
+        node.health().clearSilence();
+        node.load().recordSignOfLife(now);
         if (ending != AttemptOutcome.ERROR) {
           recordFailure(node, 0);
         }
@@ -1478,10 +1492,10 @@
         // Told by the state of this router, and of no node.
         return;
       }
-      case CANCELLED -> node.abandonedAttempts.set(now, abandonedAttempts(node) + 1);
+      case CANCELLED -> node.load().abandonedAttempts().set(now, abandonedAttempts(node) + 1);
       case TIMED_OUT -> {
-        node.abandonedAttempts.set(now, abandonedAttempts(node) + 1);
-        if (!node.unansweredSince.isAfter(now.minus(took))) {
+        node.load().abandonedAttempts().set(now, abandonedAttempts(node) + 1);
+        if (!node.load().unansweredSince().isAfter(now.minus(took))) {
           // Nothing came back since: lost, where a node that answers others is but slow.
           recordFailure(node, 1);
         }
@@ -1489,31 +1503,37 @@
         pollNow(node);
       }
     }
-    boolean late = !took.isShorterThan(statement.workload.slo().times(0.9));
-    boolean untold = !node.reportsCpu && now.since(node.pollSentAt).isLongerThan(SECOND.times(2));
-    if (late && now.since(node.pollSentAt).isLongerThan(SECOND)) {
+    boolean late = !took.isShorterThan(statement.workload().slo().times(0.9));
+    boolean untold =
+        !node.load().reportsCpu()
+            && now.since(node.polling().sentAt()).isLongerThan(SECOND.times(2));
+    if (late && now.since(node.polling().sentAt()).isLongerThan(SECOND)) {
       pollNow(node);
     }
     boolean jammed =
-        (late && (node.cpuUtilization > BUSY || untold)) || ending == AttemptOutcome.FULL;
+        (late && (node.load().cpuUtilization() > BUSY || untold)) || ending == AttemptOutcome.FULL;
     if ((jammed || (ending == AttemptOutcome.COMPLETED && !late))
-        && statement.workload.needs() != ReadConsistency.WRITE) {
+        && statement.workload().needs() != ReadConsistency.WRITE) {
       DecayingValue jam =
-          node == node.group.primary ? node.group.primaryCongestion : node.group.replicaCongestion;
+          node == node.group().primary()
+              ? node.group().primaryCongestion()
+              : node.group().replicaCongestion();
       jam.move(now, REMEMBERED, weight(jam.updatedAt()), jammed ? 1 : 0);
     }
     if (ending == AttemptOutcome.COMPLETED) {
       learnStrain(node, statement, took);
-      typicalTimes[statement.workloadIndex] +=
-          LEARN / 4 * (took.micros() - typicalTimes[statement.workloadIndex]);
+      typicalTimes[statement.workloadIndex()] +=
+          LEARN / 4 * (took.micros() - typicalTimes[statement.workloadIndex()]);
       typicalTime += LEARN / 4 * (took.micros() - typicalTime);
       // Only what was answered shows what a node can bear; what is sent may be a storm of retries.
-      node.answeredWork.add(now, FORGIVEN, typicalTimes[statement.workloadIndex]);
+      node.load().answeredWork().add(now, FORGIVEN, typicalTimes[statement.workloadIndex()]);
     }
-    node.unansweredSince = node.inFlight == 0 ? Moment.NEVER : node.unansweredSince;
-    if (node.capacity < 1) {
+    node.load().clearUnansweredIfIdle();
+    if (node.load().capacity() < 1) {
       // Room for less than one execution at a time: a pause after each one makes up for the rest.
-      node.abandonedAttempts.set(now, Math.max(abandonedAttempts(node), 1 / node.capacity - 1));
+      node.load()
+          .abandonedAttempts()
+          .set(now, Math.max(abandonedAttempts(node), 1 / node.load().capacity() - 1));
     }
   }
 
@@ -1522,17 +1542,23 @@
   // where it is strained and its cores are busy; past the hopeless mark always, as timed-out work
   // goes on.
   private void learnStrain(Endpoint node, Statement statement, Span took) {
-    double latest = Math.min(5, took.over(statement.workload.slo()));
+    double latest = Math.min(5, took.over(statement.workload().slo()));
     double strain =
         latencyStrain(node)
-            + weight(node.latencyStrain.updatedAt()) * (latest - latencyStrain(node));
+            + weight(node.load().latencyStrain().updatedAt()) * (latest - latencyStrain(node));
     usualLatencyStrain += LEARN / 4 * (strain - usualLatencyStrain);
-    node.latencyStrain.set(now, strain - usualLatencyStrain);
-    if (Math.min(strain, latest) > (node.cpuUtilization > BUSY ? STRAINED : HOPELESS)) {
-      node.capacity = Math.max(LEAST_ROOM, node.capacity - Math.min(0.3, 0.1 * node.capacity));
-    } else if (node.inFlight + 1 > 0.7 * node.capacity && strain < 1.5 * STRAINED) {
-      double step = node.cpuUtilization < BUSY ? 0.5 : 1 / Math.max(2, node.capacity);
-      node.capacity = Math.min(MOST_ROOM, node.capacity + step);
+    node.load().latencyStrain().set(now, strain - usualLatencyStrain);
+    if (Math.min(strain, latest) > (node.load().cpuUtilization() > BUSY ? STRAINED : HOPELESS)) {
+      node.load()
+          .setCapacity(
+              Math.max(
+                  LEAST_ROOM,
+                  node.load().capacity() - Math.min(0.3, 0.1 * node.load().capacity())));
+    } else if (node.load().inFlight() + 1 > 0.7 * node.load().capacity()
+        && strain < 1.5 * STRAINED) {
+      double step =
+          node.load().cpuUtilization() < BUSY ? 0.5 : 1 / Math.max(2, node.load().capacity());
+      node.load().setCapacity(Math.min(MOST_ROOM, node.load().capacity() + step));
     }
   }
 
@@ -1541,11 +1567,11 @@
    * takes.
    */
   private double abandonedAttempts(Endpoint node) {
-    return node.abandonedAttempts.at(now, new Span((long) typicalTime));
+    return node.load().abandonedAttempts().at(now, new Span((long) typicalTime));
   }
 
   private boolean hasCapacity(Endpoint node, double share) {
-    return node.inFlight + abandonedAttempts(node) < node.capacity * share;
+    return node.load().inFlight() + abandonedAttempts(node) < node.load().capacity() * share;
   }
 
   // An error may be the node's or the statement's own. What erred once and then went through shows
@@ -1556,12 +1582,11 @@
   // through.
   private void judgeError(Statement statement, int execution, AttemptOutcome ending) {
     if (ending == AttemptOutcome.ERROR) {
-      statement.endedInError[execution] = true;
-      statement.unexplainedErrors += failureRate(statement.endpoints[execution]) < FAILING ? 1 : 0;
+      statement.recordError(execution, failureRate(statement.endpoint(execution)) < FAILING);
     } else if (ending == AttemptOutcome.COMPLETED) {
-      for (int i = 0; statement.unexplainedErrors > 0 && i < statement.attempts; i++) {
-        if (statement.endedInError[i]) {
-          recordFailure(statement.endpoints[i], 1);
+      for (int i = 0; statement.unexplainedErrors() > 0 && i < statement.attempts(); i++) {
+        if (statement.endedInError(i)) {
+          recordFailure(statement.endpoint(i), 1);
         }
       }
     }
@@ -1569,19 +1594,21 @@
 
   private void learnRole(
       Endpoint node, Statement statement, AttemptOutcome ending, Role role, Moment sent) {
-    if (ending == AttemptOutcome.MISS && statement.workload.needs() == ReadConsistency.WRITE) {
+    if (ending == AttemptOutcome.MISS && statement.workload().needs() == ReadConsistency.WRITE) {
       // It turns writes away before it stops calling itself primary: believed at once, every such
       // claim
       // cost what was held one more execution.
-      node.lastNotPrimaryReportAt = now.plus(SECOND);
+      node.roles().ignorePrimaryReportsUntil(now.plus(SECOND));
     } else if (role == Role.PRIMARY) {
       // Answers can overtake each other: counted from the sending, a claim undoes no later denial.
       reportedPrimary(node, sent);
     } else if (role == Role.REPLICA) {
-      node.lastNotPrimaryReportAt = node.lastNotPrimaryReportAt.later(now);
+      node.roles().recordNotPrimary(now);
+    }
+    if (role == Role.REPLICA) {
+      node.roles().clearReplaced();
     }
-    node.deposed &= role != Role.REPLICA;
-    if (node.lastNotPrimaryReportAt.isAfter(node.lastPrimaryReportAt)) {
+    if (node.roles().lastNotPrimaryReportAt().isAfter(node.roles().lastPrimaryReportAt())) {
       losePrimary(node);
     }
   }
@@ -1589,40 +1616,41 @@
   private void learnPosition(
       Endpoint node, Statement statement, AttemptOutcome ending, Moment position) {
     boolean wrote =
-        ending == AttemptOutcome.COMPLETED && statement.workload.needs() == ReadConsistency.WRITE;
+        ending == AttemptOutcome.COMPLETED && statement.workload().needs() == ReadConsistency.WRITE;
     if (position.isAfter(Moment.LONG_AGO) && !position.isAfter(now)) {
       // A commit comes rounded up to its millisecond, which is too new for a position.
-      node.provenPosition =
-          node.provenPosition.later(wrote ? position.minus(Span.ofMillis(1)) : position);
+      node.replication().recordPosition(wrote ? position.minus(Span.ofMillis(1)) : position);
       observeLag(node, now.since(position));
     }
     if (wrote && !agreed.replication().sessionsCarryTokens()) {
-      sessions.recordWrite(statement.session, position.isAfter(Moment.LONG_AGO) ? position : now);
+      sessions.recordWrite(statement.session(), position.isAfter(Moment.LONG_AGO) ? position : now);
     }
   }
 
   void markDown(Endpoint node) {
-    node.downSince = node.down ? node.downSince : now;
-    node.group.subsetStale |= !node.down;
-    node.down = true;
+    if (!node.health().isDown()) {
+      node.group().subset().markStale();
+    }
+    node.health().markDown(now);
     pollNow(node);
     losePrimary(node);
   }
 
   private void markUp(Endpoint node) {
-    node.hasAnswered = node.group.hasAnswered = true;
-    node.missedPolls = 0;
-    if (now.since(node.connectionRefusedAt).isShorterThan(SECOND)) {
+    node.health().recordAnswer();
+    node.group().recordAnswer();
+    node.polling().resetMissedPolls();
+    if (now.since(node.load().connectionRefusedAt()).isShorterThan(SECOND)) {
       // It refused a connection at once and yet answers: at its limit, not gone. One shows nothing:
       // some always break, and letting go for it opened a connection for every second execution.
-      node.connectionRefusedAt = Moment.LONG_AGO;
+      node.load().forgetRefusedConnection();
       connectionScarcity.move(now, REMEMBERED, 2 * LEARN, 1);
     }
-    if (node.down && now.since(node.downSince).isLongerThan(SECOND)) {
+    if (node.health().isDown() && now.since(node.health().downSince()).isLongerThan(SECOND)) {
       // The list tells of a restart only seconds later.
       started(node, now);
     }
-    node.down = false;
+    node.health().markUp();
   }
 
   /**
@@ -1630,11 +1658,8 @@
    * share.
    */
   void started(Endpoint node, Moment at) {
-    if (at.isAfter(node.startedAt)) {
-      node.startedAt = at;
-      node.warmUpWork = chance.nextDouble() * typicalTime;
-      node.unusedSinceStart = true;
-      node.warmUpWorkAt = now;
+    if (at.isAfter(node.warmUp().startedAt())) {
+      node.warmUp().recordStart(at, now, chance.nextDouble() * typicalTime);
     }
   }
 
@@ -1642,34 +1667,40 @@
   // stays
   // open to a trial, or a router that polls rarely would do without it for long.
   private void pollMissed(Endpoint node, boolean refused) {
-    node.missedPolls++;
-    boolean serves = now.since(node.lastAnswerAt).isShorterThan(SECOND.times(2));
+    node.polling().recordMissedPoll();
+    boolean serves = now.since(node.load().lastAnswerAt()).isShorterThan(SECOND.times(2));
     if (refused) {
       markDown(node);
-    } else if (node.missedPolls > 1 && !serves && !node.silent) {
+    } else if (node.polling().missedPolls() > 1 && !serves && !node.health().isSilent()) {
       markSilent(node);
     }
-    boolean asksAgain = isPolledRegularly(node) || node.missedPolls == 1;
-    node.nextPollAt =
-        !asksAgain
-            ? Moment.NEVER
-            : now.plus(refused || node.missedPolls > 1 ? retryPause(node) : FASTEST_POLL);
+    boolean asksAgain = isPolledRegularly(node) || node.polling().missedPolls() == 1;
+    node.polling()
+        .scheduleAt(
+            !asksAgain
+                ? Moment.NEVER
+                : now.plus(
+                    refused || node.polling().missedPolls() > 1 ? retryPause(node) : FASTEST_POLL));
   }
 
   private Span retryPause(Endpoint node) {
-    return HOLD_POLL.times(1 << Math.min(7, node.missedPolls)).shorter(pollPeriod(node));
+    return HOLD_POLL
+        .times(1 << Math.min(7, node.polling().missedPolls()))
+        .shorter(pollPeriod(node));
   }
 
   // ---- Cold nodes.
 
   double warmUpShare(Endpoint node) {
-    return agreed.warmUp().at(now.since(node.startedAt));
+    return agreed.warmUp().at(now.since(node.warmUp().startedAt()));
   }
 
   double remainingWork(Endpoint node) {
     double faded =
-        allowedWorkPerSecond(node) * (1 - COLD_BURST) * now.since(node.warmUpWorkAt).over(SECOND);
-    return Math.max(0, node.warmUpWork - faded);
+        allowedWorkPerSecond(node)
+            * (1 - COLD_BURST)
+            * now.since(node.warmUp().chargedAt()).over(SECOND);
+    return Math.max(0, node.warmUp().chargedMicros() - faded);
   }
 
   // The work a second that this router may add to a cold node: what warm members bear from it is
@@ -1677,12 +1708,12 @@
   // of what a node can do. Where a whole group is cold, the warm nodes of the others are the
   // yardstick.
   double allowedWorkPerSecond(Endpoint node) {
-    double perSize = workPerSize(membersInUse(node.group));
+    double perSize = workPerSize(membersInUse(node.group()));
     double borne =
         (perSize > 0
                 ? perSize
                 : warmCapacity.perSize(endpoints, this::isWarm, this::answeredWorkPerSecond))
-            * node.size;
+            * node.relativeSize();
     return Math.max(
         COLD_SAFETY * agreed.warmUp().topplesAt() * warmUpShare(node) * borne,
         typicalTime / agreed.warmUp().topplesIn().over(SECOND) / agreed.standing().routers());
@@ -1694,18 +1725,18 @@
     for (Endpoint node : among) {
       if (isWarm(node)) {
         sum += answeredWorkPerSecond(node);
-        size += node.size;
+        size += node.relativeSize();
       }
     }
     return size == 0 ? 0 : sum / size;
   }
 
   private boolean isWarm(Endpoint node) {
-    return listedForUse(node) && !node.down && warmUpShare(node) >= 1;
+    return listedForUse(node) && !node.health().isDown() && warmUpShare(node) >= 1;
   }
 
   private double answeredWorkPerSecond(Endpoint node) {
-    return node.answeredWork.at(now, FORGIVEN) / FORGIVEN.over(SECOND);
+    return node.load().answeredWork().at(now, FORGIVEN) / FORGIVEN.over(SECOND);
   }
 
   /**
@@ -1716,11 +1747,13 @@
    * and would send it at once.
    */
   private boolean isAdmittedAsFirst(Endpoint node, Statement statement) {
-    if (!node.unusedSinceStart || statement.attempts > 0 || !statement.receivedAt.equals(now)) {
+    if (!node.warmUp().isUnusedSinceStart()
+        || statement.attempts() > 0
+        || !statement.receivedAt().equals(now)) {
       return false;
     }
     double share =
-        statement.workload.onlyPrimary()
+        statement.workload().onlyPrimary()
             ? COLD_SAFETY * agreed.warmUp().topplesAt() * warmUpShare(node)
             : warmUpShare(node);
     return chance.nextDouble() < share;
@@ -1739,23 +1772,23 @@
   }
 
   private void pollWithin(Endpoint node, Span sinceTheLast) {
-    node.nextPollAt = node.nextPollAt.earlier(node.pollSentAt.plus(sinceTheLast).later(now));
+    node.polling().scheduleBy(node.polling().sentAt().plus(sinceTheLast).later(now));
     polls.update(node);
   }
 
   private void pollDue() {
     for (Endpoint node : polls.takeDue(now)) {
-      if ((node.lifecycle == EndpointLifecycle.GONE && !listedForUse(node))
+      if ((node.lifecycle() == EndpointLifecycle.GONE && !listedForUse(node))
           || !agreed.allowance().polls()) {
-        node.pollInFlight = false;
-        node.nextPollAt = Moment.NEVER;
+        node.polling().pollEnded();
+        node.polling().scheduleAt(Moment.NEVER);
         continue;
       }
-      if (node.pollInFlight && now.since(node.pollSentAt).isLongerThan(SECOND)) {
-        node.pollInFlight = false;
+      if (node.polling().isInFlight() && now.since(node.polling().sentAt()).isLongerThan(SECOND)) {
+        node.polling().pollEnded();
         pollMissed(node, false);
       }
-      if (!node.pollInFlight && !now.isBefore(node.nextPollAt)) {
+      if (!node.polling().isInFlight() && !now.isBefore(node.polling().nextPollAt())) {
         poll(node);
       } else {
         polls.update(node);
@@ -1764,14 +1797,14 @@
   }
 
   void poll(Endpoint node) {
-    node.pollInFlight = true;
-    node.pollSentAt = now;
-    node.nextPollAt =
-        isPolledRegularly(node)
-            ? now.plus(pollPeriod(node).times(0.75 + 0.5 * chance.nextDouble()))
-            : Moment.NEVER;
+    node.polling().pollSent(now);
+    node.polling()
+        .scheduleAt(
+            isPolledRegularly(node)
+                ? now.plus(pollPeriod(node).times(0.75 + 0.5 * chance.nextDouble()))
+                : Moment.NEVER);
     polls.update(node);
-    outbound.poll(node.id);
+    outbound.poll(node.id());
   }
 
   // Often enough to show replicas inside the tightest bound, as far as the polls bear a price that
@@ -1783,7 +1816,8 @@
       return cadence;
     }
     double rate =
-        node.group.statementRate.at(now, REMEMBERED) / Math.max(1, membersInUse(node.group).size());
+        node.group().statementRate().at(now, REMEMBERED)
+            / Math.max(1, membersInUse(node.group()).size());
     double perSecond = POLL_POINTS / agreed.standing().pollPrice() * rate;
     return Span.ofMillis(1_000 / Math.max(1e-3, perSecond)).longer(cadence).shorter(RAREST_POLL);
   }
--- a/router/src/main/java/basaltlever/endpoints/PollSchedule.java
+++ b/router/src/main/java/basaltlever/endpoints/PollSchedule.java
@@ -13,9 +13,10 @@
  * each step costs the logarithm of how many those are, whatever the size of the list.
  */
 public final class PollSchedule {
-  private static final Comparator<Endpoint> BY_ID = Comparator.comparingInt(node -> node.id);
+  private static final Comparator<Endpoint> BY_ID = Comparator.comparingInt(node -> node.id());
   private static final Comparator<Endpoint> BY_WAKE =
-      Comparator.comparingLong((Endpoint node) -> node.pollWakeAt.micros()).thenComparing(BY_ID);
+      Comparator.comparingLong((Endpoint node) -> node.polling().wakeAt().micros())
+          .thenComparing(BY_ID);
   private final TreeSet<Endpoint> scheduled = new TreeSet<>(BY_WAKE);
 
   /** After this long without an answer a poll counts as missed. */
@@ -30,8 +31,8 @@
    */
   public void update(Endpoint node) {
     scheduled.remove(node);
-    node.pollWakeAt = node.pollInFlight ? node.pollSentAt.plus(timeout) : node.nextPollAt;
-    if (node.pollWakeAt.isBefore(Moment.NEVER)) {
+    node.polling().updateWakeAt(timeout);
+    if (node.polling().wakeAt().isBefore(Moment.NEVER)) {
       scheduled.add(node);
     }
   }
@@ -42,13 +43,13 @@
 
   /** When something is to be done next; never where nothing is scheduled. */
   public Moment next() {
-    return scheduled.isEmpty() ? Moment.NEVER : scheduled.first().pollWakeAt;
+    return scheduled.isEmpty() ? Moment.NEVER : scheduled.first().polling().wakeAt();
   }
 
   /** Takes out those that are due or have timed out, in the order of their ids. */
   public List<Endpoint> takeDue(Moment now) {
     List<Endpoint> due = new ArrayList<>();
-    while (!scheduled.isEmpty() && !now.isBefore(scheduled.first().pollWakeAt)) {
+    while (!scheduled.isEmpty() && !now.isBefore(scheduled.first().polling().wakeAt())) {
       due.add(scheduled.pollFirst());
     }
     due.sort(BY_ID);
--- a/router/src/main/java/basaltlever/endpoints/PolledGroups.java
+++ b/router/src/main/java/basaltlever/endpoints/PolledGroups.java
@@ -32,8 +32,8 @@
   /** Members of the group that count against the bound. */
   private static int size(ReplicaGroup group) {
     int inService = 0;
-    for (int i = 0; i < group.members.size() && inService < ReplicaSubset.LEAST; i++) {
-      Endpoint member = group.members.get(i);
+    for (int i = 0; i < group.members().size() && inService < ReplicaSubset.LEAST; i++) {
+      Endpoint member = group.members().get(i);
       inService += member.isInService() ? 1 : 0;
     }
     return inService;
@@ -46,13 +46,13 @@
   public boolean admitAll(Collection<ReplicaGroup> groups) {
     int more = 0;
     for (ReplicaGroup group : groups) {
-      more += group.polledRegularly ? 0 : size(group);
+      more += group.isPolledRegularly() ? 0 : size(group);
       if (members + more > MOST_MEMBERS) {
         return false;
       }
     }
     for (ReplicaGroup group : groups) {
-      if (!group.polledRegularly) {
+      if (!group.isPolledRegularly()) {
         add(group);
       }
     }
@@ -90,8 +90,8 @@
     watched.clear();
     members = 0;
     for (ReplicaGroup group : former) {
-      boolean stays = !group.members.isEmpty() && members + size(group) <= MOST_MEMBERS;
-      group.polledRegularly = false;
+      boolean stays = !group.members().isEmpty() && members + size(group) <= MOST_MEMBERS;
+      group.setPolledRegularly(false);
       if (stays) {
         add(group);
       } else {
@@ -102,13 +102,13 @@
   }
 
   private void add(ReplicaGroup group) {
-    group.polledRegularly = true;
+    group.setPolledRegularly(true);
     watched.add(group);
     members += size(group);
   }
 
   private void remove(ReplicaGroup group) {
-    group.polledRegularly = false;
+    group.setPolledRegularly(false);
     watched.remove(group);
     members -= size(group);
   }
--- a/router/src/main/java/basaltlever/endpoints/PrimarySearch.java
+++ b/router/src/main/java/basaltlever/endpoints/PrimarySearch.java
@@ -32,22 +32,25 @@
       Span betweenRounds,
       int startPlace,
       Predicate<Endpoint> mayBeAsked) {
-    List<Endpoint> asked = group.searchPolls;
-    asked.removeIf(node -> !node.pollInFlight || now.since(node.pollSentAt).isLongerThan(STALLED));
-    boolean roundOver = group.searchCursor >= group.members.size();
+    List<Endpoint> asked = group.search().polled();
+    asked.removeIf(
+        node ->
+            !node.polling().isInFlight()
+                || now.since(node.polling().sentAt()).isLongerThan(STALLED));
+    boolean roundOver = group.search().isRoundOver(group.members().size());
     if (roundOver
         && asked.isEmpty()
-        && !now.since(group.searchRoundStartedAt).isShorterThan(betweenRounds)) {
-      group.searchRounds++;
-      group.searchCursor = 0;
-      group.searchRoundStartedAt = now;
+        && !now.since(group.search().roundStartedAt()).isShorterThan(betweenRounds)) {
+      group.search().startRound(now);
     }
-    int atOnce = group.lostPrimary == null ? AT_FIRST : AFTER_LOSS;
+    int atOnce = group.lostPrimary() == null ? AT_FIRST : AFTER_LOSS;
     List<Endpoint> next = new ArrayList<>(atOnce);
-    while (asked.size() < atOnce && group.searchCursor < group.members.size()) {
+    while (asked.size() < atOnce && !group.search().isRoundOver(group.members().size())) {
       Endpoint member =
-          group.members.get((startPlace + group.searchCursor++) % group.members.size());
-      if (mayBeAsked.test(member) && !member.pollInFlight) {
+          group
+              .members()
+              .get((startPlace + group.search().takeNextPlace()) % group.members().size());
+      if (mayBeAsked.test(member) && !member.polling().isInFlight()) {
         asked.add(member);
         next.add(member);
       }
--- a/router/src/main/java/basaltlever/endpoints/ReplicaSubset.java
+++ b/router/src/main/java/basaltlever/endpoints/ReplicaSubset.java
@@ -26,23 +26,22 @@
   private static final Span APART = Span.ofMillis(100);
 
   private static final Comparator<Endpoint> BY_RANK =
-      Comparator.comparingInt((Endpoint node) -> node.ringOrder).thenComparingInt(node -> node.id);
+      Comparator.comparingInt((Endpoint node) -> node.ringOrder())
+          .thenComparingInt(node -> node.id());
 
   private ReplicaSubset() {}
 
   /** The members to choose among; looked up anew where the group has changed. */
   public static List<Endpoint> of(
       ReplicaGroup group, Moment now, int routers, int index, Predicate<Endpoint> mayBeUsed) {
-    if (group.members.size() <= LEAST) {
-      return group.members;
+    if (group.members().size() <= LEAST) {
+      return group.members();
     }
-    boolean due = !now.since(group.subsetAt).isShorterThan(APART);
-    if (group.subset == null || (group.subsetStale && due)) {
-      group.subset = choose(group, routers, index, mayBeUsed);
-      group.subsetAt = now;
-      group.subsetStale = false;
+    boolean due = !now.since(group.subset().chosenAt()).isShorterThan(APART);
+    if (group.subset().members() == null || (group.subset().isStale() && due)) {
+      group.subset().choose(choose(group, routers, index, mayBeUsed), now);
     }
-    return group.subset;
+    return group.subset().members();
   }
 
   /** How many members a subset has before any widening. */
@@ -53,30 +52,28 @@
 
   /** Takes in half as many again, where those of the subset have no room or were lost. */
   public static void widen(ReplicaGroup group, int routers) {
-    int most = group.members.size();
-    int width = Math.min(most, width(most, routers) + group.subsetExtraMembers);
+    int most = group.members().size();
+    int width = Math.min(most, width(most, routers) + group.subset().extraMembers());
     if (width < most) {
-      group.subsetExtraMembers += Math.max(1, width / 2);
-      group.subsetStale = true;
+      group.subset().widenBy(Math.max(1, width / 2));
     }
   }
 
   /** Gives up what it was widened by. */
   public static void narrow(ReplicaGroup group) {
-    group.subsetExtraMembers = 0;
-    group.subsetStale = true;
+    group.subset().narrow();
   }
 
   private static List<Endpoint> choose(
       ReplicaGroup group, int routers, int index, Predicate<Endpoint> mayBeUsed) {
-    List<Endpoint> ring = new ArrayList<>(group.members.size());
-    for (Endpoint member : group.members) {
+    List<Endpoint> ring = new ArrayList<>(group.members().size());
+    for (Endpoint member : group.members()) {
       if (mayBeUsed.test(member)) {
         ring.add(member);
       }
     }
     ring.sort(BY_RANK);
-    int width = Math.min(ring.size(), width(ring.size(), routers) + group.subsetExtraMembers);
+    int width = Math.min(ring.size(), width(ring.size(), routers) + group.subset().extraMembers());
     int start =
         (int)
             ((long) Math.floorMod(index, Math.max(1, routers))
@@ -88,7 +85,7 @@
     for (int i = 0; i < ring.size() && sound < width; i++) {
       Endpoint next = ring.get((start + i) % ring.size());
       chosen.add(next);
-      sound += next.down || next.silent ? 0 : 1;
+      sound += next.health().isDown() || next.health().isSilent() ? 0 : 1;
     }
     return chosen;
   }
--- a/router/src/main/java/basaltlever/endpoints/WarmCapacity.java
+++ b/router/src/main/java/basaltlever/endpoints/WarmCapacity.java
@@ -31,7 +31,7 @@
       Endpoint node = nodes.get(cursor++);
       if (node != null && isWarm.test(node)) {
         work += workPerSecond.applyAsDouble(node);
-        size += node.size;
+        size += node.relativeSize();
       }
     }
     return perSize;
--- a/router/src/main/java/basaltlever/model/Endpoint.java
+++ b/router/src/main/java/basaltlever/model/Endpoint.java
@@ -3,125 +3,142 @@
 import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.time.Moment;
 
-/** All that this router holds of one node. */
+/** One database server as listed, with all that this router knows about it. */
 public final class Endpoint {
-  public final int id;
-  public ReplicaGroup group;
-  public int zone;
-  public double size = 1;
-  public EndpointLifecycle lifecycle = EndpointLifecycle.GONE;
-  public boolean wasDraining;
-
-  /** Replaced as primary, and has not said since that it is a replica. */
-  public boolean deposed;
-
-  public int listGeneration;
-
-  /** By which all routers order the members of a group alike. */
-  public int ringOrder;
-
-  /** It was sent a statement. */
-  public boolean wasSentStatement;
-
-  /** It has answered something, if only a poll. */
-  public boolean hasAnswered;
-
-  /** The latest moments at which it is known to have been primary, and not to have been. */
-  public Moment lastPrimaryReportAt = Moment.LONG_AGO;
-
-  public Moment lastNotPrimaryReportAt = Moment.LONG_AGO;
-
-  /** All commits up to here are in its data: proven, never guessed. */
-  public Moment provenPosition = Moment.LONG_AGO;
-
-  public double cpuUtilization;
-
-  /**
-   * Its latest report told how busy its cores are: a switch of settings changes what reports hold.
-   */
-  public boolean reportsCpu;
-
-  /** When it is to be polled next; never where nothing asks for it. */
-  public Moment nextPollAt = Moment.NEVER;
-
-  /** When its next poll is due, or the one under way is missed: kept by the schedule of polls. */
-  public Moment pollWakeAt = Moment.NEVER;
-
-  public Moment pollSentAt = Moment.LONG_AGO;
-  public boolean pollInFlight;
-  public int missedPolls;
-
-  public int inFlight;
-
-  /** Since when it owes an answer without having given any. */
-  public Moment unansweredSince = Moment.NEVER;
+  private final int id;
+  private final PollState polling = new PollState();
+  private final RoleReports roles = new RoleReports();
+  private final HealthState health = new HealthState();
+  private final LoadState load;
+  private final ReplicationState replication = new ReplicationState();
+  private final WarmUpState warmUp = new WarmUpState();
+
+  private ReplicaGroup group;
+  private int zone;
+  private double relativeSize = 1;
+  private EndpointLifecycle lifecycle = EndpointLifecycle.GONE;
+  private boolean wasDraining;
+  private int listGeneration;
+  private Moment listedStart = Moment.LONG_AGO;
+  private int ringOrder;
+
+  /** An endpoint that is not yet listed, with the number of attempts it may have in flight. */
+  public Endpoint(int id, double capacity) {
+    this.id = id;
+    ringOrder = id;
+    load = new LoadState(capacity);
+  }
 
-  /** Open connections that carry nothing, and when one was last seen to be open. */
-  public int idleConnections;
+  /** The index that the caller gave it. */
+  public int id() {
+    return id;
+  }
 
-  public Moment lastAnswerAt = Moment.LONG_AGO;
+  /** The group it belongs to. */
+  public ReplicaGroup group() {
+    return group;
+  }
 
-  /** When it last refused a connection at once. */
-  public Moment connectionRefusedAt = Moment.LONG_AGO;
+  /** Moves it to a group; the group's members are the caller's business. */
+  public void assignTo(ReplicaGroup to) {
+    group = to;
+  }
 
-  public boolean silent;
+  /** What the endpoint list says about it now. */
+  public void updateListing(int inZone, double size, Moment startedAt, int generation) {
+    zone = inZone;
+    relativeSize = size;
+    listedStart = startedAt;
+    listGeneration = generation;
+  }
 
-  /** Statements sent to it in vain to see whether the silence is over. */
-  public int silenceTrials;
+  /** The zone it runs in. */
+  public int zone() {
+    return zone;
+  }
 
-  public Moment lastTrialAt = Moment.LONG_AGO;
-  public boolean down;
-  public Moment downSince = Moment.NEVER;
+  /** How much it can do, relative to other endpoints. */
+  public double relativeSize() {
+    return relativeSize;
+  }
 
-  /** Response time over SLO time lately, less what is usual. */
-  public final DecayingValue latencyStrain = new DecayingValue();
+  /** When it started, according to the list. */
+  public Moment listedStart() {
+    return listedStart;
+  }
 
-  /** How many executions this router may have out here. */
-  public double capacity;
+  /** The latest endpoint list that named it. */
+  public int listGeneration() {
+    return listGeneration;
+  }
 
-  public Moment capacityReducedAt = Moment.LONG_AGO;
-  public int consecutiveFullAnswers;
-  public Moment backoffUntil = Moment.LONG_AGO;
+  /** Its state in the endpoint list. */
+  public EndpointLifecycle lifecycle() {
+    return lifecycle;
+  }
 
-  /** Executions given up on that may still take up the node, fading. */
-  public final DecayingValue abandonedAttempts = new DecayingValue();
+  /** Sets its state in the endpoint list. */
+  public void setLifecycle(EndpointLifecycle state) {
+    lifecycle = state;
+  }
 
-  /** How often it lost or failed what it was given, lately. */
-  public final DecayingValue failureRate = new DecayingValue();
+  /** Whether it was listed as draining before it went. */
+  public boolean wasDraining() {
+    return wasDraining;
+  }
 
-  /** How far behind it was when last seen; a guess, never proof. */
-  public final DecayingValue estimatedLag = new DecayingValue();
+  /** Sets whether it was listed as draining. */
+  public void setWasDraining(boolean draining) {
+    wasDraining = draining;
+  }
 
-  public Moment silentSince = Moment.LONG_AGO;
+  /** The order of a group's members that is the same at all routers. */
+  public int ringOrder() {
+    return ringOrder;
+  }
 
-  /** As the list tells it, and as the router itself saw it where that is later. */
-  public Moment listedStart = Moment.LONG_AGO;
+  /** Sets its place in the order of its group's members. */
+  public void setRingOrder(int order) {
+    ringOrder = order;
+  }
 
-  public Moment startedAt = Moment.LONG_AGO;
+  /** Whether the list has it in service. */
+  public boolean isInService() {
+    return lifecycle == EndpointLifecycle.READY;
+  }
 
-  /** Work that it answered for this router, lately. */
-  public final DecayingValue answeredWork = new DecayingValue();
+  /** Whether this router has polled it or sent it a statement. */
+  public boolean wasContacted() {
+    return polling.sentAt().isAfter(Moment.LONG_AGO) || load.wasSentStatement();
+  }
 
-  public double warmUpWork;
+  /** When it was and will be polled. */
+  public PollState polling() {
+    return polling;
+  }
 
-  /** Since its last start this router has sent it nothing. */
-  public boolean unusedSinceStart;
+  /** What it reported about being primary. */
+  public RoleReports roles() {
+    return roles;
+  }
 
-  public Moment warmUpWorkAt = Moment.LONG_AGO;
+  /** Its faults. */
+  public HealthState health() {
+    return health;
+  }
 
-  /** In service as the list has it. */
-  public boolean isInService() {
-    return lifecycle == EndpointLifecycle.READY;
+  /** What is in flight there, and its load. */
+  public LoadState load() {
+    return load;
   }
 
-  /** This router has polled it or sent it something. */
-  public boolean wasContacted() {
-    return pollSentAt.isAfter(Moment.LONG_AGO) || wasSentStatement;
+  /** Its position in the log and its lag. */
+  public ReplicationState replication() {
+    return replication;
   }
 
-  public Endpoint(int id, double room) {
-    this.id = id;
-    ringOrder = id;
-    this.capacity = room;
+  /** Its slow start. */
+  public WarmUpState warmUp() {
+    return warmUp;
   }
 }
--- a/router/src/main/java/basaltlever/model/HoldQueue.java
+++ b/router/src/main/java/basaltlever/model/HoldQueue.java
@@ -15,9 +15,9 @@
  */
 public final class HoldQueue {
   private static final Comparator<Statement> ORDER =
-      Comparator.comparingDouble((Statement statement) -> -statement.holdPriority)
-          .thenComparingLong(statement -> statement.receivedAt.micros())
-          .thenComparingInt(statement -> statement.id);
+      Comparator.comparingDouble((Statement statement) -> -statement.holdPriority())
+          .thenComparingLong(statement -> statement.receivedAt().micros())
+          .thenComparingInt(statement -> statement.id());
 
   private final TreeSet<Statement> order = new TreeSet<>(ORDER);
 
@@ -61,7 +61,7 @@
   public Statement last(int workload) {
     for (Iterator<Statement> each = order.descendingIterator(); each.hasNext(); ) {
       Statement next = each.next();
-      if (next.workloadIndex == workload) {
+      if (next.workloadIndex() == workload) {
         return next;
       }
     }
@@ -69,21 +69,22 @@
   }
 
   public void add(Statement statement) {
-    statement.holdPriority = statement.workload.importance();
-    if (statement.session != 0) {
+    statement.setHoldPriority(statement.workload().importance());
+    if (statement.session() != 0) {
       ArrayDeque<Statement> own =
-          sessions.computeIfAbsent(statement.session, id -> new ArrayDeque<>(2));
+          sessions.computeIfAbsent(statement.session(), id -> new ArrayDeque<>(2));
       ArrayDeque<Statement> later = new ArrayDeque<>(0);
       while (!own.isEmpty() && isLater(own.peekLast(), statement)) {
         // It was sent before and has come back: those that came after it stay behind it.
         later.push(own.pollLast());
-        statement.holdPriority = Math.max(statement.holdPriority, later.peek().holdPriority);
+        statement.setHoldPriority(Math.max(statement.holdPriority(), later.peek().holdPriority()));
       }
       if (!own.isEmpty()) {
-        statement.holdPriority = Math.min(statement.holdPriority, own.peekLast().holdPriority);
+        statement.setHoldPriority(
+            Math.min(statement.holdPriority(), own.peekLast().holdPriority()));
         for (Statement behind : later) {
           order.remove(behind);
-          behind.holdPriority = Math.min(behind.holdPriority, statement.holdPriority);
+          behind.setHoldPriority(Math.min(behind.holdPriority(), statement.holdPriority()));
           order.add(behind);
         }
       }
@@ -91,30 +92,30 @@
       own.addAll(later);
     }
     order.add(statement);
-    if (statement.workloadIndex >= ofWorkload.length) {
+    if (statement.workloadIndex() >= ofWorkload.length) {
       // Settings may bring workloads while this group holds others.
-      ofWorkload = Arrays.copyOf(ofWorkload, statement.workloadIndex + 1);
+      ofWorkload = Arrays.copyOf(ofWorkload, statement.workloadIndex() + 1);
     }
-    ofWorkload[statement.workloadIndex]++;
-    bytes += statement.textBytes;
+    ofWorkload[statement.workloadIndex()]++;
+    bytes += statement.textBytes();
   }
 
   private static boolean isLater(Statement one, Statement other) {
-    return one.receivedAt.isAfter(other.receivedAt)
-        || (one.receivedAt.equals(other.receivedAt) && one.id > other.id);
+    return one.receivedAt().isAfter(other.receivedAt())
+        || (one.receivedAt().equals(other.receivedAt()) && one.id() > other.id());
   }
 
   public void remove(Statement statement) {
     if (!order.remove(statement)) {
       return;
     }
-    ofWorkload[statement.workloadIndex]--;
-    bytes -= statement.textBytes;
-    ArrayDeque<Statement> own = sessions.get(statement.session);
+    ofWorkload[statement.workloadIndex()]--;
+    bytes -= statement.textBytes();
+    ArrayDeque<Statement> own = sessions.get(statement.session());
     if (own != null) {
       own.remove(statement);
       if (own.isEmpty()) {
-        sessions.remove(statement.session);
+        sessions.remove(statement.session());
       }
     }
   }
--- a/router/src/main/java/basaltlever/model/ReplicaGroup.java
+++ b/router/src/main/java/basaltlever/model/ReplicaGroup.java
@@ -11,91 +11,213 @@
 
 /** One primary and its replicas, and the statements that wait for one of them. */
 public final class ReplicaGroup {
-  /** HOLD: no member is trusted to be primary, and what needs one waits. */
+  /** Whether a member is trusted to be primary. */
   public enum Phase {
+    /** No member is trusted to be primary; what needs one waits. */
     HOLD,
+    /** A primary is known. */
     STEADY
   }
 
-  public final int number;
-  public final List<Endpoint> members = new ArrayList<>();
-  public final HoldQueue held;
+  private final int number;
+  private final List<Endpoint> members = new ArrayList<>();
+  private final List<Endpoint> primaryReporters = new ArrayList<>();
+  private final HoldQueue held;
+  private final PriorityQueue<Statement> waitingReads;
+  private final PlannedSwitchover switchover;
+  private final PrimarySearchState search = new PrimarySearchState();
+  private final SubsetState subset = new SubsetState();
+
+  private Phase phase = Phase.HOLD;
+  private Moment holdSince;
+  private Moment primaryFoundAt = Moment.LONG_AGO;
+  private Endpoint primary;
+  private Endpoint lostPrimary;
+  private Span maxReportAge;
+  private final DecayingValue statementRate = new DecayingValue();
+  private final DecayingValue replicaCongestion = new DecayingValue();
+  private final DecayingValue primaryCongestion = new DecayingValue();
+  private boolean evaluationPending;
+  private boolean polledRegularly;
+  private boolean answered;
+
+  /** A group without members, in its hold phase. */
+  public ReplicaGroup(
+      int number,
+      Moment now,
+      Span maxReportAge,
+      Comparator<Statement> order,
+      HoldQueue held,
+      DecisionSink sink) {
+    this.number = number;
+    switchover = new PlannedSwitchover((entered, target) -> sink.change(number, entered, target));
+    this.held = held;
+    this.waitingReads = new PriorityQueue<>(order);
+    this.holdSince = now;
+    this.maxReportAge = maxReportAge;
+  }
 
-  /** Reads that wait for room or a position. */
-  public final PriorityQueue<Statement> waitingReads;
+  /** The number by which statements and the endpoint list name it. */
+  public int number() {
+    return number;
+  }
 
-  /** What its members announce. */
-  public final PlannedSwitchover switchover;
+  /** Its members, to be read only. */
+  public List<Endpoint> members() {
+    return members;
+  }
 
-  public Phase phase = Phase.HOLD;
-  public Moment holdSince;
+  /** Members that reported themselves primary at some time, to be read only. */
+  public List<Endpoint> primaryReporters() {
+    return primaryReporters;
+  }
 
-  /** When it last found a primary. */
-  public Moment primaryFoundAt = Moment.LONG_AGO;
+  /** Adds a member. */
+  public void addMember(Endpoint endpoint) {
+    members.add(endpoint);
+    if (endpoint.roles().hasReportedPrimary()) {
+      primaryReporters.add(endpoint);
+    }
+  }
 
-  public Endpoint primary;
-  public Endpoint lostPrimary;
+  /** Removes a member. */
+  public void removeMember(Endpoint endpoint) {
+    members.remove(endpoint);
+    primaryReporters.remove(endpoint);
+    search.polled().remove(endpoint);
+    subset.markStale();
+  }
 
-  /** How old reports have lately been on arrival, at most. */
-  public Span maxReportAge;
+  /** A member reports itself primary for the first time. */
+  public void addPrimaryReporter(Endpoint endpoint) {
+    primaryReporters.add(endpoint);
+  }
 
-  /** Statements a second, lately. */
-  public final DecayingValue statementRate = new DecayingValue();
+  /** Statements held until a primary is known and has capacity. */
+  public HoldQueue held() {
+    return held;
+  }
 
-  /** Share of reads that busy replicas, or a busy primary, answered late or not at all, lately. */
-  public final DecayingValue replicaCongestion = new DecayingValue();
+  /** Reads that wait for capacity or for a position. */
+  public PriorityQueue<Statement> waitingReads() {
+    return waitingReads;
+  }
 
-  public final DecayingValue primaryCongestion = new DecayingValue();
-  public boolean evaluationPending;
+  /** The planned switchover that its members announce. */
+  public PlannedSwitchover switchover() {
+    return switchover;
+  }
 
-  /** Its members are polled all the time, not only when a statement needs it. */
-  public boolean polledRegularly;
+  /** The search for its primary. */
+  public PrimarySearchState search() {
+    return search;
+  }
 
-  /**
-   * Of a large group: the members that reads go to, kept by {@code endpoints.ReplicaSubset}; null
-   * before the first.
-   */
-  public List<Endpoint> subset;
+  /** The members that reads go to, where the group is large. */
+  public SubsetState subset() {
+    return subset;
+  }
 
-  public Moment subsetAt = Moment.LONG_AGO;
-  public boolean subsetStale = true;
+  /** Whether a primary is known. */
+  public Phase phase() {
+    return phase;
+  }
 
-  /** By how many members the subset was widened, and when last. */
-  public int subsetExtraMembers;
+  /** Since when no primary is known. */
+  public Moment holdSince() {
+    return holdSince;
+  }
 
-  public Moment subsetWidenedAt = Moment.LONG_AGO;
+  /** When a primary was last found. */
+  public Moment primaryFoundAt() {
+    return primaryFoundAt;
+  }
 
-  /**
-   * Of a search for the primary: members asked that have not answered, the next one's place, when
-   * its round began.
-   */
-  public final List<Endpoint> searchPolls = new ArrayList<>();
+  /** The primary; null where none is known. */
+  public Endpoint primary() {
+    return primary;
+  }
 
-  public int searchCursor;
+  /** The primary that was lost; null once one is known. */
+  public Endpoint lostPrimary() {
+    return lostPrimary;
+  }
 
-  /** Rounds that have found none since a primary was known. */
-  public int searchRounds;
+  /** The primary is no longer trusted: the hold phase begins. */
+  public void losePrimary(Moment now) {
+    phase = Phase.HOLD;
+    holdSince = now;
+    lostPrimary = primary;
+    primary = null;
+    search.primaryLost();
+  }
 
-  public Moment searchRoundStartedAt = Moment.LONG_AGO;
+  /** A member is trusted to be primary from now on. */
+  public void setPrimary(Endpoint found, Moment now) {
+    Endpoint former = primary != null ? primary : lostPrimary;
+    if (former != null) {
+      former.roles().recordReplaced();
+    }
+    phase = Phase.STEADY;
+    primaryFoundAt = now;
+    search.primaryFound();
+    primary = found;
+    found.roles().clearReplaced();
+    lostPrimary = null;
+  }
 
-  /** Members that have claimed to be primary at some time. */
-  public final List<Endpoint> primaryReporters = new ArrayList<>();
+  /** How old load reports have recently been on arrival, at most. */
+  public Span maxReportAge() {
+    return maxReportAge;
+  }
 
-  /** Some member has answered something. */
-  public boolean hasAnswered;
+  /** Sets how old load reports are at most. */
+  public void setMaxReportAge(Span age) {
+    maxReportAge = age;
+  }
 
-  public ReplicaGroup(
-      int number,
-      Moment now,
-      Span reportAge,
-      Comparator<Statement> order,
-      HoldQueue held,
-      DecisionSink outbound) {
-    this.number = number;
-    switchover = new PlannedSwitchover((phase, target) -> outbound.change(number, phase, target));
-    this.held = held;
-    this.waitingReads = new PriorityQueue<>(order);
-    this.holdSince = now;
-    this.maxReportAge = reportAge;
+  /** Recent statements a second. */
+  public DecayingValue statementRate() {
+    return statementRate;
+  }
+
+  /** Share of reads that busy replicas recently answered late or not at all. */
+  public DecayingValue replicaCongestion() {
+    return replicaCongestion;
+  }
+
+  /** Share of reads that a busy primary recently answered late or not at all. */
+  public DecayingValue primaryCongestion() {
+    return primaryCongestion;
+  }
+
+  /** Whether it is to be evaluated again. */
+  public boolean isEvaluationPending() {
+    return evaluationPending;
+  }
+
+  /** Sets whether it is to be evaluated again. */
+  public void setEvaluationPending(boolean pending) {
+    evaluationPending = pending;
+  }
+
+  /** Whether its members are polled all the time, not only when a statement needs it. */
+  public boolean isPolledRegularly() {
+    return polledRegularly;
+  }
+
+  /** Sets whether its members are polled all the time. */
+  public void setPolledRegularly(boolean regularly) {
+    polledRegularly = regularly;
+  }
+
+  /** Whether some member has ever answered anything. */
+  public boolean hasAnswered() {
+    return answered;
+  }
+
+  /** Some member has answered something. */
+  public void recordAnswer() {
+    answered = true;
   }
 }
--- a/router/src/main/java/basaltlever/model/Statement.java
+++ b/router/src/main/java/basaltlever/model/Statement.java
@@ -4,119 +4,242 @@
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 
-/** One statement taken from a client. */
+/** One statement received from a client, and its attempts. */
 public final class Statement {
-  public final int id;
-  public final int workloadIndex;
-  public final Workload workload;
-  public final ReplicaGroup group;
-  public final long session;
-  public final Moment receivedAt;
-  public final Moment clientDeadline;
-
-  /** What its data must hold at least; a bounded statement's moves with the clock instead. */
-  public final Moment requiredPosition;
-
-  /** Drawn once, so that what is asked again and again is not granted by chance in the end. */
-  public final double randomShare;
-
-  public final Endpoint[] endpoints;
-  public final Moment[] sentAt;
-  public final boolean[] isInFlight;
-  public final boolean[] endedInError;
-
-  /** Which executions had to open a connection. */
-  public final boolean[] opensConnection;
-
-  /** Of its text, as far as it is kept for it. */
-  public final int textBytes;
-
-  /** Importance, less where an earlier one of its session has less: set by who holds it. */
-  public double holdPriority;
-
-  public int attempts;
-  public int attemptsInFlight;
-  public int staleAnswers;
-  public int unexplainedErrors;
-  public boolean mayHaveRun;
-  public Moment earliestPossibleRun = Moment.NEVER;
-  public boolean finished;
-  public boolean queued;
-
+  private final int id;
+  private final StatementArrival arrival;
+  private final ReplicaGroup group;
+  private final double randomShare;
+
+  private final Endpoint[] endpoints;
+  private final Moment[] sentAt;
+  private final boolean[] inFlight;
+  private final boolean[] endedInError;
+  private final boolean[] openedConnection;
+
+  private double holdPriority;
+  private int attempts;
+  private int attemptsInFlight;
+  private int staleAnswers;
+  private int unexplainedErrors;
+  private boolean mayHaveRun;
+  private Moment earliestPossibleRun = Moment.NEVER;
+  private boolean finished;
+  private boolean queued;
+
+  /**
+   * A statement without attempts. The random share, between 0 and 1, is drawn once, so that what is
+   * decided again and again is not granted by chance in the end.
+   */
   public Statement(
-      int id,
-      int workload,
-      Workload terms,
-      ReplicaGroup group,
-      long session,
-      Moment takenAt,
-      Moment clientLeaves,
-      Moment mustSee,
-      int mostExecutions,
-      double luck,
-      int bytes) {
-    this.textBytes = bytes;
+      int id, StatementArrival arrival, ReplicaGroup group, int maxAttempts, double randomShare) {
     this.id = id;
-    this.workloadIndex = workload;
-    this.workload = terms;
+    this.arrival = arrival;
     this.group = group;
-    this.session = session;
-    this.receivedAt = takenAt;
-    this.clientDeadline = clientLeaves;
-    this.requiredPosition = mustSee;
-    this.randomShare = luck;
-    this.endpoints = new Endpoint[mostExecutions];
-    this.sentAt = new Moment[mostExecutions];
-    this.isInFlight = new boolean[mostExecutions];
-    this.endedInError = new boolean[mostExecutions];
-    this.opensConnection = new boolean[mostExecutions];
-  }
-
-  public void startAttempt(Endpoint node, Moment now, boolean opensConnection) {
-    endpoints[attempts] = node;
+    this.randomShare = randomShare;
+    this.endpoints = new Endpoint[maxAttempts];
+    this.sentAt = new Moment[maxAttempts];
+    this.inFlight = new boolean[maxAttempts];
+    this.endedInError = new boolean[maxAttempts];
+    this.openedConnection = new boolean[maxAttempts];
+  }
+
+  /** The index that the caller gave it. */
+  public int id() {
+    return id;
+  }
+
+  /** Place of its workload in the settings. */
+  public int workloadIndex() {
+    return arrival.workloadIndex();
+  }
+
+  /** The terms in force when it arrived. */
+  public Workload workload() {
+    return arrival.workload();
+  }
+
+  /** The group it addresses. */
+  public ReplicaGroup group() {
+    return group;
+  }
+
+  /** The client's session; 0 where it has none. */
+  public long session() {
+    return arrival.session();
+  }
+
+  /** When it arrived. */
+  public Moment receivedAt() {
+    return arrival.receivedAt();
+  }
+
+  /** Until when its client waits. */
+  public Moment clientDeadline() {
+    return arrival.clientDeadline();
+  }
+
+  /** Bytes of its text, as far as it is kept. */
+  public int textBytes() {
+    return arrival.textBytes();
+  }
+
+  /** A number between 0 and 1 that was drawn for it once. */
+  public double randomShare() {
+    return randomShare;
+  }
+
+  /** Priority weight, less where an earlier statement of its session has less. */
+  public double holdPriority() {
+    return holdPriority;
+  }
+
+  void setHoldPriority(double priority) {
+    holdPriority = priority;
+  }
+
+  /** The most attempts that settings allow it. */
+  public int maxAttempts() {
+    return endpoints.length;
+  }
+
+  /** Attempts so far. */
+  public int attempts() {
+    return attempts;
+  }
+
+  /** Attempts in flight. */
+  public int attemptsInFlight() {
+    return attemptsInFlight;
+  }
+
+  /** Where an attempt was sent. */
+  public Endpoint endpoint(int attempt) {
+    return endpoints[attempt];
+  }
+
+  /** When an attempt was sent. */
+  public Moment sentAt(int attempt) {
+    return sentAt[attempt];
+  }
+
+  /** Whether an attempt is in flight. */
+  public boolean isInFlight(int attempt) {
+    return inFlight[attempt];
+  }
+
+  /** Whether an attempt ended in an error of the database. */
+  public boolean endedInError(int attempt) {
+    return endedInError[attempt];
+  }
+
+  /** Whether an attempt had to open a connection. */
+  public boolean openedConnection(int attempt) {
+    return openedConnection[attempt];
+  }
+
+  /** Starts the next attempt. */
+  public void startAttempt(Endpoint endpoint, Moment now, boolean opensConnection) {
+    endpoints[attempts] = endpoint;
     sentAt[attempts] = now;
-    isInFlight[attempts] = true;
-    this.opensConnection[attempts++] = opensConnection;
+    inFlight[attempts] = true;
+    openedConnection[attempts] = opensConnection;
+    attempts++;
     attemptsInFlight++;
   }
 
-  public void endAttempt(int execution) {
-    isInFlight[execution] = false;
+  /** An attempt ended. */
+  public void endAttempt(int attempt) {
+    inFlight[attempt] = false;
     attemptsInFlight--;
   }
 
-  public boolean wasSentTo(Endpoint node) {
+  /** Whether some attempt went to the endpoint. */
+  public boolean wasSentTo(Endpoint endpoint) {
     for (int i = 0; i < attempts; i++) {
-      if (endpoints[i] == node) {
+      if (endpoints[i] == endpoint) {
         return true;
       }
     }
     return false;
   }
 
-  /** How far behind a replica may be that is sent it at that moment. */
-  public Span allowedLag(Moment at) {
-    return workload.needs() == Workload.ReadConsistency.BOUNDED
-        ? workload.bound()
-        : at.since(requiredPosition);
-  }
-
+  /** The first attempt that is in flight; there must be one. */
   public int firstInFlight() {
     int first = 0;
-    while (!isInFlight[first]) {
+    while (!inFlight[first]) {
       first++;
     }
     return first;
   }
 
-  /** The earliest sending of those that may have run or may be running. */
+  /** How far behind a replica may be that is sent the statement at that moment. */
+  public Span allowedLag(Moment at) {
+    return workload().needs() == Workload.ReadConsistency.BOUNDED
+        ? workload().bound()
+        : at.since(arrival.requiredPosition());
+  }
+
+  /** An endpoint answered that its data is too old, or that it is not primary. */
+  public void recordStaleAnswer() {
+    staleAnswers++;
+  }
+
+  /** Attempts that were answered with "too old" or "not primary". */
+  public int staleAnswers() {
+    return staleAnswers;
+  }
+
+  /** An attempt ended in an error of the database. */
+  public void recordError(int attempt, boolean endpointIsHealthy) {
+    endedInError[attempt] = true;
+    unexplainedErrors += endpointIsHealthy ? 1 : 0;
+  }
+
+  /** Errors by endpoints that otherwise work: they are likely the statement's own. */
+  public int unexplainedErrors() {
+    return unexplainedErrors;
+  }
+
+  /** An attempt ended that may have had its effect. */
+  public void recordPossibleRun(Moment sent) {
+    mayHaveRun = true;
+    earliestPossibleRun = earliestPossibleRun.earlier(sent);
+  }
+
+  /** Whether some ended attempt may have had its effect. */
+  public boolean mayHaveRun() {
+    return mayHaveRun;
+  }
+
+  /** The earliest sending of all attempts that may have run or may be running. */
   public Moment mayHaveRunSince() {
     Moment since = earliestPossibleRun;
     for (int i = 0; i < attempts; i++) {
-      if (isInFlight[i]) {
+      if (inFlight[i]) {
         since = since.earlier(sentAt[i]);
       }
     }
     return since;
   }
+
+  /** Whether it has its final answer or needs none. */
+  public boolean isFinished() {
+    return finished;
+  }
+
+  /** It has its final answer or needs none. */
+  public void finish() {
+    finished = true;
+  }
+
+  /** Whether it waits in a queue of its group. */
+  public boolean isQueued() {
+    return queued;
+  }
+
+  /** It waits in a queue of its group, or does so no longer. */
+  public void setQueued(boolean waits) {
+    queued = waits;
+  }
 }
--- a/router/src/test/java/basaltlever/HoldBudgetTest.java
+++ b/router/src/test/java/basaltlever/HoldBudgetTest.java
@@ -7,6 +7,7 @@
 import basaltlever.hold.HoldBudget;
 import basaltlever.model.HoldQueue;
 import basaltlever.model.Statement;
+import basaltlever.model.StatementArrival;
 import basaltlever.time.Moment;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,16 +26,17 @@
   private static Statement statement(int id, int workload, long session, int bytes) {
     return new Statement(
         id,
-        workload,
-        WORKLOADS[workload],
+        new StatementArrival(
+            workload,
+            WORKLOADS[workload],
+            session,
+            new Moment(1_000L * id),
+            Moment.NEVER,
+            Moment.LONG_AGO,
+            bytes),
         null,
-        session,
-        new Moment(1_000L * id),
-        Moment.NEVER,
-        Moment.LONG_AGO,
         4,
-        0,
-        bytes);
+        0);
   }
 
   @Example
@@ -46,7 +48,7 @@
     held.add(statement(4, FRESH, 0, 10));
     List<Integer> order = new ArrayList<>();
     for (Statement next = held.first(); next != null; next = held.first()) {
-      order.add(next.id);
+      order.add(next.id());
       held.remove(next);
     }
     check(order.equals(List.of(3, 1, 2, 4)), "" + order);
@@ -65,9 +67,9 @@
     for (int i = 100; i < 5_000; i++) {
       Statement next = statement(i, i % 3 == 0 ? WRITE : FRESH, 0, 100);
       flood.add(next);
-      for (Statement over = budget.nextToReject(flood, next.workloadIndex);
+      for (Statement over = budget.nextToReject(flood, next.workloadIndex());
           over != null;
-          over = budget.nextToReject(flood, next.workloadIndex)) {
+          over = budget.nextToReject(flood, next.workloadIndex())) {
         check(
             flood.size() > 50 || flood.size(FRESH) > 37 || flood.size(WRITE) > 37,
             "only what is beyond");
@@ -76,7 +78,7 @@
     }
     check(quiet.size() == 30 && flood.size() == 50, quiet.size() + " and " + flood.size());
     check(
-        flood.last().workloadIndex == FRESH && flood.size(WRITE) == 37,
+        flood.last().workloadIndex() == FRESH && flood.size(WRITE) == 37,
         "the least important went: " + flood.size(WRITE));
   }
 
@@ -128,24 +130,25 @@
         HoldQueue own = groups.get(g);
         check(
             own.size() == plain.get(g).size()
-                && own.bytes() == plain.get(g).stream().mapToLong(one -> one.textBytes).sum(),
+                && own.bytes() == plain.get(g).stream().mapToLong(one -> one.textBytes()).sum(),
             "counted wrongly");
         Map<Long, Integer> latest = new HashMap<>();
         List<Statement> out = new ArrayList<>();
         double rank = Double.MAX_VALUE;
         for (Statement next = own.first(); next != null; next = own.first()) {
           check(
-              next.holdPriority <= rank && next.holdPriority <= next.workload.importance() + 9,
+              next.holdPriority() <= rank
+                  && next.holdPriority() <= next.workload().importance() + 9,
               "by rank");
-          rank = next.holdPriority;
+          rank = next.holdPriority();
           check(
-              next.session == 0 || latest.getOrDefault(next.session, -1) < next.id,
+              next.session() == 0 || latest.getOrDefault(next.session(), -1) < next.id(),
               "a session's order is broken");
-          latest.put(next.session, next.id);
+          latest.put(next.session(), next.id());
           out.add(next);
           own.remove(next);
         }
-        out.sort((a, b) -> Integer.compare(a.id, b.id));
+        out.sort((a, b) -> Integer.compare(a.id(), b.id()));
         out.forEach(own::add);
       }
     }
--- a/router/src/test/java/basaltlever/endpoints/ReplicaSubsetTest.java
+++ b/router/src/test/java/basaltlever/endpoints/ReplicaSubsetTest.java
@@ -27,25 +27,25 @@
             1,
             NOW,
             Span.ofMillis(500),
-            Comparator.comparingInt((Statement one) -> one.id),
+            Comparator.comparingInt((Statement one) -> one.id()),
             new HoldBudget(10, 1_000).group(1),
             null);
     for (int i = 0; i < members; i++) {
       Endpoint node = new Endpoint(i, 1);
-      node.ringOrder = random.nextInt();
-      node.lifecycle = EndpointLifecycle.READY;
-      node.group = group;
-      group.members.add(node);
+      node.setRingOrder(random.nextInt());
+      node.setLifecycle(EndpointLifecycle.READY);
+      node.assignTo(group);
+      group.addMember(node);
     }
     return group;
   }
 
   private static int[] covered(ReplicaGroup group, int routers) {
-    int[] covered = new int[group.members.size()];
+    int[] covered = new int[group.members().size()];
     for (int router = 0; router < routers; router++) {
-      group.subset = null;
+      group.subset().choose(null, Moment.LONG_AGO);
       for (Endpoint member : ReplicaSubset.of(group, NOW, routers, router, Endpoint::isInService)) {
-        covered[member.id]++;
+        covered[member.id()]++;
       }
     }
     return covered;
@@ -55,7 +55,7 @@
   void aSmallGroupIsUsedWhole() {
     ReplicaGroup group = group(ReplicaSubset.LEAST, new SplittableRandom(1));
     check(
-        ReplicaSubset.of(group, NOW, 100, 7, Endpoint::isInService) == group.members,
+        ReplicaSubset.of(group, NOW, 100, 7, Endpoint::isInService) == group.members(),
         "the list itself");
   }
 
@@ -90,9 +90,9 @@
     List<Endpoint> before =
         List.copyOf(ReplicaSubset.of(group, NOW, 100, 0, Endpoint::isInService));
     check(before.size() == ReplicaSubset.LEAST, "the least: " + before.size());
-    before.get(0).down = true;
-    before.get(3).silent = true;
-    group.subsetStale = true;
+    before.get(0).health().markDown(NOW);
+    before.get(3).health().markSilent(NOW);
+    group.subset().markStale();
     check(
         ReplicaSubset.of(group, NOW.plus(Span.ofMillis(50)), 100, 0, Endpoint::isInService)
             .equals(before),
@@ -118,8 +118,8 @@
   void whoDrainsIsLeftOut() {
     ReplicaGroup group = group(64, new SplittableRandom(4));
     Endpoint first = ReplicaSubset.of(group, NOW, 100, 0, Endpoint::isInService).get(0);
-    first.lifecycle = EndpointLifecycle.DRAINING;
-    group.subsetStale = true;
+    first.setLifecycle(EndpointLifecycle.DRAINING);
+    group.subset().markStale();
     check(
         !ReplicaSubset.of(group, NOW.plus(Span.ofMillis(150)), 100, 0, Endpoint::isInService)
             .contains(first),
