--- a/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
+++ b/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
@@ -23,19 +23,19 @@
 
   /** What has been learned of a node by now, without a word on who it is. */
   public EndpointState learned(Moment at, int id) {
-    balance.now = at;
+    balance.advanceTo(at);
     Moment now = at;
-    Endpoint node = balance.node(id);
+    Endpoint node = balance.table.endpoint(id);
     ReplicaGroup home = node.group();
     Moment denied =
         home.lostPrimary() == node
             ? node.roles().lastNotPrimaryReportAt().later(home.holdSince())
             : node.roles().lastNotPrimaryReportAt();
-    boolean cold = balance.warmUpShare(node) < 1;
+    boolean cold = balance.slowStart.warmUpShare(node) < 1;
     return new EndpointState(
         home.number(),
         Math.max(0, node.listedStart().micros()),
-        !balance.listedForUse(node),
+        !balance.context.isListedForUse(node),
         home.primary() == node,
         ago(node.warmUp().startedAt()),
         ago(denied),
@@ -47,13 +47,13 @@
         node.health().consecutiveFullAnswers(),
         node.health().backoffUntil().since(now).longer(Span.NONE),
         balance.estimatedLag(node),
-        cold ? node.warmUp().chargedMicros() / balance.typicalTime : 0,
+        balance.slowStart.chargedStatements(node),
         cold ? ago(node.warmUp().chargedAt()) : EndpointState.NEVER);
   }
 
   /** Executions that are out at it. */
   public int out(int id) {
-    return balance.node(id).load().inFlight();
+    return balance.table.endpoint(id).load().inFlight();
   }
 
   private Span ago(Moment then) {
@@ -61,9 +61,9 @@
   }
 
   public List<GroupState> learnedOfGroups(Moment at) {
-    balance.now = at;
+    balance.advanceTo(at);
     Moment now = at;
-    return balance.groups.values().stream()
+    return balance.table.groups().stream()
         .sorted(Comparator.comparingInt(group -> group.number()))
         .map(
             group ->
@@ -80,9 +80,9 @@
    * tighter one holds.
    */
   public void recalled(Moment at, int id, EndpointState view) {
-    balance.now = at;
+    balance.advanceTo(at);
     Moment now = at;
-    Endpoint node = balance.node(id);
+    Endpoint node = balance.table.endpoint(id);
     node.roles().recordNotPrimary(then(view.deniedAgo()).earlier(now.plus(LoadBalancer.SECOND)));
     node.health().failureRate().set(now, Math.max(balance.failureRate(node), view.failing()));
     node.load()
@@ -107,21 +107,11 @@
       balance.markDown(node);
       node.health().restoreDownSince(then(view.downFor()));
     }
-    balance.started(node, then(view.startedAgo()));
-    if (balance.warmUpShare(node) < 1) {
-      // Of what has come back since, only what the least rate gives: the yardstick is not known
-      // yet.
-      Moment since = then(view.coldAgo()).later(Moment.LONG_AGO).earlier(now);
-      double back =
-          balance.allowedWorkPerSecond(node)
-              * (1 - LoadBalancer.COLD_BURST)
-              * now.since(since).over(LoadBalancer.SECOND);
+    balance.slowStart.recordStart(node, then(view.startedAgo()));
+    if (balance.slowStart.warmUpShare(node) < 1) {
       // What the earlier process sent counts as this one's: a restart is no fresh budget.
-      node.warmUp()
-          .restore(
-              now,
-              Math.max(balance.remainingWork(node), view.coldSpent() * balance.typicalTime - back),
-              view.coldSpent() > 0);
+      balance.slowStart.restoreCharge(
+          node, view.coldSpent(), then(view.coldAgo()).later(Moment.LONG_AGO).earlier(now));
     }
     if (view.drains() && node.lifecycle() != EndpointLifecycle.GONE) {
       node.setWasDraining(true);
@@ -138,9 +128,9 @@
   }
 
   public void recalled(Moment at, GroupState view) {
-    balance.now = at;
+    balance.advanceTo(at);
     Moment now = at;
-    ReplicaGroup group = balance.groups.get(view.group());
+    ReplicaGroup group = balance.table.knownGroup(view.group());
     if (group != null) {
       group
           .replicaCongestion()
--- a/router/src/main/java/basaltlever/balancer/LoadBalancer.java
+++ b/router/src/main/java/basaltlever/balancer/LoadBalancer.java
@@ -4,7 +4,6 @@
 import basaltlever.endpoints.PolledGroups;
 import basaltlever.endpoints.PrimarySearch;
 import basaltlever.endpoints.ReplicaSubset;
-import basaltlever.endpoints.WarmCapacity;
 import basaltlever.gateway.AttemptOutcome;
 import basaltlever.gateway.DecisionSink;
 import basaltlever.gateway.EndpointLifecycle;
@@ -28,18 +27,14 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.Collection;
 import java.util.Collections;
 import java.util.Comparator;
-import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
-import java.util.stream.IntStream;
 
 /**
  * Every decision of one router; it shares nothing with others. Each event comes with the clock of
@@ -66,8 +61,6 @@
   private static final Span FIRST_BACKOFF = Span.ofMillis(250);
   private static final double POLL_POINTS = 0.005;
   private static final double LEARN = 0.1;
-  private static final double COLD_SAFETY = 0.75;
-  static final double COLD_BURST = 0.3;
   private static final int SESSIONS = 20_000;
   private static final double STRAINED = 0.24;
   private static final double HOPELESS = 0.8;
@@ -97,28 +90,21 @@
    */
   private static final double REGULAR = 1.5 / REMEMBERED.over(SECOND);
 
-  /** Reads choose among so many members at most; of a larger subset a part drawn for each. */
-  private static final int MOST_CANDIDATES = 16;
-
-  private static final Comparator<Statement> BY_IMPORTANCE =
-      Comparator.comparingDouble((Statement statement) -> -statement.workload().importance())
-          .thenComparingLong(statement -> statement.receivedAt().micros())
-          .thenComparingInt(statement -> statement.id());
-
   private static final Comparator<Endpoint> BY_RANK =
       Comparator.comparingInt(node -> node.ringOrder());
 
   private record Rule(String name, BooleanSupplier when, Runnable then) {}
 
+  final DecisionContext context;
+  final ServiceTimes serviceTimes;
+  private final GroupSubsets subsets;
+  final EndpointTable table;
+  final SlowStart slowStart;
   private final DecisionSink outbound;
   private final SplittableRandom chance;
   Settings agreed;
-  private double highestPriorityWeight;
   private Span cadence;
 
-  /** By their ids, which are small; null where none has that id. */
-  final List<Endpoint> endpoints = new ArrayList<>();
-
   /** Listed anew, or by other rules, and to be polled where their group is watched. */
   private final List<Endpoint> relisted = new ArrayList<>();
 
@@ -127,14 +113,10 @@
   private final PollSchedule polls = new PollSchedule(SECOND.plus(SCAN));
   private boolean lookedAround;
   private String toldWatched = "";
-  private final WarmCapacity warmCapacity = new WarmCapacity();
-  final Map<Integer, ReplicaGroup> groups = new HashMap<>();
   private Statement[] statements = new Statement[256];
   private final List<Statement> open = new ArrayList<>();
   private final ArrayDeque<Statement> unplaced = new ArrayDeque<>();
   private final ArrayDeque<ReplicaGroup> changed = new ArrayDeque<>();
-  private double[] typicalTimes = {};
-  double typicalTime;
   private double usualLatencyStrain = 0.25;
   private double connectionSetupMicros;
   private final DecayingValue connectionScarcity = new DecayingValue();
@@ -150,16 +132,7 @@
   private Moment wakeAt = Moment.NEVER;
   private int listing;
 
-  private final Rule[] rules = {
-    new Rule("ask for the list", () -> !now.isBefore(watchDue), this::askForList),
-    new Rule("go on with planned changes", () -> !now.isBefore(changeDue), this::goOnWithChanges),
-    new Rule(
-        "judge a group that changed", () -> !changed.isEmpty(), () -> evaluate(changed.poll())),
-    new Rule("place a statement", () -> !unplaced.isEmpty(), () -> dispatch(unplaced.poll())),
-    new Rule("look over what is open", () -> !now.isBefore(scanDue), this::scan),
-    new Rule("poll who is due", () -> !now.isBefore(polls.next()), this::pollDue),
-    new Rule("ask to be woken", () -> nextWake().isBefore(wakeAt), this::wake),
-  };
+  private final Rule[] rules;
 
   /** What was learned, told and taken in. */
   public final LearnedStateTransfer learnedState = new LearnedStateTransfer(this);
@@ -169,13 +142,31 @@
       SplittableRandom chance,
       Settings agreed,
       HoldBudget holds,
-      Moment now) {
+      Moment start) {
     this.outbound = outbound;
     this.chance = chance;
     this.holds = holds;
-    agree(now, agreed);
+    context = new DecisionContext(outbound, chance, agreed, start);
+    serviceTimes = new ServiceTimes(agreed.workloads());
+    subsets = new GroupSubsets(context);
+    table = new EndpointTable(context, holds);
+    slowStart = new SlowStart(context, serviceTimes, subsets, table);
+    rules =
+        new Rule[] {
+          new Rule("ask for the list", () -> !now.isBefore(watchDue), this::askForList),
+          new Rule(
+              "go on with planned changes", () -> !now.isBefore(changeDue), this::goOnWithChanges),
+          new Rule(
+              "judge a group that changed",
+              () -> !changed.isEmpty(),
+              () -> evaluate(changed.poll())),
+          new Rule("place a statement", () -> !unplaced.isEmpty(), () -> dispatch(unplaced.poll())),
+          new Rule("look over what is open", () -> !now.isBefore(scanDue), this::scan),
+          new Rule("poll who is due", () -> !now.isBefore(polls.next()), this::pollDue),
+          new Rule("ask to be woken", () -> nextWake().isBefore(wakeAt), this::wake),
+        };
+    agree(start, agreed);
     watchDue = agreed.drains().askedFor() ? now : Moment.NEVER;
-    typicalTime = Arrays.stream(typicalTimes).average().orElse(0);
   }
 
   /**
@@ -184,18 +175,10 @@
    * on.
    */
   public void agree(Moment at, Settings by) {
-    now = at;
+    advanceTo(at);
     agreed = by;
-    typicalTimes =
-        IntStream.range(0, by.workloads().length)
-            .mapToDouble(
-                kind ->
-                    kind < typicalTimes.length
-                        ? typicalTimes[kind]
-                        : by.workloads()[kind].slo().micros() / 4.0)
-            .toArray();
-    highestPriorityWeight =
-        Arrays.stream(agreed.workloads()).mapToDouble(Workload::importance).max().orElse(1);
+    context.applySettings(at, by);
+    serviceTimes.applySettings(by.workloads());
     Span tightest =
         Arrays.stream(agreed.workloads())
             .filter(kind -> kind.needs() == ReadConsistency.BOUNDED)
@@ -212,16 +195,17 @@
       }
     }
     // A member may be bound, or free, by the new rules; each is asked at once.
-    endpoints.stream().filter(Objects::nonNull).forEach(node -> relist(node, node.lifecycle()));
+    table.endpoints().stream()
+        .filter(Objects::nonNull)
+        .forEach(node -> relist(node, node.lifecycle()));
     pollRelisted();
   }
 
-  Endpoint node(int id) {
-    return id >= 0 && id < endpoints.size() ? endpoints.get(id) : null;
+  void advanceTo(Moment at) {
+    now = at;
+    context.advanceTo(at);
   }
 
-  // ---- What the router hears.
-
   public void listStarted() {
     listing++;
   }
@@ -234,19 +218,16 @@
       int zone,
       double size,
       Moment startedAt) {
-    now = at;
+    advanceTo(at);
     // All routers together start out on a node: what one may have out there is split by their
     // number.
     double room = Math.max(1, FIRST_ROOM / agreed.standing().routers());
-    Endpoint node = node(id);
+    Endpoint node = table.endpoint(id);
     if (node == null) {
       node = new Endpoint(id, room);
-      while (endpoints.size() <= id) {
-        endpoints.add(null);
-      }
-      endpoints.set(id, node);
+      table.add(node);
     }
-    ReplicaGroup home = group(group);
+    ReplicaGroup home = table.group(group);
     if (node.group() != home) {
       if (node.group() != null) {
         losePrimary(node);
@@ -259,7 +240,7 @@
     node.setWasDraining(
         state == EndpointLifecycle.DRAINING
             || (node.wasDraining() && state == EndpointLifecycle.GONE));
-    started(node, startedAt);
+    slowStart.recordStart(node, startedAt);
     relist(node, state);
   }
 
@@ -269,14 +250,14 @@
 
   /** A figure of the node that is the same at all routers and tells nothing of it. */
   public void ringOrderKnown(int id, int rank) {
-    endpoints.get(id).setRingOrder(rank);
-    endpoints.get(id).group().subset().markStale();
+    table.endpoint(id).setRingOrder(rank);
+    table.endpoint(id).group().subset().markStale();
   }
 
   public void listFinished(Moment at, boolean complete, boolean answered) {
-    now = at;
-    for (int i = 0; complete && i < endpoints.size(); i++) {
-      Endpoint node = endpoints.get(i);
+    advanceTo(at);
+    for (int i = 0; complete && i < table.endpoints().size(); i++) {
+      Endpoint node = table.endpoint(i);
       if (node != null
           && node.listGeneration() != listing
           && node.lifecycle() != EndpointLifecycle.GONE) {
@@ -299,7 +280,7 @@
         node -> node.lifecycle() != EndpointLifecycle.GONE || (isOver(node) && over.add(node)));
     over.sort(Comparator.comparingInt(node -> node.id()));
     for (Endpoint node : over) {
-      endpoints.set(node.id(), null);
+      table.remove(node);
       leaveGroup(node);
       polls.remove(node);
       outbound.forget(node.id());
@@ -312,7 +293,7 @@
    */
   private void watchGroups() {
     watchedGroups.recount().forEach(this::watchNoMore);
-    if (relisted.isEmpty() || watchedGroups.admitAll(groups.values())) {
+    if (relisted.isEmpty() || watchedGroups.admitAll(table.groups())) {
       return;
     }
     if (!lookedAround) {
@@ -322,8 +303,8 @@
 
   /** Positions that are known were dated by a clock that was wrong: each has to be proven anew. */
   public void forgetPositions(Moment at) {
-    now = at;
-    for (Endpoint node : endpoints) {
+    advanceTo(at);
+    for (Endpoint node : table.endpoints()) {
       if (node != null) {
         node.replication().forgetPosition();
       }
@@ -333,7 +314,7 @@
   /** To the log of whoever is on call, where it has changed. */
   public void reportPolledGroups() {
     int listed = 0;
-    for (Endpoint node : endpoints) {
+    for (Endpoint node : table.endpoints()) {
       listed += node != null && node.lifecycle() != EndpointLifecycle.GONE ? 1 : 0;
     }
     String told = watchedGroups.size() + " " + watchedGroups.members() + " " + listed;
@@ -351,10 +332,10 @@
     lookedAround = true;
     List<ReplicaGroup> order =
         new ArrayList<>(new LinkedHashSet<>(relisted.stream().map(node -> node.group()).toList()));
-    Collections.rotate(order, -startPosition(order.size()));
+    Collections.rotate(order, -subsets.startPosition(order.size()));
     int looked = 0;
     for (ReplicaGroup group : order) {
-      for (Endpoint member : membersInUse(group)) {
+      for (Endpoint member : subsets.membersInUse(group)) {
         if (looked++ < PolledGroups.FIRST_LOOK) {
           pollNow(member);
         }
@@ -362,14 +343,8 @@
     }
   }
 
-  /** Where this router begins among so many, the routers evenly apart. */
-  private int startPosition(int count) {
-    int routers = Math.max(1, agreed.standing().routers());
-    return (int) ((long) (agreed.standing().index() % routers) * count / routers);
-  }
-
   private void watchNoMore(ReplicaGroup group) {
-    for (Endpoint member : membersInUse(group)) {
+    for (Endpoint member : subsets.membersInUse(group)) {
       if (!member.polling().isInFlight()) {
         member.polling().scheduleAt(Moment.NEVER);
         polls.update(member);
@@ -395,34 +370,14 @@
     return group.isPolledRegularly()
         && (group.members().size() <= ReplicaSubset.LEAST
             || node == group.primary()
-            || membersInUse(group).contains(node));
-  }
-
-  /** The members that this router sends reads to: all but in large groups. */
-  private List<Endpoint> membersInUse(ReplicaGroup group) {
-    return ReplicaSubset.of(
-        group, now, agreed.standing().routers(), agreed.standing().index(), this::listedForUse);
-  }
-
-  /** Those to choose among for one read. */
-  private List<Endpoint> candidates(ReplicaGroup group) {
-    List<Endpoint> all = membersInUse(group);
-    if (all.size() <= MOST_CANDIDATES) {
-      return all;
-    }
-    int from = chance.nextInt(all.size());
-    List<Endpoint> some = new ArrayList<>(MOST_CANDIDATES);
-    for (int i = 0; i < MOST_CANDIDATES; i++) {
-      some.add(all.get((from + i) % all.size()));
-    }
-    return some;
+            || subsets.membersInUse(group).contains(node));
   }
 
   /**
    * The notice does not tell whether the watch still stands, so it is asked for anew in any case.
    */
   public void listCallFailed(Moment at) {
-    now = at;
+    advanceTo(at);
     if (agreed.drains().askedFor()) {
       // Some calls may fail within the 6 s in which news must be heard: pauses count from their
       // start.
@@ -446,7 +401,7 @@
       Moment clientLeaves,
       Moment committed,
       int bytes) {
-    now = at;
+    advanceTo(at);
     Workload terms = agreed.workloads()[workload];
     Moment mustSee =
         switch (terms.needs()) {
@@ -459,7 +414,7 @@
         new Statement(
             id,
             new StatementArrival(workload, terms, session, now, clientLeaves, mustSee, bytes),
-            group(group),
+            table.group(group),
             agreed.allowance().executions(),
             chance.nextDouble());
     statements = id < statements.length ? statements : Arrays.copyOf(statements, 2 * id);
@@ -483,7 +438,7 @@
             : POLL_POINTS
                 / agreed.standing().pollPrice()
                 * rate
-                / Math.max(1, membersInUse(group).size());
+                / Math.max(1, subsets.membersInUse(group).size());
     return rate > REGULAR && perSecond * RAREST_POLL.over(SECOND) >= 1;
   }
 
@@ -492,7 +447,7 @@
         .admitByTraffic(group, one -> one.statementRate().at(now, REMEMBERED))
         .forEach(this::watchNoMore);
     if (group.isPolledRegularly()) {
-      for (Endpoint member : membersInUse(group)) {
+      for (Endpoint member : subsets.membersInUse(group)) {
         member
             .polling()
             .scheduleAt(
@@ -518,7 +473,7 @@
       Role role,
       Moment position,
       boolean answered) {
-    now = at;
+    advanceTo(at);
     Statement statement = statements[id];
     if (statement == null
         || execution >= statement.attempts()
@@ -550,7 +505,7 @@
       connectionSetupMicros +=
           LEARN
               * (now.since(sent).micros()
-                  - typicalTimes[statement.workloadIndex()]
+                  - serviceTimes.typicalMicros(statement.workloadIndex())
                   - connectionSetupMicros);
     }
     learnHealth(node, statement, ending, now.since(sent));
@@ -597,8 +552,8 @@
       Moment position,
       double util,
       double queue) {
-    now = at;
-    Endpoint node = endpoints.get(id);
+    advanceTo(at);
+    Endpoint node = table.endpoint(id);
     node.polling().pollEnded();
     if (ending == AttemptOutcome.NO_DESCRIPTOR) {
       // Nothing is known of the node by it: asked again when the next poll would be due.
@@ -645,7 +600,7 @@
   }
 
   public void clientDisconnected(Moment at, int id) {
-    now = at;
+    advanceTo(at);
     Statement statement = statements[id];
     if (statement != null && !statement.isFinished()) {
       finish(statement);
@@ -655,7 +610,7 @@
 
   /** Its client waits no longer: refused where that is proven to be harmless, else it failed. */
   public void deadlinePassed(Moment at, int id) {
-    now = at;
+    advanceTo(at);
     Statement statement = statements[id];
     if (statement != null && !statement.isFinished()) {
       giveUp(statement, false, RejectReason.OVERDUE);
@@ -664,7 +619,7 @@
   }
 
   public void timerFired(Moment at) {
-    now = at;
+    advanceTo(at);
     wakeAt = now.isBefore(wakeAt) ? wakeAt : Moment.NEVER;
     settle();
   }
@@ -695,45 +650,22 @@
     if (state == EndpointLifecycle.GONE) {
       gone.add(node);
     }
-    if (!listedForUse(node)) {
+    if (!context.isListedForUse(node)) {
       losePrimary(node);
     }
     evaluateLater(node.group());
   }
 
-  /**
-   * Nothing new goes to it from the moment the list says so; the grace is for what is on its way.
-   */
-  boolean listedForUse(Endpoint node) {
-    return node.lifecycle() == EndpointLifecycle.READY
-        || (node.lifecycle() == EndpointLifecycle.GONE
-            && !agreed.drains().removalBinds()
-            && !node.wasDraining());
-  }
-
   // Kept for all time, each choice would go through all there ever were; till then it may be listed
   // again.
   private boolean isOver(Endpoint node) {
     return node.lifecycle() == EndpointLifecycle.GONE
-        && !listedForUse(node)
+        && !context.isListedForUse(node)
         && node.load().inFlight() == 0
-        && warmUpShare(node) >= 1
+        && slowStart.warmUpShare(node) >= 1
         && now.since(node.polling().sentAt()).isLongerThan(REMEMBERED);
   }
 
-  private ReplicaGroup group(int number) {
-    return groups.computeIfAbsent(
-        number,
-        n ->
-            new ReplicaGroup(
-                n,
-                now,
-                FIRST_REPORT_AGE,
-                BY_IMPORTANCE,
-                holds.group(agreed.workloads().length),
-                outbound));
-  }
-
   // ---- The phases of a group: who is primary, and the hold.
 
   private void evaluateLater(ReplicaGroup group) {
@@ -781,7 +713,8 @@
    */
   private void search(ReplicaGroup group) {
     Span pause = now.since(group.holdSince()).shorter(SECOND).longer(HOLD_POLL);
-    PrimarySearch.next(group, now, pause, startPosition(group.members().size()), this::mayBePrimary)
+    PrimarySearch.next(
+            group, now, pause, subsets.startPosition(group.members().size()), this::mayBePrimary)
         .forEach(node -> pollWithin(node, HOLD_POLL));
   }
 
@@ -790,7 +723,7 @@
     boolean denied =
         node.roles().lastNotPrimaryReportAt().isAfter(node.roles().lastPrimaryReportAt())
             && now.since(node.roles().lastNotPrimaryReportAt()).isShorterThan(REMEMBERED);
-    return listedForUse(node)
+    return context.isListedForUse(node)
         && !(denied && node.group().lostPrimary() == null && node.group().search().rounds() == 0);
   }
 
@@ -829,7 +762,7 @@
           (member.roles().isReplaced() && group.primary() != null)
               || group.switchover().excludes(member.id());
       if (fresh
-          && listedForUse(member)
+          && context.isListedForUse(member)
           && !member.health().isDown()
           && heard
           && !past
@@ -883,9 +816,9 @@
   /** A member's word on a planned change of its group's primary; false where it changes nothing. */
   public boolean switchoverAnnounced(
       Moment at, int member, long number, int target, Moment from, boolean off) {
-    now = at;
-    ReplicaGroup group = node(member).group();
-    int named = node(target).group() == group ? target : PlannedSwitchover.UNKNOWN_MEMBER;
+    advanceTo(at);
+    ReplicaGroup group = table.endpoint(member).group();
+    int named = table.endpoint(target).group() == group ? target : PlannedSwitchover.UNKNOWN_MEMBER;
     boolean told = group.switchover().announced(now, number, named, from, off);
     evaluateLater(group);
     settle();
@@ -894,19 +827,19 @@
 
   private void goOnWithChanges() {
     changeDue = Moment.NEVER;
-    groups.values().forEach(this::evaluateLater);
+    table.groups().forEach(this::evaluateLater);
   }
 
   // Its phases are in Change; what they mean for the hold, polls and connections is here.
   private void followSwitchover(ReplicaGroup group) {
     PlannedSwitchover change = group.switchover();
-    Endpoint target = node(change.target());
+    Endpoint target = table.endpoint(change.target());
     change.advance(
         now,
         group.primary() == null ? PlannedSwitchover.UNKNOWN_MEMBER : group.primary().id(),
         target != null
             && target.group() == group
-            && listedForUse(target)
+            && context.isListedForUse(target)
             && !target.health().isDown());
     changeDue = changeDue.earlier(change.nextStepAt());
     if (group.primary() != null && change.excludes(group.primary().id())) {
@@ -915,14 +848,14 @@
       // A cold one bears no more than one at a time.
       outbound.prepare(
           target.id(),
-          warmUpShare(target) < 1
+          slowStart.warmUpShare(target) < 1
               ? 1
               : Math.min(
                   MOST_PREPARED,
                   group.primary().load().inFlight() + group.primary().load().idleConnections()));
     }
     if (change.needsFrequentPolls()) {
-      membersInUse(group).forEach(member -> pollWithin(member, HOLD_POLL));
+      subsets.membersInUse(group).forEach(member -> pollWithin(member, HOLD_POLL));
       if (target != null && target.group() == group) {
         pollWithin(target, HOLD_POLL);
       }
@@ -992,7 +925,7 @@
   // sheds, the less important first. The primary counts apart, or its jam kept reads off idle
   // replicas.
   private boolean isShed(Statement statement, DecayingValue jam) {
-    double share = statement.workload().importance() / highestPriorityWeight;
+    double share = context.priorityShare(statement.workload());
     double sent = (TOLERATED + share / 4) * Math.pow(1 - jam.at(now, REMEMBERED), 3);
     return statement.attempts() == 0
         && statement.workload().needs() != ReadConsistency.WRITE
@@ -1011,7 +944,7 @@
     boolean outranked =
         !group.held().isEmpty()
             || (!group.waitingReads().isEmpty()
-                && BY_IMPORTANCE.compare(group.waitingReads().peek(), statement) < 0);
+                && StatementOrder.BY_PRIORITY.compare(group.waitingReads().peek(), statement) < 0);
     // Hundreds of routers, each with room for one, would leave it none for what only it may take.
     if (now.since(primary.polling().sentAt()).isLongerThan(TRIAL)) {
       pollNow(primary);
@@ -1046,7 +979,7 @@
         && isLongRunning(statement.workloadIndex())) {
       return burdened;
     }
-    for (Endpoint member : candidates(group)) {
+    for (Endpoint member : subsets.candidates(group)) {
       if (member.health().isDown() && !group.isPolledRegularly()) {
         // Polled by nobody else: whether it is back is asked when it is missed.
         pollWithin(member, retryPause(member));
@@ -1075,7 +1008,9 @@
               + (failureRate(member) < FAILING ? 0 : 8);
       // A cold one is drawn as often as it is warm: by busyness a light router would never choose
       // it.
-      if (!hasCapacity(member, 1) || tier > best || chance.nextDouble() >= warmUpShare(member)) {
+      if (!hasCapacity(member, 1)
+          || tier > best
+          || chance.nextDouble() >= slowStart.warmUpShare(member)) {
         continue;
       }
       seen = tier < best ? 1 : seen + 1;
@@ -1097,7 +1032,7 @@
       double slightly = 0.95 + 0.1 * chance.nextDouble();
       return second == null || loadScore(first) * slightly < loadScore(second) ? first : second;
     }
-    widenSubset(group);
+    subsets.widen(group);
     // Far behind, it would keep the read for a while only to turn it away.
     if (!fits
         && checks
@@ -1108,23 +1043,12 @@
     return primaryFor(statement);
   }
 
-  /**
-   * No member in use has room for a read: more of a large group are taken into use, for a while.
-   */
-  private void widenSubset(ReplicaGroup group) {
-    if (group.members().size() > ReplicaSubset.LEAST
-        && now.since(group.subset().widenedAt()).isLongerThan(HOLD_POLL)) {
-      group.subset().recordWidening(now);
-      ReplicaSubset.widen(group, agreed.standing().routers());
-    }
-  }
-
   /**
    * What any member may answer, yet takes far longer than most: its node applies no log meanwhile.
    */
   private boolean isLongRunning(int workload) {
     return agreed.workloads()[workload].needs() == ReadConsistency.ANY
-        && typicalTimes[workload] > LONG * typicalTime;
+        && serviceTimes.typicalMicros(workload) > LONG * serviceTimes.overallMicros();
   }
 
   // Spread out, long statements would keep every replica of a group from applying the log. All
@@ -1135,11 +1059,11 @@
   private Endpoint longReadReplica(Statement statement) {
     Endpoint primary = statement.group().primary();
     List<Endpoint> able = List.of();
-    for (int kind = 0; kind < typicalTimes.length && able.isEmpty(); kind++) {
+    for (int kind = 0; kind < serviceTimes.workloads() && able.isEmpty(); kind++) {
       able =
           !isLongRunning(kind)
               ? able
-              : membersInUse(statement.group()).stream()
+              : subsets.membersInUse(statement.group()).stream()
                   .filter(
                       member ->
                           member != primary
@@ -1179,14 +1103,12 @@
                 .isShorterThan(TRIAL.times(1 << node.health().silenceTrials()));
     // A list may name what does not exist: who never said a word gets nothing where another member
     // did.
-    return listedForUse(node)
+    return context.isListedForUse(node)
         && !node.health().isDown()
         && (node.health().hasAnswered() || !node.group().hasAnswered() || !node.wasContacted())
         && !now.isBefore(node.health().backoffUntil())
         && (!node.health().isSilent() || onTrial)
-        && (warmUpShare(node) >= 1
-            || hasBudget(node, typicalTimes[statement.workloadIndex()])
-            || isAdmittedAsFirst(node, statement));
+        && (slowStart.allows(node, statement));
   }
 
   private boolean isConnected(Endpoint node) {
@@ -1198,7 +1120,7 @@
    * Where new connections cost much time, or fail, one that is open is worth more than a choice.
    */
   private boolean avoidsNewConnection(Endpoint node) {
-    return !isConnected(node) && connectionSetupMicros > DEAR * typicalTime;
+    return !isConnected(node) && connectionSetupMicros > DEAR * serviceTimes.overallMicros();
   }
 
   private double loadScore(Endpoint node) {
@@ -1222,7 +1144,7 @@
     // Where only one may be out, what a node loses is found out early enough to try another: reads
     // where
     // it is known to lose some, writes that may run again after twice as long.
-    double usual = typicalTimes[statement.workloadIndex()];
+    double usual = serviceTimes.typicalMicros(statement.workloadIndex());
     boolean write =
         terms.repeat() == Idempotency.DEDUPLICATED
             && terms.within() != Workload.DeduplicationScope.ZONE;
@@ -1249,9 +1171,7 @@
       node.health().recordTrial(now);
     }
     node.load().attemptStarted(now, opens);
-    if (warmUpShare(node) < 1) {
-      node.warmUp().charge(now, remainingWork(node) + typicalTimes[statement.workloadIndex()]);
-    }
+    slowStart.chargeAttempt(node, statement);
     // A connection may have to be opened first: later, no proof covers the bound and no window a
     // repeat.
     boolean proven =
@@ -1270,7 +1190,7 @@
   /** How often by importance; whether at all by what an earlier execution may have done. */
   private boolean mayRunAgain(Statement statement, int stillOut) {
     int spare = statement.maxAttempts() - 2;
-    double share = statement.workload().importance() / highestPriorityWeight;
+    double share = context.priorityShare(statement.workload());
     int most = Math.min(statement.maxAttempts(), 2 + (int) Math.ceil(spare * share));
     return statement.attempts() < most
         && switch (statement.workload().repeat()) {
@@ -1297,7 +1217,8 @@
       // fall.
       end =
           end.minus(
-              new Span((long) (LEAST_CHANCE * typicalTimes[statement.workloadIndex()]))
+              new Span(
+                      (long) (LEAST_CHANCE * serviceTimes.typicalMicros(statement.workloadIndex())))
                   .shorter(statement.workload().slo().times(0.5)));
       Span held = statement.clientDeadline().since(statement.receivedAt()).times(HELD);
       end = mayTryElsewhere(statement) ? end.earlier(statement.receivedAt().plus(held)) : end;
@@ -1384,12 +1305,8 @@
         open.remove(open.size() - 1);
         // Anybody may name groups that nobody has listed.
         ReplicaGroup named = statement.group();
-        if (named.members().isEmpty() && groups.remove(named.number(), named)) {
-          holds.forget(named.held());
-        } else if (named.subset().extraMembers() > 0
-            && now.since(named.subset().widenedAt()).isLongerThan(REMEMBERED)) {
-          ReplicaSubset.narrow(named);
-        }
+        table.removeIfUnused(named);
+        subsets.narrowIfUnneeded(named);
       } else if (statement.isQueued()) {
         evaluateLater(statement.group());
         if (statement.workload().onlyPrimary() && isOverdue(statement)) {
@@ -1413,7 +1330,7 @@
    */
   private void detectSilence(Endpoint node, Statement statement, Moment sent) {
     double usual =
-        typicalTimes[statement.workloadIndex()]
+        serviceTimes.typicalMicros(statement.workloadIndex())
             * Math.max(1, latencyStrain(node) / usualLatencyStrain);
     Span patience =
         new Span((long) (usual * (2 + 4.0 / Math.max(1, node.load().inFlight()))))
@@ -1465,8 +1382,12 @@
             .backOffUntil(
                 now.plus(
                     new Span(
-                        (long) (typicalTime * (1 << node.health().consecutiveFullAnswers()) / 2))));
-        if (now.since(node.load().capacityReducedAt()).isLongerThan(new Span((long) typicalTime))) {
+                        (long)
+                            (serviceTimes.overallMicros()
+                                * (1 << node.health().consecutiveFullAnswers())
+                                / 2))));
+        if (now.since(node.load().capacityReducedAt())
+            .isLongerThan(new Span((long) serviceTimes.overallMicros()))) {
           node.load()
               .reduceCapacity(
                   now,
@@ -1522,11 +1443,11 @@
     }
     if (ending == AttemptOutcome.COMPLETED) {
       learnStrain(node, statement, took);
-      typicalTimes[statement.workloadIndex()] +=
-          LEARN / 4 * (took.micros() - typicalTimes[statement.workloadIndex()]);
-      typicalTime += LEARN / 4 * (took.micros() - typicalTime);
+      serviceTimes.recordCompletion(statement.workloadIndex(), took);
       // Only what was answered shows what a node can bear; what is sent may be a storm of retries.
-      node.load().answeredWork().add(now, FORGIVEN, typicalTimes[statement.workloadIndex()]);
+      node.load()
+          .answeredWork()
+          .add(now, FORGIVEN, serviceTimes.typicalMicros(statement.workloadIndex()));
     }
     node.load().clearUnansweredIfIdle();
     if (node.load().capacity() < 1) {
@@ -1567,7 +1488,7 @@
    * takes.
    */
   private double abandonedAttempts(Endpoint node) {
-    return node.load().abandonedAttempts().at(now, new Span((long) typicalTime));
+    return node.load().abandonedAttempts().at(now, new Span((long) serviceTimes.overallMicros()));
   }
 
   private boolean hasCapacity(Endpoint node, double share) {
@@ -1648,21 +1569,11 @@
     }
     if (node.health().isDown() && now.since(node.health().downSince()).isLongerThan(SECOND)) {
       // The list tells of a restart only seconds later.
-      started(node, now);
+      slowStart.recordStart(node, now);
     }
     node.health().markUp();
   }
 
-  /**
-   * One execution of each router at once would topple a node, so each waits a random part of its
-   * share.
-   */
-  void started(Endpoint node, Moment at) {
-    if (at.isAfter(node.warmUp().startedAt())) {
-      node.warmUp().recordStart(at, now, chance.nextDouble() * typicalTime);
-    }
-  }
-
   // Polls may go unanswered where the node serves: what it answered lately counts for more, and it
   // stays
   // open to a trial, or a router that polls rarely would do without it for long.
@@ -1691,80 +1602,6 @@
 
   // ---- Cold nodes.
 
-  double warmUpShare(Endpoint node) {
-    return agreed.warmUp().at(now.since(node.warmUp().startedAt()));
-  }
-
-  double remainingWork(Endpoint node) {
-    double faded =
-        allowedWorkPerSecond(node)
-            * (1 - COLD_BURST)
-            * now.since(node.warmUp().chargedAt()).over(SECOND);
-    return Math.max(0, node.warmUp().chargedMicros() - faded);
-  }
-
-  // The work a second that this router may add to a cold node: what warm members bear from it is
-  // its share
-  // of what a node can do. Where a whole group is cold, the warm nodes of the others are the
-  // yardstick.
-  double allowedWorkPerSecond(Endpoint node) {
-    double perSize = workPerSize(membersInUse(node.group()));
-    double borne =
-        (perSize > 0
-                ? perSize
-                : warmCapacity.perSize(endpoints, this::isWarm, this::answeredWorkPerSecond))
-            * node.relativeSize();
-    return Math.max(
-        COLD_SAFETY * agreed.warmUp().topplesAt() * warmUpShare(node) * borne,
-        typicalTime / agreed.warmUp().topplesIn().over(SECOND) / agreed.standing().routers());
-  }
-
-  private double workPerSize(Collection<Endpoint> among) {
-    double sum = 0;
-    double size = 0;
-    for (Endpoint node : among) {
-      if (isWarm(node)) {
-        sum += answeredWorkPerSecond(node);
-        size += node.relativeSize();
-      }
-    }
-    return size == 0 ? 0 : sum / size;
-  }
-
-  private boolean isWarm(Endpoint node) {
-    return listedForUse(node) && !node.health().isDown() && warmUpShare(node) >= 1;
-  }
-
-  private double answeredWorkPerSecond(Endpoint node) {
-    return node.load().answeredWork().at(now, FORGIVEN) / FORGIVEN.over(SECOND);
-  }
-
-  /**
-   * A statement that has just come, where this router has sent nothing to the server since its
-   * start. Routers with little traffic each would wait for longer than the server takes to warm up
-   * before their shares added up to one statement. What arrives is spread over time by itself;
-   * thinned, its sum stays within the budget. What has waited is not: all routers may have some,
-   * and would send it at once.
-   */
-  private boolean isAdmittedAsFirst(Endpoint node, Statement statement) {
-    if (!node.warmUp().isUnusedSinceStart()
-        || statement.attempts() > 0
-        || !statement.receivedAt().equals(now)) {
-      return false;
-    }
-    double share =
-        statement.workload().onlyPrimary()
-            ? COLD_SAFETY * agreed.warmUp().topplesAt() * warmUpShare(node)
-            : warmUpShare(node);
-    return chance.nextDouble() < share;
-  }
-
-  private boolean hasBudget(Endpoint node, double work) {
-    double burst =
-        allowedWorkPerSecond(node) * COLD_BURST * agreed.warmUp().topplesIn().over(SECOND);
-    return remainingWork(node) <= 0 || remainingWork(node) + work <= burst;
-  }
-
   // ---- Polls and waking.
 
   private void pollNow(Endpoint node) {
@@ -1778,7 +1615,7 @@
 
   private void pollDue() {
     for (Endpoint node : polls.takeDue(now)) {
-      if ((node.lifecycle() == EndpointLifecycle.GONE && !listedForUse(node))
+      if ((node.lifecycle() == EndpointLifecycle.GONE && !context.isListedForUse(node))
           || !agreed.allowance().polls()) {
         node.polling().pollEnded();
         node.polling().scheduleAt(Moment.NEVER);
@@ -1817,7 +1654,7 @@
     }
     double rate =
         node.group().statementRate().at(now, REMEMBERED)
-            / Math.max(1, membersInUse(node.group()).size());
+            / Math.max(1, subsets.membersInUse(node.group()).size());
     double perSecond = POLL_POINTS / agreed.standing().pollPrice() * rate;
     return Span.ofMillis(1_000 / Math.max(1e-3, perSecond)).longer(cadence).shorter(RAREST_POLL);
   }
--- a/router/src/main/java/basaltlever/model/WarmUpState.java
+++ b/router/src/main/java/basaltlever/model/WarmUpState.java
@@ -45,9 +45,9 @@
   }
 
   /** Takes over what an earlier process charged. */
-  public void restore(Moment now, double totalMicros, boolean wasUsed) {
+  public void restore(Moment now, double totalMicros, boolean wasUnused) {
     chargedMicros = totalMicros;
     chargedAt = now;
-    unusedSinceStart &= !wasUsed;
+    unusedSinceStart &= wasUnused;
   }
 }
