--- a/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
+++ b/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
@@ -119,7 +119,7 @@
     }
     if (view.primary() && balance.agreed.allowance().polls() && !node.polling().isInFlight()) {
       // Asked before all others, in whatever order the list names them.
-      balance.poll(node);
+      balance.polls.send(node);
     }
   }
 
--- a/router/src/main/java/basaltlever/balancer/LoadBalancer.java
+++ b/router/src/main/java/basaltlever/balancer/LoadBalancer.java
@@ -1,7 +1,5 @@
 package basaltlever.balancer;
 
-import basaltlever.endpoints.PollSchedule;
-import basaltlever.endpoints.PolledGroups;
 import basaltlever.endpoints.PrimarySearch;
 import basaltlever.endpoints.ReplicaSubset;
 import basaltlever.gateway.AttemptOutcome;
@@ -44,14 +42,10 @@
  * docs/design.md tells their sources.
  */
 public final class LoadBalancer {
-  private static final Span SCAN = Span.ofMillis(10);
-  private static final Span RAREST_POLL = Span.ofMillis(30_000);
 
   /** Rooms are looked over once a scan: a patience of less would be over before the second look. */
-  private static final Span LEAST_PATIENCE = SCAN.times(3);
+  private static final Span LEAST_PATIENCE = Timing.SCAN_INTERVAL.times(3);
 
-  private static final Span FASTEST_POLL = Span.ofMillis(100);
-  private static final Span HOLD_POLL = Span.ofMillis(200);
   private static final Span FIRST_REPORT_AGE = Span.ofMillis(500);
   private static final Span LEAST_SILENCE = Span.ofMillis(150);
   private static final Span TRIAL = Span.ofMillis(500);
@@ -59,7 +53,6 @@
   static final Span REMEMBERED = Span.ofMillis(15_000);
   static final Span SECOND = Span.ofMillis(1_000);
   private static final Span FIRST_BACKOFF = Span.ofMillis(250);
-  private static final double POLL_POINTS = 0.005;
   private static final double LEARN = 0.1;
   private static final int SESSIONS = 20_000;
   private static final double STRAINED = 0.24;
@@ -84,12 +77,6 @@
   private static final double UNTOLD_UTIL = 0.5;
   private static final int MOST_PREPARED = 16;
 
-  /**
-   * Statements a second of a group that is asked again and again: a second one while the first is
-   * remembered.
-   */
-  private static final double REGULAR = 1.5 / REMEMBERED.over(SECOND);
-
   private static final Comparator<Endpoint> BY_RANK =
       Comparator.comparingInt(node -> node.ringOrder());
 
@@ -100,19 +87,13 @@
   private final GroupSubsets subsets;
   final EndpointTable table;
   final SlowStart slowStart;
+  final PollScheduler polls;
+  private final GroupPolling groupPolling;
   private final DecisionSink outbound;
   private final SplittableRandom chance;
   Settings agreed;
-  private Span cadence;
-
-  /** Listed anew, or by other rules, and to be polled where their group is watched. */
-  private final List<Endpoint> relisted = new ArrayList<>();
 
   private final Set<Endpoint> gone = new LinkedHashSet<>();
-  private final PolledGroups watchedGroups = new PolledGroups();
-  private final PollSchedule polls = new PollSchedule(SECOND.plus(SCAN));
-  private boolean lookedAround;
-  private String toldWatched = "";
   private Statement[] statements = new Statement[256];
   private final List<Statement> open = new ArrayList<>();
   private final ArrayDeque<Statement> unplaced = new ArrayDeque<>();
@@ -151,6 +132,8 @@
     subsets = new GroupSubsets(context);
     table = new EndpointTable(context, holds);
     slowStart = new SlowStart(context, serviceTimes, subsets, table);
+    polls = new PollScheduler(context, subsets);
+    groupPolling = new GroupPolling(context, table, subsets, polls);
     rules =
         new Rule[] {
           new Rule("ask for the list", () -> !now.isBefore(watchDue), this::askForList),
@@ -162,7 +145,10 @@
               () -> evaluate(changed.poll())),
           new Rule("place a statement", () -> !unplaced.isEmpty(), () -> dispatch(unplaced.poll())),
           new Rule("look over what is open", () -> !now.isBefore(scanDue), this::scan),
-          new Rule("poll who is due", () -> !now.isBefore(polls.next()), this::pollDue),
+          new Rule(
+              "poll who is due",
+              () -> !now.isBefore(polls.nextAt()),
+              () -> polls.sendDue(node -> pollMissed(node, false))),
           new Rule("ask to be woken", () -> nextWake().isBefore(wakeAt), this::wake),
         };
     agree(start, agreed);
@@ -179,16 +165,7 @@
     agreed = by;
     context.applySettings(at, by);
     serviceTimes.applySettings(by.workloads());
-    Span tightest =
-        Arrays.stream(agreed.workloads())
-            .filter(kind -> kind.needs() == ReadConsistency.BOUNDED)
-            .map(Workload::bound)
-            .reduce(SECOND.times(4), Span::shorter);
-    cadence =
-        tightest
-            .times(agreed.replication().replicasCheck() ? 0.5 : 0.25)
-            .longer(FASTEST_POLL)
-            .shorter(SECOND);
+    polls.applySettings();
     for (Statement statement : open) {
       if (statement.attemptsInFlight() > 1 && !agreed.allowance().secondCopies()) {
         cancelAttempts(statement, statement.firstInFlight() + 1);
@@ -198,7 +175,7 @@
     table.endpoints().stream()
         .filter(Objects::nonNull)
         .forEach(node -> relist(node, node.lifecycle()));
-    pollRelisted();
+    groupPolling.pollRelisted();
   }
 
   void advanceTo(Moment at) {
@@ -265,8 +242,8 @@
       }
     }
     forgetGone();
-    watchGroups();
-    pollRelisted();
+    groupPolling.chooseGroups();
+    groupPolling.pollRelisted();
     if (answered) {
       watchDue = askedAt = Moment.NEVER;
       watchBackoff = FIRST_BACKOFF;
@@ -287,20 +264,6 @@
     }
   }
 
-  /**
-   * Where there is room for all groups, all are watched; else each router begins with others, so
-   * that routers which start together don't ask the same servers.
-   */
-  private void watchGroups() {
-    watchedGroups.recount().forEach(this::watchNoMore);
-    if (relisted.isEmpty() || watchedGroups.admitAll(table.groups())) {
-      return;
-    }
-    if (!lookedAround) {
-      lookAround();
-    }
-  }
-
   /** Positions that are known were dated by a clock that was wrong: each has to be proven anew. */
   public void forgetPositions(Moment at) {
     advanceTo(at);
@@ -311,68 +274,6 @@
     }
   }
 
-  /** To the log of whoever is on call, where it has changed. */
-  public void reportPolledGroups() {
-    int listed = 0;
-    for (Endpoint node : table.endpoints()) {
-      listed += node != null && node.lifecycle() != EndpointLifecycle.GONE ? 1 : 0;
-    }
-    String told = watchedGroups.size() + " " + watchedGroups.members() + " " + listed;
-    if (!told.equals(toldWatched)) {
-      toldWatched = told;
-      outbound.watched(watchedGroups.size(), watchedGroups.members(), listed);
-    }
-  }
-
-  /**
-   * A first look at a part of a long list, so that the first statements find some roles and open
-   * connections.
-   */
-  private void lookAround() {
-    lookedAround = true;
-    List<ReplicaGroup> order =
-        new ArrayList<>(new LinkedHashSet<>(relisted.stream().map(node -> node.group()).toList()));
-    Collections.rotate(order, -subsets.startPosition(order.size()));
-    int looked = 0;
-    for (ReplicaGroup group : order) {
-      for (Endpoint member : subsets.membersInUse(group)) {
-        if (looked++ < PolledGroups.FIRST_LOOK) {
-          pollNow(member);
-        }
-      }
-    }
-  }
-
-  private void watchNoMore(ReplicaGroup group) {
-    for (Endpoint member : subsets.membersInUse(group)) {
-      if (!member.polling().isInFlight()) {
-        member.polling().scheduleAt(Moment.NEVER);
-        polls.update(member);
-      }
-    }
-  }
-
-  private void pollRelisted() {
-    for (Endpoint node : relisted) {
-      if (isPolledRegularly(node)) {
-        pollNow(node);
-      }
-    }
-    relisted.clear();
-  }
-
-  /**
-   * Polled all the time: in a watched group, and of a large one only who is in this router's
-   * subset.
-   */
-  private boolean isPolledRegularly(Endpoint node) {
-    ReplicaGroup group = node.group();
-    return group.isPolledRegularly()
-        && (group.members().size() <= ReplicaSubset.LEAST
-            || node == group.primary()
-            || subsets.membersInUse(group).contains(node));
-  }
-
   /**
    * The notice does not tell whether the watch still stands, so it is asked for anew in any case.
    */
@@ -420,50 +321,21 @@
     statements = id < statements.length ? statements : Arrays.copyOf(statements, 2 * id);
     statements[id] = statement;
     open.add(statement);
-    statement.group().statementRate().add(now, REMEMBERED, 1 / REMEMBERED.over(SECOND));
-    if (!statement.group().isPolledRegularly() && bearsPolls(statement.group())) {
-      watchByTraffic(statement.group());
-    }
-    scanDue = scanDue.earlier(now.plus(SCAN));
+    groupPolling.statementArrived(statement.group());
+    scanDue = scanDue.earlier(now.plus(Timing.SCAN_INTERVAL));
     unplaced.add(statement);
     settle();
   }
 
-  /** Asked again and again, so often that its statements pay for polls at the rarest. */
-  private boolean bearsPolls(ReplicaGroup group) {
-    double rate = group.statementRate().at(now, REMEMBERED);
-    double perSecond =
-        agreed.standing().pollPrice() <= 0
-            ? rate
-            : POLL_POINTS
-                / agreed.standing().pollPrice()
-                * rate
-                / Math.max(1, subsets.membersInUse(group).size());
-    return rate > REGULAR && perSecond * RAREST_POLL.over(SECOND) >= 1;
-  }
-
-  private void watchByTraffic(ReplicaGroup group) {
-    watchedGroups
-        .admitByTraffic(group, one -> one.statementRate().at(now, REMEMBERED))
-        .forEach(this::watchNoMore);
-    if (group.isPolledRegularly()) {
-      for (Endpoint member : subsets.membersInUse(group)) {
-        member
-            .polling()
-            .scheduleAt(
-                member
-                    .polling()
-                    .nextPollAt()
-                    .earlier(now.plus(pollPeriod(member).times(chance.nextDouble()))));
-        polls.update(member);
-      }
-    }
-  }
-
   public boolean needsFresh(int id) {
     return statements[id].workload().needs() == ReadConsistency.FRESH;
   }
 
+  /** Reports to on-call how much of the list is polled regularly, where that has changed. */
+  public void reportPolledGroups() {
+    groupPolling.report();
+  }
+
   /** False where no such execution is out. */
   public boolean attemptEnded(
       Moment at,
@@ -489,7 +361,7 @@
       connectionScarcity.move(
           now, REMEMBERED, statement.openedConnection(execution) ? LEARN : 0, 0);
     } else if (ending == AttemptOutcome.NO_CONNECTION
-        && now.since(sent).isShorterThan(FASTEST_POLL)) {
+        && now.since(sent).isShorterThan(PollScheduler.MIN_INTERVAL)) {
       node.load().recordRefusedConnection(now);
     }
     if (connectionScarcity.at(now, REMEMBERED) > 0.2
@@ -559,7 +431,9 @@
       // Nothing is known of the node by it: asked again when the next poll would be due.
       node.polling()
           .scheduleAt(
-              isPolledRegularly(node) ? now.plus(pollPeriod(node).longer(SECOND)) : Moment.NEVER);
+              polls.isPolledRegularly(node)
+                  ? now.plus(polls.interval(node).longer(SECOND))
+                  : Moment.NEVER);
     } else if (ending == AttemptOutcome.COMPLETED) {
       markUp(node);
       // Whoever has statements waiting has no core to spare; how many cores it has is not told.
@@ -578,7 +452,7 @@
       if (role == Role.PRIMARY) {
         // A primary stands at the present, so the position in its report dates the claim.
         reportedPrimary(node, sane ? position : node.polling().sentAt());
-        Span age = sane ? now.since(position).shorter(RAREST_POLL) : reportAge;
+        Span age = sane ? now.since(position).shorter(PollScheduler.MAX_INTERVAL) : reportAge;
         node.group().setMaxReportAge(reportAge.times(0.9).longer(age));
       } else if (role == Role.REPLICA) {
         // The report may be older than an answer that said primary.
@@ -590,7 +464,12 @@
       node.health().recordAnswer();
       node.group().recordAnswer();
       node.polling()
-          .scheduleAt(now.plus(pollPeriod(node).longer(HOLD_POLL).times(1 + chance.nextDouble())));
+          .scheduleAt(
+              now.plus(
+                  polls
+                      .interval(node)
+                      .longer(PollScheduler.HOLD_INTERVAL)
+                      .times(1 + chance.nextDouble())));
     } else {
       pollMissed(node, ending == AttemptOutcome.NO_CONNECTION || ending == AttemptOutcome.RESET);
     }
@@ -646,7 +525,7 @@
   void relist(Endpoint node, EndpointLifecycle state) {
     node.setLifecycle(state);
     node.group().subset().markStale();
-    relisted.add(node);
+    groupPolling.endpointRelisted(node);
     if (state == EndpointLifecycle.GONE) {
       gone.add(node);
     }
@@ -698,12 +577,12 @@
       return;
     }
     for (Endpoint member : group.members()) {
-      pollWithin(
+      polls.pollWithin(
           member,
           now.since(group.holdSince())
-              .shorter(pollPeriod(member).times(0.5))
+              .shorter(polls.interval(member).times(0.5))
               .shorter(SECOND)
-              .longer(HOLD_POLL));
+              .longer(PollScheduler.HOLD_INTERVAL));
     }
   }
 
@@ -712,10 +591,10 @@
    * group.
    */
   private void search(ReplicaGroup group) {
-    Span pause = now.since(group.holdSince()).shorter(SECOND).longer(HOLD_POLL);
+    Span pause = now.since(group.holdSince()).shorter(SECOND).longer(PollScheduler.HOLD_INTERVAL);
     PrimarySearch.next(
             group, now, pause, subsets.startPosition(group.members().size()), this::mayBePrimary)
-        .forEach(node -> pollWithin(node, HOLD_POLL));
+        .forEach(node -> polls.pollWithin(node, PollScheduler.HOLD_INTERVAL));
   }
 
   /** One that has just said that it is none need not be asked, but while its group elects. */
@@ -855,9 +734,11 @@
                   group.primary().load().inFlight() + group.primary().load().idleConnections()));
     }
     if (change.needsFrequentPolls()) {
-      subsets.membersInUse(group).forEach(member -> pollWithin(member, HOLD_POLL));
+      subsets
+          .membersInUse(group)
+          .forEach(member -> polls.pollWithin(member, PollScheduler.HOLD_INTERVAL));
       if (target != null && target.group() == group) {
-        pollWithin(target, HOLD_POLL);
+        polls.pollWithin(target, PollScheduler.HOLD_INTERVAL);
       }
     }
   }
@@ -947,7 +828,7 @@
                 && StatementOrder.BY_PRIORITY.compare(group.waitingReads().peek(), statement) < 0);
     // Hundreds of routers, each with room for one, would leave it none for what only it may take.
     if (now.since(primary.polling().sentAt()).isLongerThan(TRIAL)) {
-      pollNow(primary);
+      polls.pollNow(primary);
     }
     boolean told =
         (!primary.polling().isInFlight() && now.isBefore(primary.polling().nextPollAt()))
@@ -982,7 +863,7 @@
     for (Endpoint member : subsets.candidates(group)) {
       if (member.health().isDown() && !group.isPolledRegularly()) {
         // Polled by nobody else: whether it is back is asked when it is missed.
-        pollWithin(member, retryPause(member));
+        polls.pollWithin(member, polls.backoff(member));
       }
       if (member == group.primary()
           || statement.wasSentTo(member)
@@ -1322,7 +1203,7 @@
         }
       }
     }
-    scanDue = open.isEmpty() ? Moment.NEVER : now.plus(SCAN);
+    scanDue = open.isEmpty() ? Moment.NEVER : now.plus(Timing.SCAN_INTERVAL);
   }
 
   /**
@@ -1337,7 +1218,7 @@
             .longer(LEAST_SILENCE);
     if (!node.health().isSilent()
         && now.since(node.load().unansweredSince().later(sent)).isLongerThan(patience)) {
-      pollNow(node);
+      polls.pollNow(node);
       markSilent(node);
     }
   }
@@ -1421,7 +1302,7 @@
           recordFailure(node, 1);
         }
         learnStrain(node, statement, took);
-        pollNow(node);
+        polls.pollNow(node);
       }
     }
     boolean late = !took.isShorterThan(statement.workload().slo().times(0.9));
@@ -1429,7 +1310,7 @@
         !node.load().reportsCpu()
             && now.since(node.polling().sentAt()).isLongerThan(SECOND.times(2));
     if (late && now.since(node.polling().sentAt()).isLongerThan(SECOND)) {
-      pollNow(node);
+      polls.pollNow(node);
     }
     boolean jammed =
         (late && (node.load().cpuUtilization() > BUSY || untold)) || ending == AttemptOutcome.FULL;
@@ -1553,7 +1434,7 @@
       node.group().subset().markStale();
     }
     node.health().markDown(now);
-    pollNow(node);
+    polls.pollNow(node);
     losePrimary(node);
   }
 
@@ -1585,82 +1466,23 @@
     } else if (node.polling().missedPolls() > 1 && !serves && !node.health().isSilent()) {
       markSilent(node);
     }
-    boolean asksAgain = isPolledRegularly(node) || node.polling().missedPolls() == 1;
+    boolean asksAgain = polls.isPolledRegularly(node) || node.polling().missedPolls() == 1;
     node.polling()
         .scheduleAt(
             !asksAgain
                 ? Moment.NEVER
                 : now.plus(
-                    refused || node.polling().missedPolls() > 1 ? retryPause(node) : FASTEST_POLL));
-  }
-
-  private Span retryPause(Endpoint node) {
-    return HOLD_POLL
-        .times(1 << Math.min(7, node.polling().missedPolls()))
-        .shorter(pollPeriod(node));
+                    refused || node.polling().missedPolls() > 1
+                        ? polls.backoff(node)
+                        : PollScheduler.MIN_INTERVAL));
   }
 
   // ---- Cold nodes.
 
   // ---- Polls and waking.
 
-  private void pollNow(Endpoint node) {
-    pollWithin(node, FASTEST_POLL);
-  }
-
-  private void pollWithin(Endpoint node, Span sinceTheLast) {
-    node.polling().scheduleBy(node.polling().sentAt().plus(sinceTheLast).later(now));
-    polls.update(node);
-  }
-
-  private void pollDue() {
-    for (Endpoint node : polls.takeDue(now)) {
-      if ((node.lifecycle() == EndpointLifecycle.GONE && !context.isListedForUse(node))
-          || !agreed.allowance().polls()) {
-        node.polling().pollEnded();
-        node.polling().scheduleAt(Moment.NEVER);
-        continue;
-      }
-      if (node.polling().isInFlight() && now.since(node.polling().sentAt()).isLongerThan(SECOND)) {
-        node.polling().pollEnded();
-        pollMissed(node, false);
-      }
-      if (!node.polling().isInFlight() && !now.isBefore(node.polling().nextPollAt())) {
-        poll(node);
-      } else {
-        polls.update(node);
-      }
-    }
-  }
-
-  void poll(Endpoint node) {
-    node.polling().pollSent(now);
-    node.polling()
-        .scheduleAt(
-            isPolledRegularly(node)
-                ? now.plus(pollPeriod(node).times(0.75 + 0.5 * chance.nextDouble()))
-                : Moment.NEVER);
-    polls.update(node);
-    outbound.poll(node.id());
-  }
-
-  // Often enough to show replicas inside the tightest bound, as far as the polls bear a price that
-  // goes
-  // with what this router itself has to send: then all routers together stay below it, however
-  // many.
-  private Span pollPeriod(Endpoint node) {
-    if (agreed.standing().pollPrice() <= 0) {
-      return cadence;
-    }
-    double rate =
-        node.group().statementRate().at(now, REMEMBERED)
-            / Math.max(1, subsets.membersInUse(node.group()).size());
-    double perSecond = POLL_POINTS / agreed.standing().pollPrice() * rate;
-    return Span.ofMillis(1_000 / Math.max(1e-3, perSecond)).longer(cadence).shorter(RAREST_POLL);
-  }
-
   private Moment nextWake() {
-    return watchDue.earlier(scanDue).earlier(polls.next()).earlier(changeDue);
+    return watchDue.earlier(scanDue).earlier(polls.nextAt()).earlier(changeDue);
   }
 
   private void wake() {
