--- a/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
+++ b/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
@@ -23,34 +23,37 @@
 
   /** What has been learned of a node by now, without a word on who it is. */
   public EndpointState learned(Moment at, int id) {
-    balance.now = at;
+    balance.advanceTo(at);
     Moment now = at;
-    Endpoint node = balance.node(id);
-    ReplicaGroup home = node.group;
-    Moment denied = home.lost == node ? node.denied.later(home.holdSince) : node.denied;
-    boolean cold = balance.warmth(node) < 1;
+    Endpoint node = balance.table.endpoint(id);
+    ReplicaGroup home = node.group();
+    Moment denied =
+        home.lostPrimary() == node
+            ? node.roles().lastNotPrimaryReportAt().later(home.holdSince())
+            : node.roles().lastNotPrimaryReportAt();
+    boolean cold = balance.slowStart.warmUpShare(node) < 1;
     return new EndpointState(
-        home.number,
-        Math.max(0, node.listedStart.micros()),
-        !balance.listedForUse(node),
-        home.primary == node,
-        ago(node.startedAt),
+        home.number(),
+        Math.max(0, node.listedStart().micros()),
+        !balance.context.isListedForUse(node),
+        home.primary() == node,
+        ago(node.warmUp().startedAt()),
         ago(denied),
-        node.silent,
-        node.down ? ago(node.downSince) : EndpointState.NEVER,
-        Math.min(1, balance.failing(node)),
-        node.strained.at(now, LoadBalancer.FORGIVEN),
-        node.room,
-        node.fullInRow,
-        node.restsUntil.since(now).longer(Span.NONE),
-        balance.lag(node),
-        cold ? node.coldWork / balance.typicalOfAll : 0,
-        cold ? ago(node.coldAt) : EndpointState.NEVER);
+        node.health().isSilent(),
+        node.health().isDown() ? ago(node.health().downSince()) : EndpointState.NEVER,
+        Math.min(1, balance.failureRate(node)),
+        node.load().latencyStrain().at(now, LoadBalancer.FORGIVEN),
+        node.load().capacity(),
+        node.health().consecutiveFullAnswers(),
+        node.health().backoffUntil().since(now).longer(Span.NONE),
+        balance.estimatedLag(node),
+        balance.slowStart.chargedStatements(node),
+        cold ? ago(node.warmUp().chargedAt()) : EndpointState.NEVER);
   }
 
   /** Executions that are out at it. */
   public int out(int id) {
-    return balance.node(id).out;
+    return balance.table.endpoint(id).load().inFlight();
   }
 
   private Span ago(Moment then) {
@@ -58,16 +61,16 @@
   }
 
   public List<GroupState> learnedOfGroups(Moment at) {
-    balance.now = at;
+    balance.advanceTo(at);
     Moment now = at;
-    return balance.groups.values().stream()
-        .sorted(Comparator.comparingInt(group -> group.number))
+    return balance.table.groups().stream()
+        .sorted(Comparator.comparingInt(group -> group.number()))
         .map(
             group ->
                 new GroupState(
-                    group.number,
-                    group.jam.at(now, LoadBalancer.REMEMBERED),
-                    group.primaryJam.at(now, LoadBalancer.REMEMBERED)))
+                    group.number(),
+                    group.replicaCongestion().at(now, LoadBalancer.REMEMBERED),
+                    group.primaryCongestion().at(now, LoadBalancer.REMEMBERED)))
         .toList();
   }
 
@@ -77,45 +80,46 @@
    * tighter one holds.
    */
   public void recalled(Moment at, int id, EndpointState view) {
-    balance.now = at;
+    balance.advanceTo(at);
     Moment now = at;
-    Endpoint node = balance.node(id);
-    node.denied = node.denied.later(then(view.deniedAgo()).earlier(now.plus(LoadBalancer.SECOND)));
-    node.failing.set(now, Math.max(balance.failing(node), view.failing()));
-    node.strained.set(now, Math.max(node.strained.at(now, LoadBalancer.FORGIVEN), view.strained()));
-    node.room = Math.max(LoadBalancer.LEAST_ROOM, Math.min(node.room, view.room()));
-    node.fullInRow = Math.min(5, Math.max(node.fullInRow, view.turnedAway()));
-    node.restsUntil = node.restsUntil.later(now.plus(view.rests().shorter(LoadBalancer.SECOND)));
-    balance.sight(node, balance.lag(node).longer(view.lag()));
-    if (view.silent() && !node.silent) {
-      balance.fallSilent(node);
+    Endpoint node = balance.table.endpoint(id);
+    node.roles().recordNotPrimary(then(view.deniedAgo()).earlier(now.plus(LoadBalancer.SECOND)));
+    node.health().failureRate().set(now, Math.max(balance.failureRate(node), view.failing()));
+    node.load()
+        .latencyStrain()
+        .set(
+            now,
+            Math.max(node.load().latencyStrain().at(now, LoadBalancer.FORGIVEN), view.strained()));
+    node.load()
+        .setCapacity(
+            Math.max(LoadBalancer.LEAST_ROOM, Math.min(node.load().capacity(), view.room())));
+    node.health().restoreFullAnswers(view.turnedAway());
+    node.health()
+        .backOffUntil(
+            node.health()
+                .backoffUntil()
+                .later(now.plus(view.rests().shorter(LoadBalancer.SECOND))));
+    balance.observeLag(node, balance.estimatedLag(node).longer(view.lag()));
+    if (view.silent() && !node.health().isSilent()) {
+      balance.markSilent(node);
     }
-    if (view.isDown() && !node.down) {
-      balance.goDown(node);
-      node.downSince = then(view.downFor());
+    if (view.isDown() && !node.health().isDown()) {
+      balance.markDown(node);
+      node.health().restoreDownSince(then(view.downFor()));
     }
-    balance.starts(node, then(view.startedAgo()));
-    if (balance.warmth(node) < 1) {
-      // Of what has come back since, only what the least rate gives: the yardstick is not known
-      // yet.
-      Moment since = then(view.coldAgo()).later(Moment.LONG_AGO).earlier(now);
-      double back =
-          balance.coldRate(node)
-              * (1 - LoadBalancer.COLD_BURST)
-              * now.since(since).over(LoadBalancer.SECOND);
-      node.coldWork =
-          Math.max(balance.coldLevel(node), view.coldSpent() * balance.typicalOfAll - back);
-      node.coldAt = now;
+    balance.slowStart.recordStart(node, then(view.startedAgo()));
+    if (balance.slowStart.warmUpShare(node) < 1) {
       // What the earlier process sent counts as this one's: a restart is no fresh budget.
-      node.coldUntried &= view.coldSpent() <= 0;
+      balance.slowStart.restoreCharge(
+          node, view.coldSpent(), then(view.coldAgo()).later(Moment.LONG_AGO).earlier(now));
     }
-    if (view.drains() && node.listing != EndpointLifecycle.GONE) {
-      node.drainSeen = true;
+    if (view.drains() && node.lifecycle() != EndpointLifecycle.GONE) {
+      node.setWasDraining(true);
       balance.relist(node, EndpointLifecycle.DRAINING);
     }
-    if (view.primary() && balance.agreed.allowance().polls() && !node.pollOut) {
+    if (view.primary() && balance.agreed.allowance().polls() && !node.polling().isInFlight()) {
       // Asked before all others, in whatever order the list names them.
-      balance.poll(node);
+      balance.polls.send(node);
     }
   }
 
@@ -124,13 +128,21 @@
   }
 
   public void recalled(Moment at, GroupState view) {
-    balance.now = at;
+    balance.advanceTo(at);
     Moment now = at;
-    ReplicaGroup group = balance.groups.get(view.group());
+    ReplicaGroup group = balance.table.knownGroup(view.group());
     if (group != null) {
-      group.jam.set(now, Math.max(group.jam.at(now, LoadBalancer.REMEMBERED), view.jam()));
-      group.primaryJam.set(
-          now, Math.max(group.primaryJam.at(now, LoadBalancer.REMEMBERED), view.primaryJam()));
+      group
+          .replicaCongestion()
+          .set(
+              now,
+              Math.max(group.replicaCongestion().at(now, LoadBalancer.REMEMBERED), view.jam()));
+      group
+          .primaryCongestion()
+          .set(
+              now,
+              Math.max(
+                  group.primaryCongestion().at(now, LoadBalancer.REMEMBERED), view.primaryJam()));
     }
   }
 }
