--- a/router/src/main/java/basaltlever/fleet/AdminClient.java
+++ b/router/src/main/java/basaltlever/fleet/AdminClient.java
@@ -7,25 +7,35 @@
 import java.net.Socket;
 import java.util.Map;
 
-/** A command's question to one instance: one message there, one back. */
+/** Sends one request to one instance over a connection of its own and reads the reply. */
 public final class AdminClient {
-  private static final int PATIENCE_MILLIS = 5_000;
-  private static final int CONNECTS_MILLIS = 1_000;
+  private static final int REPLY_TIMEOUT_MILLIS = 5_000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
   private AdminClient() {}
 
-  /** Throws where it can't be reached, or does not answer in 5 s. */
+  /** Throws where the instance can't be reached, or doesn't answer in 5 s. */
+  public static FleetReply send(InetSocketAddress at, FleetRequest request) throws IOException {
+    return send(at, request, REPLY_TIMEOUT_MILLIS);
+  }
+
+  /** Throws where the instance can't be reached, or doesn't answer before the timeout. */
+  static FleetReply send(InetSocketAddress at, FleetRequest request, int timeoutMillis)
+      throws IOException {
+    return ReplyCodec.decode(exchange(at, RequestCodec.encode(request), timeoutMillis));
+  }
+
+  /** As {@link #send}, with the fields of the messages as they are on the wire. */
   public static Map<String, Object> ask(InetSocketAddress at, Map<String, Object> message)
       throws IOException {
-    return ask(at, message, PATIENCE_MILLIS);
+    return exchange(at, message, REPLY_TIMEOUT_MILLIS);
   }
 
-  /** Throws where it does not answer in so long. */
-  static Map<String, Object> ask(
-      InetSocketAddress at, Map<String, Object> message, int patienceMillis) throws IOException {
+  private static Map<String, Object> exchange(
+      InetSocketAddress at, Map<String, Object> message, int timeoutMillis) throws IOException {
     try (Socket socket = new Socket()) {
-      socket.connect(at, Math.min(CONNECTS_MILLIS, patienceMillis));
-      socket.setSoTimeout(patienceMillis);
+      socket.connect(at, Math.min(CONNECT_TIMEOUT_MILLIS, timeoutMillis));
+      socket.setSoTimeout(timeoutMillis);
       byte[] bytes = MessageCodec.write(message);
       DataOutputStream out = new DataOutputStream(socket.getOutputStream());
       out.writeInt(bytes.length);
--- /dev/null
+++ b/router/src/main/java/basaltlever/fleet/FleetLeader.java
@@ -0,0 +1,305 @@
+package basaltlever.fleet;
+
+import basaltlever.config.FleetSettings;
+import basaltlever.log.Event;
+import basaltlever.log.RateLimitedLog;
+import basaltlever.membership.HeartbeatReport;
+import basaltlever.membership.ListAnomaly;
+import basaltlever.membership.MembershipCoordinator;
+import basaltlever.membership.MembershipCoordinator.ListFork;
+import basaltlever.membership.MembershipUpdate;
+import basaltlever.settings.LeaseGrant;
+import basaltlever.settings.LeaseTable;
+import basaltlever.settings.LeaseTable.Peer;
+import basaltlever.settings.VersionRegister;
+import basaltlever.time.Moment;
+import io.netty.channel.EventLoop;
+import java.io.IOException;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.slf4j.event.Level;
+
+/**
+ * The leader's side of a voter: grants leases, confirms that it still leads, and submits the
+ * commands that follow from what the routers report. All methods run on the voter's event loop.
+ */
+final class FleetLeader {
+  private static final Logger LOG = LoggerFactory.getLogger(FleetLeader.class);
+
+  /**
+   * The share by which clocks of machines in one fleet may run apart; leases hold at twice that.
+   */
+  private static final double MAX_CLOCK_DRIFT = 0.01;
+
+  private static final int TICKS_PER_LEASE = 4;
+  private static final int TICK_TIMEOUT_LEASES = 2;
+  private static final int SUBMIT_TIMEOUT_SECONDS = 5;
+  private static final int MAX_LOGGED_ASSIGNMENTS = 5;
+
+  private final FleetSettings settings;
+  private final EventLoop loop;
+  private final VoterLifecycle lifecycle;
+  private final LeaseTable leases;
+  private final MembershipCoordinator coordinator;
+  private final RateLimitedLog forkLog =
+      new RateLimitedLog(LOG, Event.FLEET_FORK, FleetLeader::now);
+  private boolean leading;
+  private boolean stepInFlight;
+  private boolean tickInFlight;
+  private boolean registrationInFlight;
+  private List<ListFork> forks = List.of();
+
+  FleetLeader(FleetSettings settings, EventLoop loop, VoterLifecycle lifecycle) {
+    this.settings = settings;
+    this.loop = loop;
+    this.lifecycle = lifecycle;
+    leases = new LeaseTable(settings.lease(), 2 * MAX_CLOCK_DRIFT);
+    coordinator = new MembershipCoordinator(leases, settings.peers().keySet(), settings.assigned());
+  }
+
+  /** Starts the ticks. */
+  void start() {
+    long period = settings.lease().micros() / TICKS_PER_LEASE;
+    loop.scheduleWithFixedDelay(this::tick, period, period, TimeUnit.MICROSECONDS);
+  }
+
+  /** Of the monotonic clock, which goes on while this process is stopped. */
+  private static Moment now() {
+    return new Moment(System.nanoTime() / 1_000);
+  }
+
+  void leadershipChanged(boolean nowLeading) {
+    leading = nowLeading;
+    lifecycle.setLeading(nowLeading);
+    if (nowLeading) {
+      leases.elected(now());
+      coordinator.elected(now(), System.nanoTime() | 1);
+      startEpoch();
+    } else {
+      leases.resigned();
+    }
+    Event.FLEET_LEADER.log(LOG, Level.INFO, "", nowLeading ? "leads" : "follows");
+  }
+
+  boolean isLeading() {
+    return leading;
+  }
+
+  /** Whether it leads, and may act on what its register holds. */
+  boolean isServing() {
+    return leading && lifecycle.hasStartedEpoch();
+  }
+
+  private void startEpoch() {
+    try {
+      RegisterContent content = lifecycle.pendingEpochStart();
+      RaftNode node = lifecycle.node();
+      if (content != null && node != null) {
+        node.submit(new RaftCommand.StartEpoch(content));
+      }
+    } catch (IOException fault) {
+      Event.FLEET_STANDS.log(
+          LOG,
+          Level.ERROR,
+          "",
+          "waits",
+          "the beginning of charter "
+              + lifecycle.epoch()
+              + " can't be read: "
+              + fault.getMessage());
+    }
+  }
+
+  /** A majority that takes the command proves that nobody else led when it was sent. */
+  private void tick() {
+    RaftNode node = lifecycle.node();
+    if (leading && !lifecycle.hasStartedEpoch()) {
+      startEpoch();
+    } else if (leading && !tickInFlight && node != null) {
+      tickInFlight = true;
+      Moment sent = now();
+      node.submit(new RaftCommand.Tick())
+          .orTimeout(settings.lease().micros() * TICK_TIMEOUT_LEASES, TimeUnit.MICROSECONDS)
+          .whenComplete((answer, fault) -> loop.execute(() -> tickCompleted(sent, fault)));
+    }
+  }
+
+  private void tickCompleted(Moment sent, Throwable fault) {
+    tickInFlight = false;
+    if (fault == null && isServing()) {
+      leases.confirmed(sent);
+      step();
+    }
+  }
+
+  private void step() {
+    VersionRegister register = lifecycle.register();
+    LeaseTable.Step versionStep;
+    MembershipCoordinator.Step listStep;
+    RaftCommand versionCommand;
+    synchronized (register) {
+      versionStep = leases.next(now(), register);
+      listStep = coordinator.next(now(), register);
+      versionCommand = command(versionStep, register);
+    }
+    if (stepInFlight) {
+      return;
+    }
+    if (versionCommand != null) {
+      submit(versionCommand);
+      Event.FLEET_STEP.log(
+          LOG, Level.INFO, "", versionStep.kind(), versionStep.number(), versionStep.reason());
+    } else if (listStep.kind() != MembershipCoordinator.Step.Kind.NOTHING) {
+      submit(command(listStep));
+      logListStep(listStep);
+    }
+    logNewForks();
+  }
+
+  /** Null where there is nothing to be done. */
+  private static RaftCommand command(LeaseTable.Step step, VersionRegister register) {
+    return switch (step.kind()) {
+      case BRING_INTO_FORCE -> new RaftCommand.BringIntoForce(step.number());
+      case WITHDRAW -> new RaftCommand.Withdraw(step.number(), step.reason());
+      case COUNT_ROUTERS ->
+          new RaftCommand.ProposeRouterCount(
+              new RaftCommand.Propose(
+                  step.number(),
+                  register.inForce().text(),
+                  step.routers(),
+                  "fleet",
+                  step.routers() + " routers are here",
+                  System.currentTimeMillis()));
+      case NOTHING -> null;
+    };
+  }
+
+  private RaftCommand command(MembershipCoordinator.Step step) {
+    return switch (step.kind()) {
+      case SEAT -> new RaftCommand.Assign(step.seats());
+      case CLEAR -> new RaftCommand.ClearAssignments(step.seats());
+      case COUNT_ANEW -> {
+        VersionRegister register = lifecycle.register();
+        synchronized (register) {
+          yield new RaftCommand.CountAnew(register.era());
+        }
+      }
+      case NOTHING -> throw new IllegalArgumentException("nothing to be done");
+    };
+  }
+
+  private void logListStep(MembershipCoordinator.Step step) {
+    Event.FLEET_LISTS.log(
+        LOG,
+        Level.INFO,
+        "",
+        step.kind(),
+        step.seats().size(),
+        step.seats().stream()
+            .limit(MAX_LOGGED_ASSIGNMENTS)
+            .map(assignment -> assignment.member() + " in " + assignment.group())
+            .toList());
+  }
+
+  private void logNewForks() {
+    List<ListFork> found = coordinator.forks(now());
+    if (!found.equals(forks)) {
+      forks = found;
+      found.forEach(fork -> forkLog.note(fork.at().generation(), "" + fork.holders().values()));
+    }
+  }
+
+  private void submit(RaftCommand command) {
+    RaftNode node = lifecycle.node();
+    if (node == null) {
+      return;
+    }
+    stepInFlight = true;
+    node.submit(command)
+        .orTimeout(SUBMIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+        .whenComplete((answer, fault) -> loop.execute(() -> stepInFlight = false));
+  }
+
+  /** The answer to a router's heartbeat. */
+  FleetReply.LeaseGranted grant(FleetRequest.Heartbeat heartbeat) {
+    LeaseGrant grant;
+    MembershipUpdate lists;
+    VersionRegister register = lifecycle.register();
+    synchronized (register) {
+      grant =
+          leases.beat(
+              now(),
+              heartbeat.from(),
+              heartbeat.incarnation(),
+              heartbeat.number(),
+              heartbeat.inForce(),
+              heartbeat.keepsTo(),
+              heartbeat.refused(),
+              heartbeat.refusal(),
+              heartbeat.holdsLease(),
+              register);
+      lists = coordinator.beat(now(), heartbeat.from(), heartbeat.lists(), register);
+    }
+    registerFolder(heartbeat.from(), heartbeat.voterFolder());
+    RaftNode node = lifecycle.node();
+    return new FleetReply.LeaseGranted(
+        grant.beat(),
+        grant.lasts(),
+        grant.changes(),
+        node == null ? List.of() : node.members(),
+        SentVersion.unlessKnown(grant.inForce(), heartbeat.inForce()),
+        SentVersion.unlessKnown(grant.prepared(), heartbeat.keepsTo()),
+        lists);
+  }
+
+  /** Records by which folder a voter votes: with another one it could vote twice. */
+  private void registerFolder(String voter, String folder) {
+    RaftNode node = lifecycle.node();
+    if (!folder.isEmpty()
+        && node != null
+        && !registrationInFlight
+        && lifecycle.register().sealOf(voter).isEmpty()
+        && node.members().contains(voter)) {
+      registrationInFlight = true;
+      node.submit(new RaftCommand.RegisterVoterFolder(voter, folder))
+          .orTimeout(SUBMIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+          .whenComplete((answer, fault) -> loop.execute(() -> registrationInFlight = false));
+    }
+  }
+
+  /** The routers that it has heard from, for status. */
+  List<StatusReport.PeerLine> peerLines(VersionRegister register) {
+    return leases.peers().stream().map(peer -> peerLine(peer, register)).toList();
+  }
+
+  private StatusReport.PeerLine peerLine(Peer peer, VersionRegister register) {
+    HeartbeatReport report = coordinator.said(peer.name);
+    String listState =
+        report.doubt() == ListAnomaly.NONE
+            ? coordinator.verdictOn(peer.name, now(), register).name()
+            : report.doubt().name();
+    return new StatusReport.PeerLine(
+        peer.name,
+        peer.incarnation,
+        Math.max(0, peer.leaseEnds.since(now()).micros() / 1_000),
+        now().since(peer.heard).micros() / 1_000,
+        peer.inForce,
+        peer.keepsTo,
+        peer.refusal,
+        report.at().generation(),
+        Long.toHexString(report.digest()),
+        listState);
+  }
+
+  /** Endpoint lists that contradict each other, for status. */
+  List<StatusReport.ForkLine> forkLines() {
+    return coordinator.forks(now()).stream()
+        .map(
+            fork ->
+                new StatusReport.ForkLine(
+                    fork.at().generation(), List.copyOf(fork.holders().values())))
+        .toList();
+  }
+}
--- a/router/src/main/java/basaltlever/fleet/FleetMember.java
+++ b/router/src/main/java/basaltlever/fleet/FleetMember.java
@@ -9,8 +9,6 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
-import java.util.LinkedHashMap;
-import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
@@ -19,50 +17,70 @@
 import org.slf4j.event.Level;
 
 /**
- * One instance's part in its fleet: its link, and its voter where it is one. On a loop of its own.
+ * One instance's part in its fleet: its connection to the leader, and its voter where it is one,
+ * both on an event loop of their own.
  */
 public final class FleetMember implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(FleetMember.class);
+  private static final int CLOSE_TIMEOUT_MILLIS = 500;
+
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
+
+  /** Null where this instance isn't configured as a voter. */
   private final VoterServer voter;
-  private final LeaderConnection link;
+
+  private final LeaderConnection connection;
   private final String name;
-  private final FleetSettings terms;
-  private final VoterStore papers;
+  private final FleetSettings settings;
+  private final VoterStore store;
 
   /** Of this process. */
   private final long incarnation = System.currentTimeMillis();
 
   /**
-   * Beats is run on this fleet's loop when a beat is due, granted with each answer. Throws where
-   * the voter can't be started: its folder or its ports.
+   * Both callbacks run on this fleet's event loop. Throws where the voter can't be started.
+   *
+   * @param heartbeatDue has to send a heartbeat by {@link #beat}
+   * @param granted takes each grant, with what the fleet agreed on about endpoints
    */
   public FleetMember(
-      FleetSettings terms,
+      FleetSettings settings,
       String name,
-      VoterStore papers,
-      SplittableRandom chance,
-      Runnable beats,
+      VoterStore store,
+      SplittableRandom random,
+      Runnable heartbeatDue,
       BiConsumer<LeaseGrant, MembershipUpdate> granted)
       throws Exception {
-    this.terms = terms;
-    this.papers = papers;
+    this.settings = settings;
+    this.store = store;
     this.name = name;
-    VoterServer own = null;
+    boolean votes = settings.voters().containsKey(name);
+    VoterServer started = null;
     try {
-      own = terms.voters().containsKey(name) ? new VoterServer(terms, name, loop, papers) : null;
+      started = votes ? new VoterServer(settings, name, loop, store) : null;
     } finally {
-      if (own == null && terms.voters().containsKey(name)) {
+      if (started == null && votes) {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
       }
     }
-    voter = own;
-    link = new LeaderConnection(terms, papers, loop, chance, beats, granted);
+    voter = started;
+    connection = new LeaderConnection(settings, store, loop, random, heartbeatDue, granted);
   }
 
-  /** What a router says of itself and of its list; from any thread. */
+  /**
+   * Sends a heartbeat; from any thread.
+   *
+   * @param number of the heartbeat
+   * @param charter the latest configuration epoch that the router has learned of
+   * @param force number of the version in force at the router
+   * @param keeps number of the prepared version that the router keeps to
+   * @param refused number of the version that it can't keep to; 0 where there is none
+   * @param refusal why it can't
+   * @param holds whether the router holds a lease
+   * @param report on its endpoint list
+   */
   public void beat(
       long number,
       long charter,
@@ -72,54 +90,41 @@
       String refusal,
       boolean holds,
       HeartbeatReport report) {
-    Map<String, Object> beat =
-        new LinkedHashMap<>(
-            Map.of(
-                "do",
-                "beat",
-                "fleet",
-                terms.name(),
-                "from",
-                name,
-                "incarnation",
-                incarnation,
-                "beat",
-                number,
-                "force",
-                force,
-                "keeps",
-                keeps,
-                "refused",
-                refused,
-                "refusal",
-                refusal,
-                "holds",
-                holds));
-    beat.put("lists", MembershipCodec.of(report));
-    beat.put("charter", charter);
-    beat.put("folder", voter == null ? "" : voter.folder());
-    loop.execute(
-        () -> {
-          try {
-            papers.isTold(charter);
-          } catch (IOException fault) {
-            Event.FLEET_STANDS.log(LOG, Level.ERROR, "", "can't write", fault.getMessage());
-          }
-          link.send(beat);
-        });
+    FleetRequest.Heartbeat heartbeat =
+        new FleetRequest.Heartbeat(
+            settings.name(),
+            name,
+            incarnation,
+            number,
+            force,
+            keeps,
+            refused,
+            refusal,
+            holds,
+            report,
+            charter,
+            voter == null ? "" : voter.folderId());
+    loop.execute(() -> recordAndSend(heartbeat));
+  }
+
+  private void recordAndSend(FleetRequest.Heartbeat heartbeat) {
+    try {
+      store.recordEpoch(heartbeat.epoch());
+    } catch (IOException fault) {
+      Event.FLEET_STANDS.log(LOG, Level.ERROR, "", "can't write", fault.getMessage());
+    }
+    connection.send(heartbeat);
   }
 
   @Override
   public void close() {
     try {
-      loop.submit(link::end).await(500);
+      loop.submit(connection::close).await(CLOSE_TIMEOUT_MILLIS);
       if (voter != null) {
         voter.close();
       }
-    } catch (InterruptedException e) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
-    } catch (IOException ended) {
-      // It ends in any case.
     }
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
--- a/router/src/main/java/basaltlever/fleet/FrameCodec.java
+++ b/router/src/main/java/basaltlever/fleet/FrameCodec.java
@@ -6,83 +6,98 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.io.IOException;
 import java.util.Map;
+import java.util.function.Function;
 
 /**
- * Messages on a connection between instances, each behind four bytes of its length. Any bytes that
- * are none cost the connection and no more; so does who sends more at once than a turn of a peer
- * ever holds.
+ * Reads and writes the messages on a connection between instances, each preceded by its length in
+ * four bytes. Malformed bytes close the connection, and so does a peer that sends more messages a
+ * second than any instance does.
  */
-abstract class FrameCodec extends ChannelInboundHandlerAdapter {
-  private static final int HEAD = 4;
+abstract class FrameCodec<M> extends ChannelInboundHandlerAdapter {
+  private static final int LENGTH_BYTES = 4;
 
-  /** So many messages a second one peer may send: a beat each 50 ms, and commands. */
-  private static final int MOST_A_SECOND = 200;
+  /** An instance sends a heartbeat each 50 ms, and commands. */
+  private static final int MAX_MESSAGES_PER_SECOND = 200;
 
-  private static final int MOST_UNSENT = 4 * MessageCodec.LARGEST;
+  private static final int MAX_PENDING_BYTES = 4 * MessageCodec.LARGEST;
 
-  private ByteBuf kept;
-  private long second;
-  private int messages;
+  private final Function<Map<?, ?>, M> decoder;
+  private ByteBuf received;
+  private long currentSecond;
+  private int messagesThisSecond;
 
-  abstract void heard(ChannelHandlerContext from, Map<String, Object> message);
+  FrameCodec(Function<Map<?, ?>, M> decoder) {
+    this.decoder = decoder;
+  }
+
+  /** Handles one message, on the connection's event loop. */
+  abstract void messageReceived(ChannelHandlerContext context, M message);
+
+  static void send(ChannelHandlerContext to, FleetRequest request) {
+    send(to, RequestCodec.encode(request));
+  }
+
+  static void send(ChannelHandlerContext to, FleetReply reply) {
+    send(to, ReplyCodec.encode(reply));
+  }
 
-  static void send(ChannelHandlerContext to, Map<String, Object> message) {
+  private static void send(ChannelHandlerContext to, Map<String, Object> message) {
     if (to.channel().unsafe().outboundBuffer() == null) {
       return;
     }
-    if (to.channel().unsafe().outboundBuffer().totalPendingWriteBytes() > MOST_UNSENT) {
-      // Who reads a byte a second gets what it has read.
+    if (to.channel().unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_PENDING_BYTES) {
+      // A peer that reads too slowly would take ever more memory.
       to.close();
       return;
     }
     byte[] bytes = MessageCodec.write(message);
-    ByteBuf out = to.alloc().buffer(HEAD + bytes.length);
+    ByteBuf out = to.alloc().buffer(LENGTH_BYTES + bytes.length);
     to.writeAndFlush(out.writeInt(bytes.length).writeBytes(bytes));
   }
 
   @Override
   public void handlerAdded(ChannelHandlerContext context) {
-    kept = context.alloc().buffer();
+    received = context.alloc().buffer();
   }
 
   @Override
   public void handlerRemoved(ChannelHandlerContext context) {
-    kept.release();
-    kept = null;
+    received.release();
+    received = null;
   }
 
   @Override
   public void channelRead(ChannelHandlerContext context, Object read) throws IOException {
     ByteBuf in = (ByteBuf) read;
     try {
-      if (kept == null) {
+      if (received == null) {
         return;
       }
-      kept.writeBytes(in);
+      received.writeBytes(in);
     } finally {
       in.release();
     }
-    while (kept != null && kept.readableBytes() >= HEAD) {
-      int length = kept.getInt(kept.readerIndex());
+    while (received != null && received.readableBytes() >= LENGTH_BYTES) {
+      int length = received.getInt(received.readerIndex());
       if (length < 1 || length > MessageCodec.LARGEST) {
         throw new IOException("a message of " + length + " bytes");
       }
-      if (kept.readableBytes() < HEAD + length) {
+      if (received.readableBytes() < LENGTH_BYTES + length) {
         break;
       }
-      limit();
-      byte[] bytes = ByteBufUtil.getBytes(kept.skipBytes(HEAD).readSlice(length));
-      kept.discardSomeReadBytes();
-      heard(context, MessageCodec.read(bytes, 0, bytes.length));
+      checkRate();
+      byte[] bytes = ByteBufUtil.getBytes(received.skipBytes(LENGTH_BYTES).readSlice(length));
+      received.discardSomeReadBytes();
+      messageReceived(context, decoder.apply(MessageCodec.read(bytes, 0, bytes.length)));
     }
   }
 
-  private void limit() throws IOException {
-    long now = System.nanoTime() / 1_000_000_000;
-    messages = now == second ? messages + 1 : 1;
-    second = now;
-    if (messages > MOST_A_SECOND) {
-      throw new IOException("more than " + MOST_A_SECOND + " messages a second");
+  private void checkRate() throws IOException {
+    long second = System.nanoTime() / 1_000_000_000;
+    messagesThisSecond = second == currentSecond ? messagesThisSecond + 1 : 1;
+    currentSecond = second;
+    if (messagesThisSecond > MAX_MESSAGES_PER_SECOND) {
+      throw new IOException("more than " + MAX_MESSAGES_PER_SECOND + " messages a second");
     }
   }
 
--- a/router/src/main/java/basaltlever/fleet/LeaderConnection.java
+++ b/router/src/main/java/basaltlever/fleet/LeaderConnection.java
@@ -5,7 +5,6 @@
 import basaltlever.membership.MembershipUpdate;
 import basaltlever.settings.LeaseGrant;
 import basaltlever.settings.SettingsVersion;
-import basaltlever.time.Span;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelOption;
@@ -14,7 +13,6 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
@@ -23,79 +21,89 @@
 import org.slf4j.event.Level;
 
 /**
- * A router's side of the talk: one connection to whichever voter leads, found by asking one after
- * the other. What a beat says and what a grant means is the follower's; here it is carried.
+ * A router's connection to the leader, which is found by trying one voter after the other. What a
+ * heartbeat says and what a grant means is up to the caller. All methods run on the event loop.
  */
 final class LeaderConnection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderConnection.class);
-  private static final int BEATS_A_LEASE = 4;
+  private static final int HEARTBEATS_PER_LEASE = 4;
 
-  /** Beats without an answer after which another voter is asked. */
-  private static final int PATIENCE = 2;
+  /** The shortest interval between heartbeats, and the range above it, as shares of the mean. */
+  private static final double SHORTEST_INTERVAL = 0.8;
 
-  private final FleetSettings terms;
-  private final VoterStore papers;
+  private static final double INTERVAL_RANGE = 0.4;
+
+  /** Unanswered heartbeats after which another voter is tried. */
+  private static final int MAX_UNANSWERED = 2;
+
+  private static final long FIRST_HEARTBEAT_MILLIS = 1;
+  private static final long RECONNECT_MILLIS = 20;
+  private static final long MIN_CONNECT_TIMEOUT_MILLIS = 50;
+
+  private final FleetSettings settings;
+  private final VoterStore store;
   private final EventLoop loop;
-  private final SplittableRandom chance;
-  private final Runnable beats;
+  private final SplittableRandom random;
+  private final Runnable heartbeatDue;
   private final BiConsumer<LeaseGrant, MembershipUpdate> granted;
   private final List<String> voters;
-  private int asks;
+
+  /** The index of the voter that is tried. */
+  private int current;
+
   private int unanswered;
   private ChannelHandlerContext open;
   private boolean connecting;
-  private boolean ended;
-  private SettingsVersion force;
+  private boolean closed;
+  private SettingsVersion inForce;
   private SettingsVersion prepared;
 
-  /**
-   * Beats is run when one is due, and has to bring it by {@link #send}; both on the link's loop.
-   */
+  /** HeartbeatDue has to send a heartbeat by {@link #send}; callbacks run on the event loop. */
   LeaderConnection(
-      FleetSettings terms,
-      VoterStore papers,
+      FleetSettings settings,
+      VoterStore store,
       EventLoop loop,
-      SplittableRandom chance,
-      Runnable beats,
+      SplittableRandom random,
+      Runnable heartbeatDue,
       BiConsumer<LeaseGrant, MembershipUpdate> granted) {
-    this.terms = terms;
-    this.papers = papers;
+    this.settings = settings;
+    this.store = store;
     this.loop = loop;
-    this.chance = chance;
-    this.beats = beats;
+    this.random = random;
+    this.heartbeatDue = heartbeatDue;
     this.granted = granted;
-    voters = new ArrayList<>(terms.voters().keySet());
-    papers.voters().forEach(this::mayAsk);
-    asks = chance.nextInt(voters.size());
-    loop.schedule(this::due, 1, TimeUnit.MILLISECONDS);
+    voters = new ArrayList<>(settings.voters().keySet());
+    store.voters().forEach(this::addVoter);
+    current = random.nextInt(voters.size());
+    loop.schedule(this::intervalElapsed, FIRST_HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Taken in since this router's file was written. */
-  private void mayAsk(String voter) {
-    if (terms.peers().containsKey(voter) && !voters.contains(voter)) {
+  /** Adds a voter that this router's settings file doesn't name as one, but as a peer. */
+  private void addVoter(String voter) {
+    if (settings.peers().containsKey(voter) && !voters.contains(voter)) {
       voters.add(voter);
     }
   }
 
-  private void due() {
-    if (ended) {
+  private void intervalElapsed() {
+    if (closed) {
       return;
     }
-    // Spread, so that hundreds of followers do not beat in step.
-    long evenly = terms.lease().micros() / BEATS_A_LEASE;
-    long period = (long) (evenly * (0.8 + 0.4 * chance.nextDouble()));
-    loop.schedule(this::due, period, TimeUnit.MICROSECONDS);
+    // Randomized, so that hundreds of routers don't send their heartbeats at the same time.
+    long mean = settings.lease().micros() / HEARTBEATS_PER_LEASE;
+    double share = SHORTEST_INTERVAL + INTERVAL_RANGE * random.nextDouble();
+    loop.schedule(this::intervalElapsed, (long) (mean * share), TimeUnit.MICROSECONDS);
     if (open == null) {
       connect();
-    } else if (++unanswered > PATIENCE) {
-      elsewhere();
+    } else if (++unanswered > MAX_UNANSWERED) {
+      abandonCurrentVoter();
     } else {
-      beats.run();
+      heartbeatDue.run();
     }
   }
 
-  private void elsewhere() {
-    asks = (asks + 1) % voters.size();
+  private void abandonCurrentVoter() {
+    current = next();
     unanswered = 0;
     if (open != null) {
       open.close();
@@ -104,136 +112,152 @@
     connect();
   }
 
+  private int next() {
+    return (current + 1) % voters.size();
+  }
+
   private void connect() {
-    if (connecting || ended) {
+    if (connecting || closed) {
       return;
     }
     connecting = true;
-    LeaderHandler talk = new LeaderHandler();
+    long timeoutMillis = Math.max(MIN_CONNECT_TIMEOUT_MILLIS, settings.lease().micros() / 2_000);
     new Bootstrap()
         .group(loop)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(
-            ChannelOption.CONNECT_TIMEOUT_MILLIS,
-            (int) Math.max(50, terms.lease().micros() / 2_000))
-        .handler(talk)
-        .connect(terms.peers().get(voters.get(asks)))
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) timeoutMillis)
+        .handler(new LeaderHandler())
+        .connect(settings.peers().get(voters.get(current)))
         .addListener(
             done -> {
               connecting = false;
               if (!done.isSuccess()) {
-                asks = (asks + 1) % voters.size();
+                current = next();
               }
             });
   }
 
-  void send(Map<String, Object> beat) {
+  /** Drops the heartbeat while there is no connection. */
+  void send(FleetRequest.Heartbeat heartbeat) {
     if (open != null) {
-      FrameCodec.send(open, beat);
+      FrameCodec.send(open, heartbeat);
     }
   }
 
-  void end() {
-    ended = true;
+  void close() {
+    closed = true;
     if (open != null) {
       open.close();
     }
   }
 
-  private final class LeaderHandler extends FrameCodec {
+  private void leaseGranted(FleetReply.LeaseGranted reply) {
+    unanswered = 0;
+    reply.members().forEach(this::addVoter);
+    inForce = withKnownText(reply.inForce(), inForce, prepared);
+    prepared = withKnownText(reply.prepared(), prepared, inForce);
+    recordGrant(reply);
+    if (inForce != null) {
+      granted.accept(
+          new LeaseGrant(reply.heartbeat(), reply.duration(), inForce, prepared, reply.changes()),
+          reply.lists());
+    }
+  }
+
+  private void recordGrant(FleetReply.LeaseGranted reply) {
+    try {
+      store.recordVoters(reply.members());
+      // A leader that grants no lease may have been replaced, so its version may be outdated.
+      if (inForce != null && reply.duration().micros() > 0) {
+        store.recordInForce(inForce);
+      }
+    } catch (IOException fault) {
+      Event.FLEET_STANDS.log(LOG, Level.ERROR, "", "can't write", fault.getMessage());
+    }
+  }
+
+  /** A version without a text is one that was sent with its text before. */
+  private static SettingsVersion withKnownText(
+      SentVersion sent, SettingsVersion known, SettingsVersion other) {
+    SettingsVersion version = sent == null ? null : sent.version();
+    if (version == null || !version.text().isEmpty()) {
+      return version;
+    }
+    String text = "";
+    if (known != null && known.number() == version.number()) {
+      text = known.text();
+    } else if (other != null && other.number() == version.number()) {
+      text = other.text();
+    }
+    return VersionCodec.withText(version, text);
+  }
+
+  private void followRedirect(ChannelHandlerContext from, String leader) {
+    addVoter(leader);
+    current = voters.contains(leader) ? voters.indexOf(leader) : next();
+    loop.schedule(() -> reconnect(from), RECONNECT_MILLIS, TimeUnit.MILLISECONDS);
+  }
+
+  private void reconnect(ChannelHandlerContext from) {
+    if (from == open) {
+      from.close();
+      open = null;
+      connect();
+    }
+  }
+
+  private void rejected(String reason) {
+    Event.FLEET_REFUSED.log(LOG, Level.ERROR, "", voters.get(current), reason);
+    current = next();
+  }
+
+  private final class LeaderHandler extends FrameCodec<FleetReply> {
     private boolean answered;
 
+    LeaderHandler() {
+      super(ReplyCodec::decode);
+    }
+
     @Override
     public void channelActive(ChannelHandlerContext context) {
-      if (ended) {
+      if (closed) {
         context.close();
         return;
       }
       open = context;
       unanswered = 0;
-      beats.run();
+      heartbeatDue.run();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
       if (open == context) {
         open = null;
-        // Taken and closed without a word, by a relay before it or for want of room: asked again at
-        // once
-        // and for ever, it kept this router from the one that leads.
-        asks = answered ? asks : (asks + 1) % voters.size();
+        // A voter, or a proxy before it, that closes without an answer would be tried forever.
+        current = answered ? current : next();
       }
     }
 
     @Override
-    void heard(ChannelHandlerContext from, Map<String, Object> message) {
-      if (from != open) {
+    void messageReceived(ChannelHandlerContext context, FleetReply reply) {
+      if (context != open) {
         return;
       }
       answered = true;
-      switch (MessageCodec.text(message, "do")) {
-        case "grant" -> {
-          unanswered = 0;
-          List<String> members = MessageCodec.texts(message, "members");
-          members.forEach(LeaderConnection.this::mayAsk);
-          force = filled(MessageCodec.version(message.get("force")), force, prepared);
-          prepared = filled(MessageCodec.version(message.get("prepared")), prepared, force);
-          try {
-            papers.areTold(members);
-            if (force != null && MessageCodec.number(message, "lasts") > 0) {
-              // Who gives no lease may have been replaced: what it tells is no word of the fleet.
-              papers.isTold(force);
-            }
-          } catch (IOException fault) {
-            Event.FLEET_STANDS.log(LOG, Level.ERROR, "", "can't write", fault.getMessage());
-          }
-          if (force != null) {
-            granted.accept(
-                new LeaseGrant(
-                    MessageCodec.number(message, "beat"),
-                    new Span(MessageCodec.number(message, "lasts")),
-                    force,
-                    prepared,
-                    MessageCodec.number(message, "changes")),
-                MembershipCodec.sight(message.get("lists")));
-          }
-        }
-        case "follows" -> {
-          String leader = MessageCodec.text(message, "leader");
-          mayAsk(leader);
-          asks = voters.contains(leader) ? voters.indexOf(leader) : (asks + 1) % voters.size();
-          loop.schedule(
-              () -> {
-                if (from == open) {
-                  from.close();
-                  open = null;
-                  connect();
-                }
-              },
-              20,
-              TimeUnit.MILLISECONDS);
-        }
-        default -> {
-          Event.FLEET_REFUSED.log(
-              LOG, Level.ERROR, "", voters.get(asks), MessageCodec.text(message, "why"));
-          asks = (asks + 1) % voters.size();
-        }
-      }
-    }
-
-    /** A text that it has told before stands for itself. */
-    private SettingsVersion filled(
-        SettingsVersion told, SettingsVersion known, SettingsVersion other) {
-      if (told == null || !told.text().isEmpty()) {
-        return told;
+      if (reply instanceof FleetReply.LeaseGranted grant) {
+        leaseGranted(grant);
+      } else if (reply instanceof FleetReply.NotLeader notLeader) {
+        followRedirect(context, notLeader.leader());
+      } else if (reply instanceof FleetReply.Refused refused) {
+        rejected(refused.reason());
+      } else if (reply instanceof FleetReply.Undecided undecided) {
+        rejected(undecided.reason());
+      } else if (reply instanceof FleetReply.Unknown unknown) {
+        rejected(unknown.reason());
+      } else {
+        rejected("");
       }
-      String text =
-          known != null && known.number() == told.number()
-              ? known.text()
-              : other != null && other.number() == told.number() ? other.text() : "";
-      return new SettingsVersion(
-          told.number(), text, told.routers(), told.who(), told.why(), told.atMillis());
     }
   }
 }
--- a/router/src/main/java/basaltlever/fleet/MembershipCodec.java
+++ b/router/src/main/java/basaltlever/fleet/MembershipCodec.java
@@ -14,146 +14,148 @@
 import java.util.function.Function;
 
 /**
- * What is said of lists, as parts of messages; what a part lacks or another release adds counts as
- * unsaid.
+ * Endpoint lists, drain marks and group assignments as parts of messages. A field that is missing
+ * takes its default, and one of another release is ignored.
  */
 final class MembershipCodec {
-  /** Items of one list that are read at most: more is never sent. */
-  private static final int MOST = 5_000;
+  /** Items of one list that are read at most; more are never sent. */
+  private static final int MAX_ITEMS = 5_000;
 
   private MembershipCodec() {}
 
-  private static void put(Map<String, Object> told, ListVersion at) {
-    told.put("era", at.era());
-    told.put("generation", at.generation());
+  private static void put(Map<String, Object> fields, ListVersion at) {
+    fields.put("era", at.era());
+    fields.put("generation", at.generation());
   }
 
-  private static ListVersion stamp(Map<?, ?> told) {
+  private static ListVersion decodeVersion(Map<?, ?> fields) {
     return new ListVersion(
-        told.containsKey("era") ? MessageCodec.number(told, "era") : ListVersion.NEVER.era(),
-        MessageCodec.number(told, "generation"));
+        fields.containsKey("era") ? MessageCodec.number(fields, "era") : ListVersion.NEVER.era(),
+        MessageCodec.number(fields, "generation"));
   }
 
-  private static <T> List<T> all(Object told, Function<Map<?, ?>, T> each) {
-    List<T> all = new ArrayList<>();
-    if (told instanceof List<?> items) {
+  static <T> List<T> decodeAll(Object value, Function<Map<?, ?>, T> each) {
+    List<T> decoded = new ArrayList<>();
+    if (value instanceof List<?> items) {
       for (Object item : items) {
-        if (item instanceof Map<?, ?> map && all.size() < MOST) {
-          all.add(each.apply(map));
+        if (item instanceof Map<?, ?> map && decoded.size() < MAX_ITEMS) {
+          decoded.add(each.apply(map));
         }
       }
     }
-    return all;
+    return decoded;
   }
 
-  private static Map<String, Object> of(DrainMark mark) {
-    Map<String, Object> told = new LinkedHashMap<>();
-    told.put("member", mark.member());
-    put(told, mark.at());
-    told.put("gone", mark.gone());
-    return told;
+  private static Map<String, Object> encode(DrainMark mark) {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("member", mark.member());
+    put(fields, mark.at());
+    fields.put("gone", mark.gone());
+    return fields;
   }
 
-  private static DrainMark mark(Map<?, ?> told) {
+  private static DrainMark decodeMark(Map<?, ?> fields) {
     return new DrainMark(
-        MessageCodec.text(told, "member"), stamp(told), MessageCodec.flag(told, "gone"));
+        MessageCodec.text(fields, "member"),
+        decodeVersion(fields),
+        MessageCodec.flag(fields, "gone"));
   }
 
-  static Map<String, Object> of(GroupAssignment seat) {
-    Map<String, Object> told = new LinkedHashMap<>();
-    told.put("member", seat.member());
-    told.put("group", seat.group());
-    put(told, seat.at());
-    told.put("cleared", seat.cleared());
-    return told;
+  static Map<String, Object> encode(GroupAssignment assignment) {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("member", assignment.member());
+    fields.put("group", assignment.group());
+    put(fields, assignment.at());
+    fields.put("cleared", assignment.cleared());
+    return fields;
   }
 
-  static List<GroupAssignment> seats(Object told) {
-    return all(
-        told,
+  static List<GroupAssignment> decodeAssignments(Object value) {
+    return decodeAll(
+        value,
         map ->
             new GroupAssignment(
                 MessageCodec.text(map, "member"),
                 (int) MessageCodec.number(map, "group"),
-                stamp(map),
+                decodeVersion(map),
                 MessageCodec.flag(map, "cleared")));
   }
 
-  static Map<String, Object> of(HeartbeatReport report) {
-    Map<String, Object> told = new LinkedHashMap<>();
-    put(told, report.at());
-    told.put("digest", report.digest());
-    told.put("doubt", report.doubt().name());
-    told.put("marks", report.marks().stream().map(MembershipCodec::of).toList());
-    told.put("marks_end", report.marksEnd());
-    told.put("wanted", report.wanted().stream().map(MembershipCodec::of).toList());
-    told.put("free", report.free());
-    told.put("book", report.book());
-    told.put("read", report.read());
-    told.put("seats_read", report.seatsRead());
-    return told;
+  static Map<String, Object> encode(HeartbeatReport report) {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    put(fields, report.at());
+    fields.put("digest", report.digest());
+    fields.put("doubt", report.doubt().name());
+    fields.put("marks", report.marks().stream().map(MembershipCodec::encode).toList());
+    fields.put("marks_end", report.marksEnd());
+    fields.put("wanted", report.wanted().stream().map(MembershipCodec::encode).toList());
+    fields.put("free", report.free());
+    fields.put("book", report.book());
+    fields.put("read", report.read());
+    fields.put("seats_read", report.seatsRead());
+    return fields;
   }
 
-  /** Of a router that says nothing of lists where it is none. */
-  static HeartbeatReport report(Object part) {
-    if (!(part instanceof Map<?, ?> told)) {
+  /** {@link HeartbeatReport#NONE} where the value is no report. */
+  static HeartbeatReport decodeReport(Object value) {
+    if (!(value instanceof Map<?, ?> fields)) {
       return HeartbeatReport.NONE;
     }
     List<String> free = new ArrayList<>();
-    if (told.get("free") instanceof List<?> names) {
-      names.stream().limit(MOST).forEach(name -> free.add(String.valueOf(name)));
+    if (fields.get("free") instanceof List<?> names) {
+      names.stream().limit(MAX_ITEMS).forEach(name -> free.add(String.valueOf(name)));
     }
     return new HeartbeatReport(
-        stamp(told),
-        MessageCodec.number(told, "digest"),
-        named(ListAnomaly.class, told, "doubt", ListAnomaly.NONE),
-        all(told.get("marks"), MembershipCodec::mark),
-        MessageCodec.number(told, "marks_end"),
-        seats(told.get("wanted")),
+        decodeVersion(fields),
+        MessageCodec.number(fields, "digest"),
+        constant(ListAnomaly.class, fields, "doubt", ListAnomaly.NONE),
+        decodeAll(fields.get("marks"), MembershipCodec::decodeMark),
+        MessageCodec.number(fields, "marks_end"),
+        decodeAssignments(fields.get("wanted")),
         free,
-        MessageCodec.number(told, "book"),
-        MessageCodec.number(told, "read"),
-        MessageCodec.number(told, "seats_read"));
+        MessageCodec.number(fields, "book"),
+        MessageCodec.number(fields, "read"),
+        MessageCodec.number(fields, "seats_read"));
   }
 
-  static Map<String, Object> of(MembershipUpdate sight) {
-    Map<String, Object> told = new LinkedHashMap<>();
-    told.put("book", sight.book());
-    told.put("place", sight.place());
-    told.put("marks", sight.marks().stream().map(MembershipCodec::of).toList());
-    told.put("marks_end", sight.marksEnd());
-    told.put("verdict", sight.verdict().name());
-    put(told, sight.at());
-    told.put("digest", sight.digest());
-    told.put("now_era", sight.era());
-    told.put("seats_number", sight.seatsNumber());
-    told.put("seats", sight.seats().stream().map(MembershipCodec::of).toList());
-    return told;
+  static Map<String, Object> encode(MembershipUpdate update) {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("book", update.book());
+    fields.put("place", update.place());
+    fields.put("marks", update.marks().stream().map(MembershipCodec::encode).toList());
+    fields.put("marks_end", update.marksEnd());
+    fields.put("verdict", update.verdict().name());
+    put(fields, update.at());
+    fields.put("digest", update.digest());
+    fields.put("now_era", update.era());
+    fields.put("seats_number", update.seatsNumber());
+    fields.put("seats", update.seats().stream().map(MembershipCodec::encode).toList());
+    return fields;
   }
 
-  /** Null where there is none. */
-  static MembershipUpdate sight(Object part) {
-    if (!(part instanceof Map<?, ?> told)) {
+  /** Null where the value is no update. */
+  static MembershipUpdate decodeUpdate(Object value) {
+    if (!(value instanceof Map<?, ?> fields)) {
       return null;
     }
     return new MembershipUpdate(
-        MessageCodec.number(told, "book"),
-        MessageCodec.number(told, "place"),
-        all(told.get("marks"), MembershipCodec::mark),
-        MessageCodec.number(told, "marks_end"),
-        named(ListAgreement.class, told, "verdict", ListAgreement.UNTOLD),
-        stamp(told),
-        MessageCodec.number(told, "digest"),
-        MessageCodec.number(told, "now_era"),
-        MessageCodec.number(told, "seats_number"),
-        seats(told.get("seats")));
+        MessageCodec.number(fields, "book"),
+        MessageCodec.number(fields, "place"),
+        decodeAll(fields.get("marks"), MembershipCodec::decodeMark),
+        MessageCodec.number(fields, "marks_end"),
+        constant(ListAgreement.class, fields, "verdict", ListAgreement.UNTOLD),
+        decodeVersion(fields),
+        MessageCodec.number(fields, "digest"),
+        MessageCodec.number(fields, "now_era"),
+        MessageCodec.number(fields, "seats_number"),
+        decodeAssignments(fields.get("seats")));
   }
 
-  private static <E extends Enum<E>> E named(
-      Class<E> of, Map<?, ?> told, String name, E otherwise) {
-    for (E one : of.getEnumConstants()) {
-      if (one.name().equals(MessageCodec.text(told, name))) {
-        return one;
+  private static <E extends Enum<E>> E constant(
+      Class<E> of, Map<?, ?> fields, String name, E otherwise) {
+    for (E candidate : of.getEnumConstants()) {
+      if (candidate.name().equals(MessageCodec.text(fields, name))) {
+        return candidate;
       }
     }
     return otherwise;
--- a/router/src/main/java/basaltlever/fleet/MessageCodec.java
+++ b/router/src/main/java/basaltlever/fleet/MessageCodec.java
@@ -1,8 +1,5 @@
 package basaltlever.fleet;
 
-import basaltlever.settings.SettingsVersion;
-import basaltlever.settings.VersionRegister.HistoryEntry;
-import basaltlever.settings.VersionRegister.VersionOutcome;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -16,28 +13,30 @@
 import java.util.Map;
 
 /**
- * What instances tell each other, and what the voters' log holds: one map in CBOR (RFC 8949), whose
- * names a reader may lack or not know. Anything else, deeper or larger than ever sent, is a fault.
+ * Reads and writes the messages between instances and the commands of the voters' log: each is one
+ * map in CBOR (RFC 8949). Readers ignore keys that they don't know and take defaults for those that
+ * are missing. Anything that is no map, or is nested deeper or larger than ever sent, is rejected.
  */
 public final class MessageCodec {
-  /** Bytes of one. */
+  /** The size of a message in bytes at most. */
   public static final int LARGEST = 1 << 20;
 
-  private static final int DEEPEST = 6;
+  private static final int MAX_DEPTH = 6;
+  private static final int MAX_KEY_LENGTH = 64;
   private static final CBORFactory CBOR =
       CBORFactory.builder()
           .streamReadConstraints(
               StreamReadConstraints.builder()
-                  .maxNestingDepth(DEEPEST)
+                  .maxNestingDepth(MAX_DEPTH)
                   .maxStringLength(LARGEST)
-                  .maxNameLength(64)
+                  .maxNameLength(MAX_KEY_LENGTH)
                   .maxDocumentLength(LARGEST)
                   .build())
           .build();
 
   private MessageCodec() {}
 
-  /** Of texts, whole numbers, flags, nulls, and maps and lists of these. */
+  /** Writes a map of texts, whole numbers, flags, nulls, and maps and lists of these. */
   public static byte[] write(Map<String, ?> message) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator out = CBOR.createGenerator(bytes)) {
@@ -48,7 +47,7 @@
     return bytes.toByteArray();
   }
 
-  /** In CBOR or as JSON, by the generator. */
+  /** Writes a value as CBOR or JSON, depending on the generator. */
   public static void value(JsonGenerator out, Object value) throws IOException {
     if (value instanceof Map<?, ?> members) {
       out.writeStartObject();
@@ -77,6 +76,7 @@
   }
 
   /** Throws where the bytes are no such map. */
+  @SuppressWarnings("IllegalCatch") // The parser throws unchecked exceptions at malformed bytes.
   public static Map<String, Object> read(byte[] bytes, int from, int length) throws IOException {
     try (JsonParser in = CBOR.createParser(bytes, from, length)) {
       if (in.nextToken() == JsonToken.START_OBJECT) {
@@ -85,8 +85,8 @@
           return message;
         }
       }
-    } catch (RuntimeException broken) {
-      throw new IOException(broken);
+    } catch (RuntimeException malformed) {
+      throw new IOException(malformed);
     }
     throw new IOException("no message");
   }
@@ -129,67 +129,25 @@
     }
   }
 
-  /** Empty where there is none. */
+  /** The text at a key; empty where there is none. */
   public static String text(Map<?, ?> message, String name) {
     return message.get(name) instanceof String text ? text : "";
   }
 
-  /** Empty where there are none. */
+  /** The list of texts at a key; empty where there is none. */
   public static List<String> texts(Map<?, ?> message, String name) {
     return message.get(name) instanceof List<?> items
         ? items.stream().map(String::valueOf).toList()
         : List.of();
   }
 
-  /** 0 where there is none. */
+  /** The number at a key; 0 where there is none. */
   public static long number(Map<?, ?> message, String name) {
     return message.get(name) instanceof Long number ? number : 0;
   }
 
-  /** False where there is none. */
+  /** The flag at a key; false where there is none. */
   public static boolean flag(Map<?, ?> message, String name) {
     return Boolean.TRUE.equals(message.get(name));
   }
-
-  /** Null stays null. */
-  public static Map<String, Object> of(SettingsVersion version) {
-    if (version == null) {
-      return null;
-    }
-    Map<String, Object> told = new LinkedHashMap<>();
-    told.put("number", version.number());
-    told.put("text", version.text());
-    told.put("routers", version.routers());
-    told.put("who", version.who());
-    told.put("why", version.why());
-    told.put("at", version.atMillis());
-    return told;
-  }
-
-  /** Null where it is none. */
-  public static SettingsVersion version(Object told) {
-    return told instanceof Map<?, ?> map
-        ? new SettingsVersion(
-            number(map, "number"),
-            text(map, "text"),
-            (int) Math.max(1, number(map, "routers")),
-            text(map, "who"),
-            text(map, "why"),
-            number(map, "at"))
-        : null;
-  }
-
-  /** One line of the history. */
-  public static Map<String, Object> of(HistoryEntry chapter) {
-    Map<String, Object> told = of(chapter.version());
-    told.put("end", chapter.end().name());
-    told.put("reason", chapter.reason());
-    return told;
-  }
-
-  /** Throws where its end is none. */
-  public static HistoryEntry chapter(Map<?, ?> told) {
-    return new HistoryEntry(
-        version(told), VersionOutcome.valueOf(text(told, "end")), text(told, "reason"));
-  }
 }
--- a/router/src/main/java/basaltlever/fleet/RaftNode.java
+++ b/router/src/main/java/basaltlever/fleet/RaftNode.java
@@ -1,9 +1,7 @@
 package basaltlever.fleet;
 
 import basaltlever.log.Event;
-import basaltlever.settings.SettingsVersion;
 import basaltlever.settings.VersionRegister;
-import basaltlever.settings.VersionRegister.HistoryEntry;
 import java.io.ByteArrayInputStream;
 import java.io.DataInput;
 import java.io.DataOutput;
@@ -11,8 +9,8 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
-import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
@@ -30,9 +28,10 @@
 import org.slf4j.event.Level;
 
 /**
- * One voter: JGroups with its Raft (docs/agreement.md says why). Term, vote and log stand in the
- * folder; the register is what the log comes to. Commands come from the engine's own threads, one
- * after the other; who reads the register meanwhile holds its lock.
+ * The Raft node of one voter, on JGroups (docs/agreement.md says why). Term, vote and log are kept
+ * in the log folder; the register is the state that the log's commands lead to. Commands are
+ * applied on JGroups' own threads, one after the other; whoever reads the register meanwhile holds
+ * its lock.
  */
 final class RaftNode implements StateMachine, AutoCloseable {
   private static final String STACK =
@@ -61,36 +60,41 @@
         </config>
         """;
 
-  /** Ports that the failure detector listens on lie this far above the voters' own. */
-  private static final int DETECTOR = 1_000;
+  /** Ports of the failure detector lie this far above the voters' own. */
+  private static final int FAILURE_DETECTOR_PORT_OFFSET = 1_000;
 
-  private static final long JOINS_AGAIN_MILLIS = 300;
-  private static final int KEPT_TEXTS = 2;
+  private static final long MIN_SUSPECT_INTERVAL_MILLIS = 50;
+  private static final long JOIN_RETRY_MILLIS = 300;
   private static final Logger LOG = LoggerFactory.getLogger(RaftNode.class);
 
-  /** For readers outside the engine's threads too: hold its lock. */
-  final VersionRegister register = new VersionRegister();
-
+  private final VersionRegister register = new VersionRegister();
   private final JChannel channel;
   private final RaftHandle raft;
-  private final Consumer<Boolean> leads;
+  private final Consumer<Boolean> leadershipChanged;
   private volatile boolean closed;
 
   /**
-   * Joins the others, or waits for them. Members vote at first, this one among them; voters are
-   * where they may be met. Suspicion comes after the span; leads is told whenever this voter begins
-   * or ceases to lead, on the engine's thread.
+   * Joins the other voters in the background.
+   *
+   * @param cluster name of the Raft cluster
+   * @param name of this voter
+   * @param voters addresses at which voters may be found
+   * @param members who votes at first, this voter included
+   * @param logFolder where the log is kept
+   * @param suspectMillis silence after which another voter is suspected to have failed
+   * @param leadershipChanged called on a JGroups thread when this voter becomes the leader or
+   *     ceases to be
    */
   RaftNode(
-      String fleet,
+      String cluster,
       String name,
       Map<String, InetSocketAddress> voters,
       List<String> members,
-      Path folder,
+      Path logFolder,
       long suspectMillis,
-      Consumer<Boolean> leads)
+      Consumer<Boolean> leadershipChanged)
       throws Exception {
-    this.leads = leads;
+    this.leadershipChanged = leadershipChanged;
     InetSocketAddress own = voters.get(name);
     String hosts =
         voters.values().stream()
@@ -102,218 +106,118 @@
             own.getPort(),
             hosts,
             own.getHostString(),
-            DETECTOR,
+            FAILURE_DETECTOR_PORT_OFFSET,
             suspectMillis,
-            Math.max(50, suspectMillis / 4),
+            Math.max(MIN_SUSPECT_INTERVAL_MILLIS, suspectMillis / 4),
             String.join(",", members),
             name,
-            folder.toAbsolutePath(),
+            logFolder.toAbsolutePath(),
             name);
     channel = new JChannel(new ByteArrayInputStream(stack.getBytes(StandardCharsets.UTF_8)));
     channel.setName(name);
     raft = new RaftHandle(channel, this).raftId(name);
-    raft.addRoleListener(this::role);
-    Thread joins = new Thread(() -> join(fleet), "joins");
-    joins.setDaemon(true);
-    joins.start();
+    raft.addRoleListener(this::roleChanged);
+    Thread join = new Thread(() -> join(cluster), "raft-join");
+    join.setDaemon(true);
+    join.start();
   }
 
   /**
-   * A voter that was ended and is back at once is turned away for as long as the others have not
-   * noticed that it was gone: it asks again, and its router serves meanwhile.
+   * A voter that restarts is rejected until the others have noticed that its former process is
+   * gone, so it tries again while its router serves.
    */
-  private void join(String fleet) {
+  @SuppressWarnings("IllegalCatch") // The last guard of its thread; JGroups declares Exception.
+  private void join(String cluster) {
     while (!closed) {
       try {
-        channel.connect(fleet);
+        channel.connect(cluster);
         return;
-      } catch (Exception turnedAway) {
-        Event.FLEET_JOINS.log(LOG, Level.WARN, "asks again", turnedAway);
+      } catch (Exception rejected) {
+        Event.FLEET_JOINS.log(LOG, Level.WARN, "asks again", rejected);
       }
       try {
-        Thread.sleep(JOINS_AGAIN_MILLIS);
+        Thread.sleep(JOIN_RETRY_MILLIS);
       } catch (InterruptedException ended) {
         return;
       }
     }
   }
 
-  private void role(Role role) {
-    leads.accept(role == Role.Leader);
+  private void roleChanged(Role role) {
+    leadershipChanged.accept(role == Role.Leader);
+  }
+
+  /** To be locked by whoever reads it outside of JGroups' threads. */
+  VersionRegister register() {
+    return register;
   }
 
-  /** Empty where nobody leads. */
+  /** The name of the leader; empty where there is none. */
   String leader() {
     Address leader = raft.leader();
     String name = leader == null ? null : NameCache.get(leader);
     return name == null ? "" : name;
   }
 
-  /** Who votes, as far as this one knows. */
+  /** The voters, as far as this one knows. */
   List<String> members() {
     return List.copyOf(raft.raft().members());
   }
 
-  /** Takes a voter in, or out; one change at a time, and only where this one leads. */
-  CompletableFuture<byte[]> change(String voter, boolean in) {
+  /** Adds or removes a voter; one change at a time, and only at the leader. */
+  @SuppressWarnings("IllegalCatch") // JGroups declares Exception.
+  CompletableFuture<byte[]> changeMember(String voter, boolean add) {
     try {
-      return in ? raft.raft().addServer(voter) : raft.raft().removeServer(voter);
-    } catch (Exception refused) {
-      return CompletableFuture.failedFuture(refused);
+      return add ? raft.raft().addServer(voter) : raft.raft().removeServer(voter);
+    } catch (Exception rejected) {
+      return CompletableFuture.failedFuture(rejected);
     }
   }
 
-  /** How far its log has come, for status. */
+  /** The role and how far the log has come, for status. */
   String standing() {
     RAFT protocol = raft.raft();
-    return protocol.role().toLowerCase(java.util.Locale.ROOT)
-        + ", term "
-        + raft.currentTerm()
-        + ", applied "
-        + raft.lastApplied()
-        + " of "
-        + raft.commitIndex();
+    return "%s, term %s, applied %s of %s"
+        .formatted(
+            protocol.role().toLowerCase(Locale.ROOT),
+            raft.currentTerm(),
+            raft.lastApplied(),
+            raft.commitIndex());
   }
 
-  /** The answer of the register once a majority has the command; fails where there is none. */
-  CompletableFuture<String> submit(Map<String, Object> command) {
-    byte[] bytes = MessageCodec.write(command);
+  /**
+   * Completes with the register's objection, empty where there is none, once a majority has the
+   * command; fails where there is no majority.
+   */
+  @SuppressWarnings("IllegalCatch") // JGroups declares Exception.
+  CompletableFuture<String> submit(RaftCommand command) {
+    byte[] bytes = MessageCodec.write(RaftCommandCodec.encode(command));
     try {
       return raft.setAsync(bytes, 0, bytes.length, Options.create(false))
           .thenApply(answer -> answer == null ? "" : new String(answer, StandardCharsets.UTF_8));
-    } catch (Exception refused) {
-      return CompletableFuture.failedFuture(refused);
+    } catch (Exception rejected) {
+      return CompletableFuture.failedFuture(rejected);
     }
   }
 
-  // ---- What the engine asks of the register.
-
   @Override
   public byte[] apply(byte[] data, int offset, int length, boolean serialize) throws IOException {
-    Map<String, Object> command = MessageCodec.read(data, offset, length);
-    String answer;
-    synchronized (register) {
-      long number = MessageCodec.number(command, "number");
-      answer =
-          switch (MessageCodec.text(command, "do")) {
-            case "propose" ->
-                register.propose(
-                    number,
-                    MessageCodec.text(command, "text"),
-                    (int) Math.max(1, MessageCodec.number(command, "routers")),
-                    MessageCodec.text(command, "who"),
-                    MessageCodec.text(command, "why"),
-                    MessageCodec.number(command, "at"));
-            case "force" -> register.bringIntoForce(number) ? "" : "it is not on its way";
-            case "withdraw" ->
-                register.withdraw(number, MessageCodec.text(command, "why"))
-                    ? ""
-                    : "it is not on its way";
-            case "seat" -> {
-              MembershipCodec.seats(command.get("seats"))
-                  .forEach(seat -> register.seat(seat.member(), seat.group(), seat.at()));
-              yield "";
-            }
-            case "clear" -> {
-              MembershipCodec.seats(command.get("seats"))
-                  .forEach(seat -> register.clear(seat.member()));
-              yield "";
-            }
-            case "seal" ->
-                register.seal(
-                        MessageCodec.text(command, "voter"), MessageCodec.text(command, "folder"))
-                    ? ""
-                    : "its folder is known";
-            case "unseal" -> {
-              register.unseal(MessageCodec.text(command, "voter"));
-              yield "";
-            }
-            case "count_anew" -> register.countAnew(number) ? "" : "it is counted anew already";
-            case "charter" -> {
-              // Once: whoever leads submits it until it has begun.
-              if (VersionRegister.charter(MessageCodec.number(command, "changes"))
-                  > register.charter()) {
-                restore(command);
-              }
-              yield "";
-            }
-            // A pulse, or what a later release knows: order is all that matters of it.
-            default -> "";
-          };
-    }
-    return answer.getBytes(StandardCharsets.UTF_8);
+    RaftCommand command = RaftCommandCodec.decode(MessageCodec.read(data, offset, length));
+    return CommandApplier.apply(command, register).getBytes(StandardCharsets.UTF_8);
   }
 
   @Override
   public void writeContentTo(DataOutput out) throws IOException {
-    byte[] bytes = MessageCodec.write(content(register));
+    byte[] bytes = MessageCodec.write(RaftCommandCodec.encode(RegisterContent.of(register)));
     out.writeInt(bytes.length);
     out.write(bytes);
   }
 
-  /** All of a register that a snapshot or a seed holds. */
-  static Map<String, Object> content(VersionRegister register) {
-    Map<String, Object> all = new LinkedHashMap<>();
-    synchronized (register) {
-      all.put("force", MessageCodec.of(register.inForce()));
-      all.put("prepared", MessageCodec.of(register.prepared()));
-      all.put("last", register.last());
-      all.put("changes", register.changes());
-      all.put("era", register.era());
-      all.put("seats_number", register.seatsNumber());
-      all.put("seats", register.seats(-1).stream().map(MembershipCodec::of).toList());
-      all.put("seals", new LinkedHashMap<>(register.seals()));
-      all.put("ended", List.copyOf(register.ended()));
-      // The texts of old versions would make a snapshot large: revert needs the latest few only.
-      List<HistoryEntry> history = register.history();
-      all.put(
-          "history",
-          history.stream()
-              .map(
-                  chapter -> {
-                    boolean old = history.indexOf(chapter) < history.size() - KEPT_TEXTS;
-                    SettingsVersion v = chapter.version();
-                    return MessageCodec.of(
-                        old
-                            ? new HistoryEntry(
-                                new SettingsVersion(
-                                    v.number(), "", v.routers(), v.who(), v.why(), v.atMillis()),
-                                chapter.end(),
-                                chapter.reason())
-                            : chapter);
-                  })
-              .toList());
-    }
-    return all;
-  }
-
   @Override
   public void readContentFrom(DataInput in) throws IOException {
     byte[] bytes = new byte[Math.min(Math.max(0, in.readInt()), MessageCodec.LARGEST)];
     in.readFully(bytes);
-    restore(MessageCodec.read(bytes, 0, bytes.length));
-  }
-
-  private void restore(Map<String, Object> all) {
-    synchronized (register) {
-      register.restore(
-          MessageCodec.version(all.get("force")),
-          MessageCodec.version(all.get("prepared")),
-          MessageCodec.number(all, "last"),
-          MessageCodec.number(all, "changes"),
-          all.get("history") instanceof List<?> lines
-              ? lines.stream().map(line -> MessageCodec.chapter((Map<?, ?>) line)).toList()
-              : List.of());
-      register.restore(
-          MessageCodec.number(all, "era"),
-          MessageCodec.number(all, "seats_number"),
-          MembershipCodec.seats(all.get("seats")));
-      Map<String, String> seals = new LinkedHashMap<>();
-      if (all.get("seals") instanceof Map<?, ?> told) {
-        told.forEach((voter, folder) -> seals.put("" + voter, "" + folder));
-      }
-      register.restore(seals, MessageCodec.texts(all, "ended"));
-    }
+    RaftCommandCodec.decodeContent(MessageCodec.read(bytes, 0, bytes.length)).restoreTo(register);
   }
 
   @Override
--- /dev/null
+++ b/router/src/main/java/basaltlever/fleet/RegisterContent.java
@@ -0,0 +1,66 @@
+package basaltlever.fleet;
+
+import basaltlever.membership.GroupAssignment;
+import basaltlever.settings.SettingsVersion;
+import basaltlever.settings.VersionRegister;
+import basaltlever.settings.VersionRegister.HistoryEntry;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** All of a {@link VersionRegister} that a Raft snapshot, or the start of an epoch, holds. */
+record RegisterContent(
+    SettingsVersion inForce,
+    SettingsVersion prepared,
+    long last,
+    long changes,
+    long era,
+    long assignmentsNumber,
+    List<GroupAssignment> assignments,
+    Map<String, String> voterFolders,
+    List<String> ended,
+    List<HistoryEntry> history) {
+  /** Texts of older versions would make a snapshot large, and revert needs the latest only. */
+  private static final int KEPT_TEXTS = 2;
+
+  /** Takes the register's lock. */
+  static RegisterContent of(VersionRegister register) {
+    synchronized (register) {
+      return new RegisterContent(
+          register.inForce(),
+          register.prepared(),
+          register.last(),
+          register.changes(),
+          register.era(),
+          register.seatsNumber(),
+          register.seats(-1),
+          new LinkedHashMap<>(register.seals()),
+          List.copyOf(register.ended()),
+          withoutOldTexts(register.history()));
+    }
+  }
+
+  private static List<HistoryEntry> withoutOldTexts(List<HistoryEntry> history) {
+    List<HistoryEntry> shortened = new ArrayList<>();
+    for (HistoryEntry entry : history) {
+      boolean old = history.indexOf(entry) < history.size() - KEPT_TEXTS;
+      shortened.add(old ? withoutText(entry) : entry);
+    }
+    return shortened;
+  }
+
+  private static HistoryEntry withoutText(HistoryEntry entry) {
+    return new HistoryEntry(
+        VersionCodec.withText(entry.version(), ""), entry.end(), entry.reason());
+  }
+
+  /** Takes the register's lock. */
+  void restoreTo(VersionRegister register) {
+    synchronized (register) {
+      register.restore(inForce, prepared, last, changes, history);
+      register.restore(era, assignmentsNumber, assignments);
+      register.restore(voterFolders, ended);
+    }
+  }
+}
--- /dev/null
+++ b/router/src/main/java/basaltlever/fleet/VersionCodec.java
@@ -0,0 +1,88 @@
+package basaltlever.fleet;
+
+import basaltlever.settings.SettingsVersion;
+import basaltlever.settings.VersionRegister.HistoryEntry;
+import basaltlever.settings.VersionRegister.VersionOutcome;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/** Settings versions as parts of messages and files. */
+final class VersionCodec {
+  private VersionCodec() {}
+
+  /** Null stays null. */
+  static Map<String, Object> encode(SettingsVersion version) {
+    if (version == null) {
+      return null;
+    }
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("number", version.number());
+    fields.put("text", version.text());
+    fields.put("routers", version.routers());
+    fields.put("who", version.who());
+    fields.put("why", version.why());
+    fields.put("at", version.atMillis());
+    return fields;
+  }
+
+  /** Null stays null. */
+  static Map<String, Object> encode(SentVersion sent) {
+    if (sent == null) {
+      return null;
+    }
+    Map<String, Object> fields = encode(sent.version());
+    if (!sent.hasText()) {
+      fields.remove("text");
+    }
+    return fields;
+  }
+
+  static Map<String, Object> encode(HistoryEntry entry) {
+    return withOutcome(encode(entry.version()), entry.end().name(), entry.reason());
+  }
+
+  static Map<String, Object> withOutcome(
+      Map<String, Object> version, String outcome, String reason) {
+    version.put("end", outcome);
+    version.put("reason", reason);
+    return version;
+  }
+
+  /** Null where the value is no version. */
+  static SettingsVersion decode(Object value) {
+    return value instanceof Map<?, ?> fields
+        ? new SettingsVersion(
+            MessageCodec.number(fields, "number"),
+            MessageCodec.text(fields, "text"),
+            (int) Math.max(1, MessageCodec.number(fields, "routers")),
+            MessageCodec.text(fields, "who"),
+            MessageCodec.text(fields, "why"),
+            MessageCodec.number(fields, "at"))
+        : null;
+  }
+
+  /** Null where the value is no version. */
+  static SentVersion decodeSent(Object value) {
+    return value instanceof Map<?, ?> fields
+        ? new SentVersion(decode(fields), fields.containsKey("text"))
+        : null;
+  }
+
+  /** Throws where the outcome is not one that this release knows. */
+  static HistoryEntry decodeHistoryEntry(Map<?, ?> fields) {
+    return new HistoryEntry(
+        decode(fields),
+        VersionOutcome.valueOf(MessageCodec.text(fields, "end")),
+        MessageCodec.text(fields, "reason"));
+  }
+
+  static SettingsVersion withText(SettingsVersion version, String text) {
+    return new SettingsVersion(
+        version.number(),
+        text,
+        version.routers(),
+        version.who(),
+        version.why(),
+        version.atMillis());
+  }
+}
--- /dev/null
+++ b/router/src/main/java/basaltlever/fleet/VoterLifecycle.java
@@ -0,0 +1,286 @@
+package basaltlever.fleet;
+
+import basaltlever.config.FleetSettings;
+import basaltlever.log.Event;
+import basaltlever.membership.VoterEligibility;
+import basaltlever.membership.VoterEligibility.PeerStatus;
+import basaltlever.membership.VoterEligibility.VoterIdentity;
+import basaltlever.settings.VersionRegister;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.util.List;
+import java.util.TreeSet;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.slf4j.event.Level;
+
+/**
+ * Decides whether this instance may vote, and runs its Raft node while it does. The store's lock
+ * guards each change of the node; any thread may read.
+ */
+final class VoterLifecycle implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(VoterLifecycle.class);
+  private static final long RETRY_MILLIS = 200;
+  private static final long CHECK_INTERVAL_MILLIS = 2_000;
+  private static final long MIN_SUSPECT_MILLIS = 300;
+
+  private final FleetSettings settings;
+  private final String name;
+  private final VoterStore store;
+  private final PeerPoller poller;
+  private final Consumer<Boolean> leadershipChanged;
+
+  /** What is reported while this instance doesn't vote. */
+  private final VersionRegister emptyRegister = new VersionRegister();
+
+  /** Null while this instance may not vote. */
+  private volatile RaftNode node;
+
+  private volatile long epoch;
+  private volatile String waitReason = "";
+  private volatile boolean leading;
+  private volatile boolean closed;
+
+  /** LeadershipChanged is called on any thread. */
+  VoterLifecycle(
+      FleetSettings settings, String name, VoterStore store, Consumer<Boolean> leadershipChanged) {
+    this.settings = settings;
+    this.name = name;
+    this.store = store;
+    this.leadershipChanged = leadershipChanged;
+    poller = new PeerPoller(settings, name, store);
+  }
+
+  /** Starts to look for a way to vote, in the background. */
+  void start() {
+    Thread eligibility = new Thread(this::checkUntilClosed, "voter-eligibility");
+    eligibility.setDaemon(true);
+    eligibility.start();
+  }
+
+  /** Checks again and again, since a voter may have been removed or given up while it was away. */
+  @SuppressWarnings("IllegalCatch") // The last guard of its thread; JGroups declares Exception.
+  private void checkUntilClosed() {
+    while (!closed) {
+      try {
+        checkEligibility(poller.pollAll());
+        Thread.sleep(node == null ? RETRY_MILLIS : CHECK_INTERVAL_MILLIS);
+      } catch (InterruptedException ended) {
+        return;
+      } catch (Exception fault) {
+        waitReason = "" + fault;
+        Event.FLEET_JOINS.log(LOG, Level.WARN, "can't vote, asks again", fault);
+        try {
+          Thread.sleep(CHECK_INTERVAL_MILLIS);
+        } catch (InterruptedException ended) {
+          return;
+        }
+      }
+    }
+  }
+
+  private void checkEligibility(List<PeerStatus> others) throws Exception {
+    synchronized (store) {
+      if (node == null && !closed) {
+        VoterIdentity identity = store.identity();
+        startVoting(
+            VoterEligibility.of(
+                name,
+                identity.members().isEmpty() ? null : identity,
+                List.copyOf(settings.voters().keySet()),
+                others));
+      } else if (others.stream().anyMatch(this::isSuperseding)) {
+        retire();
+      }
+    }
+  }
+
+  /** Whether another voter is in a newer epoch, or leads this one without this instance. */
+  private boolean isSuperseding(PeerStatus other) {
+    return other.charter() > epoch
+        || (other.leads() && other.charter() == epoch && !other.members().contains(name));
+  }
+
+  private void startVoting(VoterEligibility eligibility) throws Exception {
+    if (eligibility.kind() == VoterEligibility.Kind.WAIT) {
+      if (!eligibility.why().equals(waitReason)) {
+        waitReason = eligibility.why();
+        Event.FLEET_STANDS.log(LOG, Level.WARN, "", "waits", waitReason);
+      }
+      return;
+    }
+    if (eligibility.kind() != VoterEligibility.Kind.RESUME) {
+      store.recordVote(eligibility.charter(), eligibility.members());
+    }
+    waitReason = "";
+    epoch = eligibility.charter();
+    Files.createDirectories(store.logFolder(epoch));
+    node =
+        new RaftNode(
+            epoch == 0 ? settings.name() : settings.name() + "#" + epoch,
+            name,
+            settings.voters(),
+            eligibility.members(),
+            store.logFolder(epoch),
+            Math.max(MIN_SUSPECT_MILLIS, settings.lease().micros() / 1_000),
+            leadershipChanged);
+    Event.FLEET_STANDS.log(
+        LOG,
+        Level.INFO,
+        "",
+        "votes",
+        eligibility.kind()
+            + " under charter "
+            + epoch
+            + " with "
+            + String.join(", ", eligibility.members()));
+  }
+
+  /** Stops voting, since the others go on in a newer epoch or without this instance. */
+  private void retire() {
+    RaftNode former = node;
+    node = null;
+    leadershipChanged.accept(false);
+    former.close();
+    Event.FLEET_STANDS.log(
+        LOG, Level.WARN, "", "retires", "a charter newer than " + epoch + ", or taken out");
+  }
+
+  /** Stops voting in the background, since a newer epoch has been reported. */
+  void retireInBackground() {
+    Thread retirement =
+        new Thread(
+            () -> {
+              synchronized (store) {
+                if (node != null) {
+                  retire();
+                }
+              }
+            },
+            "voter-retirement");
+    retirement.setDaemon(true);
+    retirement.start();
+  }
+
+  /**
+   * Carries out an operator's request: this voter goes on by itself, in a new epoch. Blocks while
+   * it asks the other voters. Returns the objection; empty where the epoch starts.
+   */
+  String recover(FleetRequest.Recover request) throws Exception {
+    synchronized (store) {
+      RaftNode former = node;
+      String objection = objectionToRecovery(request, former);
+      if (!objection.isEmpty()) {
+        return objection;
+      }
+      node = null;
+      former.close();
+      VersionRegister register = former.register();
+      synchronized (register) {
+        register.recover(
+            new TreeSet<>(request.ended()),
+            request.who(),
+            request.why(),
+            System.currentTimeMillis());
+      }
+      long newEpoch = epoch + 1;
+      store.writeEpochStart(newEpoch, RegisterContent.of(register));
+      store.recordVote(newEpoch, List.of(name));
+      startVoting(new VoterEligibility(VoterEligibility.Kind.RESUME, newEpoch, List.of(name), ""));
+      return "";
+    }
+  }
+
+  private String objectionToRecovery(FleetRequest.Recover request, RaftNode current) {
+    if (current == null) {
+      return name + " does not vote: " + waitReason;
+    }
+    if (request.epoch() != epoch + 1) {
+      return "charter " + epoch + " holds, so the next one is " + (epoch + 1);
+    }
+    if (leading || !current.leader().isEmpty()) {
+      return "a majority is there: " + (leading ? name : current.leader()) + " leads";
+    }
+    for (String member : current.members()) {
+      if (!member.equals(name)) {
+        String objection =
+            objectionOfMember(
+                member, request.ended().contains(member), current.register().changes());
+        if (!objection.isEmpty()) {
+          return objection;
+        }
+      }
+    }
+    return "";
+  }
+
+  private String objectionOfMember(String member, boolean ended, long ownChanges) {
+    StatusReport status = poller.poll(member);
+    if (ended) {
+      return status == null ? "" : member + " answers, so it is not ended";
+    }
+    if (status == null) {
+      return member + " votes too: end it and name it, or bring it back";
+    }
+    return status.changes() > ownChanges ? member + " knows more: have it recover instead" : "";
+  }
+
+  /** Told by the event loop, once it has acted on a change of leadership. */
+  void setLeading(boolean nowLeading) {
+    leading = nowLeading;
+  }
+
+  /** Null while this instance doesn't vote. */
+  RaftNode node() {
+    return node;
+  }
+
+  /** The register of the node, or an empty one while this instance doesn't vote. */
+  VersionRegister register() {
+    RaftNode current = node;
+    return current == null ? emptyRegister : current.register();
+  }
+
+  long epoch() {
+    return epoch;
+  }
+
+  /** Why this instance doesn't vote. */
+  String waitReason() {
+    return waitReason;
+  }
+
+  /**
+   * Whether the register holds what the epoch starts with: before that nothing may be led by it.
+   */
+  boolean hasStartedEpoch() {
+    RaftNode current = node;
+    return current != null && current.register().charter() == epoch;
+  }
+
+  /** What the epoch starts with; null where it has started, or is not for this voter to start. */
+  RegisterContent pendingEpochStart() throws IOException {
+    return hasStartedEpoch() || node == null ? null : store.readEpochStart(epoch);
+  }
+
+  /** The id of the folder by which this instance votes; empty while it doesn't vote. */
+  String folderId() {
+    return node == null ? "" : store.identity().id();
+  }
+
+  /** Whether the folder of this instance has never been used to vote. */
+  boolean hasEmptyFolder() {
+    return store.identity().members().isEmpty();
+  }
+
+  @Override
+  public void close() {
+    closed = true;
+    synchronized (store) {
+      if (node != null) {
+        node.close();
+      }
+    }
+  }
+}
--- a/router/src/main/java/basaltlever/fleet/VoterStore.java
+++ b/router/src/main/java/basaltlever/fleet/VoterStore.java
@@ -14,122 +14,128 @@
 import java.util.zip.CRC32C;
 
 /**
- * What an instance's folder says of it: whose it is, under which charter it votes and with whom,
- * and the latest charter, voters and version that it was told of. Written whole, synced and
- * renamed, behind its sum; a folder of another router or fleet is refused, as is one that can't be
- * read: who goes on with a guess could vote twice.
+ * The folder of an instance: its identity, the configuration epoch under which it votes and with
+ * whom, and the latest epoch, voters and settings version that it has learned of. The file is
+ * written as a whole with a checksum, synced and renamed. A folder of another router or fleet, or
+ * one that can't be read, is rejected: an instance that goes on with a guess could vote twice.
  */
 public final class VoterStore {
   private static final String FILE = "papers";
-  private static final String NEW = "papers.new";
-  private static final int LARGEST = MessageCodec.LARGEST;
+  private static final String NEW_FILE = "papers.new";
+  private static final String EPOCH_START_FILE = "seed";
+  private static final String NEW_EPOCH_START_FILE = "seed.new";
+  private static final int MAX_BYTES = MessageCodec.LARGEST;
 
   private final LockedDirectory folder;
-  private VoterIdentity seal;
-  private long knows;
+  private VoterIdentity identity;
+  private long latestEpoch;
   private List<String> voters;
 
-  /** Null where none was told. */
-  private SettingsVersion told;
+  /** Null where none has been learned of. */
+  private SettingsVersion inForce;
 
   private VoterStore(
       LockedDirectory folder,
-      VoterIdentity seal,
-      long knows,
+      VoterIdentity identity,
+      long latestEpoch,
       List<String> voters,
-      SettingsVersion told) {
+      SettingsVersion inForce) {
     this.folder = folder;
-    this.seal = seal;
-    this.knows = knows;
+    this.identity = identity;
+    this.latestEpoch = latestEpoch;
     this.voters = voters;
-    this.told = told;
+    this.inForce = inForce;
   }
 
-  /** Of the router by that name; throws with the reason where the folder is not its own. */
+  /** The folder of the router by that name; throws with the reason where it is not its own. */
   public static VoterStore read(Path path, String fleet, String name) throws IOException {
     Files.createDirectories(path);
     LockedDirectory folder = new LockedDirectory(path);
     if (!folder.names().contains(FILE)) {
-      return new VoterStore(
-          folder,
-          new VoterIdentity(fleet, name, UUID.randomUUID().toString(), 0, List.of()),
-          0,
-          List.of(),
-          null);
+      String id = UUID.randomUUID().toString();
+      VoterIdentity identity = new VoterIdentity(fleet, name, id, 0, List.of());
+      return new VoterStore(folder, identity, 0, List.of(), null);
     }
-    byte[] bytes = folder.read(FILE, LARGEST);
-    if (bytes.length < Long.BYTES || ByteBuffer.wrap(bytes).getLong() != sum(bytes, Long.BYTES)) {
+    Map<String, Object> fields = readFields(path, folder);
+    VoterIdentity identity =
+        new VoterIdentity(
+            MessageCodec.text(fields, "fleet"),
+            MessageCodec.text(fields, "name"),
+            MessageCodec.text(fields, "id"),
+            MessageCodec.number(fields, "charter"),
+            MessageCodec.texts(fields, "members"));
+    checkOwner(path, identity, fleet, name);
+    return new VoterStore(
+        folder,
+        identity,
+        MessageCodec.number(fields, "knows"),
+        MessageCodec.texts(fields, "voters"),
+        VersionCodec.decode(fields.get("told")));
+  }
+
+  private static Map<String, Object> readFields(Path path, LockedDirectory folder)
+      throws IOException {
+    byte[] bytes = folder.read(FILE, MAX_BYTES);
+    if (bytes.length < Long.BYTES
+        || ByteBuffer.wrap(bytes).getLong() != checksum(bytes, Long.BYTES)) {
       throw new IOException(
           path.resolve(FILE)
               + " is damaged: bring the folder back from a copy, or take this"
               + " voter out, empty the folder and take it in again");
     }
-    Map<String, Object> all = MessageCodec.read(bytes, Long.BYTES, bytes.length - Long.BYTES);
-    VoterIdentity seal =
-        new VoterIdentity(
-            MessageCodec.text(all, "fleet"),
-            MessageCodec.text(all, "name"),
-            MessageCodec.text(all, "id"),
-            MessageCodec.number(all, "charter"),
-            MessageCodec.texts(all, "members"));
-    if (!seal.fleet().equals(fleet) || !seal.name().equals(name)) {
+    return MessageCodec.read(bytes, Long.BYTES, bytes.length - Long.BYTES);
+  }
+
+  private static void checkOwner(Path path, VoterIdentity identity, String fleet, String name)
+      throws IOException {
+    if (!identity.fleet().equals(fleet) || !identity.name().equals(name)) {
       throw new IOException(
-          path
-              + " is the folder of "
-              + seal.name()
-              + " of fleet "
-              + seal.fleet()
-              + ", not of "
-              + name
-              + " of "
-              + fleet);
+          "%s is the folder of %s of fleet %s, not of %s of %s"
+              .formatted(path, identity.name(), identity.fleet(), name, fleet));
     }
-    return new VoterStore(
-        folder,
-        seal,
-        MessageCodec.number(all, "knows"),
-        MessageCodec.texts(all, "voters"),
-        MessageCodec.version(all.get("told")));
   }
 
-  private static long sum(byte[] bytes, int from) {
-    CRC32C sum = new CRC32C();
-    sum.update(bytes, from, bytes.length - from);
-    return sum.getValue();
+  private static long checksum(byte[] bytes, int from) {
+    CRC32C checksum = new CRC32C();
+    checksum.update(bytes, from, bytes.length - from);
+    return checksum.getValue();
   }
 
-  /** With no members where it does not vote. */
-  synchronized VoterIdentity seal() {
-    return seal;
+  /** Has no members while this instance doesn't vote. */
+  synchronized VoterIdentity identity() {
+    return identity;
   }
 
-  /** The latest charter that this router was told of. */
+  /** The latest configuration epoch that this router has learned of. */
   public synchronized long knows() {
-    return knows;
+    return latestEpoch;
   }
 
-  /** From here on it votes so, also after a crash in the next moment. */
-  synchronized void votes(long charter, List<String> members) throws IOException {
-    seal = new VoterIdentity(seal.fleet(), seal.name(), seal.id(), charter, List.copyOf(members));
-    knows = Math.max(knows, charter);
+  /** Records under which epoch and with whom this instance votes from here on. */
+  synchronized void recordVote(long epoch, List<String> members) throws IOException {
+    identity =
+        new VoterIdentity(
+            identity.fleet(), identity.name(), identity.id(), epoch, List.copyOf(members));
+    latestEpoch = Math.max(latestEpoch, epoch);
     write();
   }
 
-  synchronized void isTold(long charter) throws IOException {
-    if (charter > knows) {
-      knows = charter;
+  synchronized void recordEpoch(long epoch) throws IOException {
+    if (epoch > latestEpoch) {
+      latestEpoch = epoch;
       write();
     }
   }
 
   /**
-   * Who votes, as a leader told last: files may name voters that are long gone. Empty before that.
+   * The voters as a leader named them last, since settings files may name voters that are long
+   * gone. Empty before that.
    */
   synchronized List<String> voters() {
     return voters;
   }
 
-  synchronized void areTold(List<String> members) throws IOException {
+  synchronized void recordVoters(List<String> members) throws IOException {
     if (!members.isEmpty() && !members.equals(voters)) {
       voters = List.copyOf(members);
       write();
@@ -137,66 +143,65 @@
   }
 
   /**
-   * The version that a leader told last to be in force, with how many routers share the whole: a
-   * process that starts while nobody leads keeps to nothing looser. Null where none was told.
+   * The version that was in force when a leader granted a lease last, with the number of routers. A
+   * process that starts while nobody leads keeps to nothing looser. Null where there is none.
    */
   public synchronized SettingsVersion told() {
-    return told;
+    return inForce;
   }
 
-  synchronized void isTold(SettingsVersion inForce) throws IOException {
-    if (!inForce.equals(told)) {
-      told = inForce;
+  synchronized void recordInForce(SettingsVersion version) throws IOException {
+    if (!version.equals(inForce)) {
+      inForce = version;
       write();
     }
   }
 
   private void write() throws IOException {
-    Map<String, Object> all = new LinkedHashMap<>();
-    all.put("fleet", seal.fleet());
-    all.put("name", seal.name());
-    all.put("id", seal.id());
-    all.put("charter", seal.charter());
-    all.put("members", seal.members());
-    all.put("knows", knows);
-    all.put("voters", voters);
-    all.put("told", MessageCodec.of(told));
-    byte[] content = MessageCodec.write(all);
-    if (content.length > LARGEST - Long.BYTES) {
-      // Settings that fill a whole message: without them is better than a folder that can't be
-      // read.
-      all.remove("told");
-      content = MessageCodec.write(all);
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("fleet", identity.fleet());
+    fields.put("name", identity.name());
+    fields.put("id", identity.id());
+    fields.put("charter", identity.charter());
+    fields.put("members", identity.members());
+    fields.put("knows", latestEpoch);
+    fields.put("voters", voters);
+    fields.put("told", VersionCodec.encode(inForce));
+    byte[] content = MessageCodec.write(fields);
+    if (content.length > MAX_BYTES - Long.BYTES) {
+      // A folder without the version is better than one that is too large to be read.
+      fields.remove("told");
+      content = MessageCodec.write(fields);
     }
     ByteBuffer bytes =
-        ByteBuffer.allocate(Long.BYTES + content.length).putLong(sum(content, 0)).put(content);
-    folder.write(NEW, bytes.array());
-    folder.sync(NEW);
-    folder.rename(NEW, FILE);
+        ByteBuffer.allocate(Long.BYTES + content.length).putLong(checksum(content, 0)).put(content);
+    folder.write(NEW_FILE, bytes.array());
+    folder.sync(NEW_FILE);
+    folder.rename(NEW_FILE, FILE);
     folder.syncFolder();
   }
 
-  /** What a charter begins with, where it was begun here; null where it was not. */
-  synchronized Map<String, Object> seed(long charter) throws IOException {
-    Path file = log(charter).resolve("seed");
-    if (charter == 0 || !Files.exists(file)) {
+  /** What an epoch starts with; null where this instance didn't start it. */
+  synchronized RegisterContent readEpochStart(long epoch) throws IOException {
+    Path file = logFolder(epoch).resolve(EPOCH_START_FILE);
+    if (epoch == 0 || !Files.exists(file)) {
       return null;
     }
     byte[] bytes = Files.readAllBytes(file);
-    return MessageCodec.read(bytes, 0, bytes.length);
+    return RaftCommandCodec.decodeContent(MessageCodec.read(bytes, 0, bytes.length));
   }
 
-  /** To be followed by {@link #votes}: before that it is nothing. */
-  synchronized void begins(long charter, Map<String, Object> register) throws IOException {
-    LockedDirectory own = new LockedDirectory(Files.createDirectories(log(charter)));
-    own.write("seed.new", MessageCodec.write(register));
-    own.sync("seed.new");
-    own.rename("seed.new", "seed");
-    own.syncFolder();
+  /** Takes effect with the {@link #recordVote} that has to follow. */
+  synchronized void writeEpochStart(long epoch, RegisterContent content) throws IOException {
+    LockedDirectory epochFolder = new LockedDirectory(Files.createDirectories(logFolder(epoch)));
+    epochFolder.write(NEW_EPOCH_START_FILE, MessageCodec.write(RaftCommandCodec.encode(content)));
+    epochFolder.sync(NEW_EPOCH_START_FILE);
+    epochFolder.rename(NEW_EPOCH_START_FILE, EPOCH_START_FILE);
+    epochFolder.syncFolder();
   }
 
-  /** Where the engine keeps its log under a charter. */
-  Path log(long charter) {
-    return charter == 0 ? folder.path() : folder.path().resolve("charter-" + charter);
+  /** Where the Raft node keeps its log under an epoch. */
+  Path logFolder(long epoch) {
+    return epoch == 0 ? folder.path() : folder.path().resolve("charter-" + epoch);
   }
 }
--- a/router/src/test/java/basaltlever/fleet/VoterStoreTest.java
+++ b/router/src/test/java/basaltlever/fleet/VoterStoreTest.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
+/** A voter's folder is read as it was written; damaged or foreign folders are rejected. */
 class VoterStoreTest {
   private static String refused(Path folder, String fleet, String name) {
     try {
@@ -24,16 +25,16 @@
   void whatWasWrittenIsFoundAndNobodyElsesOrDamagedIsTaken() throws Exception {
     Path folder = Files.createTempDirectory("papers");
     VoterStore papers = VoterStore.read(folder, "cards", "n1");
-    papers.votes(2, List.of("n1", "n4"));
-    papers.isTold(3);
-    papers.areTold(List.of("n4", "n5"));
+    papers.recordVote(2, List.of("n1", "n4"));
+    papers.recordEpoch(3);
+    papers.recordVoters(List.of("n4", "n5"));
     SettingsVersion version =
         new SettingsVersion(7, "{\"Balancers\":3}", 12, "ops", "fewer copies", 1_796_000_000_000L);
-    papers.isTold(new SettingsVersion(6, "{}", 11, "ops", "before", 1));
-    papers.isTold(version);
+    papers.recordInForce(new SettingsVersion(6, "{}", 11, "ops", "before", 1));
+    papers.recordInForce(version);
     VoterStore again = VoterStore.read(folder, "cards", "n1");
     check(
-        again.seal().equals(papers.seal())
+        again.identity().equals(papers.identity())
             && again.knows() == 3
             && again.voters().equals(List.of("n4", "n5"))
             && again.told().equals(version),
@@ -63,8 +64,8 @@
     Files.write(file, Golden.bytes("voter/papers"));
     VoterStore papers = VoterStore.read(folder, "cards", "n1");
     SettingsVersion told = papers.told();
-    papers.isTold(new SettingsVersion(1, "{}", 1, "ops", "another", 1));
-    papers.isTold(told);
+    papers.recordInForce(new SettingsVersion(1, "{}", 1, "ops", "another", 1));
+    papers.recordInForce(told);
     Golden.check("voter/papers", Files.readAllBytes(file));
   }
 
@@ -73,12 +74,12 @@
   void settingsThatFillAMessageAreLeftOutAndNothingElseIs() throws Exception {
     Path folder = Files.createTempDirectory("papers");
     VoterStore papers = VoterStore.read(folder, "cards", "n1");
-    papers.votes(2, List.of("n1"));
-    papers.isTold(
+    papers.recordVote(2, List.of("n1"));
+    papers.recordInForce(
         new SettingsVersion(7, "x".repeat(MessageCodec.LARGEST - 60), 12, "ops", "large", 1));
     VoterStore again = VoterStore.read(folder, "cards", "n1");
     check(
-        again.told() == null && again.seal().equals(papers.seal()) && again.knows() == 2,
+        again.told() == null && again.identity().equals(papers.identity()) && again.knows() == 2,
         "all but the version");
   }
 }
--- a/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
@@ -23,6 +23,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.SortedSet;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.concurrent.BlockingQueue;
@@ -237,8 +238,8 @@
   }
 
   /** Each form of a command that the log holds, once. */
-  private static TreeSet<String> commands(Path folder) throws Exception {
-    TreeSet<String> forms = new TreeSet<>();
+  private static SortedSet<String> commands(Path folder) throws Exception {
+    SortedSet<String> forms = new TreeSet<>();
     FileBasedLog log = new FileBasedLog();
     log.init(folder.resolve(NAME + ".log").toString(), Map.of());
     try {
