--- a/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
+++ b/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
@@ -148,7 +148,7 @@
 
   // Counted anew a few times a lease, not at each of five hundred routers' beats.
   private void tally(Moment now) {
-    if (now.since(talliedAt).isShorterThan(leases.lease().times(0.1))) {
+    if (now.since(talliedAt).isShorterThan(leases.leaseDuration().times(0.1))) {
       return;
     }
     talliedAt = now;
@@ -156,7 +156,7 @@
     live = 0;
     reports.forEach(
         (name, report) -> {
-          if (leases.isLive(name, now)) {
+          if (leases.hasLease(name, now)) {
             live++;
             holders.merge(new ListContent(report.at(), report.digest()), 1, Integer::sum);
           }
@@ -164,7 +164,7 @@
   }
 
   private ListAgreement verdict(Moment now, HeartbeatReport report, VersionRegister register) {
-    if (report.digest() == 0 || leases.isQuiet(now) || !leases.isBorneOut(now)) {
+    if (report.digest() == 0 || leases.formerLeasesMayRun(now) || !leases.isConfirmed(now)) {
       return ListAgreement.UNTOLD;
     }
     tally(now);
@@ -199,7 +199,7 @@
 
   /** What follows, by the first rule that applies. */
   public Step next(Moment now, VersionRegister register) {
-    if (leases.isQuiet(now) || !leases.isBorneOut(now)) {
+    if (leases.formerLeasesMayRun(now) || !leases.isConfirmed(now)) {
       return Step.NOTHING;
     }
     int there = 0;
@@ -220,7 +220,7 @@
     TreeMap<String, GroupAssignment> wanted = new TreeMap<>();
     for (Map.Entry<String, HeartbeatReport> entry : reports.entrySet()) {
       HeartbeatReport report = entry.getValue();
-      if (!leases.isLive(entry.getKey(), now)) {
+      if (!leases.hasLease(entry.getKey(), now)) {
         continue;
       }
       there++;
@@ -248,7 +248,7 @@
     // At most so often: one discovery that tells a generation far too high would have all ask for
     // lists anew.
     if (2 * Math.max(back, older) > Math.max(there, register.inForce().routers())
-        && now.since(countedAt).isLongerThan(leases.lease().times(LEASES_A_COUNT))) {
+        && now.since(countedAt).isLongerThan(leases.leaseDuration().times(LEASES_A_COUNT))) {
       countedAt = now;
       return new Step(Step.Kind.COUNT_ANEW, List.of());
     }
@@ -287,8 +287,9 @@
             peer ->
                 free.contains(peer)
                     || (ended.contains(peer) && !reports.containsKey(peer))
-                    || now.since(leases.heard(peer).later(electedAt))
-                        .isLongerThan(leases.atMost(assigned.plus(leases.lease()))));
+                    || now.since(leases.lastHeard(peer).later(electedAt))
+                        .isLongerThan(
+                            leases.withClockDrift(assigned.plus(leases.leaseDuration()))));
   }
 
   /** Lists of one generation that are not the same: discovery tells two things. */
@@ -296,7 +297,7 @@
     Map<ListVersion, Map<Long, List<String>>> held = new TreeMap<>();
     reports.forEach(
         (name, report) -> {
-          if (report.digest() != 0 && leases.isLive(name, now)) {
+          if (report.digest() != 0 && leases.hasLease(name, now)) {
             held.computeIfAbsent(report.at(), at -> new TreeMap<>())
                 .computeIfAbsent(report.digest(), digest -> new ArrayList<>())
                 .add(name);
--- a/router/src/main/java/basaltlever/settings/LeaseTable.java
+++ b/router/src/main/java/basaltlever/settings/LeaseTable.java
@@ -9,97 +9,161 @@
 import java.util.TreeMap;
 
 /**
- * The leader's book: who has a lease until when, who keeps to the version on its way, and what
- * follows from it. It only ever grants what a majority has confirmed of late, so that one that was
- * replaced without knowing has nothing to give from a lease's length after its last confirmation
- * on; and one that was just elected counts everybody as leased for that long. Clocks may run apart
- * by the drift, either way.
+ * The leader's table of router leases: who holds one until when and who has acknowledged the
+ * prepared version. From it follows what the voters have to agree on next.
+ *
+ * <p>Two rules keep leases of successive leaders from contradicting each other. A lease never
+ * outlasts one lease duration after the last moment at which a majority confirmed the leader, so a
+ * leader that was replaced without noticing soon has nothing left to grant. A new leader assumes
+ * for the longest duration of a lease that every router may hold one from its predecessor.
  */
 public final class LeaseTable {
-  /** One that asked nothing for so many leases is forgotten. */
-  private static final int FORGOTTEN_AFTER = 20;
+  /** Routers that sent no heartbeat for so many lease durations are removed from the table. */
+  private static final int FORGET_AFTER_LEASES = 20;
 
-  private static final int MOST_PEERS = 2_000;
+  private static final int MAX_ROUTERS = 2_000;
 
-  /** What there is to be done next, for the engine to agree on. */
+  /** The next command that the leader has to propose to the voters. */
   public record Step(Kind kind, long number, String reason, int routers) {
-    /** Of steps. */
+    /** What the command does. */
     public enum Kind {
+      /** Nothing is due. */
       NOTHING,
+      /** The prepared version {@code number} takes effect. */
       BRING_INTO_FORCE,
+      /** The prepared version {@code number} is withdrawn for {@code reason}. */
       WITHDRAW,
+      /** The version in force, {@code number}, is proposed again for {@code routers} routers. */
       COUNT_ROUTERS
     }
 
     static final Step NOTHING = new Step(Kind.NOTHING, 0, "", 0);
   }
 
-  /** One router as the leader sees it. */
+  /** What the leader knows of one router. */
   public static final class Peer {
     public final String name;
-
-    /** Of its process: another one under the same name knows nothing of what this one kept to. */
     public long incarnation;
-
     public Moment leaseEnds = Moment.LONG_AGO;
     public Moment heard = Moment.LONG_AGO;
     public long keepsTo;
     public long inForce;
     public String refusal = "";
-    long refused;
-    Moment barredUntil = Moment.LONG_AGO;
+    private long rejected;
+
+    /** End of the leases of an earlier process under the same name. */
+    private Moment barredUntil = Moment.LONG_AGO;
 
     Peer(String name) {
       this.name = name;
     }
+
+    /** Name of the router. */
+    public String name() {
+      return name;
+    }
+
+    /** Of the process that sent the last heartbeat. */
+    public long incarnation() {
+      return incarnation;
+    }
+
+    /** Latest end of its leases, by the leader's clock. */
+    public Moment leaseEnds() {
+      return leaseEnds;
+    }
+
+    /** When its last heartbeat came. */
+    public Moment lastHeard() {
+      return heard;
+    }
+
+    /** Number of the prepared version that it complies with already, or 0. */
+    public long acknowledged() {
+      return keepsTo;
+    }
+
+    /** Number of the version that it has in force. */
+    public long inForce() {
+      return inForce;
+    }
+
+    /** Why it can't comply with the prepared version; empty where it rejects nothing. */
+    public String rejectionReason() {
+      return refusal;
+    }
+
+    private void update(Moment now, RouterHeartbeat heartbeat) {
+      if (incarnation != heartbeat.incarnation()) {
+        // The earlier process may still act under its lease; with a second lease the two would use
+        // two shares of the capacity under one name.
+        barredUntil = leaseEnds;
+        incarnation = heartbeat.incarnation();
+      }
+      heard = now;
+      inForce = heartbeat.inForce();
+      keepsTo = heartbeat.acknowledged();
+      rejected = heartbeat.rejected();
+      refusal = heartbeat.rejectionReason();
+    }
+
+    private boolean hasLease(Moment now) {
+      return leaseEnds.isAfter(now);
+    }
   }
 
-  private final Span lease;
-  private final double drift;
-  private final TreeMap<String, Peer> peers = new TreeMap<>();
+  private final Span leaseDuration;
+  private final double maxClockDrift;
+  private final TreeMap<String, Peer> routers = new TreeMap<>();
+
+  /** Last heartbeat since the election, by router; routers removed from the table stay here. */
+  private final Map<String, Moment> lastHeard = new HashMap<>();
 
-  /** Of everybody since the election, those that are forgotten too. */
-  private final Map<String, Moment> heardAt = new HashMap<>();
+  private Moment lastConfirmed = Moment.LONG_AGO;
 
-  private Moment confirmed = Moment.LONG_AGO;
-  private Moment quietUntil = Moment.NEVER;
+  /** By then all leases of the former leader are over. */
+  private Moment formerLeasesEnd = Moment.NEVER;
 
-  /** Drift is the share by which any clock may run faster or slower than any other, below 0.5. */
-  public LeaseTable(Span lease, double drift) {
-    this.lease = lease;
-    this.drift = drift;
+  /**
+   * Creates the empty table of a voter that does not lead.
+   *
+   * @param leaseDuration how long a lease lasts by the router's clock
+   * @param maxClockDrift share by which any clock may run faster or slower than any other, below
+   *     0.5
+   */
+  public LeaseTable(Span leaseDuration, double maxClockDrift) {
+    this.leaseDuration = leaseDuration;
+    this.maxClockDrift = maxClockDrift;
   }
 
-  /** How long a lease may last by the leader's clock that a router counts on its own. */
-  public Span atMost(Span granted) {
-    return granted.times(1 + 2 * drift);
+  /** How long at most, by the leader's clock, lasts what a router counts as the given duration. */
+  public Span withClockDrift(Span byRouterClock) {
+    return byRouterClock.times(1 + 2 * maxClockDrift);
   }
 
-  /** From here on this voter leads; what the one before granted is not known. */
+  /** This voter leads from now on and does not know which leases its predecessor granted. */
   public void elected(Moment now) {
-    peers.clear();
-    heardAt.clear();
-    confirmed = Moment.LONG_AGO;
-    quietUntil = now.plus(atMost(lease));
+    routers.clear();
+    lastHeard.clear();
+    lastConfirmed = Moment.LONG_AGO;
+    formerLeasesEnd = now.plus(withClockDrift(leaseDuration));
   }
 
+  /** This voter leads no more and grants nothing. */
   public void resigned() {
-    quietUntil = Moment.NEVER;
-    confirmed = Moment.LONG_AGO;
+    formerLeasesEnd = Moment.NEVER;
+    lastConfirmed = Moment.LONG_AGO;
   }
 
   /**
-   * A majority took a command that was sent at this moment: nobody else had been elected by then.
+   * A majority accepted a command that was sent at this moment, so nobody else had been elected by
+   * then.
    */
   public void confirmed(Moment sent) {
-    confirmed = confirmed.later(sent);
+    lastConfirmed = lastConfirmed.later(sent);
   }
 
-  /**
-   * A router's beat: its number, its process, the version that it has in force and the one on its
-   * way to which it keeps, why it can't, empty where it can, and whether it held a lease as it sent
-   * this. The grant lasts nothing where none is given.
-   */
+  /** As {@link #heartbeat}, with the heartbeat's fields one by one. */
   public LeaseGrant beat(
       Moment now,
       String name,
@@ -111,120 +175,139 @@
       String refusal,
       boolean holds,
       VersionRegister register) {
-    Span lasts = lease.shorter(confirmed.plus(lease).since(now)).longer(Span.NONE);
-    if (!peers.containsKey(name) && peers.size() >= MOST_PEERS) {
-      return new LeaseGrant(
-          number, Span.NONE, register.inForce(), register.prepared(), register.changes());
-    }
-    Peer peer = peers.computeIfAbsent(name, Peer::new);
-    if (peer.incarnation != incarnation) {
-      // The process before may still act under its lease: two of one name would take two shares.
-      peer.barredUntil = peer.leaseEnds;
-      peer.incarnation = incarnation;
-      peer.keepsTo = 0;
-    }
-    peer.heard = now;
-    heardAt.put(name, now);
-    peer.inForce = inForce;
-    peer.keepsTo = keepsTo;
-    peer.refused = refused;
-    peer.refusal = refusal;
-    // Without a share of its own it would take of the whole what others still count as theirs. Who
-    // was
-    // leased by the leader before is known only from its own word, until all those leases are over.
-    boolean hasShare =
-        now.isBefore(quietUntil)
-            ? holds
-            : isLive(peer, now)
-                || live(now)
-                    < Math.min(
-                        register.inForce().routers(),
-                        register.prepared() == null
-                            ? Integer.MAX_VALUE
-                            : register.prepared().routers());
-    if (!hasShare || now.isBefore(peer.barredUntil)) {
-      lasts = Span.NONE;
+    RouterHeartbeat heartbeat =
+        new RouterHeartbeat(name, incarnation, number, inForce, keepsTo, refused, refusal, holds);
+    return heartbeat(now, heartbeat, register);
+  }
+
+  /** Records a router's heartbeat and answers it; the grant's duration is zero without a lease. */
+  public LeaseGrant heartbeat(Moment now, RouterHeartbeat heartbeat, VersionRegister register) {
+    boolean isTableFull = !routers.containsKey(heartbeat.router()) && routers.size() >= MAX_ROUTERS;
+    Span duration = isTableFull ? Span.NONE : recordAndLease(now, heartbeat, register);
+    return new LeaseGrant(
+        heartbeat.number(), duration, register.inForce(), register.prepared(), register.changes());
+  }
+
+  private Span recordAndLease(Moment now, RouterHeartbeat heartbeat, VersionRegister register) {
+    Peer router = routers.computeIfAbsent(heartbeat.router(), Peer::new);
+    router.update(now, heartbeat);
+    lastHeard.put(heartbeat.router(), now);
+    boolean isEntitled =
+        formerLeasesMayRun(now)
+            ? heartbeat.holdsLease()
+            : router.hasLease(now) || hasUnusedShare(now, register);
+    if (!isEntitled || now.isBefore(router.barredUntil)) {
+      return Span.NONE;
     }
-    if (lasts.micros() > 0) {
-      peer.leaseEnds = peer.leaseEnds.later(now.plus(atMost(lasts)));
+    Span untilUnconfirmed = lastConfirmed.plus(leaseDuration).since(now);
+    Span duration = leaseDuration.shorter(untilUnconfirmed).longer(Span.NONE);
+    if (duration.micros() > 0) {
+      router.leaseEnds = router.leaseEnds.later(now.plus(withClockDrift(duration)));
     }
-    return new LeaseGrant(
-        number, lasts, register.inForce(), register.prepared(), register.changes());
+    return duration;
   }
 
-  private static boolean isLive(Peer peer, Moment now) {
-    return peer.leaseEnds.isAfter(now);
+  /** Whether one more router may act: the versions divide all capacity by their router counts. */
+  private boolean hasUnusedShare(Moment now, VersionRegister register) {
+    SettingsVersion prepared = register.prepared();
+    int shares = register.inForce().routers();
+    if (prepared != null) {
+      shares = Math.min(shares, prepared.routers());
+    }
+    return countLeased(now) < shares;
   }
 
-  private int live(Moment now) {
-    return (int) peers.values().stream().filter(peer -> isLive(peer, now)).count();
+  private int countLeased(Moment now) {
+    return (int) routers.values().stream().filter(router -> router.hasLease(now)).count();
   }
 
-  /** What follows, by the first rule that applies. */
+  /** The next command for the voters: for the prepared version if there is one, else the count. */
   public Step next(Moment now, VersionRegister register) {
-    peers
+    forgetSilentRouters(now);
+    SettingsVersion prepared = register.prepared();
+    return prepared == null
+        ? stepForRouterCount(now, register.inForce())
+        : stepForPrepared(now, prepared);
+  }
+
+  private void forgetSilentRouters(Moment now) {
+    Span longestSilence = leaseDuration.times(FORGET_AFTER_LEASES);
+    routers
         .values()
         .removeIf(
-            peer ->
-                now.since(peer.heard).isLongerThan(lease.times(FORGOTTEN_AFTER))
-                    && !isLive(peer, now));
-    SettingsVersion prepared = register.prepared();
-    if (prepared != null) {
-      for (Peer peer : peers.values()) {
-        if (peer.refused == prepared.number() && isHeard(peer, now)) {
-          return new Step(
-              Step.Kind.WITHDRAW, prepared.number(), peer.name + ": " + peer.refusal, 0);
-        }
+            router ->
+                now.since(router.heard).isLongerThan(longestSilence) && !router.hasLease(now));
+  }
+
+  private Step stepForPrepared(Moment now, SettingsVersion prepared) {
+    for (Peer router : routers.values()) {
+      if (router.rejected == prepared.number() && isHeardRecently(router, now)) {
+        String reason = router.name + ": " + router.refusal;
+        return new Step(Step.Kind.WITHDRAW, prepared.number(), reason, 0);
       }
-      // Somebody has to have checked it: with nobody there, one that none can hold came into force.
-      boolean all =
-          !now.isBefore(quietUntil)
-              && peers.values().stream()
-                  .allMatch(peer -> !isLive(peer, now) || peer.keepsTo == prepared.number())
-              && peers.values().stream().anyMatch(peer -> isLive(peer, now));
-      return all ? new Step(Step.Kind.BRING_INTO_FORCE, prepared.number(), "", 0) : Step.NOTHING;
     }
-    int wanted =
+    return isAcknowledgedByAll(now, prepared)
+        ? new Step(Step.Kind.BRING_INTO_FORCE, prepared.number(), "", 0)
+        : Step.NOTHING;
+  }
+
+  private boolean isAcknowledgedByAll(Moment now, SettingsVersion prepared) {
+    List<Peer> leased = routers.values().stream().filter(router -> router.hasLease(now)).toList();
+    // With no router at all nobody has checked the version, and it might suit none.
+    return !formerLeasesMayRun(now)
+        && !leased.isEmpty()
+        && leased.stream().allMatch(router -> router.keepsTo == prepared.number());
+  }
+
+  private Step stepForRouterCount(Moment now, SettingsVersion inForce) {
+    int present =
         (int)
-            peers.values().stream().filter(peer -> isLive(peer, now) || isHeard(peer, now)).count();
-    boolean counts =
-        wanted > register.inForce().routers()
-            || (wanted < register.inForce().routers() && !now.isBefore(quietUntil));
-    return counts && wanted > 0
-        ? new Step(Step.Kind.COUNT_ROUTERS, register.inForce().number(), "", wanted)
+            routers.values().stream()
+                .filter(router -> router.hasLease(now) || isHeardRecently(router, now))
+                .count();
+    // A smaller count enlarges every share: not while unknown routers may hold a former lease.
+    boolean isChangeDue =
+        present > inForce.routers() || (present < inForce.routers() && !formerLeasesMayRun(now));
+    return isChangeDue && present > 0
+        ? new Step(Step.Kind.COUNT_ROUTERS, inForce.number(), "", present)
         : Step.NOTHING;
   }
 
-  public Span lease() {
-    return lease;
+  /** How long a lease lasts by the router's clock. */
+  public Span leaseDuration() {
+    return leaseDuration;
   }
 
-  /** Whether somebody of this name may act under a lease. */
-  public boolean isLive(String name, Moment now) {
-    return peers.containsKey(name) && isLive(peers.get(name), now);
+  /** Whether a router of this name may act under a lease of this leader. */
+  public boolean hasLease(String name, Moment now) {
+    Peer router = routers.get(name);
+    return router != null && router.hasLease(now);
   }
 
-  /** Whether leases that the leader before has granted may go on. */
-  public boolean isQuiet(Moment now) {
-    return now.isBefore(quietUntil);
+  /** Whether leases that the former leader granted may still run. */
+  public boolean formerLeasesMayRun(Moment now) {
+    return now.isBefore(formerLeasesEnd);
   }
 
-  /** Whether a majority has borne this leader out of late: another may lead by now where not. */
-  public boolean isBorneOut(Moment now) {
-    return now.isBefore(confirmed.plus(lease));
+  /**
+   * Whether a majority confirmed this leader within the last lease duration; otherwise another may
+   * lead by now.
+   */
+  public boolean isConfirmed(Moment now) {
+    return now.isBefore(lastConfirmed.plus(leaseDuration));
   }
 
-  /** When this leader heard from it last. */
-  public Moment heard(String name) {
-    return heardAt.getOrDefault(name, Moment.LONG_AGO);
+  /** When the router's last heartbeat since the election came. */
+  public Moment lastHeard(String name) {
+    return lastHeard.getOrDefault(name, Moment.LONG_AGO);
   }
 
-  private boolean isHeard(Peer peer, Moment now) {
-    return !now.since(peer.heard).isLongerThan(lease);
+  private boolean isHeardRecently(Peer router, Moment now) {
+    return !now.since(router.heard).isLongerThan(leaseDuration);
   }
 
-  /** Everybody known, by name. */
+  /** All known routers, by name. */
   public List<Peer> peers() {
-    return new ArrayList<>(peers.values());
+    return new ArrayList<>(routers.values());
   }
 }
