--- a/router/src/main/java/basaltlever/settings/LeaseGrant.java
+++ b/router/src/main/java/basaltlever/settings/LeaseGrant.java
@@ -3,13 +3,15 @@
 import basaltlever.time.Span;
 
 /**
- * A leader's answer to one beat.
+ * The leader's answer to one heartbeat of a router.
  *
- * @param beat number of the beat that it answers
- * @param lasts from the beat's sending on, by the router's own clock; none where no lease is given
+ * @param beat number of the heartbeat that it answers
+ * @param lasts duration of the lease from the sending of that heartbeat, by the router's clock;
+ *     zero where no lease is granted
  * @param inForce the version in force
- * @param prepared the version on its way, or null
- * @param changes of the voters' register when it was given: a leader that was replaced knows fewer
+ * @param prepared the prepared version, or null
+ * @param changes the leader's change count of the register when it answered; a leader that was
+ *     replaced without noticing has a smaller one than its successor
  */
 public record LeaseGrant(
     long beat, Span lasts, SettingsVersion inForce, SettingsVersion prepared, long changes) {}
--- a/router/src/main/java/basaltlever/settings/LeaseHolder.java
+++ b/router/src/main/java/basaltlever/settings/LeaseHolder.java
@@ -4,120 +4,138 @@
 import java.util.ArrayDeque;
 
 /**
- * Which versions one router keeps to, and for how long. A lease counts from the sending of the beat
- * that it answers, on this router's own steady clock, so it ends here before its leader counts it
- * as over. Whoever was stopped, or cut off, finds its lease over before its next act and keeps to
- * what no version could forbid until a grant says which holds.
+ * One router's lease: which versions of the settings it complies with, and until when.
+ *
+ * <p>A lease counts from the sending of the heartbeat that it answers, by the router's own
+ * monotonic clock, so it ends here before it ends at the leader. The holder must be asked by {@link
+ * #hasJustEnded} before every act: a process that was paused or disconnected thereby notices the
+ * end of its lease first. Without a lease the router is restricted to what every version allows
+ * ({@link StricterSettings#careful}).
  */
 public final class LeaseHolder {
-  /**
-   * Beats without an answer that are remembered: an answer to an older one is worth nothing any
-   * more.
-   */
-  private static final int MOST_OUT = 64;
+  /** Unanswered heartbeats remembered; a lease from an older one would be over already. */
+  private static final int MAX_UNANSWERED = 64;
 
   private record SentHeartbeat(long number, Moment sent) {}
 
-  private final ArrayDeque<SentHeartbeat> out = new ArrayDeque<>();
-  private long beats;
+  private final ArrayDeque<SentHeartbeat> unanswered = new ArrayDeque<>();
+  private long lastNumber;
 
-  /** Of the latest grant; those of an older charter never reach it. */
+  /** Change count of the latest grant accepted; grants with a smaller one are outdated. */
   private long changes;
 
   private Moment leaseEnds = Moment.LONG_AGO;
   private SettingsVersion inForce;
   private SettingsVersion prepared;
 
-  /** Before the first grant nothing is known to hold. */
-  private boolean careful = true;
+  /** True without a lease, as before the first grant. */
+  private boolean restricted = true;
 
   /**
-   * A process before this one was told of that charter: what came before it binds nobody any more.
+   * Restores the configuration epoch that an earlier process on this router had seen: grants from
+   * before that epoch are rejected.
    */
   public void knows(long charter) {
     changes = Math.max(changes, VersionRegister.first(charter));
   }
 
-  /** The latest charter that it was told of. */
+  /** The latest configuration epoch seen. */
   public long charter() {
     return VersionRegister.charter(changes);
   }
 
-  /** Number of a beat that is sent now. */
+  /** Registers a heartbeat that is sent now and returns its number. */
   public long beat(Moment now) {
-    out.addLast(new SentHeartbeat(++beats, now));
-    if (out.size() > MOST_OUT) {
-      out.removeFirst();
+    lastNumber++;
+    unanswered.addLast(new SentHeartbeat(lastNumber, now));
+    if (unanswered.size() > MAX_UNANSWERED) {
+      unanswered.removeFirst();
     }
-    return beats;
+    return lastNumber;
   }
 
-  /** True where what it keeps to is another than before. */
+  /** Takes in a grant; returns whether the settings to comply with differ from those before. */
   public boolean granted(Moment now, LeaseGrant grant) {
-    Moment sent = null;
-    while (!out.isEmpty() && out.peekFirst().number() <= grant.beat()) {
-      SentHeartbeat beat = out.removeFirst();
-      sent = beat.number() == grant.beat() ? beat.sent() : sent;
-    }
-    if (sent == null || grant.changes() < changes) {
-      // Repeated, overtaken, or by one that was replaced without knowing it: what it has not heard
-      // of yet
-      // this router may have promised its successor to keep to.
+    Moment sent = removeAnswered(grant.beat());
+    boolean isDuplicate = sent == null;
+    // A leader that was replaced without noticing may lack a version that this router has already
+    // acknowledged to its successor.
+    boolean isOutdated = grant.changes() < changes;
+    if (isDuplicate || isOutdated) {
       return false;
     }
     changes = grant.changes();
-    boolean differs =
+    boolean versionsDiffer =
         inForce == null
             || inForce.number() != grant.inForce().number()
-            || number(prepared) != number(grant.prepared());
+            || numberOf(prepared) != numberOf(grant.prepared());
     inForce = grant.inForce();
     prepared = grant.prepared();
     leaseEnds = leaseEnds.later(sent.plus(grant.lasts()));
-    boolean was = careful;
-    careful = !now.isBefore(leaseEnds);
-    return differs || was != careful;
+    boolean wasRestricted = restricted;
+    restricted = !now.isBefore(leaseEnds);
+    return versionsDiffer || wasRestricted != restricted;
+  }
+
+  /**
+   * Removes the heartbeat and all before it; returns when it was sent, or null where it was
+   * answered before or overtaken by the answer to a later one.
+   */
+  private Moment removeAnswered(long number) {
+    Moment sent = null;
+    while (!unanswered.isEmpty() && unanswered.peekFirst().number() <= number) {
+      SentHeartbeat heartbeat = unanswered.removeFirst();
+      if (heartbeat.number() == number) {
+        sent = heartbeat.sent();
+      }
+    }
+    return sent;
   }
 
-  /** Whether its lease has ended unnoticed: nothing may be done that was decided under it. */
+  /**
+   * Whether the lease has ended without {@link #hasJustEnded} having noted it: nothing that was
+   * decided under it may be carried out.
+   */
   public boolean isOver(Moment now) {
-    return !careful && !now.isBefore(leaseEnds);
+    return !restricted && !now.isBefore(leaseEnds);
   }
 
-  /** To be asked before every act: true where its lease has ended since it was asked last. */
+  /** Notes the end of the lease; true where it has ended since the last call. */
   public boolean hasJustEnded(Moment now) {
-    boolean ends = isOver(now);
-    careful |= ends;
-    return ends;
+    boolean ended = isOver(now);
+    restricted |= ended;
+    return ended;
   }
 
-  private static long number(SettingsVersion version) {
+  private static long numberOf(SettingsVersion version) {
     return version == null ? 0 : version.number();
   }
 
-  /** Whether it keeps to what no version could forbid. */
+  /** Whether the router has no lease and is restricted to what every version allows. */
   public boolean isCareful() {
-    return careful;
+    return restricted;
   }
 
+  /** Latest end of its leases, by the router's clock. */
   public Moment leaseEnds() {
     return leaseEnds;
   }
 
-  /** Null before the first grant. */
+  /** The version in force; null before the first grant. */
   public SettingsVersion inForce() {
     return inForce;
   }
 
-  /** The version on its way, to which it keeps as well; null where there is none. */
+  /** The prepared version, which the router complies with as well; null where there is none. */
   public SettingsVersion prepared() {
     return prepared;
   }
 
   /**
-   * What is acknowledged with the next beat: the version on its way that this router keeps to by
-   * now.
+   * Number of the prepared version that the next heartbeat acknowledges, because the router
+   * complies with it under a lease; 0 where there is none.
    */
   public long keepsTo() {
-    return careful ? 0 : number(prepared);
+    return restricted ? 0 : numberOf(prepared);
   }
 }
--- a/router/src/main/java/basaltlever/settings/SettingsConstraints.java
+++ b/router/src/main/java/basaltlever/settings/SettingsConstraints.java
@@ -9,39 +9,56 @@
 import java.util.List;
 
 /**
- * What no version may change in an installation, whoever proposes it: what the start files say of
- * writes and of repeats is a fact about the application, not a wish.
+ * What no proposed version may change, because the start files state it as a fact about the
+ * application: which workloads write and which statements must not run twice.
  */
 public final class SettingsConstraints {
   private SettingsConstraints() {}
 
-  /** Why a router turns the proposed agreement down, by key; empty where it takes it. */
-  public static List<String> brokenBy(Settings proposed, Settings installed, Span widestBound) {
-    List<String> faults = new ArrayList<>(StricterSettings.exclusive(installed, proposed));
-    double weights = 0;
-    for (int i = 0; faults.isEmpty() && i < proposed.workloads().length; i++) {
-      Workload kind = proposed.workloads()[i];
-      Idempotency own = installed.workloads()[i].repeat();
-      weights += kind.importance();
-      if (own == Idempotency.NON_IDEMPOTENT && kind.repeat() != own) {
-        faults.add("Classes." + i + ".Repeat: what must not run twice would be repeated");
-      }
-      if (kind.needs() == ReadConsistency.BOUNDED
-          && widestBound.micros() > 0
-          && kind.bound().isLongerThan(widestBound)) {
-        faults.add(
-            "FamilyInfo.LagAllowed: class "
-                + i
-                + " would read data "
-                + kind.bound().micros() / 1_000
-                + " ms old, the ceiling is "
-                + widestBound.micros() / 1_000
-                + " ms");
-      }
+  /**
+   * Why a router rejects the proposed settings, each reason beginning with the settings key; empty
+   * where it accepts them.
+   *
+   * @param proposed the settings to check
+   * @param installed the settings of the router's start file
+   * @param maxStaleness upper limit for bounded staleness; zero for none
+   */
+  public static List<String> brokenBy(Settings proposed, Settings installed, Span maxStaleness) {
+    List<String> reasons = new ArrayList<>(StricterSettings.exclusive(installed, proposed));
+    double totalWeight = 0;
+    for (int i = 0; reasons.isEmpty() && i < proposed.workloads().length; i++) {
+      Workload workload = proposed.workloads()[i];
+      totalWeight += workload.importance();
+      checkIdempotency(i, workload, installed.workloads()[i], reasons);
+      checkStaleness(i, workload, maxStaleness, reasons);
     }
-    if (faults.isEmpty() && weights <= 0) {
-      faults.add("Classes.Worth: the weights sum to nothing");
+    if (reasons.isEmpty() && totalWeight <= 0) {
+      reasons.add("Classes.Worth: the weights sum to nothing");
+    }
+    return reasons;
+  }
+
+  private static void checkIdempotency(
+      int index, Workload proposed, Workload installed, List<String> reasons) {
+    if (installed.repeat() == Idempotency.NON_IDEMPOTENT
+        && proposed.repeat() != Idempotency.NON_IDEMPOTENT) {
+      reasons.add("Classes." + index + ".Repeat: what must not run twice would be repeated");
+    }
+  }
+
+  private static void checkStaleness(
+      int index, Workload proposed, Span maxStaleness, List<String> reasons) {
+    if (proposed.needs() == ReadConsistency.BOUNDED
+        && maxStaleness.micros() > 0
+        && proposed.bound().isLongerThan(maxStaleness)) {
+      reasons.add(
+          "FamilyInfo.LagAllowed: class "
+              + index
+              + " would read data "
+              + proposed.bound().micros() / 1_000
+              + " ms old, the ceiling is "
+              + maxStaleness.micros() / 1_000
+              + " ms");
     }
-    return faults;
   }
 }
--- a/router/src/main/java/basaltlever/settings/SettingsVersion.java
+++ b/router/src/main/java/basaltlever/settings/SettingsVersion.java
@@ -1,14 +1,15 @@
 package basaltlever.settings;
 
 /**
- * One content of the settings. Numbers count up and are never given again; 0 is the start file's
- * own content, before the fleet agreed on any.
+ * One version of the settings. Version numbers increase and are never reused; number 0 is what the
+ * router's own start file says, before the fleet has agreed on any version.
  *
+ * @param number of the version
  * @param text the settings as JSON
- * @param routers how many routers share the whole, at least 1
- * @param who who proposed it
- * @param why in the proposer's words
- * @param atMillis Unix time at the proposer
+ * @param routers number of routers that share the capacity, at least 1
+ * @param who name of the proposer
+ * @param why the proposer's reason
+ * @param atMillis Unix time of the proposal by the proposer's clock
  */
 public record SettingsVersion(
     long number, String text, int routers, String who, String why, long atMillis) {}
--- a/router/src/main/java/basaltlever/settings/StricterSettings.java
+++ b/router/src/main/java/basaltlever/settings/StricterSettings.java
@@ -8,6 +8,7 @@
 import basaltlever.gateway.Settings;
 import basaltlever.gateway.SlowStartPolicy;
 import basaltlever.gateway.Workload;
+import basaltlever.gateway.Workload.DeduplicationScope;
 import basaltlever.gateway.Workload.Idempotency;
 import basaltlever.gateway.Workload.ReadConsistency;
 import basaltlever.time.Span;
@@ -15,10 +16,10 @@
 import java.util.List;
 
 /**
- * The stricter of two agreements, key by key: whatever it allows, each of the two allows. While a
- * fleet goes from one to the other its routers keep to it, so that no two of them contradict each
- * other (docs/agreement.md holds the table). Keys that only weigh one router's own choices are
- * independent: the newer one's value is taken.
+ * The stricter of two settings, key by key: whatever it allows, each of the two allows. While a
+ * fleet changes from one version to the next its routers comply with the stricter of both, so that
+ * no two of them contradict each other (docs/agreement.md has the table of keys). Keys that only
+ * concern a router's own choices are independent: the newer value is taken.
  */
 public final class StricterSettings {
   private static final ReadConsistency[] FROM_STRICTEST = {
@@ -28,72 +29,60 @@
   private StricterSettings() {}
 
   /**
-   * What keeps two agreements from having one that is stricter than both, by key and reason; empty
-   * where there is one.
+   * Why there is no stricter of these two settings, each reason beginning with the settings key;
+   * empty where there is one.
    */
   public static List<String> exclusive(Settings older, Settings newer) {
-    List<String> faults = new ArrayList<>();
+    List<String> reasons = new ArrayList<>();
     if (older.workloads().length != newer.workloads().length) {
-      faults.add(
+      reasons.add(
           "Classes: there are "
               + older.workloads().length
               + " and "
               + newer.workloads().length
               + ", which takes a restart");
-      return faults;
+      return reasons;
     }
     for (int i = 0; i < older.workloads().length; i++) {
       boolean writes = newer.workloads()[i].needs() == ReadConsistency.WRITE;
       if (writes != (older.workloads()[i].needs() == ReadConsistency.WRITE)) {
-        faults.add(
+        reasons.add(
             "FamilyInfo.ClassRead: class "
                 + i
                 + " is a write in one and a read in the other, which takes a restart");
       }
     }
-    return faults;
+    return reasons;
   }
 
-  /** Both must be free of {@link #exclusive} faults. */
+  /** The stricter of both, for which {@link #exclusive} must have found no reason against it. */
   public static Settings of(Settings older, Settings newer) {
     boolean sameTokens =
         older.replication().sessionsCarryTokens() == newer.replication().sessionsCarryTokens();
     Workload[] workloads = new Workload[newer.workloads().length];
     for (int i = 0; i < workloads.length; i++) {
-      workloads[i] = workload(older.workloads()[i], newer.workloads()[i], sameTokens);
+      workloads[i] = stricterWorkload(older.workloads()[i], newer.workloads()[i], sameTokens);
     }
     return new Settings(
-        standing(older.standing(), newer.standing()),
+        stricterIdentity(older.standing(), newer.standing()),
         workloads,
-        replication(older.replication(), newer.replication()),
-        drains(older.drains(), newer.drains()),
-        warmUp(older.warmUp(), newer.warmUp()),
-        allowance(older.allowance(), newer.allowance()),
-        connections(older.connections(), newer.connections()));
+        stricterReplication(older.replication(), newer.replication()),
+        stricterDrainPolicy(older.drains(), newer.drains()),
+        stricterSlowStart(older.warmUp(), newer.warmUp()),
+        stricterAttemptLimits(older.allowance(), newer.allowance()),
+        stricterPool(older.connections(), newer.connections()));
   }
 
   /**
-   * What no agreement could forbid, for a router that does not know which holds: reads by the
-   * primary alone and once, writes once. A limit that some agreement may have lowered is at its
-   * least.
+   * What every version allows, for a router without a lease, which does not know the version in
+   * force: only the primary answers reads, and each statement is attempted once.
    */
   public static Settings careful(Settings known) {
     Workload[] workloads = new Workload[known.workloads().length];
     for (int i = 0; i < workloads.length; i++) {
-      Workload kind = known.workloads()[i];
-      workloads[i] =
-          new Workload(
-              kind.needs() == ReadConsistency.WRITE ? ReadConsistency.WRITE : ReadConsistency.FRESH,
-              Span.NONE,
-              Idempotency.NON_IDEMPOTENT,
-              Workload.DeduplicationScope.GROUP,
-              Span.NONE,
-              kind.slo(),
-              kind.timeout(),
-              kind.importance(),
-              kind.lateShare());
+      workloads[i] = strictestWorkload(known.workloads()[i]);
     }
-    AttemptLimits allowance = known.allowance();
+    AttemptLimits limits = known.allowance();
     return new Settings(
         known.standing(),
         workloads,
@@ -101,12 +90,25 @@
         new DrainPolicy(known.drains().askedFor(), known.drains().mustAskIn(), true),
         known.warmUp(),
         new AttemptLimits(
-            1, false, allowance.cancels(), allowance.polls(), Span.NONE, allowance.answerSlack()),
+            1, false, limits.cancels(), limits.polls(), Span.NONE, limits.answerSlack()),
         known.connections());
   }
 
-  private static RouterIdentity standing(RouterIdentity older, RouterIdentity newer) {
-    // More routers make the share of each smaller.
+  private static Workload strictestWorkload(Workload known) {
+    return new Workload(
+        known.needs() == ReadConsistency.WRITE ? ReadConsistency.WRITE : ReadConsistency.FRESH,
+        Span.NONE,
+        Idempotency.NON_IDEMPOTENT,
+        DeduplicationScope.GROUP,
+        Span.NONE,
+        known.slo(),
+        known.timeout(),
+        known.importance(),
+        known.lateShare());
+  }
+
+  private static RouterIdentity stricterIdentity(RouterIdentity older, RouterIdentity newer) {
+    // The more routers, the smaller the share of each.
     return new RouterIdentity(
         Math.max(older.routers(), newer.routers()),
         newer.index(),
@@ -115,68 +117,100 @@
         newer.crossingPrice());
   }
 
-  private static Workload workload(Workload older, Workload newer, boolean sameTokens) {
-    ReadConsistency needs = ReadConsistency.WRITE;
-    for (int i = FROM_STRICTEST.length - 1; i >= 0 && newer.needs() != ReadConsistency.WRITE; i--) {
-      boolean either = older.needs() == FROM_STRICTEST[i] || newer.needs() == FROM_STRICTEST[i];
-      needs = either ? FROM_STRICTEST[i] : needs;
-    }
-    if (needs == ReadConsistency.SESSION && !sameTokens) {
-      // Where a session's last commit is to be found differs, so only the primary is sure to have
-      // it.
-      needs = ReadConsistency.FRESH;
-    }
-    Span bound =
-        older.needs() != ReadConsistency.BOUNDED
-            ? newer.bound()
-            : newer.needs() != ReadConsistency.BOUNDED
-                ? older.bound()
-                : older.bound().shorter(newer.bound());
-    Idempotency repeat =
-        older.repeat().compareTo(newer.repeat()) > 0 ? older.repeat() : newer.repeat();
-    boolean bothDropped =
-        older.repeat() == Idempotency.DEDUPLICATED && newer.repeat() == Idempotency.DEDUPLICATED;
-    Workload.DeduplicationScope within =
-        older.repeat() == Idempotency.DEDUPLICATED ? older.within() : newer.within();
-    Span window = older.repeat() == Idempotency.DEDUPLICATED ? older.window() : newer.window();
-    if (bothDropped) {
-      window = older.window().shorter(newer.window());
-      within = older.within() == Workload.DeduplicationScope.ALL ? newer.within() : older.within();
-      if (older.within() != newer.within()
-          && older.within() != Workload.DeduplicationScope.ALL
-          && newer.within() != Workload.DeduplicationScope.ALL) {
-        // A zone and a group do not hold each other: where both must hold, nothing runs twice.
-        repeat = Idempotency.NON_IDEMPOTENT;
-      }
-    }
+  private static Workload stricterWorkload(Workload older, Workload newer, boolean sameTokens) {
     return new Workload(
-        needs,
-        bound,
-        repeat,
-        within,
-        window,
+        stricterConsistency(older, newer, sameTokens),
+        stricterStaleness(older, newer),
+        stricterIdempotency(older, newer),
+        stricterScope(older, newer),
+        stricterWindow(older, newer),
         newer.slo(),
         newer.timeout(),
         newer.importance(),
         newer.lateShare());
   }
 
-  private static Replication replication(Replication older, Replication newer) {
-    // What nodes are not sure to check, the router must have proven.
+  private static ReadConsistency stricterConsistency(
+      Workload older, Workload newer, boolean sameTokens) {
+    if (newer.needs() == ReadConsistency.WRITE) {
+      return ReadConsistency.WRITE;
+    }
+    ReadConsistency strictest = strictestOf(older.needs(), newer.needs());
+    // The two versions expect a session's last commit position in different places, so only the
+    // primary is sure to have that commit.
+    return strictest == ReadConsistency.SESSION && !sameTokens ? ReadConsistency.FRESH : strictest;
+  }
+
+  private static ReadConsistency strictestOf(ReadConsistency one, ReadConsistency other) {
+    for (ReadConsistency consistency : FROM_STRICTEST) {
+      if (one == consistency || other == consistency) {
+        return consistency;
+      }
+    }
+    return ReadConsistency.WRITE;
+  }
+
+  private static Span stricterStaleness(Workload older, Workload newer) {
+    if (older.needs() != ReadConsistency.BOUNDED) {
+      return newer.bound();
+    }
+    return newer.needs() == ReadConsistency.BOUNDED
+        ? older.bound().shorter(newer.bound())
+        : older.bound();
+  }
+
+  private static Idempotency stricterIdempotency(Workload older, Workload newer) {
+    if (areBothDeduplicated(older, newer) && scopesOverlapOnly(older, newer)) {
+      return Idempotency.NON_IDEMPOTENT;
+    }
+    return older.repeat().compareTo(newer.repeat()) > 0 ? older.repeat() : newer.repeat();
+  }
+
+  private static boolean areBothDeduplicated(Workload older, Workload newer) {
+    return isDeduplicated(older) && isDeduplicated(newer);
+  }
+
+  private static boolean isDeduplicated(Workload workload) {
+    return workload.repeat() == Idempotency.DEDUPLICATED;
+  }
+
+  /** A zone and a group only overlap: neither scope is the narrower one. */
+  private static boolean scopesOverlapOnly(Workload older, Workload newer) {
+    return older.within() != newer.within()
+        && older.within() != DeduplicationScope.ALL
+        && newer.within() != DeduplicationScope.ALL;
+  }
+
+  private static DeduplicationScope stricterScope(Workload older, Workload newer) {
+    if (areBothDeduplicated(older, newer)) {
+      return older.within() == DeduplicationScope.ALL ? newer.within() : older.within();
+    }
+    return isDeduplicated(older) ? older.within() : newer.within();
+  }
+
+  private static Span stricterWindow(Workload older, Workload newer) {
+    if (areBothDeduplicated(older, newer)) {
+      return older.window().shorter(newer.window());
+    }
+    return isDeduplicated(older) ? older.window() : newer.window();
+  }
+
+  private static Replication stricterReplication(Replication older, Replication newer) {
+    // Where replicas may not check the position themselves the router must have proof of it.
     return new Replication(
         older.replicasCheck() && newer.replicasCheck(),
         older.positionsInAnswers() && newer.positionsInAnswers(),
         newer.sessionsCarryTokens());
   }
 
-  private static DrainPolicy drains(DrainPolicy older, DrainPolicy newer) {
+  private static DrainPolicy stricterDrainPolicy(DrainPolicy older, DrainPolicy newer) {
     return new DrainPolicy(
         older.askedFor() || newer.askedFor(),
         older.mustAskIn().shorter(newer.mustAskIn()),
         older.removalBinds() || newer.removalBinds());
   }
 
-  private static SlowStartPolicy warmUp(SlowStartPolicy older, SlowStartPolicy newer) {
+  private static SlowStartPolicy stricterSlowStart(SlowStartPolicy older, SlowStartPolicy newer) {
     return new SlowStartPolicy(
         Math.min(older.coldFrom(), newer.coldFrom()),
         older.warmAfter().longer(newer.warmAfter()),
@@ -184,7 +218,7 @@
         older.topplesIn().shorter(newer.topplesIn()));
   }
 
-  private static AttemptLimits allowance(AttemptLimits older, AttemptLimits newer) {
+  private static AttemptLimits stricterAttemptLimits(AttemptLimits older, AttemptLimits newer) {
     return new AttemptLimits(
         Math.min(older.executions(), newer.executions()),
         older.secondCopies() && newer.secondCopies(),
@@ -194,7 +228,7 @@
         older.answerSlack().shorter(newer.answerSlack()));
   }
 
-  private static PoolSettings connections(PoolSettings older, PoolSettings newer) {
+  private static PoolSettings stricterPool(PoolSettings older, PoolSettings newer) {
     return new PoolSettings(
         Math.min(older.streams(), newer.streams()), older.idleClose().shorter(newer.idleClose()));
   }
