--- a/router/src/main/java/basaltlever/settings/VersionRegister.java
+++ b/router/src/main/java/basaltlever/settings/VersionRegister.java
@@ -5,8 +5,6 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Comparator;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -14,326 +12,313 @@
 import java.util.TreeSet;
 
 /**
- * What the voters agree on: which version is in force and which is being brought into force. It is
- * changed by commands alone, in the one order that the engine gives them at every voter, so each
- * comes to the same answer; it looks at no clock. A version goes from proposed to prepared, while
- * all keep to the stricter of it and the one in force, and from there to in force or withdrawn.
+ * The replicated state of the voters: versions of the settings, group assignments of endpoints, the
+ * era of endpoint lists and the voters' folders.
+ *
+ * <p>It changes by commands alone, which the consensus log gives every voter in the same order, and
+ * reads no clock, so all copies are equal. A proposed version is first prepared, while every router
+ * complies with the stricter of it and the version in force, and then takes effect or is withdrawn.
  */
 public final class VersionRegister {
-  private static final int MOST_HISTORY = 200;
-  private static final int MOST_SEATS = 4_000;
+  private static final int MAX_HISTORY = 200;
 
   /**
-   * A charter's commands are counted from its own number on, which those of the one before never
-   * reach.
+   * The upper bits of the change count are the configuration epoch, so that any change in a new
+   * epoch has a larger count than all changes of the epochs before.
    */
-  private static final int CHARTER_BITS = 40;
+  private static final int EPOCH_SHIFT = 40;
 
-  /**
-   * What is numbered under a new charter lies beyond all that those who are lost can have given
-   * out.
-   */
-  private static final int BEYOND = 1_000;
+  /** Version numbers skipped by a recovery: more than lost voters can have handed out unseen. */
+  private static final int SKIPPED_VERSIONS = 1_000;
 
-  private static final long SEATS_BEYOND = 1_000_000;
+  /** Assignment numbers skipped by a recovery, for the same reason. */
+  private static final long SKIPPED_ASSIGNMENTS = 1_000_000;
 
-  /** Settings, as bytes of text at most. */
+  /** Longest text of a version, in characters. */
   public static final int LARGEST = 128 * 1024;
 
-  /** What became of a version. */
+  /** What became of a proposed version. */
   public enum VersionOutcome {
+    /** It took effect. */
     IN_FORCE,
+    /** It was prepared and then withdrawn. */
     WITHDRAWN,
+    /** It was not prepared at all. */
     REFUSED
   }
 
-  /** One line of the history; the reason says why it was not taken, else it is empty. */
+  /**
+   * One proposal of the past.
+   *
+   * @param version that was proposed
+   * @param end what became of it
+   * @param reason why it did not take effect, or a remark; may be empty
+   */
   public record HistoryEntry(SettingsVersion version, VersionOutcome end, String reason) {}
 
   private SettingsVersion inForce =
       new SettingsVersion(0, "", 1, "", "the start file of each router", 0);
   private SettingsVersion prepared;
-  private long last;
+  private long lastNumber;
   private long changes;
   private final ArrayDeque<HistoryEntry> history = new ArrayDeque<>();
-  private final TreeMap<String, GroupAssignment> seats = new TreeMap<>();
-
-  /** At which number each has changed last. */
-  private final Map<String, Long> seatedAt = new HashMap<>();
 
-  private long seatsNumber;
+  private final GroupAssignmentTable assignments = new GroupAssignmentTable();
   private long era;
 
-  /** By which folder each voter has voted, and who was given up with the last majority. */
-  private final TreeMap<String, String> seals = new TreeMap<>();
+  /** Id of the folder with which each voter has voted, by the voter's name. */
+  private final TreeMap<String, String> folders = new TreeMap<>();
 
-  private final TreeSet<String> ended = new TreeSet<>();
+  /** Voters that the last recovery gave up. */
+  private final TreeSet<String> lostVoters = new TreeSet<>();
 
   /**
-   * A proposal made with the given version in force; empty where it is being prepared from here on,
-   * else why it is not, and it gets no number. The later of two operators is told what it lost
-   * against.
+   * Proposes a version against the version in force that the proposer has read. The later of two
+   * concurrent proposals is rejected and learns which one it lost to.
+   *
+   * @param basis number of the version in force when the proposal was written
+   * @return why it is rejected; empty where the version is now prepared
    */
   public String propose(
       long basis, String text, int routers, String who, String why, long atMillis) {
     changes++;
-    String reason =
-        prepared != null
-            ? "version "
-                + prepared.number()
-                + " by "
-                + prepared.who()
-                + " is being brought into force"
-            : basis != inForce.number()
-                ? "version "
-                    + inForce.number()
-                    + " by "
-                    + inForce.who()
-                    + " came into force since version "
-                    + basis
-                : text.length() > LARGEST ? "it is longer than " + LARGEST + " characters" : "";
-    SettingsVersion version =
-        new SettingsVersion(reason.isEmpty() ? ++last : 0, text, routers, who, why, atMillis);
-    if (reason.isEmpty()) {
-      prepared = version;
-    } else {
-      note(new HistoryEntry(version, VersionOutcome.REFUSED, reason));
+    String rejection = reasonToReject(basis, text);
+    if (!rejection.isEmpty()) {
+      SettingsVersion rejected = new SettingsVersion(0, text, routers, who, why, atMillis);
+      addToHistory(new HistoryEntry(rejected, VersionOutcome.REFUSED, rejection));
+      return rejection;
     }
-    return reason;
+    lastNumber++;
+    prepared = new SettingsVersion(lastNumber, text, routers, who, why, atMillis);
+    return "";
+  }
+
+  private String reasonToReject(long basis, String text) {
+    if (prepared != null) {
+      return "version "
+          + prepared.number()
+          + " by "
+          + prepared.who()
+          + " is being brought into force";
+    }
+    if (basis != inForce.number()) {
+      return "version "
+          + inForce.number()
+          + " by "
+          + inForce.who()
+          + " came into force since version "
+          + basis;
+    }
+    return text.length() > LARGEST ? "it is longer than " + LARGEST + " characters" : "";
   }
 
   /**
-   * All live routers keep to the stricter of both, and all others have no lease: it holds from here
-   * on.
+   * The prepared version takes effect: every router with a lease has acknowledged it. False where
+   * no version of that number is prepared.
    */
   public boolean bringIntoForce(long number) {
     changes++;
-    if (prepared == null || prepared.number() != number) {
+    if (!isPrepared(number)) {
       return false;
     }
     inForce = prepared;
     prepared = null;
-    note(new HistoryEntry(inForce, VersionOutcome.IN_FORCE, ""));
+    addToHistory(new HistoryEntry(inForce, VersionOutcome.IN_FORCE, ""));
     return true;
   }
 
+  /** Withdraws the prepared version; false where no version of that number is prepared. */
   public boolean withdraw(long number, String reason) {
     changes++;
-    if (prepared == null || prepared.number() != number) {
+    if (!isPrepared(number)) {
       return false;
     }
-    note(new HistoryEntry(prepared, VersionOutcome.WITHDRAWN, reason));
-    prepared = null;
+    withdrawPrepared(reason);
     return true;
   }
 
-  // ---- What lists contradict each other by.
+  private boolean isPrepared(long number) {
+    return prepared != null && prepared.number() == number;
+  }
+
+  private void withdrawPrepared(String reason) {
+    addToHistory(new HistoryEntry(prepared, VersionOutcome.WITHDRAWN, reason));
+    prepared = null;
+  }
 
   /**
-   * A member belongs to a group from here on: at once where it has no other, else once that is
-   * cleared. False where nothing is changed.
+   * Assigns an endpoint to a group, at once where it has none, else once every router has stopped
+   * using it and {@link #clear} says so. False where nothing changes.
    */
   public boolean seat(String member, int group, ListVersion at) {
     changes++;
-    GroupAssignment known = seats.get(member);
-    if (known != null
-        && (!known.cleared() || known.group() == group || !at.isNewerThan(known.at()))) {
-      return false;
-    }
-    put(new GroupAssignment(member, group, at, known == null));
-    if (seats.size() > MOST_SEATS) {
-      // A list from long ago may name it in another group: the oldest is the least likely to be
-      // met.
-      seats.values().stream()
-          .filter(GroupAssignment::cleared)
-          .min(Comparator.comparing(GroupAssignment::at))
-          .ifPresent(
-              oldest -> {
-                seats.remove(oldest.member());
-                seatedAt.remove(oldest.member());
-              });
-    }
-    return true;
+    return assignments.assign(member, group, at);
   }
 
-  /** Every router has let go of it. */
+  /** Every router has stopped using the endpoint in its former group. */
   public boolean clear(String member) {
     changes++;
-    GroupAssignment known = seats.get(member);
-    if (known == null || known.cleared()) {
-      return false;
-    }
-    put(new GroupAssignment(member, known.group(), known.at(), true));
-    return true;
+    return assignments.clear(member);
   }
 
-  private void put(GroupAssignment seat) {
-    seats.put(seat.member(), seat);
-    seatedAt.put(seat.member(), ++seatsNumber);
-  }
-
-  /** Discovery counts its generations anew. */
+  /**
+   * Discovery has lost its state and restarts its generations: lists belong to a new era from now
+   * on. True where the era is now the one after the given, also for a repeated command.
+   */
   public boolean countAnew(long from) {
     changes++;
-    era += from == era ? 1 : 0;
-    return from == era - 1;
+    if (from == era) {
+      era++;
+    }
+    return era == from + 1;
   }
 
+  /** Era of the current endpoint lists. */
   public long era() {
     return era;
   }
 
-  /** Counts up with each change of a seat. */
+  /** Number of the last change of a group assignment. */
   public long seatsNumber() {
-    return seatsNumber;
+    return assignments.number();
   }
 
-  /** Those that have changed after that number. */
+  /** The group assignments that changed after that number. */
   public List<GroupAssignment> seats(long after) {
-    return after >= seatsNumber
-        ? List.of()
-        : seats.values().stream().filter(seat -> seatedAt.get(seat.member()) > after).toList();
+    return assignments.changedAfter(after);
   }
 
-  /** Null where no group has used it yet. */
+  /** The endpoint's group assignment; null where it has none. */
   public GroupAssignment seat(String member) {
-    return seats.get(member);
+    return assignments.get(member);
   }
 
-  /** As a snapshot held it. */
+  /** Restores the era and the group assignments from a snapshot. */
   public void restore(long ofEra, long number, List<GroupAssignment> table) {
     era = ofEra;
-    seatsNumber = number;
-    seats.clear();
-    seatedAt.clear();
-    table.forEach(
-        seat -> {
-          seats.put(seat.member(), seat);
-          seatedAt.put(seat.member(), number);
-        });
+    assignments.restore(number, table);
   }
 
-  // ---- Who votes.
-
-  /** A voter's folder, known from here on: another under the same name has not voted by it. */
+  /**
+   * Records the folder with which a voter votes: a different folder under the same name has lost
+   * those votes. False where one is recorded already.
+   */
   public boolean seal(String voter, String folder) {
     changes++;
-    return seals.putIfAbsent(voter, folder) == null;
+    return folders.putIfAbsent(voter, folder) == null;
   }
 
-  /** It is no voter any more, or is to vote with another folder. */
+  /** Removes the record of a voter that left, or that is to vote with another folder. */
   public void unseal(String voter) {
     changes++;
-    seals.remove(voter);
+    folders.remove(voter);
   }
 
-  /** Empty where it has not voted yet. */
+  /** Id of the voter's recorded folder; empty where none is. */
   public String sealOf(String voter) {
-    return seals.getOrDefault(voter, "");
+    return folders.getOrDefault(voter, "");
   }
 
-  /**
-   * How often a lost majority was given up; each time those that are left go on by a new charter.
-   */
+  /** Configuration epoch: how often a lost majority was given up and the rest recovered. */
   public long charter() {
     return charter(changes);
   }
 
-  /** Of a number of changes as grants tell it. */
+  /** The configuration epoch of a change count, as in a grant. */
   public static long charter(long changes) {
-    return changes >>> CHARTER_BITS;
+    return changes >>> EPOCH_SHIFT;
   }
 
-  /** From which number on a charter's changes are counted. */
+  /** The smallest change count of a configuration epoch. */
   public static long first(long charter) {
-    return charter << CHARTER_BITS;
+    return charter << EPOCH_SHIFT;
   }
 
   /**
-   * A majority is gone for good, and this copy of what it agreed on goes on by itself. What the
-   * others agreed on behind its back is undone: so nobody uses a member before everybody has let go
-   * of it, and all numbers go on beyond those that they can have given out.
+   * Starts a new configuration epoch from this copy, after a majority was lost for good.
+   *
+   * <p>The lost voters may have agreed on changes that this copy lacks. All numbers therefore skip
+   * beyond those that they can have handed out, and no endpoint is used before every router has
+   * stopped using it.
    */
   public void recover(Set<String> lost, String who, String why, long atMillis) {
     changes = first(charter() + 1);
     if (prepared != null) {
-      note(new HistoryEntry(prepared, VersionOutcome.WITHDRAWN, "a majority was lost"));
-      prepared = null;
+      withdrawPrepared("a majority was lost");
     }
-    last = Math.max(last, inForce.number()) + BEYOND;
-    inForce = new SettingsVersion(last, inForce.text(), inForce.routers(), who, why, atMillis);
-    note(
-        new HistoryEntry(
-            inForce,
-            VersionOutcome.IN_FORCE,
-            "charter " + charter() + ", without " + String.join(", ", lost)));
-    seatsNumber += SEATS_BEYOND;
-    seats.replaceAll((member, seat) -> new GroupAssignment(member, seat.group(), seat.at(), false));
-    seatedAt.replaceAll((member, number) -> seatsNumber);
-    seals.clear();
-    ended.clear();
-    ended.addAll(lost);
-  }
-
-  /** Whose processes were ended before the last charter, by an operator's word. */
+    lastNumber = Math.max(lastNumber, inForce.number()) + SKIPPED_VERSIONS;
+    inForce =
+        new SettingsVersion(lastNumber, inForce.text(), inForce.routers(), who, why, atMillis);
+    String remark = "charter " + charter() + ", without " + String.join(", ", lost);
+    addToHistory(new HistoryEntry(inForce, VersionOutcome.IN_FORCE, remark));
+    assignments.unclearAll(SKIPPED_ASSIGNMENTS);
+    folders.clear();
+    lostVoters.clear();
+    lostVoters.addAll(lost);
+  }
+
+  /** Voters given up by the last recovery; the operator has confirmed that they are stopped. */
   public Set<String> ended() {
-    return ended;
+    return lostVoters;
   }
 
+  /** Id of each voter's recorded folder, by the voter's name. */
   public Map<String, String> seals() {
-    return seals;
+    return folders;
   }
 
-  /** As a snapshot held it. */
-  public void restore(Map<String, String> folders, Collection<String> lost) {
-    seals.clear();
-    seals.putAll(folders);
-    ended.clear();
-    ended.addAll(lost);
+  /** Restores the voters' folders and the lost voters from a snapshot. */
+  public void restore(Map<String, String> snapshotFolders, Collection<String> lost) {
+    folders.clear();
+    folders.putAll(snapshotFolders);
+    lostVoters.clear();
+    lostVoters.addAll(lost);
   }
 
-  private void note(HistoryEntry chapter) {
-    history.addLast(chapter);
-    if (history.size() > MOST_HISTORY) {
+  private void addToHistory(HistoryEntry entry) {
+    history.addLast(entry);
+    if (history.size() > MAX_HISTORY) {
       history.removeFirst();
     }
   }
 
+  /** The version in force. */
   public SettingsVersion inForce() {
     return inForce;
   }
 
-  /** Null where none is on its way. */
+  /** The prepared version; null where there is none. */
   public SettingsVersion prepared() {
     return prepared;
   }
 
+  /** The last version number given. */
   public long last() {
-    return last;
+    return lastNumber;
   }
 
-  /** How many commands made it what it is: of two copies the one with more is the newer. */
+  /** Number of commands applied; of two copies the one with more is the newer. */
   public long changes() {
     return changes;
   }
 
-  /** Oldest first, bounded. */
+  /** Past proposals, oldest first; only the latest are kept. */
   public List<HistoryEntry> history() {
     return new ArrayList<>(history);
   }
 
-  /** As a snapshot held it. */
+  /** Restores the versions of the settings from a snapshot. */
   public void restore(
-      SettingsVersion force,
-      SettingsVersion onItsWay,
-      long number,
-      long changed,
-      List<HistoryEntry> chapters) {
-    changes = changed;
-    inForce = force;
-    prepared = onItsWay;
-    last = number;
+      SettingsVersion snapshotInForce,
+      SettingsVersion snapshotPrepared,
+      long snapshotLast,
+      long snapshotChanges,
+      List<HistoryEntry> snapshotHistory) {
+    changes = snapshotChanges;
+    inForce = snapshotInForce;
+    prepared = snapshotPrepared;
+    lastNumber = snapshotLast;
     history.clear();
-    chapters.forEach(this::note);
+    snapshotHistory.forEach(this::addToHistory);
   }
 }
