--- a/router/src/main/java/basaltlever/cli/StateCommand.java
+++ b/router/src/main/java/basaltlever/cli/StateCommand.java
@@ -127,7 +127,7 @@
             SystemClocks.now(),
             SystemClocks.steady(),
             SystemClocks.boot());
-    double weight = now.worthless().isEmpty() ? StateDecay.weight(now.age()) : 0;
+    double weight = now.rejection().isEmpty() ? StateDecay.weight(now.age()) : 0;
     if (show.json) {
       json(out, found.name(), view, now, weight);
       return 0;
@@ -136,9 +136,9 @@
         "%s, router '%s' of deployment '%s', list version %d%n",
         found.name(), view.router(), view.deployment(), view.listed());
     out.println(
-        now.worthless().isEmpty()
+        now.rejection().isEmpty()
             ? String.format("%.1f s old, weight %.4f", now.age().micros() / 1e6, weight)
-            : "counts for nothing: " + now.worthless());
+            : "counts for nothing: " + now.rejection());
     out.printf(
         "%-24s %-24s %6s %9s %7s  %s%n", "node", "address", "group", "age_s", "weight", "learned");
     for (KnownEndpoint known : view.nodes()) {
@@ -197,7 +197,7 @@
       out.writeStringField("deployment", view.deployment());
       out.writeStringField("router", view.router());
       out.writeNumberField("listed", view.listed());
-      out.writeStringField("worthless", now.worthless());
+      out.writeStringField("worthless", now.rejection());
       out.writeNumberField("age_ms", now.age().micros() / 1_000);
       out.writeNumberField("weight", weight);
       out.writeArrayFieldStart("nodes");
--- a/router/src/main/java/basaltlever/snapshot/EndpointState.java
+++ b/router/src/main/java/basaltlever/snapshot/EndpointState.java
@@ -3,28 +3,30 @@
 import basaltlever.time.Span;
 
 /**
- * What was learned of one node, told in spans before the moment of the view, so that it means the
- * same on another process's clock. A span of {@link #NEVER} stands for what has not happened.
+ * What a router has learned of one endpoint. All times are spans before the moment of the snapshot,
+ * so that they mean the same on another process's clock; {@link #NEVER} stands for what has not
+ * happened.
  *
- * @param group its group's number
- * @param listedStart when it started, in microseconds of Unix time as the member list told it; 0
- *     where untold
- * @param drains the list said that nothing new may go there
- * @param primary it was held to be its group's primary
- * @param startedAgo since its start, as listed or as seen by the router itself where that was later
- * @param deniedAgo since it was known not to be primary, or was lost as one; negative where that
- *     reaches ahead
- * @param silent it owed answers and gave none
+ * @param group the number of its replica group
+ * @param listedStart when it started, in microseconds of Unix time, as the endpoint list says; 0
+ *     where the list does not say
+ * @param drains whether the endpoint list says that it is draining
+ * @param primary whether it was taken for the primary of its group
+ * @param startedAgo since its start, as listed or as observed by the router, whichever is later
+ * @param deniedAgo since it last reported itself not primary, or was lost as the primary; negative
+ *     where that lies ahead of the snapshot
+ * @param silent whether it owed responses and sent none
  * @param downFor since when it could not be reached
- * @param failing 0 to 1, how often it lost or failed what it was given
- * @param strained response time over SLO time, beyond what was usual
- * @param room executions the router might have out there
- * @param turnedAway how often in a row it turned work away as full
- * @param rests how long it was to be left alone
- * @param lag how far behind it was when last seen
- * @param coldSpent what of a cold node's budget was spent and had not come back, in typical
- *     executions
- * @param coldAgo since when that has been coming back
+ * @param failing share of its attempts that were lost or failed, 0 to 1
+ * @param strained latency strain: the ratio of response time to the latency objective, beyond the
+ *     usual ratio
+ * @param room capacity: how many attempts may be in flight at it
+ * @param turnedAway how many times in a row it rejected an attempt as full
+ * @param rests how much longer it was to be left alone
+ * @param lag its replication lag when last observed
+ * @param coldSpent the part of its slow-start budget that was spent and not refilled yet, in
+ *     typical attempts; 0 where it was not warming up
+ * @param coldAgo since when the slow-start budget has been refilling
  */
 public record EndpointState(
     int group,
@@ -43,23 +45,30 @@
     Span lag,
     double coldSpent,
     Span coldAgo) {
+  /** The span since something that has not happened. */
   public static final Span NEVER = new Span(Long.MAX_VALUE / 8);
 
+  private static final double NEGLIGIBLE = 0.05;
+
+  /** Whether it could not be reached. */
   public boolean isDown() {
     return downFor.isShorterThan(NEVER);
   }
 
   /**
-   * True where nothing in it would make a fresh router any more careful: the first to go where
-   * space is short.
+   * Whether nothing in it would make a restarted router more careful. Such states are left out
+   * first when a snapshot must stay small.
    */
-  public boolean saysLittle() {
-    return !drains
-        && !primary
-        && !silent
-        && !isDown()
-        && failing < 0.05
-        && strained < 0.05
-        && coldSpent <= 0;
+  public boolean isUnremarkable() {
+    return !drains && !primary && !silent && !isDown() && isHealthy() && coldSpent <= 0;
+  }
+
+  private boolean isHealthy() {
+    return failing < NEGLIGIBLE && strained < NEGLIGIBLE;
+  }
+
+  /** A builder that starts from this state. */
+  public EndpointStateBuilder toBuilder() {
+    return new EndpointStateBuilder(this);
   }
 }
--- a/router/src/main/java/basaltlever/snapshot/GroupState.java
+++ b/router/src/main/java/basaltlever/snapshot/GroupState.java
@@ -1,9 +1,11 @@
 package basaltlever.snapshot;
 
 /**
- * What was learned of one group.
+ * What a router has learned of one replica group.
  *
- * @param jam share of its reads that busy replicas answered late or not at all, 0 to 1
+ * @param group the number of the group
+ * @param jam congestion of its replicas: the share of reads that they answered late or not at all
+ *     because they were busy, 0 to 1
  * @param primaryJam the same of its primary
  */
 public record GroupState(int group, double jam, double primaryJam) {}
--- a/router/src/main/java/basaltlever/snapshot/KnownEndpoint.java
+++ b/router/src/main/java/basaltlever/snapshot/KnownEndpoint.java
@@ -1,4 +1,10 @@
 package basaltlever.snapshot;
 
-/** A node by the name and address that the member list gave it, and what was learned of it. */
+/**
+ * An endpoint with what was learned of it.
+ *
+ * @param id its name in the endpoint list
+ * @param address its address in the endpoint list
+ * @param view what was learned
+ */
 public record KnownEndpoint(String id, String address, EndpointState view) {}
--- a/router/src/main/java/basaltlever/snapshot/StateDecay.java
+++ b/router/src/main/java/basaltlever/snapshot/StateDecay.java
@@ -3,70 +3,66 @@
 import basaltlever.time.Span;
 
 /**
- * How much of what was learned still counts after a while: a decision, free of I/O. Weight falls by
- * the half in 83 s for what a node is like and in 10 s for what traffic made of it; docs/restart.md
- * tells why.
+ * How much of a learned state still counts after a while. Its weight decays exponentially: slowly
+ * for the health of an endpoint, quickly for the load that traffic put on it. Free of I/O;
+ * docs/restart.md gives the reasons.
  */
 public final class StateDecay {
-  /**
-   * A node that fails is mended, moved or restarted within minutes: after 9 min under 1 % is left.
-   */
-  static final Span CONDITION = Span.ofMillis(120_000);
+  /** Time in which the weight of an endpoint's health falls to 1/e. */
+  static final Span HEALTH_DECAY = Span.ofMillis(120_000);
 
-  /** Load comes and goes faster than nodes do; this is what a running router forgives in. */
-  static final Span LOAD = Span.ofMillis(15_000);
+  /** Time in which the weight of an endpoint's load falls to 1/e, as in a running router. */
+  static final Span LOAD_DECAY = Span.ofMillis(15_000);
 
-  /**
-   * Below it a state is a guess no longer worth acting on by itself, and only counts as failing.
-   */
-  private static final double STATE_HOLDS = 0.5;
+  /** Health weight below which "down" and "silent" count only as a failure rate. */
+  private static final double LEAST_WEIGHT_OF_STATES = 0.5;
+
+  /** Keeps the division by a decayed weight finite. */
+  private static final double LEAST_DIVISOR = 1e-6;
 
   private StateDecay() {}
 
-  /** From 1 for what has just been learned towards 0; nothing for a negative age. */
-  public static double weight(Span age, Span fades) {
-    return age.micros() < 0 ? 0 : Math.exp(-age.over(fades));
+  /** The weight of what was learned that long ago, from 1 towards 0; 0 for a negative age. */
+  public static double weight(Span age, Span decay) {
+    return age.micros() < 0 ? 0 : Math.exp(-age.over(decay));
   }
 
-  /** The weight of what a node is like, as the commands show it. */
+  /** The weight of an endpoint's health, as the commands show it. */
   public static double weight(Span age) {
-    return weight(age, CONDITION);
+    return weight(age, HEALTH_DECAY);
   }
 
   /**
-   * The same view, that much later. Drains and cold budgets don't fade: they bind until they are
-   * over.
+   * The same state, that much later. Draining and a spent slow-start budget don't decay: they bind
+   * until they are over.
    */
-  public static EndpointState aged(EndpointState view, Span age) {
-    double condition = weight(age, CONDITION);
-    double load = weight(age, LOAD);
-    boolean holds = condition >= STATE_HOLDS;
-    double was = view.silent() || view.isDown() ? 1 : view.failing();
-    return new EndpointState(
-        view.group(),
-        view.listedStart(),
-        view.drains(),
-        view.primary(),
-        later(view.startedAgo(), age),
-        later(view.deniedAgo(), age),
-        view.silent() && holds,
-        holds ? later(view.downFor(), age) : EndpointState.NEVER,
-        was * condition,
-        Math.max(0, view.strained()) * load,
-        view.room() / Math.max(load, 1e-6),
-        holds ? view.turnedAway() : 0,
-        view.rests().minus(age).longer(Span.NONE),
-        view.lag().times(load),
-        view.coldSpent(),
-        later(view.coldAgo(), age));
+  public static EndpointState aged(EndpointState state, Span age) {
+    double healthWeight = weight(age, HEALTH_DECAY);
+    double loadWeight = weight(age, LOAD_DECAY);
+    boolean statesCount = healthWeight >= LEAST_WEIGHT_OF_STATES;
+    double failureRate = state.silent() || state.isDown() ? 1 : state.failing();
+    return state.toBuilder()
+        .sinceStart(longerAgo(state.startedAgo(), age))
+        .sinceNotPrimary(longerAgo(state.deniedAgo(), age))
+        .unresponsive(state.silent() && statesCount)
+        .downFor(statesCount ? longerAgo(state.downFor(), age) : EndpointState.NEVER)
+        .failureRate(failureRate * healthWeight)
+        .latencyStrain(Math.max(0, state.strained()) * loadWeight)
+        .capacity(state.room() / Math.max(loadWeight, LEAST_DIVISOR))
+        .consecutiveRejections(statesCount ? state.turnedAway() : 0)
+        .remainingBackoff(state.rests().minus(age).longer(Span.NONE))
+        .lag(state.lag().times(loadWeight))
+        .sinceSlowStartSpent(longerAgo(state.coldAgo(), age))
+        .build();
   }
 
-  public static GroupState aged(GroupState view, Span age) {
-    double load = weight(age, LOAD);
-    return new GroupState(view.group(), view.jam() * load, view.primaryJam() * load);
+  /** The same state, that much later. */
+  public static GroupState aged(GroupState state, Span age) {
+    double loadWeight = weight(age, LOAD_DECAY);
+    return new GroupState(state.group(), state.jam() * loadWeight, state.primaryJam() * loadWeight);
   }
 
-  private static Span later(Span ago, Span age) {
+  private static Span longerAgo(Span ago, Span age) {
     return ago.isShorterThan(EndpointState.NEVER) ? ago.plus(age) : ago;
   }
 }
--- a/router/src/main/java/basaltlever/snapshot/StateRestore.java
+++ b/router/src/main/java/basaltlever/snapshot/StateRestore.java
@@ -7,132 +7,137 @@
 import java.util.Map;
 
 /**
- * A view offered to a fresh router: aged once, then matched with the members as the list names
- * them. What was learned counts only for the same start under the same id at the same address; all
- * else is new. A decision of its own, free of I/O.
+ * A stored state offered to a restarted router: aged once, then handed out endpoint by endpoint as
+ * the endpoint list names them. What was learned counts only for the same start of the same id at
+ * the same address. Free of I/O.
  */
 public final class StateRestore {
-  /** For a router that has nothing to go by. */
-  public static final StateRestore NONE =
-      new StateRestore("there is none", Span.NONE, 0, List.of(), List.of());
+  /** For a router without a stored state. */
+  public static final StateRestore NONE = rejected("there is none");
 
-  /** How far the system's clock may stray from the steady one before neither is believed. */
-  private static final Span STRAYS = Span.ofMillis(2_000);
+  /** How far the system clock may differ from the monotonic one before neither is trusted. */
+  private static final Span CLOCK_TOLERANCE = Span.ofMillis(2_000);
 
-  private static final double STRAYS_BY = 0.001;
+  /** The same as a share of the time that has passed. */
+  private static final double CLOCK_TOLERANCE_RATIO = 0.001;
 
-  private final String why;
+  private final String rejection;
   private final Span age;
-  private final long listed;
-  private final Map<String, KnownEndpoint> nodes = new LinkedHashMap<>();
+  private final long listVersion;
+  private final Map<String, KnownEndpoint> pending = new LinkedHashMap<>();
   private List<GroupState> groups;
 
   private StateRestore(
-      String why, Span age, long listed, List<KnownEndpoint> nodes, List<GroupState> groups) {
-    this.why = why;
+      String rejection,
+      Span age,
+      long listVersion,
+      List<KnownEndpoint> endpoints,
+      List<GroupState> groups) {
+    this.rejection = rejection;
     this.age = age;
-    this.listed = listed;
+    this.listVersion = listVersion;
     this.groups = groups;
-    nodes.forEach(known -> this.nodes.put(known.id(), known));
+    endpoints.forEach(known -> pending.put(known.id(), known));
   }
 
-  /** What the view is worth now, by the system's clock and the steady one, in microseconds. */
+  /**
+   * Judges a stored state and ages it to now.
+   *
+   * @param deployment the deployment of the restarted router
+   * @param router its name
+   * @param now microseconds of Unix time by the system clock
+   * @param steady microseconds of the machine's monotonic clock
+   * @param boot the current boot of the machine; empty where unknown
+   */
   public static StateRestore of(
-      LearnedState view, String deployment, String router, long now, long steady, String boot) {
-    Span age = new Span(now - view.writtenAt());
-    if (!view.deployment().equals(deployment) || !view.router().equals(router)) {
-      return nothing(
-          "it is of deployment '" + view.deployment() + "', router '" + view.router() + "'");
+      LearnedState stored, String deployment, String router, long now, long steady, String boot) {
+    if (!stored.deployment().equals(deployment) || !stored.router().equals(router)) {
+      return rejected(
+          "it is of deployment '" + stored.deployment() + "', router '" + stored.router() + "'");
     }
-    if (age.micros() < 0) {
-      return nothing("it was written in the future, by this machine's clock");
+    Span systemAge = new Span(now - stored.writtenAt());
+    if (systemAge.micros() < 0) {
+      return rejected("it was written in the future, by this machine's clock");
     }
-    if (!boot.isEmpty() && boot.equals(view.boot())) {
-      Span steadily = new Span(steady - view.steady());
-      Span strayed = new Span(Math.abs(steadily.minus(age).micros()));
-      if (steadily.micros() < 0 || strayed.isLongerThan(STRAYS.plus(steadily.times(STRAYS_BY)))) {
-        return nothing("the clock was set since it was written");
-      }
-      age = steadily;
+    if (boot.isEmpty() || !boot.equals(stored.boot())) {
+      return aged(stored, systemAge);
     }
-    List<KnownEndpoint> aged = new ArrayList<>(view.nodes().size());
-    for (KnownEndpoint known : view.nodes()) {
-      aged.add(new KnownEndpoint(known.id(), known.address(), StateDecay.aged(known.view(), age)));
+    Span monotonicAge = new Span(steady - stored.steady());
+    return agree(systemAge, monotonicAge)
+        ? aged(stored, monotonicAge)
+        : rejected("the clock was set since it was written");
+  }
+
+  private static boolean agree(Span systemAge, Span monotonicAge) {
+    Span difference = new Span(Math.abs(monotonicAge.minus(systemAge).micros()));
+    Span tolerance = CLOCK_TOLERANCE.plus(monotonicAge.times(CLOCK_TOLERANCE_RATIO));
+    return monotonicAge.micros() >= 0 && !difference.isLongerThan(tolerance);
+  }
+
+  private static StateRestore aged(LearnedState stored, Span age) {
+    List<KnownEndpoint> endpoints = new ArrayList<>(stored.nodes().size());
+    for (KnownEndpoint known : stored.nodes()) {
+      endpoints.add(
+          new KnownEndpoint(known.id(), known.address(), StateDecay.aged(known.view(), age)));
     }
-    Span since = age;
-    return new StateRestore(
-        "",
-        age,
-        view.listed(),
-        aged,
-        view.groups().stream().map(group -> StateDecay.aged(group, since)).toList());
+    List<GroupState> groups =
+        stored.groups().stream().map(group -> StateDecay.aged(group, age)).toList();
+    return new StateRestore("", age, stored.listed(), endpoints, groups);
   }
 
-  private static StateRestore nothing(String why) {
-    return new StateRestore(why, Span.NONE, 0, List.of(), List.of());
+  private static StateRestore rejected(String reason) {
+    return new StateRestore(reason, Span.NONE, 0, List.of(), List.of());
   }
 
-  /** Why it counts for nothing; empty where it counts. */
-  public String worthless() {
-    return why;
+  /** Why the stored state counts for nothing; empty where it counts. */
+  public String rejection() {
+    return rejection;
   }
 
+  /** How old the stored state is. */
   public Span age() {
     return age;
   }
 
-  public int nodesLeft() {
-    return nodes.size();
+  /** The number of endpoints that have not been listed yet. */
+  public int pendingCount() {
+    return pending.size();
   }
 
-  /** Those not listed yet, in the view's order: whom to ask first, and no more than that. */
+  /** The endpoints that have not been listed yet, in stored order: whom to poll first. */
   public List<KnownEndpoint> members() {
-    return List.copyOf(nodes.values());
+    return List.copyOf(pending.values());
   }
 
   /**
-   * What is known of a member as it is listed, once; null where it is new. A list that the router
-   * did not ask for may be older than the view: then the view's word on its start and on a drain is
-   * the later one.
+   * Hands out, once, what is known of an endpoint as it is listed; null where nothing is. A list
+   * that the router did not request itself may be older than the stored state: then the stored
+   * start and draining are the later word.
+   *
+   * @param version the version of the list
+   * @param live whether the router requested the list itself
    */
   public EndpointState of(String id, String address, long listedStart, long version, boolean live) {
-    KnownEndpoint known = nodes.get(id);
-    boolean older = !live && version < listed;
+    KnownEndpoint known = pending.get(id);
+    boolean olderList = !live && version < listVersion;
     if (known == null
         || !known.address().equals(address)
-        || (known.view().listedStart() != listedStart
-            && !(older && known.view().listedStart() > listedStart))) {
+        || !isSameStart(known.view().listedStart(), listedStart, olderList)) {
       return null;
     }
-    nodes.remove(id);
-    EndpointState view = known.view();
-    return view.drains() && !older ? withoutDrain(view) : view;
+    pending.remove(id);
+    EndpointState state = known.view();
+    return state.drains() && !olderList ? state.toBuilder().draining(false).build() : state;
   }
 
-  private static EndpointState withoutDrain(EndpointState view) {
-    return new EndpointState(
-        view.group(),
-        view.listedStart(),
-        false,
-        view.primary(),
-        view.startedAgo(),
-        view.deniedAgo(),
-        view.silent(),
-        view.downFor(),
-        view.failing(),
-        view.strained(),
-        view.room(),
-        view.turnedAway(),
-        view.rests(),
-        view.lag(),
-        view.coldSpent(),
-        view.coldAgo());
+  private static boolean isSameStart(long stored, long listed, boolean olderList) {
+    return stored == listed || (olderList && stored > listed);
   }
 
-  /** What is known of the groups, once. */
+  /** Hands out, once, what is known of the replica groups. */
   public List<GroupState> groups() {
-    List<GroupState> told = groups;
+    List<GroupState> handedOut = groups;
     groups = List.of();
-    return told;
+    return handedOut;
   }
 }
--- a/router/src/main/java/basaltlever/storage/SnapshotCodec.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotCodec.java
@@ -56,7 +56,7 @@
     int left = Math.min(most, LARGEST) - HEAD - FRAME - LONGEST_RECORD - SUM;
     List<byte[]> records = new ArrayList<>();
     List<KnownEndpoint> nodes = new ArrayList<>(view.nodes());
-    nodes.sort(Comparator.comparing(known -> known.view().saysLittle()));
+    nodes.sort(Comparator.comparing(known -> known.view().isUnremarkable()));
     List<byte[]> groups = new ArrayList<>();
     for (GroupState group : view.groups()) {
       groups.add(record(out -> group(out, group)));
--- a/router/src/main/java/basaltlever/storage/SnapshotWriter.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotWriter.java
@@ -170,9 +170,9 @@
               SystemClocks.now(),
               SystemClocks.steady(),
               SystemClocks.boot());
-      if (!recollection.worthless().isEmpty()) {
+      if (!recollection.rejection().isEmpty()) {
         Event.VIEW_LEFT_OUT.log(
-            LOG, Level.WARN, "", found.name() + ": " + recollection.worthless());
+            LOG, Level.WARN, "", found.name() + ": " + recollection.rejection());
       } else {
         Event.VIEW_TAKEN.log(
             LOG,
@@ -180,7 +180,7 @@
             "",
             found.name(),
             recollection.age().micros() / 1_000,
-            recollection.nodesLeft(),
+            recollection.pendingCount(),
             String.format("%.4f", StateDecay.weight(recollection.age())));
       }
       return recollection;
@@ -229,7 +229,7 @@
       if (!read) {
         newest();
       }
-      generations.store(view.numbered(number + 1), most);
+      generations.store(view.withSequence(number + 1), most);
       number++;
     } catch (IOException | RuntimeException fault) {
       failures.note(folder, String.valueOf(fault));
--- a/router/src/test/java/basaltlever/KeptViews.java
+++ b/router/src/test/java/basaltlever/KeptViews.java
@@ -1,6 +1,7 @@
 package basaltlever;
 
 import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.EndpointStateBuilder;
 import basaltlever.snapshot.GroupState;
 import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.LearnedState;
@@ -19,26 +20,7 @@
     List<KnownEndpoint> known = new ArrayList<>();
     for (int i = 0; i < nodes; i++) {
       known.add(
-          new KnownEndpoint(
-              "n-" + i + "-" + number,
-              "127.0.0.1:" + (1_000 + i),
-              new EndpointState(
-                  i % 3,
-                  1_000L * chance.nextInt(1_000),
-                  chance.nextBoolean(),
-                  i == 0,
-                  new Span(chance.nextInt(1_000_000)),
-                  chance.nextBoolean() ? EndpointState.NEVER : new Span(chance.nextInt()),
-                  chance.nextBoolean(),
-                  chance.nextBoolean() ? EndpointState.NEVER : new Span(chance.nextInt(1_000_000)),
-                  chance.nextDouble(),
-                  chance.nextDouble() - 0.5,
-                  12 * chance.nextDouble(),
-                  chance.nextInt(6),
-                  new Span(chance.nextInt(1_000)),
-                  new Span(chance.nextInt(1_000)),
-                  chance.nextDouble(),
-                  new Span(chance.nextInt(1_000_000)))));
+          new KnownEndpoint("n-" + i + "-" + number, "127.0.0.1:" + (1_000 + i), state(i, chance)));
     }
     return new LearnedState(
         "fleet",
@@ -52,4 +34,26 @@
         List.of(
             new GroupState(0, chance.nextDouble(), 0), new GroupState(1, 0, chance.nextDouble())));
   }
+
+  /** Draws from the source of chance in the order of the record's components. */
+  private static EndpointState state(int number, SplittableRandom chance) {
+    return new EndpointStateBuilder()
+        .group(number % 3)
+        .listedStartMicros(1_000L * chance.nextInt(1_000))
+        .draining(chance.nextBoolean())
+        .primary(number == 0)
+        .sinceStart(new Span(chance.nextInt(1_000_000)))
+        .sinceNotPrimary(chance.nextBoolean() ? EndpointState.NEVER : new Span(chance.nextInt()))
+        .unresponsive(chance.nextBoolean())
+        .downFor(chance.nextBoolean() ? EndpointState.NEVER : new Span(chance.nextInt(1_000_000)))
+        .failureRate(chance.nextDouble())
+        .latencyStrain(chance.nextDouble() - 0.5)
+        .capacity(12 * chance.nextDouble())
+        .consecutiveRejections(chance.nextInt(6))
+        .remainingBackoff(new Span(chance.nextInt(1_000)))
+        .lag(new Span(chance.nextInt(1_000)))
+        .slowStartSpent(chance.nextDouble())
+        .sinceSlowStartSpent(new Span(chance.nextInt(1_000_000)))
+        .build();
+  }
 }
--- a/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
+++ b/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
@@ -268,9 +268,9 @@
     check(
         cut.length <= 32 << 10 && kept.size() > 50 && kept.size() < 500, "bounded: " + kept.size());
     check(
-        kept.stream().noneMatch(known -> known.view().saysLittle())
+        kept.stream().noneMatch(known -> known.view().isUnremarkable())
             || view.nodes().stream()
-                .filter(known -> !known.view().saysLittle())
+                .filter(known -> !known.view().isUnremarkable())
                 .allMatch(kept::contains),
         "what says little goes first");
   }
--- a/router/src/test/java/basaltlever/SnapshotWriterTest.java
+++ b/router/src/test/java/basaltlever/SnapshotWriterTest.java
@@ -98,7 +98,7 @@
       check(SnapshotStore.names(new LockedDirectory(folder)).size() == 2, "two generations");
       SnapshotWriter next = keeper(folder, () -> null);
       StateRestore recollection = next.recall();
-      check(recollection.worthless().isEmpty() && recollection.nodesLeft() == 4, "recalled");
+      check(recollection.rejection().isEmpty() && recollection.pendingCount() == 4, "recalled");
       next.ends(null);
       next.awaitEnd();
     } finally {
@@ -132,7 +132,7 @@
     Files.createDirectory(folder.resolve(SnapshotStore.name(901)));
     SnapshotWriter next = keeper(folder, () -> null);
     check(
-        next.recall().nodesLeft() == 4,
+        next.recall().pendingCount() == 4,
         "past a broken one and a folder to the newest that is whole");
     next.ends(view(SystemClocks.now()));
     next.awaitEnd();
@@ -219,7 +219,7 @@
       throw new AssertionError(fault);
     }
     check(core.nodesKnown() == 20, "no node but the listed");
-    check(recollection.nodesLeft() == 1_980, "and those were known again");
+    check(recollection.pendingCount() == 1_980, "and those were known again");
   }
 
   private static long broken(SocketWorld world) {
--- a/router/src/test/java/basaltlever/StateRestoreTest.java
+++ b/router/src/test/java/basaltlever/StateRestoreTest.java
@@ -9,6 +9,7 @@
 import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.gateway.Role;
 import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.EndpointStateBuilder;
 import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.LearnedState;
 import basaltlever.snapshot.StateDecay;
@@ -27,65 +28,42 @@
   private static final long HOUR = 3_600_000_000L;
 
   private static EndpointState bad(boolean silent, boolean down, double failing) {
-    return new EndpointState(
-        0,
-        77,
-        false,
-        false,
-        EndpointState.NEVER,
-        EndpointState.NEVER,
-        silent,
-        down ? ms(3_000) : EndpointState.NEVER,
-        failing,
-        0.4,
-        0.5,
-        3,
-        ms(200),
-        ms(900),
-        0,
-        EndpointState.NEVER);
+    return new EndpointStateBuilder()
+        .listedStartMicros(77)
+        .unresponsive(silent)
+        .downFor(down ? ms(3_000) : EndpointState.NEVER)
+        .failureRate(failing)
+        .latencyStrain(0.4)
+        .capacity(0.5)
+        .consecutiveRejections(3)
+        .remainingBackoff(ms(200))
+        .lag(ms(900))
+        .build();
   }
 
   /** One reason for care and no other. */
   private static EndpointState only(
       boolean drains, boolean silent, boolean down, double failing, double restsMillis) {
-    return new EndpointState(
-        0,
-        77,
-        drains,
-        false,
-        EndpointState.NEVER,
-        EndpointState.NEVER,
-        silent,
-        down ? ms(3_000) : EndpointState.NEVER,
-        failing,
-        0,
-        9,
-        0,
-        ms(restsMillis),
-        Span.NONE,
-        0,
-        EndpointState.NEVER);
+    return new EndpointStateBuilder()
+        .listedStartMicros(77)
+        .draining(drains)
+        .unresponsive(silent)
+        .downFor(down ? ms(3_000) : EndpointState.NEVER)
+        .failureRate(failing)
+        .capacity(9)
+        .remainingBackoff(ms(restsMillis))
+        .build();
   }
 
   private static EndpointState drained(boolean cold) {
-    return new EndpointState(
-        0,
-        77,
-        !cold,
-        false,
-        ms(500),
-        EndpointState.NEVER,
-        false,
-        EndpointState.NEVER,
-        0,
-        0,
-        5,
-        0,
-        Span.NONE,
-        Span.NONE,
-        cold ? 7 : 0,
-        ms(100));
+    return new EndpointStateBuilder()
+        .listedStartMicros(77)
+        .draining(!cold)
+        .sinceStart(ms(500))
+        .capacity(5)
+        .slowStartSpent(cold ? 7 : 0)
+        .sinceSlowStartSpent(ms(100))
+        .build();
   }
 
   private static LearnedState view(EndpointState node) {
@@ -144,21 +122,21 @@
   @Example
   void aViewWithoutADateOrOfAnotherCountsForNothing() {
     LearnedState view = view(bad(true, false, 1));
-    check(after(view, 5_000_000, 5_000_000, "b1").worthless().isEmpty(), "sound");
+    check(after(view, 5_000_000, 5_000_000, "b1").rejection().isEmpty(), "sound");
     check(after(view, 5_000_000, 5_000_000, "b1").age().equals(ms(5_000)), "dated");
-    check(!after(view, -1, 5, "b1").worthless().isEmpty(), "the future");
+    check(!after(view, -1, 5, "b1").rejection().isEmpty(), "the future");
     check(
-        !after(view, 5_000_000, HOUR, "b1").worthless().isEmpty(),
+        !after(view, 5_000_000, HOUR, "b1").rejection().isEmpty(),
         "stepped back since, though not past it");
-    check(!after(view, HOUR, 5_000_000, "b1").worthless().isEmpty(), "stepped ahead");
+    check(!after(view, HOUR, 5_000_000, "b1").rejection().isEmpty(), "stepped ahead");
     check(
         after(view, HOUR, 5, "b2").age().micros() == HOUR,
         "another run of the machine: the system's clock");
     check(
-        !StateRestore.of(view, "other", "n3", 2_000 * HOUR, 0, "").worthless().isEmpty(),
+        !StateRestore.of(view, "other", "n3", 2_000 * HOUR, 0, "").rejection().isEmpty(),
         "deployment");
     check(
-        !StateRestore.of(view, "fleet", "n4", 2_000 * HOUR, 0, "").worthless().isEmpty(), "router");
+        !StateRestore.of(view, "fleet", "n4", 2_000 * HOUR, 0, "").rejection().isEmpty(), "router");
   }
 
   @Example
@@ -199,24 +177,7 @@
 
   @Example
   void aPrimaryOfTheViewIsAskedFirstAndNotBelieved() {
-    EndpointState was =
-        new EndpointState(
-            0,
-            0,
-            false,
-            true,
-            EndpointState.NEVER,
-            EndpointState.NEVER,
-            false,
-            EndpointState.NEVER,
-            0,
-            0,
-            1e9,
-            0,
-            Span.NONE,
-            Span.NONE,
-            0,
-            EndpointState.NEVER);
+    EndpointState was = new EndpointStateBuilder().primary(true).capacity(1e9).build();
     StandIn world = fresh(null, null, was);
     check(world.polled.equals(List.of(2, 0, 1)), "asked first, and each once: " + world.polled);
     world.take(WRITE);
