--- a/router/src/main/java/basaltlever/balancer/LoadBalancer.java
+++ b/router/src/main/java/basaltlever/balancer/LoadBalancer.java
@@ -1,7 +1,5 @@
 package basaltlever.balancer;
 
-import basaltlever.endpoints.PrimarySearch;
-import basaltlever.endpoints.ReplicaSubset;
 import basaltlever.gateway.AttemptOutcome;
 import basaltlever.gateway.DecisionSink;
 import basaltlever.gateway.EndpointLifecycle;
@@ -19,7 +17,6 @@
 import basaltlever.model.SessionWrites;
 import basaltlever.model.Statement;
 import basaltlever.model.StatementArrival;
-import basaltlever.switchover.PlannedSwitchover;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.ArrayDeque;
@@ -46,7 +43,6 @@
   /** Rooms are looked over once a scan: a patience of less would be over before the second look. */
   private static final Span LEAST_PATIENCE = Timing.SCAN_INTERVAL.times(3);
 
-  private static final Span FIRST_REPORT_AGE = Span.ofMillis(500);
   private static final Span LEAST_SILENCE = Span.ofMillis(150);
   private static final Span TRIAL = Span.ofMillis(500);
   static final Span FORGIVEN = Span.ofMillis(5_000);
@@ -75,7 +71,6 @@
   private static final double CROWDED = 0.2;
   private static final double UNUSUAL = 2.5;
   private static final double UNTOLD_UTIL = 0.5;
-  private static final int MOST_PREPARED = 16;
 
   private static final Comparator<Endpoint> BY_RANK =
       Comparator.comparingInt(node -> node.ringOrder());
@@ -88,6 +83,8 @@
   final EndpointTable table;
   final SlowStart slowStart;
   final PollScheduler polls;
+  private final EvaluationQueue evaluations = new EvaluationQueue();
+  private final PrimaryTracker primaries;
   private final GroupPolling groupPolling;
   private final DecisionSink outbound;
   private final SplittableRandom chance;
@@ -97,7 +94,6 @@
   private Statement[] statements = new Statement[256];
   private final List<Statement> open = new ArrayList<>();
   private final ArrayDeque<Statement> unplaced = new ArrayDeque<>();
-  private final ArrayDeque<ReplicaGroup> changed = new ArrayDeque<>();
   private double usualLatencyStrain = 0.25;
   private double connectionSetupMicros;
   private final DecayingValue connectionScarcity = new DecayingValue();
@@ -109,7 +105,6 @@
   private Moment askedAt = Moment.NEVER;
   private Span watchBackoff = FIRST_BACKOFF;
   private Moment scanDue = Moment.NEVER;
-  private Moment changeDue = Moment.NEVER;
   private Moment wakeAt = Moment.NEVER;
   private int listing;
 
@@ -134,15 +129,18 @@
     slowStart = new SlowStart(context, serviceTimes, subsets, table);
     polls = new PollScheduler(context, subsets);
     groupPolling = new GroupPolling(context, table, subsets, polls);
+    primaries = new PrimaryTracker(context, table, subsets, slowStart, polls, evaluations);
     rules =
         new Rule[] {
           new Rule("ask for the list", () -> !now.isBefore(watchDue), this::askForList),
           new Rule(
-              "go on with planned changes", () -> !now.isBefore(changeDue), this::goOnWithChanges),
+              "go on with planned changes",
+              () -> !now.isBefore(primaries.nextSwitchoverStepAt()),
+              primaries::advanceSwitchovers),
           new Rule(
               "judge a group that changed",
-              () -> !changed.isEmpty(),
-              () -> evaluate(changed.poll())),
+              () -> !evaluations.isEmpty(),
+              () -> evaluate(evaluations.next())),
           new Rule("place a statement", () -> !unplaced.isEmpty(), () -> dispatch(unplaced.poll())),
           new Rule("look over what is open", () -> !now.isBefore(scanDue), this::scan),
           new Rule(
@@ -207,7 +205,7 @@
     ReplicaGroup home = table.group(group);
     if (node.group() != home) {
       if (node.group() != null) {
-        losePrimary(node);
+        primaries.lose(node);
         leaveGroup(node);
       }
       node.assignTo(home);
@@ -381,7 +379,7 @@
                   - connectionSetupMicros);
     }
     learnHealth(node, statement, ending, now.since(sent));
-    learnRole(node, statement, ending, role, sent);
+    primaries.recordAttempt(node, statement, ending, role, sent);
     learnPosition(node, statement, ending, position);
     if (!ending.provesNotRun) {
       statement.recordPossibleRun(sent);
@@ -406,7 +404,7 @@
       unplaced.add(statement);
     }
     if (!node.group().waitingReads().isEmpty() || !node.group().held().isEmpty()) {
-      evaluateLater(node.group());
+      evaluations.add(node.group());
     }
     settle();
     return true;
@@ -449,16 +447,7 @@
         node.replication().recordPosition(position);
         observeLag(node, now.since(position).minus(reportAge));
       }
-      if (role == Role.PRIMARY) {
-        // A primary stands at the present, so the position in its report dates the claim.
-        reportedPrimary(node, sane ? position : node.polling().sentAt());
-        Span age = sane ? now.since(position).shorter(PollScheduler.MAX_INTERVAL) : reportAge;
-        node.group().setMaxReportAge(reportAge.times(0.9).longer(age));
-      } else if (role == Role.REPLICA) {
-        // The report may be older than an answer that said primary.
-        node.roles().recordNotPrimary(node.polling().sentAt().minus(reportAge));
-        node.roles().clearReplaced();
-      }
+      primaries.recordLoadReport(node, role, position, sane);
     } else if (ending == AttemptOutcome.FULL) {
       // Too many ask it at once: no sign of a loss, but one to ask less.
       node.health().recordAnswer();
@@ -474,7 +463,7 @@
       pollMissed(node, ending == AttemptOutcome.NO_CONNECTION || ending == AttemptOutcome.RESET);
     }
     polls.update(node);
-    evaluateLater(node.group());
+    evaluations.add(node.group());
     settle();
   }
 
@@ -530,9 +519,9 @@
       gone.add(node);
     }
     if (!context.isListedForUse(node)) {
-      losePrimary(node);
+      primaries.lose(node);
     }
-    evaluateLater(node.group());
+    evaluations.add(node.group());
   }
 
   // Kept for all time, each choice would go through all there ever were; till then it may be listed
@@ -547,124 +536,8 @@
 
   // ---- The phases of a group: who is primary, and the hold.
 
-  private void evaluateLater(ReplicaGroup group) {
-    if (!group.isEvaluationPending()) {
-      group.setEvaluationPending(true);
-      changed.add(group);
-    }
-  }
-
-  /**
-   * A sign that the primary is lost: what needs one is held from here on, and asks every member.
-   */
-  private void losePrimary(Endpoint node) {
-    ReplicaGroup group = node.group();
-    if (group.primary() != node) {
-      return;
-    }
-    group.losePrimary(now);
-    outbound.primary(group.number(), node.id(), false);
-    evaluateLater(group);
-  }
-
-  // Everyone is asked at once, then ever more rarely where the router has little traffic to pay for
-  // it. A
-  // router for which nothing waits asks nobody: it finds the primary in a round trip once something
-  // does.
-  private void askAround(ReplicaGroup group) {
-    if (!group.isPolledRegularly() || group.members().size() > ReplicaSubset.LEAST) {
-      search(group);
-      return;
-    }
-    for (Endpoint member : group.members()) {
-      polls.pollWithin(
-          member,
-          now.since(group.holdSince())
-              .shorter(polls.interval(member).times(0.5))
-              .shorter(SECOND)
-              .longer(PollScheduler.HOLD_INTERVAL));
-    }
-  }
-
-  /**
-   * A few members at a time, where polling all of them would cost more than the traffic of the
-   * group.
-   */
-  private void search(ReplicaGroup group) {
-    Span pause = now.since(group.holdSince()).shorter(SECOND).longer(PollScheduler.HOLD_INTERVAL);
-    PrimarySearch.next(
-            group, now, pause, subsets.startPosition(group.members().size()), this::mayBePrimary)
-        .forEach(node -> polls.pollWithin(node, PollScheduler.HOLD_INTERVAL));
-  }
-
-  /** One that has just said that it is none need not be asked, but while its group elects. */
-  private boolean mayBePrimary(Endpoint node) {
-    boolean denied =
-        node.roles().lastNotPrimaryReportAt().isAfter(node.roles().lastPrimaryReportAt())
-            && now.since(node.roles().lastNotPrimaryReportAt()).isShorterThan(REMEMBERED);
-    return context.isListedForUse(node)
-        && !(denied && node.group().lostPrimary() == null && node.group().search().rounds() == 0);
-  }
-
-  private void reportedPrimary(Endpoint node, Moment at) {
-    if (!node.roles().lastPrimaryReportAt().isAfter(Moment.LONG_AGO)) {
-      node.group().addPrimaryReporter(node);
-    }
-    node.roles().recordPrimary(at);
-  }
-
   private void evaluate(ReplicaGroup group) {
-    if (group.primary() != null
-        && group
-            .primary()
-            .roles()
-            .lastNotPrimaryReportAt()
-            .isAfter(group.primary().roles().lastPrimaryReportAt())) {
-      losePrimary(group.primary());
-    }
-    followSwitchover(group);
-    group.setEvaluationPending(false);
-    Endpoint claimant = null;
-    for (Endpoint member :
-        group.members().size() > ReplicaSubset.LEAST ? group.primaryReporters() : group.members()) {
-      boolean fresh =
-          member.roles().lastPrimaryReportAt().isAfter(member.roles().lastNotPrimaryReportAt())
-              && (member != group.lostPrimary()
-                  || member.roles().lastPrimaryReportAt().isAfter(group.holdSince()));
-      // A group without reads has no other trial than a write: the silence would never be seen to
-      // end.
-      boolean heard =
-          !member.health().isSilent()
-              || now.since(member.health().silentSince()).isLongerThan(FORGIVEN);
-      // One that was replaced and comes back goes on claiming: no proof while its successor stands.
-      boolean past =
-          (member.roles().isReplaced() && group.primary() != null)
-              || group.switchover().excludes(member.id());
-      if (fresh
-          && context.isListedForUse(member)
-          && !member.health().isDown()
-          && heard
-          && !past
-          && (claimant == null
-              || member
-                  .roles()
-                  .lastPrimaryReportAt()
-                  .isAfter(claimant.roles().lastPrimaryReportAt()))) {
-        claimant = member;
-      }
-    }
-    if ((group.phase() == Phase.HOLD && claimant != null)
-        || (group.primary() != null
-            && claimant != null
-            && claimant != group.primary()
-            && claimant
-                .roles()
-                .lastPrimaryReportAt()
-                .since(group.primary().roles().lastPrimaryReportAt())
-                .isLongerThan(FIRST_REPORT_AGE))) {
-      group.setPrimary(claimant, now);
-      outbound.primary(group.number(), claimant.id(), true);
-    }
+    primaries.evaluate(group);
     // In order, as far as the primary has room: the rest stays where it is.
     for (Statement top = group.held().first();
         top != null && (isOverdue(top) || primaryFor(top) != null);
@@ -680,11 +553,7 @@
       statement.setQueued(false);
       dispatch(statement);
     }
-    if (group.phase() == Phase.HOLD
-        && !group.held().isEmpty()
-        && (!group.isPolledRegularly() || group.members().size() > ReplicaSubset.LEAST)) {
-      search(group);
-    }
+    primaries.continueSearch(group);
   }
 
   private void takeOut(Statement held) {
@@ -696,53 +565,11 @@
   public boolean switchoverAnnounced(
       Moment at, int member, long number, int target, Moment from, boolean off) {
     advanceTo(at);
-    ReplicaGroup group = table.endpoint(member).group();
-    int named = table.endpoint(target).group() == group ? target : PlannedSwitchover.UNKNOWN_MEMBER;
-    boolean told = group.switchover().announced(now, number, named, from, off);
-    evaluateLater(group);
+    boolean told = primaries.recordAnnouncement(member, number, target, from, off);
     settle();
     return told;
   }
 
-  private void goOnWithChanges() {
-    changeDue = Moment.NEVER;
-    table.groups().forEach(this::evaluateLater);
-  }
-
-  // Its phases are in Change; what they mean for the hold, polls and connections is here.
-  private void followSwitchover(ReplicaGroup group) {
-    PlannedSwitchover change = group.switchover();
-    Endpoint target = table.endpoint(change.target());
-    change.advance(
-        now,
-        group.primary() == null ? PlannedSwitchover.UNKNOWN_MEMBER : group.primary().id(),
-        target != null
-            && target.group() == group
-            && context.isListedForUse(target)
-            && !target.health().isDown());
-    changeDue = changeDue.earlier(change.nextStepAt());
-    if (group.primary() != null && change.excludes(group.primary().id())) {
-      losePrimary(group.primary());
-    } else if (change.phase() == PlannedSwitchover.Phase.PREPARATION && group.primary() != null) {
-      // A cold one bears no more than one at a time.
-      outbound.prepare(
-          target.id(),
-          slowStart.warmUpShare(target) < 1
-              ? 1
-              : Math.min(
-                  MOST_PREPARED,
-                  group.primary().load().inFlight() + group.primary().load().idleConnections()));
-    }
-    if (change.needsFrequentPolls()) {
-      subsets
-          .membersInUse(group)
-          .forEach(member -> polls.pollWithin(member, PollScheduler.HOLD_INTERVAL));
-      if (target != null && target.group() == group) {
-        polls.pollWithin(target, PollScheduler.HOLD_INTERVAL);
-      }
-    }
-  }
-
   // ---- Placing a statement.
 
   private void dispatch(Statement statement) {
@@ -780,7 +607,7 @@
         group.waitingReads().add(statement);
       }
       if (group.phase() == Phase.HOLD) {
-        askAround(group);
+        primaries.pollForPrimary(group);
       }
     }
   }
@@ -1189,7 +1016,7 @@
         table.removeIfUnused(named);
         subsets.narrowIfUnneeded(named);
       } else if (statement.isQueued()) {
-        evaluateLater(statement.group());
+        evaluations.add(statement.group());
         if (statement.workload().onlyPrimary() && isOverdue(statement)) {
           takeOut(statement);
           unplaced.add(statement);
@@ -1226,7 +1053,7 @@
   void markSilent(Endpoint node) {
     node.health().markSilent(now);
     node.group().subset().markStale();
-    losePrimary(node);
+    primaries.lose(node);
   }
 
   // ---- Health: what executions and polls tell.
@@ -1394,27 +1221,6 @@
     }
   }
 
-  private void learnRole(
-      Endpoint node, Statement statement, AttemptOutcome ending, Role role, Moment sent) {
-    if (ending == AttemptOutcome.MISS && statement.workload().needs() == ReadConsistency.WRITE) {
-      // It turns writes away before it stops calling itself primary: believed at once, every such
-      // claim
-      // cost what was held one more execution.
-      node.roles().ignorePrimaryReportsUntil(now.plus(SECOND));
-    } else if (role == Role.PRIMARY) {
-      // Answers can overtake each other: counted from the sending, a claim undoes no later denial.
-      reportedPrimary(node, sent);
-    } else if (role == Role.REPLICA) {
-      node.roles().recordNotPrimary(now);
-    }
-    if (role == Role.REPLICA) {
-      node.roles().clearReplaced();
-    }
-    if (node.roles().lastNotPrimaryReportAt().isAfter(node.roles().lastPrimaryReportAt())) {
-      losePrimary(node);
-    }
-  }
-
   private void learnPosition(
       Endpoint node, Statement statement, AttemptOutcome ending, Moment position) {
     boolean wrote =
@@ -1435,7 +1241,7 @@
     }
     node.health().markDown(now);
     polls.pollNow(node);
-    losePrimary(node);
+    primaries.lose(node);
   }
 
   private void markUp(Endpoint node) {
@@ -1482,7 +1288,10 @@
   // ---- Polls and waking.
 
   private Moment nextWake() {
-    return watchDue.earlier(scanDue).earlier(polls.nextAt()).earlier(changeDue);
+    return watchDue
+        .earlier(scanDue)
+        .earlier(polls.nextAt())
+        .earlier(primaries.nextSwitchoverStepAt());
   }
 
   private void wake() {
