--- a/router/src/main/java/basaltlever/balancer/DecisionContext.java
+++ b/router/src/main/java/basaltlever/balancer/DecisionContext.java
@@ -11,6 +11,9 @@
 
 /** What all decisions of one router share: the clock of the batch, settings, chance and outputs. */
 final class DecisionContext {
+  private static final double MAX_EVENT_WEIGHT = 0.5;
+  private static final double EVENT_WEIGHT_MICROS = 2e6;
+
   private final DecisionSink sink;
   private final SplittableRandom random;
   private Moment now;
@@ -52,6 +55,18 @@
     return random;
   }
 
+  /**
+   * The weight of one event in an estimate that was last updated then. The rarer the events, the
+   * more each counts, or a router with little traffic would learn too late.
+   */
+  double eventWeight(Moment lastUpdate) {
+    return Math.min(
+        MAX_EVENT_WEIGHT,
+        Math.max(
+            Timing.LEARNING_RATE,
+            1 - Math.exp(-now.since(lastUpdate).micros() / EVENT_WEIGHT_MICROS)));
+  }
+
   /** The priority weight of a workload as a share of the highest one. */
   double priorityShare(Workload workload) {
     return workload.importance() / highestPriorityWeight;
--- a/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
+++ b/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
@@ -41,12 +41,12 @@
         ago(denied),
         node.health().isSilent(),
         node.health().isDown() ? ago(node.health().downSince()) : EndpointState.NEVER,
-        Math.min(1, balance.failureRate(node)),
+        Math.min(1, balance.health.failureRate(node)),
         node.load().latencyStrain().at(now, LoadBalancer.FORGIVEN),
         node.load().capacity(),
         node.health().consecutiveFullAnswers(),
         node.health().backoffUntil().since(now).longer(Span.NONE),
-        balance.estimatedLag(node),
+        balance.freshness.estimatedLag(node),
         balance.slowStart.chargedStatements(node),
         cold ? ago(node.warmUp().chargedAt()) : EndpointState.NEVER);
   }
@@ -84,7 +84,9 @@
     Moment now = at;
     Endpoint node = balance.table.endpoint(id);
     node.roles().recordNotPrimary(then(view.deniedAgo()).earlier(now.plus(LoadBalancer.SECOND)));
-    node.health().failureRate().set(now, Math.max(balance.failureRate(node), view.failing()));
+    node.health()
+        .failureRate()
+        .set(now, Math.max(balance.health.failureRate(node), view.failing()));
     node.load()
         .latencyStrain()
         .set(
@@ -92,19 +94,21 @@
             Math.max(node.load().latencyStrain().at(now, LoadBalancer.FORGIVEN), view.strained()));
     node.load()
         .setCapacity(
-            Math.max(LoadBalancer.LEAST_ROOM, Math.min(node.load().capacity(), view.room())));
+            Math.max(
+                EndpointHealth.MIN_CAPACITY_ATTEMPTS,
+                Math.min(node.load().capacity(), view.room())));
     node.health().restoreFullAnswers(view.turnedAway());
     node.health()
         .backOffUntil(
             node.health()
                 .backoffUntil()
                 .later(now.plus(view.rests().shorter(LoadBalancer.SECOND))));
-    balance.observeLag(node, balance.estimatedLag(node).longer(view.lag()));
+    balance.freshness.observeLag(node, balance.freshness.estimatedLag(node).longer(view.lag()));
     if (view.silent() && !node.health().isSilent()) {
-      balance.markSilent(node);
+      balance.health.markSilent(node);
     }
     if (view.isDown() && !node.health().isDown()) {
-      balance.markDown(node);
+      balance.health.markDown(node);
       node.health().restoreDownSince(then(view.downFor()));
     }
     balance.slowStart.recordStart(node, then(view.startedAgo()));
--- a/router/src/main/java/basaltlever/balancer/LoadBalancer.java
+++ b/router/src/main/java/basaltlever/balancer/LoadBalancer.java
@@ -10,11 +10,9 @@
 import basaltlever.gateway.Workload.Idempotency;
 import basaltlever.gateway.Workload.ReadConsistency;
 import basaltlever.hold.HoldBudget;
-import basaltlever.model.DecayingValue;
 import basaltlever.model.Endpoint;
 import basaltlever.model.ReplicaGroup;
 import basaltlever.model.ReplicaGroup.Phase;
-import basaltlever.model.SessionWrites;
 import basaltlever.model.Statement;
 import basaltlever.model.StatementArrival;
 import basaltlever.time.Moment;
@@ -43,34 +41,23 @@
   /** Rooms are looked over once a scan: a patience of less would be over before the second look. */
   private static final Span LEAST_PATIENCE = Timing.SCAN_INTERVAL.times(3);
 
-  private static final Span LEAST_SILENCE = Span.ofMillis(150);
   private static final Span TRIAL = Span.ofMillis(500);
   static final Span FORGIVEN = Span.ofMillis(5_000);
   static final Span REMEMBERED = Span.ofMillis(15_000);
   static final Span SECOND = Span.ofMillis(1_000);
   private static final Span FIRST_BACKOFF = Span.ofMillis(250);
-  private static final double LEARN = 0.1;
-  private static final int SESSIONS = 20_000;
-  private static final double STRAINED = 0.24;
-  private static final double HOPELESS = 0.8;
-  private static final double BUSY = 0.9;
   private static final double FULLY_BUSY = 0.97;
   private static final double EAGER = 4;
   private static final double TOLERATED = 1.15;
   private static final double MOST_SHED = 0.95;
-  private static final double FIRST_ROOM = 12;
-  static final double LEAST_ROOM = 0.2;
-  private static final double MOST_ROOM = 500;
   private static final double LEAST_CHANCE = 1.5;
   private static final double FOR_WRITES = 0.3;
   private static final double PATIENCE = 0.125;
   private static final double FAILING = 0.3;
-  private static final double DEAR = 0.3;
   private static final double HELD = 0.48;
   private static final double LONG = 2;
   private static final double CROWDED = 0.2;
   private static final double UNUSUAL = 2.5;
-  private static final double UNTOLD_UTIL = 0.5;
 
   private static final Comparator<Endpoint> BY_RANK =
       Comparator.comparingInt(node -> node.ringOrder());
@@ -85,6 +72,11 @@
   final PollScheduler polls;
   private final EvaluationQueue evaluations = new EvaluationQueue();
   private final PrimaryTracker primaries;
+  private final ConnectionUse connections;
+  private final CongestionTracker congestion;
+  final EndpointHealth health;
+  final ReplicaFreshness freshness;
+  private final PollResults pollResults;
   private final GroupPolling groupPolling;
   private final DecisionSink outbound;
   private final SplittableRandom chance;
@@ -94,10 +86,6 @@
   private Statement[] statements = new Statement[256];
   private final List<Statement> open = new ArrayList<>();
   private final ArrayDeque<Statement> unplaced = new ArrayDeque<>();
-  private double usualLatencyStrain = 0.25;
-  private double connectionSetupMicros;
-  private final DecayingValue connectionScarcity = new DecayingValue();
-  private final SessionWrites sessions = new SessionWrites(SESSIONS);
   private final HoldBudget holds;
 
   Moment now;
@@ -130,6 +118,13 @@
     polls = new PollScheduler(context, subsets);
     groupPolling = new GroupPolling(context, table, subsets, polls);
     primaries = new PrimaryTracker(context, table, subsets, slowStart, polls, evaluations);
+    connections = new ConnectionUse(context, serviceTimes);
+    congestion = new CongestionTracker(context);
+    health =
+        new EndpointHealth(
+            context, serviceTimes, slowStart, polls, primaries, connections, congestion);
+    freshness = new ReplicaFreshness(context);
+    pollResults = new PollResults(context, polls, health, freshness, primaries);
     rules =
         new Rule[] {
           new Rule("ask for the list", () -> !now.isBefore(watchDue), this::askForList),
@@ -146,7 +141,7 @@
           new Rule(
               "poll who is due",
               () -> !now.isBefore(polls.nextAt()),
-              () -> polls.sendDue(node -> pollMissed(node, false))),
+              () -> polls.sendDue(node -> health.recordMissedPoll(node, false))),
           new Rule("ask to be woken", () -> nextWake().isBefore(wakeAt), this::wake),
         };
     agree(start, agreed);
@@ -196,7 +191,7 @@
     advanceTo(at);
     // All routers together start out on a node: what one may have out there is split by their
     // number.
-    double room = Math.max(1, FIRST_ROOM / agreed.standing().routers());
+    double room = health.initialCapacity();
     Endpoint node = table.endpoint(id);
     if (node == null) {
       node = new Endpoint(id, room);
@@ -302,13 +297,7 @@
       int bytes) {
     advanceTo(at);
     Workload terms = agreed.workloads()[workload];
-    Moment mustSee =
-        switch (terms.needs()) {
-          case FRESH -> now;
-          case SESSION ->
-              agreed.replication().sessionsCarryTokens() ? committed : sessions.lastWrite(session);
-          default -> Moment.LONG_AGO;
-        };
+    Moment mustSee = freshness.requiredPosition(terms, session, committed);
     Statement statement =
         new Statement(
             id,
@@ -354,49 +343,18 @@
     Moment sent = statement.sentAt(execution);
     statement.endAttempt(execution);
     node.load().attemptEnded();
-    if (ending.answered) {
-      node.load().connectionIsIdle(now);
-      connectionScarcity.move(
-          now, REMEMBERED, statement.openedConnection(execution) ? LEARN : 0, 0);
-    } else if (ending == AttemptOutcome.NO_CONNECTION
-        && now.since(sent).isShorterThan(PollScheduler.MIN_INTERVAL)) {
-      node.load().recordRefusedConnection(now);
-    }
-    if (connectionScarcity.at(now, REMEMBERED) > 0.2
-        && node.load().inFlight() == 0
-        && node.load().idleConnections() > 0) {
-      // Hundreds of routers that keep idle connections shut each other out of nodes that could
-      // serve.
-      node.load().closeIdleConnections();
-      outbound.letGo(node.id());
-    }
-    if (statement.openedConnection(execution)
-        && (ending == AttemptOutcome.COMPLETED || !ending.answered)) {
-      connectionSetupMicros +=
-          LEARN
-              * (now.since(sent).micros()
-                  - serviceTimes.typicalMicros(statement.workloadIndex())
-                  - connectionSetupMicros);
-    }
-    learnHealth(node, statement, ending, now.since(sent));
+    connections.recordAttempt(node, statement, execution, ending);
+    health.recordAttempt(node, statement, ending, now.since(sent));
     primaries.recordAttempt(node, statement, ending, role, sent);
-    learnPosition(node, statement, ending, position);
+    freshness.recordPosition(node, statement, ending, position);
     if (!ending.provesNotRun) {
       statement.recordPossibleRun(sent);
     }
     if (ending == AttemptOutcome.MISS) {
       statement.recordStaleAnswer();
     }
-    judgeError(statement, execution, ending);
-    if (!statement.workload().onlyPrimary()
-        && (ending == AttemptOutcome.MISS || ending == AttemptOutcome.COMPLETED)) {
-      Span allowed = statement.allowedLag(sent);
-      observeLag(
-          node,
-          ending == AttemptOutcome.MISS
-              ? allowed.times(2).longer(estimatedLag(node))
-              : allowed.shorter(estimatedLag(node)));
-    }
+    health.recordError(statement, execution, ending);
+    freshness.recordOutcome(node, statement, ending, sent);
     if (answered && !statement.isFinished()) {
       finish(statement);
     }
@@ -424,45 +382,11 @@
       double queue) {
     advanceTo(at);
     Endpoint node = table.endpoint(id);
-    node.polling().pollEnded();
-    if (ending == AttemptOutcome.NO_DESCRIPTOR) {
-      // Nothing is known of the node by it: asked again when the next poll would be due.
-      node.polling()
-          .scheduleAt(
-              polls.isPolledRegularly(node)
-                  ? now.plus(polls.interval(node).longer(SECOND))
-                  : Moment.NEVER);
-    } else if (ending == AttemptOutcome.COMPLETED) {
-      markUp(node);
-      // Whoever has statements waiting has no core to spare; how many cores it has is not told.
-      node.load()
-          .recordReport(
-              util >= 0,
-              util >= 0 && util <= 2
-                  ? Math.min(1, util)
-                  : queue >= 0 ? queue < 0.5 ? UNTOLD_UTIL : 1 : node.load().cpuUtilization());
-      Span reportAge = node.group().maxReportAge();
-      boolean sane = position.isAfter(Moment.LONG_AGO) && !position.isAfter(now);
-      if (sane) {
-        node.replication().recordPosition(position);
-        observeLag(node, now.since(position).minus(reportAge));
-      }
-      primaries.recordLoadReport(node, role, position, sane);
-    } else if (ending == AttemptOutcome.FULL) {
-      // Too many ask it at once: no sign of a loss, but one to ask less.
-      node.health().recordAnswer();
-      node.group().recordAnswer();
-      node.polling()
-          .scheduleAt(
-              now.plus(
-                  polls
-                      .interval(node)
-                      .longer(PollScheduler.HOLD_INTERVAL)
-                      .times(1 + chance.nextDouble())));
+    if (ending == AttemptOutcome.COMPLETED) {
+      pollResults.recordReport(node, role, position, util, queue);
     } else {
-      pollMissed(node, ending == AttemptOutcome.NO_CONNECTION || ending == AttemptOutcome.RESET);
+      pollResults.recordFailure(node, ending);
     }
-    polls.update(node);
     evaluations.add(node.group());
     settle();
   }
@@ -621,20 +545,16 @@
         || statement.unexplainedErrors() > 1) {
       return RejectReason.NO_ATTEMPT_LEFT;
     }
-    DecayingValue jam =
-        statement.workload().onlyPrimary()
-            ? statement.group().primaryCongestion()
-            : statement.group().replicaCongestion();
-    return isShed(statement, jam) ? RejectReason.SHED : null;
+    return isShed(statement) ? RejectReason.SHED : null;
   }
 
   // Where busy nodes answer late, more only keeps it so: the more of a group's reads were late, the
   // more it
   // sheds, the less important first. The primary counts apart, or its jam kept reads off idle
   // replicas.
-  private boolean isShed(Statement statement, DecayingValue jam) {
+  private boolean isShed(Statement statement) {
     double share = context.priorityShare(statement.workload());
-    double sent = (TOLERATED + share / 4) * Math.pow(1 - jam.at(now, REMEMBERED), 3);
+    double sent = (TOLERATED + share / 4) * Math.pow(1 - congestion.congestion(statement), 3);
     return statement.attempts() == 0
         && statement.workload().needs() != ReadConsistency.WRITE
         && chance.nextDouble() < Math.min(MOST_SHED, 1 - sent);
@@ -646,7 +566,7 @@
       return null;
     }
     if (statement.workload().onlyPrimary()) {
-      return hasCapacity(primary, 1) ? primary : null;
+      return health.hasCapacity(primary, 1) ? primary : null;
     }
     ReplicaGroup group = statement.group();
     boolean outranked =
@@ -662,7 +582,7 @@
             || !agreed.allowance().polls();
     boolean spare =
         told && statement.randomShare() < EAGER * (FULLY_BUSY - primary.load().cpuUtilization());
-    return spare && hasCapacity(primary, 1 - FOR_WRITES) && !outranked ? primary : null;
+    return spare && health.hasCapacity(primary, 1 - FOR_WRITES) && !outranked ? primary : null;
   }
 
   // Less busy of two replicas proven new enough; else of two that check and were new enough when
@@ -699,24 +619,28 @@
       }
       out += member.load().inFlight();
       boolean proven = !now.since(member.replication().provenPosition()).isLongerThan(allowed);
-      if (!proven && !(checks && !estimatedLag(member).isLongerThan(allowed))) {
+      if (!proven && !(checks && !freshness.estimatedLag(member).isLongerThan(allowed))) {
         advanced =
-            advanced == null || estimatedLag(member).isShorterThan(estimatedLag(advanced))
+            advanced == null
+                    || freshness
+                        .estimatedLag(member)
+                        .isShorterThan(freshness.estimatedLag(advanced))
                 ? member
                 : advanced;
         continue;
       }
       fits = true;
       int tier =
-          (avoidsNewConnection(member) || (!group.isPolledRegularly() && !isConnected(member))
+          (connections.needsExpensiveConnection(member)
+                      || (!group.isPolledRegularly() && !connections.isConnected(member))
                   ? 1
                   : 0)
               + (proven ? 0 : 2)
               + (member == burdened ? 4 : 0)
-              + (failureRate(member) < FAILING ? 0 : 8);
+              + (!health.isOutlier(member) ? 0 : 8);
       // A cold one is drawn as often as it is warm: by busyness a light router would never choose
       // it.
-      if (!hasCapacity(member, 1)
+      if (!health.hasCapacity(member, 1)
           || tier > best
           || chance.nextDouble() >= slowStart.warmUpShare(member)) {
         continue;
@@ -728,7 +652,7 @@
       second = seen == 1 ? null : slot == 1 ? member : second;
     }
     if (first != null
-        && avoidsNewConnection(first)
+        && connections.needsExpensiveConnection(first)
         && out > 0
         && now.since(statement.receivedAt())
             .isShorterThan(statement.workload().slo().times(0.8 * PATIENCE))) {
@@ -745,8 +669,8 @@
     if (!fits
         && checks
         && advanced != null
-        && !estimatedLag(advanced).isLongerThan(allowed.times(2))) {
-      return hasCapacity(advanced, 1) ? advanced : null;
+        && !freshness.estimatedLag(advanced).isLongerThan(allowed.times(2))) {
+      return health.hasCapacity(advanced, 1) ? advanced : null;
     }
     return primaryFor(statement);
   }
@@ -776,7 +700,7 @@
                       member ->
                           member != primary
                               && isUsable(member, statement)
-                              && failureRate(member) < FAILING)
+                              && !health.isOutlier(member))
                   .sorted(BY_RANK)
                   .toList();
     }
@@ -784,26 +708,14 @@
     for (Endpoint member : able.subList(0, Math.max(Math.min(1, able.size()), able.size() / 2))) {
       if (!statement.wasSentTo(member)
           && (bears == null
-              || (latencyStrain(bears) > usualLatencyStrain + CROWDED
-                  && latencyStrain(member) < latencyStrain(bears)))) {
+              || (health.latencyStrain(bears) > health.usualLatencyStrain() + CROWDED
+                  && health.latencyStrain(member) < health.latencyStrain(bears)))) {
         bears = member;
       }
     }
     return bears;
   }
 
-  // How far behind a replica was when last seen, fading: no proof, but it tells which to ask where
-  // its own
-  // check keeps a stale answer back. Less the age of reports, or late ones make all look equally
-  // behind.
-  Span estimatedLag(Endpoint node) {
-    return node.replication().estimatedLag(now);
-  }
-
-  void observeLag(Endpoint node, Span lag) {
-    node.replication().observeLag(now, lag);
-  }
-
   private boolean isUsable(Endpoint node, Statement statement) {
     boolean onTrial =
         node.load().inFlight() == 0
@@ -819,24 +731,12 @@
         && (slowStart.allows(node, statement));
   }
 
-  private boolean isConnected(Endpoint node) {
-    return now.since(node.load().lastAnswerAt()).isShorterThan(agreed.connections().idleClose())
-        && agreed.connections().hasRoom(node.load().inFlight(), node.load().idleConnections());
-  }
-
-  /**
-   * Where new connections cost much time, or fail, one that is open is worth more than a choice.
-   */
-  private boolean avoidsNewConnection(Endpoint node) {
-    return !isConnected(node) && connectionSetupMicros > DEAR * serviceTimes.overallMicros();
-  }
-
   private double loadScore(Endpoint node) {
     double crossing = agreed.standing().isPricedTo(node.zone()) ? 1.3 : 1;
     return (node.load().inFlight() + 1)
-        * latencyStrain(node)
+        * health.latencyStrain(node)
         * (1 + 2 * node.load().cpuUtilization() * node.load().cpuUtilization())
-        * (1 + 10 * failureRate(node))
+        * (1 + 10 * health.failureRate(node))
         * crossing
         / node.relativeSize();
   }
@@ -857,7 +757,7 @@
         terms.repeat() == Idempotency.DEDUPLICATED
             && terms.within() != Workload.DeduplicationScope.ZONE;
     Span early = new Span((long) (usual * (write ? 2 * UNUSUAL : UNUSUAL)));
-    boolean suspect = node.health().isSilent() || failureRate(node) >= FAILING;
+    boolean suspect = node.health().isSilent() || health.isOutlier(node);
     if (!agreed.allowance().secondCopies()
         && (write || (terms.repeat() == Idempotency.IDEMPOTENT && suspect))
         && now.plus(early)
@@ -872,7 +772,7 @@
       timeout = early;
     }
     Moment within = write ? statement.mayHaveRunSince().plus(terms.window()) : Moment.NEVER;
-    boolean opens = !isConnected(node);
+    boolean opens = !connections.isConnected(node);
     statement.startAttempt(node, now, opens);
     if (node.health().isSilent()) {
       // Each trial that fails costs a statement, or an execution: the next one waits twice as long.
@@ -1000,7 +900,7 @@
       for (int k = 0; statement.attemptsInFlight() > 0 && k < statement.attempts(); k++) {
         if (statement.isInFlight(k)) {
           Endpoint node = statement.endpoint(k);
-          detectSilence(node, statement, statement.sentAt(k));
+          health.detectSilence(node, statement, statement.sentAt(k));
           // A trial has its own time: called off with the rest, none would ever end a silence.
           stuck &=
               node.health().isDown()
@@ -1033,256 +933,8 @@
     scanDue = open.isEmpty() ? Moment.NEVER : now.plus(Timing.SCAN_INTERVAL);
   }
 
-  /**
-   * What commonly takes long tells of a silence only late, and what was sent just now of none yet.
-   */
-  private void detectSilence(Endpoint node, Statement statement, Moment sent) {
-    double usual =
-        serviceTimes.typicalMicros(statement.workloadIndex())
-            * Math.max(1, latencyStrain(node) / usualLatencyStrain);
-    Span patience =
-        new Span((long) (usual * (2 + 4.0 / Math.max(1, node.load().inFlight()))))
-            .longer(LEAST_SILENCE);
-    if (!node.health().isSilent()
-        && now.since(node.load().unansweredSince().later(sent)).isLongerThan(patience)) {
-      polls.pollNow(node);
-      markSilent(node);
-    }
-  }
-
-  void markSilent(Endpoint node) {
-    node.health().markSilent(now);
-    node.group().subset().markStale();
-    primaries.lose(node);
-  }
-
   // ---- Health: what executions and polls tell.
 
-  double failureRate(Endpoint node) {
-    return node.health().failureRate().at(now, REMEMBERED);
-  }
-
-  private double latencyStrain(Endpoint node) {
-    return usualLatencyStrain + node.load().latencyStrain().at(now, FORGIVEN);
-  }
-
-  /**
-   * The rarer the answers, the more each must count, or a router with little traffic learns too
-   * late.
-   */
-  private double weight(Moment last) {
-    return Math.min(0.5, Math.max(LEARN, 1 - Math.exp(-now.since(last).micros() / 2e6)));
-  }
-
-  private void recordFailure(Endpoint node, double how) {
-    node.health()
-        .failureRate()
-        .move(now, REMEMBERED, weight(node.health().failureRate().updatedAt()), how);
-  }
-
-  private void learnHealth(Endpoint node, Statement statement, AttemptOutcome ending, Span took) {
-    switch (ending) {
-      case NEVER_SENT, UNKNOWN -> {}
-      case FULL -> {
-        // A hanging node with a full queue does so at once: no sign of life, and burns executions.
-        node.health().recordFullAnswer();
-        node.health()
-            .backOffUntil(
-                now.plus(
-                    new Span(
-                        (long)
-                            (serviceTimes.overallMicros()
-                                * (1 << node.health().consecutiveFullAnswers())
-                                / 2))));
-        if (now.since(node.load().capacityReducedAt())
-            .isLongerThan(new Span((long) serviceTimes.overallMicros()))) {
-          node.load()
-              .reduceCapacity(
-                  now,
-                  Math.max(
-                      LEAST_ROOM,
-                      0.7 * Math.min(node.load().capacity(), node.load().inFlight() + 1)));
-        }
-      }
-      case COMPLETED, ERROR, MISS -> {
-        node.health().resetFullAnswers();
-        markUp(node);
-        node.health().clearSilence();
-        node.load().recordSignOfLife(now);
-        if (ending != AttemptOutcome.ERROR) {
-          recordFailure(node, 0);
-        }
-      }
-      case RESET, NO_CONNECTION -> {
-        recordFailure(node, 1);
-        markDown(node);
-      }
-      case NO_DESCRIPTOR -> {
-        // Told by the state of this router, and of no node.
-        return;
-      }
-      case CANCELLED -> node.load().abandonedAttempts().set(now, abandonedAttempts(node) + 1);
-      case TIMED_OUT -> {
-        node.load().abandonedAttempts().set(now, abandonedAttempts(node) + 1);
-        if (!node.load().unansweredSince().isAfter(now.minus(took))) {
-          // Nothing came back since: lost, where a node that answers others is but slow.
-          recordFailure(node, 1);
-        }
-        learnStrain(node, statement, took);
-        polls.pollNow(node);
-      }
-    }
-    boolean late = !took.isShorterThan(statement.workload().slo().times(0.9));
-    boolean untold =
-        !node.load().reportsCpu()
-            && now.since(node.polling().sentAt()).isLongerThan(SECOND.times(2));
-    if (late && now.since(node.polling().sentAt()).isLongerThan(SECOND)) {
-      polls.pollNow(node);
-    }
-    boolean jammed =
-        (late && (node.load().cpuUtilization() > BUSY || untold)) || ending == AttemptOutcome.FULL;
-    if ((jammed || (ending == AttemptOutcome.COMPLETED && !late))
-        && statement.workload().needs() != ReadConsistency.WRITE) {
-      DecayingValue jam =
-          node == node.group().primary()
-              ? node.group().primaryCongestion()
-              : node.group().replicaCongestion();
-      jam.move(now, REMEMBERED, weight(jam.updatedAt()), jammed ? 1 : 0);
-    }
-    if (ending == AttemptOutcome.COMPLETED) {
-      learnStrain(node, statement, took);
-      serviceTimes.recordCompletion(statement.workloadIndex(), took);
-      // Only what was answered shows what a node can bear; what is sent may be a storm of retries.
-      node.load()
-          .answeredWork()
-          .add(now, FORGIVEN, serviceTimes.typicalMicros(statement.workloadIndex()));
-    }
-    node.load().clearUnansweredIfIdle();
-    if (node.load().capacity() < 1) {
-      // Room for less than one execution at a time: a pause after each one makes up for the rest.
-      node.load()
-          .abandonedAttempts()
-          .set(now, Math.max(abandonedAttempts(node), 1 / node.load().capacity() - 1));
-    }
-  }
-
-  // Strain is response time over SLO time. Room, the executions this router may have out at a node,
-  // shrinks
-  // where it is strained and its cores are busy; past the hopeless mark always, as timed-out work
-  // goes on.
-  private void learnStrain(Endpoint node, Statement statement, Span took) {
-    double latest = Math.min(5, took.over(statement.workload().slo()));
-    double strain =
-        latencyStrain(node)
-            + weight(node.load().latencyStrain().updatedAt()) * (latest - latencyStrain(node));
-    usualLatencyStrain += LEARN / 4 * (strain - usualLatencyStrain);
-    node.load().latencyStrain().set(now, strain - usualLatencyStrain);
-    if (Math.min(strain, latest) > (node.load().cpuUtilization() > BUSY ? STRAINED : HOPELESS)) {
-      node.load()
-          .setCapacity(
-              Math.max(
-                  LEAST_ROOM,
-                  node.load().capacity() - Math.min(0.3, 0.1 * node.load().capacity())));
-    } else if (node.load().inFlight() + 1 > 0.7 * node.load().capacity()
-        && strain < 1.5 * STRAINED) {
-      double step =
-          node.load().cpuUtilization() < BUSY ? 0.5 : 1 / Math.max(2, node.load().capacity());
-      node.load().setCapacity(Math.min(MOST_ROOM, node.load().capacity() + step));
-    }
-  }
-
-  /**
-   * What was given up on may still run in its node: it takes up room for about as long as work
-   * takes.
-   */
-  private double abandonedAttempts(Endpoint node) {
-    return node.load().abandonedAttempts().at(now, new Span((long) serviceTimes.overallMicros()));
-  }
-
-  private boolean hasCapacity(Endpoint node, double share) {
-    return node.load().inFlight() + abandonedAttempts(node) < node.load().capacity() * share;
-  }
-
-  // An error may be the node's or the statement's own. What erred once and then went through shows
-  // that the
-  // node failed; what errs at a second node, neither known to fail, is held to be worthless
-  // anywhere and no
-  // node blamed. Wrong where several nodes begin to fail at once, until some statement has gone
-  // through.
-  private void judgeError(Statement statement, int execution, AttemptOutcome ending) {
-    if (ending == AttemptOutcome.ERROR) {
-      statement.recordError(execution, failureRate(statement.endpoint(execution)) < FAILING);
-    } else if (ending == AttemptOutcome.COMPLETED) {
-      for (int i = 0; statement.unexplainedErrors() > 0 && i < statement.attempts(); i++) {
-        if (statement.endedInError(i)) {
-          recordFailure(statement.endpoint(i), 1);
-        }
-      }
-    }
-  }
-
-  private void learnPosition(
-      Endpoint node, Statement statement, AttemptOutcome ending, Moment position) {
-    boolean wrote =
-        ending == AttemptOutcome.COMPLETED && statement.workload().needs() == ReadConsistency.WRITE;
-    if (position.isAfter(Moment.LONG_AGO) && !position.isAfter(now)) {
-      // A commit comes rounded up to its millisecond, which is too new for a position.
-      node.replication().recordPosition(wrote ? position.minus(Span.ofMillis(1)) : position);
-      observeLag(node, now.since(position));
-    }
-    if (wrote && !agreed.replication().sessionsCarryTokens()) {
-      sessions.recordWrite(statement.session(), position.isAfter(Moment.LONG_AGO) ? position : now);
-    }
-  }
-
-  void markDown(Endpoint node) {
-    if (!node.health().isDown()) {
-      node.group().subset().markStale();
-    }
-    node.health().markDown(now);
-    polls.pollNow(node);
-    primaries.lose(node);
-  }
-
-  private void markUp(Endpoint node) {
-    node.health().recordAnswer();
-    node.group().recordAnswer();
-    node.polling().resetMissedPolls();
-    if (now.since(node.load().connectionRefusedAt()).isShorterThan(SECOND)) {
-      // It refused a connection at once and yet answers: at its limit, not gone. One shows nothing:
-      // some always break, and letting go for it opened a connection for every second execution.
-      node.load().forgetRefusedConnection();
-      connectionScarcity.move(now, REMEMBERED, 2 * LEARN, 1);
-    }
-    if (node.health().isDown() && now.since(node.health().downSince()).isLongerThan(SECOND)) {
-      // The list tells of a restart only seconds later.
-      slowStart.recordStart(node, now);
-    }
-    node.health().markUp();
-  }
-
-  // Polls may go unanswered where the node serves: what it answered lately counts for more, and it
-  // stays
-  // open to a trial, or a router that polls rarely would do without it for long.
-  private void pollMissed(Endpoint node, boolean refused) {
-    node.polling().recordMissedPoll();
-    boolean serves = now.since(node.load().lastAnswerAt()).isShorterThan(SECOND.times(2));
-    if (refused) {
-      markDown(node);
-    } else if (node.polling().missedPolls() > 1 && !serves && !node.health().isSilent()) {
-      markSilent(node);
-    }
-    boolean asksAgain = polls.isPolledRegularly(node) || node.polling().missedPolls() == 1;
-    node.polling()
-        .scheduleAt(
-            !asksAgain
-                ? Moment.NEVER
-                : now.plus(
-                    refused || node.polling().missedPolls() > 1
-                        ? polls.backoff(node)
-                        : PollScheduler.MIN_INTERVAL));
-  }
-
   // ---- Cold nodes.
 
   // ---- Polls and waking.
