--- a/router/src/main/java/basaltlever/balancer/LoadBalancer.java
+++ b/router/src/main/java/basaltlever/balancer/LoadBalancer.java
@@ -41,27 +41,17 @@
   /** Rooms are looked over once a scan: a patience of less would be over before the second look. */
   private static final Span LEAST_PATIENCE = Timing.SCAN_INTERVAL.times(3);
 
-  private static final Span TRIAL = Span.ofMillis(500);
   static final Span FORGIVEN = Span.ofMillis(5_000);
   static final Span REMEMBERED = Span.ofMillis(15_000);
   static final Span SECOND = Span.ofMillis(1_000);
   private static final Span FIRST_BACKOFF = Span.ofMillis(250);
-  private static final double FULLY_BUSY = 0.97;
-  private static final double EAGER = 4;
   private static final double TOLERATED = 1.15;
   private static final double MOST_SHED = 0.95;
   private static final double LEAST_CHANCE = 1.5;
-  private static final double FOR_WRITES = 0.3;
   private static final double PATIENCE = 0.125;
-  private static final double FAILING = 0.3;
   private static final double HELD = 0.48;
-  private static final double LONG = 2;
-  private static final double CROWDED = 0.2;
   private static final double UNUSUAL = 2.5;
 
-  private static final Comparator<Endpoint> BY_RANK =
-      Comparator.comparingInt(node -> node.ringOrder());
-
   private record Rule(String name, BooleanSupplier when, Runnable then) {}
 
   final DecisionContext context;
@@ -70,12 +60,15 @@
   final EndpointTable table;
   final SlowStart slowStart;
   final PollScheduler polls;
-  private final EvaluationQueue evaluations = new EvaluationQueue();
+  private final EvaluationQueue evaluations;
   private final PrimaryTracker primaries;
   private final ConnectionUse connections;
   private final CongestionTracker congestion;
   final EndpointHealth health;
   final ReplicaFreshness freshness;
+  private final EndpointModules endpointModules;
+  private final PrimarySelector primarySelector;
+  private final ReplicaSelector replicaSelector;
   private final PollResults pollResults;
   private final GroupPolling groupPolling;
   private final DecisionSink outbound;
@@ -111,20 +104,28 @@
     this.chance = chance;
     this.holds = holds;
     context = new DecisionContext(outbound, chance, agreed, start);
-    serviceTimes = new ServiceTimes(agreed.workloads());
-    subsets = new GroupSubsets(context);
-    table = new EndpointTable(context, holds);
-    slowStart = new SlowStart(context, serviceTimes, subsets, table);
-    polls = new PollScheduler(context, subsets);
-    groupPolling = new GroupPolling(context, table, subsets, polls);
-    primaries = new PrimaryTracker(context, table, subsets, slowStart, polls, evaluations);
-    connections = new ConnectionUse(context, serviceTimes);
-    congestion = new CongestionTracker(context);
-    health =
-        new EndpointHealth(
-            context, serviceTimes, slowStart, polls, primaries, connections, congestion);
-    freshness = new ReplicaFreshness(context);
-    pollResults = new PollResults(context, polls, health, freshness, primaries);
+    endpointModules = new EndpointModules(context, holds);
+    serviceTimes = endpointModules.serviceTimes;
+    subsets = endpointModules.subsets;
+    table = endpointModules.table;
+    slowStart = endpointModules.slowStart;
+    polls = endpointModules.polls;
+    groupPolling = endpointModules.groupPolling;
+    evaluations = endpointModules.evaluations;
+    primaries = endpointModules.primaries;
+    connections = endpointModules.connections;
+    congestion = endpointModules.congestion;
+    health = endpointModules.health;
+    freshness = endpointModules.freshness;
+    pollResults = endpointModules.pollResults;
+    EndpointUsability usability = new EndpointUsability(context, slowStart);
+    primarySelector = new PrimarySelector(context, usability, health, polls);
+    replicaSelector =
+        new ReplicaSelector(
+            endpointModules,
+            usability,
+            new LongReadPlacement(context, serviceTimes, subsets, usability, health),
+            primarySelector);
     rules =
         new Rule[] {
           new Rule("ask for the list", () -> !now.isBefore(watchDue), this::askForList),
@@ -464,7 +465,7 @@
     primaries.evaluate(group);
     // In order, as far as the primary has room: the rest stays where it is.
     for (Statement top = group.held().first();
-        top != null && (isOverdue(top) || primaryFor(top) != null);
+        top != null && (isOverdue(top) || primarySelector.select(top) != null);
         top = group.held().first()) {
       takeOut(top);
       dispatch(top);
@@ -514,7 +515,9 @@
       return;
     }
     Endpoint node =
-        statement.workload().onlyPrimary() ? primaryFor(statement) : readerFor(statement);
+        statement.workload().onlyPrimary()
+            ? primarySelector.select(statement)
+            : replicaSelector.select(statement);
     if (node != null) {
       execute(statement, node);
     } else if (statement.attemptsInFlight() == 0) {
@@ -560,187 +563,6 @@
         && chance.nextDouble() < Math.min(MOST_SHED, 1 - sent);
   }
 
-  private Endpoint primaryFor(Statement statement) {
-    Endpoint primary = statement.group().primary();
-    if (primary == null || !isUsable(primary, statement)) {
-      return null;
-    }
-    if (statement.workload().onlyPrimary()) {
-      return health.hasCapacity(primary, 1) ? primary : null;
-    }
-    ReplicaGroup group = statement.group();
-    boolean outranked =
-        !group.held().isEmpty()
-            || (!group.waitingReads().isEmpty()
-                && StatementOrder.BY_PRIORITY.compare(group.waitingReads().peek(), statement) < 0);
-    // Hundreds of routers, each with room for one, would leave it none for what only it may take.
-    if (now.since(primary.polling().sentAt()).isLongerThan(TRIAL)) {
-      polls.pollNow(primary);
-    }
-    boolean told =
-        (!primary.polling().isInFlight() && now.isBefore(primary.polling().nextPollAt()))
-            || !agreed.allowance().polls();
-    boolean spare =
-        told && statement.randomShare() < EAGER * (FULLY_BUSY - primary.load().cpuUtilization());
-    return spare && health.hasCapacity(primary, 1 - FOR_WRITES) && !outranked ? primary : null;
-  }
-
-  // Less busy of two replicas proven new enough; else of two that check and were new enough when
-  // last seen;
-  // else the one that was least behind; else the primary. One that loses what it is given comes
-  // last: a
-  // path may be bad for this router alone while the node serves the others and answers polls.
-  private Endpoint readerFor(Statement statement) {
-    ReplicaGroup group = statement.group();
-    Span allowed = statement.allowedLag(now);
-    boolean checks = agreed.replication().replicasCheck() && statement.staleAnswers() < 2;
-    Endpoint first = null;
-    Endpoint second = null;
-    Endpoint advanced = null;
-    boolean fits = false;
-    int out = 0;
-    int best = 16;
-    int seen = 0;
-    Endpoint burdened = longReadReplica(statement);
-    if (burdened != null
-        && statement.workload().needs() == ReadConsistency.ANY
-        && isLongRunning(statement.workloadIndex())) {
-      return burdened;
-    }
-    for (Endpoint member : subsets.candidates(group)) {
-      if (member.health().isDown() && !group.isPolledRegularly()) {
-        // Polled by nobody else: whether it is back is asked when it is missed.
-        polls.pollWithin(member, polls.backoff(member));
-      }
-      if (member == group.primary()
-          || statement.wasSentTo(member)
-          || !isUsable(member, statement)) {
-        continue;
-      }
-      out += member.load().inFlight();
-      boolean proven = !now.since(member.replication().provenPosition()).isLongerThan(allowed);
-      if (!proven && !(checks && !freshness.estimatedLag(member).isLongerThan(allowed))) {
-        advanced =
-            advanced == null
-                    || freshness
-                        .estimatedLag(member)
-                        .isShorterThan(freshness.estimatedLag(advanced))
-                ? member
-                : advanced;
-        continue;
-      }
-      fits = true;
-      int tier =
-          (connections.needsExpensiveConnection(member)
-                      || (!group.isPolledRegularly() && !connections.isConnected(member))
-                  ? 1
-                  : 0)
-              + (proven ? 0 : 2)
-              + (member == burdened ? 4 : 0)
-              + (!health.isOutlier(member) ? 0 : 8);
-      // A cold one is drawn as often as it is warm: by busyness a light router would never choose
-      // it.
-      if (!health.hasCapacity(member, 1)
-          || tier > best
-          || chance.nextDouble() >= slowStart.warmUpShare(member)) {
-        continue;
-      }
-      seen = tier < best ? 1 : seen + 1;
-      best = tier;
-      int slot = seen < 3 ? seen - 1 : chance.nextInt(seen);
-      first = slot == 0 ? member : first;
-      second = seen == 1 ? null : slot == 1 ? member : second;
-    }
-    if (first != null
-        && connections.needsExpensiveConnection(first)
-        && out > 0
-        && now.since(statement.receivedAt())
-            .isShorterThan(statement.workload().slo().times(0.8 * PATIENCE))) {
-      // One of its connections will be free before a new one would stand.
-      return null;
-    }
-    if (first != null) {
-      // Without a little chance all routers would break their ties alike, towards the first listed.
-      double slightly = 0.95 + 0.1 * chance.nextDouble();
-      return second == null || loadScore(first) * slightly < loadScore(second) ? first : second;
-    }
-    subsets.widen(group);
-    // Far behind, it would keep the read for a while only to turn it away.
-    if (!fits
-        && checks
-        && advanced != null
-        && !freshness.estimatedLag(advanced).isLongerThan(allowed.times(2))) {
-      return health.hasCapacity(advanced, 1) ? advanced : null;
-    }
-    return primaryFor(statement);
-  }
-
-  /**
-   * What any member may answer, yet takes far longer than most: its node applies no log meanwhile.
-   */
-  private boolean isLongRunning(int workload) {
-    return agreed.workloads()[workload].needs() == ReadConsistency.ANY
-        && serviceTimes.typicalMicros(workload) > LONG * serviceTimes.overallMicros();
-  }
-
-  // Spread out, long statements would keep every replica of a group from applying the log. All
-  // routers know
-  // the same order of its members, so they agree without a word on who bears them: the first that
-  // is not
-  // crowded, out of the first half.
-  private Endpoint longReadReplica(Statement statement) {
-    Endpoint primary = statement.group().primary();
-    List<Endpoint> able = List.of();
-    for (int kind = 0; kind < serviceTimes.workloads() && able.isEmpty(); kind++) {
-      able =
-          !isLongRunning(kind)
-              ? able
-              : subsets.membersInUse(statement.group()).stream()
-                  .filter(
-                      member ->
-                          member != primary
-                              && isUsable(member, statement)
-                              && !health.isOutlier(member))
-                  .sorted(BY_RANK)
-                  .toList();
-    }
-    Endpoint bears = null;
-    for (Endpoint member : able.subList(0, Math.max(Math.min(1, able.size()), able.size() / 2))) {
-      if (!statement.wasSentTo(member)
-          && (bears == null
-              || (health.latencyStrain(bears) > health.usualLatencyStrain() + CROWDED
-                  && health.latencyStrain(member) < health.latencyStrain(bears)))) {
-        bears = member;
-      }
-    }
-    return bears;
-  }
-
-  private boolean isUsable(Endpoint node, Statement statement) {
-    boolean onTrial =
-        node.load().inFlight() == 0
-            && !now.since(node.health().silentSince().later(node.health().lastTrialAt()))
-                .isShorterThan(TRIAL.times(1 << node.health().silenceTrials()));
-    // A list may name what does not exist: who never said a word gets nothing where another member
-    // did.
-    return context.isListedForUse(node)
-        && !node.health().isDown()
-        && (node.health().hasAnswered() || !node.group().hasAnswered() || !node.wasContacted())
-        && !now.isBefore(node.health().backoffUntil())
-        && (!node.health().isSilent() || onTrial)
-        && (slowStart.allows(node, statement));
-  }
-
-  private double loadScore(Endpoint node) {
-    double crossing = agreed.standing().isPricedTo(node.zone()) ? 1.3 : 1;
-    return (node.load().inFlight() + 1)
-        * health.latencyStrain(node)
-        * (1 + 2 * node.load().cpuUtilization() * node.load().cpuUtilization())
-        * (1 + 10 * health.failureRate(node))
-        * crossing
-        / node.relativeSize();
-  }
-
   private void execute(Statement statement, Endpoint node) {
     Workload terms = statement.workload();
     Span timeout = Span.NONE;
