--- a/router/src/main/java/basaltlever/balancer/EndpointHealth.java
+++ b/router/src/main/java/basaltlever/balancer/EndpointHealth.java
@@ -21,7 +21,6 @@
 
   static final double MIN_CAPACITY_ATTEMPTS = 0.2;
   private static final double MAX_CAPACITY_ATTEMPTS = 500;
-  private static final double INITIAL_CAPACITY_ATTEMPTS = 12;
   private static final double INITIAL_LATENCY_STRAIN = 0.25;
   private static final double MAX_COUNTED_STRAIN = 5;
 
@@ -64,11 +63,6 @@
     this.congestion = congestion;
   }
 
-  /** The capacity of an endpoint of which nothing is known: all routers together start with it. */
-  double initialCapacity() {
-    return Math.max(1, INITIAL_CAPACITY_ATTEMPTS / context.settings().standing().routers());
-  }
-
   /** Share of recent attempts that the endpoint lost or failed. */
   double failureRate(Endpoint endpoint) {
     return endpoint.health().failureRate().at(context.now(), Timing.LONG_DECAY);
--- a/router/src/main/java/basaltlever/balancer/EndpointTable.java
+++ b/router/src/main/java/basaltlever/balancer/EndpointTable.java
@@ -14,6 +14,9 @@
 final class EndpointTable {
   private static final Span INITIAL_REPORT_AGE = Span.ofMillis(500);
 
+  /** Attempts that all routers together start out with at an endpoint. */
+  private static final double INITIAL_CAPACITY_ATTEMPTS = 12;
+
   private final DecisionContext context;
   private final HoldBudget holdBudget;
   private final List<Endpoint> endpoints = new ArrayList<>();
@@ -34,11 +37,16 @@
     return id >= 0 && id < endpoints.size() ? endpoints.get(id) : null;
   }
 
-  void add(Endpoint endpoint) {
-    while (endpoints.size() <= endpoint.id()) {
+  /** A new endpoint, with a capacity such that all routers together start out moderately. */
+  Endpoint create(int id) {
+    double capacity =
+        Math.max(1, INITIAL_CAPACITY_ATTEMPTS / context.settings().standing().routers());
+    Endpoint endpoint = new Endpoint(id, capacity);
+    while (endpoints.size() <= id) {
       endpoints.add(null);
     }
-    endpoints.set(endpoint.id(), endpoint);
+    endpoints.set(id, endpoint);
+    return endpoint;
   }
 
   void remove(Endpoint endpoint) {
--- a/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
+++ b/router/src/main/java/basaltlever/balancer/LearnedStateTransfer.java
@@ -2,6 +2,8 @@
 
 import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.model.Endpoint;
+import basaltlever.model.HealthState;
+import basaltlever.model.LoadState;
 import basaltlever.model.ReplicaGroup;
 import basaltlever.snapshot.EndpointState;
 import basaltlever.snapshot.GroupState;
@@ -11,142 +13,153 @@
 import java.util.List;
 
 /**
- * What the decisions have learned, as records that outlive them, and what such records do to fresh
- * ones.
+ * What was learned of endpoints and groups, as records that outlive this process, and what such
+ * records of an earlier process do to fresh endpoints.
  */
 public final class LearnedStateTransfer {
-  private final LoadBalancer balance;
+  private final DecisionContext context;
+  private final EndpointTable table;
+  private final EndpointHealth health;
+  private final ReplicaFreshness freshness;
+  private final SlowStart slowStart;
+  private final PollScheduler polls;
+  private final EndpointListing listing;
 
-  LearnedStateTransfer(LoadBalancer balance) {
-    this.balance = balance;
+  LearnedStateTransfer(EndpointModules endpoints, EndpointListing listing) {
+    context = endpoints.context;
+    table = endpoints.table;
+    health = endpoints.health;
+    freshness = endpoints.freshness;
+    slowStart = endpoints.slowStart;
+    polls = endpoints.polls;
+    this.listing = listing;
   }
 
-  /** What has been learned of a node by now, without a word on who it is. */
+  /** What has been learned of an endpoint by now, without its identity. */
   public EndpointState learned(Moment at, int id) {
-    balance.advanceTo(at);
-    Moment now = at;
-    Endpoint node = balance.table.endpoint(id);
-    ReplicaGroup home = node.group();
-    Moment denied =
-        home.lostPrimary() == node
-            ? node.roles().lastNotPrimaryReportAt().later(home.holdSince())
-            : node.roles().lastNotPrimaryReportAt();
-    boolean cold = balance.slowStart.warmUpShare(node) < 1;
+    context.advanceTo(at);
+    Endpoint endpoint = table.endpoint(id);
+    ReplicaGroup group = endpoint.group();
+    HealthState faults = endpoint.health();
+    Moment notPrimaryAt = endpoint.roles().lastNotPrimaryReportAt();
+    boolean warmingUp = slowStart.isWarmingUp(endpoint);
     return new EndpointState(
-        home.number(),
-        Math.max(0, node.listedStart().micros()),
-        !balance.context.isListedForUse(node),
-        home.primary() == node,
-        ago(node.warmUp().startedAt()),
-        ago(denied),
-        node.health().isSilent(),
-        node.health().isDown() ? ago(node.health().downSince()) : EndpointState.NEVER,
-        Math.min(1, balance.health.failureRate(node)),
-        node.load().latencyStrain().at(now, LoadBalancer.FORGIVEN),
-        node.load().capacity(),
-        node.health().consecutiveFullAnswers(),
-        node.health().backoffUntil().since(now).longer(Span.NONE),
-        balance.freshness.estimatedLag(node),
-        balance.slowStart.chargedStatements(node),
-        cold ? ago(node.warmUp().chargedAt()) : EndpointState.NEVER);
+        group.number(),
+        Math.max(0, endpoint.listedStart().micros()),
+        !context.isListedForUse(endpoint),
+        group.primary() == endpoint,
+        ago(endpoint.warmUp().startedAt()),
+        ago(group.lostPrimary() == endpoint ? notPrimaryAt.later(group.holdSince()) : notPrimaryAt),
+        faults.isSilent(),
+        faults.isDown() ? ago(faults.downSince()) : EndpointState.NEVER,
+        Math.min(1, health.failureRate(endpoint)),
+        endpoint.load().latencyStrain().at(at, Timing.SHORT_DECAY),
+        endpoint.load().capacity(),
+        faults.consecutiveFullAnswers(),
+        faults.backoffUntil().since(at).longer(Span.NONE),
+        freshness.estimatedLag(endpoint),
+        slowStart.chargedStatements(endpoint),
+        warmingUp ? ago(endpoint.warmUp().chargedAt()) : EndpointState.NEVER);
   }
 
-  /** Executions that are out at it. */
-  public int out(int id) {
-    return balance.table.endpoint(id).load().inFlight();
-  }
-
-  private Span ago(Moment then) {
-    return then.isAfter(Moment.LONG_AGO) ? balance.now.since(then) : EndpointState.NEVER;
+  /** Attempts in flight at an endpoint. */
+  public int attemptsInFlight(int id) {
+    return table.endpoint(id).load().inFlight();
   }
 
+  /** What has been learned of all groups by now. */
   public List<GroupState> learnedOfGroups(Moment at) {
-    balance.advanceTo(at);
-    Moment now = at;
-    return balance.table.groups().stream()
-        .sorted(Comparator.comparingInt(group -> group.number()))
+    context.advanceTo(at);
+    return table.groups().stream()
+        .sorted(Comparator.comparingInt(ReplicaGroup::number))
         .map(
             group ->
                 new GroupState(
                     group.number(),
-                    group.replicaCongestion().at(now, LoadBalancer.REMEMBERED),
-                    group.primaryCongestion().at(now, LoadBalancer.REMEMBERED)))
+                    group.replicaCongestion().at(at, Timing.LONG_DECAY),
+                    group.primaryCongestion().at(at, Timing.LONG_DECAY)))
         .toList();
   }
 
   /**
-   * What another process learned of a node that was listed just now, aged by the caller. It only
-   * ever makes for more care: no position, role or warmth of it is believed, and of each bound the
-   * tighter one holds.
+   * Takes in what another process learned of an endpoint that was listed just now, aged by the
+   * caller. It only ever makes for more caution: no position, role or warmth is believed, and of
+   * each limit the tighter one holds.
    */
-  public void recalled(Moment at, int id, EndpointState view) {
-    balance.advanceTo(at);
-    Moment now = at;
-    Endpoint node = balance.table.endpoint(id);
-    node.roles().recordNotPrimary(then(view.deniedAgo()).earlier(now.plus(LoadBalancer.SECOND)));
-    node.health()
-        .failureRate()
-        .set(now, Math.max(balance.health.failureRate(node), view.failing()));
-    node.load()
-        .latencyStrain()
-        .set(
-            now,
-            Math.max(node.load().latencyStrain().at(now, LoadBalancer.FORGIVEN), view.strained()));
-    node.load()
-        .setCapacity(
-            Math.max(
-                EndpointHealth.MIN_CAPACITY_ATTEMPTS,
-                Math.min(node.load().capacity(), view.room())));
-    node.health().restoreFullAnswers(view.turnedAway());
-    node.health()
-        .backOffUntil(
-            node.health()
-                .backoffUntil()
-                .later(now.plus(view.rests().shorter(LoadBalancer.SECOND))));
-    balance.freshness.observeLag(node, balance.freshness.estimatedLag(node).longer(view.lag()));
-    if (view.silent() && !node.health().isSilent()) {
-      balance.health.markSilent(node);
+  public void restore(Moment at, int id, EndpointState state) {
+    context.advanceTo(at);
+    Endpoint endpoint = table.endpoint(id);
+    endpoint.roles().recordNotPrimary(then(state.deniedAgo()).earlier(at.plus(Timing.ONE_SECOND)));
+    restoreLoad(endpoint, state);
+    freshness.observeLag(endpoint, freshness.estimatedLag(endpoint).longer(state.lag()));
+    restoreFaults(endpoint, state);
+    restoreWarmUp(endpoint, state);
+    if (state.drains() && endpoint.lifecycle() != EndpointLifecycle.GONE) {
+      endpoint.setWasDraining(true);
+      listing.setLifecycle(endpoint, EndpointLifecycle.DRAINING);
     }
-    if (view.isDown() && !node.health().isDown()) {
-      balance.health.markDown(node);
-      node.health().restoreDownSince(then(view.downFor()));
+    if (state.primary()
+        && context.settings().allowance().polls()
+        && !endpoint.polling().isInFlight()) {
+      // Polled before all others, in whatever order the list names them.
+      polls.send(endpoint);
     }
-    balance.slowStart.recordStart(node, then(view.startedAgo()));
-    if (balance.slowStart.warmUpShare(node) < 1) {
-      // What the earlier process sent counts as this one's: a restart is no fresh budget.
-      balance.slowStart.restoreCharge(
-          node, view.coldSpent(), then(view.coldAgo()).later(Moment.LONG_AGO).earlier(now));
-    }
-    if (view.drains() && node.lifecycle() != EndpointLifecycle.GONE) {
-      node.setWasDraining(true);
-      balance.relist(node, EndpointLifecycle.DRAINING);
+  }
+
+  private void restoreLoad(Endpoint endpoint, EndpointState state) {
+    Moment now = context.now();
+    LoadState load = endpoint.load();
+    HealthState faults = endpoint.health();
+    faults.failureRate().set(now, Math.max(health.failureRate(endpoint), state.failing()));
+    load.latencyStrain()
+        .set(now, Math.max(load.latencyStrain().at(now, Timing.SHORT_DECAY), state.strained()));
+    load.setCapacity(
+        Math.max(EndpointHealth.MIN_CAPACITY_ATTEMPTS, Math.min(load.capacity(), state.room())));
+    faults.restoreFullAnswers(state.turnedAway());
+    faults.backOffUntil(
+        faults.backoffUntil().later(now.plus(state.rests().shorter(Timing.ONE_SECOND))));
+  }
+
+  private void restoreFaults(Endpoint endpoint, EndpointState state) {
+    if (state.silent() && !endpoint.health().isSilent()) {
+      health.markSilent(endpoint);
     }
-    if (view.primary() && balance.agreed.allowance().polls() && !node.polling().isInFlight()) {
-      // Asked before all others, in whatever order the list names them.
-      balance.polls.send(node);
+    if (state.isDown() && !endpoint.health().isDown()) {
+      health.markDown(endpoint);
+      endpoint.health().restoreDownSince(then(state.downFor()));
     }
   }
 
-  private Moment then(Span ago) {
-    return ago.isShorterThan(EndpointState.NEVER) ? balance.now.minus(ago) : Moment.LONG_AGO;
+  /** What the earlier process sent counts as this one's: a restart brings no fresh budget. */
+  private void restoreWarmUp(Endpoint endpoint, EndpointState state) {
+    slowStart.recordStart(endpoint, then(state.startedAgo()));
+    if (slowStart.isWarmingUp(endpoint)) {
+      Moment chargedAt = then(state.coldAgo()).later(Moment.LONG_AGO).earlier(context.now());
+      slowStart.restoreCharge(endpoint, state.coldSpent(), chargedAt);
+    }
   }
 
-  public void recalled(Moment at, GroupState view) {
-    balance.advanceTo(at);
-    Moment now = at;
-    ReplicaGroup group = balance.table.knownGroup(view.group());
+  /** Takes in what another process learned of a group. */
+  public void restore(Moment at, GroupState state) {
+    context.advanceTo(at);
+    ReplicaGroup group = table.knownGroup(state.group());
     if (group != null) {
       group
           .replicaCongestion()
-          .set(
-              now,
-              Math.max(group.replicaCongestion().at(now, LoadBalancer.REMEMBERED), view.jam()));
+          .set(at, Math.max(group.replicaCongestion().at(at, Timing.LONG_DECAY), state.jam()));
       group
           .primaryCongestion()
           .set(
-              now,
-              Math.max(
-                  group.primaryCongestion().at(now, LoadBalancer.REMEMBERED), view.primaryJam()));
+              at,
+              Math.max(group.primaryCongestion().at(at, Timing.LONG_DECAY), state.primaryJam()));
     }
   }
+
+  private Span ago(Moment then) {
+    return then.isAfter(Moment.LONG_AGO) ? context.now().since(then) : EndpointState.NEVER;
+  }
+
+  private Moment then(Span ago) {
+    return ago.isShorterThan(EndpointState.NEVER) ? context.now().minus(ago) : Moment.LONG_AGO;
+  }
 }
--- /dev/null
+++ b/router/src/main/java/basaltlever/balancer/StatementModules.java
@@ -0,0 +1,44 @@
+package basaltlever.balancer;
+
+import basaltlever.hold.HoldBudget;
+
+/** The modules that decide on statements, connected with each other and with the endpoints. */
+final class StatementModules {
+  final StatementDispatcher dispatcher;
+  final OpenStatements openStatements;
+  final FinalAnswers answers;
+  final AttemptResults attemptResults;
+
+  StatementModules(EndpointModules endpoints, HoldBudget holdBudget) {
+    DecisionContext context = endpoints.context;
+    AttemptPolicy attempts = new AttemptPolicy(context, endpoints.serviceTimes, endpoints.health);
+    AdmissionControl admission =
+        new AdmissionControl(context, endpoints.serviceTimes, attempts, endpoints.congestion);
+    EndpointUsability usability = new EndpointUsability(context, endpoints.slowStart);
+    PrimarySelector primarySelector =
+        new PrimarySelector(context, usability, endpoints.health, endpoints.polls);
+    LongReadPlacement longReads =
+        new LongReadPlacement(
+            context, endpoints.serviceTimes, endpoints.subsets, usability, endpoints.health);
+    answers = new FinalAnswers(context);
+    dispatcher =
+        new StatementDispatcher(
+            holdBudget,
+            endpoints.primaries,
+            primarySelector,
+            new ReplicaSelector(endpoints, usability, longReads, primarySelector),
+            admission,
+            new AttemptLauncher(context, attempts, endpoints.connections, endpoints.slowStart),
+            answers);
+    openStatements =
+        new OpenStatements(
+            context,
+            endpoints.health,
+            endpoints.evaluations,
+            admission,
+            attempts,
+            answers,
+            dispatcher);
+    attemptResults = new AttemptResults(endpoints);
+  }
+}
--- a/router/src/main/java/basaltlever/core/StatementRouter.java
+++ b/router/src/main/java/basaltlever/core/StatementRouter.java
@@ -6,6 +6,7 @@
 import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.gateway.RejectReason;
 import basaltlever.gateway.Role;
+import basaltlever.gateway.StatementRequest;
 import basaltlever.snapshot.EndpointState;
 import basaltlever.snapshot.GroupState;
 import basaltlever.switchover.PlannedSwitchover;
@@ -112,16 +113,16 @@
   /** Whether no execution is out at it; so it is where nobody knows it. */
   public boolean isIdle(N node) {
     Integer known = nodeIndices.get(node);
-    return known == null || balance.learnedState.out(known) == 0;
+    return known == null || balance.learnedState().attemptsInFlight(known) == 0;
   }
 
   /** What was known of a node before this process, right after it is listed. */
   public void recalled(Moment now, N node, EndpointState view) {
-    balance.learnedState.recalled(now, nodeIndices.get(node), view);
+    balance.learnedState().restore(now, nodeIndices.get(node), view);
   }
 
   public void recalled(Moment now, List<GroupState> groups) {
-    groups.forEach(group -> balance.learnedState.recalled(now, group));
+    groups.forEach(group -> balance.learnedState().restore(now, group));
   }
 
   /**
@@ -132,14 +133,14 @@
     int end = Math.min(nodes.size(), from + places);
     for (int index = from; index < end; index++) {
       if (nodes.get(index) != null) {
-        each.accept(nodes.get(index), balance.learnedState.learned(now, index));
+        each.accept(nodes.get(index), balance.learnedState().learned(now, index));
       }
     }
     return end < nodes.size();
   }
 
   public List<GroupState> learnedOfGroups(Moment now) {
-    return balance.learnedState.learnedOfGroups(now);
+    return balance.learnedState().learnedOfGroups(now);
   }
 
   public void listEnds(Moment now, boolean complete, boolean asked) {
@@ -177,7 +178,8 @@
     pending[slot] = 1;
     executions[slot] = 0;
     answered[slot] = false;
-    balance.statementReceived(now, slot, workload, group, session, clientLeaves, committed, bytes);
+    balance.statementReceived(
+        now, slot, new StatementRequest(workload, group, session, clientLeaves, committed, bytes));
     return true;
   }
 
--- a/router/src/test/java/basaltlever/RulesTest.java
+++ b/router/src/test/java/basaltlever/RulesTest.java
@@ -206,11 +206,15 @@
             world.balance.endpointListed(
                 world.now, node, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
             if (withViews) {
-              world.balance.learnedState.recalled(
-                  world.now,
-                  node,
-                  StateDecay.aged(
-                      before.balance.learnedState.learned(before.now, node), StandIn.ms(1_000)));
+              world
+                  .balance
+                  .learnedState()
+                  .restore(
+                      world.now,
+                      node,
+                      StateDecay.aged(
+                          before.balance.learnedState().learned(before.now, node),
+                          StandIn.ms(1_000)));
             }
           }
           world.balance.listFinished(world.now, true, true);
--- a/router/src/test/java/basaltlever/StandIn.java
+++ b/router/src/test/java/basaltlever/StandIn.java
@@ -13,6 +13,7 @@
 import basaltlever.gateway.RouterIdentity;
 import basaltlever.gateway.Settings;
 import basaltlever.gateway.SlowStartPolicy;
+import basaltlever.gateway.StatementRequest;
 import basaltlever.gateway.Workload;
 import basaltlever.gateway.Workload.DeduplicationScope;
 import basaltlever.gateway.Workload.Idempotency;
@@ -309,7 +310,8 @@
                     : commits.getOrDefault(session, Moment.LONG_AGO);
     fates.add(fate);
     int id = fates.size() - 1;
-    balance.statementReceived(now, id, workload, 1, session, fate.leaves, committed, 100);
+    balance.statementReceived(
+        now, id, new StatementRequest(workload, 1, session, fate.leaves, committed, 100));
     return id;
   }
 
--- a/router/src/test/java/basaltlever/StateRestoreTest.java
+++ b/router/src/test/java/basaltlever/StateRestoreTest.java
@@ -190,7 +190,7 @@
     for (int i = 0; i < 3; i++) {
       world.balance.endpointListed(world.now, i, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
       if (i < views.length && views[i] != null) {
-        world.balance.learnedState.recalled(world.now, i, views[i]);
+        world.balance.learnedState().restore(world.now, i, views[i]);
       }
     }
     world.balance.listFinished(world.now, true, true);
@@ -283,8 +283,10 @@
     world.playWith(chance.split(), 4);
     world.balance.listStarted();
     for (int i = 0; i < 4; i++) {
-      world.balance.learnedState.recalled(
-          world.now, i, KeptViews.view(seed & 0xFFFF, 4).nodes().get(i).view());
+      world
+          .balance
+          .learnedState()
+          .restore(world.now, i, KeptViews.view(seed & 0xFFFF, 4).nodes().get(i).view());
     }
     world.listAll();
     for (int step = 0; step < 500; step++) {
@@ -298,7 +300,8 @@
     world.run(4_000);
     for (int i = 0; i < 4; i++) {
       check(
-          world.balance.learnedState.learned(world.now, i) != null, "what was learned can be told");
+          world.balance.learnedState().learned(world.now, i) != null,
+          "what was learned can be told");
     }
   }
 }
--- a/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
+++ b/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
@@ -15,6 +15,7 @@
 import basaltlever.gateway.RouterIdentity;
 import basaltlever.gateway.Settings;
 import basaltlever.gateway.SlowStartPolicy;
+import basaltlever.gateway.StatementRequest;
 import basaltlever.gateway.Workload;
 import basaltlever.hold.HoldBudget;
 import basaltlever.switchover.PlannedSwitchover;
@@ -132,12 +133,13 @@
       balance.statementReceived(
           now,
           statements++,
-          random.nextDouble() < WRITES ? 1 : 0,
-          random.nextInt(groups),
-          0,
-          now.plus(Span.ofMillis(2_000)),
-          Moment.LONG_AGO,
-          100);
+          new StatementRequest(
+              random.nextDouble() < WRITES ? 1 : 0,
+              random.nextInt(groups),
+              0,
+              now.plus(Span.ofMillis(2_000)),
+              Moment.LONG_AGO,
+              100));
       after(
           new Span((long) (-Math.log(1 - random.nextDouble()) / STATEMENTS_PER_SECOND * 1e6)),
           this::traffic);
