--- a/router/src/main/java/basaltlever/balancer/LoadBalancer.java
+++ b/router/src/main/java/basaltlever/balancer/LoadBalancer.java
@@ -247,7 +247,7 @@
     if (answered && !statement.isFinished()) {
       statements.answers.finish(statement);
     }
-    if (!statement.isFinished() && statement.attemptsInFlight() == 0 && !statement.isQueued()) {
+    if (needsAttempt(statement)) {
       statements.dispatcher.add(statement);
     }
     ReplicaGroup group = statement.endpoint(attempt).group();
@@ -258,6 +258,10 @@
     return true;
   }
 
+  private static boolean needsAttempt(Statement statement) {
+    return !statement.isFinished() && statement.attemptsInFlight() == 0 && !statement.isQueued();
+  }
+
   /** A poll ended; utilization and queue length are not numbers where the report lacks them. */
   public void pollEnded(
       Moment at,
--- a/router/src/main/java/basaltlever/balancer/PrimaryTracker.java
+++ b/router/src/main/java/basaltlever/balancer/PrimaryTracker.java
@@ -273,12 +273,16 @@
       prepareConnections(target, group.primary());
     }
     if (switchover.needsFrequentPolls()) {
-      subsets
-          .membersInUse(group)
-          .forEach(member -> polls.pollWithin(member, PollScheduler.HOLD_INTERVAL));
-      if (targetIsMember) {
-        polls.pollWithin(target, PollScheduler.HOLD_INTERVAL);
-      }
+      pollFrequently(group, targetIsMember ? target : null);
+    }
+  }
+
+  private void pollFrequently(ReplicaGroup group, Endpoint target) {
+    for (Endpoint member : subsets.membersInUse(group)) {
+      polls.pollWithin(member, PollScheduler.HOLD_INTERVAL);
+    }
+    if (target != null) {
+      polls.pollWithin(target, PollScheduler.HOLD_INTERVAL);
     }
   }
 
--- a/router/src/main/java/basaltlever/core/Effects.java
+++ b/router/src/main/java/basaltlever/core/Effects.java
@@ -6,40 +6,51 @@
 import basaltlever.time.Span;
 
 /**
- * What carries out decisions, in the ids of the outside: tickets for statements, names for nodes.
+ * Carries out decisions, in the ids of the outside: tickets for statements, names for endpoints.
  */
 public interface Effects<N> {
   /**
-   * A span of zero lasts as long as the client waits; what can't be sent by the moment must not be.
+   * Starts an attempt. A timeout of zero lasts as long as the client waits; an attempt that can't
+   * be sent by the given moment must not be sent.
    */
   void execute(long ticket, int execution, N node, Span timeout, Moment sendBy);
 
+  /** Cancels an attempt in flight. */
   void cancel(long ticket, int execution);
 
+  /** Final answer: a retry is harmless, and best after the span (Retry-After). */
   void reject(long ticket, Span comeBackAfter, RejectReason why);
 
+  /** Final answer: the statement may or may not have had an effect. */
   void abort(long ticket);
 
+  /** Polls an endpoint for its load report. */
   void poll(N node);
 
+  /** Closes idle connections to an endpoint. */
   void letGo(N node);
 
-  /** The node is gone; should it be listed again, it comes as a new one. */
+  /** The endpoint is gone; listed again, it comes as a new one. */
   void forget(N node);
 
+  /** Asks for the endpoint list and its changes from now on. */
   void watch();
 
+  /** Sets the timer, in place of an earlier one. */
   void wake(Span fromNow);
 
+  /** Opens connections to an endpoint until so many are idle. */
   void prepare(N node, int connections);
 
+  /** Reports the phase of a planned switchover to on-call. */
   void change(int group, PlannedSwitchover.Phase phase, N target);
 
+  /** Reports to on-call that a group has found its primary, or lost it. */
   void primary(int group, N node, boolean found);
 
   /**
-   * Tells on-call how many groups and members are polled regularly, of how many members that are
-   * listed.
+   * Reports to on-call how many groups and members are polled regularly, of how many members that
+   * are listed.
    */
   default void watched(int groups, int members, int listed) {}
 }
--- a/router/src/main/java/basaltlever/core/LoadReportFormat.java
+++ b/router/src/main/java/basaltlever/core/LoadReportFormat.java
@@ -5,9 +5,9 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Which value of a load report tells what, by the names agreed at start. */
+/** Which value of a load report means what, by the names agreed in the settings. */
 public final class LoadReportFormat {
-  private static final int MICROS = 1_000_000;
+  private static final int MICROS_PER_SECOND = 1_000_000;
   public final int position;
   public final int primary;
   public final int util;
@@ -26,16 +26,18 @@
   }
 
   /** Rounded down, since a position that is too new would let a stale read through. */
-  public Moment position(double justBelow) {
-    return justBelow > 0 && justBelow < 1e12
-        ? new Moment(origin + (long) Math.floor(justBelow * MICROS))
+  public Moment position(double seconds) {
+    return seconds > 0 && seconds < 1e12
+        ? new Moment(origin + (long) Math.floor(seconds * MICROS_PER_SECOND))
         : Moment.LONG_AGO;
   }
 
+  /** The role that a report states by this value. */
   public Role role(double value) {
     return value >= 0.5 ? Role.PRIMARY : value >= 0 ? Role.REPLICA : Role.UNTOLD;
   }
 
+  /** The moment so many milliseconds after the origin; long ago where that is 0. */
   public Moment afterMillis(long millis) {
     return millis == 0 ? Moment.LONG_AGO : new Moment(origin + millis * 1_000);
   }
@@ -57,6 +59,7 @@
     return values;
   }
 
+  /** The value at a place of a report; NaN where the report has no such place. */
   public double value(double[] values, int place) {
     return place < 0 ? Double.NaN : values[place];
   }
--- a/router/src/main/java/basaltlever/core/StatementRouter.java
+++ b/router/src/main/java/basaltlever/core/StatementRouter.java
@@ -28,7 +28,7 @@
  * both stand on it.
  */
 public final class StatementRouter<N> implements DecisionSink {
-  private static final int FIRST = 256;
+  private static final int INITIAL_SLOTS = 256;
 
   private final Effects<N> outside;
   private final LoadBalancer balance;
@@ -38,17 +38,17 @@
   private final ArrayDeque<Integer> freeNodes = new ArrayDeque<>();
 
   private final IdIndex slots = new IdIndex();
-  private long[] tickets = new long[FIRST];
+  private long[] tickets = new long[INITIAL_SLOTS];
 
   /**
-   * Executions still out, and one more while the final answer is owed: at zero the slot is free
+   * Attempts in flight, and one more while the final answer is owed: at zero the slot is free
    * again.
    */
-  private int[] pending = new int[FIRST];
+  private int[] pending = new int[INITIAL_SLOTS];
 
-  private int[] executions = new int[FIRST];
-  private boolean[] answered = new boolean[FIRST];
-  private int[] free = new int[FIRST];
+  private int[] executions = new int[INITIAL_SLOTS];
+  private boolean[] answered = new boolean[INITIAL_SLOTS];
+  private int[] free = new int[INITIAL_SLOTS];
   private int freeCount;
   private int slotCount;
 
@@ -57,18 +57,18 @@
     this.balance = balance.apply(this);
   }
 
-  // ---- What is heard from outside.
-
   /** Other values for the decisions, as agreed from now on. */
   public void agree(Moment now, Consumer<LoadBalancer> values) {
     values.accept(balance);
     balance.timerFired(now);
   }
 
+  /** An endpoint list begins. */
   public void listBegins() {
     balance.listStarted();
   }
 
+  /** The list names an endpoint. */
   public void listed(
       Moment now,
       N node,
@@ -121,6 +121,7 @@
     balance.learnedState().restore(now, nodeIndices.get(node), view);
   }
 
+  /** Takes in what an earlier process learned of groups. */
   public void recalled(Moment now, List<GroupState> groups) {
     groups.forEach(group -> balance.learnedState().restore(now, group));
   }
@@ -139,14 +140,17 @@
     return end < nodes.size();
   }
 
+  /** What has been learned of all groups by now. */
   public List<GroupState> learnedOfGroups(Moment now) {
     return balance.learnedState().learnedOfGroups(now);
   }
 
+  /** The list ends; it may be complete, and may answer a call for it. */
   public void listEnds(Moment now, boolean complete, boolean asked) {
     balance.listFinished(now, complete, asked);
   }
 
+  /** A call for the list failed. */
   public void listFailed(Moment now) {
     balance.listCallFailed(now);
   }
@@ -164,6 +168,18 @@
     if (slots.find(ticket) >= 0) {
       return false;
     }
+    int slot = takeSlot();
+    slots.put(ticket, slot);
+    tickets[slot] = ticket;
+    pending[slot] = 1;
+    executions[slot] = 0;
+    answered[slot] = false;
+    balance.statementReceived(
+        now, slot, new StatementRequest(workload, group, session, clientLeaves, committed, bytes));
+    return true;
+  }
+
+  private int takeSlot() {
     int slot = freeCount > 0 ? free[--freeCount] : slotCount++;
     if (slot >= tickets.length) {
       int size = 2 * tickets.length;
@@ -173,14 +189,7 @@
       answered = Arrays.copyOf(answered, size);
       free = Arrays.copyOf(free, size);
     }
-    slots.put(ticket, slot);
-    tickets[slot] = ticket;
-    pending[slot] = 1;
-    executions[slot] = 0;
-    answered[slot] = false;
-    balance.statementReceived(
-        now, slot, new StatementRequest(workload, group, session, clientLeaves, committed, bytes));
-    return true;
+    return slot;
   }
 
   /**
@@ -199,13 +208,7 @@
     if (slot < 0) {
       return false;
     }
-    // What has to be current, and came from a node that says it is a replica, may lack what it had
-    // to
-    // see.
-    AttemptOutcome heard =
-        ending == AttemptOutcome.COMPLETED && role == Role.REPLICA && balance.needsFresh(slot)
-            ? AttemptOutcome.MISS
-            : ending;
+    AttemptOutcome heard = checkedOutcome(slot, ending, role);
     boolean completes = heard == AttemptOutcome.COMPLETED && !answered[slot];
     boolean over = finished || completes || answered[slot];
     boolean known = balance.attemptEnded(now, slot, execution, heard, role, position, over);
@@ -218,6 +221,14 @@
     return known && completes;
   }
 
+  /** A fresh read that a replica answered may lack what it had to see. */
+  private AttemptOutcome checkedOutcome(int slot, AttemptOutcome outcome, Role role) {
+    boolean mayBeStale =
+        outcome == AttemptOutcome.COMPLETED && role == Role.REPLICA && balance.needsFresh(slot);
+    return mayBeStale ? AttemptOutcome.MISS : outcome;
+  }
+
+  /** A poll ended. */
   public void polled(
       Moment now,
       N node,
@@ -244,6 +255,7 @@
         && balance.switchoverAnnounced(now, from, number, named, at, off);
   }
 
+  /** A client waits no longer and needs no answer. */
   public void clientLeft(Moment now, long ticket) {
     int slot = slots.find(ticket);
     if (slot >= 0) {
@@ -264,6 +276,7 @@
     }
   }
 
+  /** The timer fired, or time has passed. */
   public void woken(Moment now) {
     balance.timerFired(now);
   }
@@ -282,8 +295,6 @@
     }
   }
 
-  // ---- What the decisions do.
-
   @Override
   public void execute(int statement, int node, Span timeout, Moment sendBy) {
     pending[statement]++;
--- a/router/src/main/java/basaltlever/endpoints/PollSchedule.java
+++ b/router/src/main/java/basaltlever/endpoints/PollSchedule.java
@@ -37,6 +37,7 @@
     }
   }
 
+  /** Takes an endpoint out of the schedule. */
   public void remove(Endpoint node) {
     scheduled.remove(node);
   }
@@ -56,6 +57,7 @@
     return due;
   }
 
+  /** Endpoints scheduled. */
   public int size() {
     return scheduled.size();
   }
--- a/router/src/main/java/basaltlever/gateway/RouterIdentity.java
+++ b/router/src/main/java/basaltlever/gateway/RouterIdentity.java
@@ -1,8 +1,8 @@
 package basaltlever.gateway;
 
 /**
- * Where this router stands among the others: how many there are, its own number from 0 on, its
- * zone, and what a poll and a crossing between zones cost, as shares of a statement's worth.
+ * This router among the others: how many there are, its own number from 0 on, its zone, and what a
+ * poll and a crossing between zones cost, as shares of a statement's worth.
  */
 public record RouterIdentity(
     int routers, int index, int zone, double pollPrice, double crossingPrice) {
@@ -11,6 +11,7 @@
     this(routers, 0, zone, pollPrice, crossingPrice);
   }
 
+  /** Whether traffic to the zone crosses zones at a price. */
   public boolean isPricedTo(int other) {
     return other != zone && crossingPrice > 0;
   }
--- a/router/src/main/java/basaltlever/gateway/Workload.java
+++ b/router/src/main/java/basaltlever/gateway/Workload.java
@@ -2,7 +2,19 @@
 
 import basaltlever.time.Span;
 
-/** One kind of statement, as agreed at start. */
+/**
+ * One kind of statement, as agreed in the settings.
+ *
+ * @param needs how new the data must be
+ * @param bound the staleness allowed where it is bounded
+ * @param repeat whether a statement may be executed more than once
+ * @param within where repeats of a deduplicated statement are dropped
+ * @param window for how long repeats are dropped
+ * @param slo the latency objective
+ * @param timeout how long clients wait
+ * @param importance the priority weight
+ * @param lateShare what a late answer is worth, as a share of one in time
+ */
 public record Workload(
     ReadConsistency needs,
     Span bound,
@@ -23,6 +35,7 @@
     ANY
   }
 
+  /** Whether a statement may be executed more than once. */
   public enum Idempotency {
     IDEMPOTENT,
     DEDUPLICATED,
@@ -36,6 +49,7 @@
     GROUP
   }
 
+  /** Whether only the primary can execute its statements. */
   public boolean onlyPrimary() {
     return needs == ReadConsistency.WRITE || needs == ReadConsistency.FRESH;
   }
--- a/router/src/main/java/basaltlever/hold/HoldBudget.java
+++ b/router/src/main/java/basaltlever/hold/HoldBudget.java
@@ -8,17 +8,16 @@
 
 /**
  * How much may be held: in all, for each group, and for each workload of a group, in statements and
- * bytes. Beyond it the least important of whoever holds most goes. A group that holds less than its
- * equal share of all loses nothing to another's flood, since another holds more; and neither does
- * an important workload to a less important one.
+ * bytes. Beyond it the statement of lowest priority is rejected where most is held. A group that
+ * holds less than its equal share loses nothing to another's flood, since another holds more; and
+ * neither does a workload of high priority weight to one of low.
  */
 public final class HoldBudget {
-  /**
-   * One group may take this much of all where others leave it; a workload this much of its group's.
-   */
-  private static final double OF_ALL = 0.5;
+  /** Share of the whole budget that one group may take where others leave it. */
+  private static final double MAX_GROUP_SHARE = 0.5;
 
-  private static final double OF_GROUP = 0.75;
+  /** Share of its group's limit that one workload may take. */
+  private static final double MAX_WORKLOAD_SHARE = 0.75;
 
   /** Groups that hold something, and some that have released all since they were last gone over. */
   private final Set<HoldQueue> holding = new LinkedHashSet<>();
@@ -26,51 +25,59 @@
   private int statements;
   private long bytes;
 
-  /** Both at least 1. */
+  /** A budget of so many statements and bytes, both at least 1. */
   public HoldBudget(int statements, long bytes) {
     limit(statements, bytes);
   }
 
-  /** From now on; what is held beyond it goes as the next ones come. */
+  /** Changes the budget; what exceeds it is rejected as further statements come. */
   public void limit(int mostStatements, long mostBytes) {
     statements = mostStatements;
     bytes = mostBytes;
   }
 
+  /** A queue for a group with so many workloads. */
   public HoldQueue group(int workloads) {
     return new HoldQueue(workloads);
   }
 
-  /** It holds nothing any more, and its group is forgotten. */
+  /** The queue is empty, and its group is forgotten. */
   public void forget(HoldQueue held) {
     holding.remove(held);
   }
 
+  /** Statements held in all groups. */
   public int held() {
     return holding.stream().mapToInt(HoldQueue::size).sum();
   }
 
   /**
-   * Who has to go since one of the workload was added there; null where all have room. To be asked
-   * until then.
+   * The statement to reject since one of the workload was added there; null where all are within
+   * the budget. To be called until it returns null.
    */
   public Statement nextToReject(HoldQueue added, int workload) {
     holding.add(added);
-    int mostOfGroup = (int) Math.max(1, statements * OF_ALL);
-    if (added.size() > mostOfGroup || (added.bytes() > bytes * OF_ALL && added.size() > 1)) {
+    int groupLimit = (int) Math.max(1, statements * MAX_GROUP_SHARE);
+    if (added.size() > groupLimit
+        || (added.bytes() > bytes * MAX_GROUP_SHARE && added.size() > 1)) {
       return added.last();
     }
-    if (added.size(workload) > Math.max(1, mostOfGroup * OF_GROUP)) {
+    if (added.size(workload) > Math.max(1, groupLimit * MAX_WORKLOAD_SHARE)) {
       return added.last(workload);
     }
+    return nextOfAllGroups(added);
+  }
+
+  /** Where all groups together exceed the budget: the last of the group that holds most. */
+  private Statement nextOfAllGroups(HoldQueue added) {
     int count = 0;
     long size = 0;
     HoldQueue most = added;
     HoldQueue largest = added;
-    for (Iterator<HoldQueue> each = holding.iterator(); each.hasNext(); ) {
-      HoldQueue held = each.next();
+    for (Iterator<HoldQueue> iterator = holding.iterator(); iterator.hasNext(); ) {
+      HoldQueue held = iterator.next();
       if (held.isEmpty()) {
-        each.remove();
+        iterator.remove();
         continue;
       }
       count += held.size();
@@ -78,6 +85,9 @@
       most = held.size() > most.size() ? held : most;
       largest = held.bytes() > largest.bytes() ? held : largest;
     }
-    return count > statements ? most.last() : size > bytes ? largest.last() : null;
+    if (count > statements) {
+      return most.last();
+    }
+    return size > bytes ? largest.last() : null;
   }
 }
--- a/router/src/main/java/basaltlever/model/DecayingValue.java
+++ b/router/src/main/java/basaltlever/model/DecayingValue.java
@@ -3,29 +3,33 @@
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 
-/** A value that fades by itself; how fast is said by who reads it. */
+/** A value that decays exponentially with time; its reader gives the time constant. */
 public final class DecayingValue {
   private double value;
   private Moment updatedAt = Moment.LONG_AGO;
 
+  /** The value at that moment, decayed since it was last set. */
   public double at(Moment now, Span span) {
     return value == 0 ? 0 : value * Math.exp(-now.since(updatedAt).over(span));
   }
 
+  /** Sets the value as of that moment. */
   public void set(Moment now, double value) {
     this.value = value;
     updatedAt = now;
   }
 
+  /** Adds to the value as decayed by then. */
   public void add(Moment now, Span span, double more) {
     set(now, at(now, span) + more);
   }
 
-  /** Moves what has faded some of the way to the target. */
+  /** Moves the decayed value towards the target, by the weight as a share of the distance. */
   public void move(Moment now, Span span, double weight, double target) {
     add(now, span, weight * (target - at(now, span)));
   }
 
+  /** When the value was last set. */
   public Moment updatedAt() {
     return updatedAt;
   }
--- a/router/src/main/java/basaltlever/model/HoldQueue.java
+++ b/router/src/main/java/basaltlever/model/HoldQueue.java
@@ -9,9 +9,9 @@
 import java.util.TreeSet;
 
 /**
- * The statements of one group that wait for its primary: the most important first, among equals the
- * earliest, and those of one session always in the order in which they came. Each step costs the
- * logarithm of how many there are.
+ * The statements of one group that wait for its primary: the highest priority weight first, among
+ * equals the earliest, and those of one session always in the order in which they came. Each step
+ * costs the logarithm of how many there are.
  */
 public final class HoldQueue {
   private static final Comparator<Statement> ORDER =
@@ -24,43 +24,47 @@
   /** Of each session those that are held, the earliest first; a session commonly has one. */
   private final Map<Long, ArrayDeque<Statement>> sessions = new HashMap<>();
 
-  private int[] ofWorkload;
+  private int[] sizeByWorkload;
   private long bytes;
 
   public HoldQueue(int workloads) {
-    ofWorkload = new int[workloads];
+    sizeByWorkload = new int[workloads];
   }
 
+  /** Whether no statement is held. */
   public boolean isEmpty() {
     return order.isEmpty();
   }
 
+  /** Statements held. */
   public int size() {
     return order.size();
   }
 
+  /** Bytes of the texts of all statements held. */
   public long bytes() {
     return bytes;
   }
 
+  /** Statements held of one workload. */
   public int size(int workload) {
-    return workload < ofWorkload.length ? ofWorkload[workload] : 0;
+    return workload < sizeByWorkload.length ? sizeByWorkload[workload] : 0;
   }
 
-  /** Null where there is none. */
+  /** The statement to release first; null where there is none. */
   public Statement first() {
     return order.isEmpty() ? null : order.first();
   }
 
-  /** The one to go where there is no room for all; null where there is none. */
+  /** The statement to reject where the budget is exceeded; null where there is none. */
   public Statement last() {
     return order.isEmpty() ? null : order.last();
   }
 
-  /** The last of one workload. */
+  /** The last statement of one workload; null where there is none. */
   public Statement last(int workload) {
-    for (Iterator<Statement> each = order.descendingIterator(); each.hasNext(); ) {
-      Statement next = each.next();
+    for (Iterator<Statement> iterator = order.descendingIterator(); iterator.hasNext(); ) {
+      Statement next = iterator.next();
       if (next.workloadIndex() == workload) {
         return next;
       }
@@ -68,6 +72,7 @@
     return null;
   }
 
+  /** Holds a statement. It never overtakes an earlier one of its session. */
   public void add(Statement statement) {
     statement.setHoldPriority(statement.workload().importance());
     if (statement.session() != 0) {
@@ -92,11 +97,11 @@
       own.addAll(later);
     }
     order.add(statement);
-    if (statement.workloadIndex() >= ofWorkload.length) {
+    if (statement.workloadIndex() >= sizeByWorkload.length) {
       // Settings may bring workloads while this group holds others.
-      ofWorkload = Arrays.copyOf(ofWorkload, statement.workloadIndex() + 1);
+      sizeByWorkload = Arrays.copyOf(sizeByWorkload, statement.workloadIndex() + 1);
     }
-    ofWorkload[statement.workloadIndex()]++;
+    sizeByWorkload[statement.workloadIndex()]++;
     bytes += statement.textBytes();
   }
 
@@ -105,11 +110,12 @@
         || (one.receivedAt().equals(other.receivedAt()) && one.id() > other.id());
   }
 
+  /** Removes a statement; no effect where it is not held. */
   public void remove(Statement statement) {
     if (!order.remove(statement)) {
       return;
     }
-    ofWorkload[statement.workloadIndex()]--;
+    sizeByWorkload[statement.workloadIndex()]--;
     bytes -= statement.textBytes();
     ArrayDeque<Statement> own = sessions.get(statement.session());
     if (own != null) {
--- a/router/src/main/java/basaltlever/switchover/PlannedSwitchover.java
+++ b/router/src/main/java/basaltlever/switchover/PlannedSwitchover.java
@@ -25,31 +25,29 @@
     CALLED_OFF
   }
 
-  /**
-   * The post's plugin had 2.9 s in this phase; time for a few polls and connections is what is
-   * needed.
-   */
-  static final Span PREPARES = Span.ofMillis(2_000);
+  /** Polls and connections are made ready this long before the announced time. */
+  static final Span PREPARATION_TIME = Span.ofMillis(2_000);
 
   /** Held for longer, statements would run out of time for a change that may never come. */
-  static final Span LONGEST = Span.ofMillis(3_000);
+  static final Span MAX_HOLD = Span.ofMillis(3_000);
 
   /**
    * How long the members are watched closely afterwards: the old primary may come back with old
    * claims.
    */
-  static final Span WATCHED = Span.ofMillis(5_000);
+  static final Span WATCH_AFTERWARDS = Span.ofMillis(5_000);
 
   /** Announced for a time that is over by more than this, it has happened or never will. */
-  static final Span LATEST = Span.ofMillis(1_000);
+  static final Span MAX_START_DELAY = Span.ofMillis(1_000);
 
-  static final Span FURTHEST = Span.ofMillis(24 * 3_600_000.0);
+  static final Span MAX_ANNOUNCED_AHEAD = Span.ofMillis(24 * 3_600_000.0);
 
-  /** Where a member is not known; members go by the small indices that the decisions use. */
+  /** No known member; members go by the small indices that the decisions use. */
   public static final int UNKNOWN_MEMBER = -1;
 
-  /** Hears of each phase as it is entered. */
+  /** Is notified of each phase as it is entered. */
   public interface Listener {
+    /** The switchover to the target has entered a phase. */
     void entered(Phase phase, int target);
   }
 
@@ -65,10 +63,12 @@
     this.listener = listener;
   }
 
+  /** The present phase. */
   public Phase phase() {
     return phase;
   }
 
+  /** The member that is to be primary; unknown before the first announcement. */
   public int target() {
     return target;
   }
@@ -104,8 +104,8 @@
     }
     if (named == UNKNOWN_MEMBER
         || told <= number
-        || now.since(when).isLongerThan(LATEST)
-        || when.since(now).isLongerThan(FURTHEST)) {
+        || now.since(when).isLongerThan(MAX_START_DELAY)
+        || when.since(now).isLongerThan(MAX_ANNOUNCED_AHEAD)) {
       return false;
     }
     // A later one takes the place of an earlier, also of one that is held for: it has not come to
@@ -128,49 +128,53 @@
   }
 
   private boolean stepped(Moment now, int primary, boolean targetIsFit) {
-    switch (phase) {
-      case CREATED, PREPARATION -> {
-        if (primary != UNKNOWN_MEMBER && primary == target) {
-          // It came before its time.
-          return enter(now, Phase.POST);
-        }
-        if (!targetIsFit) {
-          return enter(now, Phase.CALLED_OFF);
-        }
-        if (!now.isBefore(at)) {
-          // Where one change takes the place of another the old primary is out of use already.
-          from = primary == UNKNOWN_MEMBER ? from : primary;
-          return enter(now, Phase.IN_PROGRESS);
-        }
-        return phase == Phase.CREATED
-            && !now.isBefore(at.minus(PREPARES))
-            && enter(now, Phase.PREPARATION);
-      }
-      case IN_PROGRESS -> {
-        if (primary != UNKNOWN_MEMBER && primary == target) {
-          return enter(now, Phase.POST);
-        }
-        boolean another = primary != UNKNOWN_MEMBER && primary != from;
-        return (another || !targetIsFit || now.since(since).isLongerThan(LONGEST))
-            && enter(now, Phase.CALLED_OFF);
-      }
-      case POST -> {
-        return now.since(since).isLongerThan(WATCHED) && enter(now, Phase.COMPLETED);
-      }
-      default -> {
-        return false;
-      }
+    return switch (phase) {
+      case CREATED, PREPARATION -> steppedBeforeStart(now, primary, targetIsFit);
+      case IN_PROGRESS -> steppedInProgress(now, primary, targetIsFit);
+      case POST -> now.since(since).isLongerThan(WATCH_AFTERWARDS) && enter(now, Phase.COMPLETED);
+      default -> false;
+    };
+  }
+
+  private boolean steppedBeforeStart(Moment now, int primary, boolean targetIsFit) {
+    if (isTarget(primary)) {
+      // It took over before its time.
+      return enter(now, Phase.POST);
+    }
+    if (!targetIsFit) {
+      return enter(now, Phase.CALLED_OFF);
+    }
+    if (!now.isBefore(at)) {
+      // Where one switchover replaces another, the old primary is out of use already.
+      from = primary == UNKNOWN_MEMBER ? from : primary;
+      return enter(now, Phase.IN_PROGRESS);
     }
+    return phase == Phase.CREATED
+        && !now.isBefore(at.minus(PREPARATION_TIME))
+        && enter(now, Phase.PREPARATION);
+  }
+
+  private boolean steppedInProgress(Moment now, int primary, boolean targetIsFit) {
+    if (isTarget(primary)) {
+      return enter(now, Phase.POST);
+    }
+    boolean another = primary != UNKNOWN_MEMBER && primary != from;
+    return (another || !targetIsFit || now.since(since).isLongerThan(MAX_HOLD))
+        && enter(now, Phase.CALLED_OFF);
+  }
+
+  private boolean isTarget(int primary) {
+    return primary != UNKNOWN_MEMBER && primary == target;
   }
 
   /** When it has to be looked at next by the clock alone. */
   public Moment nextStepAt() {
     Moment step =
         switch (phase) {
-          case CREATED -> at.minus(PREPARES);
+          case CREATED -> at.minus(PREPARATION_TIME);
           case PREPARATION -> at;
-          case IN_PROGRESS -> since.plus(LONGEST);
-          case POST -> since.plus(WATCHED);
+          case IN_PROGRESS -> since.plus(MAX_HOLD);
+          case POST -> since.plus(WATCH_AFTERWARDS);
           default -> Moment.NEVER;
         };
     // Past the limits above, not at them.
--- a/router/src/main/java/basaltlever/switchover/SwitchoverAnnouncement.java
+++ b/router/src/main/java/basaltlever/switchover/SwitchoverAnnouncement.java
@@ -41,7 +41,7 @@
         + " ORDER BY number DESC, state DESC LIMIT 1), '')";
   }
 
-  /** What writes it: a row of its own also where it takes an earlier one back. */
+  /** The statement that writes it; a cancellation is a row of its own, too. */
   public String insert(String table) {
     return "INSERT INTO "
         + table
@@ -56,6 +56,7 @@
         + "')";
   }
 
+  /** The row as a member answers it. */
   public String text() {
     return "number="
         + number
