--- a/router/src/main/java/basaltlever/balancer/GroupPolling.java
+++ b/router/src/main/java/basaltlever/balancer/GroupPolling.java
@@ -76,7 +76,7 @@
     int polled = 0;
     for (ReplicaGroup group : groups) {
       for (Endpoint member : subsets.membersInUse(group)) {
-        if (polled++ < PolledGroups.FIRST_LOOK) {
+        if (polled++ < PolledGroups.MAX_FIRST_POLLS) {
           scheduler.pollNow(member);
         }
       }
--- a/router/src/main/java/basaltlever/balancer/PrimaryTracker.java
+++ b/router/src/main/java/basaltlever/balancer/PrimaryTracker.java
@@ -263,7 +263,7 @@
     boolean targetIsMember = target != null && target.group() == group;
     switchover.advance(
         context.now(),
-        group.primary() == null ? PlannedSwitchover.UNKNOWN_MEMBER : group.primary().id(),
+        primaryId(group),
         targetIsMember && context.isListedForUse(target) && !target.health().isDown());
     nextSwitchoverStepAt = nextSwitchoverStepAt.earlier(switchover.nextStepAt());
     if (group.primary() != null && switchover.excludes(group.primary().id())) {
@@ -277,6 +277,10 @@
     }
   }
 
+  private static int primaryId(ReplicaGroup group) {
+    return group.primary() == null ? PlannedSwitchover.UNKNOWN_MEMBER : group.primary().id();
+  }
+
   private void pollFrequently(ReplicaGroup group, Endpoint target) {
     for (Endpoint member : subsets.membersInUse(group)) {
       polls.pollWithin(member, PollScheduler.HOLD_INTERVAL);
--- a/router/src/main/java/basaltlever/endpoints/PollSchedule.java
+++ b/router/src/main/java/basaltlever/endpoints/PollSchedule.java
@@ -9,13 +9,14 @@
 import java.util.TreeSet;
 
 /**
- * Which servers are polled next. Only servers for which a poll is due or under way are in it, so
- * each step costs the logarithm of how many those are, whatever the size of the list.
+ * Which endpoints are polled next. Only endpoints for which a poll is due or under way are in it,
+ * so each step costs the logarithm of how many those are, whatever the size of the list.
  */
 public final class PollSchedule {
-  private static final Comparator<Endpoint> BY_ID = Comparator.comparingInt(node -> node.id());
+  private static final Comparator<Endpoint> BY_ID =
+      Comparator.comparingInt(endpoint -> endpoint.id());
   private static final Comparator<Endpoint> BY_WAKE =
-      Comparator.comparingLong((Endpoint node) -> node.polling().wakeAt().micros())
+      Comparator.comparingLong((Endpoint endpoint) -> endpoint.polling().wakeAt().micros())
           .thenComparing(BY_ID);
   private final TreeSet<Endpoint> scheduled = new TreeSet<>(BY_WAKE);
 
@@ -27,19 +28,19 @@
   }
 
   /**
-   * To be called whenever a poll of the server was sent, was answered or is due at another time.
+   * To be called whenever a poll of the endpoint was sent, was answered or is due at another time.
    */
-  public void update(Endpoint node) {
-    scheduled.remove(node);
-    node.polling().updateWakeAt(timeout);
-    if (node.polling().wakeAt().isBefore(Moment.NEVER)) {
-      scheduled.add(node);
+  public void update(Endpoint endpoint) {
+    scheduled.remove(endpoint);
+    endpoint.polling().updateWakeAt(timeout);
+    if (endpoint.polling().wakeAt().isBefore(Moment.NEVER)) {
+      scheduled.add(endpoint);
     }
   }
 
   /** Takes an endpoint out of the schedule. */
-  public void remove(Endpoint node) {
-    scheduled.remove(node);
+  public void remove(Endpoint endpoint) {
+    scheduled.remove(endpoint);
   }
 
   /** When something is to be done next; never where nothing is scheduled. */
--- a/router/src/main/java/basaltlever/endpoints/PolledGroups.java
+++ b/router/src/main/java/basaltlever/endpoints/PolledGroups.java
@@ -9,27 +9,26 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The groups whose members are polled all the time. A short list is watched whole; of a long one
- * the groups with the most traffic of this router are. Members of the others are polled only when a
- * statement needs it, so that what a router polls follows its traffic and not the length of the
- * list.
+ * The groups whose members are polled regularly: all groups of a short endpoint list, and of a long
+ * one those with the most traffic of this router. Members of other groups are polled only when a
+ * statement needs it, so that polls follow traffic and not the length of the list.
  */
 public final class PolledGroups {
-  /** So many members in service at most are polled regularly. */
-  public static final int MOST_MEMBERS = 96;
+  /** At most so many members in service are polled regularly. */
+  public static final int MAX_POLLED_MEMBERS = 96;
 
-  /** So many are polled once at the start where the list is longer than that. */
-  public static final int FIRST_LOOK = 16;
+  /** So many are polled once at the start where the list is too long for regular polls. */
+  public static final int MAX_FIRST_POLLS = 16;
 
   /**
-   * A group takes another's place only with clearly more traffic, or two alike would take turns.
+   * A group replaces another only with this many times its traffic, or two alike would alternate.
    */
-  private static final double CLEARLY_MORE = 1.5;
+  private static final double MIN_TRAFFIC_RATIO = 1.5;
 
-  private final List<ReplicaGroup> watched = new ArrayList<>();
+  private final List<ReplicaGroup> polled = new ArrayList<>();
   private int members;
 
-  /** Members of the group that count against the bound. */
+  /** Members of the group that count against the limit. */
   private static int size(ReplicaGroup group) {
     int inService = 0;
     for (int i = 0; i < group.members().size() && inService < ReplicaSubset.LEAST; i++) {
@@ -40,14 +39,14 @@
   }
 
   /**
-   * Watches all of them where there is room for all; false where there is not, and nothing has
-   * changed.
+   * Polls all of them regularly where the limit allows all; false where it does not, and nothing
+   * has changed.
    */
   public boolean admitAll(Collection<ReplicaGroup> groups) {
     int more = 0;
     for (ReplicaGroup group : groups) {
       more += group.isPolledRegularly() ? 0 : size(group);
-      if (members + more > MOST_MEMBERS) {
+      if (members + more > MAX_POLLED_MEMBERS) {
         return false;
       }
     }
@@ -60,20 +59,20 @@
   }
 
   /**
-   * Takes in a group that has traffic now, in place of one with much less. Returns the one that had
-   * to go; empty where there was room, or where the group was not taken in.
+   * Admits a group that has traffic now, in place of one with much less. Returns the one that was
+   * replaced; empty where the limit allows both, or where the group was not admitted.
    */
   public List<ReplicaGroup> admitByTraffic(
       ReplicaGroup group, ToDoubleFunction<ReplicaGroup> rate) {
-    if (members + size(group) <= MOST_MEMBERS) {
+    if (members + size(group) <= MAX_POLLED_MEMBERS) {
       add(group);
       return List.of();
     }
     ReplicaGroup least =
         Collections.min(
-            watched, (a, b) -> Double.compare(rate.applyAsDouble(a), rate.applyAsDouble(b)));
-    if (rate.applyAsDouble(group) <= CLEARLY_MORE * rate.applyAsDouble(least)
-        || members - size(least) + size(group) > MOST_MEMBERS) {
+            polled, (a, b) -> Double.compare(rate.applyAsDouble(a), rate.applyAsDouble(b)));
+    if (rate.applyAsDouble(group) <= MIN_TRAFFIC_RATIO * rate.applyAsDouble(least)
+        || members - size(least) + size(group) > MAX_POLLED_MEMBERS) {
       return List.of();
     }
     remove(least);
@@ -81,44 +80,42 @@
     return List.of(least);
   }
 
-  /**
-   * Counts anew once members have come or gone; returns groups for which there is no room any more.
-   */
+  /** Counts anew once members have come or gone; returns groups that exceed the limit. */
   public List<ReplicaGroup> recount() {
-    List<ReplicaGroup> left = new ArrayList<>();
-    List<ReplicaGroup> former = List.copyOf(watched);
-    watched.clear();
+    List<ReplicaGroup> removed = new ArrayList<>();
+    List<ReplicaGroup> former = List.copyOf(polled);
+    polled.clear();
     members = 0;
     for (ReplicaGroup group : former) {
-      boolean stays = !group.members().isEmpty() && members + size(group) <= MOST_MEMBERS;
+      boolean stays = !group.members().isEmpty() && members + size(group) <= MAX_POLLED_MEMBERS;
       group.setPolledRegularly(false);
       if (stays) {
         add(group);
       } else {
-        left.add(group);
+        removed.add(group);
       }
     }
-    return left;
+    return removed;
   }
 
   private void add(ReplicaGroup group) {
     group.setPolledRegularly(true);
-    watched.add(group);
+    polled.add(group);
     members += size(group);
   }
 
   private void remove(ReplicaGroup group) {
     group.setPolledRegularly(false);
-    watched.remove(group);
+    polled.remove(group);
     members -= size(group);
   }
 
-  /** Groups that are watched now. */
+  /** Groups polled regularly now. */
   public int size() {
-    return watched.size();
+    return polled.size();
   }
 
-  /** Members in service of those. */
+  /** Members of those groups that are in service. */
   public int members() {
     return members;
   }
--- a/router/src/main/java/basaltlever/endpoints/PrimarySearch.java
+++ b/router/src/main/java/basaltlever/endpoints/PrimarySearch.java
@@ -9,23 +9,25 @@
 import java.util.function.Predicate;
 
 /**
- * Which members to ask next for the primary of a group that this router does not poll regularly, or
- * that is large: a few at a time, each router beginning at its own place, until one reports itself
- * primary. A round that found none is followed by another.
+ * Which members to poll next to find the primary of a group that this router does not poll
+ * regularly, or that is large: a few at a time, each router beginning at its own place, until one
+ * reports itself primary. A round that found none is followed by another.
  */
 public final class PrimarySearch {
-  /** Asked at one time where no primary was known yet: most are found among the first few. */
-  private static final int AT_FIRST = 2;
+  /**
+   * Members polled at a time where no primary was known yet: most are found among the first few.
+   */
+  private static final int PARALLEL_POLLS_AT_START = 2;
 
-  /** Asked at one time where a primary was lost, and its successor is waited for. */
-  private static final int AFTER_LOSS = 8;
+  /** Members polled at a time where a primary was lost, and its successor is waited for. */
+  private static final int PARALLEL_POLLS_AFTER_LOSS = 8;
 
-  /** A member that has not answered for so long no longer keeps the next one from being asked. */
-  private static final Span STALLED = Span.ofMillis(50);
+  /** A member that has not answered for so long no longer delays the next one. */
+  private static final Span STALLED_AFTER = Span.ofMillis(50);
 
   private PrimarySearch() {}
 
-  /** The members to poll now; their polls must be sent before this is asked again. */
+  /** The members to poll now; their polls must be sent before the next call. */
   public static List<Endpoint> next(
       ReplicaGroup group,
       Moment now,
@@ -34,16 +36,16 @@
       Predicate<Endpoint> mayBeAsked) {
     List<Endpoint> asked = group.search().polled();
     asked.removeIf(
-        node ->
-            !node.polling().isInFlight()
-                || now.since(node.polling().sentAt()).isLongerThan(STALLED));
+        endpoint ->
+            !endpoint.polling().isInFlight()
+                || now.since(endpoint.polling().sentAt()).isLongerThan(STALLED_AFTER));
     boolean roundOver = group.search().isRoundOver(group.members().size());
     if (roundOver
         && asked.isEmpty()
         && !now.since(group.search().roundStartedAt()).isShorterThan(betweenRounds)) {
       group.search().startRound(now);
     }
-    int atOnce = group.lostPrimary() == null ? AT_FIRST : AFTER_LOSS;
+    int atOnce = group.lostPrimary() == null ? PARALLEL_POLLS_AT_START : PARALLEL_POLLS_AFTER_LOSS;
     List<Endpoint> next = new ArrayList<>(atOnce);
     while (asked.size() < atOnce && !group.search().isRoundOver(group.members().size())) {
       Endpoint member =
--- a/router/src/main/java/basaltlever/endpoints/ReplicaSubset.java
+++ b/router/src/main/java/basaltlever/endpoints/ReplicaSubset.java
@@ -16,28 +16,28 @@
  * as any other, give or take one. Groups of up to {@link #LEAST} members are used whole.
  */
 public final class ReplicaSubset {
-  /** A subset has at least so many members, where the group has. */
+  /** A subset has at least so many members, where the group has them. */
   public static final int LEAST = 8;
 
-  /** Together the routers' subsets hold each member so many times at least. */
+  /** Each member is in at least this many subsets of all routers together. */
   private static final double COVERAGE = 2;
 
-  /** A large group's ring is not looked through more often than this. */
-  private static final Span APART = Span.ofMillis(100);
+  /** A large group's subset is not chosen anew more often than this. */
+  private static final Span MIN_RECHOICE_INTERVAL = Span.ofMillis(100);
 
   private static final Comparator<Endpoint> BY_RANK =
-      Comparator.comparingInt((Endpoint node) -> node.ringOrder())
-          .thenComparingInt(node -> node.id());
+      Comparator.comparingInt((Endpoint endpoint) -> endpoint.ringOrder())
+          .thenComparingInt(endpoint -> endpoint.id());
 
   private ReplicaSubset() {}
 
-  /** The members to choose among; looked up anew where the group has changed. */
+  /** The members to choose among; chosen anew where the group has changed. */
   public static List<Endpoint> of(
       ReplicaGroup group, Moment now, int routers, int index, Predicate<Endpoint> mayBeUsed) {
     if (group.members().size() <= LEAST) {
       return group.members();
     }
-    boolean due = !now.since(group.subset().chosenAt()).isShorterThan(APART);
+    boolean due = !now.since(group.subset().chosenAt()).isShorterThan(MIN_RECHOICE_INTERVAL);
     if (group.subset().members() == null || (group.subset().isStale() && due)) {
       group.subset().choose(choose(group, routers, index, mayBeUsed), now);
     }
@@ -50,7 +50,7 @@
         members, Math.max(LEAST, (int) Math.ceil(COVERAGE * members / Math.max(1, routers))));
   }
 
-  /** Takes in half as many again, where those of the subset have no room or were lost. */
+  /** Adds half as many members again, where those of the subset have no capacity. */
   public static void widen(ReplicaGroup group, int routers) {
     int most = group.members().size();
     int width = Math.min(most, width(most, routers) + group.subset().extraMembers());
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Gives up what it was widened by. */
+  /** Removes what the subset was widened by. */
   public static void narrow(ReplicaGroup group) {
     group.subset().narrow();
   }
@@ -80,12 +80,12 @@
                 * ring.size()
                 / Math.max(1, routers));
     List<Endpoint> chosen = new ArrayList<>(width);
-    // One that is lost keeps its place, and the next one on the ring stands in for it.
-    int sound = 0;
-    for (int i = 0; i < ring.size() && sound < width; i++) {
+    // A failed member keeps its place, and the next one on the ring stands in for it.
+    int healthy = 0;
+    for (int i = 0; i < ring.size() && healthy < width; i++) {
       Endpoint next = ring.get((start + i) % ring.size());
       chosen.add(next);
-      sound += next.health().isDown() || next.health().isSilent() ? 0 : 1;
+      healthy += next.health().isDown() || next.health().isSilent() ? 0 : 1;
     }
     return chosen;
   }
--- a/router/src/main/java/basaltlever/endpoints/WarmCapacity.java
+++ b/router/src/main/java/basaltlever/endpoints/WarmCapacity.java
@@ -6,32 +6,34 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The work a second that warm servers bear from this router, for each unit of their size, over all
- * servers. A long list is gone over in parts: each question looks at so many of them, and the
+ * The work a second that warm endpoints answer for this router, for each unit of their size, over
+ * all endpoints. A long list is gone over in parts: each call looks at so many of them, and the
  * answer is that of the last whole pass.
  */
 public final class WarmCapacity {
-  private static final int AT_ONCE = 64;
+  private static final int ENDPOINTS_PER_CALL = 64;
   private int cursor;
   private double work;
   private double size;
   private double perSize;
 
-  /** Nodes may hold nulls. */
+  /** Endpoints may hold nulls. */
   public double perSize(
-      List<Endpoint> nodes, Predicate<Endpoint> isWarm, ToDoubleFunction<Endpoint> workPerSecond) {
-    for (int looked = 0; looked < AT_ONCE; looked++) {
-      if (cursor >= nodes.size()) {
+      List<Endpoint> endpoints,
+      Predicate<Endpoint> isWarm,
+      ToDoubleFunction<Endpoint> workPerSecond) {
+    for (int looked = 0; looked < ENDPOINTS_PER_CALL; looked++) {
+      if (cursor >= endpoints.size()) {
         perSize = size == 0 ? 0 : work / size;
         cursor = 0;
         work = 0;
         size = 0;
         return perSize;
       }
-      Endpoint node = nodes.get(cursor++);
-      if (node != null && isWarm.test(node)) {
-        work += workPerSecond.applyAsDouble(node);
-        size += node.relativeSize();
+      Endpoint endpoint = endpoints.get(cursor++);
+      if (endpoint != null && isWarm.test(endpoint)) {
+        work += workPerSecond.applyAsDouble(endpoint);
+        size += endpoint.relativeSize();
       }
     }
     return perSize;
--- a/router/src/main/java/basaltlever/switchover/PlannedSwitchover.java
+++ b/router/src/main/java/basaltlever/switchover/PlannedSwitchover.java
@@ -4,11 +4,10 @@
 import basaltlever.time.Span;
 
 /**
- * The planned change of one group's primary, as announced by its members: named phases of one
- * record, which are those of the source (the post's status table). Free of I/O; {@code
- * LoadBalancer} asks it and tells it what it sees. A router never believes an announcement more
- * than a claim: it only holds for it, for a bounded time, and the target gets nothing before it
- * reports itself primary.
+ * The planned switchover of one group's primary, as announced by its members. Free of I/O: {@code
+ * PrimaryTracker} tells it what it sees. An announcement never outweighs a report of being primary:
+ * statements are only held for it, for a bounded time, and the target gets none before it reports
+ * itself primary.
  */
 public final class PlannedSwitchover {
   /**
--- a/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
+++ b/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
@@ -57,6 +57,30 @@
   private long order;
 
   /** One router, and what its decisions want done. */
+  private static final Workload READ =
+      new Workload(
+          Workload.ReadConsistency.ANY,
+          Span.NONE,
+          Workload.Idempotency.IDEMPOTENT,
+          Workload.DeduplicationScope.GROUP,
+          Span.NONE,
+          Span.ofMillis(600),
+          Span.ofMillis(2_000),
+          1,
+          0);
+
+  private static final Workload WRITE =
+      new Workload(
+          Workload.ReadConsistency.WRITE,
+          Span.NONE,
+          Workload.Idempotency.NON_IDEMPOTENT,
+          Workload.DeduplicationScope.GROUP,
+          Span.NONE,
+          Span.ofMillis(1_000),
+          Span.ofMillis(2_000),
+          4,
+          0.5);
+
   private final class Router implements DecisionSink {
     private final LoadBalancer balance;
     private final SplittableRandom random;
@@ -72,28 +96,6 @@
       this.random = random;
       this.arrivals = arrivals;
       this.groups = groups;
-      Workload read =
-          new Workload(
-              Workload.ReadConsistency.ANY,
-              Span.NONE,
-              Workload.Idempotency.IDEMPOTENT,
-              Workload.DeduplicationScope.GROUP,
-              Span.NONE,
-              Span.ofMillis(600),
-              Span.ofMillis(2_000),
-              1,
-              0);
-      Workload write =
-          new Workload(
-              Workload.ReadConsistency.WRITE,
-              Span.NONE,
-              Workload.Idempotency.NON_IDEMPOTENT,
-              Workload.DeduplicationScope.GROUP,
-              Span.NONE,
-              Span.ofMillis(1_000),
-              Span.ofMillis(2_000),
-              4,
-              0.5);
       this.members = members;
       balance =
           new LoadBalancer(
@@ -101,7 +103,7 @@
               random.split(),
               new Settings(
                   new RouterIdentity(ROUTERS, index, 0, 0.01, 0.02),
-                  new Workload[] {read, write},
+                  new Workload[] {READ, WRITE},
                   new Replication(true, true, true),
                   new DrainPolicy(false, Span.ofMillis(10_000), true),
                   new SlowStartPolicy(COLD_FROM, WARMS_IN, FALL_MULTIPLE, Span.ofMillis(1_000)),
@@ -275,6 +277,18 @@
       router.list(groups, members, startedAt, node -> restarted[node]);
     }
     runUntil(start.plus(Span.ofMillis(ENDS_MILLIS)));
+    int toCold = checkBudgets(groups, members, arrivals, restarted, startedAt);
+    check(toCold > served(routers) / 50, "they were used: " + toCold);
+    int served = served(routers);
+    int refused = routers.stream().mapToInt(router -> router.refused).sum();
+    check(
+        refused < served / 20,
+        "served " + served + ", refused " + refused + ", to cold ones " + toCold);
+  }
+
+  /** Checks that no restarted server got too much; returns what all of them got. */
+  private int checkBudgets(
+      int groups, int members, List<List<Moment>> arrivals, boolean[] restarted, Moment startedAt) {
     double all = ROUTERS * STATEMENTS_PER_SECOND;
     double reader = 1.6 * all / arrivals.size();
     double primary = reader + 1.6 * WRITES * all / groups;
@@ -292,12 +306,7 @@
               ? (int) arrivals.get(node).stream().filter(at -> at.isAfter(startedAt)).count()
               : 0;
     }
-    check(toCold > served(routers) / 50, "they were used: " + toCold);
-    int served = served(routers);
-    int refused = routers.stream().mapToInt(router -> router.refused).sum();
-    check(
-        refused < served / 20,
-        "served " + served + ", refused " + refused + ", to cold ones " + toCold);
+    return toCold;
   }
 
   private static int served(List<Router> routers) {
