--- a/router/src/main/java/basaltlever/balancer/LoadBalancer.java
+++ b/router/src/main/java/basaltlever/balancer/LoadBalancer.java
@@ -1,192 +1,152 @@
 package basaltlever.balancer;
 
-import basaltlever.endpoints.PrimarySearch;
-import basaltlever.endpoints.ReplicaSubset;
 import basaltlever.gateway.AttemptOutcome;
 import basaltlever.gateway.DecisionSink;
 import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.gateway.RejectReason;
 import basaltlever.gateway.Role;
 import basaltlever.gateway.Settings;
+import basaltlever.gateway.StatementRequest;
 import basaltlever.gateway.Workload;
-import basaltlever.gateway.Workload.Idempotency;
 import basaltlever.gateway.Workload.ReadConsistency;
 import basaltlever.hold.HoldBudget;
-import basaltlever.model.DecayingValue;
 import basaltlever.model.Endpoint;
 import basaltlever.model.ReplicaGroup;
-import basaltlever.model.ReplicaGroup.Phase;
-import basaltlever.model.SessionWrites;
 import basaltlever.model.Statement;
 import basaltlever.model.StatementArrival;
-import basaltlever.switchover.PlannedSwitchover;
 import basaltlever.time.Moment;
-import basaltlever.time.Span;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.Collections;
-import java.util.Comparator;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Objects;
-import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 
 /**
- * Every decision of one router; it shares nothing with others. Each event comes with the clock of
- * the batch, what is decided comes out through {@link DecisionSink}. Nodes and statements are small
- * indices of the caller's choice; a statement's is free again after its final answer and its last
- * execution's end. After each event the rules are gone through from the top until none fires;
- * docs/design.md tells their sources.
+ * The decisions of one router, which shares nothing with others. Each input comes with the clock of
+ * the batch; decisions come out through {@link DecisionSink}. Endpoints and statements go by small
+ * indices of the caller's choice; a statement's index is free again after its final answer and the
+ * end of its last attempt. After each input the rules are gone through from the top until none
+ * applies; docs/design.md gives their reasons.
  */
 public final class LoadBalancer {
+  private record Rule(String name, BooleanSupplier applies, Runnable action) {}
+
+  private final DecisionContext context;
+  private final EndpointModules endpoints;
+  private final StatementModules statements;
+  private final EndpointListing listing;
+  private final ListWatch listWatch;
+  private final LearnedStateTransfer learnedState;
+  private final Rule[] rules;
+  private Moment timerAt = Moment.NEVER;
 
-  /** Rooms are looked over once a scan: a patience of less would be over before the second look. */
-  private static final Span LEAST_PATIENCE = Timing.SCAN_INTERVAL.times(3);
-
-  private static final Span FIRST_REPORT_AGE = Span.ofMillis(500);
-  private static final Span LEAST_SILENCE = Span.ofMillis(150);
-  private static final Span TRIAL = Span.ofMillis(500);
-  static final Span FORGIVEN = Span.ofMillis(5_000);
-  static final Span REMEMBERED = Span.ofMillis(15_000);
-  static final Span SECOND = Span.ofMillis(1_000);
-  private static final Span FIRST_BACKOFF = Span.ofMillis(250);
-  private static final double LEARN = 0.1;
-  private static final int SESSIONS = 20_000;
-  private static final double STRAINED = 0.24;
-  private static final double HOPELESS = 0.8;
-  private static final double BUSY = 0.9;
-  private static final double FULLY_BUSY = 0.97;
-  private static final double EAGER = 4;
-  private static final double TOLERATED = 1.15;
-  private static final double MOST_SHED = 0.95;
-  private static final double FIRST_ROOM = 12;
-  static final double LEAST_ROOM = 0.2;
-  private static final double MOST_ROOM = 500;
-  private static final double LEAST_CHANCE = 1.5;
-  private static final double FOR_WRITES = 0.3;
-  private static final double PATIENCE = 0.125;
-  private static final double FAILING = 0.3;
-  private static final double DEAR = 0.3;
-  private static final double HELD = 0.48;
-  private static final double LONG = 2;
-  private static final double CROWDED = 0.2;
-  private static final double UNUSUAL = 2.5;
-  private static final double UNTOLD_UTIL = 0.5;
-  private static final int MOST_PREPARED = 16;
-
-  private static final Comparator<Endpoint> BY_RANK =
-      Comparator.comparingInt(node -> node.ringOrder());
-
-  private record Rule(String name, BooleanSupplier when, Runnable then) {}
-
-  final DecisionContext context;
-  final ServiceTimes serviceTimes;
-  private final GroupSubsets subsets;
-  final EndpointTable table;
-  final SlowStart slowStart;
-  final PollScheduler polls;
-  private final GroupPolling groupPolling;
-  private final DecisionSink outbound;
-  private final SplittableRandom chance;
-  Settings agreed;
+  /** A router that knows no endpoint yet. */
+  public LoadBalancer(
+      DecisionSink sink,
+      SplittableRandom random,
+      Settings settings,
+      HoldBudget holdBudget,
+      Moment now) {
+    context = new DecisionContext(sink, random, settings, now);
+    endpoints = new EndpointModules(context, holdBudget);
+    statements = new StatementModules(endpoints, holdBudget);
+    listing = new EndpointListing(endpoints);
+    listWatch = new ListWatch(context);
+    learnedState = new LearnedStateTransfer(endpoints, listing);
+    rules = rules();
+  }
+
+  private Rule[] rules() {
+    return new Rule[] {
+      new Rule("call for the list", () -> isDue(listWatch.nextCallAt()), listWatch::call),
+      new Rule(
+          "advance planned switchovers",
+          () -> isDue(endpoints.primaries.nextSwitchoverStepAt()),
+          endpoints.primaries::advanceSwitchovers),
+      new Rule(
+          "evaluate a group that changed",
+          () -> !endpoints.evaluations.isEmpty(),
+          () -> evaluate(endpoints.evaluations.next())),
+      new Rule(
+          "dispatch a statement",
+          statements.dispatcher::hasPending,
+          statements.dispatcher::dispatchNext),
+      new Rule(
+          "scan open statements",
+          () -> isDue(statements.openStatements.nextScanAt()),
+          () -> statements.openStatements.scan(this::statementFinished)),
+      new Rule(
+          "send polls that are due",
+          () -> isDue(endpoints.polls.nextAt()),
+          () ->
+              endpoints.polls.sendDue(
+                  endpoint -> endpoints.health.recordMissedPoll(endpoint, false))),
+      new Rule("set the timer", () -> nextDueAt().isBefore(timerAt), this::setTimer),
+    };
+  }
+
+  private boolean isDue(Moment at) {
+    return !context.now().isBefore(at);
+  }
+
+  private void applyRules() {
+    int next = 0;
+    while (next < rules.length) {
+      if (rules[next].applies().getAsBoolean()) {
+        rules[next].action().run();
+        next = 0;
+      } else {
+        next++;
+      }
+    }
+  }
 
-  private final Set<Endpoint> gone = new LinkedHashSet<>();
-  private Statement[] statements = new Statement[256];
-  private final List<Statement> open = new ArrayList<>();
-  private final ArrayDeque<Statement> unplaced = new ArrayDeque<>();
-  private final ArrayDeque<ReplicaGroup> changed = new ArrayDeque<>();
-  private double usualLatencyStrain = 0.25;
-  private double connectionSetupMicros;
-  private final DecayingValue connectionScarcity = new DecayingValue();
-  private final SessionWrites sessions = new SessionWrites(SESSIONS);
-  private final HoldBudget holds;
+  private void evaluate(ReplicaGroup group) {
+    endpoints.primaries.evaluate(group);
+    statements.dispatcher.release(group);
+    endpoints.primaries.continueSearch(group);
+  }
 
-  Moment now;
-  private Moment watchDue;
-  private Moment askedAt = Moment.NEVER;
-  private Span watchBackoff = FIRST_BACKOFF;
-  private Moment scanDue = Moment.NEVER;
-  private Moment changeDue = Moment.NEVER;
-  private Moment wakeAt = Moment.NEVER;
-  private int listing;
+  private void statementFinished(ReplicaGroup group) {
+    endpoints.table.removeIfUnused(group);
+    endpoints.subsets.narrowIfUnneeded(group);
+  }
 
-  private final Rule[] rules;
+  private Moment nextDueAt() {
+    return listWatch
+        .nextCallAt()
+        .earlier(statements.openStatements.nextScanAt())
+        .earlier(endpoints.polls.nextAt())
+        .earlier(endpoints.primaries.nextSwitchoverStepAt());
+  }
 
-  /** What was learned, told and taken in. */
-  public final LearnedStateTransfer learnedState = new LearnedStateTransfer(this);
+  private void setTimer() {
+    timerAt = nextDueAt();
+    context.sink().wake(timerAt.since(context.now()));
+  }
 
-  public LoadBalancer(
-      DecisionSink outbound,
-      SplittableRandom chance,
-      Settings agreed,
-      HoldBudget holds,
-      Moment start) {
-    this.outbound = outbound;
-    this.chance = chance;
-    this.holds = holds;
-    context = new DecisionContext(outbound, chance, agreed, start);
-    serviceTimes = new ServiceTimes(agreed.workloads());
-    subsets = new GroupSubsets(context);
-    table = new EndpointTable(context, holds);
-    slowStart = new SlowStart(context, serviceTimes, subsets, table);
-    polls = new PollScheduler(context, subsets);
-    groupPolling = new GroupPolling(context, table, subsets, polls);
-    rules =
-        new Rule[] {
-          new Rule("ask for the list", () -> !now.isBefore(watchDue), this::askForList),
-          new Rule(
-              "go on with planned changes", () -> !now.isBefore(changeDue), this::goOnWithChanges),
-          new Rule(
-              "judge a group that changed",
-              () -> !changed.isEmpty(),
-              () -> evaluate(changed.poll())),
-          new Rule("place a statement", () -> !unplaced.isEmpty(), () -> dispatch(unplaced.poll())),
-          new Rule("look over what is open", () -> !now.isBefore(scanDue), this::scan),
-          new Rule(
-              "poll who is due",
-              () -> !now.isBefore(polls.nextAt()),
-              () -> polls.sendDue(node -> pollMissed(node, false))),
-          new Rule("ask to be woken", () -> nextWake().isBefore(wakeAt), this::wake),
-        };
-    agree(start, agreed);
-    watchDue = agreed.drains().askedFor() ? now : Moment.NEVER;
+  /** What was learned, to be stored and restored. */
+  public LearnedStateTransfer learnedState() {
+    return learnedState;
   }
 
   /**
-   * From now on these hold instead of those before; workloads keep their places, new ones come
-   * behind. What was taken keeps its terms, and of more executions than may be out the first goes
-   * on.
+   * From now on these settings hold. Workloads keep their places, new ones come behind them.
+   * Statements that have arrived keep their terms.
    */
-  public void agree(Moment at, Settings by) {
-    advanceTo(at);
-    agreed = by;
-    context.applySettings(at, by);
-    serviceTimes.applySettings(by.workloads());
-    polls.applySettings();
-    for (Statement statement : open) {
-      if (statement.attemptsInFlight() > 1 && !agreed.allowance().secondCopies()) {
-        cancelAttempts(statement, statement.firstInFlight() + 1);
-      }
+  public void agree(Moment at, Settings settings) {
+    context.applySettings(at, settings);
+    endpoints.serviceTimes.applySettings(settings.workloads());
+    endpoints.polls.applySettings();
+    if (!settings.allowance().secondCopies()) {
+      statements.openStatements.cancelHedgedRequests();
     }
-    // A member may be bound, or free, by the new rules; each is asked at once.
-    table.endpoints().stream()
-        .filter(Objects::nonNull)
-        .forEach(node -> relist(node, node.lifecycle()));
-    groupPolling.pollRelisted();
-  }
-
-  void advanceTo(Moment at) {
-    now = at;
-    context.advanceTo(at);
+    listing.applySettings();
   }
 
+  /** An endpoint list begins. */
   public void listStarted() {
-    listing++;
+    listing.startList();
   }
 
+  /** The list names an endpoint. */
   public void endpointListed(
       Moment at,
       int id,
@@ -195,1298 +155,167 @@
       int zone,
       double size,
       Moment startedAt) {
-    advanceTo(at);
-    // All routers together start out on a node: what one may have out there is split by their
-    // number.
-    double room = Math.max(1, FIRST_ROOM / agreed.standing().routers());
-    Endpoint node = table.endpoint(id);
-    if (node == null) {
-      node = new Endpoint(id, room);
-      table.add(node);
-    }
-    ReplicaGroup home = table.group(group);
-    if (node.group() != home) {
-      if (node.group() != null) {
-        losePrimary(node);
-        leaveGroup(node);
-      }
-      node.assignTo(home);
-      home.addMember(node);
-    }
-    node.updateListing(zone, size > 0 && size < 1e9 ? size : 1, startedAt, listing);
-    node.setWasDraining(
-        state == EndpointLifecycle.DRAINING
-            || (node.wasDraining() && state == EndpointLifecycle.GONE));
-    slowStart.recordStart(node, startedAt);
-    relist(node, state);
-  }
-
-  private void leaveGroup(Endpoint node) {
-    node.group().removeMember(node);
+    context.advanceTo(at);
+    listing.recordEntry(id, state, group, zone, size, startedAt);
   }
 
-  /** A figure of the node that is the same at all routers and tells nothing of it. */
-  public void ringOrderKnown(int id, int rank) {
-    table.endpoint(id).setRingOrder(rank);
-    table.endpoint(id).group().subset().markStale();
+  /** An endpoint's place in an order that is the same at all routers. */
+  public void ringOrderKnown(int id, int order) {
+    Endpoint endpoint = endpoints.table.endpoint(id);
+    endpoint.setRingOrder(order);
+    endpoint.group().subset().markStale();
   }
 
-  public void listFinished(Moment at, boolean complete, boolean answered) {
-    advanceTo(at);
-    for (int i = 0; complete && i < table.endpoints().size(); i++) {
-      Endpoint node = table.endpoint(i);
-      if (node != null
-          && node.listGeneration() != listing
-          && node.lifecycle() != EndpointLifecycle.GONE) {
-        relist(node, EndpointLifecycle.GONE);
-      }
-    }
-    forgetGone();
-    groupPolling.chooseGroups();
-    groupPolling.pollRelisted();
-    if (answered) {
-      watchDue = askedAt = Moment.NEVER;
-      watchBackoff = FIRST_BACKOFF;
+  /** The list ends; it is complete where endpoints that it does not name are gone. */
+  public void listFinished(Moment at, boolean complete, boolean answersCall) {
+    context.advanceTo(at);
+    listing.finishList(complete);
+    if (answersCall) {
+      listWatch.recordAnswer();
     }
-    settle();
+    applyRules();
   }
 
-  private void forgetGone() {
-    List<Endpoint> over = new ArrayList<>();
-    gone.removeIf(
-        node -> node.lifecycle() != EndpointLifecycle.GONE || (isOver(node) && over.add(node)));
-    over.sort(Comparator.comparingInt(node -> node.id()));
-    for (Endpoint node : over) {
-      table.remove(node);
-      leaveGroup(node);
-      polls.remove(node);
-      outbound.forget(node.id());
-    }
+  /** A call for the list failed. */
+  public void listCallFailed(Moment at) {
+    context.advanceTo(at);
+    listWatch.recordFailure();
+    applyRules();
   }
 
-  /** Positions that are known were dated by a clock that was wrong: each has to be proven anew. */
+  /** Positions known so far were dated by a wrong clock: each has to be proven anew. */
   public void forgetPositions(Moment at) {
-    advanceTo(at);
-    for (Endpoint node : table.endpoints()) {
-      if (node != null) {
-        node.replication().forgetPosition();
+    context.advanceTo(at);
+    for (Endpoint endpoint : endpoints.table.endpoints()) {
+      if (endpoint != null) {
+        endpoint.replication().forgetPosition();
       }
     }
   }
 
-  /**
-   * The notice does not tell whether the watch still stands, so it is asked for anew in any case.
-   */
-  public void listCallFailed(Moment at) {
-    advanceTo(at);
-    if (agreed.drains().askedFor()) {
-      // Some calls may fail within the 6 s in which news must be heard: pauses count from their
-      // start.
-      watchDue =
-          now.earlier(askedAt).plus(watchBackoff.times(0.5 + chance.nextDouble())).later(now);
-      watchBackoff =
-          watchBackoff.times(2).shorter(SECOND).shorter(agreed.drains().mustAskIn().times(0.25));
-    }
-    settle();
+  /** Reports to on-call how much of the list is polled regularly, where that has changed. */
+  public void reportPolledGroups() {
+    endpoints.groupPolling.report();
   }
 
-  /**
-   * The session is 0 where there is none; committed is its last write where statements carry it.
-   */
-  public void statementReceived(
-      Moment at,
-      int id,
-      int workload,
-      int group,
-      long session,
-      Moment clientLeaves,
-      Moment committed,
-      int bytes) {
-    advanceTo(at);
-    Workload terms = agreed.workloads()[workload];
-    Moment mustSee =
-        switch (terms.needs()) {
-          case FRESH -> now;
-          case SESSION ->
-              agreed.replication().sessionsCarryTokens() ? committed : sessions.lastWrite(session);
-          default -> Moment.LONG_AGO;
-        };
+  /** A client has sent a statement. */
+  public void statementReceived(Moment at, int id, StatementRequest request) {
+    context.advanceTo(at);
+    Workload workload = context.settings().workloads()[request.workload()];
     Statement statement =
         new Statement(
             id,
-            new StatementArrival(workload, terms, session, now, clientLeaves, mustSee, bytes),
-            table.group(group),
-            agreed.allowance().executions(),
-            chance.nextDouble());
-    statements = id < statements.length ? statements : Arrays.copyOf(statements, 2 * id);
-    statements[id] = statement;
-    open.add(statement);
-    groupPolling.statementArrived(statement.group());
-    scanDue = scanDue.earlier(now.plus(Timing.SCAN_INTERVAL));
-    unplaced.add(statement);
-    settle();
-  }
-
+            new StatementArrival(
+                request.workload(),
+                workload,
+                request.session(),
+                at,
+                request.clientDeadline(),
+                endpoints.freshness.requiredPosition(
+                    workload, request.session(), request.committed()),
+                request.textBytes()),
+            endpoints.table.group(request.group()),
+            context.settings().allowance().executions(),
+            context.random().nextDouble());
+    statements.openStatements.add(statement);
+    endpoints.groupPolling.statementArrived(statement.group());
+    statements.openStatements.scheduleScan();
+    statements.dispatcher.add(statement);
+    applyRules();
+  }
+
+  /** Whether the statement must see all commits up to its arrival. */
   public boolean needsFresh(int id) {
-    return statements[id].workload().needs() == ReadConsistency.FRESH;
+    return statements.openStatements.statement(id).workload().needs() == ReadConsistency.FRESH;
   }
 
-  /** Reports to on-call how much of the list is polled regularly, where that has changed. */
-  public void reportPolledGroups() {
-    groupPolling.report();
-  }
-
-  /** False where no such execution is out. */
+  /** An attempt ended, with the final answer or without; false where it was not in flight. */
   public boolean attemptEnded(
       Moment at,
       int id,
-      int execution,
-      AttemptOutcome ending,
+      int attempt,
+      AttemptOutcome outcome,
       Role role,
       Moment position,
       boolean answered) {
-    advanceTo(at);
-    Statement statement = statements[id];
-    if (statement == null
-        || execution >= statement.attempts()
-        || !statement.isInFlight(execution)) {
+    context.advanceTo(at);
+    Statement statement = statements.openStatements.statement(id);
+    if (statement == null || attempt >= statement.attempts() || !statement.isInFlight(attempt)) {
       return false;
     }
-    Endpoint node = statement.endpoint(execution);
-    Moment sent = statement.sentAt(execution);
-    statement.endAttempt(execution);
-    node.load().attemptEnded();
-    if (ending.answered) {
-      node.load().connectionIsIdle(now);
-      connectionScarcity.move(
-          now, REMEMBERED, statement.openedConnection(execution) ? LEARN : 0, 0);
-    } else if (ending == AttemptOutcome.NO_CONNECTION
-        && now.since(sent).isShorterThan(PollScheduler.MIN_INTERVAL)) {
-      node.load().recordRefusedConnection(now);
-    }
-    if (connectionScarcity.at(now, REMEMBERED) > 0.2
-        && node.load().inFlight() == 0
-        && node.load().idleConnections() > 0) {
-      // Hundreds of routers that keep idle connections shut each other out of nodes that could
-      // serve.
-      node.load().closeIdleConnections();
-      outbound.letGo(node.id());
-    }
-    if (statement.openedConnection(execution)
-        && (ending == AttemptOutcome.COMPLETED || !ending.answered)) {
-      connectionSetupMicros +=
-          LEARN
-              * (now.since(sent).micros()
-                  - serviceTimes.typicalMicros(statement.workloadIndex())
-                  - connectionSetupMicros);
-    }
-    learnHealth(node, statement, ending, now.since(sent));
-    learnRole(node, statement, ending, role, sent);
-    learnPosition(node, statement, ending, position);
-    if (!ending.provesNotRun) {
-      statement.recordPossibleRun(sent);
-    }
-    if (ending == AttemptOutcome.MISS) {
-      statement.recordStaleAnswer();
-    }
-    judgeError(statement, execution, ending);
-    if (!statement.workload().onlyPrimary()
-        && (ending == AttemptOutcome.MISS || ending == AttemptOutcome.COMPLETED)) {
-      Span allowed = statement.allowedLag(sent);
-      observeLag(
-          node,
-          ending == AttemptOutcome.MISS
-              ? allowed.times(2).longer(estimatedLag(node))
-              : allowed.shorter(estimatedLag(node)));
-    }
+    statements.attemptResults.record(statement, attempt, outcome, role, position);
     if (answered && !statement.isFinished()) {
-      finish(statement);
+      statements.answers.finish(statement);
     }
-    if (!statement.isFinished() && statement.attemptsInFlight() == 0 && !statement.isQueued()) {
-      unplaced.add(statement);
+    if (needsAttempt(statement)) {
+      statements.dispatcher.add(statement);
     }
-    if (!node.group().waitingReads().isEmpty() || !node.group().held().isEmpty()) {
-      evaluateLater(node.group());
+    ReplicaGroup group = statement.endpoint(attempt).group();
+    if (!group.waitingReads().isEmpty() || !group.held().isEmpty()) {
+      endpoints.evaluations.add(group);
     }
-    settle();
+    applyRules();
     return true;
   }
 
-  /**
-   * Share of its cores that is busy, and statements that wait: not a number where a report lacks
-   * them.
-   */
+  private static boolean needsAttempt(Statement statement) {
+    return !statement.isFinished() && statement.attemptsInFlight() == 0 && !statement.isQueued();
+  }
+
+  /** A poll ended; utilization and queue length are not numbers where the report lacks them. */
   public void pollEnded(
       Moment at,
       int id,
-      AttemptOutcome ending,
+      AttemptOutcome outcome,
       Role role,
       Moment position,
-      double util,
-      double queue) {
-    advanceTo(at);
-    Endpoint node = table.endpoint(id);
-    node.polling().pollEnded();
-    if (ending == AttemptOutcome.NO_DESCRIPTOR) {
-      // Nothing is known of the node by it: asked again when the next poll would be due.
-      node.polling()
-          .scheduleAt(
-              polls.isPolledRegularly(node)
-                  ? now.plus(polls.interval(node).longer(SECOND))
-                  : Moment.NEVER);
-    } else if (ending == AttemptOutcome.COMPLETED) {
-      markUp(node);
-      // Whoever has statements waiting has no core to spare; how many cores it has is not told.
-      node.load()
-          .recordReport(
-              util >= 0,
-              util >= 0 && util <= 2
-                  ? Math.min(1, util)
-                  : queue >= 0 ? queue < 0.5 ? UNTOLD_UTIL : 1 : node.load().cpuUtilization());
-      Span reportAge = node.group().maxReportAge();
-      boolean sane = position.isAfter(Moment.LONG_AGO) && !position.isAfter(now);
-      if (sane) {
-        node.replication().recordPosition(position);
-        observeLag(node, now.since(position).minus(reportAge));
-      }
-      if (role == Role.PRIMARY) {
-        // A primary stands at the present, so the position in its report dates the claim.
-        reportedPrimary(node, sane ? position : node.polling().sentAt());
-        Span age = sane ? now.since(position).shorter(PollScheduler.MAX_INTERVAL) : reportAge;
-        node.group().setMaxReportAge(reportAge.times(0.9).longer(age));
-      } else if (role == Role.REPLICA) {
-        // The report may be older than an answer that said primary.
-        node.roles().recordNotPrimary(node.polling().sentAt().minus(reportAge));
-        node.roles().clearReplaced();
-      }
-    } else if (ending == AttemptOutcome.FULL) {
-      // Too many ask it at once: no sign of a loss, but one to ask less.
-      node.health().recordAnswer();
-      node.group().recordAnswer();
-      node.polling()
-          .scheduleAt(
-              now.plus(
-                  polls
-                      .interval(node)
-                      .longer(PollScheduler.HOLD_INTERVAL)
-                      .times(1 + chance.nextDouble())));
+      double utilization,
+      double queueLength) {
+    context.advanceTo(at);
+    Endpoint endpoint = endpoints.table.endpoint(id);
+    if (outcome == AttemptOutcome.COMPLETED) {
+      endpoints.pollResults.recordReport(endpoint, role, position, utilization, queueLength);
     } else {
-      pollMissed(node, ending == AttemptOutcome.NO_CONNECTION || ending == AttemptOutcome.RESET);
+      endpoints.pollResults.recordFailure(endpoint, outcome);
     }
-    polls.update(node);
-    evaluateLater(node.group());
-    settle();
+    endpoints.evaluations.add(endpoint.group());
+    applyRules();
   }
 
+  /** A client waits no longer and needs no answer. */
   public void clientDisconnected(Moment at, int id) {
-    advanceTo(at);
-    Statement statement = statements[id];
+    context.advanceTo(at);
+    Statement statement = statements.openStatements.statement(id);
     if (statement != null && !statement.isFinished()) {
-      finish(statement);
+      statements.answers.finish(statement);
     }
-    settle();
+    applyRules();
   }
 
-  /** Its client waits no longer: refused where that is proven to be harmless, else it failed. */
+  /** A client's deadline is over: the statement is rejected where that is harmless, or aborted. */
   public void deadlinePassed(Moment at, int id) {
-    advanceTo(at);
-    Statement statement = statements[id];
+    context.advanceTo(at);
+    Statement statement = statements.openStatements.statement(id);
     if (statement != null && !statement.isFinished()) {
-      giveUp(statement, false, RejectReason.OVERDUE);
+      statements.answers.giveUp(statement, false, RejectReason.OVERDUE);
     }
-    settle();
+    applyRules();
   }
 
+  /** The timer fired, or time has passed. */
   public void timerFired(Moment at) {
-    advanceTo(at);
-    wakeAt = now.isBefore(wakeAt) ? wakeAt : Moment.NEVER;
-    settle();
-  }
-
-  private void settle() {
-    for (int i = 0; i < rules.length; ) {
-      if (rules[i].when().getAsBoolean()) {
-        rules[i].then().run();
-        i = 0;
-      } else {
-        i++;
-      }
-    }
-  }
-
-  // ---- The member list.
-
-  private void askForList() {
-    outbound.watch();
-    askedAt = now;
-    watchDue = now.plus(agreed.drains().mustAskIn().times(0.5));
-  }
-
-  void relist(Endpoint node, EndpointLifecycle state) {
-    node.setLifecycle(state);
-    node.group().subset().markStale();
-    groupPolling.endpointRelisted(node);
-    if (state == EndpointLifecycle.GONE) {
-      gone.add(node);
-    }
-    if (!context.isListedForUse(node)) {
-      losePrimary(node);
-    }
-    evaluateLater(node.group());
-  }
-
-  // Kept for all time, each choice would go through all there ever were; till then it may be listed
-  // again.
-  private boolean isOver(Endpoint node) {
-    return node.lifecycle() == EndpointLifecycle.GONE
-        && !context.isListedForUse(node)
-        && node.load().inFlight() == 0
-        && slowStart.warmUpShare(node) >= 1
-        && now.since(node.polling().sentAt()).isLongerThan(REMEMBERED);
-  }
-
-  // ---- The phases of a group: who is primary, and the hold.
-
-  private void evaluateLater(ReplicaGroup group) {
-    if (!group.isEvaluationPending()) {
-      group.setEvaluationPending(true);
-      changed.add(group);
-    }
-  }
-
-  /**
-   * A sign that the primary is lost: what needs one is held from here on, and asks every member.
-   */
-  private void losePrimary(Endpoint node) {
-    ReplicaGroup group = node.group();
-    if (group.primary() != node) {
-      return;
-    }
-    group.losePrimary(now);
-    outbound.primary(group.number(), node.id(), false);
-    evaluateLater(group);
-  }
-
-  // Everyone is asked at once, then ever more rarely where the router has little traffic to pay for
-  // it. A
-  // router for which nothing waits asks nobody: it finds the primary in a round trip once something
-  // does.
-  private void askAround(ReplicaGroup group) {
-    if (!group.isPolledRegularly() || group.members().size() > ReplicaSubset.LEAST) {
-      search(group);
-      return;
-    }
-    for (Endpoint member : group.members()) {
-      polls.pollWithin(
-          member,
-          now.since(group.holdSince())
-              .shorter(polls.interval(member).times(0.5))
-              .shorter(SECOND)
-              .longer(PollScheduler.HOLD_INTERVAL));
-    }
-  }
-
-  /**
-   * A few members at a time, where polling all of them would cost more than the traffic of the
-   * group.
-   */
-  private void search(ReplicaGroup group) {
-    Span pause = now.since(group.holdSince()).shorter(SECOND).longer(PollScheduler.HOLD_INTERVAL);
-    PrimarySearch.next(
-            group, now, pause, subsets.startPosition(group.members().size()), this::mayBePrimary)
-        .forEach(node -> polls.pollWithin(node, PollScheduler.HOLD_INTERVAL));
-  }
-
-  /** One that has just said that it is none need not be asked, but while its group elects. */
-  private boolean mayBePrimary(Endpoint node) {
-    boolean denied =
-        node.roles().lastNotPrimaryReportAt().isAfter(node.roles().lastPrimaryReportAt())
-            && now.since(node.roles().lastNotPrimaryReportAt()).isShorterThan(REMEMBERED);
-    return context.isListedForUse(node)
-        && !(denied && node.group().lostPrimary() == null && node.group().search().rounds() == 0);
-  }
-
-  private void reportedPrimary(Endpoint node, Moment at) {
-    if (!node.roles().lastPrimaryReportAt().isAfter(Moment.LONG_AGO)) {
-      node.group().addPrimaryReporter(node);
-    }
-    node.roles().recordPrimary(at);
-  }
-
-  private void evaluate(ReplicaGroup group) {
-    if (group.primary() != null
-        && group
-            .primary()
-            .roles()
-            .lastNotPrimaryReportAt()
-            .isAfter(group.primary().roles().lastPrimaryReportAt())) {
-      losePrimary(group.primary());
-    }
-    followSwitchover(group);
-    group.setEvaluationPending(false);
-    Endpoint claimant = null;
-    for (Endpoint member :
-        group.members().size() > ReplicaSubset.LEAST ? group.primaryReporters() : group.members()) {
-      boolean fresh =
-          member.roles().lastPrimaryReportAt().isAfter(member.roles().lastNotPrimaryReportAt())
-              && (member != group.lostPrimary()
-                  || member.roles().lastPrimaryReportAt().isAfter(group.holdSince()));
-      // A group without reads has no other trial than a write: the silence would never be seen to
-      // end.
-      boolean heard =
-          !member.health().isSilent()
-              || now.since(member.health().silentSince()).isLongerThan(FORGIVEN);
-      // One that was replaced and comes back goes on claiming: no proof while its successor stands.
-      boolean past =
-          (member.roles().isReplaced() && group.primary() != null)
-              || group.switchover().excludes(member.id());
-      if (fresh
-          && context.isListedForUse(member)
-          && !member.health().isDown()
-          && heard
-          && !past
-          && (claimant == null
-              || member
-                  .roles()
-                  .lastPrimaryReportAt()
-                  .isAfter(claimant.roles().lastPrimaryReportAt()))) {
-        claimant = member;
-      }
-    }
-    if ((group.phase() == Phase.HOLD && claimant != null)
-        || (group.primary() != null
-            && claimant != null
-            && claimant != group.primary()
-            && claimant
-                .roles()
-                .lastPrimaryReportAt()
-                .since(group.primary().roles().lastPrimaryReportAt())
-                .isLongerThan(FIRST_REPORT_AGE))) {
-      group.setPrimary(claimant, now);
-      outbound.primary(group.number(), claimant.id(), true);
-    }
-    // In order, as far as the primary has room: the rest stays where it is.
-    for (Statement top = group.held().first();
-        top != null && (isOverdue(top) || primaryFor(top) != null);
-        top = group.held().first()) {
-      takeOut(top);
-      dispatch(top);
-    }
-    List<Statement> due = new ArrayList<>(group.waitingReads().size());
-    while (!group.waitingReads().isEmpty()) {
-      due.add(group.waitingReads().poll());
-    }
-    for (Statement statement : due) {
-      statement.setQueued(false);
-      dispatch(statement);
-    }
-    if (group.phase() == Phase.HOLD
-        && !group.held().isEmpty()
-        && (!group.isPolledRegularly() || group.members().size() > ReplicaSubset.LEAST)) {
-      search(group);
-    }
-  }
-
-  private void takeOut(Statement held) {
-    held.setQueued(false);
-    held.group().held().remove(held);
+    context.advanceTo(at);
+    timerAt = at.isBefore(timerAt) ? timerAt : Moment.NEVER;
+    applyRules();
   }
 
-  /** A member's word on a planned change of its group's primary; false where it changes nothing. */
+  /** A member announces a planned switchover of its group; false where that changes nothing. */
   public boolean switchoverAnnounced(
-      Moment at, int member, long number, int target, Moment from, boolean off) {
-    advanceTo(at);
-    ReplicaGroup group = table.endpoint(member).group();
-    int named = table.endpoint(target).group() == group ? target : PlannedSwitchover.UNKNOWN_MEMBER;
-    boolean told = group.switchover().announced(now, number, named, from, off);
-    evaluateLater(group);
-    settle();
-    return told;
-  }
-
-  private void goOnWithChanges() {
-    changeDue = Moment.NEVER;
-    table.groups().forEach(this::evaluateLater);
-  }
-
-  // Its phases are in Change; what they mean for the hold, polls and connections is here.
-  private void followSwitchover(ReplicaGroup group) {
-    PlannedSwitchover change = group.switchover();
-    Endpoint target = table.endpoint(change.target());
-    change.advance(
-        now,
-        group.primary() == null ? PlannedSwitchover.UNKNOWN_MEMBER : group.primary().id(),
-        target != null
-            && target.group() == group
-            && context.isListedForUse(target)
-            && !target.health().isDown());
-    changeDue = changeDue.earlier(change.nextStepAt());
-    if (group.primary() != null && change.excludes(group.primary().id())) {
-      losePrimary(group.primary());
-    } else if (change.phase() == PlannedSwitchover.Phase.PREPARATION && group.primary() != null) {
-      // A cold one bears no more than one at a time.
-      outbound.prepare(
-          target.id(),
-          slowStart.warmUpShare(target) < 1
-              ? 1
-              : Math.min(
-                  MOST_PREPARED,
-                  group.primary().load().inFlight() + group.primary().load().idleConnections()));
-    }
-    if (change.needsFrequentPolls()) {
-      subsets
-          .membersInUse(group)
-          .forEach(member -> polls.pollWithin(member, PollScheduler.HOLD_INTERVAL));
-      if (target != null && target.group() == group) {
-        polls.pollWithin(target, PollScheduler.HOLD_INTERVAL);
-      }
-    }
-  }
-
-  // ---- Placing a statement.
-
-  private void dispatch(Statement statement) {
-    if (statement.isFinished()) {
-      return;
-    }
-    ReplicaGroup group = statement.group();
-    RejectReason refusal = refusal(statement);
-    if (refusal != null) {
-      if (statement.attemptsInFlight() == 0) {
-        giveUp(
-            statement,
-            group.phase() == Phase.HOLD
-                && statement.workload().onlyPrimary()
-                && mayTryElsewhere(statement),
-            refusal);
-      }
-      return;
-    }
-    Endpoint node =
-        statement.workload().onlyPrimary() ? primaryFor(statement) : readerFor(statement);
-    if (node != null) {
-      execute(statement, node);
-    } else if (statement.attemptsInFlight() == 0) {
-      statement.setQueued(true);
-      if (statement.workload().onlyPrimary()) {
-        group.held().add(statement);
-        for (Statement over = holds.nextToReject(group.held(), statement.workloadIndex());
-            over != null;
-            over = holds.nextToReject(group.held(), statement.workloadIndex())) {
-          takeOut(over);
-          giveUp(over, false, RejectReason.HOLD_FULL);
-        }
-      } else {
-        group.waitingReads().add(statement);
-      }
-      if (group.phase() == Phase.HOLD) {
-        askAround(group);
-      }
-    }
-  }
-
-  /** Why the statement is not sent now or later; null where it may be. */
-  private RejectReason refusal(Statement statement) {
-    if (isOverdue(statement)) {
-      return RejectReason.OVERDUE;
-    }
-    if (!mayRunAgain(statement, statement.attemptsInFlight())
-        || statement.unexplainedErrors() > 1) {
-      return RejectReason.NO_ATTEMPT_LEFT;
-    }
-    DecayingValue jam =
-        statement.workload().onlyPrimary()
-            ? statement.group().primaryCongestion()
-            : statement.group().replicaCongestion();
-    return isShed(statement, jam) ? RejectReason.SHED : null;
-  }
-
-  // Where busy nodes answer late, more only keeps it so: the more of a group's reads were late, the
-  // more it
-  // sheds, the less important first. The primary counts apart, or its jam kept reads off idle
-  // replicas.
-  private boolean isShed(Statement statement, DecayingValue jam) {
-    double share = context.priorityShare(statement.workload());
-    double sent = (TOLERATED + share / 4) * Math.pow(1 - jam.at(now, REMEMBERED), 3);
-    return statement.attempts() == 0
-        && statement.workload().needs() != ReadConsistency.WRITE
-        && chance.nextDouble() < Math.min(MOST_SHED, 1 - sent);
-  }
-
-  private Endpoint primaryFor(Statement statement) {
-    Endpoint primary = statement.group().primary();
-    if (primary == null || !isUsable(primary, statement)) {
-      return null;
-    }
-    if (statement.workload().onlyPrimary()) {
-      return hasCapacity(primary, 1) ? primary : null;
-    }
-    ReplicaGroup group = statement.group();
-    boolean outranked =
-        !group.held().isEmpty()
-            || (!group.waitingReads().isEmpty()
-                && StatementOrder.BY_PRIORITY.compare(group.waitingReads().peek(), statement) < 0);
-    // Hundreds of routers, each with room for one, would leave it none for what only it may take.
-    if (now.since(primary.polling().sentAt()).isLongerThan(TRIAL)) {
-      polls.pollNow(primary);
-    }
-    boolean told =
-        (!primary.polling().isInFlight() && now.isBefore(primary.polling().nextPollAt()))
-            || !agreed.allowance().polls();
-    boolean spare =
-        told && statement.randomShare() < EAGER * (FULLY_BUSY - primary.load().cpuUtilization());
-    return spare && hasCapacity(primary, 1 - FOR_WRITES) && !outranked ? primary : null;
-  }
-
-  // Less busy of two replicas proven new enough; else of two that check and were new enough when
-  // last seen;
-  // else the one that was least behind; else the primary. One that loses what it is given comes
-  // last: a
-  // path may be bad for this router alone while the node serves the others and answers polls.
-  private Endpoint readerFor(Statement statement) {
-    ReplicaGroup group = statement.group();
-    Span allowed = statement.allowedLag(now);
-    boolean checks = agreed.replication().replicasCheck() && statement.staleAnswers() < 2;
-    Endpoint first = null;
-    Endpoint second = null;
-    Endpoint advanced = null;
-    boolean fits = false;
-    int out = 0;
-    int best = 16;
-    int seen = 0;
-    Endpoint burdened = longReadReplica(statement);
-    if (burdened != null
-        && statement.workload().needs() == ReadConsistency.ANY
-        && isLongRunning(statement.workloadIndex())) {
-      return burdened;
-    }
-    for (Endpoint member : subsets.candidates(group)) {
-      if (member.health().isDown() && !group.isPolledRegularly()) {
-        // Polled by nobody else: whether it is back is asked when it is missed.
-        polls.pollWithin(member, polls.backoff(member));
-      }
-      if (member == group.primary()
-          || statement.wasSentTo(member)
-          || !isUsable(member, statement)) {
-        continue;
-      }
-      out += member.load().inFlight();
-      boolean proven = !now.since(member.replication().provenPosition()).isLongerThan(allowed);
-      if (!proven && !(checks && !estimatedLag(member).isLongerThan(allowed))) {
-        advanced =
-            advanced == null || estimatedLag(member).isShorterThan(estimatedLag(advanced))
-                ? member
-                : advanced;
-        continue;
-      }
-      fits = true;
-      int tier =
-          (avoidsNewConnection(member) || (!group.isPolledRegularly() && !isConnected(member))
-                  ? 1
-                  : 0)
-              + (proven ? 0 : 2)
-              + (member == burdened ? 4 : 0)
-              + (failureRate(member) < FAILING ? 0 : 8);
-      // A cold one is drawn as often as it is warm: by busyness a light router would never choose
-      // it.
-      if (!hasCapacity(member, 1)
-          || tier > best
-          || chance.nextDouble() >= slowStart.warmUpShare(member)) {
-        continue;
-      }
-      seen = tier < best ? 1 : seen + 1;
-      best = tier;
-      int slot = seen < 3 ? seen - 1 : chance.nextInt(seen);
-      first = slot == 0 ? member : first;
-      second = seen == 1 ? null : slot == 1 ? member : second;
-    }
-    if (first != null
-        && avoidsNewConnection(first)
-        && out > 0
-        && now.since(statement.receivedAt())
-            .isShorterThan(statement.workload().slo().times(0.8 * PATIENCE))) {
-      // One of its connections will be free before a new one would stand.
-      return null;
-    }
-    if (first != null) {
-      // Without a little chance all routers would break their ties alike, towards the first listed.
-      double slightly = 0.95 + 0.1 * chance.nextDouble();
-      return second == null || loadScore(first) * slightly < loadScore(second) ? first : second;
-    }
-    subsets.widen(group);
-    // Far behind, it would keep the read for a while only to turn it away.
-    if (!fits
-        && checks
-        && advanced != null
-        && !estimatedLag(advanced).isLongerThan(allowed.times(2))) {
-      return hasCapacity(advanced, 1) ? advanced : null;
-    }
-    return primaryFor(statement);
-  }
-
-  /**
-   * What any member may answer, yet takes far longer than most: its node applies no log meanwhile.
-   */
-  private boolean isLongRunning(int workload) {
-    return agreed.workloads()[workload].needs() == ReadConsistency.ANY
-        && serviceTimes.typicalMicros(workload) > LONG * serviceTimes.overallMicros();
-  }
-
-  // Spread out, long statements would keep every replica of a group from applying the log. All
-  // routers know
-  // the same order of its members, so they agree without a word on who bears them: the first that
-  // is not
-  // crowded, out of the first half.
-  private Endpoint longReadReplica(Statement statement) {
-    Endpoint primary = statement.group().primary();
-    List<Endpoint> able = List.of();
-    for (int kind = 0; kind < serviceTimes.workloads() && able.isEmpty(); kind++) {
-      able =
-          !isLongRunning(kind)
-              ? able
-              : subsets.membersInUse(statement.group()).stream()
-                  .filter(
-                      member ->
-                          member != primary
-                              && isUsable(member, statement)
-                              && failureRate(member) < FAILING)
-                  .sorted(BY_RANK)
-                  .toList();
-    }
-    Endpoint bears = null;
-    for (Endpoint member : able.subList(0, Math.max(Math.min(1, able.size()), able.size() / 2))) {
-      if (!statement.wasSentTo(member)
-          && (bears == null
-              || (latencyStrain(bears) > usualLatencyStrain + CROWDED
-                  && latencyStrain(member) < latencyStrain(bears)))) {
-        bears = member;
-      }
-    }
-    return bears;
-  }
-
-  // How far behind a replica was when last seen, fading: no proof, but it tells which to ask where
-  // its own
-  // check keeps a stale answer back. Less the age of reports, or late ones make all look equally
-  // behind.
-  Span estimatedLag(Endpoint node) {
-    return node.replication().estimatedLag(now);
-  }
-
-  void observeLag(Endpoint node, Span lag) {
-    node.replication().observeLag(now, lag);
-  }
-
-  private boolean isUsable(Endpoint node, Statement statement) {
-    boolean onTrial =
-        node.load().inFlight() == 0
-            && !now.since(node.health().silentSince().later(node.health().lastTrialAt()))
-                .isShorterThan(TRIAL.times(1 << node.health().silenceTrials()));
-    // A list may name what does not exist: who never said a word gets nothing where another member
-    // did.
-    return context.isListedForUse(node)
-        && !node.health().isDown()
-        && (node.health().hasAnswered() || !node.group().hasAnswered() || !node.wasContacted())
-        && !now.isBefore(node.health().backoffUntil())
-        && (!node.health().isSilent() || onTrial)
-        && (slowStart.allows(node, statement));
-  }
-
-  private boolean isConnected(Endpoint node) {
-    return now.since(node.load().lastAnswerAt()).isShorterThan(agreed.connections().idleClose())
-        && agreed.connections().hasRoom(node.load().inFlight(), node.load().idleConnections());
-  }
-
-  /**
-   * Where new connections cost much time, or fail, one that is open is worth more than a choice.
-   */
-  private boolean avoidsNewConnection(Endpoint node) {
-    return !isConnected(node) && connectionSetupMicros > DEAR * serviceTimes.overallMicros();
-  }
-
-  private double loadScore(Endpoint node) {
-    double crossing = agreed.standing().isPricedTo(node.zone()) ? 1.3 : 1;
-    return (node.load().inFlight() + 1)
-        * latencyStrain(node)
-        * (1 + 2 * node.load().cpuUtilization() * node.load().cpuUtilization())
-        * (1 + 10 * failureRate(node))
-        * crossing
-        / node.relativeSize();
-  }
-
-  private void execute(Statement statement, Endpoint node) {
-    Workload terms = statement.workload();
-    Span timeout = Span.NONE;
-    if (terms.lateShare() < 0.5 && terms.repeat() == Idempotency.IDEMPOTENT) {
-      // Even where late is worth a little, a queue of what is late would make all others late.
-      timeout =
-          statement.receivedAt().plus(terms.slo().times(1 + 2 * terms.lateShare())).since(now);
-    }
-    // Where only one may be out, what a node loses is found out early enough to try another: reads
-    // where
-    // it is known to lose some, writes that may run again after twice as long.
-    double usual = serviceTimes.typicalMicros(statement.workloadIndex());
-    boolean write =
-        terms.repeat() == Idempotency.DEDUPLICATED
-            && terms.within() != Workload.DeduplicationScope.ZONE;
-    Span early = new Span((long) (usual * (write ? 2 * UNUSUAL : UNUSUAL)));
-    boolean suspect = node.health().isSilent() || failureRate(node) >= FAILING;
-    if (!agreed.allowance().secondCopies()
-        && (write || (terms.repeat() == Idempotency.IDEMPOTENT && suspect))
-        && now.plus(early)
-            .plus(new Span((long) (LEAST_CHANCE * usual)))
-            .isBefore(statement.receivedAt().plus(terms.slo()))
-        && (!write
-            || statement
-                .mayHaveRunSince()
-                .earlier(now)
-                .plus(terms.window())
-                .isAfter(now.plus(early)))) {
-      timeout = early;
-    }
-    Moment within = write ? statement.mayHaveRunSince().plus(terms.window()) : Moment.NEVER;
-    boolean opens = !isConnected(node);
-    statement.startAttempt(node, now, opens);
-    if (node.health().isSilent()) {
-      // Each trial that fails costs a statement, or an execution: the next one waits twice as long.
-      node.health().recordTrial(now);
-    }
-    node.load().attemptStarted(now, opens);
-    slowStart.chargeAttempt(node, statement);
-    // A connection may have to be opened first: later, no proof covers the bound and no window a
-    // repeat.
-    boolean proven =
-        terms.needs() == ReadConsistency.BOUNDED
-            && !agreed.replication().replicasCheck()
-            && node != statement.group().primary();
-    outbound.execute(
-        statement.id(),
-        node.id(),
-        timeout,
-        proven ? node.replication().provenPosition().plus(terms.bound()) : within);
-  }
-
-  // ---- Further executions and final answers.
-
-  /** How often by importance; whether at all by what an earlier execution may have done. */
-  private boolean mayRunAgain(Statement statement, int stillOut) {
-    int spare = statement.maxAttempts() - 2;
-    double share = context.priorityShare(statement.workload());
-    int most = Math.min(statement.maxAttempts(), 2 + (int) Math.ceil(spare * share));
-    return statement.attempts() < most
-        && switch (statement.workload().repeat()) {
-          case IDEMPOTENT -> stillOut == 0 || agreed.allowance().secondCopies();
-          case NON_IDEMPOTENT -> !statement.mayHaveRun() && statement.attemptsInFlight() == 0;
-          case DEDUPLICATED ->
-              statement.workload().within() != Workload.DeduplicationScope.ZONE
-                  ? (stillOut == 0 || agreed.allowance().secondCopies())
-                      && now.isBefore(
-                          statement.mayHaveRunSince().plus(statement.workload().window()))
-                  : !statement.mayHaveRun() && statement.attemptsInFlight() == 0;
-        };
-  }
-
-  private boolean isOverdue(Statement statement) {
-    Moment end = statement.clientDeadline().minus(agreed.allowance().answerSlack());
-    if (statement.workload().lateShare() <= 0) {
-      end = end.earlier(statement.receivedAt().plus(statement.workload().slo()));
-    }
-    if (statement.attemptsInFlight() == 0) {
-      // Sent with less time than its work takes, it would only load a node that is behind already.
-      // At
-      // most half the SLO time: with nothing admitted the response time would never be seen to
-      // fall.
-      end =
-          end.minus(
-              new Span(
-                      (long) (LEAST_CHANCE * serviceTimes.typicalMicros(statement.workloadIndex())))
-                  .shorter(statement.workload().slo().times(0.5)));
-      Span held = statement.clientDeadline().since(statement.receivedAt()).times(HELD);
-      end = mayTryElsewhere(statement) ? end.earlier(statement.receivedAt().plus(held)) : end;
-      if (statement.group().phase() == Phase.STEADY
-          && statement.workload().needs() != ReadConsistency.WRITE) {
-        // Any longer for room would leave too little of the SLO time for the work itself. What a
-        // node
-        // kept for a while, to turn away or lose it, is past that already, yet has a turn
-        // elsewhere.
-        double share = statement.staleAnswers() > 0 || statement.mayHaveRun() ? 0.75 : PATIENCE;
-        Moment since =
-            statement.workload().onlyPrimary()
-                ? statement.receivedAt().later(statement.group().primaryFoundAt())
-                : statement.receivedAt();
-        end =
-            end.earlier(since.plus(statement.workload().slo().times(share).longer(LEAST_PATIENCE)));
-      }
-    }
-    return !now.isBefore(end);
-  }
-
-  // Held for most of its time with nothing sent, its client would have too little left to try
-  // elsewhere.
-  // Not where a late answer is worth most of one in time: there the end of a hold is waited for.
-  private boolean mayTryElsewhere(Statement statement) {
-    return statement.attempts() == 0 && statement.workload().lateShare() <= 0.5;
-  }
-
-  private void giveUp(Statement statement, boolean mayReturnAtOnce, RejectReason why) {
-    boolean harmless =
-        statement.workload().repeat() == Idempotency.IDEMPOTENT
-            || (!statement.mayHaveRun() && statement.attemptsInFlight() == 0)
-            || (statement.workload().repeat() == Idempotency.DEDUPLICATED
-                && statement.workload().within() == Workload.DeduplicationScope.ALL);
-    finish(statement);
-    if (harmless) {
-      // In a hold it may come back at once: only what is held is released in order to a new
-      // primary.
-      double share = mayReturnAtOnce ? 0 : 0.75 + 0.25 * chance.nextDouble();
-      outbound.reject(statement.id(), agreed.allowance().longestComeBack().times(share), why);
-    } else {
-      outbound.abort(statement.id());
-    }
-  }
-
-  private void finish(Statement statement) {
-    statement.finish();
-    if (statement.isQueued() && statement.workload().onlyPrimary()) {
-      takeOut(statement);
-    }
-    cancelAttempts(statement, 0);
-  }
-
-  private void cancelAttempts(Statement statement, int from) {
-    for (int i = from; statement.attemptsInFlight() > 0 && i < statement.attempts(); i++) {
-      if (statement.isInFlight(i) && agreed.allowance().cancels()) {
-        outbound.cancel(statement.id(), i);
-      }
-    }
-  }
-
-  /**
-   * Only what is open is looked at: a large fleet gone over this often would cost more than
-   * traffic.
-   */
-  private void scan() {
-    boolean copies = agreed.allowance().secondCopies();
-    for (int i = open.size() - 1; i >= 0; i--) {
-      Statement statement = open.get(i);
-      boolean stuck = statement.attemptsInFlight() > 0;
-      for (int k = 0; statement.attemptsInFlight() > 0 && k < statement.attempts(); k++) {
-        if (statement.isInFlight(k)) {
-          Endpoint node = statement.endpoint(k);
-          detectSilence(node, statement, statement.sentAt(k));
-          // A trial has its own time: called off with the rest, none would ever end a silence.
-          stuck &=
-              node.health().isDown()
-                  || (node.health().isSilent()
-                      && (copies || !statement.sentAt(k).isAfter(node.health().silentSince())));
-        }
-      }
-      if (statement.isFinished()) {
-        Collections.swap(open, i, open.size() - 1);
-        open.remove(open.size() - 1);
-        // Anybody may name groups that nobody has listed.
-        ReplicaGroup named = statement.group();
-        table.removeIfUnused(named);
-        subsets.narrowIfUnneeded(named);
-      } else if (statement.isQueued()) {
-        evaluateLater(statement.group());
-        if (statement.workload().onlyPrimary() && isOverdue(statement)) {
-          takeOut(statement);
-          unplaced.add(statement);
-        }
-      } else if (stuck && mayRunAgain(statement, copies ? statement.attemptsInFlight() : 0)) {
-        // Waiting on nodes that answer nobody: another execution elsewhere may still be in time.
-        if (copies) {
-          unplaced.add(statement);
-        } else {
-          cancelAttempts(statement, 0);
-        }
-      }
-    }
-    scanDue = open.isEmpty() ? Moment.NEVER : now.plus(Timing.SCAN_INTERVAL);
-  }
-
-  /**
-   * What commonly takes long tells of a silence only late, and what was sent just now of none yet.
-   */
-  private void detectSilence(Endpoint node, Statement statement, Moment sent) {
-    double usual =
-        serviceTimes.typicalMicros(statement.workloadIndex())
-            * Math.max(1, latencyStrain(node) / usualLatencyStrain);
-    Span patience =
-        new Span((long) (usual * (2 + 4.0 / Math.max(1, node.load().inFlight()))))
-            .longer(LEAST_SILENCE);
-    if (!node.health().isSilent()
-        && now.since(node.load().unansweredSince().later(sent)).isLongerThan(patience)) {
-      polls.pollNow(node);
-      markSilent(node);
-    }
-  }
-
-  void markSilent(Endpoint node) {
-    node.health().markSilent(now);
-    node.group().subset().markStale();
-    losePrimary(node);
-  }
-
-  // ---- Health: what executions and polls tell.
-
-  double failureRate(Endpoint node) {
-    return node.health().failureRate().at(now, REMEMBERED);
-  }
-
-  private double latencyStrain(Endpoint node) {
-    return usualLatencyStrain + node.load().latencyStrain().at(now, FORGIVEN);
-  }
-
-  /**
-   * The rarer the answers, the more each must count, or a router with little traffic learns too
-   * late.
-   */
-  private double weight(Moment last) {
-    return Math.min(0.5, Math.max(LEARN, 1 - Math.exp(-now.since(last).micros() / 2e6)));
-  }
-
-  private void recordFailure(Endpoint node, double how) {
-    node.health()
-        .failureRate()
-        .move(now, REMEMBERED, weight(node.health().failureRate().updatedAt()), how);
-  }
-
-  private void learnHealth(Endpoint node, Statement statement, AttemptOutcome ending, Span took) {
-    switch (ending) {
-      case NEVER_SENT, UNKNOWN -> {}
-      case FULL -> {
-        // A hanging node with a full queue does so at once: no sign of life, and burns executions.
-        node.health().recordFullAnswer();
-        node.health()
-            .backOffUntil(
-                now.plus(
-                    new Span(
-                        (long)
-                            (serviceTimes.overallMicros()
-                                * (1 << node.health().consecutiveFullAnswers())
-                                / 2))));
-        if (now.since(node.load().capacityReducedAt())
-            .isLongerThan(new Span((long) serviceTimes.overallMicros()))) {
-          node.load()
-              .reduceCapacity(
-                  now,
-                  Math.max(
-                      LEAST_ROOM,
-                      0.7 * Math.min(node.load().capacity(), node.load().inFlight() + 1)));
-        }
-      }
-      case COMPLETED, ERROR, MISS -> {
-        node.health().resetFullAnswers();
-        markUp(node);
-        node.health().clearSilence();
-        node.load().recordSignOfLife(now);
-        if (ending != AttemptOutcome.ERROR) {
-          recordFailure(node, 0);
-        }
-      }
-      case RESET, NO_CONNECTION -> {
-        recordFailure(node, 1);
-        markDown(node);
-      }
-      case NO_DESCRIPTOR -> {
-        // Told by the state of this router, and of no node.
-        return;
-      }
-      case CANCELLED -> node.load().abandonedAttempts().set(now, abandonedAttempts(node) + 1);
-      case TIMED_OUT -> {
-        node.load().abandonedAttempts().set(now, abandonedAttempts(node) + 1);
-        if (!node.load().unansweredSince().isAfter(now.minus(took))) {
-          // Nothing came back since: lost, where a node that answers others is but slow.
-          recordFailure(node, 1);
-        }
-        learnStrain(node, statement, took);
-        polls.pollNow(node);
-      }
-    }
-    boolean late = !took.isShorterThan(statement.workload().slo().times(0.9));
-    boolean untold =
-        !node.load().reportsCpu()
-            && now.since(node.polling().sentAt()).isLongerThan(SECOND.times(2));
-    if (late && now.since(node.polling().sentAt()).isLongerThan(SECOND)) {
-      polls.pollNow(node);
-    }
-    boolean jammed =
-        (late && (node.load().cpuUtilization() > BUSY || untold)) || ending == AttemptOutcome.FULL;
-    if ((jammed || (ending == AttemptOutcome.COMPLETED && !late))
-        && statement.workload().needs() != ReadConsistency.WRITE) {
-      DecayingValue jam =
-          node == node.group().primary()
-              ? node.group().primaryCongestion()
-              : node.group().replicaCongestion();
-      jam.move(now, REMEMBERED, weight(jam.updatedAt()), jammed ? 1 : 0);
-    }
-    if (ending == AttemptOutcome.COMPLETED) {
-      learnStrain(node, statement, took);
-      serviceTimes.recordCompletion(statement.workloadIndex(), took);
-      // Only what was answered shows what a node can bear; what is sent may be a storm of retries.
-      node.load()
-          .answeredWork()
-          .add(now, FORGIVEN, serviceTimes.typicalMicros(statement.workloadIndex()));
-    }
-    node.load().clearUnansweredIfIdle();
-    if (node.load().capacity() < 1) {
-      // Room for less than one execution at a time: a pause after each one makes up for the rest.
-      node.load()
-          .abandonedAttempts()
-          .set(now, Math.max(abandonedAttempts(node), 1 / node.load().capacity() - 1));
-    }
-  }
-
-  // Strain is response time over SLO time. Room, the executions this router may have out at a node,
-  // shrinks
-  // where it is strained and its cores are busy; past the hopeless mark always, as timed-out work
-  // goes on.
-  private void learnStrain(Endpoint node, Statement statement, Span took) {
-    double latest = Math.min(5, took.over(statement.workload().slo()));
-    double strain =
-        latencyStrain(node)
-            + weight(node.load().latencyStrain().updatedAt()) * (latest - latencyStrain(node));
-    usualLatencyStrain += LEARN / 4 * (strain - usualLatencyStrain);
-    node.load().latencyStrain().set(now, strain - usualLatencyStrain);
-    if (Math.min(strain, latest) > (node.load().cpuUtilization() > BUSY ? STRAINED : HOPELESS)) {
-      node.load()
-          .setCapacity(
-              Math.max(
-                  LEAST_ROOM,
-                  node.load().capacity() - Math.min(0.3, 0.1 * node.load().capacity())));
-    } else if (node.load().inFlight() + 1 > 0.7 * node.load().capacity()
-        && strain < 1.5 * STRAINED) {
-      double step =
-          node.load().cpuUtilization() < BUSY ? 0.5 : 1 / Math.max(2, node.load().capacity());
-      node.load().setCapacity(Math.min(MOST_ROOM, node.load().capacity() + step));
-    }
-  }
-
-  /**
-   * What was given up on may still run in its node: it takes up room for about as long as work
-   * takes.
-   */
-  private double abandonedAttempts(Endpoint node) {
-    return node.load().abandonedAttempts().at(now, new Span((long) serviceTimes.overallMicros()));
-  }
-
-  private boolean hasCapacity(Endpoint node, double share) {
-    return node.load().inFlight() + abandonedAttempts(node) < node.load().capacity() * share;
-  }
-
-  // An error may be the node's or the statement's own. What erred once and then went through shows
-  // that the
-  // node failed; what errs at a second node, neither known to fail, is held to be worthless
-  // anywhere and no
-  // node blamed. Wrong where several nodes begin to fail at once, until some statement has gone
-  // through.
-  private void judgeError(Statement statement, int execution, AttemptOutcome ending) {
-    if (ending == AttemptOutcome.ERROR) {
-      statement.recordError(execution, failureRate(statement.endpoint(execution)) < FAILING);
-    } else if (ending == AttemptOutcome.COMPLETED) {
-      for (int i = 0; statement.unexplainedErrors() > 0 && i < statement.attempts(); i++) {
-        if (statement.endedInError(i)) {
-          recordFailure(statement.endpoint(i), 1);
-        }
-      }
-    }
-  }
-
-  private void learnRole(
-      Endpoint node, Statement statement, AttemptOutcome ending, Role role, Moment sent) {
-    if (ending == AttemptOutcome.MISS && statement.workload().needs() == ReadConsistency.WRITE) {
-      // It turns writes away before it stops calling itself primary: believed at once, every such
-      // claim
-      // cost what was held one more execution.
-      node.roles().ignorePrimaryReportsUntil(now.plus(SECOND));
-    } else if (role == Role.PRIMARY) {
-      // Answers can overtake each other: counted from the sending, a claim undoes no later denial.
-      reportedPrimary(node, sent);
-    } else if (role == Role.REPLICA) {
-      node.roles().recordNotPrimary(now);
-    }
-    if (role == Role.REPLICA) {
-      node.roles().clearReplaced();
-    }
-    if (node.roles().lastNotPrimaryReportAt().isAfter(node.roles().lastPrimaryReportAt())) {
-      losePrimary(node);
-    }
-  }
-
-  private void learnPosition(
-      Endpoint node, Statement statement, AttemptOutcome ending, Moment position) {
-    boolean wrote =
-        ending == AttemptOutcome.COMPLETED && statement.workload().needs() == ReadConsistency.WRITE;
-    if (position.isAfter(Moment.LONG_AGO) && !position.isAfter(now)) {
-      // A commit comes rounded up to its millisecond, which is too new for a position.
-      node.replication().recordPosition(wrote ? position.minus(Span.ofMillis(1)) : position);
-      observeLag(node, now.since(position));
-    }
-    if (wrote && !agreed.replication().sessionsCarryTokens()) {
-      sessions.recordWrite(statement.session(), position.isAfter(Moment.LONG_AGO) ? position : now);
-    }
-  }
-
-  void markDown(Endpoint node) {
-    if (!node.health().isDown()) {
-      node.group().subset().markStale();
-    }
-    node.health().markDown(now);
-    polls.pollNow(node);
-    losePrimary(node);
-  }
-
-  private void markUp(Endpoint node) {
-    node.health().recordAnswer();
-    node.group().recordAnswer();
-    node.polling().resetMissedPolls();
-    if (now.since(node.load().connectionRefusedAt()).isShorterThan(SECOND)) {
-      // It refused a connection at once and yet answers: at its limit, not gone. One shows nothing:
-      // some always break, and letting go for it opened a connection for every second execution.
-      node.load().forgetRefusedConnection();
-      connectionScarcity.move(now, REMEMBERED, 2 * LEARN, 1);
-    }
-    if (node.health().isDown() && now.since(node.health().downSince()).isLongerThan(SECOND)) {
-      // The list tells of a restart only seconds later.
-      slowStart.recordStart(node, now);
-    }
-    node.health().markUp();
-  }
-
-  // Polls may go unanswered where the node serves: what it answered lately counts for more, and it
-  // stays
-  // open to a trial, or a router that polls rarely would do without it for long.
-  private void pollMissed(Endpoint node, boolean refused) {
-    node.polling().recordMissedPoll();
-    boolean serves = now.since(node.load().lastAnswerAt()).isShorterThan(SECOND.times(2));
-    if (refused) {
-      markDown(node);
-    } else if (node.polling().missedPolls() > 1 && !serves && !node.health().isSilent()) {
-      markSilent(node);
-    }
-    boolean asksAgain = polls.isPolledRegularly(node) || node.polling().missedPolls() == 1;
-    node.polling()
-        .scheduleAt(
-            !asksAgain
-                ? Moment.NEVER
-                : now.plus(
-                    refused || node.polling().missedPolls() > 1
-                        ? polls.backoff(node)
-                        : PollScheduler.MIN_INTERVAL));
-  }
-
-  // ---- Cold nodes.
-
-  // ---- Polls and waking.
-
-  private Moment nextWake() {
-    return watchDue.earlier(scanDue).earlier(polls.nextAt()).earlier(changeDue);
-  }
-
-  private void wake() {
-    wakeAt = nextWake();
-    outbound.wake(wakeAt.since(now));
+      Moment at, int member, long number, int target, Moment startsAt, boolean cancelled) {
+    context.advanceTo(at);
+    boolean changed =
+        endpoints.primaries.recordAnnouncement(member, number, target, startsAt, cancelled);
+    applyRules();
+    return changed;
   }
 }
