--- /dev/null
+++ b/router/src/main/java/basaltlever/cli/CommandException.java
@@ -0,0 +1,13 @@
+package basaltlever.cli;
+
+/** Ends a command with a message for its user. */
+abstract class CommandException extends Exception {
+  private static final long serialVersionUID = 1L;
+
+  CommandException(String message) {
+    super(message);
+  }
+
+  /** One of {@link ExitCode}. */
+  abstract int exitCode();
+}
--- /dev/null
+++ b/router/src/main/java/basaltlever/cli/CommandMisusedException.java
@@ -0,0 +1,15 @@
+package basaltlever.cli;
+
+/** The command line, or a file that it names, is wrong. */
+final class CommandMisusedException extends CommandException {
+  private static final long serialVersionUID = 1L;
+
+  CommandMisusedException(String message) {
+    super(message);
+  }
+
+  @Override
+  int exitCode() {
+    return ExitCode.MISUSED;
+  }
+}
--- /dev/null
+++ b/router/src/main/java/basaltlever/cli/RecoverCommand.java
@@ -0,0 +1,68 @@
+package basaltlever.cli;
+
+import basaltlever.config.InvalidSettingsException;
+import basaltlever.fleet.FleetRequest;
+import java.io.IOException;
+import java.io.PrintStream;
+import java.util.Map;
+
+/** Starts a configuration epoch at one voter, without a majority that is lost for good. */
+final class RecoverCommand {
+  private static final long START_TIMEOUT_MILLIS = 15_000;
+
+  private final FleetOptions.Recover options;
+  private final PrintStream out;
+
+  RecoverCommand(FleetOptions.Recover options, PrintStream out) {
+    this.options = options;
+    this.out = out;
+  }
+
+  /** Of the voters that are left, the one whose register is the newest starts the epoch. */
+  int run() throws CommandException, InvalidSettingsException, IOException, InterruptedException {
+    FleetClient client = FleetClient.of(options);
+    for (String voter : options.ended) {
+      if (!client.settings().peers().containsKey(voter)) {
+        throw new CommandMisusedException(
+            "--ended names " + voter + ", which fleet.peers does not");
+      }
+    }
+    String fleet = client.settings().name();
+    String remaining = FleetClient.mostUpToDate(client.askAllVoters());
+    if (remaining == null) {
+      throw new CommandRefusedException(
+          "no voter of fleet " + fleet + " answers: one has to be left, with its folder");
+    }
+    client.execute(
+        remaining,
+        new FleetRequest.Recover(fleet, options.charter, options.ended, options.who, options.why));
+    awaitLeader(client, remaining);
+    CommandOutput.print(
+        out,
+        options,
+        Map.of("charter", options.charter, "voter", remaining),
+        "charter "
+            + options.charter
+            + " has begun: "
+            + remaining
+            + " leads, and votes alone: take others in with fleet voters --add NAME");
+    return ExitCode.OK;
+  }
+
+  private void awaitLeader(FleetClient client, String voter)
+      throws CommandRefusedException, IOException, InterruptedException {
+    Deadline deadline = Deadline.inMillis(START_TIMEOUT_MILLIS);
+    while (!deadline.isOver()) {
+      if (client.leads(voter, options.charter)) {
+        return;
+      }
+      Thread.sleep(Deadline.POLL_INTERVAL_MILLIS);
+    }
+    throw new CommandRefusedException(
+        "charter "
+            + options.charter
+            + " is "
+            + voter
+            + "'s, which does not lead yet: see fleet voters");
+  }
+}
