--- a/router/src/main/java/basaltlever/fleet/AdminClient.java
+++ b/router/src/main/java/basaltlever/fleet/AdminClient.java
@@ -43,7 +43,7 @@
       out.flush();
       DataInputStream in = new DataInputStream(socket.getInputStream());
       int length = in.readInt();
-      if (length < 1 || length > MessageCodec.LARGEST) {
+      if (length < 1 || length > MessageCodec.MAX_BYTES) {
         throw new IOException("an answer of " + length + " bytes");
       }
       byte[] answer = new byte[length];
--- a/router/src/main/java/basaltlever/fleet/FrameCodec.java
+++ b/router/src/main/java/basaltlever/fleet/FrameCodec.java
@@ -19,7 +19,7 @@
   /** An instance sends a heartbeat each 50 ms, and commands. */
   private static final int MAX_MESSAGES_PER_SECOND = 200;
 
-  private static final int MAX_PENDING_BYTES = 4 * MessageCodec.LARGEST;
+  private static final int MAX_PENDING_BYTES = 4 * MessageCodec.MAX_BYTES;
 
   private final Function<Map<?, ?>, M> decoder;
   private ByteBuf received;
@@ -79,7 +79,7 @@
     }
     while (received != null && received.readableBytes() >= LENGTH_BYTES) {
       int length = received.getInt(received.readerIndex());
-      if (length < 1 || length > MessageCodec.LARGEST) {
+      if (length < 1 || length > MessageCodec.MAX_BYTES) {
         throw new IOException("a message of " + length + " bytes");
       }
       if (received.readableBytes() < LENGTH_BYTES + length) {
--- a/router/src/main/java/basaltlever/fleet/MessageCodec.java
+++ b/router/src/main/java/basaltlever/fleet/MessageCodec.java
@@ -19,7 +19,7 @@
  */
 public final class MessageCodec {
   /** The size of a message in bytes at most. */
-  public static final int LARGEST = 1 << 20;
+  public static final int MAX_BYTES = 1 << 20;
 
   private static final int MAX_DEPTH = 6;
   private static final int MAX_KEY_LENGTH = 64;
@@ -28,9 +28,9 @@
           .streamReadConstraints(
               StreamReadConstraints.builder()
                   .maxNestingDepth(MAX_DEPTH)
-                  .maxStringLength(LARGEST)
+                  .maxStringLength(MAX_BYTES)
                   .maxNameLength(MAX_KEY_LENGTH)
-                  .maxDocumentLength(LARGEST)
+                  .maxDocumentLength(MAX_BYTES)
                   .build())
           .build();
 
--- a/router/src/main/java/basaltlever/fleet/RaftNode.java
+++ b/router/src/main/java/basaltlever/fleet/RaftNode.java
@@ -215,7 +215,7 @@
 
   @Override
   public void readContentFrom(DataInput in) throws IOException {
-    byte[] bytes = new byte[Math.min(Math.max(0, in.readInt()), MessageCodec.LARGEST)];
+    byte[] bytes = new byte[Math.min(Math.max(0, in.readInt()), MessageCodec.MAX_BYTES)];
     in.readFully(bytes);
     RaftCommandCodec.decodeContent(MessageCodec.read(bytes, 0, bytes.length)).restoreTo(register);
   }
--- a/router/src/main/java/basaltlever/fleet/VoterStore.java
+++ b/router/src/main/java/basaltlever/fleet/VoterStore.java
@@ -24,7 +24,7 @@
   private static final String NEW_FILE = "papers.new";
   private static final String EPOCH_START_FILE = "seed";
   private static final String NEW_EPOCH_START_FILE = "seed.new";
-  private static final int MAX_BYTES = MessageCodec.LARGEST;
+  private static final int MAX_FILE_BYTES = MessageCodec.MAX_BYTES;
 
   private final LockedDirectory folder;
   private VoterIdentity identity;
@@ -75,7 +75,7 @@
 
   private static Map<String, Object> readFields(Path path, LockedDirectory folder)
       throws IOException {
-    byte[] bytes = folder.read(FILE, MAX_BYTES);
+    byte[] bytes = folder.read(FILE, MAX_FILE_BYTES);
     if (bytes.length < Long.BYTES
         || ByteBuffer.wrap(bytes).getLong() != checksum(bytes, Long.BYTES)) {
       throw new IOException(
@@ -168,7 +168,7 @@
     fields.put("voters", voters);
     fields.put("told", VersionCodec.encode(inForce));
     byte[] content = MessageCodec.write(fields);
-    if (content.length > MAX_BYTES - Long.BYTES) {
+    if (content.length > MAX_FILE_BYTES - Long.BYTES) {
       // A folder without the version is better than one that is too large to be read.
       fields.remove("told");
       content = MessageCodec.write(fields);
--- a/router/src/test/java/basaltlever/fleet/StoredVersionTest.java
+++ b/router/src/test/java/basaltlever/fleet/StoredVersionTest.java
@@ -3,6 +3,8 @@
 import static basaltlever.StandIn.check;
 
 import basaltlever.config.FleetSettings;
+import basaltlever.membership.HeartbeatReport;
+import basaltlever.membership.MembershipUpdate;
 import basaltlever.membership.MembershipView;
 import basaltlever.settings.LeaseGrant;
 import basaltlever.settings.SettingsVersion;
@@ -18,6 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicReference;
+import java.util.function.BiConsumer;
 import net.jqwik.api.Example;
 
 /**
@@ -31,61 +34,60 @@
     }
   }
 
+  private static FleetSettings settings(Path folder) throws Exception {
+    return new FleetSettings(
+        "cards",
+        Map.of("n1", free()),
+        Map.of("n1", free()),
+        folder,
+        Span.ofMillis(400),
+        Span.ofMillis(1_000),
+        Span.ofMillis(3_000));
+  }
+
+  /** A router that reports nothing but its heartbeats. */
+  private static FleetMember start(
+      Path folder, VoterStore store, BiConsumer<LeaseGrant, MembershipUpdate> granted)
+      throws Exception {
+    MembershipView view = new MembershipView(Span.ofMillis(1_000), Span.ofMillis(3_000));
+    AtomicLong heartbeats = new AtomicLong();
+    AtomicReference<FleetMember> fleet = new AtomicReference<>();
+    Runnable heartbeatDue =
+        () -> {
+          if (fleet.get() != null) {
+            HeartbeatReport report =
+                view.report(new Moment(System.nanoTime() / 1_000), member -> true);
+            fleet.get().beat(heartbeats.incrementAndGet(), 0, 0, 0, 0, "", true, report);
+          }
+        };
+    fleet.set(
+        new FleetMember(
+            settings(folder), "n1", store, new SplittableRandom(1), heartbeatDue, granted));
+    return fleet.get();
+  }
+
   @Example
   void theVersionInForceIsKeptByTheTimeARouterIsGrantedIt() throws Exception {
     Path folder = Files.createTempDirectory("told");
-    FleetSettings terms =
-        new FleetSettings(
-            "cards",
-            Map.of("n1", free()),
-            Map.of("n1", free()),
-            folder,
-            Span.ofMillis(400),
-            Span.ofMillis(1_000),
-            Span.ofMillis(3_000));
-    VoterStore papers = VoterStore.read(folder, "cards", "n1");
-    check(papers.told() == null, "an empty folder was told nothing");
-    MembershipView roll = new MembershipView(Span.ofMillis(1_000), Span.ofMillis(3_000));
-    AtomicLong beats = new AtomicLong();
-    AtomicReference<FleetMember> fleet = new AtomicReference<>();
+    VoterStore store = VoterStore.read(folder, "cards", "n1");
+    check(store.told() == null, "an empty folder was told nothing");
     AtomicReference<SettingsVersion> kept = new AtomicReference<>();
     AtomicReference<LeaseGrant> granted = new AtomicReference<>();
     CountDownLatch leased = new CountDownLatch(1);
-    fleet.set(
-        new FleetMember(
-            terms,
-            "n1",
-            papers,
-            new SplittableRandom(1),
-            () -> {
-              if (fleet.get() != null) {
-                fleet
-                    .get()
-                    .beat(
-                        beats.incrementAndGet(),
-                        0,
-                        0,
-                        0,
-                        0,
-                        "",
-                        true,
-                        roll.report(new Moment(System.nanoTime() / 1_000), member -> true));
-              }
-            },
-            (grant, sight) -> {
-              if (grant.lasts().micros() > 0 && leased.getCount() > 0) {
-                kept.set(papers.told());
-                granted.set(grant);
-                leased.countDown();
-              }
-            }));
-    try {
+    BiConsumer<LeaseGrant, MembershipUpdate> onGrant =
+        (grant, lists) -> {
+          if (grant.lasts().micros() > 0 && leased.getCount() > 0) {
+            kept.set(store.told());
+            granted.set(grant);
+            leased.countDown();
+          }
+        };
+    try (FleetMember fleet = start(folder, store, onGrant)) {
+      check(fleet != null, "started");
       check(leased.await(20, TimeUnit.SECONDS), "it leads itself");
       check(
           granted.get().inForce().equals(kept.get()),
           "in force: " + granted.get().inForce() + ", kept: " + kept);
-    } finally {
-      fleet.get().close();
     }
     check(
         VoterStore.read(folder, "cards", "n1").told().equals(kept.get()),
--- a/router/src/test/java/basaltlever/fleet/VoterStoreTest.java
+++ b/router/src/test/java/basaltlever/fleet/VoterStoreTest.java
@@ -76,7 +76,7 @@
     VoterStore papers = VoterStore.read(folder, "cards", "n1");
     papers.recordVote(2, List.of("n1"));
     papers.recordInForce(
-        new SettingsVersion(7, "x".repeat(MessageCodec.LARGEST - 60), 12, "ops", "large", 1));
+        new SettingsVersion(7, "x".repeat(MessageCodec.MAX_BYTES - 60), 12, "ops", "large", 1));
     VoterStore again = VoterStore.read(folder, "cards", "n1");
     check(
         again.told() == null && again.identity().equals(papers.identity()) && again.knows() == 2,
