--- /dev/null
+++ b/router/src/main/java/basaltlever/membership/DrainMarkLog.java
@@ -0,0 +1,69 @@
+package basaltlever.membership;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * The drain marks that one leader has learned, in the order in which it learned them. Readers name
+ * the term and the position up to which they have read; a position means nothing in another term.
+ */
+final class DrainMarkLog {
+  private static final int MAX_MARKS = 5_000;
+  private static final int MAX_MARKS_PER_READ = 1_000;
+
+  /** The next marks for a reader, and the position that it has read up to with them. */
+  record Batch(List<DrainMark> marks, long position) {}
+
+  private final TreeMap<Long, DrainMark> markByPosition = new TreeMap<>();
+  private final Map<String, Long> positionByEndpoint = new HashMap<>();
+  private long term;
+  private long lastPosition;
+
+  /** Empties the log for a term that no other leader has. */
+  void startTerm(long newTerm) {
+    markByPosition.clear();
+    positionByEndpoint.clear();
+    lastPosition = 0;
+    term = newTerm;
+  }
+
+  long term() {
+    return term;
+  }
+
+  /** Appends the mark in place of the endpoint's former one, unless that one supersedes it. */
+  void add(DrainMark mark) {
+    Long knownPosition = positionByEndpoint.get(mark.member());
+    DrainMark known = knownPosition == null ? null : markByPosition.get(knownPosition);
+    if (!mark.outdoes(known)) {
+      return;
+    }
+    if (knownPosition != null) {
+      markByPosition.remove(knownPosition);
+    }
+    lastPosition++;
+    markByPosition.put(lastPosition, mark);
+    positionByEndpoint.put(mark.member(), lastPosition);
+    if (markByPosition.size() > MAX_MARKS) {
+      DrainMark oldest = markByPosition.pollFirstEntry().getValue();
+      positionByEndpoint.remove(oldest.member());
+    }
+  }
+
+  /** The marks after a reader's position; all from the beginning if it has read another term. */
+  Batch readAfter(long readTerm, long readPosition) {
+    long position = readTerm == term ? readPosition : 0;
+    List<DrainMark> marks = new ArrayList<>();
+    for (Map.Entry<Long, DrainMark> entry : markByPosition.tailMap(position, false).entrySet()) {
+      if (marks.size() == MAX_MARKS_PER_READ) {
+        break;
+      }
+      marks.add(entry.getValue());
+      position = entry.getKey();
+    }
+    return new Batch(marks, position);
+  }
+}
--- /dev/null
+++ b/router/src/main/java/basaltlever/membership/ListReporters.java
@@ -0,0 +1,76 @@
+package basaltlever.membership;
+
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.stream.Stream;
+
+/** Which routers have ever reported which content of a list version since the election. */
+final class ListReporters {
+  private static final int MAX_VERSIONS = 64;
+
+  /** Names of the reporting routers by the digest of the content, by list version. */
+  private final TreeMap<ListVersion, Map<Long, Set<String>>> reporters = new TreeMap<>();
+
+  private final Collection<String> routers;
+
+  /**
+   * Creates the empty record.
+   *
+   * @param routers names of all routers of the fleet, of which a majority counts
+   */
+  ListReporters(Collection<String> routers) {
+    this.routers = routers;
+  }
+
+  void clear() {
+    reporters.clear();
+  }
+
+  void add(String router, HeartbeatReport report) {
+    reporters
+        .computeIfAbsent(report.at(), at -> new TreeMap<>())
+        .computeIfAbsent(report.digest(), digest -> new HashSet<>())
+        .add(router);
+    if (reporters.size() > MAX_VERSIONS) {
+      removeLeastReported();
+    }
+  }
+
+  /** A router whose discovery invents ever newer versions thereby evicts only its own. */
+  private void removeLeastReported() {
+    reporters.entrySet().stream()
+        .min(Comparator.comparingInt(entry -> countReports(entry.getValue())))
+        .ifPresent(least -> reporters.remove(least.getKey()));
+  }
+
+  private static int countReports(Map<Long, Set<String>> byDigest) {
+    return byDigest.values().stream().mapToInt(Set::size).sum();
+  }
+
+  /** Whether most routers of the fleet have reported the same content of that version. */
+  boolean isReportedByMajority(HeartbeatReport report) {
+    Set<String> names =
+        reporters.getOrDefault(report.at(), Map.of()).getOrDefault(report.digest(), Set.of());
+    return isMajority(names);
+  }
+
+  /** Whether different contents were reported under that version. */
+  boolean isDisputed(ListVersion version) {
+    return reporters.getOrDefault(version, Map.of()).size() > 1;
+  }
+
+  /** The list versions of which most routers have reported the same content. */
+  Stream<ListVersion> versionsReportedByMajority() {
+    return reporters.entrySet().stream()
+        .filter(entry -> entry.getValue().values().stream().anyMatch(this::isMajority))
+        .map(Map.Entry::getKey);
+  }
+
+  private boolean isMajority(Set<String> names) {
+    return 2 * names.size() > routers.size();
+  }
+}
--- a/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
+++ b/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
@@ -16,115 +16,109 @@
 import java.util.stream.Stream;
 
 /**
- * The leader's book of lists: what each router's list says, the facts that bind all, and what
- * follows for members that come or move. Facts that only grow are passed on as they come; seats and
- * eras are steps for the voters.
+ * The leader's view of all routers' endpoint lists. It passes drain marks between routers, judges
+ * whether each router's list agrees with the others', and proposes group assignments and eras to
+ * the voters.
+ *
+ * <p>Drain marks only restrict and may be passed on without a vote. Group assignments and eras also
+ * allow something, so they take effect only as commands of the consensus log.
  */
 public final class MembershipCoordinator {
-  private static final int MOST_MARKS = 5_000;
-  private static final int MARKS_AN_ANSWER = 1_000;
-  private static final int MOST_STAMPS = 64;
-  private static final int SEATS_A_STEP = 500;
-  private static final int LEASES_A_COUNT = 5;
+  private static final int MAX_ASSIGNMENTS_PER_STEP = 500;
 
-  /** What the voters have to agree on next. */
+  /** At most one new era in so many lease durations. */
+  private static final int LEASES_BETWEEN_ERAS = 5;
+
+  /** Share of a lease duration for which a count of the reported lists is reused. */
+  private static final double RECOUNT_INTERVAL_LEASES = 0.1;
+
+  /** The next command that the leader has to propose to the voters. */
   public record Step(Kind kind, List<GroupAssignment> seats) {
-    /** Of steps. */
+    /** What the command does. */
     public enum Kind {
+      /** Nothing is due. */
       NOTHING,
+      /** Endpoints are assigned to groups. */
       SEAT,
+      /** Endpoints may be used in their new groups. */
       CLEAR,
+      /** Endpoint lists belong to a new era. */
       COUNT_ANEW
     }
 
     static final Step NOTHING = new Step(Kind.NOTHING, List.of());
   }
 
-  /** Two lists of one generation that are not the same, and who holds which. */
+  /**
+   * Different lists under one version.
+   *
+   * @param at the version
+   * @param holders names of the routers that hold each content, by its digest
+   */
   public record ListFork(ListVersion at, Map<Long, List<String>> holders) {}
 
-  private record ListContent(ListVersion at, long digest) {}
+  private record ListContent(ListVersion version, long digest) {
+    static ListContent of(HeartbeatReport report) {
+      return new ListContent(report.at(), report.digest());
+    }
+  }
 
   private final LeaseTable leases;
-  private final Collection<String> peers;
-  private final Span assigned;
+  private final Collection<String> routers;
+  private final Span assignmentValidity;
   private final Map<String, HeartbeatReport> reports = new TreeMap<>();
-  private final Map<String, Set<String>> freeAt = new HashMap<>();
-  private final TreeMap<Long, DrainMark> marks = new TreeMap<>();
-  private final Map<String, Long> places = new HashMap<>();
-  private Moment countedAt = Moment.LONG_AGO;
+  private final DrainMarkLog drainMarks = new DrainMarkLog();
+  private final ListReporters reporters;
+
+  /** Routers that have stopped using a moving endpoint, by the endpoint. */
+  private final Map<String, Set<String>> releasedBy = new HashMap<>();
+
   private Moment electedAt = Moment.LONG_AGO;
-  private long book;
-  private long last;
-  private Map<ListContent, Integer> holders = Map.of();
+  private Moment lastEraChange = Moment.LONG_AGO;
 
-  /** Who has ever told which list of a stamp; of the latest stamps. */
-  private final TreeMap<ListVersion, Map<Long, Set<String>>> tellers = new TreeMap<>();
+  /** Number of routers with a lease that hold each list, as of the last count. */
+  private Map<ListContent, Integer> holders = Map.of();
 
-  private int live;
-  private Moment talliedAt = Moment.LONG_AGO;
+  private int leasedRouters;
+  private Moment countedAt = Moment.LONG_AGO;
 
   /**
-   * Peers are all routers of the fleet by name; one that is not heard from for as long as assigned
-   * uses no member any more.
+   * Creates the coordinator of a voter that does not lead yet.
+   *
+   * @param leases the leader's leases
+   * @param peers names of all routers of the fleet
+   * @param assigned how long a router without contact to the leader may go on using endpoints in
+   *     the groups that it knows, its longest attempt included
    */
   public MembershipCoordinator(LeaseTable leases, Collection<String> peers, Span assigned) {
     this.leases = leases;
-    this.peers = peers;
-    this.assigned = assigned;
+    this.routers = peers;
+    this.assignmentValidity = assigned;
+    this.reporters = new ListReporters(peers);
   }
 
-  /** From here on this voter leads, with an empty book that no other has the number of. */
-  public void elected(Moment now, long number) {
+  /** This voter leads from now on, with an empty state under a term that no other leader has. */
+  public void elected(Moment now, long term) {
     reports.clear();
-    freeAt.clear();
-    marks.clear();
-    places.clear();
-    tellers.clear();
-    last = 0;
-    book = number;
+    releasedBy.clear();
+    drainMarks.startTerm(term);
+    reporters.clear();
     electedAt = now;
-    talliedAt = Moment.LONG_AGO;
+    countedAt = Moment.LONG_AGO;
   }
 
-  /** A report that came with a beat, and the answer to it; the grant is the leases' own. */
+  /** Records the report that came with a router's heartbeat and answers it. */
   public MembershipUpdate beat(
       Moment now, String name, HeartbeatReport report, VersionRegister register) {
-    reports.put(name, report);
-    report.marks().forEach(this::mark);
-    if (report.digest() != 0) {
-      tellers
-          .computeIfAbsent(report.at(), at -> new TreeMap<>())
-          .computeIfAbsent(report.digest(), digest -> new HashSet<>())
-          .add(name);
-      if (tellers.size() > MOST_STAMPS) {
-        // One that is told ever newer lists pushes out its own.
-        tellers.entrySet().stream()
-            .min(
-                Comparator.comparingInt(
-                    entry -> entry.getValue().values().stream().mapToInt(Set::size).sum()))
-            .ifPresent(least -> tellers.remove(least.getKey()));
-      }
-    }
-    for (String member : report.free()) {
-      freeAt.computeIfAbsent(member, m -> new HashSet<>()).add(name);
-    }
-    long from = report.book() == book ? report.read() : 0;
-    List<DrainMark> news = new ArrayList<>();
-    long place = from;
-    for (Map.Entry<Long, DrainMark> entry : marks.tailMap(from, false).entrySet()) {
-      if (news.size() == MARKS_AN_ANSWER) {
-        break;
-      }
-      news.add(entry.getValue());
-      place = entry.getKey();
-    }
+    record(name, report);
+    DrainMarkLog.Batch batch = drainMarks.readAfter(report.book(), report.read());
+    boolean isOfThisTerm = report.book() == drainMarks.term();
     return new MembershipUpdate(
-        book,
-        place,
-        news,
-        report.book() == book ? report.marksEnd() : 0,
-        verdict(now, report, register),
+        drainMarks.term(),
+        batch.position(),
+        batch.marks(),
+        isOfThisTerm ? report.marksEnd() : 0,
+        agreementOn(report, now, register),
         report.at(),
         report.digest(),
         register.era(),
@@ -132,191 +126,217 @@
         register.seats(report.seatsRead()));
   }
 
-  private void mark(DrainMark mark) {
-    Long known = places.get(mark.member());
-    if (mark.outdoes(known == null ? null : marks.get(known))) {
-      if (known != null) {
-        marks.remove(known);
-      }
-      marks.put(++last, mark);
-      places.put(mark.member(), last);
-      if (marks.size() > MOST_MARKS) {
-        places.remove(marks.pollFirstEntry().getValue().member());
-      }
+  private void record(String router, HeartbeatReport report) {
+    reports.put(router, report);
+    report.marks().forEach(drainMarks::add);
+    if (report.digest() != 0) {
+      reporters.add(router, report);
     }
-  }
-
-  // Counted anew a few times a lease, not at each of five hundred routers' beats.
-  private void tally(Moment now) {
-    if (now.since(talliedAt).isShorterThan(leases.leaseDuration().times(0.1))) {
-      return;
+    for (String endpoint : report.free()) {
+      releasedBy.computeIfAbsent(endpoint, absent -> new HashSet<>()).add(router);
     }
-    talliedAt = now;
-    holders = new HashMap<>();
-    live = 0;
-    reports.forEach(
-        (name, report) -> {
-          if (leases.hasLease(name, now)) {
-            live++;
-            holders.merge(new ListContent(report.at(), report.digest()), 1, Integer::sum);
-          }
-        });
   }
 
-  private ListAgreement verdict(Moment now, HeartbeatReport report, VersionRegister register) {
-    if (report.digest() == 0 || leases.formerLeasesMayRun(now) || !leases.isConfirmed(now)) {
+  private ListAgreement agreementOn(HeartbeatReport report, Moment now, VersionRegister register) {
+    if (report.digest() == 0 || !isInControl(now)) {
       return ListAgreement.UNTOLD;
     }
-    tally(now);
-    int same = holders.getOrDefault(new ListContent(report.at(), report.digest()), 0);
-    // Those of whom this leader has not heard yet count as well.
-    int all = Math.max(live, register.inForce().routers());
-    if (2 * same > all) {
+    recountHolders(now);
+    // Routers that this leader has not heard from yet count as well.
+    int total = Math.max(leasedRouters, register.inForce().routers());
+    if (2 * holders.getOrDefault(ListContent.of(report), 0) > total) {
       return ListAgreement.SEEN;
     }
-    if (2 * tellers(report) > peers.size()) {
+    if (reporters.isReportedByMajority(report)) {
       return ListAgreement.PASSED;
     }
-    if (tellers.getOrDefault(report.at(), Map.of()).size() > 1) {
+    if (reporters.isDisputed(report.at())) {
       return ListAgreement.DISPUTED;
     }
-    int newer = 0;
-    for (Map.Entry<ListContent, Integer> entry : holders.entrySet()) {
-      newer += entry.getKey().at().isNewerThan(report.at()) ? entry.getValue() : 0;
+    if (2 * countHoldersOfNewer(report.at()) > total) {
+      return ListAgreement.BEHIND;
     }
-    // Where most have not spoken yet nobody can have contradicted.
-    return 2 * newer > all
-        ? ListAgreement.BEHIND
-        : 2 * live > all ? ListAgreement.AHEAD : ListAgreement.UNTOLD;
+    // While most routers have not reported yet, the absence of objections means nothing.
+    return 2 * leasedRouters > total ? ListAgreement.AHEAD : ListAgreement.UNTOLD;
   }
 
-  private int tellers(HeartbeatReport report) {
-    return tellers
-        .getOrDefault(report.at(), Map.of())
-        .getOrDefault(report.digest(), Set.of())
-        .size();
+  private int countHoldersOfNewer(ListVersion version) {
+    return holders.entrySet().stream()
+        .filter(entry -> entry.getKey().version().isNewerThan(version))
+        .mapToInt(Map.Entry::getValue)
+        .sum();
   }
 
-  /** What follows, by the first rule that applies. */
+  /** Whether this voter surely leads and no lease of its predecessor runs any more. */
+  private boolean isInControl(Moment now) {
+    return !leases.formerLeasesMayRun(now) && leases.isConfirmed(now);
+  }
+
+  /** Counting at every heartbeat would cost the square of the number of routers. */
+  private void recountHolders(Moment now) {
+    Span interval = leases.leaseDuration().times(RECOUNT_INTERVAL_LEASES);
+    if (now.since(countedAt).isShorterThan(interval)) {
+      return;
+    }
+    countedAt = now;
+    holders = new HashMap<>();
+    leasedRouters = 0;
+    for (HeartbeatReport report : leasedReports(now)) {
+      leasedRouters++;
+      holders.merge(ListContent.of(report), 1, Integer::sum);
+    }
+  }
+
+  private List<HeartbeatReport> leasedReports(Moment now) {
+    return reports.entrySet().stream()
+        .filter(entry -> leases.hasLease(entry.getKey(), now))
+        .map(Map.Entry::getValue)
+        .toList();
+  }
+
+  /** The next command for the voters: a new era before cleared endpoints before assignments. */
   public Step next(Moment now, VersionRegister register) {
-    if (leases.formerLeasesMayRun(now) || !leases.isConfirmed(now)) {
+    if (!isInControl(now)) {
       return Step.NOTHING;
     }
-    int there = 0;
-    int back = 0;
-    int older = 0;
-    // Not by what one router was told: it may but be the first.
-    ListVersion newest =
-        Stream.concat(
-                register.seats(-1).stream().map(GroupAssignment::at),
-                tellers.entrySet().stream()
-                    .filter(
-                        entry ->
-                            entry.getValue().values().stream()
-                                .anyMatch(names -> 2 * names.size() > peers.size()))
-                    .map(Map.Entry::getKey))
-            .max(Comparator.naturalOrder())
-            .orElse(ListVersion.NEVER);
-    TreeMap<String, GroupAssignment> wanted = new TreeMap<>();
-    for (Map.Entry<String, HeartbeatReport> entry : reports.entrySet()) {
-      HeartbeatReport report = entry.getValue();
-      if (!leases.hasLease(entry.getKey(), now)) {
-        continue;
-      }
-      there++;
-      back += report.doubt() == ListAnomaly.BACK && report.at().era() == register.era() ? 1 : 0;
-      older +=
-          report.digest() != 0
-                  && report.at().era() == register.era()
-                  && newest.isNewerThan(report.at())
-              ? 1
-              : 0;
-      if (!report.wanted().isEmpty() && 2 * tellers(report) > peers.size()) {
-        // Most of all there may be hold the very list, whether or not they used the member before.
-        report
-            .wanted()
-            .forEach(
-                seat ->
-                    wanted.merge(
-                        seat.member(),
-                        seat,
-                        (one, other) -> one.at().isNewerThan(other.at()) ? one : other));
-      }
-    }
-    // Who was started since has nothing to go back from: it holds what is older than what was
-    // agreed.
-    // At most so often: one discovery that tells a generation far too high would have all ask for
-    // lists anew.
-    if (2 * Math.max(back, older) > Math.max(there, register.inForce().routers())
-        && now.since(countedAt).isLongerThan(leases.leaseDuration().times(LEASES_A_COUNT))) {
-      countedAt = now;
+    List<HeartbeatReport> leased = leasedReports(now);
+    if (isNewEraDue(now, leased, register)) {
+      lastEraChange = now;
       return new Step(Step.Kind.COUNT_ANEW, List.of());
     }
-    List<GroupAssignment> cleared =
-        register.seats(-1).stream()
-            .filter(seat -> !seat.cleared() && isLetGo(seat.member(), now, register.ended()))
-            .limit(SEATS_A_STEP)
-            .toList();
-    if (!cleared.isEmpty()) {
-      return new Step(Step.Kind.CLEAR, cleared);
+    List<GroupAssignment> released = findReleased(now, register);
+    if (!released.isEmpty()) {
+      return new Step(Step.Kind.CLEAR, released);
     }
-    List<GroupAssignment> news =
-        wanted.values().stream()
-            .filter(
-                seat -> {
-                  GroupAssignment known = register.seat(seat.member());
-                  return known == null
-                      || (known.cleared()
-                          && known.group() != seat.group()
-                          && seat.at().isNewerThan(known.at()));
-                })
-            .limit(SEATS_A_STEP)
-            .toList();
-    news.forEach(seat -> freeAt.remove(seat.member()));
-    return news.isEmpty() ? Step.NOTHING : new Step(Step.Kind.SEAT, news);
+    List<GroupAssignment> assignments = findNewAssignments(leased, register);
+    assignments.forEach(assignment -> releasedBy.remove(assignment.member()));
+    return assignments.isEmpty() ? Step.NOTHING : new Step(Step.Kind.SEAT, assignments);
   }
 
-  // Whoever let go keeps to it while the move is not cleared, and a later process under its name
-  // hears of the
-  // move before its first act. Whoever did not may act for as long as its groups are assigned to
-  // it.
-  private boolean isLetGo(String member, Moment now, Set<String> ended) {
-    Set<String> free = freeAt.getOrDefault(member, Set.of());
-    return peers.stream()
+  /**
+   * Whether most routers hold a list that is older than what they held or than what was agreed on
+   * before, so that discovery must have restarted its generations.
+   */
+  private boolean isNewEraDue(Moment now, List<HeartbeatReport> leased, VersionRegister register) {
+    // Not often: if discovery announces a generation far too high by mistake, every new era makes
+    // all routers fetch their lists again.
+    Span minInterval = leases.leaseDuration().times(LEASES_BETWEEN_ERAS);
+    if (!now.since(lastEraChange).isLongerThan(minInterval)) {
+      return false;
+    }
+    ListVersion newestAgreed = newestAgreedVersion(register);
+    int regressed = 0;
+    int outdated = 0;
+    for (HeartbeatReport report : leased) {
+      if (report.at().era() != register.era()) {
+        continue;
+      }
+      regressed += report.doubt() == ListAnomaly.BACK ? 1 : 0;
+      // A router that started since had no newer list to regress from.
+      outdated += report.digest() != 0 && newestAgreed.isNewerThan(report.at()) ? 1 : 0;
+    }
+    int total = Math.max(leased.size(), register.inForce().routers());
+    return 2 * Math.max(regressed, outdated) > total;
+  }
+
+  /** A version reported by few routers does not count: their discovery may be wrong. */
+  private ListVersion newestAgreedVersion(VersionRegister register) {
+    Stream<ListVersion> assigned = allAssignments(register).stream().map(GroupAssignment::at);
+    return Stream.concat(assigned, reporters.versionsReportedByMajority())
+        .max(Comparator.naturalOrder())
+        .orElse(ListVersion.NEVER);
+  }
+
+  private static List<GroupAssignment> allAssignments(VersionRegister register) {
+    return register.seats(-1);
+  }
+
+  private List<GroupAssignment> findReleased(Moment now, VersionRegister register) {
+    return allAssignments(register).stream()
+        .filter(assignment -> !assignment.cleared())
+        .filter(assignment -> isReleasedByAll(assignment.member(), now, register.ended()))
+        .limit(MAX_ASSIGNMENTS_PER_STEP)
+        .toList();
+  }
+
+  private boolean isReleasedByAll(String endpoint, Moment now, Set<String> lostVoters) {
+    Set<String> released = releasedBy.getOrDefault(endpoint, Set.of());
+    return routers.stream()
         .allMatch(
-            peer ->
-                free.contains(peer)
-                    || (ended.contains(peer) && !reports.containsKey(peer))
-                    || now.since(leases.lastHeard(peer).later(electedAt))
-                        .isLongerThan(
-                            leases.withClockDrift(assigned.plus(leases.leaseDuration()))));
+            router ->
+                released.contains(router)
+                    || (lostVoters.contains(router) && !reports.containsKey(router))
+                    || isAssignmentExpired(router, now));
+  }
+
+  /**
+   * Whether a router has been out of contact for so long that it uses no endpoint by what it knew.
+   * One that has released an endpoint needs no such wait: it does not use the endpoint again before
+   * the move is cleared, and a new process under its name learns of the move before its first act.
+   */
+  private boolean isAssignmentExpired(String router, Moment now) {
+    Moment lastContact = leases.lastHeard(router).later(electedAt);
+    Span validity = leases.withClockDrift(assignmentValidity.plus(leases.leaseDuration()));
+    return now.since(lastContact).isLongerThan(validity);
+  }
+
+  private List<GroupAssignment> findNewAssignments(
+      List<HeartbeatReport> leased, VersionRegister register) {
+    return newestWanted(leased).values().stream()
+        .filter(wanted -> mayAssign(wanted, register.seat(wanted.member())))
+        .limit(MAX_ASSIGNMENTS_PER_STEP)
+        .toList();
+  }
+
+  /** The assignments by lists that most routers have reported, by endpoint. */
+  private TreeMap<String, GroupAssignment> newestWanted(List<HeartbeatReport> leased) {
+    TreeMap<String, GroupAssignment> newest = new TreeMap<>();
+    for (HeartbeatReport report : leased) {
+      if (!report.wanted().isEmpty() && reporters.isReportedByMajority(report)) {
+        for (GroupAssignment wanted : report.wanted()) {
+          newest.merge(wanted.member(), wanted, MembershipCoordinator::newerOf);
+        }
+      }
+    }
+    return newest;
+  }
+
+  private static GroupAssignment newerOf(GroupAssignment one, GroupAssignment other) {
+    return one.at().isNewerThan(other.at()) ? one : other;
   }
 
-  /** Lists of one generation that are not the same: discovery tells two things. */
+  private static boolean mayAssign(GroupAssignment wanted, GroupAssignment known) {
+    return known == null
+        || (known.cleared()
+            && known.group() != wanted.group()
+            && wanted.at().isNewerThan(known.at()));
+  }
+
+  /** List versions under which routers with a lease hold different contents. */
   public List<ListFork> forks(Moment now) {
-    Map<ListVersion, Map<Long, List<String>>> held = new TreeMap<>();
+    Map<ListVersion, Map<Long, List<String>>> namesByContent = new TreeMap<>();
     reports.forEach(
-        (name, report) -> {
-          if (report.digest() != 0 && leases.hasLease(name, now)) {
-            held.computeIfAbsent(report.at(), at -> new TreeMap<>())
+        (router, report) -> {
+          if (report.digest() != 0 && leases.hasLease(router, now)) {
+            namesByContent
+                .computeIfAbsent(report.at(), at -> new TreeMap<>())
                 .computeIfAbsent(report.digest(), digest -> new ArrayList<>())
-                .add(name);
+                .add(router);
           }
         });
-    return held.entrySet().stream()
+    return namesByContent.entrySet().stream()
         .filter(entry -> entry.getValue().size() > 1)
         .map(entry -> new ListFork(entry.getKey(), entry.getValue()))
         .toList();
   }
 
-  /**
-   * What a router said last; what one that has heard of no list would say where it said nothing.
-   */
+  /** The router's last report; {@link HeartbeatReport#NONE} where there is none. */
   public HeartbeatReport said(String name) {
     return reports.getOrDefault(name, HeartbeatReport.NONE);
   }
 
+  /** How the router's last reported list agrees with the others'. */
   public ListAgreement verdictOn(String name, Moment now, VersionRegister register) {
-    return verdict(now, said(name), register);
+    return agreementOn(said(name), now, register);
   }
 }
