--- a/router/src/main/java/basaltlever/membership/MembershipView.java
+++ b/router/src/main/java/basaltlever/membership/MembershipView.java
@@ -1,435 +1,341 @@
 package basaltlever.membership;
 
+import static basaltlever.membership.SettledList.stricter;
+
 import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Predicate;
 
 /**
- * Which members one router may use and in which group, by its own lists and its fleet's word. What
- * a list forbids binds at once, whoever's list it is; what it allows waits until most routers hold
- * the same list, or until nobody has contradicted it for the stated time. A list that goes back,
- * empties or shrinks at once is held off: what it forbids by name binds, the rest is used for
- * nothing.
+ * Which endpoints one router may use and in which group, by its own lists and by what the leader
+ * says.
+ *
+ * <p>What any router's list forbids takes effect at once. What a list allows waits until most
+ * routers hold the same list, or until nobody has contradicted it for long enough. A list that is
+ * older than the one before, empty or much shorter is suspended: the endpoints that it names as
+ * draining or gone are restricted, and nothing else of it is used.
  */
 public final class MembershipView {
-  /** A list that names less than this share of the members in service at once is held off. */
-  private static final double LEAST_LEFT = 0.5;
+  private static final int MAX_WANTED_PER_HEARTBEAT = 500;
 
-  private static final int MOST_MARKS = 5_000;
-  private static final int MARKS_A_BEAT = 500;
-  private static final int SEATS_A_BEAT = 500;
+  /** Assignment number of a router that no leader has sent any assignments yet. */
+  private static final long NO_ASSIGNMENTS = -1;
 
   /**
-   * Lists that nobody has confirmed; of more the oldest counts for nothing, the strictest of it is
-   * kept.
+   * What may be done with an endpoint.
+   *
+   * @param listing whether it may get new work
+   * @param group in which it may be used
    */
-  private static final int MOST_UNSETTLED = 32;
-
-  /** What may be done with a member: its listing, and the group in which it may be used. */
   public record MemberUse(EndpointLifecycle listing, int group) {}
 
-  /** A list that was taken. */
-  private static final class ListCopy {
-    final SortedMap<String, ListedEndpoint> list;
-    final ListVersion at;
-    final long digest;
-    final Moment since;
-    ListAgreement verdict = ListAgreement.UNTOLD;
-    Moment seenSince = Moment.NEVER;
-
-    ListCopy(SortedMap<String, ListedEndpoint> list, ListVersion at, long digest, Moment since) {
-      this.list = list;
-      this.at = at;
-      this.digest = digest;
-      this.since = since;
-    }
-  }
+  private final Span uncontested;
+  private final Span assignmentValidity;
 
-  private final Span stated;
-  private final Span assigned;
+  /** The last list from discovery, suspended or not; null before the first. */
+  private EndpointListCopy latest;
 
-  /** What discovery told last, held off or not; null before the first list. */
-  private ListCopy told;
+  private ListAnomaly anomaly = ListAnomaly.NONE;
 
-  private ListAnomaly doubt = ListAnomaly.NONE;
-
-  /**
-   * The list that is taken, and those since the last one that is settled, oldest first, this one
-   * too.
-   */
-  private ListCopy own = new ListCopy(new TreeMap<>(), ListVersion.NEVER, 0, Moment.LONG_AGO);
+  /** The last list that was not suspended. */
+  private EndpointListCopy taken = EndpointListCopy.none();
 
-  private final ArrayDeque<ListCopy> unsettled = new ArrayDeque<>();
-  private SortedMap<String, ListedEndpoint> settled = new TreeMap<>();
-  private ListVersion settledAt = ListVersion.NEVER;
-  private final Map<String, DrainMark> marks = new HashMap<>();
+  private final SettledList settled = new SettledList();
+  private final DrainMarks drainMarks = new DrainMarks();
+  private final Map<String, GroupAssignment> assignments = new TreeMap<>();
+  private long assignmentsNumber = NO_ASSIGNMENTS;
 
-  /** What the leader may lack, and how many went before these. */
-  private final ArrayDeque<DrainMark> unsent = new ArrayDeque<>();
-
-  private long sent;
-  private final Map<String, GroupAssignment> seats = new TreeMap<>();
-
-  /**
-   * Below 0 before the first word: a fresh process knows of no member in which group others use it.
-   */
-  private long seatsNumber = -1;
-
-  private long book;
-  private long place;
+  private long coordinatorTerm;
+  private long readPosition;
   private long era;
-  private Moment wordUntil = Moment.LONG_AGO;
+  private Moment lastLeaseEnd = Moment.LONG_AGO;
   private long revision;
 
   /**
-   * Within the stated time nobody acts on an older version; for as long as assigned a router that
-   * hears nothing may go on using members in the groups that it knows.
+   * Creates the view of a router that knows no endpoint yet.
+   *
+   * @param stated for how long nobody must have contradicted a list before what it allows is used
+   * @param assigned how long a router without contact to the leader may go on using endpoints in
+   *     the groups that it knows
    */
   public MembershipView(Span stated, Span assigned) {
-    this.stated = stated;
-    this.assigned = assigned;
+    this.uncontested = stated;
+    this.assignmentValidity = assigned;
   }
 
-  // ---- What discovery tells.
-
   /**
-   * A whole list, or entries that have changed since the one before. Tells whether it is held off,
-   * and why.
+   * Takes in a list from discovery.
+   *
+   * @param whole whether the entries are the complete list, else those that have changed
+   * @return why the list is suspended
    */
   public ListAnomaly told(
       Moment now, boolean whole, long generation, Map<String, ListedEndpoint> entries) {
     TreeMap<String, ListedEndpoint> list =
-        whole || told == null ? new TreeMap<>() : new TreeMap<>(told.list);
+        whole || latest == null ? new TreeMap<>() : new TreeMap<>(latest.entries());
     list.putAll(entries);
     revision++;
-    boolean back = own.at.era() == era && generation < own.at.generation();
-    told = new ListCopy(list, new ListVersion(era, generation), digest(list, generation), now);
-    doubt = back ? ListAnomaly.BACK : doubt();
-    heed();
-    return doubt;
+    latest = new EndpointListCopy(list, new ListVersion(era, generation), now);
+    boolean isOlder = taken.version().era() == era && generation < taken.version().generation();
+    anomaly = isOlder ? ListAnomaly.BACK : latest.anomalyComparedWith(taken);
+    applyLatest();
+    return anomaly;
   }
 
-  private void heed() {
-    if (doubt != ListAnomaly.BACK) {
-      // Of a list that is held off as well: what it says by name is no slip of its length.
-      told.list.forEach(
-          (member, said) -> {
-            if (said.listing() != EndpointLifecycle.READY) {
-              mark(new DrainMark(member, told.at, said.listing() == EndpointLifecycle.GONE), true);
-            }
-          });
+  private void applyLatest() {
+    if (anomaly != ListAnomaly.BACK) {
+      // Also of an empty or short list: a mistake in its length does not explain these entries.
+      markRestricted();
     }
-    if (doubt == ListAnomaly.NONE) {
-      take();
+    if (anomaly == ListAnomaly.NONE) {
+      takeLatest();
     }
   }
 
-  private ListAnomaly doubt() {
-    if (told.list.values().stream().allMatch(said -> said.listing() == EndpointLifecycle.GONE)) {
-      return ListAnomaly.EMPTY;
-    }
-    long serving =
-        own.list.values().stream()
-            .filter(said -> said.listing() == EndpointLifecycle.READY)
-            .count();
-    long named =
-        own.list.entrySet().stream()
-            .filter(
-                entry ->
-                    entry.getValue().listing() == EndpointLifecycle.READY
-                        && told.list.containsKey(entry.getKey()))
-            .count();
-    return named < LEAST_LEFT * serving ? ListAnomaly.SHRUNK : ListAnomaly.NONE;
+  private void markRestricted() {
+    latest
+        .entries()
+        .forEach(
+            (endpoint, entry) -> {
+              if (entry.listing() != EndpointLifecycle.READY) {
+                boolean isGone = entry.listing() == EndpointLifecycle.GONE;
+                addOwnMark(new DrainMark(endpoint, latest.version(), isGone));
+              }
+            });
   }
 
-  private void take() {
+  private void takeLatest() {
     revision++;
-    for (String member : own.list.keySet()) {
-      if (!told.list.containsKey(member)) {
-        mark(new DrainMark(member, told.at, true), true);
+    for (String endpoint : taken.entries().keySet()) {
+      if (!latest.entries().containsKey(endpoint)) {
+        addOwnMark(new DrainMark(endpoint, latest.version(), true));
       }
     }
-    own = told;
-    unsettled.add(own);
-    if (unsettled.size() > MOST_UNSETTLED) {
-      // Whom it alone names nobody has borne out.
-      SortedMap<String, ListedEndpoint> strictest = new TreeMap<>(settled);
-      unsettled
-          .removeFirst()
-          .list
-          .forEach(
-              (member, said) ->
-                  strictest.computeIfPresent(
-                      member,
-                      (m, known) -> said.listing().compareTo(known.listing()) > 0 ? said : known));
-      settled = strictest;
-    }
+    taken = latest;
+    settled.add(taken);
   }
 
-  private void mark(DrainMark mark, boolean isOwn) {
-    if (mark.outdoes(marks.get(mark.member()))) {
-      marks.put(mark.member(), mark);
-      revision++;
-      if (isOwn && unsent.size() < MOST_MARKS) {
-        unsent.add(mark);
-      }
-      if (marks.size() > MOST_MARKS) {
-        marks.values().stream()
-            .min(Comparator.comparing(DrainMark::at))
-            .ifPresent(oldest -> marks.remove(oldest.member()));
-      }
-    }
+  private void addOwnMark(DrainMark mark) {
+    revision += drainMarks.addOwn(mark) ? 1 : 0;
   }
 
-  /** Of what routers may contradict each other by; addresses may differ by network. */
-  private static long digest(SortedMap<String, ListedEndpoint> list, long generation) {
-    try {
-      MessageDigest sum = MessageDigest.getInstance("SHA-256");
-      list.forEach(
-          (member, said) -> {
-            if (said.listing() != EndpointLifecycle.GONE) {
-              sum.update(
-                  (member + '\0' + said.listing() + '\0' + said.group() + '\n')
-                      .getBytes(StandardCharsets.UTF_8));
-            }
-          });
-      sum.update(ByteBuffer.allocate(Long.BYTES).putLong(generation).array());
-      long digest = ByteBuffer.wrap(sum.digest()).getLong();
-      return digest == 0 ? 1 : digest;
-    } catch (NoSuchAlgorithmException impossible) {
-      throw new IllegalStateException(impossible);
+  /** Takes in the leader's update; to be called before the lease that comes with it is used. */
+  public void heard(Moment now, MembershipUpdate update) {
+    readDrainMarks(update);
+    readAssignments(update);
+    // Lists of a former era can't be compared with new ones: discovery has to send the list again.
+    era = Math.max(era, update.era());
+    if (latest != null && isAbout(update, latest)) {
+      latest.updateAgreement(now, update.verdict());
+      resumeIfConfirmed(now);
     }
+    revision += settled.settle(now, latest, uncontested);
   }
 
-  // ---- What the fleet tells.
-
-  /** To be taken in before the grant that it comes with. */
-  public void heard(Moment now, MembershipUpdate sight) {
-    if (sight.book() != book) {
-      // Another leader: all that this router knows may be news to it.
-      book = sight.book();
-      place = 0;
-      sent += unsent.size();
-      unsent.clear();
-      unsent.addAll(marks.values());
+  private void readDrainMarks(MembershipUpdate update) {
+    if (update.book() != coordinatorTerm) {
+      coordinatorTerm = update.book();
+      readPosition = 0;
+      drainMarks.resendAll();
     } else {
-      while (sent < sight.marksEnd() && !unsent.isEmpty()) {
-        unsent.removeFirst();
-        sent++;
-      }
+      drainMarks.acknowledge(update.marksEnd());
     }
-    sight.marks().forEach(mark -> mark(mark, false));
-    place = Math.max(place, sight.place());
-    if (sight.seatsNumber() > seatsNumber) {
-      // One that was replaced without knowing it tells an older table.
-      sight.seats().forEach(seat -> seats.put(seat.member(), seat));
-      seatsNumber = sight.seatsNumber();
-      revision++;
+    for (DrainMark mark : update.marks()) {
+      revision += drainMarks.addReceived(mark) ? 1 : 0;
     }
-    // Which of the lists that it has were counted before nobody knows: discovery has to tell them
-    // once more.
-    era = Math.max(era, sight.era());
-    if (told != null && sight.at().equals(told.at) && sight.digest() == told.digest) {
-      // Another leader may not know any more who contradicted it.
-      told.verdict =
-          told.verdict == ListAgreement.DISPUTED
-                  && sight.verdict() != ListAgreement.SEEN
-                  && sight.verdict() != ListAgreement.PASSED
-              ? told.verdict
-              : sight.verdict();
-      // For so long that, did it go back for most, they would have agreed to count anew.
-      told.seenSince =
-          told.verdict == ListAgreement.SEEN ? told.seenSince.earlier(now) : Moment.NEVER;
-      boolean holds = now.since(told.seenSince).isLongerThan(stated);
-      if (holds && (doubt == ListAnomaly.SHRUNK || doubt == ListAnomaly.BACK)) {
-        // Most hold it: theirs was no slip, or what this one came to hold before was one.
-        doubt = ListAnomaly.NONE;
-        heed();
+    readPosition = Math.max(readPosition, update.place());
+  }
+
+  private void readAssignments(MembershipUpdate update) {
+    // A leader that was replaced without noticing sends an older table.
+    if (update.seatsNumber() > assignmentsNumber) {
+      for (GroupAssignment assignment : update.seats()) {
+        assignments.put(assignment.member(), assignment);
       }
+      assignmentsNumber = update.seatsNumber();
+      revision++;
     }
-    settle(now);
   }
 
-  // The newest that most hold, or that nobody has contradicted for so long; what came before it is
-  // over.
-  private void settle(Moment now) {
-    ListCopy newest = null;
-    for (ListCopy copy : unsettled) {
-      // One that was replaced since is judged no more: who would contradict it may not have spoken
-      // yet. One
-      // that is older than what most hold allows nothing: a newer one is on its way here too.
-      boolean stands =
-          copy.verdict == ListAgreement.SEEN
-              || copy.verdict == ListAgreement.PASSED
-              || (copy == told
-                  && copy.verdict == ListAgreement.AHEAD
-                  && now.since(copy.since).isLongerThan(stated));
-      newest = stands ? copy : newest;
-    }
-    while (newest != null && !unsettled.isEmpty() && settled != newest.list) {
-      ListCopy next = unsettled.removeFirst();
-      settled = next.list;
-      settledAt = next.at;
-      revision++;
+  private static boolean isAbout(MembershipUpdate update, EndpointListCopy list) {
+    return update.at().equals(list.version()) && update.digest() == list.digest();
+  }
+
+  /**
+   * Takes a suspended list that most routers have held long enough. An older list has to be held
+   * that long because meanwhile the voters would start a new era, had discovery lost its state.
+   */
+  private void resumeIfConfirmed(Moment now) {
+    boolean mayResume = anomaly == ListAnomaly.SHRUNK || anomaly == ListAnomaly.BACK;
+    if (mayResume && latest.isHeldByMajorityLongerThan(uncontested, now)) {
+      anomaly = ListAnomaly.NONE;
+      applyLatest();
     }
   }
 
-  /** It has its fleet's word up to this moment. */
+  /** The router has a lease until that moment, and thereby contact to the leader. */
   public void leased(Moment ends) {
-    wordUntil = wordUntil.later(ends);
+    lastLeaseEnd = lastLeaseEnd.later(ends);
   }
 
-  /** Whether it has heard nothing for so long that members may serve other groups by now. */
+  /** Whether it has been out of contact for so long that endpoints may have changed groups. */
   public boolean isAdrift(Moment now) {
-    return seatsNumber < 0 || now.since(wordUntil).isLongerThan(assigned);
+    return assignmentsNumber < 0 || now.since(lastLeaseEnd).isLongerThan(assignmentValidity);
   }
 
-  // ---- What follows.
-
-  /** Another number whenever some member may have another use. */
+  /** A number that changes whenever the use of an endpoint may have changed. */
   public long revision(Moment now) {
     return 2 * revision + (isAdrift(now) ? 1 : 0);
   }
 
-  /** Every member that has to be told to the decisions. */
+  /** All endpoints of the current lists, whether they may be used or not. */
   public Set<String> members() {
-    Set<String> all = new TreeSet<>(own.list.keySet());
-    all.addAll(settled.keySet());
-    unsettled.forEach(copy -> all.addAll(copy.list.keySet()));
-    return all;
+    Set<String> endpoints = new TreeSet<>(taken.entries().keySet());
+    settled.addEndpointsTo(endpoints);
+    return endpoints;
   }
 
-  /** The strictest of what is known at this moment. */
+  /** What may be done with the endpoint: the strictest of all that is known at this moment. */
   public MemberUse use(Moment now, String member) {
-    ListedEndpoint mine = own.list.get(member);
-    EndpointLifecycle listing = mine == null ? EndpointLifecycle.GONE : mine.listing();
-    if (!unsettled.isEmpty()) {
-      // Known to no settled list: nobody needs it at once, and most may know nothing of it.
-      ListedEndpoint before = settled.get(member);
-      listing = stricter(listing, before != null ? before.listing() : EndpointLifecycle.DRAINING);
-      for (ListCopy copy : unsettled) {
-        ListedEndpoint once = copy.list.get(member);
-        listing = stricter(listing, once == null ? EndpointLifecycle.DRAINING : once.listing());
-      }
+    ListedEndpoint entry = taken.entries().get(member);
+    GroupAssignment assignment = assignments.get(member);
+    EndpointLifecycle lifecycle = restrictByMark(member, restrictByLists(member, entry));
+    if (!isAssigned(entry, assignment) || isAdrift(now)) {
+      lifecycle = stricter(lifecycle, EndpointLifecycle.DRAINING);
     }
-    if (doubt == ListAnomaly.BACK && told.list.containsKey(member)) {
-      // Older, so it is no news for others; yet this router was told.
-      listing = stricter(listing, told.list.get(member).listing());
+    return new MemberUse(lifecycle, groupOf(entry, assignment));
+  }
+
+  private EndpointLifecycle restrictByLists(String endpoint, ListedEndpoint entry) {
+    EndpointLifecycle own = entry == null ? EndpointLifecycle.GONE : entry.listing();
+    EndpointLifecycle lifecycle = settled.restrict(endpoint, own);
+    // An older list gives no drain marks for other routers, but restricts this one.
+    boolean isInOlderList = anomaly == ListAnomaly.BACK && latest.entries().containsKey(endpoint);
+    return isInOlderList
+        ? stricter(lifecycle, latest.entries().get(endpoint).listing())
+        : lifecycle;
+  }
+
+  private EndpointLifecycle restrictByMark(String endpoint, EndpointLifecycle lifecycle) {
+    DrainMark mark = drainMarks.get(endpoint);
+    // Only a newer list undoes a mark, and only once that list is settled.
+    if (mark == null || settled.version().isNewerThan(mark.at())) {
+      return lifecycle;
     }
-    DrainMark mark = marks.get(member);
-    // A newer list undoes it once it is settled: by then most hold it, or nobody contradicts it.
-    if (mark != null && !settledAt.isNewerThan(mark.at())) {
-      listing =
-          stricter(listing, mark.gone() ? EndpointLifecycle.GONE : EndpointLifecycle.DRAINING);
+    return stricter(lifecycle, mark.gone() ? EndpointLifecycle.GONE : EndpointLifecycle.DRAINING);
+  }
+
+  /**
+   * Whether the agreed group is the listed one and free to use. They differ where this router's
+   * list is outdated, or newer than what was agreed; then neither group is used.
+   */
+  private static boolean isAssigned(ListedEndpoint entry, GroupAssignment assignment) {
+    return assignment != null
+        && assignment.cleared()
+        && (entry == null || entry.group() == assignment.group());
+  }
+
+  private static int groupOf(ListedEndpoint entry, GroupAssignment assignment) {
+    if (assignment != null) {
+      return assignment.group();
     }
-    GroupAssignment seat = seats.get(member);
-    // Its own list may be older than where the member went, or newer than what is agreed: neither
-    // is used.
-    boolean waits =
-        seat == null
-            || !seat.cleared()
-            || (mine != null && mine.group() != seat.group())
-            || isAdrift(now);
-    return new MemberUse(
-        waits ? stricter(listing, EndpointLifecycle.DRAINING) : listing,
-        seat != null ? seat.group() : mine != null ? mine.group() : 0);
+    return entry == null ? 0 : entry.group();
   }
 
-  private static EndpointLifecycle stricter(EndpointLifecycle one, EndpointLifecycle other) {
-    return one.compareTo(other) >= 0 ? one : other;
+  /** Whether the router's list gives the endpoint a group that the voters have not agreed on. */
+  private boolean needsAssignment(String endpoint, ListedEndpoint entry) {
+    GroupAssignment known = assignments.get(endpoint);
+    return known == null
+        || (known.cleared()
+            && entry.group() != known.group()
+            && taken.version().isNewerThan(known.at()));
   }
 
-  /** What its own list says of a member's group where that is not agreed; null where it is. */
-  private GroupAssignment wants(String member, ListedEndpoint said) {
-    GroupAssignment seat = seats.get(member);
-    return seat == null
-            || (seat.cleared() && said.group() != seat.group() && own.at.isNewerThan(seat.at()))
-        ? new GroupAssignment(member, said.group(), own.at, false)
-        : null;
+  /**
+   * The report for the next heartbeat.
+   *
+   * @param nothingInFlight whether this router has no attempt in flight at an endpoint
+   */
+  public HeartbeatReport report(Moment now, Predicate<String> nothingInFlight) {
+    List<DrainMark> marks = drainMarks.nextBatch();
+    return new HeartbeatReport(
+        at(),
+        latest == null ? 0 : latest.digest(),
+        anomaly,
+        marks,
+        drainMarks.batchEnd(marks),
+        wantedAssignments(),
+        releasedEndpoints(nothingInFlight),
+        coordinatorTerm,
+        readPosition,
+        assignmentsNumber);
   }
 
-  /** For the next beat; nothing is out at a member where the test says so. */
-  public HeartbeatReport report(Moment now, Predicate<String> nothingOut) {
+  /** None while the latest list is suspended, as the report has that list's digest. */
+  private List<GroupAssignment> wantedAssignments() {
+    if (assignmentsNumber < 0 || anomaly != ListAnomaly.NONE) {
+      return List.of();
+    }
     List<GroupAssignment> wanted = new ArrayList<>();
-    own.list.forEach(
-        (member, said) -> {
-          // Of a list that is held off nothing is wanted, and who holds it off reports no other.
-          GroupAssignment wants =
-              seatsNumber < 0
-                      || doubt != ListAnomaly.NONE
-                      || said.listing() == EndpointLifecycle.GONE
-                      || wanted.size() >= SEATS_A_BEAT
-                  ? null
-                  : wants(member, said);
-          if (wants != null) {
-            wanted.add(wants);
-          }
-        });
-    List<DrainMark> some = unsent.stream().limit(MARKS_A_BEAT).toList();
-    List<String> free =
-        seats.values().stream()
-            .filter(seat -> !seat.cleared() && nothingOut.test(seat.member()))
-            .map(GroupAssignment::member)
-            .toList();
-    return new HeartbeatReport(
-        told == null ? ListVersion.NEVER : told.at,
-        told == null ? 0 : told.digest,
-        doubt,
-        some,
-        sent + some.size(),
-        wanted,
-        free,
-        book,
-        place,
-        seatsNumber);
+    for (Map.Entry<String, ListedEndpoint> entry : taken.entries().entrySet()) {
+      if (wanted.size() == MAX_WANTED_PER_HEARTBEAT) {
+        break;
+      }
+      ListedEndpoint listed = entry.getValue();
+      if (listed.listing() != EndpointLifecycle.GONE && needsAssignment(entry.getKey(), listed)) {
+        wanted.add(new GroupAssignment(entry.getKey(), listed.group(), taken.version(), false));
+      }
+    }
+    return wanted;
+  }
+
+  /** Endpoints that are changing groups and that this router does not use any more. */
+  private List<String> releasedEndpoints(Predicate<String> nothingInFlight) {
+    return assignments.values().stream()
+        .filter(assignment -> !assignment.cleared())
+        .map(GroupAssignment::member)
+        .filter(nothingInFlight)
+        .toList();
   }
 
-  /** Whether all that its own list allows holds by now. */
+  /** Whether all that the router's own list allows is settled and agreed on. */
   public boolean isSettled() {
-    return told != null
-        && doubt == ListAnomaly.NONE
-        && unsettled.isEmpty()
-        && own.list.entrySet().stream()
-            .allMatch(entry -> wants(entry.getKey(), entry.getValue()) == null);
+    return latest != null
+        && anomaly == ListAnomaly.NONE
+        && settled.isCurrent()
+        && taken.entries().entrySet().stream()
+            .noneMatch(entry -> needsAssignment(entry.getKey(), entry.getValue()));
   }
 
-  /** Whether its list was counted in a former era: discovery has to tell it once more. */
+  /** Whether the latest list is of a former era, so that discovery has to send it again. */
   public boolean wantsList() {
-    return told != null && told.at.era() < era;
+    return latest != null && latest.version().era() < era;
   }
 
-  /** In which lists are counted. */
+  /** Era of the current endpoint lists. */
   public long era() {
     return era;
   }
 
-  /** What the fleet made of the latest list. */
+  /** How the latest list agrees with the other routers'. */
   public ListAgreement verdict() {
-    return told == null ? ListAgreement.UNTOLD : told.verdict;
+    return latest == null ? ListAgreement.UNTOLD : latest.agreement();
   }
 
-  /** Of the list that is taken. */
+  /** Version of the last list that was not suspended. */
   public ListVersion ownAt() {
-    return own.at;
+    return taken.version();
   }
 
-  /** Of the latest list, taken or held off. */
+  /** Version of the latest list, suspended or not. */
   public ListVersion at() {
-    return told == null ? ListVersion.NEVER : told.at;
+    return latest == null ? ListVersion.NEVER : latest.version();
   }
 }
