--- a/router/src/main/java/basaltlever/membership/DrainMark.java
+++ b/router/src/main/java/basaltlever/membership/DrainMark.java
@@ -1,19 +1,24 @@
 package basaltlever.membership;
 
 /**
- * Somebody's list of this stamp says that nothing new may go to a member. Such facts only grow: a
- * newer one takes the place of an older one, and only a list that is newer than the mark undoes it.
- * So no vote is needed: whoever hears of one keeps to it.
+ * A router's list says that an endpoint must not get new work. Marks only restrict, so every router
+ * that learns of one may apply it without a vote. A newer mark replaces an older one, and only a
+ * list newer than the mark undoes it.
  *
- * @param gone it is gone, else it drains
+ * @param member name of the endpoint
+ * @param at version of the list that says so
+ * @param gone whether the endpoint is gone, else it is draining
  */
 public record DrainMark(String member, ListVersion at, boolean gone) {
   /**
-   * The one that binds more: the newer; of one stamp the drain, which binds where a removal may
-   * not.
+   * Whether this mark supersedes the other, which may be null: the newer one does, and of one list
+   * version the drain, since routers may be configured to ignore removals.
    */
   public boolean outdoes(DrainMark other) {
-    int newer = other == null ? 1 : at.compareTo(other.at);
-    return newer > 0 || (newer == 0 && other.gone && !gone);
+    if (other == null) {
+      return true;
+    }
+    int order = at.compareTo(other.at);
+    return order > 0 || (order == 0 && other.gone && !gone);
   }
 }
--- a/router/src/main/java/basaltlever/membership/GroupAssignment.java
+++ b/router/src/main/java/basaltlever/membership/GroupAssignment.java
@@ -1,12 +1,14 @@
 package basaltlever.membership;
 
 /**
- * The group in which a member is used, as the voters agreed. To which group a member belongs is
- * exclusive: there is no stricter of two sides but neither, so until a move is cleared no router
- * uses the member.
+ * The group in which an endpoint is used, as the voters agreed. An endpoint belongs to one group
+ * only, and neither of two groups is the stricter choice; so while it changes groups no router uses
+ * it, until the change is cleared.
  *
- * @param at stamp of the list that said so
- * @param cleared every router has let go of it in its former group, or can't act any more; so from
- *     the first where there was none
+ * @param member name of the endpoint
+ * @param group that it belongs to
+ * @param at version of the list that said so
+ * @param cleared whether every router has stopped using the endpoint in its former group or can no
+ *     longer act; true from the beginning where there was no former group
  */
 public record GroupAssignment(String member, int group, ListVersion at, boolean cleared) {}
--- a/router/src/main/java/basaltlever/membership/HeartbeatReport.java
+++ b/router/src/main/java/basaltlever/membership/HeartbeatReport.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * What a router says of its list with a beat.
+ * What a router reports of its endpoint lists with a heartbeat.
  *
- * @param at stamp of what its discovery told last, taken or held off
- * @param digest of that list; 0 where there is none yet
- * @param doubt why it is held off
- * @param marks those that its leader may lack
- * @param marksEnd how many of its marks its leader has once it has taken these
- * @param wanted what its list says of groups, and is not agreed yet
- * @param free members on the move, by their names, that it does not use and has nothing out at
- * @param book of which leader's book it has read
- * @param read up to which place of that book
- * @param seatsRead number of the table of seats that it has
+ * @param at version of its latest list, suspended or not
+ * @param digest of the contents of that list; 0 where there is none yet
+ * @param doubt why that list is suspended
+ * @param marks drain marks that the leader may lack
+ * @param marksEnd how many of the router's marks the leader has once it has taken these
+ * @param wanted group assignments that its list needs and that are not agreed yet
+ * @param free names of endpoints that are changing groups and that it does not use any more
+ * @param book coordinator term that it has read
+ * @param read position that it has read up to in that term
+ * @param seatsRead number of the last change of a group assignment that it has
  */
 public record HeartbeatReport(
     ListVersion at,
@@ -27,7 +27,7 @@
     long book,
     long read,
     long seatsRead) {
-  /** Of a router that has heard of no list. */
+  /** The report of a router that has received no list. */
   public static final HeartbeatReport NONE =
       new HeartbeatReport(
           ListVersion.NEVER, 0, ListAnomaly.NONE, List.of(), 0, List.of(), List.of(), 0, 0, -1);
--- a/router/src/main/java/basaltlever/membership/ListAnomaly.java
+++ b/router/src/main/java/basaltlever/membership/ListAnomaly.java
@@ -1,12 +1,13 @@
 package basaltlever.membership;
 
-/**
- * Why a list is held off: it counts back, names nobody, or lacks most of the members in service at
- * once.
- */
+/** Why a router suspends a list. */
 public enum ListAnomaly {
+  /** It does not. */
   NONE,
+  /** Its generation is older than that of the list before. */
   BACK,
+  /** It names no endpoint. */
   EMPTY,
+  /** It lacks most of the endpoints that were ready in the list before. */
   SHRUNK
 }
--- a/router/src/main/java/basaltlever/membership/ListVersion.java
+++ b/router/src/main/java/basaltlever/membership/ListVersion.java
@@ -1,11 +1,12 @@
 package basaltlever.membership;
 
 /**
- * How new a word on a member is. Generations of one discovery count up; where it lost its state and
- * counts anew the fleet agrees on another era, so that what came before it is older all the same.
+ * Version of an endpoint list. Discovery increases the generation with every list; where it loses
+ * its state and restarts the generations the fleet agrees on a new era, and all lists of the eras
+ * before are older.
  *
- * @param era counted by the voters, from 0
- * @param generation of the list, as discovery tells it
+ * @param era of the generations, from 0
+ * @param generation of the list, as discovery gives it
  */
 public record ListVersion(long era, long generation) implements Comparable<ListVersion> {
   /** Older than any list. */
@@ -18,6 +19,7 @@
         : Long.compare(generation, other.generation);
   }
 
+  /** Whether this version is strictly newer. */
   public boolean isNewerThan(ListVersion other) {
     return compareTo(other) > 0;
   }
--- a/router/src/main/java/basaltlever/membership/ListedEndpoint.java
+++ b/router/src/main/java/basaltlever/membership/ListedEndpoint.java
@@ -3,8 +3,10 @@
 import basaltlever.gateway.EndpointLifecycle;
 
 /**
- * What a list says of one member, as far as routers may contradict each other by it. When it
- * started is not of that kind: lists of one generation that differ in it alone were taken for a
- * fork, and a router that was started then waited for its first grant in vain.
+ * What a list says of one endpoint, as far as the fleet has to agree on it. The endpoint's start
+ * time is no part of it: routers may legitimately see different ones under the same list version.
+ *
+ * @param listing whether the endpoint is ready, draining or gone
+ * @param group that it belongs to
  */
 public record ListedEndpoint(EndpointLifecycle listing, int group) {}
--- a/router/src/main/java/basaltlever/membership/MembershipUpdate.java
+++ b/router/src/main/java/basaltlever/membership/MembershipUpdate.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * What the leader tells a router of lists with a grant.
+ * What the leader answers to a router's report, with the grant of the lease.
  *
- * @param book tells this leader's book from another's
- * @param place up to which the marks bring the reader
- * @param marks that the router has not read yet
+ * @param book coordinator term of this leader
+ * @param place position that the router has read up to with these marks
+ * @param marks drain marks that the router has not read yet
  * @param marksEnd how many of the router's own marks the leader has by now
- * @param verdict on the list of the stamp and digest that follow
- * @param at of the report that this answers
+ * @param verdict on the list with the following version and digest
+ * @param at list version of the report that this answers
  * @param digest of the report that this answers
- * @param era in which lists are counted
- * @param seatsNumber of the table of seats as these bring it
- * @param seats that have changed since the number that the router has
+ * @param era of the current endpoint lists
+ * @param seatsNumber number of the last change of a group assignment
+ * @param seats group assignments that changed after the number that the router has
  */
 public record MembershipUpdate(
     long book,
--- a/router/src/main/java/basaltlever/membership/VoterEligibility.java
+++ b/router/src/main/java/basaltlever/membership/VoterEligibility.java
@@ -5,34 +5,52 @@
 import java.util.List;
 
 /**
- * Whether a voter may vote, and with whom: by what its folder holds and what the other voters tell.
- * Whoever was given up with a lost majority, taken out, or has lost the folder with which it voted,
- * may not: it could vote twice in a term, or lead routers by what nobody else keeps to any more.
+ * Whether a voter may vote, and with whom, by what its folder contains and what the other voters
+ * report.
  *
- * @param kind of standing
- * @param charter under which it votes
- * @param members with whom, itself among them
- * @param why it waits; empty where it doesn't
+ * <p>A voter must not vote if it was given up with a lost majority, was removed, or has lost the
+ * folder with which it voted: it could vote twice in one term, or lead routers by a state that the
+ * other voters have abandoned.
+ *
+ * @param kind what the voter does
+ * @param charter configuration epoch in which it votes
+ * @param members the voters, itself among them
+ * @param why it waits; empty where it does not
  */
 public record VoterEligibility(Kind kind, long charter, List<String> members, String why) {
-  /**
-   * FOUND with an empty folder, RESUME with what it holds, JOIN under a newer charter, or WAIT and
-   * ask again.
-   */
+  /** What a voter does. */
   public enum Kind {
+    /** Starts the first epoch, with an empty folder. */
     FOUND,
+    /** Continues with the contents of its folder. */
     RESUME,
+    /** Joins the voters of a newer epoch, or of the first where its folder is empty. */
     JOIN,
+    /** Does not vote, and asks the other voters again later. */
     WAIT
   }
 
-  /** What the folder of a voter says; its id is that folder's own. */
+  /**
+   * What a voter's folder contains.
+   *
+   * @param fleet name of the fleet
+   * @param name of the voter
+   * @param id of this very folder
+   * @param charter configuration epoch
+   * @param members the voters of that epoch
+   */
   public record VoterIdentity(
       String fleet, String name, String id, long charter, List<String> members) {}
 
   /**
-   * What another voter tells: its charter, who votes, by which folder it knows the one that asks,
-   * whether its own folder is empty, and whether it leads.
+   * What another voter reports.
+   *
+   * @param voter its name
+   * @param charter its configuration epoch
+   * @param members the voters of that epoch; empty where it does not vote itself
+   * @param sealOfAsker id of the recorded folder of the voter that asks; empty where none is
+   * @param fresh whether its own folder is empty
+   * @param leads whether it is the leader
    */
   public record PeerStatus(
       String voter,
@@ -40,72 +58,93 @@
       List<String> members,
       String sealOfAsker,
       boolean fresh,
-      boolean leads) {}
+      boolean leads) {
+    private boolean votes() {
+      return !members.isEmpty();
+    }
+  }
 
   /**
-   * By the first rule that applies. Seal is null for an empty folder; founders are the voters that
-   * the operator's files name; told holds those who answered, with no members where one does not
-   * vote itself.
+   * Decides by the first rule that applies.
+   *
+   * @param name of the voter that asks
+   * @param own contents of its folder; null where that is empty
+   * @param founders the voters that the operator's files name
+   * @param told reports of the other voters that answered
    */
   public static VoterEligibility of(
       String name, VoterIdentity own, List<String> founders, Collection<PeerStatus> told) {
     PeerStatus newest =
         told.stream()
-            .filter(one -> !one.members().isEmpty())
+            .filter(PeerStatus::votes)
             .max(Comparator.comparingLong(PeerStatus::charter))
             .orElse(null);
-    boolean newer = newest != null && (own == null || newest.charter() > own.charter());
-    if (newer && !newest.members().contains(name)) {
-      return waits(
-          "charter "
-              + newest.charter()
-              + " has other voters: "
-              + String.join(", ", newest.members()));
+    String reason = reasonToWait(name, own, founders, told, newest);
+    if (!reason.isEmpty()) {
+      return new VoterEligibility(Kind.WAIT, 0, List.of(), reason);
     }
-    if (told.stream()
-        .anyMatch(
-            one ->
-                !one.sealOfAsker().isEmpty()
-                    && (own == null
-                        || (one.charter() >= own.charter()
-                            && !one.sealOfAsker().equals(own.id()))))) {
-      return waits("it has voted with another folder: take it out and in again");
+    if (isBehind(own, newest)) {
+      return new VoterEligibility(Kind.JOIN, newest.charter(), newest.members(), "");
     }
-    // One that leads knows all that was agreed on; else it takes all that can have agreed on
-    // anything.
-    List<String> others =
-        (newest == null ? founders : newest.members())
-            .stream().filter(one -> !one.equals(name)).toList();
-    boolean allTell =
-        told.stream()
-            .filter(one -> one.fresh() || !one.members().isEmpty())
-            .map(PeerStatus::voter)
-            .toList()
-            .containsAll(others);
-    if (own == null
-        && !allTell
-        && told.stream()
-            .noneMatch(
-                one -> one.leads() && one.charter() == (newest == null ? 0 : newest.charter()))) {
-      return waits("its folder is empty, and not all other voters tell whether it has voted");
+    return own == null
+        ? new VoterEligibility(Kind.FOUND, 0, founders, "")
+        : new VoterEligibility(Kind.RESUME, own.charter(), own.members(), "");
+  }
+
+  private static String reasonToWait(
+      String name,
+      VoterIdentity own,
+      List<String> founders,
+      Collection<PeerStatus> told,
+      PeerStatus newest) {
+    if (isBehind(own, newest) && !newest.members().contains(name)) {
+      String voters = String.join(", ", newest.members());
+      return "charter " + newest.charter() + " has other voters: " + voters;
     }
-    if (newer) {
-      return new VoterEligibility(Kind.JOIN, newest.charter(), newest.members(), "");
+    if (told.stream().anyMatch(peer -> knowsOtherFolder(peer, own))) {
+      return "it has voted with another folder: take it out and in again";
     }
-    if (own == null) {
-      return new VoterEligibility(Kind.FOUND, 0, founders, "");
+    if (own == null && !isPastKnown(name, newest, founders, told)) {
+      return "its folder is empty, and not all other voters tell whether it has voted";
     }
-    boolean out =
-        newest != null
-            && newest.charter() == own.charter()
-            && told.stream()
-                .allMatch(one -> one.members().isEmpty() || !one.members().contains(name));
-    return out
-        ? waits("it was taken out")
-        : new VoterEligibility(Kind.RESUME, own.charter(), own.members(), "");
+    return own != null && isRemoved(name, own, newest, told) ? "it was taken out" : "";
+  }
+
+  /** Whether a voter reports an epoch that this voter does not have in its folder. */
+  private static boolean isBehind(VoterIdentity own, PeerStatus newest) {
+    return newest != null && (own == null || newest.charter() > own.charter());
+  }
+
+  /** Whether a voter of the same or a newer epoch has recorded another folder than this one. */
+  private static boolean knowsOtherFolder(PeerStatus peer, VoterIdentity own) {
+    if (peer.sealOfAsker().isEmpty()) {
+      return false;
+    }
+    return own == null || (peer.charter() >= own.charter() && !peer.sealOfAsker().equals(own.id()));
+  }
+
+  /**
+   * Whether the reports suffice to know if a voter with an empty folder has voted before: either
+   * the leader of the newest epoch reports, who knows all that was agreed on, or all other voters
+   * do.
+   */
+  private static boolean isPastKnown(
+      String name, PeerStatus newest, List<String> founders, Collection<PeerStatus> told) {
+    long epoch = newest == null ? 0 : newest.charter();
+    if (told.stream().anyMatch(peer -> peer.leads() && peer.charter() == epoch)) {
+      return true;
+    }
+    List<String> voters = newest == null ? founders : newest.members();
+    List<String> reporting =
+        told.stream().filter(peer -> peer.fresh() || peer.votes()).map(PeerStatus::voter).toList();
+    return voters.stream().filter(voter -> !voter.equals(name)).allMatch(reporting::contains);
   }
 
-  private static VoterEligibility waits(String why) {
-    return new VoterEligibility(Kind.WAIT, 0, List.of(), why);
+  /** Whether its own epoch is the newest reported and nobody who reports names it as a voter. */
+  private static boolean isRemoved(
+      String name, VoterIdentity own, PeerStatus newest, Collection<PeerStatus> told) {
+    return newest != null
+        && newest.charter() == own.charter()
+        && told.stream().noneMatch(peer -> peer.members().contains(name));
   }
 }
