--- a/router/src/main/java/basaltlever/membership/DrainMark.java
+++ b/router/src/main/java/basaltlever/membership/DrainMark.java
@@ -14,7 +14,7 @@
    * Whether this mark supersedes the other, which may be null: the newer one does, and of one list
    * version the drain, since routers may be configured to ignore removals.
    */
-  public boolean outdoes(DrainMark other) {
+  public boolean supersedes(DrainMark other) {
     if (other == null) {
       return true;
     }
--- a/router/src/main/java/basaltlever/membership/DrainMarkLog.java
+++ b/router/src/main/java/basaltlever/membership/DrainMarkLog.java
@@ -38,7 +38,7 @@
   void add(DrainMark mark) {
     Long knownPosition = positionByEndpoint.get(mark.member());
     DrainMark known = knownPosition == null ? null : markByPosition.get(knownPosition);
-    if (!mark.outdoes(known)) {
+    if (!mark.supersedes(known)) {
       return;
     }
     if (knownPosition != null) {
--- a/router/src/main/java/basaltlever/membership/DrainMarks.java
+++ b/router/src/main/java/basaltlever/membership/DrainMarks.java
@@ -21,7 +21,7 @@
 
   /** Adds a mark from this router's own list; false where a known one supersedes it. */
   boolean addOwn(DrainMark mark) {
-    boolean isNew = mark.outdoes(markByEndpoint.get(mark.member()));
+    boolean isNew = mark.supersedes(markByEndpoint.get(mark.member()));
     if (isNew) {
       markByEndpoint.put(mark.member(), mark);
       if (unacknowledged.size() < MAX_MARKS) {
@@ -34,7 +34,7 @@
 
   /** Adds a mark from the leader, which needs no acknowledgement; false where superseded. */
   boolean addReceived(DrainMark mark) {
-    boolean isNew = mark.outdoes(markByEndpoint.get(mark.member()));
+    boolean isNew = mark.supersedes(markByEndpoint.get(mark.member()));
     if (isNew) {
       markByEndpoint.put(mark.member(), mark);
       removeOldestAboveLimit();
--- a/router/src/main/java/basaltlever/settings/SettingsConstraints.java
+++ b/router/src/main/java/basaltlever/settings/SettingsConstraints.java
@@ -24,7 +24,7 @@
    * @param maxStaleness upper limit for bounded staleness; zero for none
    */
   public static List<String> brokenBy(Settings proposed, Settings installed, Span maxStaleness) {
-    List<String> reasons = new ArrayList<>(StricterSettings.exclusive(installed, proposed));
+    List<String> reasons = new ArrayList<>(StricterSettings.findConflicts(installed, proposed));
     double totalWeight = 0;
     for (int i = 0; reasons.isEmpty() && i < proposed.workloads().length; i++) {
       Workload workload = proposed.workloads()[i];
--- a/router/src/main/java/basaltlever/settings/StricterSettings.java
+++ b/router/src/main/java/basaltlever/settings/StricterSettings.java
@@ -32,7 +32,7 @@
    * Why there is no stricter of these two settings, each reason beginning with the settings key;
    * empty where there is one.
    */
-  public static List<String> exclusive(Settings older, Settings newer) {
+  public static List<String> findConflicts(Settings older, Settings newer) {
     List<String> reasons = new ArrayList<>();
     if (older.workloads().length != newer.workloads().length) {
       reasons.add(
--- a/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
+++ b/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
@@ -101,7 +101,8 @@
                 .noneMatch(kind -> kind.needs() == ReadConsistency.SESSION),
         "where a session's commit is to be found differs, so none relies on it");
     check(
-        StricterSettings.exclusive(older, newer).isEmpty(), "reads and writes stay what they are");
+        StricterSettings.findConflicts(older, newer).isEmpty(),
+        "reads and writes stay what they are");
     check(
         StricterSettings.of(newer, newer).allowance().equals(newer.allowance()),
         "a version meets itself");
