--- a/router/src/main/java/basaltlever/membership/VoterEligibility.java
+++ b/router/src/main/java/basaltlever/membership/VoterEligibility.java
@@ -15,7 +15,7 @@
  * @param kind what the voter does
  * @param charter configuration epoch in which it votes
  * @param members the voters, itself among them
- * @param why it waits; empty where it does not
+ * @param why the reason to wait; empty where it does not
  */
 public record VoterEligibility(Kind kind, long charter, List<String> members, String why) {
   /** What a voter does. */
--- a/router/src/main/java/basaltlever/settings/LeaseHolder.java
+++ b/router/src/main/java/basaltlever/settings/LeaseHolder.java
@@ -7,10 +7,10 @@
  * One router's lease: which versions of the settings it complies with, and until when.
  *
  * <p>A lease counts from the sending of the heartbeat that it answers, by the router's own
- * monotonic clock, so it ends here before it ends at the leader. The holder must be asked by {@link
- * #hasJustEnded} before every act: a process that was paused or disconnected thereby notices the
- * end of its lease first. Without a lease the router is restricted to what every version allows
- * ({@link StricterSettings#careful}).
+ * monotonic clock, so it ends here before it ends at the leader. The holder must be asked before
+ * every act whether the lease has just ended: a process that was paused or disconnected thereby
+ * notices the end of its lease first. Without a lease the router is restricted to what every
+ * version allows.
  */
 public final class LeaseHolder {
   /** Unanswered heartbeats remembered; a lease from an older one would be over already. */
@@ -93,8 +93,8 @@
   }
 
   /**
-   * Whether the lease has ended without {@link #hasJustEnded} having noted it: nothing that was
-   * decided under it may be carried out.
+   * Whether the lease has ended and the end is not noted yet: nothing that was decided under it may
+   * be carried out.
    */
   public boolean isOver(Moment now) {
     return !restricted && !now.isBefore(leaseEnds);
--- a/router/src/main/java/basaltlever/settings/VersionRegister.java
+++ b/router/src/main/java/basaltlever/settings/VersionRegister.java
@@ -148,7 +148,7 @@
 
   /**
    * Assigns an endpoint to a group, at once where it has none, else once every router has stopped
-   * using it and {@link #clear} says so. False where nothing changes.
+   * using it and the assignment is cleared. False where nothing changes.
    */
   public boolean seat(String member, int group, ListVersion at) {
     changes++;
