--- a/router/src/main/java/basaltlever/settings/StricterSettings.java
+++ b/router/src/main/java/basaltlever/settings/StricterSettings.java
@@ -55,7 +55,9 @@
     return reasons;
   }
 
-  /** The stricter of both, for which {@link #exclusive} must have found no reason against it. */
+  /**
+   * The stricter of both, for which {@link #findConflicts} must have found no reason against it.
+   */
   public static Settings of(Settings older, Settings newer) {
     boolean sameTokens =
         older.replication().sessionsCarryTokens() == newer.replication().sessionsCarryTokens();
