--- a/router/src/test/java/basaltlever/settings/EndpointListAgreementTest.java
+++ b/router/src/test/java/basaltlever/settings/EndpointListAgreementTest.java
@@ -38,33 +38,33 @@
   private static final long FAULTS_END = 14_000_000;
 
   /** What came to a member. */
-  private static final class Member {
+  private static final class EndpointState {
     int group;
     EndpointLifecycle listing = EndpointLifecycle.READY;
     int moves;
-    int flips;
-    int last = -1;
+    int groupChanges;
+    int lastGroup = -1;
     long readyAt;
 
     /** By group, of which process. */
-    final Map<Integer, Map<String, Integer>> out =
+    final Map<Integer, Map<String, Integer>> inFlight =
         new HashMap<>(Map.of(1, new HashMap<>(), 2, new HashMap<>()));
   }
 
   private record Drain(String member, long generation, long at, VirtualFleet.Router by) {}
 
-  private static final class Holder {
-    MembershipView roll;
-    final Map<String, Integer> out = new HashMap<>();
+  private static final class RouterState {
+    MembershipView view;
+    final Map<String, Integer> inFlight = new HashMap<>();
     long startsAt;
     boolean late;
-    long deafUntil;
+    long disconnectedUntil;
   }
 
-  private static final class Run extends VirtualFleet {
-    final Map<String, Member> members = new TreeMap<>();
-    final List<Holder> more = new ArrayList<>();
-    final Map<Leader, MembershipCoordinator> censuses = new HashMap<>();
+  private static final class ListFleet extends VirtualFleet {
+    final Map<String, EndpointState> members = new TreeMap<>();
+    final List<RouterState> routerStates = new ArrayList<>();
+    final Map<Leader, MembershipCoordinator> coordinators = new HashMap<>();
     final List<Drain> drains = new ArrayList<>();
     final List<Map<String, ListedEndpoint>> history = new ArrayList<>();
 
@@ -76,56 +76,56 @@
 
     long eras;
     int names;
-    int cleared;
-    int held;
+    int clearedMoves;
+    int suspendedLists;
 
-    Run(long seed, Bug bug, int count) {
+    ListFleet(long seed, Bug bug, int count) {
       super(seed, bug, count);
-      steady = seed % 2 == 1;
+      keepsLeader = seed % 2 == 1;
       for (int i = 0; i < 8; i++) {
-        Member member = new Member();
+        EndpointState member = new EndpointState();
         member.group = 1 + i % 2;
         members.put("m" + names++, member);
       }
       for (VirtualFleet.Router router : routers) {
-        Holder own = new Holder();
-        more.add(own);
-        begin(router);
-        after(chance.nextInt(20_000), () -> visits(router));
+        RouterState own = new RouterState();
+        routerStates.add(own);
+        startProcess(router);
+        after(random.nextInt(20_000), () -> useEndpoints(router));
       }
       history.add(truth());
       for (Leader leader : leaders) {
-        if (!censuses.containsKey(leader)) {
-          elected(leader);
+        if (!coordinators.containsKey(leader)) {
+          onElected(leader);
         }
       }
-      after(700_000, this::changes);
+      after(700_000, this::changeEndpoints);
     }
 
-    Holder of(VirtualFleet.Router router) {
-      return more.get(router.number);
+    RouterState stateOf(VirtualFleet.Router router) {
+      return routerStates.get(router.number);
     }
 
-    void begin(VirtualFleet.Router router) {
-      Holder own = of(router);
-      own.roll =
+    void startProcess(VirtualFleet.Router router) {
+      RouterState own = stateOf(router);
+      own.view =
           new MembershipView(
               Span.ofMillis(STATED / 1_000),
               bug == Bug.NEVER_ADRIFT ? ASSIGNED.times(1_000) : ASSIGNED);
-      own.out.clear();
+      own.inFlight.clear();
       own.startsAt = now + 120_000;
       long incarnation = router.incarnation;
-      after(120_000, () -> tell(router, incarnation, truth(), generation));
+      after(120_000, () -> deliverList(router, incarnation, truth(), generation));
     }
 
     @Override
-    void restarted(VirtualFleet.Router router) {
-      begin(router);
+    void onRestart(VirtualFleet.Router router) {
+      startProcess(router);
     }
 
     @Override
-    void elected(Leader leader) {
-      if (more == null) {
+    void onElected(Leader leader) {
+      if (routerStates == null) {
         // Before this run's own parts exist.
         return;
       }
@@ -134,18 +134,18 @@
         names.add("r" + i);
       }
       MembershipCoordinator census =
-          censuses.computeIfAbsent(
+          coordinators.computeIfAbsent(
               leader, l -> new MembershipCoordinator(l.leases, names, ASSIGNED.plus(LONGEST)));
-      census.elected(clock(leader), 1 + orders++);
+      census.elected(clock(leader), 1 + eventCount++);
     }
 
     @Override
-    HeartbeatReport says(VirtualFleet.Router router) {
-      Holder own = of(router);
+    HeartbeatReport report(VirtualFleet.Router router) {
+      RouterState own = stateOf(router);
       HeartbeatReport report =
-          own.roll.report(
+          own.view.report(
               clock(router),
-              member -> bug == Bug.LETS_GO_EARLY || own.out.getOrDefault(member, 0) == 0);
+              member -> bug == Bug.LETS_GO_EARLY || own.inFlight.getOrDefault(member, 0) == 0);
       return bug != Bug.MARKS_KEPT_TO_ITSELF
           ? report
           : new HeartbeatReport(
@@ -162,9 +162,11 @@
     }
 
     @Override
-    MembershipUpdate answers(Leader leader, VirtualFleet.Router router, HeartbeatReport report) {
+    MembershipUpdate answer(Leader leader, VirtualFleet.Router router, HeartbeatReport report) {
       MembershipUpdate sight =
-          censuses.get(leader).beat(clock(leader), "r" + router.number, report, knownTo(leader));
+          coordinators
+              .get(leader)
+              .beat(clock(leader), "r" + router.number, report, knownTo(leader));
       return bug != Bug.MOVES_AT_ONCE
           ? sight
           : new MembershipUpdate(
@@ -183,25 +185,25 @@
     }
 
     @Override
-    void leased(VirtualFleet.Router router) {
-      of(router).roll.leased(router.follower.leaseEnds());
+    void onLease(VirtualFleet.Router router) {
+      stateOf(router).view.leased(router.lease.leaseEnds());
     }
 
     @Override
-    void hears(VirtualFleet.Router router, MembershipUpdate sight) {
-      Holder own = of(router);
+    void receiveUpdate(VirtualFleet.Router router, MembershipUpdate sight) {
+      RouterState own = stateOf(router);
       if (sight != null && now >= own.startsAt) {
-        own.roll.heard(clock(router), sight);
-        if (own.roll.wantsList()) {
+        own.view.heard(clock(router), sight);
+        if (own.view.wantsList()) {
           long incarnation = router.incarnation;
-          after(10_000, () -> tell(router, incarnation, truth(), generation));
+          after(10_000, () -> deliverList(router, incarnation, truth(), generation));
         }
       }
     }
 
     @Override
-    void steps(Leader leader) {
-      MembershipCoordinator.Step step = censuses.get(leader).next(clock(leader), register);
+    void carryOutMembershipStep(Leader leader) {
+      MembershipCoordinator.Step step = coordinators.get(leader).next(clock(leader), register);
       switch (step.kind()) {
         case SEAT -> {
           for (GroupAssignment seat : step.seats()) {
@@ -213,7 +215,7 @@
         }
         case CLEAR -> {
           for (GroupAssignment seat : step.seats()) {
-            cleared += register.clear(seat.member()) ? 1 : 0;
+            clearedMoves += register.clear(seat.member()) ? 1 : 0;
           }
         }
         case COUNT_ANEW -> register.countAnew(register.era());
@@ -221,8 +223,6 @@
       }
     }
 
-    // ---- Discovery.
-
     Map<String, ListedEndpoint> truth() {
       Map<String, ListedEndpoint> list = new TreeMap<>();
       members.forEach(
@@ -234,28 +234,28 @@
       return list;
     }
 
-    Member some() {
-      List<Member> serving =
+    EndpointState pickEndpoint() {
+      List<EndpointState> serving =
           members.values().stream().filter(one -> one.listing != EndpointLifecycle.GONE).toList();
-      return serving.get(chance.nextInt(serving.size()));
+      return serving.get(random.nextInt(serving.size()));
     }
 
-    void changes() {
+    void changeEndpoints() {
       if (now > FAULTS_END) {
         generation++;
-        routers.forEach(router -> tell(router, router.incarnation, truth(), generation));
+        routers.forEach(router -> deliverList(router, router.incarnation, truth(), generation));
         if (now < FAULTS_END + 3_000_000) {
           // Once more behind what was late.
-          after(3_000_000, this::changes);
+          after(3_000_000, this::changeEndpoints);
         }
         return;
       }
-      after(400_000 + chance.nextInt(900_000), this::changes);
+      after(400_000 + random.nextInt(900_000), this::changeEndpoints);
       long ready =
           members.values().stream().filter(one -> one.listing == EndpointLifecycle.READY).count();
       String drained = "";
-      Member one = some();
-      switch (chance.nextInt(6)) {
+      EndpointState one = pickEndpoint();
+      switch (random.nextInt(6)) {
         case 0, 1 -> {
           if (ready > 5 && one.listing == EndpointLifecycle.READY) {
             one.listing = EndpointLifecycle.DRAINING;
@@ -282,8 +282,8 @@
         }
         case 4 -> {
           if (members.size() < 14) {
-            Member member = new Member();
-            member.group = 1 + chance.nextInt(2);
+            EndpointState member = new EndpointState();
+            member.group = 1 + random.nextInt(2);
             members.put("m" + names++, member);
           }
         }
@@ -293,7 +293,7 @@
           }
         }
       }
-      if (chance.nextInt(30) == 0) {
+      if (random.nextInt(30) == 0) {
         // It loses its state and counts anew, for everybody.
         generation = 0;
         eras++;
@@ -304,11 +304,11 @@
       generation++;
       history.add(truth());
       for (VirtualFleet.Router router : routers) {
-        Holder own = of(router);
-        own.late = router.number % 3 == 2 && chance.nextInt(2) == 0;
-        long late = own.late ? chance.nextInt(2_500_000) : 2_000 + chance.nextInt(40_000);
+        RouterState own = stateOf(router);
+        own.late = router.number % 3 == 2 && random.nextInt(2) == 0;
+        long late = own.late ? random.nextInt(2_500_000) : 2_000 + random.nextInt(40_000);
         long incarnation = router.incarnation;
-        Map<String, ListedEndpoint> list = odd(router);
+        Map<String, ListedEndpoint> list = listFromDiscovery(router);
         long of = generation;
         String member = drained;
         long counted = eras;
@@ -318,7 +318,7 @@
               if (counted != eras) {
                 return;
               }
-              tell(router, incarnation, list, of);
+              deliverList(router, incarnation, list, of);
               if (!member.isEmpty()
                   && list.get(member) != null
                   && router.incarnation == incarnation
@@ -328,11 +328,11 @@
                     LEASE.micros() + 20_000,
                     () -> {
                       // Its lease is from a beat that it sent after it was told: the leader knows.
-                      if (!router.follower.isCareful()
+                      if (!router.lease.isCareful()
                           && router.incarnation == incarnation
-                          && router.stoppedUntil < told
+                          && router.pausedUntil < told
                           && counted == eras
-                          && own.roll.at().equals(own.roll.ownAt())) {
+                          && own.view.at().equals(own.view.ownAt())) {
                         drains.add(new Drain(member, of, told, router));
                       }
                     });
@@ -342,92 +342,90 @@
     }
 
     /** One router in some is told another thing under the same generation. */
-    Map<String, ListedEndpoint> odd(VirtualFleet.Router router) {
+    Map<String, ListedEndpoint> listFromDiscovery(VirtualFleet.Router router) {
       Map<String, ListedEndpoint> list = new TreeMap<>(truth());
-      if (router.number == 1 && routers.size() > 3 && chance.nextInt(4) == 0) {
-        list.put("ghost" + chance.nextInt(3), new ListedEndpoint(EndpointLifecycle.READY, 1));
+      if (router.number == 1 && routers.size() > 3 && random.nextInt(4) == 0) {
+        list.put("ghost" + random.nextInt(3), new ListedEndpoint(EndpointLifecycle.READY, 1));
         list.replaceAll(
             (name, said) ->
                 new ListedEndpoint(
                     EndpointLifecycle.READY,
-                    chance.nextInt(5) == 0 ? 3 - said.group() : said.group()));
+                    random.nextInt(5) == 0 ? 3 - said.group() : said.group()));
       }
       return list;
     }
 
-    void tell(
+    void deliverList(
         VirtualFleet.Router router, long incarnation, Map<String, ListedEndpoint> list, long of) {
-      Holder own = of(router);
-      if (router.incarnation == incarnation && now < router.stoppedUntil) {
+      RouterState own = stateOf(router);
+      if (router.incarnation == incarnation && now < router.pausedUntil) {
         // It reads what had come once it goes on.
         long counted = eras;
         after(
-            router.stoppedUntil - now + 1,
+            router.pausedUntil - now + 1,
             () -> {
               if (counted == eras) {
-                tell(router, incarnation, list, of);
+                deliverList(router, incarnation, list, of);
               }
             });
         return;
       }
-      if (router.incarnation != incarnation || now < own.deafUntil) {
+      if (router.incarnation != incarnation || now < own.disconnectedUntil) {
         return;
       }
-      ListVersion at = own.roll.at();
-      if (at.generation() > of && eras == 0 && chance.nextInt(3) > 0 && now < FAULTS_END) {
+      ListVersion at = own.view.at();
+      if (at.generation() > of && eras == 0 && random.nextInt(3) > 0 && now < FAULTS_END) {
         return;
       }
       Moment clock = clock(router);
-      int odd = now < FAULTS_END ? chance.nextInt(12) : 0;
+      int odd = now < FAULTS_END ? random.nextInt(12) : 0;
       if (odd == 1) {
-        own.roll.told(clock, true, of, Map.of());
-        held++;
+        own.view.told(clock, true, of, Map.of());
+        suspendedLists++;
       } else if (odd == 2) {
         Map<String, ListedEndpoint> few = new TreeMap<>(list);
         few.keySet().retainAll(list.keySet().stream().limit(2).toList());
-        own.roll.told(clock, true, of, few);
-        held++;
+        own.view.told(clock, true, of, few);
+        suspendedLists++;
       } else if (odd == 3 && history.size() > 4) {
-        int older = history.size() - 2 - chance.nextInt(3);
-        own.roll.told(
+        int older = history.size() - 2 - random.nextInt(3);
+        own.view.told(
             clock,
             true,
             bug == Bug.OLDER_LIST_TAKEN ? of + 1_000 : base + older,
             history.get(older));
-        held++;
+        suspendedLists++;
       }
       if (bug != Bug.OLDER_LIST_TAKEN || odd != 3) {
-        own.roll.told(clock, true, of, list);
+        own.view.told(clock, true, of, list);
       }
     }
 
-    // ---- What members see.
-
-    void visits(VirtualFleet.Router router) {
-      after(10_000 + chance.nextInt(20_000), () -> visits(router));
-      Holder own = of(router);
-      if (now < router.stoppedUntil || now < own.startsAt) {
+    void useEndpoints(VirtualFleet.Router router) {
+      after(10_000 + random.nextInt(20_000), () -> useEndpoints(router));
+      RouterState own = stateOf(router);
+      if (now < router.pausedUntil || now < own.startsAt) {
         return;
       }
-      for (String name : own.roll.members()) {
-        MembershipView.MemberUse use = own.roll.use(clock(router), name);
-        if (use.listing() != EndpointLifecycle.READY || chance.nextInt(3) > 0) {
+      for (String name : own.view.members()) {
+        MembershipView.MemberUse use = own.view.use(clock(router), name);
+        if (use.listing() != EndpointLifecycle.READY || random.nextInt(3) > 0) {
           continue;
         }
         if (name.startsWith("ghost")) {
-          broken = name + " was used at " + now + " us by r" + router.number;
+          violation = name + " was used at " + now + " us by r" + router.number;
           return;
         }
-        own.out.merge(name, 1, Integer::sum);
-        Map<String, Integer> outs = own.out;
+        own.inFlight.merge(name, 1, Integer::sum);
+        Map<String, Integer> outs = own.inFlight;
         long incarnation = router.incarnation;
-        long arrives = 500L + chance.nextInt(10_000);
-        long works = 1_000L + chance.nextInt(chance.nextInt(5) == 0 ? 1_500_000 : 20_000);
+        long arrives = 500L + random.nextInt(10_000);
+        long works = 1_000L + random.nextInt(random.nextInt(5) == 0 ? 1_500_000 : 20_000);
         String process = router.number + " " + incarnation;
-        after(arrives, () -> arrives(name, use.group(), router.number, process));
+        after(arrives, () -> arrive(name, use.group(), router.number, process));
         after(
             arrives + works,
-            () -> members.get(name).out.get(use.group()).merge(process, -1, Integer::sum));
+            () -> members.get(name).inFlight.get(use.group()).merge(process, -1, Integer::sum));
         after(
             arrives + works,
             () -> {
@@ -438,25 +436,25 @@
       }
     }
 
-    void arrives(String name, int group, int by, String process) {
-      Member member = members.get(name);
-      if (member.last != group) {
-        member.flips += member.last < 0 ? 0 : 1;
-        member.last = group;
+    void arrive(String name, int group, int by, String process) {
+      EndpointState member = members.get(name);
+      if (member.lastGroup != group) {
+        member.groupChanges += member.lastGroup < 0 ? 0 : 1;
+        member.lastGroup = group;
       }
-      member.out.get(group).merge(process, 1, Integer::sum);
+      member.inFlight.get(group).merge(process, 1, Integer::sum);
       // What a process that was ended has left in a member is no use of it any more.
       boolean both =
           routers.stream()
               .anyMatch(
                   router ->
                       member
-                              .out
+                              .inFlight
                               .get(3 - group)
                               .getOrDefault(router.number + " " + router.incarnation, 0)
                           > 0);
-      if (member.flips > member.moves || both) {
-        broken =
+      if (member.groupChanges > member.moves || both) {
+        violation =
             name
                 + " served two groups at "
                 + now
@@ -465,7 +463,7 @@
                 + " by r"
                 + by
                 + ", "
-                + member.flips
+                + member.groupChanges
                 + " flips of "
                 + member.moves
                 + " moves";
@@ -473,26 +471,26 @@
     }
 
     @Override
-    void check() {
-      super.check();
-      if (routers.stream().filter(router -> !router.follower.isCareful()).count() < 2) {
+    void checkInvariants() {
+      super.checkInvariants();
+      if (routers.stream().filter(router -> !router.lease.isCareful()).count() < 2) {
         // Alone it is most: nobody is there to contradict what its discovery tells it.
         return;
       }
       for (Drain drain : drains) {
         if (now < drain.at + STATED
             || now > drain.at + STATED + 20_000
-            || drain.by.follower.isCareful()) {
+            || drain.by.lease.isCareful()) {
           // Who was told and its leader, which both know, are not lost at once.
           continue;
         }
         for (VirtualFleet.Router router : routers) {
-          Holder own = of(router);
-          if (now >= router.stoppedUntil
-              && !router.follower.isCareful()
-              && own.roll.use(clock(router), drain.member).listing() == EndpointLifecycle.READY
-              && drains(drain)) {
-            broken =
+          RouterState own = stateOf(router);
+          if (now >= router.pausedUntil
+              && !router.lease.isCareful()
+              && own.view.use(clock(router), drain.member).listing() == EndpointLifecycle.READY
+              && isStillDrained(drain)) {
+            violation =
                 drain.member
                     + " is used at "
                     + now
@@ -509,14 +507,14 @@
     }
 
     /** Every list since has said so. */
-    private boolean drains(Drain drain) {
-      Member member = members.get(drain.member);
+    private boolean isStillDrained(Drain drain) {
+      EndpointState member = members.get(drain.member);
       return member.listing != EndpointLifecycle.READY && member.readyAt < drain.at;
     }
 
-    String ends() {
+    String checkFinalState() {
       for (VirtualFleet.Router router : routers) {
-        MembershipView roll = of(router).roll;
+        MembershipView roll = stateOf(router).view;
         for (Map.Entry<String, ListedEndpoint> entry : truth().entrySet()) {
           MembershipView.MemberUse use = roll.use(clock(router), entry.getKey());
           if (use.listing() != entry.getValue().listing()
@@ -540,24 +538,24 @@
     }
 
     @Override
-    void faults() {
+    void injectFault() {
       if (now >= FAULTS_END) {
         return;
       }
-      super.faults();
-      if (chance.nextInt(12) == 0) {
+      super.injectFault();
+      if (random.nextInt(12) == 0) {
         // From its voters and its discovery, and not from members and clients; longer than groups
         // hold.
-        VirtualFleet.Router router = routers.get(chance.nextInt(routers.size()));
-        long until = now + 6_000_000 + chance.nextInt(3_000_000);
-        of(router).deafUntil = until;
-        router.cutUntil = until;
-        after(until - now, () -> tell(router, router.incarnation, truth(), generation));
+        VirtualFleet.Router router = routers.get(random.nextInt(routers.size()));
+        long until = now + 6_000_000 + random.nextInt(3_000_000);
+        stateOf(router).disconnectedUntil = until;
+        router.disconnectedUntil = until;
+        after(until - now, () -> deliverList(router, router.incarnation, truth(), generation));
       }
     }
 
     @Override
-    void proposes() {}
+    void proposeVersion() {}
   }
 
   @Example
@@ -565,12 +563,12 @@
     int cleared = 0;
     int held = 0;
     for (int seed = 0; seed < 60; seed++) {
-      Run run = new Run(seed, VirtualFleet.Bug.NONE, 4 + seed % 6);
-      String broken = run.play(FAULTS_END + 20_000_000);
+      ListFleet run = new ListFleet(seed, VirtualFleet.Bug.NONE, 4 + seed % 6);
+      String broken = run.run(FAULTS_END + 20_000_000);
       check(broken.isEmpty(), "seed " + seed + ": " + broken);
-      check(run.ends().isEmpty(), "seed " + seed + ": " + run.ends());
-      cleared += run.cleared;
-      held += run.held;
+      check(run.checkFinalState().isEmpty(), "seed " + seed + ": " + run.checkFinalState());
+      cleared += run.clearedMoves;
+      held += run.suspendedLists;
     }
     check(cleared > 60 && held > 60, "members move, and odd lists come: " + cleared + ", " + held);
   }
@@ -581,7 +579,7 @@
         EnumSet.range(VirtualFleet.Bug.MARKS_KEPT_TO_ITSELF, VirtualFleet.Bug.OLDER_LIST_TAKEN)) {
       boolean found = false;
       for (int seed = 0; seed < 60 && !found; seed++) {
-        found = !new Run(seed, bug, 6).play(FAULTS_END).isEmpty();
+        found = !new ListFleet(seed, bug, 6).run(FAULTS_END).isEmpty();
       }
       check(found, bug + " was not found");
     }
--- a/router/src/test/java/basaltlever/settings/SettingsAgreementTest.java
+++ b/router/src/test/java/basaltlever/settings/SettingsAgreementTest.java
@@ -16,9 +16,9 @@
     int inForce = 0;
     for (int seed = 0; seed < 150; seed++) {
       VirtualFleet run = new VirtualFleet(seed, VirtualFleet.Bug.NONE, 3 + seed % 10);
-      String broken = run.play(12_000_000);
+      String broken = run.run(12_000_000);
       check(broken.isEmpty(), "seed " + seed + ": " + broken);
-      inForce += run.inForce;
+      inForce += run.versionsInForce;
     }
     check(inForce > 500, "versions come into force all the same: " + inForce);
   }
@@ -28,7 +28,7 @@
     for (VirtualFleet.Bug bug : EnumSet.range(VirtualFleet.Bug.NO_LEASE, VirtualFleet.Bug.SHARES)) {
       boolean found = false;
       for (int seed = 0; seed < 60 && !found; seed++) {
-        found = !new VirtualFleet(seed, bug, 6).play(12_000_000).isEmpty();
+        found = !new VirtualFleet(seed, bug, 6).run(12_000_000).isEmpty();
       }
       check(found, bug + " was not found");
     }
--- a/router/src/test/java/basaltlever/settings/VirtualFleet.java
+++ b/router/src/test/java/basaltlever/settings/VirtualFleet.java
@@ -22,6 +22,7 @@
   static final Span LEASE = Span.ofMillis(400);
   static final double DRIFT = 0.02;
 
+  /** Faults planted in the code under test, each of which a run must find. */
   enum Bug {
     NONE,
     NO_LEASE,
@@ -38,16 +39,17 @@
     OLDER_LIST_TAKEN
   }
 
-  private record Due(long at, long order, Runnable what) {}
+  private record Event(long at, long order, Runnable action) {}
 
+  /** A router and its process. */
   static final class Router {
-    LeaseHolder follower = new LeaseHolder();
+    LeaseHolder lease = new LeaseHolder();
     long incarnation = 1;
     double speed;
     long offset;
-    long stoppedUntil;
-    long stoppedFor;
-    long cutUntil;
+    long pausedUntil;
+    long pausedFor;
+    long disconnectedUntil;
     int leader;
     final int number;
 
@@ -56,80 +58,81 @@
     }
   }
 
+  /** A voter that leads or led; one that was replaced may not know it. */
   static final class Leader {
     LeaseTable leases = new LeaseTable(LEASE, DRIFT);
     double speed;
     long offset;
     long term;
-    boolean cut;
+    boolean isDisconnected;
 
     /** What it knows since it was replaced. */
-    VersionRegister former;
+    VersionRegister stateWhenReplaced;
   }
 
-  final SplittableRandom chance;
+  final SplittableRandom random;
   final Bug bug;
-  final PriorityQueue<Due> due =
-      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+  final PriorityQueue<Event> events =
+      new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
   final List<Router> routers = new ArrayList<>();
   final Leader[] leaders = new Leader[3];
   final VersionRegister register = new VersionRegister();
 
   /** Versions that some router has kept to while they were on their way. */
-  final Set<Long> kept = new HashSet<>();
+  final Set<Long> acknowledgedVersions = new HashSet<>();
 
   long now;
-  long orders;
+  long eventCount;
   long term;
-  int leads;
-  int inForce;
-  String broken = "";
+  int currentLeader;
+  int versionsInForce;
+  String violation = "";
 
   /** No leader is ever replaced: what waits for time since an election would wait for good else. */
-  boolean steady;
+  boolean keepsLeader;
 
   VirtualFleet(long seed, Bug bug, int count) {
-    chance = new SplittableRandom(seed);
+    random = new SplittableRandom(seed);
     this.bug = bug;
     for (int i = 0; i < count; i++) {
       Router router = new Router(i);
-      router.speed = 1 + DRIFT / 2 * (2 * chance.nextDouble() - 1);
-      router.offset = chance.nextInt(1_000_000);
+      router.speed = 1 + DRIFT / 2 * (2 * random.nextDouble() - 1);
+      router.offset = random.nextInt(1_000_000);
       routers.add(router);
       int number = i;
-      after(chance.nextInt(100_000), () -> beats(number));
+      after(random.nextInt(100_000), () -> sendHeartbeat(number));
     }
     for (int i = 0; i < 3; i++) {
       leaders[i] = new Leader();
-      leaders[i].speed = 1 + DRIFT / 2 * (2 * chance.nextDouble() - 1);
-      leaders[i].offset = chance.nextInt(1_000_000);
+      leaders[i].speed = 1 + DRIFT / 2 * (2 * random.nextDouble() - 1);
+      leaders[i].offset = random.nextInt(1_000_000);
       int number = i;
-      after(1_000 + i, () -> leads(number));
+      after(1_000 + i, () -> runLeader(number));
     }
-    elects(0);
-    after(300_000, this::proposes);
-    after(200_000, this::faults);
+    elect(0);
+    after(300_000, this::proposeVersion);
+    after(200_000, this::injectFault);
   }
 
   void after(long micros, Runnable what) {
-    due.add(new Due(now + micros, orders++, what));
+    events.add(new Event(now + micros, eventCount++, what));
   }
 
   /** Lost, late, repeated. */
-  void sends(boolean cut, Runnable what) {
-    for (int copies = chance.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
-      if (!cut && chance.nextInt(20) > 0) {
+  void send(boolean cut, Runnable what) {
+    for (int copies = random.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
+      if (!cut && random.nextInt(20) > 0) {
         after(
             200
                 + (long)
-                    (chance.nextInt(10) == 0 ? chance.nextInt(300_000) : chance.nextInt(5_000)),
+                    (random.nextInt(10) == 0 ? random.nextInt(300_000) : random.nextInt(5_000)),
             what);
       }
     }
   }
 
   Moment clock(Router router) {
-    long at = bug == Bug.STOPPED_CLOCK ? now - router.stoppedFor : now;
+    long at = bug == Bug.STOPPED_CLOCK ? now - router.pausedFor : now;
     return new Moment(router.offset + (long) (at * router.speed));
   }
 
@@ -137,16 +140,16 @@
     return new Moment(leader.offset + (long) (now * leader.speed));
   }
 
-  void elects(int number) {
-    if (number != leads) {
-      leaders[leads].former = copy();
+  void elect(int number) {
+    if (number != currentLeader) {
+      leaders[currentLeader].stateWhenReplaced = copy();
     }
-    leaders[number].former = null;
+    leaders[number].stateWhenReplaced = null;
     term++;
-    leads = number;
+    currentLeader = number;
     leaders[number].term = term;
     leaders[number].leases.elected(clock(leaders[number]));
-    elected(leaders[number]);
+    onElected(leaders[number]);
   }
 
   private VersionRegister copy() {
@@ -162,92 +165,85 @@
   }
 
   VersionRegister knownTo(Leader leader) {
-    return leader.former == null ? register : leader.former;
+    return leader.stateWhenReplaced == null ? register : leader.stateWhenReplaced;
   }
 
-  // ---- For what is said beside leases.
+  void onElected(Leader leader) {}
 
-  void elected(Leader leader) {}
-
-  HeartbeatReport says(Router router) {
+  HeartbeatReport report(Router router) {
     return HeartbeatReport.NONE;
   }
 
-  MembershipUpdate answers(Leader leader, Router router, HeartbeatReport report) {
+  MembershipUpdate answer(Leader leader, Router router, HeartbeatReport report) {
     return null;
   }
 
-  void hears(Router router, MembershipUpdate sight) {}
-
-  void leased(Router router) {}
+  void receiveUpdate(Router router, MembershipUpdate sight) {}
 
-  void steps(Leader leader) {}
+  void onLease(Router router) {}
 
-  void restarted(Router router) {}
+  void carryOutMembershipStep(Leader leader) {}
 
-  // ---- Leases.
+  void onRestart(Router router) {}
 
-  void beats(int number) {
+  void sendHeartbeat(int number) {
     Router router = routers.get(number);
-    after(80_000 + chance.nextInt(40_000), () -> beats(number));
-    if (now < router.stoppedUntil) {
+    after(80_000 + random.nextInt(40_000), () -> sendHeartbeat(number));
+    if (now < router.pausedUntil) {
       return;
     }
-    router.follower.hasJustEnded(clock(router));
-    long beat = router.follower.beat(clock(router));
-    long force = router.follower.inForce() == null ? 0 : router.follower.inForce().number();
-    long keeps = router.follower.keepsTo();
+    router.lease.hasJustEnded(clock(router));
+    long beat = router.lease.beat(clock(router));
+    long force = router.lease.inForce() == null ? 0 : router.lease.inForce().number();
+    long keeps = router.lease.keepsTo();
     long incarnation = router.incarnation;
-    boolean holds = !router.follower.isCareful();
-    HeartbeatReport report = says(router);
+    boolean holds = !router.lease.isCareful();
+    HeartbeatReport report = report(router);
+    RouterHeartbeat heartbeat =
+        new RouterHeartbeat("r" + number, incarnation, beat, force, keeps, 0, "", holds);
     Leader leader = leaders[router.leader];
-    // It goes on to the leader that it last heard of, which may have been replaced.
-    router.leader = chance.nextInt(number % 2 == 0 ? 3 : 12) == 0 ? leads : router.leader;
-    sends(
-        now < router.cutUntil,
+    // The heartbeat goes to the leader that the router last heard of, which may be replaced by now.
+    router.leader = random.nextInt(number % 2 == 0 ? 3 : 12) == 0 ? currentLeader : router.leader;
+    send(now < router.disconnectedUntil, () -> receiveHeartbeat(leader, router, heartbeat, report));
+  }
+
+  private void receiveHeartbeat(
+      Leader leader, Router router, RouterHeartbeat heartbeat, HeartbeatReport report) {
+    if (leader.term == 0) {
+      return;
+    }
+    LeaseGrant grant = leader.leases.heartbeat(clock(leader), heartbeat, knownTo(leader));
+    MembershipUpdate update = answer(leader, router, report);
+    Span lasts = bug == Bug.NO_LEASE ? Span.ofMillis(3_600_000) : grant.lasts();
+    LeaseGrant answer =
+        new LeaseGrant(
+            heartbeat.number(), lasts, grant.inForce(), grant.prepared(), grant.changes());
+    send(
+        now < router.disconnectedUntil,
         () -> {
-          if (leader.term > 0) {
-            LeaseGrant grant =
-                leader.leases.beat(
-                    clock(leader),
-                    "r" + number,
-                    incarnation,
-                    beat,
-                    force,
-                    keeps,
-                    0,
-                    "",
-                    holds,
-                    knownTo(leader));
-            MembershipUpdate sight = answers(leader, router, report);
-            Span lasts = bug == Bug.NO_LEASE ? Span.ofMillis(3_600_000) : grant.lasts();
-            sends(
-                now < router.cutUntil,
-                () -> {
-                  if (now >= router.stoppedUntil && router.incarnation == incarnation) {
-                    hears(router, sight);
-                    router.follower.granted(
-                        clock(router),
-                        new LeaseGrant(
-                            beat, lasts, grant.inForce(), grant.prepared(), grant.changes()));
-                    if (lasts.micros() > 0) {
-                      leased(router);
-                    }
-                  }
-                });
+          if (now >= router.pausedUntil && router.incarnation == heartbeat.incarnation()) {
+            receiveGrant(router, answer, update);
           }
         });
   }
 
+  private void receiveGrant(Router router, LeaseGrant grant, MembershipUpdate update) {
+    receiveUpdate(router, update);
+    router.lease.granted(clock(router), grant);
+    if (grant.lasts().micros() > 0) {
+      onLease(router);
+    }
+  }
+
   /** A leader's own doings, whether or not it has been replaced. */
-  void leads(int number) {
+  void runLeader(int number) {
     Leader leader = leaders[number];
-    after(40_000 + chance.nextInt(20_000), () -> leads(number));
+    after(40_000 + random.nextInt(20_000), () -> runLeader(number));
     if (leader.term == 0 || (leader.term < term && bug != Bug.UNCONFIRMED)) {
       return;
     }
     Moment sent = clock(leader);
-    if (leader.cut && bug != Bug.UNCONFIRMED) {
+    if (leader.isDisconnected && bug != Bug.UNCONFIRMED) {
       return;
     }
     after(
@@ -260,6 +256,10 @@
     if (leader.term != term) {
       return;
     }
+    carryOutNextStep(leader);
+  }
+
+  private void carryOutNextStep(Leader leader) {
     LeaseTable.Step step = leader.leases.next(clock(leader), register);
     SettingsVersion prepared = register.prepared();
     if (bug == Bug.EARLY && prepared != null) {
@@ -268,68 +268,81 @@
     switch (step.kind()) {
       case BRING_INTO_FORCE -> {
         long next = step.number();
-        if (!kept.contains(next) && bug != Bug.EARLY) {
-          broken = "version " + next + " came into force and nobody had checked it";
+        if (!acknowledgedVersions.contains(next) && bug != Bug.EARLY) {
+          violation = "version " + next + " came into force and nobody had checked it";
         }
-        inForce += register.bringIntoForce(next) ? 1 : 0;
+        versionsInForce += register.bringIntoForce(next) ? 1 : 0;
       }
       case WITHDRAW -> register.withdraw(step.number(), step.reason());
       case COUNT_ROUTERS ->
           register.propose(
               step.number(), register.inForce().text(), step.routers(), "fleet", "", 0);
-      default -> steps(leader);
+      default -> carryOutMembershipStep(leader);
     }
   }
 
-  void proposes() {
-    after(300_000 + chance.nextInt(500_000), this::proposes);
+  void proposeVersion() {
+    after(300_000 + random.nextInt(500_000), this::proposeVersion);
     register.propose(
-        register.inForce().number(), "v" + orders, register.inForce().routers(), "o", "", 0);
+        register.inForce().number(), "v" + eventCount, register.inForce().routers(), "o", "", 0);
   }
 
-  void faults() {
-    after(100_000 + chance.nextInt(300_000), this::faults);
-    Router router = routers.get(chance.nextInt(routers.size()));
-    switch (chance.nextInt(5)) {
-      case 0 -> {
-        long lasts = 100_000L + chance.nextInt(1_500_000);
-        router.stoppedUntil = Math.max(router.stoppedUntil, now + lasts);
-        router.stoppedFor += lasts;
-      }
-      case 1 -> {
-        router.cutUntil = Math.max(router.cutUntil, now + chance.nextInt(1_500_000));
-      }
-      case 2 -> {
-        router.incarnation++;
-        router.follower = new LeaseHolder();
-        restarted(router);
-      }
+  void injectFault() {
+    after(100_000 + random.nextInt(300_000), this::injectFault);
+    Router router = routers.get(random.nextInt(routers.size()));
+    int fault = random.nextInt(5);
+    switch (fault) {
+      case 0 -> pauseRouter(router);
+      case 1 ->
+          router.disconnectedUntil =
+              Math.max(router.disconnectedUntil, now + random.nextInt(1_500_000));
+      case 2 -> restart(router);
       case 3 -> {
-        if (steady) {
+        if (keepsLeader) {
           return;
         }
-        // Cut from the majority, it does not hear that another was elected.
-        Leader old = leaders[leads];
-        old.cut = true;
-        after(200_000 + chance.nextInt(600_000), () -> elects((leads + 1) % 3));
-        after(2_000_000, () -> old.cut = false);
+        replaceLeader();
       }
       default -> {}
     }
-    if (bug == Bug.OLDER_TAKEN && router.follower.inForce() != null) {
-      // As if a follower took any grant, however old what it names.
-      router.follower = new LeaseHolder();
-      long beat = router.follower.beat(clock(router));
-      router.follower.granted(
-          clock(router),
-          new LeaseGrant(beat, LEASE, new SettingsVersion(0, "", 99, "", "", 0), null, 0));
+    if (bug == Bug.OLDER_TAKEN && router.lease.inForce() != null) {
+      grantOlderVersion(router);
     }
   }
 
+  private void pauseRouter(Router router) {
+    long lasts = 100_000L + random.nextInt(1_500_000);
+    router.pausedUntil = Math.max(router.pausedUntil, now + lasts);
+    router.pausedFor += lasts;
+  }
+
+  private void restart(Router router) {
+    router.incarnation++;
+    router.lease = new LeaseHolder();
+    onRestart(router);
+  }
+
+  /** Cut off from the majority, the old leader does not learn that another was elected. */
+  private void replaceLeader() {
+    Leader old = leaders[currentLeader];
+    old.isDisconnected = true;
+    after(200_000 + random.nextInt(600_000), () -> elect((currentLeader + 1) % 3));
+    after(2_000_000, () -> old.isDisconnected = false);
+  }
+
+  /** As if a router accepted any grant, however old the version that it names. */
+  private void grantOlderVersion(Router router) {
+    router.lease = new LeaseHolder();
+    long beat = router.lease.beat(clock(router));
+    router.lease.granted(
+        clock(router),
+        new LeaseGrant(beat, LEASE, new SettingsVersion(0, "", 99, "", "", 0), null, 0));
+  }
+
   /** Versions that a router may act on as if they held alone: none while it is careful. */
-  static boolean contradict(Router a, Router b) {
-    LeaseHolder one = a.follower;
-    LeaseHolder two = b.follower;
+  static boolean contradictEachOther(Router a, Router b) {
+    LeaseHolder one = a.lease;
+    LeaseHolder two = b.lease;
     long force = one.inForce().number();
     long other = two.inForce().number();
     boolean sees =
@@ -339,47 +352,56 @@
     return !sees;
   }
 
-  void check() {
-    List<Router> acting = new ArrayList<>();
-    for (Router router : routers) {
-      kept.add(router.follower.keepsTo());
-      if (now >= router.stoppedUntil) {
-        router.follower.hasJustEnded(clock(router));
-        if (!router.follower.isCareful()) {
-          acting.add(router);
-        }
-      }
-    }
+  void checkInvariants() {
+    List<Router> acting = routersUnderLease();
     double shares = 0;
     for (Router one : acting) {
-      SettingsVersion prepared = one.follower.prepared();
-      int by =
-          Math.max(one.follower.inForce().routers(), prepared == null ? 0 : prepared.routers());
-      shares += 1.0 / (bug == Bug.SHARES ? one.follower.inForce().routers() - 1.5 : by);
+      shares += shareOf(one);
       for (Router other : acting) {
-        if (contradict(one, other)) {
-          broken =
+        if (contradictEachOther(one, other)) {
+          violation =
               "contradiction at "
                   + now
                   + " us: "
-                  + one.follower.inForce().number()
+                  + one.lease.inForce().number()
                   + " and "
-                  + other.follower.inForce().number();
+                  + other.lease.inForce().number();
         }
       }
     }
-    if (shares > 1 + 1e-9 && broken.isEmpty()) {
-      broken = "shares sum to " + shares + " at " + now + " us";
+    if (shares > 1 + 1e-9 && violation.isEmpty()) {
+      violation = "shares sum to " + shares + " at " + now + " us";
     }
   }
 
-  String play(long until) {
-    while (broken.isEmpty() && now < until) {
-      Due next = due.poll();
+  private List<Router> routersUnderLease() {
+    List<Router> acting = new ArrayList<>();
+    for (Router router : routers) {
+      acknowledgedVersions.add(router.lease.keepsTo());
+      if (now >= router.pausedUntil) {
+        router.lease.hasJustEnded(clock(router));
+        if (!router.lease.isCareful()) {
+          acting.add(router);
+        }
+      }
+    }
+    return acting;
+  }
+
+  private double shareOf(Router router) {
+    SettingsVersion prepared = router.lease.prepared();
+    int inForceRouters = router.lease.inForce().routers();
+    int by = Math.max(inForceRouters, prepared == null ? 0 : prepared.routers());
+    return 1.0 / (bug == Bug.SHARES ? inForceRouters - 1.5 : by);
+  }
+
+  String run(long until) {
+    while (violation.isEmpty() && now < until) {
+      Event next = events.poll();
       now = next.at();
-      next.what().run();
-      check();
+      next.action().run();
+      checkInvariants();
     }
-    return broken;
+    return violation;
   }
 }
