--- a/router/src/main/java/basaltlever/cli/StateCommand.java
+++ b/router/src/main/java/basaltlever/cli/StateCommand.java
@@ -113,7 +113,7 @@
       errors.println("basaltlever: " + show.folder + " can't be read: " + fault);
       return MISUSED;
     }
-    found.faults().forEach(fault -> errors.println("basaltlever: " + fault));
+    found.rejected().forEach(fault -> errors.println("basaltlever: " + fault));
     LearnedState view = found.view();
     if (view == null) {
       errors.println("basaltlever: " + show.folder + " holds no whole view");
--- a/router/src/main/java/basaltlever/storage/DirectoryOperations.java
+++ b/router/src/main/java/basaltlever/storage/DirectoryOperations.java
@@ -4,24 +4,28 @@
 import java.util.List;
 
 /**
- * One folder, by the few steps that writing safely needs; tests put one in its place that fails
- * between any two.
+ * The operations on a directory that storing files safely takes. Tests replace it by one that fails
+ * between any two of them.
  */
 public interface DirectoryOperations {
+  /** The names of all files. */
   List<String> names() throws IOException;
 
-  /** Throws where the file is longer than the given number of bytes. */
-  byte[] read(String name, int most) throws IOException;
+  /** Reads a file; throws where it is longer than the given number of bytes. */
+  byte[] read(String name, int maxBytes) throws IOException;
 
-  /** Makes or replaces the file; what it holds may be lost until it is synced. */
+  /** Creates or replaces a file; its content may be lost until it is synced. */
   void write(String name, byte[] bytes) throws IOException;
 
+  /** Makes a file's content durable. */
   void sync(String name) throws IOException;
 
+  /** Replaces the target, if there is one, atomically. */
   void rename(String from, String to) throws IOException;
 
+  /** Deletes a file, if it exists. */
   void delete(String name) throws IOException;
 
-  /** From here on the names stand as they are. */
+  /** Makes all created, renamed and deleted names durable. */
   void syncFolder() throws IOException;
 }
--- a/router/src/main/java/basaltlever/storage/LockedDirectory.java
+++ b/router/src/main/java/basaltlever/storage/LockedDirectory.java
@@ -1,6 +1,7 @@
 package basaltlever.storage;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
@@ -12,36 +13,43 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system, held by one process at a time. */
+/** A directory of the file system that one process at a time writes to, by a lock file. */
 public final class LockedDirectory implements DirectoryOperations, AutoCloseable {
-  private static final String LOCK = "lock";
-  private static final int PIECE = 1 << 16;
+  private static final String LOCK_FILE = "lock";
+  private static final int WRITE_CHUNK_BYTES = 1 << 16;
   private final Path path;
-  private FileChannel held;
+  private FileChannel lockChannel;
 
+  /** Does not lock it yet. */
   public LockedDirectory(Path path) {
     this.path = path;
   }
 
+  /** Where it is. */
   public Path path() {
     return path;
   }
 
-  /** False where another process holds it. One that vanished and came back has to be taken anew. */
+  /**
+   * Takes the lock. A directory that was removed and created again has to be locked again.
+   *
+   * @return false where another process holds the lock
+   */
   public boolean take() throws IOException {
     close();
     FileChannel channel =
-        FileChannel.open(path.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel.open(
+            path.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     FileLock lock = null;
     try {
       lock = channel.tryLock();
     } catch (OverlappingFileLockException ours) {
-      // Held within this process: the same to whoever asks.
+      // Held within this process, which is the same to the caller.
     } finally {
       if (lock == null) {
         channel.close();
       } else {
-        held = channel;
+        lockChannel = channel;
       }
     }
     return lock != null;
@@ -49,9 +57,9 @@
 
   @Override
   public void close() throws IOException {
-    if (held != null) {
-      held.close();
-      held = null;
+    if (lockChannel != null) {
+      lockChannel.close();
+      lockChannel = null;
     }
   }
 
@@ -59,25 +67,25 @@
   public List<String> names() throws IOException {
     try (Stream<Path> files = Files.list(path)) {
       return files.map(file -> file.getFileName().toString()).toList();
-    } catch (java.io.UncheckedIOException e) {
-      throw e.getCause();
+    } catch (UncheckedIOException fault) {
+      throw fault.getCause();
     }
   }
 
   @Override
-  public byte[] read(String name, int most) throws IOException {
-    return read(path.resolve(name), most);
+  public byte[] read(String name, int maxBytes) throws IOException {
+    return read(path.resolve(name), maxBytes);
   }
 
-  /** A file that grows while it is read is cut off. */
-  public static byte[] read(Path file, int most) throws IOException {
+  /** Reads a file; throws where it is a directory or longer than the given number of bytes. */
+  public static byte[] read(Path file, int maxBytes) throws IOException {
     if (Files.isDirectory(file)) {
       throw new IOException("it is a folder");
     }
     try (var in = Files.newInputStream(file)) {
-      byte[] bytes = in.readNBytes(most + 1);
-      if (bytes.length > most) {
-        throw new IOException("it is larger than " + most + " bytes");
+      byte[] bytes = in.readNBytes(maxBytes + 1);
+      if (bytes.length > maxBytes) {
+        throw new IOException("it is larger than " + maxBytes + " bytes");
       }
       return bytes;
     }
@@ -91,8 +99,11 @@
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
-      for (int at = 0; at < bytes.length; ) {
-        at += channel.write(ByteBuffer.wrap(bytes, at, Math.min(PIECE, bytes.length - at)));
+      int at = 0;
+      while (at < bytes.length) {
+        at +=
+            channel.write(
+                ByteBuffer.wrap(bytes, at, Math.min(WRITE_CHUNK_BYTES, bytes.length - at)));
       }
     }
   }
--- /dev/null
+++ b/router/src/main/java/basaltlever/storage/RecordFields.java
@@ -0,0 +1,140 @@
+package basaltlever.storage;
+
+import basaltlever.snapshot.EndpointState;
+import basaltlever.time.Span;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.HashMap;
+import java.util.Map;
+
+/** The fields of one record, read within their bounds. */
+final class RecordFields {
+  private static final CBORFactory CBOR = new CBORFactory();
+
+  private final Map<String, Object> values;
+  private final int offset;
+
+  private RecordFields(Map<String, Object> values, int offset) {
+    this.values = values;
+    this.offset = offset;
+  }
+
+  /** Reads the record at the file's position, and moves the position behind it. */
+  static RecordFields next(ByteBuffer file, int end) throws InvalidSnapshotException {
+    int offset = file.position();
+    int length = RecordFraming.open(file, end);
+    int content = file.position();
+    file.position(content + length);
+    return new RecordFields(parse(file.array(), content, length, offset), offset);
+  }
+
+  @SuppressWarnings("IllegalCatch") // The parser throws undeclared kinds on bytes that are no CBOR.
+  private static Map<String, Object> parse(byte[] bytes, int from, int length, int offset)
+      throws InvalidSnapshotException {
+    try (JsonParser parser = CBOR.createParser(bytes, from, length)) {
+      return map(parser, offset);
+    } catch (IOException | RuntimeException unreadable) {
+      throw InvalidSnapshotException.at(
+          offset, "the record can't be read: " + unreadable.getClass().getSimpleName());
+    }
+  }
+
+  private static Map<String, Object> map(JsonParser parser, int offset)
+      throws IOException, InvalidSnapshotException {
+    if (parser.nextToken() != JsonToken.START_OBJECT) {
+      throw InvalidSnapshotException.at(offset, "the record is no map");
+    }
+    Map<String, Object> values = new HashMap<>();
+    while (parser.nextToken() == JsonToken.FIELD_NAME) {
+      String name = parser.currentName();
+      JsonToken token = parser.nextToken();
+      if (token == null) {
+        throw InvalidSnapshotException.at(offset, "the record ends within its map");
+      }
+      Object value = scalar(parser, token);
+      if (value != null) {
+        values.put(name, value);
+      }
+    }
+    return values;
+  }
+
+  /** The value, or null for one of a type that no known field has. */
+  private static Object scalar(JsonParser parser, JsonToken token) throws IOException {
+    switch (token) {
+      case START_OBJECT, START_ARRAY -> parser.skipChildren();
+      case VALUE_NUMBER_INT -> {
+        if (parser.getNumberType() != JsonParser.NumberType.BIG_INTEGER) {
+          return parser.getLongValue();
+        }
+      }
+      case VALUE_NUMBER_FLOAT -> {
+        return parser.getDoubleValue();
+      }
+      case VALUE_STRING -> {
+        return parser.getText();
+      }
+      case VALUE_TRUE, VALUE_FALSE -> {
+        return parser.getBooleanValue();
+      }
+      default -> {}
+    }
+    return null;
+  }
+
+  /** A text; empty where it is missing. */
+  String text(String name) throws InvalidSnapshotException {
+    Object value = values.getOrDefault(name, "");
+    if (value instanceof String text && text.length() <= SnapshotFormat.MAX_NAME_CHARS) {
+      return text;
+    }
+    throw outOfBounds(name);
+  }
+
+  /** Whether the flag is set; false where it is missing. */
+  boolean flag(String name) {
+    return Boolean.TRUE.equals(values.get(name));
+  }
+
+  /** An integer from 0; 0 where it is missing. */
+  long integer(String name) throws InvalidSnapshotException {
+    if (values.getOrDefault(name, 0L) instanceof Long value && value >= 0) {
+      return value;
+    }
+    throw outOfBounds(name);
+  }
+
+  /** A number within the bounds. */
+  double number(String name, double least, double most, double whereMissing)
+      throws InvalidSnapshotException {
+    if (values.getOrDefault(name, whereMissing) instanceof Number value
+        && value.doubleValue() >= least
+        && value.doubleValue() <= most) {
+      return value.doubleValue();
+    }
+    throw outOfBounds(name);
+  }
+
+  /** A share from 0 to 1; 0 where it is missing. */
+  double share(String name) throws InvalidSnapshotException {
+    return number(name, 0, 1, 0);
+  }
+
+  /** A span that may be negative; zero where it is missing. */
+  Span span(String name) throws InvalidSnapshotException {
+    return new Span((long) number(name, -SnapshotFormat.MAX_NUMBER, SnapshotFormat.MAX_NUMBER, 0));
+  }
+
+  /** The span since an event that has not happened where it is missing. */
+  Span spanSince(String name) throws InvalidSnapshotException {
+    return values.containsKey(name) ? span(name) : EndpointState.NEVER;
+  }
+
+  /** The error for a field of this record that can't be used. */
+  private InvalidSnapshotException outOfBounds(String name) {
+    return InvalidSnapshotException.at(offset, name + " is out of its bounds");
+  }
+}
--- /dev/null
+++ b/router/src/main/java/basaltlever/storage/SnapshotEncoder.java
@@ -0,0 +1,150 @@
+package basaltlever.storage;
+
+import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.GroupState;
+import basaltlever.snapshot.KnownEndpoint;
+import basaltlever.snapshot.LearnedState;
+import basaltlever.time.Span;
+import com.fasterxml.jackson.core.JsonGenerator;
+import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+
+/** Encodes one state as a snapshot file; see {@link SnapshotFormat}. */
+final class SnapshotEncoder {
+  private static final CBORFactory CBOR = new CBORFactory();
+
+  /** A usual record, so that its buffer need not grow. */
+  private static final int USUAL_RECORD_BYTES = 256;
+
+  private SnapshotEncoder() {}
+
+  static byte[] encode(LearnedState state, int maxBytes) {
+    List<byte[]> records = fitting(records(state), maxBytes);
+    byte[] description = record(out -> description(out, state, records.size()));
+    int size = SnapshotFormat.HEADER_BYTES + framedBytes(description) + SnapshotFormat.DIGEST_BYTES;
+    for (byte[] record : records) {
+      size += framedBytes(record);
+    }
+    ByteBuffer file =
+        ByteBuffer.allocate(size).putInt(SnapshotFormat.MAGIC).putInt(SnapshotFormat.FORMAT);
+    RecordFraming.append(file, description);
+    records.forEach(record -> RecordFraming.append(file, record));
+    return file.put(RecordFraming.digest(file.array(), file.position())).array();
+  }
+
+  /** One record for each endpoint, those of which little was learned last, then the groups. */
+  private static List<byte[]> records(LearnedState state) {
+    List<KnownEndpoint> endpoints = new ArrayList<>(state.nodes());
+    endpoints.sort(Comparator.comparing(known -> known.view().isUnremarkable()));
+    List<byte[]> records = new ArrayList<>();
+    for (KnownEndpoint known : endpoints) {
+      if (known.id().length() <= SnapshotFormat.MAX_NAME_CHARS
+          && known.address().length() <= SnapshotFormat.MAX_NAME_CHARS) {
+        records.add(record(out -> endpoint(out, known)));
+      }
+    }
+    for (GroupState group : state.groups()) {
+      records.add(record(out -> group(out, group)));
+    }
+    return records;
+  }
+
+  /** As many of the first records as the file has room for, beside the largest description. */
+  private static List<byte[]> fitting(List<byte[]> records, int maxBytes) {
+    int left =
+        maxBytes
+            - SnapshotFormat.HEADER_BYTES
+            - SnapshotFormat.FRAME_HEADER_BYTES
+            - SnapshotFormat.MAX_RECORD_BYTES
+            - SnapshotFormat.DIGEST_BYTES;
+    int count = 0;
+    while (count < records.size() && framedBytes(records.get(count)) <= left) {
+      left -= framedBytes(records.get(count));
+      count++;
+    }
+    return records.subList(0, count);
+  }
+
+  private static int framedBytes(byte[] record) {
+    return SnapshotFormat.FRAME_HEADER_BYTES + record.length;
+  }
+
+  private interface FieldWriter {
+    void write(JsonGenerator out) throws IOException;
+  }
+
+  private static byte[] record(FieldWriter fields) {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_RECORD_BYTES);
+    try (JsonGenerator out = CBOR.createGenerator(bytes)) {
+      out.writeStartObject();
+      fields.write(out);
+      out.writeEndObject();
+    } catch (IOException impossible) {
+      throw new UncheckedIOException(impossible);
+    }
+    return bytes.toByteArray();
+  }
+
+  private static void description(JsonGenerator out, LearnedState state, int records)
+      throws IOException {
+    out.writeStringField(SnapshotFormat.KIND, SnapshotFormat.KIND_SNAPSHOT);
+    out.writeStringField(SnapshotFormat.DEPLOYMENT, state.deployment());
+    out.writeStringField(SnapshotFormat.ROUTER, state.router());
+    out.writeNumberField(SnapshotFormat.SEQUENCE, state.number());
+    out.writeNumberField(SnapshotFormat.WRITTEN_AT, state.writtenAt());
+    out.writeNumberField(SnapshotFormat.MONOTONIC, state.steady());
+    out.writeStringField(SnapshotFormat.BOOT_ID, state.boot());
+    out.writeNumberField(SnapshotFormat.LIST_VERSION, state.listed());
+    out.writeNumberField(SnapshotFormat.RECORD_COUNT, records);
+  }
+
+  private static void endpoint(JsonGenerator out, KnownEndpoint known) throws IOException {
+    EndpointState state = known.view();
+    out.writeStringField(SnapshotFormat.KIND, SnapshotFormat.KIND_ENDPOINT);
+    out.writeStringField(SnapshotFormat.ID, known.id());
+    out.writeStringField(SnapshotFormat.ADDRESS, known.address());
+    out.writeNumberField(SnapshotFormat.GROUP, state.group());
+    out.writeNumberField(SnapshotFormat.LISTED_START, state.listedStart());
+    flag(out, SnapshotFormat.DRAINING, state.drains());
+    flag(out, SnapshotFormat.PRIMARY, state.primary());
+    spanSince(out, SnapshotFormat.SINCE_START, state.startedAgo());
+    spanSince(out, SnapshotFormat.SINCE_NOT_PRIMARY, state.deniedAgo());
+    flag(out, SnapshotFormat.UNRESPONSIVE, state.silent());
+    spanSince(out, SnapshotFormat.DOWN_FOR, state.downFor());
+    out.writeNumberField(SnapshotFormat.FAILURE_RATE, state.failing());
+    out.writeNumberField(SnapshotFormat.LATENCY_STRAIN, state.strained());
+    out.writeNumberField(SnapshotFormat.CAPACITY, state.room());
+    out.writeNumberField(SnapshotFormat.CONSECUTIVE_REJECTIONS, state.turnedAway());
+    out.writeNumberField(SnapshotFormat.REMAINING_BACKOFF, state.rests().micros());
+    out.writeNumberField(SnapshotFormat.LAG, state.lag().micros());
+    out.writeNumberField(SnapshotFormat.SLOW_START_SPENT, state.coldSpent());
+    spanSince(out, SnapshotFormat.SINCE_SLOW_START_SPENT, state.coldAgo());
+  }
+
+  private static void group(JsonGenerator out, GroupState state) throws IOException {
+    out.writeStringField(SnapshotFormat.KIND, SnapshotFormat.KIND_GROUP);
+    out.writeNumberField(SnapshotFormat.GROUP, state.group());
+    out.writeNumberField(SnapshotFormat.CONGESTION, state.jam());
+    out.writeNumberField(SnapshotFormat.PRIMARY_CONGESTION, state.primaryJam());
+  }
+
+  /** Flags that are not set are left out. */
+  private static void flag(JsonGenerator out, String name, boolean set) throws IOException {
+    if (set) {
+      out.writeBooleanField(name, true);
+    }
+  }
+
+  /** Spans since what has not happened are left out. */
+  private static void spanSince(JsonGenerator out, String name, Span span) throws IOException {
+    if (span.isShorterThan(EndpointState.NEVER)) {
+      out.writeNumberField(name, span.micros());
+    }
+  }
+}
--- a/router/src/main/java/basaltlever/storage/SnapshotStore.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotStore.java
@@ -7,69 +7,102 @@
 import java.util.List;
 
 /**
- * The views of a folder. Each is written aside, synced, given its name, and the folder synced; only
- * then the third newest goes. So two whole ones are there at any time, but for the first, and the
- * newest name that is whole wins.
+ * The snapshots in a directory. Each is written to a temporary file, synced and renamed, and the
+ * directory synced; only then is the third newest deleted. So after the first there are always two
+ * whole ones, and the newest whole one counts.
  */
 public final class SnapshotStore {
-  private static final String ASIDE = "view.new";
+  private static final String TEMPORARY_FILE = "view.new";
+  private static final String PREFIX = "view-";
+  private static final int SEQUENCE_DIGITS = 16;
+  private static final int HEXADECIMAL = 16;
 
-  /** Numbers stay so far from the end that the next one always sorts behind all there are. */
-  private static final String NAME = "view-[0-3][0-9a-f]{15}\\.blv";
+  /** The first digit keeps sequence numbers far from overflow, so that the next one sorts last. */
+  private static final String FILE_NAME_PATTERN = PREFIX + "[0-3][0-9a-f]{15}\\.blv";
 
-  private static final int KEPT = 2;
+  private static final int GENERATIONS = 2;
 
-  private final DirectoryOperations disk;
+  private final DirectoryOperations directory;
 
-  public SnapshotStore(DirectoryOperations disk) {
-    this.disk = disk;
+  /** Of the directory behind these operations. */
+  public SnapshotStore(DirectoryOperations directory) {
+    this.directory = directory;
   }
 
   /**
-   * What was found: the view is null where none is whole. The number is the highest of all names.
+   * A file that holds no usable snapshot.
+   *
+   * @param name of the file
+   * @param reason what is wrong with it
    */
-  public record Found(LearnedState view, String name, long number, List<String> faults) {}
+  public record RejectedFile(String name, String reason) {
+    @Override
+    public String toString() {
+      return name + ": " + reason;
+    }
+  }
+
+  /**
+   * The newest whole snapshot.
+   *
+   * @param view its state; null where none is whole
+   * @param name of its file; empty where none is whole
+   * @param number the highest sequence number in any file name that was looked at
+   * @param rejected newer files that hold no whole snapshot
+   */
+  public record Found(LearnedState view, String name, long number, List<RejectedFile> rejected) {}
 
-  public static String name(long number) {
-    return String.format("view-%016x.blv", number);
+  /** The file name of a snapshot. */
+  public static String fileName(long sequence) {
+    return String.format("%s%016x.blv", PREFIX, sequence);
   }
 
-  /** Names of views, the newest first. */
-  public static List<String> names(DirectoryOperations disk) throws IOException {
-    return disk.names().stream()
-        .filter(name -> name.matches(NAME))
+  /** The file names of all snapshots, the newest first. */
+  public static List<String> names(DirectoryOperations directory) throws IOException {
+    return directory.names().stream()
+        .filter(name -> name.matches(FILE_NAME_PATTERN))
         .sorted(Comparator.reverseOrder())
         .toList();
   }
 
+  private static long sequence(String fileName) {
+    int end = PREFIX.length() + SEQUENCE_DIGITS;
+    return Long.parseLong(fileName.substring(PREFIX.length(), end), HEXADECIMAL);
+  }
+
+  /** Reads the newest whole snapshot. */
   public Found newest() throws IOException {
-    List<String> faults = new ArrayList<>();
-    long number = 0;
-    for (String name : names(disk)) {
-      long named = Long.parseLong(name.substring(5, 21), 16);
-      number = Math.max(number, named);
+    List<RejectedFile> rejected = new ArrayList<>();
+    long highest = 0;
+    for (String name : names(directory)) {
+      highest = Math.max(highest, sequence(name));
       try {
-        LearnedState view = SnapshotCodec.read(disk.read(name, SnapshotCodec.LARGEST));
-        if (view.number() != named) {
-          throw new InvalidSnapshotException(
-              "it is number " + view.number() + ", under another's name");
-        }
-        return new Found(view, name, number, faults);
+        return new Found(read(name), name, highest, rejected);
       } catch (InvalidSnapshotException | IOException fault) {
-        faults.add(name + ": " + fault.getMessage());
+        rejected.add(new RejectedFile(name, fault.getMessage()));
       }
     }
-    return new Found(null, "", number, faults);
+    return new Found(null, "", highest, rejected);
+  }
+
+  private LearnedState read(String name) throws InvalidSnapshotException, IOException {
+    LearnedState state = SnapshotCodec.read(directory.read(name, SnapshotCodec.LARGEST));
+    if (state.number() != sequence(name)) {
+      throw InvalidSnapshotException.ofFile(
+          "it is number " + state.number() + ", under another's name");
+    }
+    return state;
   }
 
-  public void store(LearnedState view, int most) throws IOException {
-    disk.write(ASIDE, SnapshotCodec.write(view, most));
-    disk.sync(ASIDE);
-    disk.rename(ASIDE, name(view.number()));
-    disk.syncFolder();
-    List<String> names = names(disk);
-    for (String old : names.subList(Math.min(KEPT, names.size()), names.size())) {
-      disk.delete(old);
+  /** Makes a snapshot of at most the given size durable, then deletes the outdated ones. */
+  public void store(LearnedState state, int maxBytes) throws IOException {
+    directory.write(TEMPORARY_FILE, SnapshotCodec.write(state, maxBytes));
+    directory.sync(TEMPORARY_FILE);
+    directory.rename(TEMPORARY_FILE, fileName(state.number()));
+    directory.syncFolder();
+    List<String> names = names(directory);
+    for (String outdated : names.subList(Math.min(GENERATIONS, names.size()), names.size())) {
+      directory.delete(outdated);
     }
   }
 }
--- a/router/src/main/java/basaltlever/storage/SnapshotWriter.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotWriter.java
@@ -21,116 +21,128 @@
 import org.slf4j.event.Level;
 
 /**
- * Reads the view of a folder at start and writes one each period, on a thread of its own: however
- * slow the disk is, nobody waits for it but this thread, and the start and the end for a stated
- * while.
+ * Reads the snapshot of a directory at start and writes one each period, on a thread of its own:
+ * however slow the disk is, only that thread waits for it, and start and shutdown for a bounded
+ * time.
  */
 public final class SnapshotWriter {
   private static final Logger LOG = LoggerFactory.getLogger(SnapshotWriter.class);
 
-  /** A disk that takes longer to be read would cost a start more than the view is worth. */
-  private static final Span READ_WITHIN = Span.ofMillis(1_000);
+  /** A start does not wait any longer for the disk. */
+  private static final Span READ_TIMEOUT = Span.ofMillis(1_000);
 
-  private static final Span LAST_WITHIN = Span.ofMillis(1_000);
+  /** Nor does a shutdown. */
+  private static final Span LAST_WRITE_TIMEOUT = Span.ofMillis(1_000);
 
-  /** So that routers started together don't go on writing together. */
+  /** Spreads the writes of routers that were started together, as a share of the period. */
   private static final double JITTER = 0.25;
 
-  /**
-   * What a router has learned by now; null where it can't say any more. Called on the keeper's
-   * thread.
-   */
+  private static final int MAX_LOGGED_REJECTIONS = 2;
+
+  /** Provides the state to be stored. */
   public interface Source {
-    LearnedState view() throws InterruptedException;
+    /**
+     * What the router has learned by now; null where it can't say. Called on the writer's thread.
+     */
+    LearnedState currentState() throws InterruptedException;
   }
 
-  private final LockedDirectory folder;
-  private final SnapshotStore generations;
+  private final LockedDirectory directory;
+  private final SnapshotStore store;
   private final String deployment;
   private final String router;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final Source source;
   private final RateLimitedLog failures;
   private final ScheduledThreadPoolExecutor thread;
-  private final Future<StateRestore> reading;
+  private final Future<StateRestore> restore;
   private volatile Span period;
-  private volatile int most;
-  private boolean held;
-  private boolean told;
-  private boolean read;
-  private long number;
+  private volatile int maxBytes;
+  private boolean locked;
+  private boolean lockRefusalLogged;
+  private boolean sequenceKnown;
+  private long sequence;
 
+  /**
+   * Starts to read the newest snapshot.
+   *
+   * @param folder the directory of the snapshots
+   * @param deployment the deployment of the router
+   * @param router the name of the router
+   * @param period the time between two snapshots, on average
+   * @param maxBytes the largest size of a snapshot
+   * @param random draws the jitter
+   * @param source provides the state to be stored
+   */
   public SnapshotWriter(
       Path folder,
       String deployment,
       String router,
       Span period,
-      int most,
-      SplittableRandom chance,
+      int maxBytes,
+      SplittableRandom random,
       Source source) {
-    this.folder = new LockedDirectory(folder);
+    directory = new LockedDirectory(folder);
     this.deployment = deployment;
     this.router = router;
     this.period = period;
-    this.most = most;
-    this.chance = chance;
+    this.maxBytes = maxBytes;
+    this.random = random;
     this.source = source;
-    generations = new SnapshotStore(this.folder);
+    store = new SnapshotStore(directory);
     failures =
         new RateLimitedLog(LOG, Event.VIEW_NOT_KEPT, () -> new Moment(SystemClocks.steady()));
-    thread =
-        new ScheduledThreadPoolExecutor(
-            1,
-            work -> {
-              Thread worker = new Thread(work, "view");
-              worker.setDaemon(true);
-              return worker;
-            });
-    reading = thread.submit(this::read);
+    thread = new ScheduledThreadPoolExecutor(1, SnapshotWriter::daemonThread);
+    restore = thread.submit(this::restore);
   }
 
-  /**
-   * What the folder's view is worth, read since this was made; never fails, and takes a second at
-   * most.
-   */
+  private static Thread daemonThread(Runnable work) {
+    Thread worker = new Thread(work, "view");
+    worker.setDaemon(true);
+    return worker;
+  }
+
+  /** Waits, for a second at most, for what the directory's snapshot is worth; never fails. */
   public StateRestore recall() throws InterruptedException {
     try {
-      return reading.get(READ_WITHIN.micros(), TimeUnit.MICROSECONDS);
+      return restore.get(READ_TIMEOUT.micros(), TimeUnit.MICROSECONDS);
     } catch (TimeoutException slow) {
       Event.VIEW_LEFT_OUT.log(
-          LOG, Level.WARN, "", "reading " + folder + " takes more than a second");
+          LOG, Level.WARN, "", "reading " + directory + " takes more than a second");
     } catch (ExecutionException fault) {
       Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault.getCause());
     }
     return StateRestore.NONE;
   }
 
-  /** Each period from now on, and a random part of it sooner or later. */
+  /** Writes a snapshot each period from now on. */
   public void keeps() {
-    long wait = period.times(1 - JITTER + 2 * JITTER * chance.nextDouble()).micros();
+    double jitter = 1 - JITTER + 2 * JITTER * random.nextDouble();
     try {
       thread.schedule(
           () -> {
-            writeAnother();
+            writeCurrentState();
             keeps();
           },
-          wait,
+          period.times(jitter).micros(),
           TimeUnit.MICROSECONDS);
-    } catch (RejectedExecutionException ended) {
-      // The last one has been written.
+    } catch (RejectedExecutionException shutDown) {
+      // The last snapshot has been written.
     }
   }
 
-  public void adjust(Span newPeriod, int newMost) {
+  /** Changes the period and the largest size of the snapshots to come. */
+  public void adjust(Span newPeriod, int newMaxBytes) {
     period = newPeriod;
-    most = newMost;
+    maxBytes = newMaxBytes;
   }
 
+  /** The directory of the snapshots. */
   public Path folder() {
-    return folder.path();
+    return directory.path();
   }
 
-  /** One view more, or none where it is null, then the folder is let go. Returns at once. */
+  /** Writes a last snapshot, or none for null, then releases the directory. Returns at once. */
   public void ends(LearnedState last) {
     thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     thread.execute(
@@ -138,31 +150,31 @@
           if (last != null) {
             write(last);
           }
-          close();
+          releaseDirectory();
         });
     thread.shutdown();
   }
 
-  /** For the last write, a second at most: an exit is not held up any longer by a slow disk. */
+  /** Waits for the last snapshot, for a second at most. */
   public void awaitEnd() throws InterruptedException {
-    if (!thread.awaitTermination(LAST_WITHIN.micros(), TimeUnit.MICROSECONDS)) {
-      failures.note(folder, "the last view did not reach the disk in time");
+    if (!thread.awaitTermination(LAST_WRITE_TIMEOUT.micros(), TimeUnit.MICROSECONDS)) {
+      failures.note(directory, "the last view did not reach the disk in time");
     }
   }
 
-  private StateRestore read() {
+  private StateRestore restore() {
     try {
-      if (!take()) {
+      if (!lockDirectory()) {
         return StateRestore.NONE;
       }
-      SnapshotStore.Found found = newest();
-      found.faults().stream()
-          .limit(2)
-          .forEach(fault -> Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault));
+      SnapshotStore.Found found = findNewest();
+      found.rejected().stream()
+          .limit(MAX_LOGGED_REJECTIONS)
+          .forEach(file -> Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", file));
       if (found.view() == null) {
         return StateRestore.NONE;
       }
-      StateRestore recollection =
+      StateRestore result =
           StateRestore.of(
               found.view(),
               deployment,
@@ -170,80 +182,85 @@
               SystemClocks.now(),
               SystemClocks.steady(),
               SystemClocks.boot());
-      if (!recollection.rejection().isEmpty()) {
-        Event.VIEW_LEFT_OUT.log(
-            LOG, Level.WARN, "", found.name() + ": " + recollection.rejection());
-      } else {
-        Event.VIEW_TAKEN.log(
-            LOG,
-            Level.INFO,
-            "",
-            found.name(),
-            recollection.age().micros() / 1_000,
-            recollection.pendingCount(),
-            String.format("%.4f", StateDecay.weight(recollection.age())));
-      }
-      return recollection;
+      logRestore(found.name(), result);
+      return result;
     } catch (IOException fault) {
       Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault);
       return StateRestore.NONE;
     }
   }
 
-  private SnapshotStore.Found newest() throws IOException {
-    SnapshotStore.Found found = generations.newest();
-    number = Math.max(number, found.number());
-    read = true;
+  private static void logRestore(String fileName, StateRestore result) {
+    if (!result.rejection().isEmpty()) {
+      Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fileName + ": " + result.rejection());
+      return;
+    }
+    Event.VIEW_TAKEN.log(
+        LOG,
+        Level.INFO,
+        "",
+        fileName,
+        result.age().micros() / 1_000,
+        result.pendingCount(),
+        String.format("%.4f", StateDecay.weight(result.age())));
+  }
+
+  private SnapshotStore.Found findNewest() throws IOException {
+    SnapshotStore.Found found = store.newest();
+    sequence = Math.max(sequence, found.number());
+    sequenceKnown = true;
     return found;
   }
 
-  private boolean take() throws IOException {
-    held = folder.take();
-    if (!held && !told) {
-      told = true;
+  private boolean lockDirectory() throws IOException {
+    locked = directory.take();
+    if (!locked && !lockRefusalLogged) {
+      lockRefusalLogged = true;
       Event.VIEW_FOLDER_HELD.log(
-          LOG, Level.WARN, "another process writes here; it is left alone", folder);
+          LOG, Level.WARN, "another process writes here; it is left alone", directory);
     }
-    return held;
+    return locked;
   }
 
-  private void writeAnother() {
+  @SuppressWarnings("IllegalCatch") // A fault of the source must not end the periodic writes.
+  private void writeCurrentState() {
     try {
-      LearnedState view = source.view();
-      if (view != null) {
-        write(view);
+      LearnedState state = source.currentState();
+      if (state != null) {
+        write(state);
       }
-    } catch (InterruptedException ended) {
+    } catch (InterruptedException shutDown) {
       Thread.currentThread().interrupt();
     } catch (RuntimeException fault) {
-      failures.note(folder, String.valueOf(fault));
+      failures.note(directory, String.valueOf(fault));
     }
   }
 
-  /** A folder that vanished and came back is taken again; numbers go on from what is there. */
-  private void write(LearnedState view) {
+  /** A directory that was removed and created again is locked again; numbers go on from there. */
+  @SuppressWarnings("IllegalCatch") // Whatever fails, the directory must be released.
+  private void write(LearnedState state) {
     try {
-      if (!held && !take()) {
+      if (!locked && !lockDirectory()) {
         return;
       }
-      if (!read) {
-        newest();
+      if (!sequenceKnown) {
+        findNewest();
       }
-      generations.store(view.withSequence(number + 1), most);
-      number++;
+      store.store(state.withSequence(sequence + 1), maxBytes);
+      sequence++;
     } catch (IOException | RuntimeException fault) {
-      failures.note(folder, String.valueOf(fault));
-      close();
-      read = false;
+      failures.note(directory, String.valueOf(fault));
+      releaseDirectory();
+      sequenceKnown = false;
     }
   }
 
-  private void close() {
-    held = false;
+  private void releaseDirectory() {
+    locked = false;
     try {
-      folder.close();
+      directory.close();
     } catch (IOException fault) {
-      failures.note(folder, String.valueOf(fault));
+      failures.note(directory, String.valueOf(fault));
     }
   }
 }
--- a/router/src/main/java/basaltlever/storage/SystemClocks.java
+++ b/router/src/main/java/basaltlever/storage/SystemClocks.java
@@ -7,28 +7,29 @@
 import java.time.temporal.ChronoUnit;
 
 /**
- * The clocks by which a view is dated: the system's, and the steady one with the run of the machine
- * it belongs to.
+ * The clocks by which a snapshot is dated: the system clock, and the monotonic clock with the boot
+ * of the machine that it belongs to.
  */
 public final class SystemClocks {
-  private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
+  private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
   private SystemClocks() {}
 
+  /** Microseconds of Unix time. */
   public static long now() {
     return ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
   }
 
-  /** On Linux this counts from the start of the machine for all its processes alike. */
+  /** Microseconds of the monotonic clock; on Linux since the boot, alike for all processes. */
   public static long steady() {
     return System.nanoTime() / 1_000;
   }
 
-  /** Empty where it can't be known: then only the system's clock counts. */
+  /** Identifies the current boot of the machine; empty where that is unknown. */
   public static String boot() {
     try {
-      return Files.readString(BOOT).trim();
-    } catch (IOException e) {
+      return Files.readString(BOOT_ID_FILE).trim();
+    } catch (IOException unknown) {
       return "";
     }
   }
--- a/router/src/main/java/basaltlever/storage/package-info.java
+++ b/router/src/main/java/basaltlever/storage/package-info.java
@@ -1,2 +1,2 @@
-/** Keeps the learned state in files: format, generations, locking and the writer thread. */
+/** Stores snapshots of the learned state in files: format, generations, lock and writer. */
 package basaltlever.storage;
--- a/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
+++ b/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
@@ -184,11 +184,11 @@
   private static void store(DirectoryOperations disk, LearnedState view, Bug bug)
       throws IOException {
     if (bug == Bug.RENAME_FIRST) {
-      disk.write(SnapshotStore.name(view.number()), SnapshotCodec.write(view, 1 << 20));
+      disk.write(SnapshotStore.fileName(view.number()), SnapshotCodec.write(view, 1 << 20));
       for (String old : SnapshotStore.names(disk).subList(1, SnapshotStore.names(disk).size())) {
         disk.delete(old);
       }
-      disk.sync(SnapshotStore.name(view.number()));
+      disk.sync(SnapshotStore.fileName(view.number()));
       disk.syncFolder();
     } else {
       new SnapshotStore(disk).store(view, 1 << 20);
--- a/router/src/test/java/basaltlever/SnapshotWriterTest.java
+++ b/router/src/test/java/basaltlever/SnapshotWriterTest.java
@@ -127,9 +127,9 @@
     keeper.ends(null);
     keeper.awaitEnd();
     bytes[60] ^= 4;
-    Files.write(folder.resolve(SnapshotStore.name(900)), bytes);
+    Files.write(folder.resolve(SnapshotStore.fileName(900)), bytes);
     Files.write(folder.resolve("view-ffffffffffffffff.blv"), bytes);
-    Files.createDirectory(folder.resolve(SnapshotStore.name(901)));
+    Files.createDirectory(folder.resolve(SnapshotStore.fileName(901)));
     SnapshotWriter next = keeper(folder, () -> null);
     check(
         next.recall().pendingCount() == 4,
