--- a/router/src/main/java/basaltlever/config/Addresses.java
+++ b/router/src/main/java/basaltlever/config/Addresses.java
@@ -4,13 +4,13 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads ADDRESS:PORT without ever asking a name service. */
+/** Parses and formats ADDRESS:PORT without ever asking a name service. */
 public final class Addresses {
-  private static final int PORTS = 65_535;
+  private static final int MAX_PORT = 65_535;
 
   private Addresses() {}
 
-  /** One text for each address, however the list wrote it. */
+  /** The canonical text of an address. */
   public static String text(InetSocketAddress address) {
     String host = address.getAddress().getHostAddress();
     return (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + address.getPort();
@@ -20,20 +20,19 @@
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
     String host = colon < 0 ? "" : text.substring(0, colon);
-    boolean six = host.startsWith("[") && host.endsWith("]");
-    // Only what can't be a name goes to the library, which would look a name up and wait for the
-    // answer.
-    if (!(six
+    boolean ipv6 = host.startsWith("[") && host.endsWith("]");
+    // The library would look up anything that may be a host name, and block for the answer.
+    if (!(ipv6
         ? host.matches("\\[[0-9a-fA-F:.]+]")
         : host.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}"))) {
       return null;
     }
     try {
       int port = Integer.parseInt(text.substring(colon + 1));
-      return port < 0 || port > PORTS
+      return port < 0 || port > MAX_PORT
           ? null
           : new InetSocketAddress(InetAddress.getByName(host), port);
-    } catch (NumberFormatException | UnknownHostException e) {
+    } catch (NumberFormatException | UnknownHostException noAddress) {
       return null;
     }
   }
--- a/router/src/main/java/basaltlever/config/FleetSettings.java
+++ b/router/src/main/java/basaltlever/config/FleetSettings.java
@@ -6,16 +6,17 @@
 import java.util.Map;
 
 /**
- * What an operator says of a fleet.
+ * What the operator's file says of a fleet.
  *
- * @param name of the fleet: instances of another are turned away
- * @param peers where each instance is spoken to, by its name
- * @param voters where those that vote speak with each other, by their names
- * @param folder what a voter keeps its term, vote and log in
- * @param lease how long a router acts on what it was told
- * @param stated within which a router that can't be reached has ceased to act on an older version
- * @param assigned for how long a router that hears nothing goes on using members in the groups that
- *     it knows
+ * @param name of the fleet: instances of another fleet are rejected
+ * @param peers the address of each instance for other instances, by name
+ * @param voters the address of each voter for other voters, by name
+ * @param folder the directory in which a voter stores its term, vote and log
+ * @param lease how long a router acts on a version of the settings without renewing its lease
+ * @param stated the time after which an unreachable router has certainly stopped acting on an older
+ *     version
+ * @param assigned how long a router that is out of contact goes on using endpoints in the replica
+ *     groups that it knows
  */
 public record FleetSettings(
     String name,
--- a/router/src/main/java/basaltlever/config/OperatorFile.java
+++ b/router/src/main/java/basaltlever/config/OperatorFile.java
@@ -2,299 +2,164 @@
 
 import basaltlever.time.Span;
 import java.io.IOException;
-import java.io.StringReader;
-import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
+import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.Iterator;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import java.util.TreeSet;
-import org.apache.commons.configuration2.INIConfiguration;
-import org.apache.commons.configuration2.ex.ConfigurationException;
-import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * The operator's own file, INI: what the platform does not tell a router. Read whole and checked
- * whole; each fault is named by file, section and key. Without it none of this is loaded.
+ * The operator's own file, INI: what the platform does not tell a router. It is read and checked as
+ * a whole; each fault is reported with file, section and key. Without such a file neither this
+ * class nor the libraries that it needs are loaded.
  */
 public final class OperatorFile {
-  private static final long LARGEST = 1 << 20;
-  private static final int CLOSE = 3;
-  private static final int MOST_VOTERS = 7;
-  private static final List<String> FORMS = List.of("plain", "json");
+  private static final long MAX_FILE_BYTES = 1 << 20;
+  private static final int MAX_DEPLOYMENT_CHARS = 200;
+  private static final int BYTES_PER_KILOBYTE = 1_024;
+  private static final List<String> LOG_FORMS = List.of("plain", "json");
 
-  /** Every key there is, by section.key, with the value it takes where the file has none. */
-  static final Map<String, String> KEYS = keys();
+  /** A name that needs no quotes, with or without its schema; or nothing. */
+  private static final String TABLE_PATTERN = "([a-z_][a-z0-9_]{0,62}(\\.[a-z_][a-z0-9_]{0,62})?)?";
 
-  private final Map<String, String> values = new LinkedHashMap<>(KEYS);
+  private final Map<String, String> values;
   private final Path path;
   private final Path folder;
   private final String deployment;
   private final Span period;
   private final int mostBytes;
-  private final boolean json;
+  private final boolean logsJson;
   private final String changeTable;
   private final int heldStatements;
   private final long heldBytes;
   private final FleetSettings fleet;
   private final Span widestBound;
 
-  private static Map<String, String> keys() {
-    Map<String, String> keys = new LinkedHashMap<>();
-    keys.put("log.form", "plain");
-    keys.put("state.folder", "");
-    keys.put("state.deployment", "");
-    keys.put("state.period_ms", "5000");
-    keys.put("state.largest_kb", "4096");
-    keys.put("change.table", "");
-    keys.put("hold.statements", "0");
-    keys.put("hold.kb", "8192");
-    keys.put("fleet.name", "");
-    keys.put("fleet.peers", "");
-    keys.put("fleet.voters", "");
-    keys.put("fleet.folder", "");
-    keys.put("fleet.lease_ms", "400");
-    keys.put("fleet.stated_ms", "1000");
-    keys.put("fleet.assigned_ms", "30000");
-    keys.put("fleet.widest_bound_ms", "0");
-    return keys;
+  private OperatorFile(Path path, Map<String, String> values, List<String> faults) {
+    this.path = path;
+    this.values = values;
+    SettingsReader keys = SettingsReader.ofTree(path + ": ", values, faults);
+    logsJson = keys.choice(OperatorKeys.LOG_FORM, keys.text(OperatorKeys.LOG_FORM), LOG_FORMS) == 1;
+    folder = folder(keys, OperatorKeys.STATE_FOLDER);
+    deployment = deployment(keys);
+    period = millis(keys, OperatorKeys.STATE_PERIOD_MILLIS, 100, 3_600_000);
+    changeTable = table(keys);
+    heldStatements = (int) keys.number(OperatorKeys.HOLD_STATEMENTS, 0, 1_000_000);
+    heldBytes = kilobytes(keys, OperatorKeys.HOLD_KILOBYTES, 1_048_576);
+    fleet = FleetSettingsReader.read(keys);
+    widestBound = millis(keys, OperatorKeys.FLEET_WIDEST_BOUND_MILLIS, 0, 86_400_000);
+    mostBytes = (int) kilobytes(keys, OperatorKeys.STATE_MAX_KILOBYTES, 16_384);
   }
 
-  private OperatorFile(Path path, INIConfiguration ini, List<String> faults) {
-    this.path = path;
-    String above = path + ": ";
-    for (String section : new TreeSet<>(ini.getSections().stream().map(String::valueOf).toList())) {
-      // Keys before any section have none: the library names that section null.
-      var keys = section.equals("null") ? ini.getSection(null) : ini.getSection(section);
-      for (Iterator<String> names = keys.getKeys(); names.hasNext(); ) {
-        String key = names.next();
-        // The library doubles the dots in names, which mean a level to it.
-        String full = section + "." + key.replace("..", ".");
-        if (!KEYS.containsKey(full)) {
-          faults.add(
-              above + "[" + section + "] " + key.replace("..", ".") + " is no key" + nearest(full));
-        } else if (keys.getList(key).size() > 1) {
-          faults.add(above + "[" + section + "] " + key + " is given more than once");
-        } else {
-          values.put(full, keys.getString(key).trim());
-        }
+  /** Reads and checks a file. */
+  public static OperatorFile read(Path path) throws InvalidSettingsException {
+    try {
+      if (Files.isDirectory(path) || Files.size(path) > MAX_FILE_BYTES) {
+        throw new InvalidSettingsException(
+            List.of(path + " is no file of up to " + MAX_FILE_BYTES + " bytes"));
       }
+      return of(path, Files.readString(path, StandardCharsets.UTF_8));
+    } catch (IOException cause) {
+      throw new InvalidSettingsException(List.of(path + " can't be read: " + cause));
     }
-    SettingsReader keys = SettingsReader.ofTree(above, values, faults);
-    json = keys.choice("log.form", values.get("log.form"), FORMS) == 1;
-    folder = folder(keys, "state.folder");
-    deployment = values.get("state.deployment");
-    if (deployment.length() > 200) {
-      keys.fault("state.deployment is longer than 200 characters");
+  }
+
+  private static OperatorFile of(Path path, String text) throws InvalidSettingsException {
+    List<String> faults = new ArrayList<>();
+    Map<String, String> values = OperatorFileParser.parse(path, text, faults);
+    OperatorFile file = new OperatorFile(path, values, faults);
+    if (!faults.isEmpty()) {
+      throw new InvalidSettingsException(faults);
     }
-    period = Span.ofMillis(keys.number("state.period_ms", 100, 3_600_000));
-    changeTable = table(keys);
-    heldStatements = (int) keys.number("hold.statements", 0, 1_000_000);
-    heldBytes = ((long) keys.number("hold.kb", 16, 1_048_576)) * 1_024;
-    fleet = fleet(keys);
-    widestBound = Span.ofMillis(keys.number("fleet.widest_bound_ms", 0, 86_400_000));
-    mostBytes = ((int) keys.number("state.largest_kb", 16, 16_384)) * 1_024;
+    return file;
   }
 
-  private static String table(SettingsReader keys) {
-    String name = keys.text("change.table");
-    // It goes into statements as it is.
-    if (!name.matches("([a-z_][a-z0-9_]{0,62}(\\.[a-z_][a-z0-9_]{0,62})?)?")) {
-      keys.fault(
-          "change.table can't be read: "
-              + name
-              + "; it takes the plain name of a table, or nothing");
+  private static String deployment(SettingsReader keys) {
+    String name = keys.text(OperatorKeys.STATE_DEPLOYMENT);
+    if (name.length() > MAX_DEPLOYMENT_CHARS) {
+      keys.fault("state.deployment is longer than " + MAX_DEPLOYMENT_CHARS + " characters");
     }
     return name;
   }
 
-  private FleetSettings fleet(SettingsReader keys) {
-    String name = keys.text("fleet.name");
-    Map<String, InetSocketAddress> peers = places(keys, "fleet.peers");
-    Map<String, InetSocketAddress> voters = places(keys, "fleet.voters");
-    Path place = folder(keys, "fleet.folder");
-    double lease = keys.number("fleet.lease_ms", 100, 60_000);
-    double stated = keys.number("fleet.stated_ms", 200, 600_000);
-    double assigned = keys.number("fleet.assigned_ms", 1_000, 86_400_000);
-    if (name.isEmpty()) {
-      return null;
-    }
-    if (!name.matches("[A-Za-z0-9_.-]{1,64}")) {
+  private static String table(SettingsReader keys) {
+    String name = keys.text(OperatorKeys.SWITCHOVER_TABLE);
+    // It becomes part of statements as it is.
+    if (!name.matches(TABLE_PATTERN)) {
       keys.fault(
-          "fleet.name can't be read: "
+          "change.table can't be read: "
               + name
-              + "; it takes up to 64 letters,"
-              + " digits, _ . and -");
-    }
-    if (voters.size() % 2 == 0 || voters.size() > MOST_VOTERS) {
-      keys.fault(
-          "fleet.voters names "
-              + voters.size()
-              + "; it takes 1, 3, 5 or 7, so that half is no"
-              + " majority");
-    }
-    for (String voter : voters.keySet()) {
-      if (!peers.containsKey(voter)) {
-        keys.fault("fleet.voters names " + voter + ", which fleet.peers does not");
-      }
-    }
-    if (place == null) {
-      keys.fault("fleet.folder is empty; voters keep their vote in it");
-    }
-    if (stated < 2 * lease) {
-      keys.fault(
-          "fleet.stated_ms is "
-              + (long) stated
-              + ", less than twice fleet.lease_ms: a lease and"
-              + " what is on its way then would not be over");
-    }
-    if (assigned < stated) {
-      keys.fault(
-          "fleet.assigned_ms is "
-              + (long) assigned
-              + ", less than fleet.stated_ms: each short cut"
-              + " would take all members from a router");
-    }
-    return new FleetSettings(
-        name,
-        peers,
-        voters,
-        place,
-        Span.ofMillis(lease),
-        Span.ofMillis(stated),
-        Span.ofMillis(assigned));
-  }
-
-  private static Map<String, InetSocketAddress> places(SettingsReader keys, String key) {
-    Map<String, InetSocketAddress> places = new LinkedHashMap<>();
-    for (String item : keys.list(key)) {
-      String[] parts = item.trim().split("@", 2);
-      InetSocketAddress at = parts.length == 2 ? Addresses.parse(parts[1]) : null;
-      if (at == null || parts[0].isEmpty() || !parts[0].matches("[A-Za-z0-9_.-]{1,64}")) {
-        keys.fault(
-            key + " can't be read: " + item.trim() + "; it takes NAME@ADDRESS:PORT, with commas");
-      } else if (places.put(parts[0], at) != null) {
-        keys.fault(key + " names " + parts[0] + " twice");
-      }
+              + "; it takes the plain name of a table, or nothing");
     }
-    return places;
+    return name;
   }
 
-  private static Path folder(SettingsReader keys, String key) {
+  /** A directory, or null where none is given. */
+  static Path folder(SettingsReader keys, String key) {
     String text = keys.text(key);
     if (text.isEmpty()) {
       return null;
     }
     try {
       return Path.of(text);
-    } catch (java.nio.file.InvalidPathException fault) {
+    } catch (InvalidPathException fault) {
       keys.fault(key + " can't be read: " + text + "; it takes the path of a folder");
       return null;
     }
   }
 
-  private static String nearest(String wrong) {
-    LevenshteinDistance distance = LevenshteinDistance.getDefaultInstance();
-    String best = null;
-    int least = Integer.MAX_VALUE;
-    for (String key : KEYS.keySet()) {
-      int apart = distance.apply(wrong, key);
-      if (apart < least) {
-        least = apart;
-        best = key;
-      }
-    }
-    String[] parts = best.split("\\.", 2);
-    return (least <= CLOSE ? "; did you mean [" : "; the nearest is [")
-        + parts[0]
-        + "] "
-        + parts[1]
-        + "?";
+  private static Span millis(SettingsReader keys, String key, double least, double most) {
+    return Span.ofMillis(keys.number(key, least, most));
   }
 
-  public static OperatorFile read(Path path) throws InvalidSettingsException {
-    try {
-      if (Files.isDirectory(path) || Files.size(path) > LARGEST) {
-        throw new InvalidSettingsException(
-            List.of(path + " is no file of up to " + LARGEST + " bytes"));
-      }
-      return of(path, Files.readString(path, StandardCharsets.UTF_8));
-    } catch (IOException cause) {
-      throw new InvalidSettingsException(List.of(path + " can't be read: " + cause));
-    }
-  }
-
-  static OperatorFile of(Path path, String text) throws InvalidSettingsException {
-    List<String> faults = new ArrayList<>();
-    try {
-      lines(path, text, faults);
-      INIConfiguration ini = new INIConfiguration();
-      ini.read(new StringReader(text));
-      OperatorFile file = new OperatorFile(path, ini, faults);
-      if (faults.isEmpty()) {
-        return file;
-      }
-    } catch (ConfigurationException | IOException | RuntimeException cause) {
-      faults.add(path + " is no INI file: " + cause.getMessage());
-    }
-    throw new InvalidSettingsException(faults);
+  /** A size in bytes, given in kilobytes from 16 on. */
+  private static long kilobytes(SettingsReader keys, String key, double most) {
+    return ((long) keys.number(key, 16, most)) * BYTES_PER_KILOBYTE;
   }
 
-  // The library takes a line without a value for an empty one, which would switch off what the
-  // operator
-  // meant.
-  private static void lines(Path path, String text, List<String> faults) {
-    String[] lines = text.split("\n");
-    for (int i = 0; i < lines.length; i++) {
-      String line = lines[i].trim();
-      boolean comment = line.isEmpty() || line.startsWith("#") || line.startsWith(";");
-      if (!comment && !(line.startsWith("[") && line.endsWith("]")) && line.indexOf('=') <= 0) {
-        faults.add(path + ": line " + (i + 1) + " is neither [section] nor key = value");
-      }
-    }
-  }
-
-  /** The keys that differ from the other file and that a running router can't take over. */
+  /** The keys that differ from the other file and take effect only after a restart. */
   public List<String> restartsFor(OperatorFile other) {
     return values.keySet().stream()
-        .filter(
-            key ->
-                key.startsWith("log.")
-                    || key.equals("state.deployment")
-                    || key.startsWith("fleet."))
+        .filter(OperatorFile::needsRestart)
         .filter(key -> !Objects.equals(values.get(key), other.values.get(key)))
         .toList();
   }
 
+  private static boolean needsRestart(String key) {
+    return key.startsWith("log.")
+        || key.equals(OperatorKeys.STATE_DEPLOYMENT)
+        || key.startsWith("fleet.");
+  }
+
+  /** Where the file is. */
   public Path path() {
     return path;
   }
 
-  /** Where the view is kept; null where it is not. */
+  /** The directory of the snapshots; null where none are stored. */
   public Path folder() {
     return folder;
   }
 
-  /** What tells the views of one fleet from another's. */
+  /** Tells the snapshots of one fleet from another's. */
   public String deployment() {
     return deployment;
   }
 
-  /** How often a view is written, on average. */
+  /** How often a snapshot is written, on average. */
   public Span period() {
     return period;
   }
 
+  /** The largest size of a snapshot. */
   public int mostBytes() {
     return mostBytes;
   }
 
-  /** Where members tell of planned changes of their primary; empty where they are not asked. */
+  /** The table in which servers announce planned switchovers; empty where none is polled. */
   public String changeTable() {
     return changeTable;
   }
@@ -309,18 +174,18 @@
     return heldBytes;
   }
 
-  /** Null where this router is of no fleet. */
+  /** The fleet of this router; null where it is of none. */
   public FleetSettings fleet() {
     return fleet;
   }
 
-  /** Reads may see no older data by any version; none where no ceiling is set. */
+  /** The most staleness that any version may allow to reads; zero where there is no ceiling. */
   public Span widestBound() {
     return widestBound;
   }
 
   /** Whether log lines are JSON. */
   public boolean logsJson() {
-    return json;
+    return logsJson;
   }
 }
--- a/router/src/main/java/basaltlever/config/SettingsReader.java
+++ b/router/src/main/java/basaltlever/config/SettingsReader.java
@@ -6,20 +6,21 @@
 import java.util.Map;
 
 /**
- * Values by their full path, from nested JSON or from lines of path=value alike; lists of scalars
- * are joined by commas, lists of objects have a count and numbered items. Faults are gathered, to
- * be told all at once.
+ * Reads values by their full path, from nested JSON or from lines of path=value alike. Lists of
+ * scalars are joined by commas; lists of objects have a count and numbered items. Faults are
+ * collected, to be reported all at once.
  */
 final class SettingsReader {
   private final Map<String, String> values = new HashMap<>();
-  private final String above;
+  private final String prefix;
   private final List<String> faults;
 
-  private SettingsReader(String above, List<String> faults) {
-    this.above = above;
+  private SettingsReader(String prefix, List<String> faults) {
+    this.prefix = prefix;
     this.faults = faults;
   }
 
+  /** Reads lines of path=value. */
   static SettingsReader ofLines(String text, List<String> faults) {
     SettingsReader keys = new SettingsReader("", faults);
     for (String line : text.split("\n")) {
@@ -31,21 +32,21 @@
     return keys;
   }
 
-  /** Faults name their keys with the path above the tree. */
-  static SettingsReader ofTree(String above, Object tree, List<String> faults) {
-    SettingsReader keys = new SettingsReader(above, faults);
-    keys.lay("", tree);
+  /** Reads a tree of maps and lists; faults name their keys behind the prefix. */
+  static SettingsReader ofTree(String prefix, Object tree, List<String> faults) {
+    SettingsReader keys = new SettingsReader(prefix, faults);
+    keys.flatten("", tree);
     return keys;
   }
 
-  private void lay(String path, Object value) {
+  private void flatten(String path, Object value) {
     if (value instanceof Map<?, ?> members) {
       members.forEach(
-          (name, member) -> lay(path.isEmpty() ? "" + name : path + "." + name, member));
+          (name, member) -> flatten(path.isEmpty() ? "" + name : path + "." + name, member));
     } else if (value instanceof List<?> items && items.stream().anyMatch(i -> i instanceof Map)) {
       values.put(path + ".count", "" + items.size());
       for (int i = 0; i < items.size(); i++) {
-        lay(path + "." + i, items.get(i));
+        flatten(path + "." + i, items.get(i));
       }
     } else if (value instanceof List<?> items) {
       values.put(path, String.join(",", items.stream().map(SettingsReader::plain).toList()));
@@ -58,10 +59,12 @@
     return value instanceof BigDecimal number ? number.toPlainString() : String.valueOf(value);
   }
 
+  /** Whether there is a value. */
   boolean has(String path) {
     return values.containsKey(path);
   }
 
+  /** The value; a fault where it is missing. */
   String text(String path) {
     String value = values.get(path);
     if (value == null) {
@@ -71,8 +74,9 @@
     return value;
   }
 
-  String text(String path, String otherwise) {
-    return values.getOrDefault(path, otherwise);
+  /** The value, or another where it is missing. */
+  String text(String path, String whereMissing) {
+    return values.getOrDefault(path, whereMissing);
   }
 
   /** The items of a list of scalars; none where the list is empty or absent. */
@@ -81,6 +85,7 @@
     return all.isEmpty() ? List.of() : List.of(all.split(",", -1));
   }
 
+  /** A number within the bounds; a fault where it is missing. */
   double number(String path, double least, double most) {
     if (!has(path)) {
       fault(path + " is missing");
@@ -89,18 +94,20 @@
     return within(path, values.get(path), least, most);
   }
 
-  double number(String path, double least, double most, double otherwise) {
-    return has(path) ? number(path, least, most) : otherwise;
+  /** A number within the bounds, or another where it is missing. */
+  double number(String path, double least, double most, double whereMissing) {
+    return has(path) ? number(path, least, most) : whereMissing;
   }
 
+  /** A value that was read elsewhere as a number within the bounds. */
   double within(String path, String value, double least, double most) {
     try {
       double number = Double.parseDouble(value);
       if (number >= least && number <= most) {
         return number;
       }
-    } catch (NumberFormatException e) {
-      // Named below, together with values that are out of range.
+    } catch (NumberFormatException noNumber) {
+      // Reported below, as are values out of bounds.
     }
     fault(
         path
@@ -117,6 +124,7 @@
     return new BigDecimal(bound).toPlainString();
   }
 
+  /** Whether the value is true; false where it is missing. */
   boolean flag(String path) {
     String value = values.getOrDefault(path, "false");
     if (!value.equals("true") && !value.equals("false")) {
@@ -125,16 +133,17 @@
     return value.equals("true");
   }
 
-  /** The place of the value among the words. */
+  /** The index of the value among the words. */
   int choice(String path, String value, List<String> words) {
-    int place = words.indexOf(value);
-    if (place < 0) {
+    int index = words.indexOf(value);
+    if (index < 0) {
       fault(path + " can't be read: " + value + "; it takes " + String.join(", ", words));
     }
-    return Math.max(0, place);
+    return Math.max(0, index);
   }
 
+  /** Adds a fault. */
   void fault(String line) {
-    faults.add(above + line);
+    faults.add(prefix + line);
   }
 }
--- a/router/src/main/java/basaltlever/config/StartFile.java
+++ b/router/src/main/java/basaltlever/config/StartFile.java
@@ -3,6 +3,7 @@
 import basaltlever.json.InvalidJsonException;
 import basaltlever.json.Json;
 import java.io.IOException;
+import java.math.BigDecimal;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -14,15 +15,23 @@
 import java.util.stream.Stream;
 
 /**
- * The file a router is started with: where it stands, its limits, the list last held, its start
- * values.
+ * The file that a router is started with: its addresses, its limits, the endpoint list that it had
+ * last, and its settings.
  */
 public final class StartFile {
-  private static final long LARGEST = 16 << 20;
-  private static final int FEWEST_SOCKETS = 64;
+  private static final long MAX_FILE_BYTES = 16 << 20;
+  private static final int MIN_SOCKETS = 64;
+  private static final int DEFAULT_SOCKETS = 1_024;
+  private static final double MAX_SOCKETS = 1e6;
+  private static final int HEXADECIMAL = 16;
 
-  /** What the list of members and the bounds of memory were built with. */
-  private static final List<String> FIXED = List.of("Zones", "Bounds.MaxOpen");
+  /**
+   * Settings that hold for as long as a router runs: the endpoint list and memory depend on them.
+   */
+  private static final List<String> FIXED_SETTINGS = List.of("Zones", "Bounds.MaxOpen");
+
+  /** Settings that each router has of its own, whatever a fleet agrees on. */
+  private static final List<String> ROUTER_SETTINGS = List.of("Me", "Zone", "Zones");
 
   private final Map<?, ?> tree;
   private final String name;
@@ -44,7 +53,7 @@
     listen = address(keys, "listen");
     discovery = address(keys, "discovery");
     seed = seed(keys);
-    sockets = (int) keys.number("limits.sockets", FEWEST_SOCKETS, 1e6, 1_024);
+    sockets = (int) keys.number("limits.sockets", MIN_SOCKETS, MAX_SOCKETS, DEFAULT_SOCKETS);
     known = tree.get("known") instanceof Map<?, ?> list ? list : Map.of();
     if (tree.get("known") != null && !(tree.get("known") instanceof Map)) {
       keys.fault("known can't be read; it takes an object as the list of members has it");
@@ -58,14 +67,16 @@
     }
   }
 
+  /** Reads and checks a file. */
   public static StartFile read(Path path) throws InvalidSettingsException {
     String text;
     try {
       if (Files.isDirectory(path)) {
         throw new InvalidSettingsException(List.of(path + " is a directory"));
       }
-      if (Files.size(path) > LARGEST) {
-        throw new InvalidSettingsException(List.of(path + " is larger than " + LARGEST + " bytes"));
+      if (Files.size(path) > MAX_FILE_BYTES) {
+        throw new InvalidSettingsException(
+            List.of(path + " is larger than " + MAX_FILE_BYTES + " bytes"));
       }
       text = Files.readString(path);
     } catch (IOException cause) {
@@ -74,6 +85,7 @@
     return of(text);
   }
 
+  /** Checks the text of a file. */
   public static StartFile of(String text) throws InvalidSettingsException {
     List<String> faults = new ArrayList<>();
     try {
@@ -91,12 +103,11 @@
     throw new InvalidSettingsException(faults);
   }
 
-  /** Of each router's own, whatever a fleet agrees on. */
-  private static final List<String> OWN = List.of("Me", "Zone", "Zones");
-
   /**
-   * This file with other settings, as JSON, but for what is each router's own; those of this file
-   * where the text is empty. The whole is shared among so many routers.
+   * This file with other settings, except for those that each router has of its own.
+   *
+   * @param settings as JSON; empty for those of this file
+   * @param routers how many routers share the traffic
    */
   public StartFile with(String settings, int routers) throws InvalidSettingsException {
     List<String> faults = new ArrayList<>();
@@ -106,13 +117,13 @@
       Object read = settings.isEmpty() ? former : Json.read(settings);
       if (read instanceof Map<?, ?> given) {
         Map<Object, Object> next = new LinkedHashMap<>(given);
-        for (String key : OWN) {
+        for (String key : ROUTER_SETTINGS) {
           next.remove(key);
           if (former.containsKey(key)) {
             next.put(key, former.get(key));
           }
         }
-        next.put("Balancers", new java.math.BigDecimal(routers));
+        next.put("Balancers", new BigDecimal(routers));
         all.put("settings", next);
         StartFile file = new StartFile(all, faults);
         if (faults.isEmpty()) {
@@ -139,28 +150,27 @@
   private static long seed(SettingsReader keys) {
     String text = keys.text("seed", "0");
     try {
-      return Long.parseUnsignedLong(text, 16);
+      return Long.parseUnsignedLong(text, HEXADECIMAL);
     } catch (NumberFormatException e) {
       keys.fault("seed can't be read: " + text + "; it takes up to 16 hexadecimal digits");
       return 0;
     }
   }
 
-  /** The keys that differ from the other file and that a running router can't take over. */
+  /** The keys that differ from the other file and take effect only after a restart. */
   public List<String> restartsFor(StartFile other) {
     return differing(other, Stream.of("name", "listen", "limits.cores", "limits.memory_mb"));
   }
 
   /**
-   * The keys under settings that differ and that hold for as long as a router runs: one of them
-   * keeps all others from being taken over, or a part of the program would go by the old and a part
-   * by the new.
+   * The settings that differ and that hold for as long as a router runs. One of them keeps all
+   * others from being applied, so that the program never runs by a mixture.
    */
   public List<String> fixedFor(StartFile other) {
-    return differing(other, FIXED.stream().map(key -> "settings." + key));
+    return differing(other, FIXED_SETTINGS.stream().map(key -> "settings." + key));
   }
 
-  /** The same where routers agree: versions are weighed against each other workload by workload. */
+  /** The same in a fleet, where the workloads are fixed too: versions are compared by workload. */
   public List<String> fixedInFleet(StartFile other) {
     List<String> keys = new ArrayList<>(fixedFor(other));
     if (!values.workloadNames().equals(other.values.workloadNames())) {
@@ -169,6 +179,7 @@
     return keys;
   }
 
+  /** Whether the settings of both files are the same. */
   public boolean hasSettingsOf(StartFile other) {
     return Objects.equals(at("settings"), other.at("settings"));
   }
@@ -185,18 +196,22 @@
     return found;
   }
 
+  /** The name of the router. */
   public String name() {
     return name;
   }
 
+  /** Where clients connect. */
   public InetSocketAddress listen() {
     return listen;
   }
 
+  /** Where the endpoint list is requested. */
   public InetSocketAddress discovery() {
     return discovery;
   }
 
+  /** Seed of random decisions. */
   public long seed() {
     return seed;
   }
@@ -206,13 +221,14 @@
     return sockets;
   }
 
+  /** Whether the file has the endpoint list that the router had last. */
   public boolean hasKnown() {
     return known.containsKey("instances");
   }
 
   /**
-   * The list of members as this router last had it, in the form of discovery; once, since a long
-   * list is not kept for as long as the settings are.
+   * Hands out, once, the endpoint list that this router had last, in the form of discovery: a long
+   * list is not held in memory for as long as the settings are.
    */
   public Map<?, ?> releaseKnown() {
     Map<?, ?> released = known;
@@ -220,6 +236,7 @@
     return released;
   }
 
+  /** The settings. */
   public StartValues values() {
     return values;
   }
--- a/router/src/main/java/basaltlever/config/StartValues.java
+++ b/router/src/main/java/basaltlever/config/StartValues.java
@@ -21,97 +21,77 @@
 import java.util.function.Function;
 
 /**
- * What is agreed with a router at start, from either form of it. Spans are given in microseconds.
+ * The values that a router is started with, from either form of them. The names of the keys are
+ * mapped to the terms of the code here and nowhere else. Spans are given in microseconds.
  */
 public final class StartValues {
-  private static final double LONGEST = 86_400e6;
+  private static final double MAX_SPAN_MICROS = 86_400e6;
+  private static final double MAX_COUNT = 1e6;
+  private static final double MAX_ORIGIN = 1e18;
+  private static final int MAX_ATTEMPTS = 255;
+  private static final double MAX_OPEN_STATEMENTS = 1e9;
 
-  /**
-   * A quarter of the direct memory of a router that holds little, half of what statements' texts
-   * may take.
-   */
-  private static final long MOST_HELD_BYTES = 8 << 20;
+  /** A quarter of the direct memory of a router, half of what statements' texts may take. */
+  private static final long DEFAULT_HELD_BYTES = 8 << 20;
+
+  private static final double DEFAULT_LIST_POLL_MICROS = 10e6;
+  private static final double DEFAULT_CONNECT_TIMEOUT_MICROS = 1e6;
+
+  private static final List<String> POSITION_CHECKS = List.of("none", "refuse", "wait");
+  private static final List<String> SESSION_MARKS = List.of("carried", "remembered");
+  private static final List<String> DISCOVERY_MODES = List.of("pushed", "on_request");
+
+  /** In the order of {@link Workload.ReadConsistency}. */
+  private static final List<String> READ_CONSISTENCIES =
+      List.of("write", "fresh", "session", "bounded", "any");
+
+  /** In the order of {@link Workload.Idempotency}. */
+  private static final List<String> IDEMPOTENCIES =
+      List.of("idempotent", "deduplicated", "at_most_once");
 
-  private static final double MANY = 1e6;
-  private static final double MUST_ASK_IN = 10e6;
-  private static final double CONNECT_TIMEOUT = 1e6;
-  private static final List<String> NEEDS = List.of("write", "fresh", "session", "bounded", "any");
-  private static final List<String> REPEATS = List.of("idempotent", "deduplicated", "at_most_once");
-  private static final List<String> GROUPS = List.of("all", "zone", "cell");
+  /** In the order of {@link Workload.DeduplicationScope}. */
+  private static final List<String> DEDUPLICATION_SCOPES = List.of("all", "zone", "cell");
 
   private final SettingsReader keys;
-  private final RouterIdentity standing;
+  private final RouterIdentity identity;
   private final Workload[] workloads;
   private final Replication replication;
-  private final DrainPolicy drains;
-  private final SlowStartPolicy warmUp;
-  private final AttemptLimits allowance;
-  private final PoolSettings connections;
+  private final DrainPolicy drainPolicy;
+  private final SlowStartPolicy slowStart;
+  private final AttemptLimits attemptLimits;
+  private final PoolSettings pool;
   private final long origin;
   private final List<String> workloadNames = new ArrayList<>();
   private final Span connectTimeout;
   private final int mostOpen;
 
-  /** On sockets the list is always asked for, also where the simulator would bring it. */
-  StartValues(SettingsReader keys, boolean asks) {
+  /**
+   * Reads all values, in an order that faults are reported in.
+   *
+   * @param onSockets whether the router serves sockets: then it always requests the endpoint list
+   *     itself, also where the simulator would push it
+   */
+  StartValues(SettingsReader keys, boolean onSockets) {
     this.keys = keys;
-    standing =
-        new RouterIdentity(
-            (int) keys.number("Balancers", 1, MANY),
-            (int) keys.number("Me", 0, MANY, 0),
-            (int) keys.number("Zone", 0, MANY),
-            keys.number("Costs.Probe", 0, MANY, 0),
-            keys.number("Costs.CrossZone", 0, MANY, 0));
-    int checks =
-        keys.choice(
-            "FamilyInfo.Checks", keys.text("FamilyInfo.Checks"), List.of("none", "refuse", "wait"));
-    int marks =
-        keys.choice(
-            "FamilyInfo.SessionMarks",
-            keys.text("FamilyInfo.SessionMarks"),
-            List.of("carried", "remembered"));
-    replication = new Replication(checks > 0, keys.flag("FamilyInfo.ProgressTold"), marks == 0);
-    boolean asked =
-        keys.choice("Discovery", keys.text("Discovery"), List.of("pushed", "on_request")) == 1;
-    drains =
-        new DrainPolicy(
-            asked || asks,
-            asked ? span("Rules.MustAskIn") : span("Rules.MustAskIn", MUST_ASK_IN),
-            !keys.flag("Rules.RemovalNotBinding"));
-    warmUp =
-        new SlowStartPolicy(
-            keys.number("Rules.ColdFrom", 0, 1),
-            span("Rules.Cold"),
-            keys.number("Rules.FallMultiple", 0, MANY),
-            span("Rules.Fall"));
-    allowance =
-        new AttemptLimits(
-            (int) keys.number("Bounds.MaxAttempts", 1, 255),
-            keys.flag("Bounds.MayDuplicate"),
-            keys.flag("Bounds.Cancel"),
-            keys.flag("Bounds.MayProbe"),
-            keys.flag("Bounds.RetryAfter") ? span("Bounds.MaxRetryAfter") : Span.NONE,
-            span("Rules.AnswerSlack"));
-    connections =
+    identity = identity();
+    replication = replication();
+    drainPolicy = drainPolicy(onSockets);
+    slowStart = slowStart();
+    attemptLimits = attemptLimits();
+    pool =
         new PoolSettings(
-            (int) keys.number("Bounds.StreamsPerConn", 1, MANY, 1), span("Bounds.IdleClose", 0));
-    origin = (long) keys.number("FamilyInfo.OriginTime", 0, 1e18, 0);
-    // What was decided before a drain is told may be written as late as this.
-    Span grace = span("Rules.DrainGrace", LONGEST);
-    connectTimeout = span("Bounds.ConnectTimeout", CONNECT_TIMEOUT).shorter(grace);
-    mostOpen = (int) keys.number("Bounds.MaxOpen", 1, 1e9, 1e9);
-    workloads = new Workload[(int) keys.number("Classes.count", 1, 250)];
-    List<String> needs = keys.list("FamilyInfo.ClassRead");
-    List<String> bounds = keys.list("FamilyInfo.LagAllowed");
-    for (int i = 0; i < workloads.length; i++) {
-      workloads[i] = workload(i, needs, bounds);
-      if (asks && workloadNames.indexOf(workloadNames.get(i)) < i) {
-        keys.fault(
-            "Classes." + i + ".Name is " + workloadNames.get(i) + ", as that of another workload");
-      }
-    }
+            (int) keys.number("Bounds.StreamsPerConn", 1, MAX_COUNT, 1),
+            span("Bounds.IdleClose", 0));
+    origin = (long) keys.number("FamilyInfo.OriginTime", 0, MAX_ORIGIN, 0);
+    // Statements that were routed before a drain was announced may be written as late as this.
+    Span drainGrace = span("Rules.DrainGrace", MAX_SPAN_MICROS);
+    connectTimeout =
+        span("Bounds.ConnectTimeout", DEFAULT_CONNECT_TIMEOUT_MICROS).shorter(drainGrace);
+    mostOpen = (int) keys.number("Bounds.MaxOpen", 1, MAX_OPEN_STATEMENTS, MAX_OPEN_STATEMENTS);
+    workloads = workloads(onSockets);
   }
 
+  /** Reads values from lines of path=value. */
   public static StartValues ofLines(String text) throws InvalidSettingsException {
     List<String> faults = new ArrayList<>();
     StartValues values = new StartValues(SettingsReader.ofLines(text, faults), false);
@@ -121,91 +101,170 @@
     return values;
   }
 
-  private Workload workload(int number, List<String> needs, List<String> bounds) {
-    String path = "Classes." + number + ".";
-    workloadNames.add(keys.text(path + "Name", ""));
-    if (number >= needs.size()) {
-      keys.fault("FamilyInfo.ClassRead does not name class " + number);
-    }
-    int need =
-        number < needs.size() ? keys.choice("FamilyInfo.ClassRead", needs.get(number), NEEDS) : 0;
-    double bound = 0;
-    if (NEEDS.get(need).equals("bounded")) {
-      if (number >= bounds.size()) {
-        keys.fault("FamilyInfo.LagAllowed gives no bound for class " + number);
-      } else {
-        bound = keys.within("FamilyInfo.LagAllowed", bounds.get(number), 0, LONGEST);
+  private RouterIdentity identity() {
+    return new RouterIdentity(
+        (int) keys.number("Balancers", 1, MAX_COUNT),
+        (int) keys.number("Me", 0, MAX_COUNT, 0),
+        (int) keys.number("Zone", 0, MAX_COUNT),
+        keys.number("Costs.Probe", 0, MAX_COUNT, 0),
+        keys.number("Costs.CrossZone", 0, MAX_COUNT, 0));
+  }
+
+  private Replication replication() {
+    boolean serversCheck = choice("FamilyInfo.Checks", POSITION_CHECKS) > 0;
+    boolean clientsCarryMarks = choice("FamilyInfo.SessionMarks", SESSION_MARKS) == 0;
+    return new Replication(serversCheck, keys.flag("FamilyInfo.ProgressTold"), clientsCarryMarks);
+  }
+
+  private DrainPolicy drainPolicy(boolean onSockets) {
+    boolean listOnRequest = choice("Discovery", DISCOVERY_MODES) == 1;
+    return new DrainPolicy(
+        listOnRequest || onSockets,
+        listOnRequest ? span("Rules.MustAskIn") : span("Rules.MustAskIn", DEFAULT_LIST_POLL_MICROS),
+        !keys.flag("Rules.RemovalNotBinding"));
+  }
+
+  private SlowStartPolicy slowStart() {
+    return new SlowStartPolicy(
+        keys.number("Rules.ColdFrom", 0, 1),
+        span("Rules.Cold"),
+        keys.number("Rules.FallMultiple", 0, MAX_COUNT),
+        span("Rules.Fall"));
+  }
+
+  private AttemptLimits attemptLimits() {
+    return new AttemptLimits(
+        (int) keys.number("Bounds.MaxAttempts", 1, MAX_ATTEMPTS),
+        keys.flag("Bounds.MayDuplicate"),
+        keys.flag("Bounds.Cancel"),
+        keys.flag("Bounds.MayProbe"),
+        keys.flag("Bounds.RetryAfter") ? span("Bounds.MaxRetryAfter") : Span.NONE,
+        span("Rules.AnswerSlack"));
+  }
+
+  private Workload[] workloads(boolean uniqueNames) {
+    Workload[] all = new Workload[(int) keys.number("Classes.count", 1, WorkloadSlots.MOST)];
+    List<String> consistencies = keys.list("FamilyInfo.ClassRead");
+    List<String> bounds = keys.list("FamilyInfo.LagAllowed");
+    for (int i = 0; i < all.length; i++) {
+      all[i] = workload(i, consistencies, bounds);
+      if (uniqueNames && workloadNames.indexOf(workloadNames.get(i)) < i) {
+        keys.fault(
+            "Classes." + i + ".Name is " + workloadNames.get(i) + ", as that of another workload");
       }
     }
-    int repeat = keys.choice(path + "Repeat", keys.text(path + "Repeat"), REPEATS);
-    int within = keys.choice(path + "Group", keys.text(path + "Group", "cell"), GROUPS);
+    return all;
+  }
+
+  private Workload workload(int number, List<String> consistencies, List<String> bounds) {
+    String path = "Classes." + number + ".";
+    workloadNames.add(keys.text(path + "Name", ""));
+    Workload.ReadConsistency consistency = consistency(number, consistencies);
+    Span stalenessBound =
+        consistency == Workload.ReadConsistency.BOUNDED
+            ? stalenessBound(number, bounds)
+            : Span.NONE;
+    Workload.Idempotency idempotency =
+        Workload.Idempotency.values()[choice(path + "Repeat", IDEMPOTENCIES)];
+    int scope =
+        keys.choice(path + "Group", keys.text(path + "Group", "cell"), DEDUPLICATION_SCOPES);
+    boolean deduplicated = idempotency == Workload.Idempotency.DEDUPLICATED;
     return new Workload(
-        Workload.ReadConsistency.values()[need],
-        new Span((long) bound),
-        Workload.Idempotency.values()[repeat],
-        Workload.DeduplicationScope.values()[within],
-        repeat == 1 ? span(path + "Window") : Span.NONE,
+        consistency,
+        stalenessBound,
+        idempotency,
+        Workload.DeduplicationScope.values()[scope],
+        deduplicated ? span(path + "Window") : Span.NONE,
         span(path + "Slo"),
         span(path + "HardLimit"),
-        keys.number(path + "Worth", 0, MANY),
+        keys.number(path + "Worth", 0, MAX_COUNT),
         keys.number(path + "LateWorth", 0, 1, 0));
   }
 
+  private Workload.ReadConsistency consistency(int number, List<String> consistencies) {
+    String key = "FamilyInfo.ClassRead";
+    if (number >= consistencies.size()) {
+      keys.fault(key + " does not name class " + number);
+      return Workload.ReadConsistency.WRITE;
+    }
+    int place = keys.choice(key, consistencies.get(number), READ_CONSISTENCIES);
+    return Workload.ReadConsistency.values()[place];
+  }
+
+  private Span stalenessBound(int number, List<String> bounds) {
+    String key = "FamilyInfo.LagAllowed";
+    if (number >= bounds.size()) {
+      keys.fault(key + " gives no bound for class " + number);
+      return Span.NONE;
+    }
+    return new Span((long) keys.within(key, bounds.get(number), 0, MAX_SPAN_MICROS));
+  }
+
+  /** The place of the value among the words. */
+  private int choice(String path, List<String> words) {
+    return keys.choice(path, keys.text(path), words);
+  }
+
   private Span span(String path) {
-    return new Span((long) keys.number(path, 0, LONGEST));
+    return new Span((long) keys.number(path, 0, MAX_SPAN_MICROS));
   }
 
-  private Span span(String path, double otherwise) {
-    return new Span((long) keys.number(path, 0, LONGEST, otherwise));
+  private Span span(String path, double whereMissing) {
+    return new Span((long) keys.number(path, 0, MAX_SPAN_MICROS, whereMissing));
   }
 
-  /** The decisions for these values, once somebody carries them out. */
+  /** Creates the load balancer with these values, given who carries its decisions out. */
   public Function<DecisionSink, LoadBalancer> balance(long seed, Moment now) {
     return balance(seed, now, holds());
   }
 
+  /** The same with another budget of held statements. */
   public Function<DecisionSink, LoadBalancer> balance(long seed, Moment now, HoldBudget holds) {
     return outbound -> new LoadBalancer(outbound, new SplittableRandom(seed), agreed(), holds, now);
   }
 
-  /** The same for decisions that are under way. */
+  /** Applies these values to a running load balancer. */
   public Consumer<LoadBalancer> agreement(Moment now) {
     return balance -> balance.agree(now, agreed());
   }
 
-  /** All that is agreed, as one value. */
+  /** All settings, as one value. */
   public Settings agreed() {
-    return new Settings(standing, workloads, replication, drains, warmUp, allowance, connections);
+    return new Settings(
+        identity, workloads, replication, drainPolicy, slowStart, attemptLimits, pool);
   }
 
+  /** The form in which endpoints report their load. */
   public LoadReportFormat gauges(long origin) {
     return new LoadReportFormat(keys.list("Reporting.Fields"), origin);
   }
 
-  /**
-   * Where the simulator's clock has its zero of positions; sockets count from the Unix epoch
-   * instead.
-   */
+  /** Zero of replication positions on the simulator's clock; sockets use the Unix epoch. */
   public long origin() {
     return origin;
   }
 
+  /** The names of the workloads, in their order. */
   public List<String> workloadNames() {
     return workloadNames;
   }
 
+  /** The names of the zones, in their order. */
   public List<String> zones() {
     return keys.list("Zones");
   }
 
+  /** How long connecting to an endpoint may take. */
   public Span connectTimeout() {
     return connectTimeout;
   }
 
+  /** How long a connection to an endpoint may be idle. */
   public Span idleClose() {
-    return connections.idleClose();
+    return pool.idleClose();
   }
 
+  /** The longest timeout of all workloads. */
   public Span longestTimeout() {
     Span longest = Span.NONE;
     for (Workload workload : workloads) {
@@ -215,13 +274,14 @@
   }
 
   /**
-   * How much one router may hold where its operator says nothing: the other half is for what needs
-   * no primary.
+   * How much a router may hold where the operator's file doesn't say: half of its statements, as
+   * the other half is for those that need no primary.
    */
   public HoldBudget holds() {
-    return new HoldBudget(Math.max(1, mostOpen / 2), MOST_HELD_BYTES);
+    return new HoldBudget(Math.max(1, mostOpen / 2), DEFAULT_HELD_BYTES);
   }
 
+  /** How many statements may be open at once. */
   public int mostOpen() {
     return mostOpen;
   }
--- a/router/src/main/java/basaltlever/config/WorkloadSlots.java
+++ b/router/src/main/java/basaltlever/config/WorkloadSlots.java
@@ -12,19 +12,16 @@
 import java.util.Map;
 
 /**
- * Where each workload stands in the decisions of a running router. A name keeps its place for as
- * long as the router runs, whatever settings come: what was learned and what is held counts by
- * place, and a statement that was taken under a name that has gone since must never count as
- * another's. A value that is never changed.
+ * The slot of each workload in the decisions of a running router. A name keeps its slot for as long
+ * as the router runs, whatever settings come: what was learned and what is held counts by slot, and
+ * a statement that was accepted under a removed name must never count as another workload's.
+ * Immutable.
  */
 public final class WorkloadSlots {
-  /** Places of all names there ever were; settings that need more take a restart. */
+  /** Slots of all names there ever were; settings that need more take a restart. */
   public static final int MOST = 250;
 
-  /**
-   * What stands where a name has gone: nothing is taken by it, and it changes nothing about the
-   * others.
-   */
+  /** Fills the slot of a removed name: accepts nothing and does not affect the other workloads. */
   public static final Workload GONE =
       new Workload(
           ReadConsistency.WRITE,
@@ -38,40 +35,41 @@
           0);
 
   private final List<String> names;
-  private final Map<String, Integer> taken = new HashMap<>();
+  private final Map<String, Integer> slots = new HashMap<>();
 
   private WorkloadSlots(List<String> names, List<String> now) {
     this.names = names;
-    now.forEach(name -> taken.put(name, names.indexOf(name)));
+    now.forEach(name -> slots.put(name, names.indexOf(name)));
   }
 
-  /** Those of the first settings, in their order. */
+  /** The slots for the first settings, in their order. */
   public static WorkloadSlots of(List<String> names) {
     return new WorkloadSlots(names, names);
   }
 
-  /** Those for other settings. The caller sees to it that they are not too many. */
+  /** The slots for other settings; the caller checks that there are not too many. */
   public WorkloadSlots with(List<String> now) {
     List<String> all = new ArrayList<>(names);
     now.stream().filter(name -> !all.contains(name)).forEach(all::add);
     return new WorkloadSlots(all, now);
   }
 
+  /** The number of slots, also those of removed names. */
   public int size() {
     return names.size();
   }
 
-  /** Below 0 where the settings in force know no such workload. */
+  /** The slot of a workload; below 0 where the current settings have none of that name. */
   public int of(String name) {
-    return taken.getOrDefault(name, -1);
+    return slots.getOrDefault(name, -1);
   }
 
-  /** What is agreed, each workload at its place. */
+  /** The settings with each workload at its slot, given the order that they name them in. */
   public Settings arrange(Settings by, List<String> order) {
     Workload[] placed = new Workload[names.size()];
-    for (int place = 0; place < placed.length; place++) {
-      int given = order.indexOf(names.get(place));
-      placed[place] = given >= 0 ? by.workloads()[given] : GONE;
+    for (int slot = 0; slot < placed.length; slot++) {
+      int given = order.indexOf(names.get(slot));
+      placed[slot] = given >= 0 ? by.workloads()[given] : GONE;
     }
     return new Settings(
         by.standing(),
