--- a/router/src/main/java/basaltlever/cli/OperatorLibraries.java
+++ b/router/src/main/java/basaltlever/cli/OperatorLibraries.java
@@ -10,20 +10,21 @@
 import java.util.List;
 
 /**
- * The libraries that only the operator's file needs stand in {@code lib/operator}, off the jar's
- * class path: there each would cost every router a descriptor and memory. What needs them starts
- * the command line anew on top of both.
+ * The libraries that only the operator's file needs are in {@code lib/operator}, off the jar's
+ * class path, where each would cost every router a descriptor and memory. Commands that need them
+ * run the command line again in a class loader with both.
  */
 final class OperatorLibraries {
-  private static final String ONE_OF_THEM = "org.apache.commons.configuration2.INIConfiguration";
+  private static final String SAMPLE_CLASS = "org.apache.commons.configuration2.INIConfiguration";
 
   private OperatorLibraries() {}
 
-  static boolean areHere() {
+  /** Whether the libraries are on the class path. */
+  static boolean areLoadable() {
     try {
-      Class.forName(ONE_OF_THEM, false, OperatorLibraries.class.getClassLoader());
+      Class.forName(SAMPLE_CLASS, false, OperatorLibraries.class.getClassLoader());
       return true;
-    } catch (ClassNotFoundException e) {
+    } catch (ClassNotFoundException missing) {
       return false;
     }
   }
@@ -42,15 +43,15 @@
           urls.add(file.toURI().toURL());
         }
       }
-      // Never closed: it lives as long as the process.
+      // Never closed: the command runs in it until the process ends.
       URLClassLoader loader =
           new URLClassLoader(urls.toArray(URL[]::new), ClassLoader.getPlatformClassLoader());
       Thread.currentThread().setContextClassLoader(loader);
       Class<?> main = loader.loadClass(Main.class.getName());
-      if (loader.getResource(ONE_OF_THEM.replace('.', '/') + ".class") == null) {
+      if (loader.getResource(SAMPLE_CLASS.replace('.', '/') + ".class") == null) {
         System.err.println(
             "basaltlever: the libraries in lib/operator beside " + jar + " are missing");
-        System.exit(2);
+        System.exit(ExitCode.MISUSED);
       }
       main.getMethod("main", String[].class).invoke(null, (Object) args);
     } catch (InvocationTargetException fault) {
--- a/router/src/main/java/basaltlever/cli/Rehearsal.java
+++ b/router/src/main/java/basaltlever/cli/RehearseCommand.java
@@ -4,31 +4,51 @@
 import basaltlever.net.Router;
 import basaltlever.pg.MessageEncoder;
 import basaltlever.pg.ProtocolCodes;
+import com.beust.jcommander.Parameter;
+import com.beust.jcommander.Parameters;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import java.io.DataInputStream;
 import java.io.IOException;
+import java.io.PrintStream;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 
 /**
  * Starts a router, has it answer one statement and stops it. The build runs it to record the
- * classes that serving loads; an operator can run it to see whether a start file serves.
+ * classes that serving loads; operators can run it to see whether a start file works.
  */
-final class Rehearsal {
-  private static final int PATIENCE_MILLIS = 5_000;
+@Parameters(commandDescription = "Starts a router, has it answer one statement and stops it")
+final class RehearseCommand implements Command {
+  private static final int TIMEOUT_MILLIS = 5_000;
 
-  private Rehearsal() {}
+  @Parameter(description = "FILE", required = true)
+  private String file;
 
-  /** The code or letter of the answer to a statement of the named workload. */
-  static String run(Path file, String workload)
+  @Parameter(names = "--workload", description = "name of the statement's workload")
+  private String workload = "list";
+
+  @Override
+  public int run(PrintStream out, PrintStream err) throws InterruptedException {
+    RouterProcess.configureRuntime();
+    try {
+      out.println("answered: " + responseOfRouter());
+      return ExitCode.OK;
+    } catch (InvalidSettingsException | IOException fault) {
+      err.println("basaltlever: " + fault.getMessage());
+      return ExitCode.MISUSED;
+    }
+  }
+
+  /** The error, or the type of the last message, that a statement is answered with. */
+  private String responseOfRouter()
       throws InvalidSettingsException, IOException, InterruptedException {
     Router router = new Router();
-    router.start(file, null);
+    router.start(Path.of(file), null);
     try (Socket socket = new Socket(router.address().getAddress(), router.address().getPort())) {
-      socket.setSoTimeout(PATIENCE_MILLIS);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       ByteBuf out = Unpooled.buffer();
       MessageEncoder.startup(out, "app", "shop");
       MessageEncoder.query(
@@ -39,25 +59,25 @@
               + " WHERE id = 'a'");
       socket.getOutputStream().write(ByteBufUtil.getBytes(out));
       DataInputStream in = new DataInputStream(socket.getInputStream());
-      upToReady(in);
-      return upToReady(in);
+      readUntilReady(in);
+      return readUntilReady(in);
     } finally {
       router.drain();
       router.awaitStop();
     }
   }
 
-  private static String upToReady(DataInputStream in) throws IOException {
-    String told = "";
+  private static String readUntilReady(DataInputStream in) throws IOException {
+    String response = "";
     for (byte type = in.readByte(); type != ProtocolCodes.READY; type = in.readByte()) {
-      byte[] body = new byte[in.readInt() - 4];
+      byte[] body = new byte[in.readInt() - Integer.BYTES];
       in.readFully(body);
-      told =
+      response =
           type == ProtocolCodes.ERROR
               ? new String(body, StandardCharsets.UTF_8).replace('\0', ' ')
               : "" + (char) type;
     }
-    in.readFully(new byte[in.readInt() - 4]);
-    return told;
+    in.readFully(new byte[in.readInt() - Integer.BYTES]);
+    return response;
   }
 }
--- a/router/src/main/java/basaltlever/cli/StateCommand.java
+++ b/router/src/main/java/basaltlever/cli/StateCommand.java
@@ -18,6 +18,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.PrintStream;
+import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -25,10 +26,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What a folder holds, for people and scripts. It never writes there and takes no lock. */
+/** Shows and checks stored snapshots, for people and scripts. Writes nothing and takes no lock. */
 final class StateCommand {
-  private static final int MISUSED = 2;
-
   @Parameters(commandDescription = "Shows the newest whole view of a folder, aged to now")
   private static final class Show {
     @Parameter(description = "DIR", required = true)
@@ -53,71 +52,66 @@
   private final Show show = new Show();
   private final Verify verify = new Verify();
   private final Diff diff = new Diff();
-  private JCommander line;
+  private JCommander parser;
 
-  void joins(JCommander above) {
-    line = above.getCommands().get("state");
-    line.addCommand("show", show);
-    line.addCommand("verify", verify);
-    line.addCommand("diff", diff);
+  /** Adds the sub-commands. */
+  void joins(JCommander main) {
+    parser = main.getCommands().get("state");
+    parser.addCommand("show", show);
+    parser.addCommand("verify", verify);
+    parser.addCommand("diff", diff);
   }
 
-  /** The exit code. */
-  int run(PrintStream out, PrintStream errors) throws IOException {
-    String command = line.getParsedCommand();
-    switch (command == null ? "" : command) {
-      case "show" -> {
-        return show(out, errors);
-      }
-      case "verify" -> {
-        int code = 0;
-        for (String file : verify.files) {
-          LearnedState view = read(file, errors);
-          code = view == null ? MISUSED : code;
-          if (view != null) {
-            out.println(
-                file
-                    + " is whole: number "
-                    + view.number()
-                    + ", "
-                    + view.nodes().size()
-                    + " nodes");
-          }
-        }
-        return code;
-      }
-      case "diff" -> {
-        return diff(out, errors);
-      }
+  /** Runs the sub-command that was named; returns the exit code. */
+  int run(PrintStream out, PrintStream err) throws IOException {
+    String command = parser.getParsedCommand();
+    return switch (command == null ? "" : command) {
+      case "show" -> show(out, err);
+      case "verify" -> verify(out, err);
+      case "diff" -> diff(out, err);
       default -> {
-        line.usage();
-        return MISUSED;
+        parser.usage();
+        yield ExitCode.MISUSED;
+      }
+    };
+  }
+
+  private int verify(PrintStream out, PrintStream err) {
+    int code = ExitCode.OK;
+    for (String file : verify.files) {
+      LearnedState state = read(file, err);
+      if (state == null) {
+        code = ExitCode.MISUSED;
+      } else {
+        out.printf(
+            "%s is whole: number %d, %d nodes%n", file, state.number(), state.nodes().size());
       }
     }
+    return code;
   }
 
-  private static LearnedState read(String file, PrintStream errors) {
+  private static LearnedState read(String file, PrintStream err) {
     try {
       return SnapshotCodec.read(LockedDirectory.read(Path.of(file), SnapshotCodec.LARGEST));
-    } catch (InvalidSnapshotException | IOException | RuntimeException fault) {
-      errors.println("basaltlever: " + file + ": " + fault.getMessage());
+    } catch (InvalidSnapshotException | IOException | InvalidPathException fault) {
+      err.println("basaltlever: " + file + ": " + fault.getMessage());
       return null;
     }
   }
 
-  private int show(PrintStream out, PrintStream errors) throws IOException {
+  private int show(PrintStream out, PrintStream err) throws IOException {
     SnapshotStore.Found found;
     try (LockedDirectory folder = new LockedDirectory(Path.of(show.folder))) {
       found = new SnapshotStore(folder).newest();
-    } catch (IOException | RuntimeException fault) {
-      errors.println("basaltlever: " + show.folder + " can't be read: " + fault);
-      return MISUSED;
+    } catch (IOException | InvalidPathException fault) {
+      err.println("basaltlever: " + show.folder + " can't be read: " + fault);
+      return ExitCode.MISUSED;
     }
-    found.rejected().forEach(fault -> errors.println("basaltlever: " + fault));
+    found.rejected().forEach(fault -> err.println("basaltlever: " + fault));
     LearnedState view = found.view();
     if (view == null) {
-      errors.println("basaltlever: " + show.folder + " holds no whole view");
-      return MISUSED;
+      err.println("basaltlever: " + show.folder + " holds no whole view");
+      return ExitCode.MISUSED;
     }
     StateRestore now =
         StateRestore.of(
@@ -130,14 +124,20 @@
     double weight = now.rejection().isEmpty() ? StateDecay.weight(now.age()) : 0;
     if (show.json) {
       json(out, found.name(), view, now, weight);
-      return 0;
+      return ExitCode.OK;
     }
+    table(out, found.name(), view, now, weight);
+    return ExitCode.OK;
+  }
+
+  private static void table(
+      PrintStream out, String fileName, LearnedState view, StateRestore now, double weight) {
     out.printf(
         "%s, router '%s' of deployment '%s', list version %d%n",
-        found.name(), view.router(), view.deployment(), view.listed());
+        fileName, view.router(), view.deployment(), view.listed());
     out.println(
         now.rejection().isEmpty()
-            ? String.format("%.1f s old, weight %.4f", now.age().micros() / 1e6, weight)
+            ? String.format("%.1f s old, weight %.4f", seconds(now.age()), weight)
             : "counts for nothing: " + now.rejection());
     out.printf(
         "%-24s %-24s %6s %9s %7s  %s%n", "node", "address", "group", "age_s", "weight", "learned");
@@ -147,19 +147,22 @@
           printable(known.id()),
           printable(known.address()),
           known.view().group(),
-          now.age().micros() / 1e6,
+          seconds(now.age()),
           weight,
           printable("" + learned(known.view())));
     }
-    return 0;
   }
 
-  /** Names come from whoever serves the list: nothing of them steers the terminal. */
+  private static double seconds(Span span) {
+    return span.micros() / 1e6;
+  }
+
+  /** Names come from discovery: no control character of them may reach the terminal. */
   private static String printable(String text) {
     return text.replaceAll("\\p{Cntrl}", "?");
   }
 
-  /** What a view says of a node beyond what is usual, in the words of docs/restart.md. */
+  /** What was learned of an endpoint beyond what is usual, by the keys of docs/restart.md. */
   private static Map<String, Object> learned(EndpointState view) {
     Map<String, Object> learned = new LinkedHashMap<>();
     put(learned, "drains", view.drains(), true);
@@ -202,23 +205,7 @@
       out.writeNumberField("weight", weight);
       out.writeArrayFieldStart("nodes");
       for (KnownEndpoint known : view.nodes()) {
-        out.writeStartObject();
-        out.writeStringField("id", known.id());
-        out.writeStringField("address", known.address());
-        out.writeNumberField("group", known.view().group());
-        out.writeNumberField("age_ms", now.age().micros() / 1_000);
-        out.writeNumberField("weight", weight);
-        for (Map.Entry<String, Object> entry : learned(known.view()).entrySet()) {
-          out.writeFieldName(entry.getKey());
-          if (entry.getValue() instanceof Boolean flag) {
-            out.writeBoolean(flag);
-          } else if (entry.getValue() instanceof Double number) {
-            out.writeNumber(number);
-          } else {
-            out.writeNumber(((Number) entry.getValue()).longValue());
-          }
-        }
-        out.writeEndObject();
+        endpoint(out, known, now, weight);
       }
       out.writeEndArray();
       out.writeEndObject();
@@ -226,43 +213,73 @@
     to.println();
   }
 
-  private int diff(PrintStream out, PrintStream errors) {
+  private static void endpoint(
+      JsonGenerator out, KnownEndpoint known, StateRestore now, double weight) throws IOException {
+    out.writeStartObject();
+    out.writeStringField("id", known.id());
+    out.writeStringField("address", known.address());
+    out.writeNumberField("group", known.view().group());
+    out.writeNumberField("age_ms", now.age().micros() / 1_000);
+    out.writeNumberField("weight", weight);
+    for (Map.Entry<String, Object> entry : learned(known.view()).entrySet()) {
+      out.writeFieldName(entry.getKey());
+      if (entry.getValue() instanceof Boolean flag) {
+        out.writeBoolean(flag);
+      } else if (entry.getValue() instanceof Double number) {
+        out.writeNumber(number);
+      } else {
+        out.writeNumber(((Number) entry.getValue()).longValue());
+      }
+    }
+    out.writeEndObject();
+  }
+
+  private int diff(PrintStream out, PrintStream err) {
     if (diff.files.size() != 2) {
-      errors.println("basaltlever: state diff takes two files");
-      return MISUSED;
+      err.println("basaltlever: state diff takes two files");
+      return ExitCode.MISUSED;
     }
-    LearnedState a = read(diff.files.get(0), errors);
-    LearnedState b = read(diff.files.get(1), errors);
+    LearnedState a = read(diff.files.get(0), err);
+    LearnedState b = read(diff.files.get(1), err);
     if (a == null || b == null) {
-      return MISUSED;
+      return ExitCode.MISUSED;
     }
     out.printf(
         "number %d to %d, %.1f s apart%n",
         a.number(), b.number(), new Span(b.writtenAt() - a.writtenAt()).micros() / 1e6);
-    Map<String, KnownEndpoint> before = new TreeMap<>();
-    a.nodes().forEach(known -> before.put(known.id(), known));
-    Map<String, KnownEndpoint> after = new TreeMap<>();
-    b.nodes().forEach(known -> after.put(known.id(), known));
-    for (KnownEndpoint known : before.values()) {
-      KnownEndpoint other = after.get(known.id());
-      if (other == null) {
-        out.println("- " + printable(known.id()) + " " + learned(known.view()));
-      } else if (!known.address().equals(other.address())
-          || !learned(known.view()).equals(learned(other.view()))) {
-        out.println(
-            "  "
-                + printable(known.id() + " " + known.address())
-                + " "
-                + learned(known.view())
-                + " to "
-                + printable(other.address())
-                + " "
-                + learned(other.view()));
-      }
-    }
+    Map<String, KnownEndpoint> before = byId(a);
+    Map<String, KnownEndpoint> after = byId(b);
+    before.values().forEach(known -> difference(out, known, after.get(known.id())));
     after.values().stream()
         .filter(known -> !before.containsKey(known.id()))
         .forEach(known -> out.println("+ " + printable(known.id()) + " " + learned(known.view())));
-    return 0;
+    return ExitCode.OK;
+  }
+
+  private static Map<String, KnownEndpoint> byId(LearnedState state) {
+    Map<String, KnownEndpoint> endpoints = new TreeMap<>();
+    state.nodes().forEach(known -> endpoints.put(known.id(), known));
+    return endpoints;
+  }
+
+  /** Prints in what an endpoint differs; the later one is null where it is gone. */
+  private static void difference(PrintStream out, KnownEndpoint before, KnownEndpoint after) {
+    Map<String, Object> learnedBefore = learned(before.view());
+    if (after == null) {
+      out.println("- " + printable(before.id()) + " " + learnedBefore);
+      return;
+    }
+    Map<String, Object> learnedAfter = learned(after.view());
+    if (!before.address().equals(after.address()) || !learnedBefore.equals(learnedAfter)) {
+      out.println(
+          "  "
+              + printable(before.id() + " " + before.address())
+              + " "
+              + learnedBefore
+              + " to "
+              + printable(after.address())
+              + " "
+              + learnedAfter);
+    }
   }
 }
--- a/router/src/main/java/basaltlever/cli/SwitchCommand.java
+++ b/router/src/main/java/basaltlever/cli/SwitchCommand.java
@@ -28,8 +28,6 @@
  * command was told.
  */
 final class SwitchCommand {
-  private static final int MISUSED = 2;
-  private static final int REFUSED = 1;
   private static final int PATIENCE_MILLIS = 3_000;
   private static final int LARGEST = 1 << 24;
 
@@ -94,13 +92,14 @@
     line.addCommand("cancel", cancel);
   }
 
+  /** Runs the sub-command that was named; returns the exit code. */
   int run(PrintStream out, PrintStream err) {
     String command = line.getParsedCommand();
     Where where =
         "announce".equals(command) ? announce : "status".equals(command) ? status : cancel;
     if (command == null || where.file == null) {
       err.println("basaltlever: switch takes announce, status or cancel, and a start file");
-      return MISUSED;
+      return ExitCode.MISUSED;
     }
     try {
       List<Told> told = ask(where);
@@ -128,13 +127,13 @@
                     one.role,
                     one.note == null ? "-" : one.note.text()));
       }
-      return 0;
+      return ExitCode.OK;
     } catch (InvalidSettingsException | Refusal fault) {
       err.println("basaltlever: " + fault.getMessage());
-      return fault instanceof Refusal ? REFUSED : MISUSED;
+      return fault instanceof Refusal ? ExitCode.REFUSED : ExitCode.MISUSED;
     } catch (IOException fault) {
       err.println("basaltlever: " + fault);
-      return REFUSED;
+      return ExitCode.REFUSED;
     }
   }
 
