--- a/router/src/main/java/basaltlever/pg/ArrivalTimes.java
+++ b/router/src/main/java/basaltlever/pg/ArrivalTimes.java
@@ -4,36 +4,39 @@
 import java.util.ArrayDeque;
 
 /**
- * When the bytes of one connection came, so that a message that had to wait behind others still
- * counts from its own last byte. What is kept is bounded: beyond that, bytes count as come with
- * those before them, which makes their message seem older than it is, never younger.
+ * Records when the bytes of one connection arrived, so that the deadline of a message that had to
+ * wait behind others still counts from its own last byte.
+ *
+ * <p>The number of recorded reads is bounded. Beyond the bound, a read is merged with the one
+ * before it, so a message may appear older than it is but never younger.
  */
 public final class ArrivalTimes {
-  private static final int MOST = 32;
+  private static final int MAX_READS = 32;
 
-  private record Read(long upTo, Moment at) {}
+  /** One read; {@code endOffset} is the stream offset behind its last byte. */
+  private record Read(long endOffset, Moment at) {}
 
   private final ArrayDeque<Read> reads = new ArrayDeque<>();
-  private long come;
-  private long cut;
+  private long receivedBytes;
+  private long consumedBytes;
 
-  /** So many bytes were read, come at this moment. */
+  /** Records that this many bytes arrived at this moment. */
   public void read(int bytes, Moment at) {
-    come += bytes;
-    Moment since = reads.size() < MOST ? at : reads.removeLast().at();
-    reads.addLast(new Read(come, since));
+    receivedBytes += bytes;
+    Moment recordedAt = reads.size() < MAX_READS ? at : reads.removeLast().at();
+    reads.addLast(new Read(receivedBytes, recordedAt));
   }
 
-  /** The next message takes up so many of the bytes read; when its last one came. */
+  /** Consumes the bytes of the next message and returns when the last of them arrived. */
   public Moment cut(int bytes) {
-    cut += bytes;
-    while (reads.size() > 1 && reads.peekFirst().upTo() < cut) {
+    consumedBytes += bytes;
+    while (reads.size() > 1 && reads.peekFirst().endOffset() < consumedBytes) {
       reads.removeFirst();
     }
-    Moment at = reads.peekFirst().at();
-    if (reads.peekFirst().upTo() == cut) {
+    Read last = reads.peekFirst();
+    if (last.endOffset() == consumedBytes) {
       reads.removeFirst();
     }
-    return at;
+    return last.at();
   }
 }
--- a/router/src/main/java/basaltlever/pg/MemoryBudget.java
+++ b/router/src/main/java/basaltlever/pg/MemoryBudget.java
@@ -1,27 +1,35 @@
 package basaltlever.pg;
 
 /**
- * Counts the bytes of messages held, so that peers who send or read slowly can't fill the memory.
+ * Counts the bytes of buffered messages, so that peers that send or read slowly can't exhaust the
+ * memory.
  */
 public final class MemoryBudget {
-  private final long most;
-  private long held;
+  private final long maxBytes;
+  private long reservedBytes;
 
-  public MemoryBudget(long most) {
-    this.most = most;
+  /** Creates a budget of this many bytes. */
+  public MemoryBudget(long maxBytes) {
+    this.maxBytes = maxBytes;
   }
 
-  /** Counts them in any case; false where that is more than there should be. */
+  /**
+   * Reserves the bytes even beyond the budget, so that the caller always has to release them.
+   *
+   * @return false if more than the budget is reserved now
+   */
   public boolean hold(long bytes) {
-    held += bytes;
-    return held <= most;
+    reservedBytes += bytes;
+    return reservedBytes <= maxBytes;
   }
 
+  /** Returns bytes that were reserved. */
   public void release(long bytes) {
-    held -= bytes;
+    reservedBytes -= bytes;
   }
 
+  /** The bytes that are reserved now. */
   public long held() {
-    return held;
+    return reservedBytes;
   }
 }
--- a/router/src/test/java/basaltlever/pg/ArrivalTimesTest.java
+++ b/router/src/test/java/basaltlever/pg/ArrivalTimesTest.java
@@ -9,28 +9,28 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Against a list with the moment of each byte. */
+/** Compares {@link ArrivalTimes} with a list of the arrival of each byte. */
 class ArrivalTimesTest {
   @Property(tries = 300, seed = "282")
-  void aMessageCameWithItsLastByteOrCountsAsOlder(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+  void messageArrivesWithItsLastByteOrAppearsOlder(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
     ArrivalTimes arrivals = new ArrivalTimes();
     List<Moment> bytes = new ArrayList<>();
-    int cut = 0;
+    int consumed = 0;
     for (int step = 0; step < 200; step++) {
-      if (chance.nextInt(3) > 0 || cut == bytes.size()) {
-        int size = 1 + chance.nextInt(20);
+      if (random.nextInt(3) > 0 || consumed == bytes.size()) {
+        int size = 1 + random.nextInt(20);
         arrivals.read(size, new Moment(step));
         for (int i = 0; i < size; i++) {
           bytes.add(new Moment(step));
         }
       } else {
-        int size = 1 + chance.nextInt(bytes.size() - cut);
-        cut += size;
-        Moment told = arrivals.cut(size);
-        Moment last = bytes.get(cut - 1);
-        boolean few = bytes.subList(cut - size, bytes.size()).stream().distinct().count() < 32;
-        check(few ? told.equals(last) : !told.isAfter(last), told + " and " + last);
+        int size = 1 + random.nextInt(bytes.size() - consumed);
+        consumed += size;
+        Moment arrival = arrivals.cut(size);
+        Moment last = bytes.get(consumed - 1);
+        boolean few = bytes.subList(consumed - size, bytes.size()).stream().distinct().count() < 32;
+        check(few ? arrival.equals(last) : !arrival.isAfter(last), arrival + " and " + last);
       }
     }
   }
