--- a/router/src/main/java/basaltlever/pg/MessageDecoder.java
+++ b/router/src/main/java/basaltlever/pg/MessageDecoder.java
@@ -3,109 +3,134 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Cuts messages out of what is read. A message is a slice of the buffer that it was read into; what
- * has not come whole is kept until it has, so there is one copy at most, and only of messages that
- * come in pieces.
+ * Splits received bytes into messages.
+ *
+ * <p>A message is a slice of the buffer that it was read into. An incomplete message is buffered
+ * until the rest has arrived, so bytes are copied only for messages that arrive in pieces.
  */
 public final class MessageDecoder {
-  /** Type byte and length. */
+  /** Bytes of the header: type and length. */
   public static final int HEAD = 5;
 
-  private static final int PIECE = 512;
+  /** Bytes of the length, which counts itself. */
+  private static final int LENGTH_BYTES = Integer.BYTES;
 
-  private int largest;
+  private static final int TYPE_BYTES = 1;
+  private static final int MIN_JOIN_CAPACITY_BYTES = 512;
+
+  private int maxMessageBytes;
   private final MemoryBudget budget;
 
-  /** Owned here; null where all that came was used. */
-  private ByteBuf kept;
+  /** Owned here; null if there are no buffered bytes. */
+  private ByteBuf buffered;
 
-  private int counted;
+  private int reservedBytes;
 
-  /** No message may be larger, and all that is kept goes by the budget. */
-  public MessageDecoder(int largest, MemoryBudget budget) {
-    this.largest = largest;
+  /**
+   * Creates a decoder.
+   *
+   * @param maxMessageBytes the greatest length that a message may state
+   * @param budget is charged with the capacity of the buffer
+   */
+  public MessageDecoder(int maxMessageBytes, MemoryBudget budget) {
+    this.maxMessageBytes = maxMessageBytes;
     this.budget = budget;
   }
 
-  /** Takes the buffer over. */
-  public void add(ByteBuf in) throws ProtocolException {
-    if (kept == null || !kept.isReadable()) {
+  /** Adds received bytes and takes over the ownership of their buffer. */
+  public void add(ByteBuf received) throws ProtocolException {
+    if (buffered == null || !buffered.isReadable()) {
       release();
-      kept = in;
+      buffered = received;
     } else {
-      join(in);
+      append(received);
     }
-    int more = kept.capacity() - counted;
-    counted += more;
-    if (!budget.hold(more)) {
+    int added = buffered.capacity() - reservedBytes;
+    reservedBytes += added;
+    if (!budget.hold(added)) {
       throw new ProtocolException(ProtocolCodes.TOO_MANY, "too many messages are under way");
     }
   }
 
-  private void join(ByteBuf in) {
+  private void append(ByteBuf received) {
     try {
-      int total = kept.readableBytes() + in.readableBytes();
-      // Slices of the old buffer may be held elsewhere: it is only ever written behind them, or
-      // left.
-      if (kept.capacity() - kept.writerIndex() < in.readableBytes()) {
-        ByteBuf larger = in.alloc().buffer(Math.max(PIECE, 2 * total));
-        larger.writeBytes(kept);
-        kept.release();
-        kept = larger;
+      if (buffered.capacity() - buffered.writerIndex() < received.readableBytes()) {
+        replaceBuffer(received);
       }
-      kept.writeBytes(in);
+      buffered.writeBytes(received);
     } finally {
-      in.release();
+      received.release();
     }
   }
 
-  /** The next whole message with its head, valid until the next call, or null. */
+  /**
+   * Moves the buffered bytes to a new buffer with space for the received ones. The old buffer is
+   * neither compacted nor overwritten, since slices of it may still be in use elsewhere.
+   */
+  private void replaceBuffer(ByteBuf received) {
+    int total = buffered.readableBytes() + received.readableBytes();
+    ByteBuf larger = received.alloc().buffer(Math.max(MIN_JOIN_CAPACITY_BYTES, 2 * total));
+    larger.writeBytes(buffered);
+    buffered.release();
+    buffered = larger;
+  }
+
+  /**
+   * Returns the next complete message with its header, or null. It is valid until the next call of
+   * this decoder.
+   */
   public ByteBuf next() throws ProtocolException {
     if (size() < HEAD) {
-      return spent();
+      return awaitMore();
     }
-    return cut(kept.getInt(kept.readerIndex() + 1), 1);
+    return slice(buffered.getInt(buffered.readerIndex() + TYPE_BYTES), TYPE_BYTES);
   }
 
-  /** As next, for the messages before the start, which have no type byte. */
+  /** As {@link #next}, for the messages of the startup phase, which have no type byte. */
   public ByteBuf nextUntyped() throws ProtocolException {
-    if (size() < HEAD - 1) {
-      return spent();
+    if (size() < LENGTH_BYTES) {
+      return awaitMore();
     }
-    return cut(kept.getInt(kept.readerIndex()), 0);
+    return slice(buffered.getInt(buffered.readerIndex()), 0);
   }
 
-  private ByteBuf cut(int length, int before) throws ProtocolException {
-    if (length < HEAD - 1 || length > largest) {
+  private ByteBuf slice(int statedLength, int typeBytes) throws ProtocolException {
+    if (statedLength < LENGTH_BYTES || statedLength > maxMessageBytes) {
       throw new ProtocolException(
-          length > largest ? ProtocolCodes.TOO_LARGE : ProtocolCodes.VIOLATION,
-          "a message states a length of " + length);
+          statedLength > maxMessageBytes
+              ? ProtocolCodes.PROGRAM_LIMIT_EXCEEDED
+              : ProtocolCodes.VIOLATION,
+          "a message states a length of " + statedLength);
     }
-    return kept.readableBytes() < length + before ? null : kept.readSlice(length + before);
+    int messageBytes = typeBytes + statedLength;
+    return buffered.readableBytes() < messageBytes ? null : buffered.readSlice(messageBytes);
   }
 
-  private ByteBuf spent() {
-    if (kept != null && !kept.isReadable()) {
+  /** Returns null for "no message", and the buffer to its pool if all of it was consumed. */
+  private ByteBuf awaitMore() {
+    if (buffered != null && !buffered.isReadable()) {
       release();
     }
     return null;
   }
 
+  /** The buffered bytes that are not yet part of a returned message. */
   public int size() {
-    return kept == null ? 0 : kept.readableBytes();
+    return buffered == null ? 0 : buffered.readableBytes();
   }
 
-  /** From here on messages may be as large as this. */
-  public void admit(int larger) {
-    largest = larger;
+  /** Sets the greatest length that a message may state from here on. */
+  public void admit(int maxBytes) {
+    maxMessageBytes = maxBytes;
   }
 
+  /** Drops the buffered bytes and returns them to the budget. */
   public void release() {
-    if (kept != null) {
-      kept.release();
-      kept = null;
-      budget.release(counted);
-      counted = 0;
+    if (buffered != null) {
+      buffered.release();
+      buffered = null;
+      budget.release(reservedBytes);
+      reservedBytes = 0;
     }
   }
 }
--- a/router/src/main/java/basaltlever/pg/MessageEncoder.java
+++ b/router/src/main/java/basaltlever/pg/MessageEncoder.java
@@ -4,108 +4,144 @@
 import io.netty.buffer.ByteBufUtil;
 import java.nio.charset.StandardCharsets;
 
-/** Writes messages into a buffer of the caller's. */
+/** Writes protocol messages into a buffer of the caller. */
 public final class MessageEncoder {
-  private MessageEncoder() {}
+  private static final int AUTHENTICATION_OK = 0;
+  private static final byte TRANSACTION_STATUS_IDLE = 'I';
 
-  private static int begin(ByteBuf out, byte type) {
-    out.writeByte(type);
-    out.writeInt(0);
-    return out.writerIndex() - 4;
-  }
+  /** Cancel requests are not supported, so every client gets the same key. */
+  private static final int NO_CANCEL_KEY = 0;
 
-  private static void end(ByteBuf out, int from) {
-    out.setInt(from, out.writerIndex() - from);
-  }
+  private static final byte TERMINATOR = 0;
 
-  private static void text(ByteBuf out, String text) {
-    ByteBufUtil.writeUtf8(out, text);
-    out.writeByte(0);
-  }
+  private MessageEncoder() {}
 
+  /** StartupMessage, from a client. */
   public static void startup(ByteBuf out, String user, String database) {
-    int from = out.writerIndex();
+    int lengthIndex = out.writerIndex();
     out.writeInt(0).writeInt(ProtocolCodes.VERSION);
-    text(out, "user");
-    text(out, user);
-    text(out, "database");
-    text(out, database);
-    out.writeByte(0);
-    end(out, from);
+    writeString(out, "user");
+    writeString(out, user);
+    writeString(out, "database");
+    writeString(out, database);
+    out.writeByte(TERMINATOR);
+    setLength(out, lengthIndex);
   }
 
-  /** All that a client is told before its first query. */
+  /** The response to a startup message, from AuthenticationOk to ReadyForQuery. */
   public static void welcome(ByteBuf out) {
-    out.writeByte(ProtocolCodes.AUTHENTICATION).writeInt(8).writeInt(0);
+    out.writeByte(ProtocolCodes.AUTHENTICATION).writeInt(2 * Integer.BYTES);
+    out.writeInt(AUTHENTICATION_OK);
     status(out, "server_version", "15.0 (basaltlever)");
     status(out, "server_encoding", "UTF8");
     status(out, "client_encoding", "UTF8");
     status(out, "standard_conforming_strings", "on");
     status(out, "integer_datetimes", "on");
-    out.writeByte(ProtocolCodes.KEY).writeInt(12).writeInt(0).writeInt(0);
+    out.writeByte(ProtocolCodes.KEY).writeInt(3 * Integer.BYTES);
+    out.writeInt(NO_CANCEL_KEY).writeInt(NO_CANCEL_KEY);
     ready(out);
   }
 
-  /** Older minor versions than asked for are spoken here, and no option of the protocol. */
+  /**
+   * NegotiateProtocolVersion: this side speaks an older minor version than was requested, and
+   * rejects no named protocol option.
+   */
   public static void negotiate(ByteBuf out) {
-    out.writeByte('v').writeInt(12).writeInt(ProtocolCodes.VERSION).writeInt(0);
+    int rejectedOptions = 0;
+    out.writeByte(ProtocolCodes.NEGOTIATE_PROTOCOL_VERSION).writeInt(3 * Integer.BYTES);
+    out.writeInt(ProtocolCodes.VERSION).writeInt(rejectedOptions);
   }
 
+  /** ParameterStatus. */
   public static void status(ByteBuf out, String name, String value) {
-    int from = begin(out, ProtocolCodes.STATUS);
-    text(out, name);
-    text(out, value);
-    end(out, from);
+    int lengthIndex = beginMessage(out, ProtocolCodes.STATUS);
+    writeString(out, name);
+    writeString(out, value);
+    setLength(out, lengthIndex);
   }
 
+  /** ReadyForQuery, outside of a transaction. */
   public static void ready(ByteBuf out) {
-    out.writeByte(ProtocolCodes.READY).writeInt(5).writeByte('I');
+    out.writeByte(ProtocolCodes.READY).writeInt(Integer.BYTES + 1);
+    out.writeByte(TRANSACTION_STATUS_IDLE);
   }
 
+  /** EmptyQueryResponse. */
   public static void empty(ByteBuf out) {
-    out.writeByte(ProtocolCodes.EMPTY).writeInt(4);
+    out.writeByte(ProtocolCodes.EMPTY).writeInt(Integer.BYTES);
   }
 
+  /** CommandComplete with its command tag. */
   public static void complete(ByteBuf out, String tag) {
-    int from = begin(out, ProtocolCodes.COMPLETE);
-    text(out, tag);
-    end(out, from);
+    int lengthIndex = beginMessage(out, ProtocolCodes.COMPLETE);
+    writeString(out, tag);
+    setLength(out, lengthIndex);
   }
 
-  /** A detail of null is left out. */
+  /**
+   * ErrorResponse.
+   *
+   * @param code the SQLSTATE
+   * @param detail null to omit the field
+   */
   public static void error(
       ByteBuf out, String severity, String code, String message, String detail) {
-    int from = begin(out, ProtocolCodes.ERROR);
-    field(out, 'S', severity);
-    field(out, 'V', severity);
-    field(out, 'C', code);
-    field(out, 'M', message);
+    int lengthIndex = beginMessage(out, ProtocolCodes.ERROR);
+    writeErrorField(out, 'S', severity);
+    writeErrorField(out, 'V', severity);
+    writeErrorField(out, 'C', code);
+    writeErrorField(out, 'M', message);
     if (detail != null) {
-      field(out, 'D', detail);
+      writeErrorField(out, 'D', detail);
     }
-    out.writeByte(0);
-    end(out, from);
+    out.writeByte(TERMINATOR);
+    setLength(out, lengthIndex);
   }
 
-  private static void field(ByteBuf out, char name, String value) {
-    out.writeByte(name);
-    text(out, value);
+  /** Query. */
+  public static void query(ByteBuf out, String text) {
+    int lengthIndex = beginMessage(out, ProtocolCodes.QUERY);
+    writeString(out, text);
+    setLength(out, lengthIndex);
   }
 
-  public static void query(ByteBuf out, String text) {
-    int from = begin(out, ProtocolCodes.QUERY);
-    text(out, text);
-    end(out, from);
+  /**
+   * Query with the text of a client in which the timeout is replaced.
+   *
+   * @param timeoutStart offset of the first digit of the timeout in the text
+   * @param timeoutEnd offset behind its last digit
+   */
+  public static void query(
+      ByteBuf out, ByteBuf text, int timeoutStart, int timeoutEnd, long timeoutMillis) {
+    int lengthIndex = beginMessage(out, ProtocolCodes.QUERY);
+    int textStart = text.readerIndex();
+    out.writeBytes(text, textStart, timeoutStart);
+    out.writeCharSequence(Long.toString(timeoutMillis), StandardCharsets.US_ASCII);
+    out.writeBytes(text, textStart + timeoutEnd, text.readableBytes() - timeoutEnd);
+    out.writeByte(TERMINATOR);
+    setLength(out, lengthIndex);
   }
 
-  /** The text as it came, but for the wait that stands from and to the given places. */
-  public static void query(ByteBuf out, ByteBuf text, int waitFrom, int waitTo, long waitMillis) {
-    int from = begin(out, ProtocolCodes.QUERY);
-    int start = text.readerIndex();
-    out.writeBytes(text, start, waitFrom);
-    out.writeCharSequence(Long.toString(waitMillis), StandardCharsets.US_ASCII);
-    out.writeBytes(text, start + waitTo, text.readableBytes() - waitTo);
-    out.writeByte(0);
-    end(out, from);
+  /** Writes type and a placeholder of the length, and returns the index of the latter. */
+  private static int beginMessage(ByteBuf out, byte type) {
+    out.writeByte(type);
+    int lengthIndex = out.writerIndex();
+    out.writeInt(0);
+    return lengthIndex;
+  }
+
+  /** Ends a message: its length counts itself, but not the type. */
+  private static void setLength(ByteBuf out, int lengthIndex) {
+    out.setInt(lengthIndex, out.writerIndex() - lengthIndex);
+  }
+
+  private static void writeString(ByteBuf out, String text) {
+    ByteBufUtil.writeUtf8(out, text);
+    out.writeByte(TERMINATOR);
+  }
+
+  private static void writeErrorField(ByteBuf out, char type, String value) {
+    out.writeByte(type);
+    writeString(out, value);
   }
 }
--- a/router/src/main/java/basaltlever/pg/ProtocolCodes.java
+++ b/router/src/main/java/basaltlever/pg/ProtocolCodes.java
@@ -1,37 +1,80 @@
 package basaltlever.pg;
 
-/** The numbers and letters of version 3 of the wire protocol, as far as they are spoken here. */
+/**
+ * Request codes, message types and SQLSTATEs of version 3 of the PostgreSQL wire protocol, as far
+ * as they are used here.
+ */
 public final class ProtocolCodes {
+  /** Version 3.0 in a startup message. */
   public static final int VERSION = 196_608;
+
+  /** CancelRequest, in place of a version. */
   public static final int CANCEL = 80_877_102;
+
+  /** SSLRequest, in place of a version. */
   public static final int SSL = 80_877_103;
+
+  /** GSSENCRequest, in place of a version. */
   public static final int GSS = 80_877_104;
 
+  /** Query, from a client. */
   public static final byte QUERY = 'Q';
+
+  /** Terminate, from a client. */
   public static final byte TERMINATE = 'X';
+
+  /** Sync, from a client. */
   public static final byte SYNC = 'S';
+
+  /** RowDescription, from a server. */
   public static final byte ROW_DESCRIPTION = 'T';
+
+  /** DataRow, from a server. */
   public static final byte DATA_ROW = 'D';
+
+  /** CommandComplete, from a server. */
   public static final byte COMPLETE = 'C';
+
+  /** ErrorResponse, from a server. */
   public static final byte ERROR = 'E';
+
+  /** NoticeResponse, from a server. */
   public static final byte NOTICE = 'N';
+
+  /** ParameterStatus, from a server. */
   public static final byte STATUS = 'S';
+
+  /** AuthenticationOk and the requests to authenticate, from a server. */
   public static final byte AUTHENTICATION = 'R';
+
+  /** BackendKeyData, from a server. */
   public static final byte KEY = 'K';
+
+  /** ReadyForQuery, from a server. */
   public static final byte READY = 'Z';
+
+  /** EmptyQueryResponse, from a server. */
   public static final byte EMPTY = 'I';
 
+  /** NegotiateProtocolVersion, from a server. */
+  static final byte NEGOTIATE_PROTOCOL_VERSION = 'v';
+
+  /** SQLSTATE protocol_violation. */
   public static final String VIOLATION = "08P01";
+
+  /** SQLSTATE feature_not_supported. */
   public static final String UNSUPPORTED = "0A000";
-  public static final String TOO_LARGE = "54000";
 
-  /** Harmless to try again: too many connections, which stands for every kind of full. */
+  /** SQLSTATE program_limit_exceeded. */
+  static final String PROGRAM_LIMIT_EXCEEDED = "54000";
+
+  /** SQLSTATE too_many_connections, used for every kind of overload. Safe to retry. */
   public static final String TOO_MANY = "53300";
 
-  /** Harmless to try again: the one that is asked ends or has not begun. */
+  /** SQLSTATE cannot_connect_now: the server is starting or shutting down. Safe to retry. */
   public static final String CANNOT_CONNECT_NOW = "57P03";
 
-  /** No promise about what has happened. */
+  /** SQLSTATE system_error: the statement may or may not have taken effect. */
   public static final String UNKNOWN_EFFECT = "58000";
 
   private ProtocolCodes() {}
--- a/router/src/main/java/basaltlever/pg/ProtocolException.java
+++ b/router/src/main/java/basaltlever/pg/ProtocolException.java
@@ -1,12 +1,20 @@
 package basaltlever.pg;
 
-/** The other side sent something that the protocol does not allow. */
+/** The peer sent something that the protocol does not allow, or that exceeds a limit. */
 public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
+
+  /** The SQLSTATE to report to a client, one of {@link ProtocolCodes}. */
   public final String code;
 
+  /** Creates one with its SQLSTATE and a message that may be sent to a client. */
   public ProtocolException(String code, String message) {
     super(message);
     this.code = code;
   }
+
+  /** The peer broke the protocol. */
+  static ProtocolException violation(String message) {
+    return new ProtocolException(ProtocolCodes.VIOLATION, message);
+  }
 }
