--- a/router/src/main/java/basaltlever/pg/QueryResponse.java
+++ b/router/src/main/java/basaltlever/pg/QueryResponse.java
@@ -6,154 +6,200 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** What a node says to one query, up to its ReadyForQuery. */
+/**
+ * The response of a server to one query, up to its ReadyForQuery.
+ *
+ * <p>A usable response is either exactly one row of one column or exactly one error. Everything
+ * else is malformed, since it does not prove whether the statement took effect.
+ */
 public final class QueryResponse {
-  private static final int LONGEST_TEXT = 1_024;
+  private static final int MAX_TEXT_BYTES = 1_024;
 
-  /** Bytes of all its messages together: twice what the longest row may take up. */
-  private static final int MOST = 1 << 21;
+  /** For all messages of a response together. */
+  private static final int MAX_RESPONSE_BYTES = 1 << 21;
 
-  /** What stands behind a column's name in its description. */
-  private static final int COLUMN_TYPE = 18;
+  /** What follows the name of a column in a RowDescription. */
+  private static final int COLUMN_DESCRIPTION_BYTES = 18;
 
-  private static final Pattern MILLIS = Pattern.compile("[0-9]{1,15}");
+  private static final int COLUMN_COUNT_BYTES = Short.BYTES;
+  private static final int VALUE_LENGTH_BYTES = Integer.BYTES;
+  private static final int MIN_ROW_BODY_BYTES = COLUMN_COUNT_BYTES + VALUE_LENGTH_BYTES;
+  private static final int READY_MESSAGE_BYTES = MessageDecoder.HEAD + 1;
+  private static final byte TERMINATOR = 0;
+  private static final char SQLSTATE_FIELD = 'C';
+  private static final Pattern UNIX_MILLIS = Pattern.compile("[0-9]{1,15}");
 
-  /** The row as it was read, each slice owned here until it is taken or released. */
-  private final List<ByteBuf> row = new ArrayList<>(3);
+  /** The messages of a response that is one row, in their order. */
+  private static final byte[] ROW_SEQUENCE = {
+    ProtocolCodes.ROW_DESCRIPTION, ProtocolCodes.DATA_ROW, ProtocolCodes.COMPLETE
+  };
 
-  private final StringBuilder order = new StringBuilder();
+  private static final int DATA_ROW_INDEX = 1;
+
+  /** The messages of the row as they were read, each owned here until it is taken or released. */
+  private final List<ByteBuf> row = new ArrayList<>(ROW_SEQUENCE.length);
+
+  private int rowMessages;
+  private boolean rowInSequence = true;
   private String error;
-  private boolean spoilt;
-  private int size;
+  private boolean malformed;
+  private int responseBytes;
+
+  /** The role that the server reported of itself, empty if it reported none. */
   public String role = "";
 
-  /** Unix milliseconds, 0 where none was told. */
+  /** The replication position in Unix milliseconds, 0 if the server reported none. */
   public long position;
 
-  /** True once the answer is whole. */
+  /**
+   * Adds the next message of the response.
+   *
+   * @return true once the response is complete
+   */
   public boolean add(ByteBuf message) throws ProtocolException {
-    size += message.readableBytes();
+    responseBytes += message.readableBytes();
     byte type = message.getByte(message.readerIndex());
     switch (type) {
-      case ProtocolCodes.ROW_DESCRIPTION, ProtocolCodes.DATA_ROW, ProtocolCodes.COMPLETE -> {
-        order.append((char) type);
-        spoilt |= order.length() > 3 || !isSound(type, message);
-        if (!spoilt) {
-          row.add(message.retainedSlice());
-        }
-      }
-      case ProtocolCodes.ERROR -> {
-        spoilt |= error != null || order.length() > 0;
-        error = field(message, 'C');
-      }
-      case ProtocolCodes.STATUS -> status(message);
+      case ProtocolCodes.ROW_DESCRIPTION, ProtocolCodes.DATA_ROW, ProtocolCodes.COMPLETE ->
+          addRowMessage(type, message);
+      case ProtocolCodes.ERROR -> addError(message);
+      case ProtocolCodes.STATUS -> addParameterStatus(message);
       case ProtocolCodes.READY -> {
-        spoilt |= message.readableBytes() != MessageDecoder.HEAD + 1;
+        malformed |= message.readableBytes() != READY_MESSAGE_BYTES;
         return true;
       }
-      case ProtocolCodes.EMPTY -> spoilt = true;
+      case ProtocolCodes.EMPTY -> malformed = true;
       case ProtocolCodes.NOTICE, ProtocolCodes.KEY -> {}
-      default ->
-          throw new ProtocolException(
-              ProtocolCodes.VIOLATION, "a node sent a message of type " + type);
+      default -> throw ProtocolException.violation("a node sent a message of type " + type);
     }
     return false;
   }
 
-  /** One row of one column, whole: only then was anything completed. */
+  private void addRowMessage(byte type, ByteBuf message) {
+    rowInSequence &= rowMessages < ROW_SEQUENCE.length && ROW_SEQUENCE[rowMessages] == type;
+    rowMessages++;
+    malformed |= rowMessages > ROW_SEQUENCE.length || !isWellFormed(type, message);
+    if (!malformed) {
+      row.add(message.retainedSlice());
+    }
+  }
+
+  private void addError(ByteBuf message) {
+    malformed |= error != null || rowMessages > 0;
+    error = field(message, SQLSTATE_FIELD);
+  }
+
+  private void addParameterStatus(ByteBuf message) {
+    int nameStart = message.readerIndex() + MessageDecoder.HEAD;
+    int nameEnd = findTerminator(message, nameStart);
+    int valueEnd = nameEnd < 0 ? -1 : findTerminator(message, nameEnd + 1);
+    if (valueEnd < 0 || valueEnd - nameStart > MAX_TEXT_BYTES) {
+      return;
+    }
+    String name = message.toString(nameStart, nameEnd - nameStart, StandardCharsets.UTF_8);
+    String value = message.toString(nameEnd + 1, valueEnd - nameEnd - 1, StandardCharsets.UTF_8);
+    switch (name) {
+      case "part" -> role = value;
+      case "caught_up_to" ->
+          position = UNIX_MILLIS.matcher(value).matches() ? Long.parseLong(value) : 0;
+      default -> {}
+    }
+  }
+
+  /** Whether this is one complete row of one column: only then did the statement complete. */
   public boolean isRow() {
-    return !spoilt && error == null && order.toString().equals("TDC");
+    return !malformed && error == null && rowInSequence && rowMessages == ROW_SEQUENCE.length;
   }
 
   /**
-   * What comes can't become one row or one error any more: its end, which might never come, says
-   * nothing.
+   * Whether the response can't become one row or one error any more, so that it makes no sense to
+   * wait for its end.
    */
   public boolean isHopeless() {
-    return spoilt || size > MOST;
+    return malformed || responseBytes > MAX_RESPONSE_BYTES;
   }
 
-  /** The code of an error that stands alone, or null: an error behind a row proves nothing. */
+  /**
+   * The SQLSTATE of the error if the response is nothing else, otherwise null: an error after a row
+   * does not prove that the statement failed.
+   */
   public String error() {
-    return spoilt ? null : error;
+    return malformed ? null : error;
   }
 
-  /** Its slices, which are the caller's from here on. */
+  /** The messages of the row; the caller has to release them. */
   public List<ByteBuf> takeRow() {
     List<ByteBuf> taken = List.copyOf(row);
     row.clear();
     return taken;
   }
 
-  /** The row's only value as text; empty where there is none. */
+  /** The value of the row as text; empty if there is no row or the value is too long. */
   public String text() {
-    if (!isRow() || row.size() < 2) {
+    if (!isRow() || row.size() <= DATA_ROW_INDEX) {
       return "";
     }
-    ByteBuf data = row.get(1);
-    int at = data.readerIndex() + MessageDecoder.HEAD + 2;
-    int length = data.getInt(at);
-    return length > LONGEST_TEXT ? "" : data.toString(at + 4, length, StandardCharsets.UTF_8);
+    ByteBuf data = row.get(DATA_ROW_INDEX);
+    int lengthIndex = data.readerIndex() + MessageDecoder.HEAD + COLUMN_COUNT_BYTES;
+    int length = data.getInt(lengthIndex);
+    return length > MAX_TEXT_BYTES
+        ? ""
+        : data.toString(lengthIndex + VALUE_LENGTH_BYTES, length, StandardCharsets.UTF_8);
   }
 
+  /** Releases the messages that were not taken. */
   public void release() {
     row.forEach(ByteBuf::release);
     row.clear();
   }
 
-  /**
-   * One column named and typed, one value that fills its message, a tag in plain letters: nothing
-   * else.
-   */
-  private static boolean isSound(byte type, ByteBuf message) {
-    int at = message.readerIndex() + MessageDecoder.HEAD;
-    int size = message.writerIndex() - at;
+  private static boolean isWellFormed(byte type, ByteBuf message) {
+    int body = message.readerIndex() + MessageDecoder.HEAD;
+    int bodyBytes = message.writerIndex() - body;
     if (type == ProtocolCodes.COMPLETE) {
-      int end = message.indexOf(at, message.writerIndex(), (byte) 0);
-      return size > 1
-          && end == message.writerIndex() - 1
-          && message.forEachByte(at, size - 1, b -> b >= ' ' && b < 127) < 0;
+      return isPrintableTag(message, body, bodyBytes);
     }
-    if (size < 6 || message.getShort(at) != 1) {
+    if (bodyBytes < MIN_ROW_BODY_BYTES || message.getShort(body) != 1) {
       return false;
     }
-    if (type == ProtocolCodes.DATA_ROW) {
-      return message.getInt(at + 2) == size - 6;
-    }
-    int end = message.indexOf(at + 2, message.writerIndex(), (byte) 0);
-    return end >= 0 && message.writerIndex() - end - 1 == COLUMN_TYPE;
+    return type == ProtocolCodes.DATA_ROW
+        ? message.getInt(body + COLUMN_COUNT_BYTES) == bodyBytes - MIN_ROW_BODY_BYTES
+        : isOneColumn(message, body + COLUMN_COUNT_BYTES);
   }
 
-  private void status(ByteBuf message) {
-    int at = message.readerIndex() + MessageDecoder.HEAD;
-    int end = message.indexOf(at, message.writerIndex(), (byte) 0);
-    int last = end < 0 ? -1 : message.indexOf(end + 1, message.writerIndex(), (byte) 0);
-    if (last < 0 || last - at > LONGEST_TEXT) {
-      return;
-    }
-    String name = message.toString(at, end - at, StandardCharsets.UTF_8);
-    String told = message.toString(end + 1, last - end - 1, StandardCharsets.UTF_8);
-    switch (name) {
-      case "part" -> role = told;
-      case "caught_up_to" -> position = MILLIS.matcher(told).matches() ? Long.parseLong(told) : 0;
-      default -> {}
-    }
+  /** Whether the body is one non-empty, terminated string of printable ASCII. */
+  private static boolean isPrintableTag(ByteBuf message, int body, int bodyBytes) {
+    return bodyBytes > 1
+        && findTerminator(message, body) == message.writerIndex() - 1
+        && message.forEachByte(body, bodyBytes - 1, b -> b >= ' ' && b < 127) < 0;
   }
 
-  /** A field of an error or notice, empty where it is missing. */
-  public static String field(ByteBuf message, char name) {
-    int at = message.readerIndex() + MessageDecoder.HEAD;
-    while (at < message.writerIndex() && message.getByte(at) != 0) {
-      int end = message.indexOf(at + 1, message.writerIndex(), (byte) 0);
-      if (end < 0) {
+  /** Whether the message ends with the name and the description of the column at this index. */
+  private static boolean isOneColumn(ByteBuf message, int nameStart) {
+    int nameEnd = findTerminator(message, nameStart);
+    return nameEnd >= 0 && message.writerIndex() - nameEnd - 1 == COLUMN_DESCRIPTION_BYTES;
+  }
+
+  /** Returns a field of an ErrorResponse or NoticeResponse, or an empty text if it is missing. */
+  public static String field(ByteBuf message, char type) {
+    int fieldStart = message.readerIndex() + MessageDecoder.HEAD;
+    while (fieldStart < message.writerIndex() && message.getByte(fieldStart) != TERMINATOR) {
+      int valueStart = fieldStart + 1;
+      int valueEnd = findTerminator(message, valueStart);
+      if (valueEnd < 0) {
         return "";
       }
-      if (message.getByte(at) == name) {
-        return message.toString(
-            at + 1, Math.min(LONGEST_TEXT, end - at - 1), StandardCharsets.UTF_8);
+      if (message.getByte(fieldStart) == type) {
+        int length = Math.min(MAX_TEXT_BYTES, valueEnd - valueStart);
+        return message.toString(valueStart, length, StandardCharsets.UTF_8);
       }
-      at = end + 1;
+      fieldStart = valueEnd + 1;
     }
     return "";
   }
+
+  /** The index of the first zero byte from here on, or -1. */
+  private static int findTerminator(ByteBuf message, int from) {
+    return message.indexOf(from, message.writerIndex(), TERMINATOR);
+  }
 }
