--- a/router/src/main/java/basaltlever/pg/Query.java
+++ b/router/src/main/java/basaltlever/pg/Query.java
@@ -6,161 +6,223 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads what a client says of its statement in the comment before it. */
+/**
+ * What a client states about a statement in the comment in front of it. The comment is a list of
+ * fields such as {@code id=9b1f,c=basket,d=480}.
+ */
 public final class Query {
-  private static final byte[] OPEN = {'/', '*'};
-  private static final int LONGEST_COMMENT = 1_024;
-  private static final long LONGEST_WAIT = 86_400_000;
-
-  private final Map<String, String> names = new HashMap<>();
-
-  /** Where the digits of the wait stand, counted from the first byte of the text. */
-  public int waitFrom;
-
-  public int waitTo;
-
-  /** As the client gave it. */
-  public String id;
-
-  public String workload;
-  public long waitMillis;
-  public int group;
-
-  /** Unix milliseconds, 0 where the session has no commit. */
-  public long after;
-
-  public long session;
-
-  private Query() {}
+  private static final String COMMENT_OPEN = "/*";
+  private static final int COMMENT_MARK_BYTES = COMMENT_OPEN.length();
+  private static final int MAX_COMMENT_BYTES = 1_024;
+
+  private static final String ID_KEY = "id";
+  private static final String WORKLOAD_KEY = "c";
+  private static final String TIMEOUT_KEY = "d";
+  private static final String GROUP_KEY = "cluster";
+  private static final String COMMIT_KEY = "after";
+
+  private static final long MAX_TIMEOUT_MILLIS = 24 * 60 * 60 * 1_000;
+
+  /** Leaves room to add to it after the conversion to microseconds. */
+  private static final long MAX_COMMIT_MILLIS = Long.MAX_VALUE / 4_000;
+
+  private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+  private static final long FNV_PRIME = 0x100000001b3L;
+
+  /** Commands that change only the session of a client. */
+  private static final String[] SESSION_COMMANDS = {"SET", "RESET", "DISCARD"};
+
+  /** Offset of the first digit of the timeout, in bytes of the text. */
+  public final int waitFrom;
+
+  /** Offset behind the last digit of the timeout, in bytes of the text. */
+  public final int waitTo;
+
+  /** The identifier of the statement, as the client chose it. */
+  public final String id;
+
+  /** The key of the workload. */
+  public final String workload;
+
+  /** How long the client waits for the response, in milliseconds. */
+  public final long waitMillis;
+
+  /** The replica group. */
+  public final int group;
+
+  /** When the session committed last, in Unix milliseconds; 0 if it did not. */
+  public final long after;
+
+  /** Hash of the first quoted literal, which identifies the session; 0 if there is none. */
+  public final long session;
+
+  /**
+   * Parses the fields of the comment. It was decoded as ISO-8859-1, so that its character offsets
+   * are byte offsets of the text.
+   *
+   * @param commentOffset of the comment in the text
+   */
+  private Query(String comment, int commentOffset, long session) throws ProtocolException {
+    Map<String, String> fields = new HashMap<>();
+    int timeoutStart = 0;
+    int timeoutEnd = 0;
+    int start = 0;
+    while (start <= comment.length()) {
+      int comma = comment.indexOf(',', start);
+      int end = comma < 0 ? comment.length() : comma;
+      int equals = findEqualsSign(comment, start, end);
+      String key = comment.substring(start, equals).trim();
+      putOnce(fields, key, comment.substring(equals + 1, end).trim());
+      if (key.equals(TIMEOUT_KEY)) {
+        timeoutStart = commentOffset + equals + 1;
+        timeoutEnd = commentOffset + end;
+      }
+      start = end + 1;
+    }
+    this.waitFrom = timeoutStart;
+    this.waitTo = timeoutEnd;
+    this.workload = required(fields, WORKLOAD_KEY);
+    this.id = required(fields, ID_KEY);
+    this.waitMillis = number(TIMEOUT_KEY, required(fields, TIMEOUT_KEY), MAX_TIMEOUT_MILLIS);
+    this.group = (int) number(GROUP_KEY, fields.getOrDefault(GROUP_KEY, "0"), Integer.MAX_VALUE);
+    this.after = number(COMMIT_KEY, fields.getOrDefault(COMMIT_KEY, "0"), MAX_COMMIT_MILLIS);
+    this.session = session;
+  }
 
-  /** Text is the query without the zero byte that ends it. */
+  /** Parses the text of a query, without the zero byte that terminates it. */
   public static Query read(ByteBuf text) throws ProtocolException {
-    int from = skipSpace(text, 0);
-    if (text.readableBytes() < from + 2
-        || text.getByte(text.readerIndex() + from) != OPEN[0]
-        || text.getByte(text.readerIndex() + from + 1) != OPEN[1]) {
-      throw new ProtocolException(
-          ProtocolCodes.VIOLATION, "the statement does not begin with its comment");
-    }
-    int end = -1;
-    int most = Math.min(text.readableBytes() - 1, from + LONGEST_COMMENT);
-    for (int i = from + 2; i < most && end < 0; i++) {
-      end = at(text, i) == '*' && at(text, i + 1) == '/' ? i : -1;
-    }
-    if (end < 0) {
-      throw new ProtocolException(
-          ProtocolCodes.VIOLATION, "the comment before the statement is not closed");
-    }
-    Query query = new Query();
+    int commentStart = findCommentStart(text);
+    int commentEnd = findCommentEnd(text, commentStart);
     String comment =
-        text.toString(text.readerIndex() + from + 2, end - from - 2, StandardCharsets.ISO_8859_1);
-    query.names(comment, from + 2);
-    query.fields();
-    query.session = quoted(text, end + 2);
-    return query;
+        text.toString(
+            text.readerIndex() + commentStart,
+            commentEnd - commentStart,
+            StandardCharsets.ISO_8859_1);
+    return new Query(comment, commentStart, sessionHash(text, commentEnd + COMMENT_MARK_BYTES));
   }
 
-  private void names(String comment, int offset) throws ProtocolException {
-    int at = 0;
-    while (at <= comment.length()) {
-      int comma = comment.indexOf(',', at);
-      int to = comma < 0 ? comment.length() : comma;
-      int equals = comment.indexOf('=', at);
-      if (equals < 0 || equals > to) {
-        throw new ProtocolException(
-            ProtocolCodes.VIOLATION,
-            "the comment holds '"
-                + comment.substring(at, to).trim()
-                + "' where a name and a value belong");
-      }
-      String name = comment.substring(at, equals).trim();
-      if (names.put(name, comment.substring(equals + 1, to).trim()) != null) {
-        throw new ProtocolException(
-            ProtocolCodes.VIOLATION, "the comment names " + name + " twice");
-      }
-      if (name.equals("d")) {
-        waitFrom = offset + equals + 1;
-        waitTo = offset + to;
+  /** The offset behind the mark that opens the comment. */
+  private static int findCommentStart(ByteBuf text) throws ProtocolException {
+    int open = skipSpace(text, 0);
+    int start = open + COMMENT_MARK_BYTES;
+    if (text.readableBytes() < start
+        || byteAt(text, open) != COMMENT_OPEN.charAt(0)
+        || byteAt(text, open + 1) != COMMENT_OPEN.charAt(1)) {
+      throw ProtocolException.violation("the statement does not begin with its comment");
+    }
+    return start;
+  }
+
+  /** The offset of the mark that closes the comment. */
+  private static int findCommentEnd(ByteBuf text, int start) throws ProtocolException {
+    int limit = Math.min(text.readableBytes() - 1, start - COMMENT_MARK_BYTES + MAX_COMMENT_BYTES);
+    for (int offset = start; offset < limit; offset++) {
+      if (byteAt(text, offset) == '*' && byteAt(text, offset + 1) == '/') {
+        return offset;
       }
-      at = to + 1;
     }
+    throw ProtocolException.violation("the comment before the statement is not closed");
   }
 
-  private void fields() throws ProtocolException {
-    workload = need("c");
-    id = need("id");
-    waitMillis = number("d", need("d"), LONGEST_WAIT);
-    group = (int) number("cluster", names.getOrDefault("cluster", "0"), Integer.MAX_VALUE);
-    after = number("after", names.getOrDefault("after", "0"), Long.MAX_VALUE / 4_000);
+  private static int findEqualsSign(String comment, int start, int end) throws ProtocolException {
+    int equals = comment.indexOf('=', start);
+    if (equals < 0 || equals > end) {
+      throw ProtocolException.violation(
+          "the comment holds '"
+              + comment.substring(start, end).trim()
+              + "' where a name and a value belong");
+    }
+    return equals;
   }
 
-  private String need(String name) throws ProtocolException {
-    String value = names.get(name);
+  private static void putOnce(Map<String, String> fields, String key, String value)
+      throws ProtocolException {
+    if (fields.put(key, value) != null) {
+      throw ProtocolException.violation("the comment names " + key + " twice");
+    }
+  }
+
+  private static String required(Map<String, String> fields, String key) throws ProtocolException {
+    String value = fields.get(key);
     if (value == null || value.isEmpty()) {
-      throw new ProtocolException(ProtocolCodes.VIOLATION, "the comment lacks " + name);
+      throw ProtocolException.violation("the comment lacks " + key);
     }
     return value;
   }
 
-  private static long number(String name, String value, long most) throws ProtocolException {
+  private static long number(String key, String digits, long max) throws ProtocolException {
     long number = 0;
-    boolean sound = !value.isEmpty();
-    for (int i = 0; i < value.length() && sound; i++) {
-      int digit = value.charAt(i) - '0';
-      sound = digit >= 0 && digit <= 9 && number <= (most - digit) / 10;
+    boolean valid = !digits.isEmpty();
+    for (int i = 0; i < digits.length() && valid; i++) {
+      int digit = digits.charAt(i) - '0';
+      valid = digit >= 0 && digit <= 9 && number <= (max - digit) / 10;
       number = 10 * number + digit;
     }
-    if (!sound) {
-      throw new ProtocolException(
-          ProtocolCodes.VIOLATION, "the comment's " + name + " is no number from 0 to " + most);
+    if (!valid) {
+      throw ProtocolException.violation("the comment's " + key + " is no number from 0 to " + max);
     }
     return number;
   }
 
-  /** The first quoted text names the session; the same text gives the same number, never 0. */
-  private static long quoted(ByteBuf text, int from) {
+  /** The FNV-1a hash of the first quoted literal, never 0 if there is one. */
+  private static long sessionHash(ByteBuf text, int from) {
     int open = text.indexOf(text.readerIndex() + from, text.writerIndex(), (byte) '\'');
     int close = open < 0 ? -1 : text.indexOf(open + 1, text.writerIndex(), (byte) '\'');
-    long hash = 0xcbf29ce484222325L;
-    for (int i = open + 1; i < close; i++) {
-      hash = (hash ^ (text.getByte(i) & 0xff)) * 0x100000001b3L;
+    if (close < 0) {
+      return 0;
     }
-    return close < 0 ? 0 : hash == 0 ? 1 : hash;
-  }
-
-  private static byte at(ByteBuf text, int index) {
-    return text.getByte(text.readerIndex() + index);
-  }
-
-  private static int skipSpace(ByteBuf text, int from) {
-    int at = from;
-    while (at < text.readableBytes() && at(text, at) <= ' ' && at(text, at) >= 0) {
-      at++;
+    long hash = FNV_OFFSET_BASIS;
+    for (int index = open + 1; index < close; index++) {
+      hash = (hash ^ (text.getByte(index) & 0xff)) * FNV_PRIME;
     }
-    return at;
+    return hash == 0 ? 1 : hash;
   }
 
+  /** Whether the text has no statement, only white space and semicolons. */
   public static boolean isBlank(ByteBuf text) {
-    int at = skipSpace(text, 0);
-    while (at < text.readableBytes() && at(text, at) == ';') {
-      at = skipSpace(text, at + 1);
+    int offset = skipSpace(text, 0);
+    while (offset < text.readableBytes() && byteAt(text, offset) == ';') {
+      offset = skipSpace(text, offset + 1);
     }
-    return at == text.readableBytes();
+    return offset == text.readableBytes();
   }
 
-  /** The word of a command that does nothing here, or null. */
+  /**
+   * Returns the first word of a command that changes only the session, such as SET, or null. It has
+   * no effect here, since statements of a session run on many connections.
+   */
   public static String idleCommand(ByteBuf text) {
-    int from = skipSpace(text, 0);
-    for (String word : new String[] {"SET", "RESET", "DISCARD"}) {
-      int end = from + word.length();
-      if (text.readableBytes() >= end
-          && AsciiString.contentEqualsIgnoreCase(
-              word,
-              text.toString(text.readerIndex() + from, word.length(), StandardCharsets.ISO_8859_1))
-          && (text.readableBytes() == end || at(text, end) <= ' ' || at(text, end) == ';')) {
-        return word;
+    int start = skipSpace(text, 0);
+    for (String command : SESSION_COMMANDS) {
+      if (startsWithWord(text, start, command)) {
+        return command;
       }
     }
     return null;
   }
+
+  private static boolean startsWithWord(ByteBuf text, int start, String word) {
+    int end = start + word.length();
+    if (text.readableBytes() < end) {
+      return false;
+    }
+    String found =
+        text.toString(text.readerIndex() + start, word.length(), StandardCharsets.ISO_8859_1);
+    return AsciiString.contentEqualsIgnoreCase(word, found)
+        && (text.readableBytes() == end || byteAt(text, end) <= ' ' || byteAt(text, end) == ';');
+  }
+
+  private static byte byteAt(ByteBuf text, int offset) {
+    return text.getByte(text.readerIndex() + offset);
+  }
+
+  private static int skipSpace(ByteBuf text, int from) {
+    int offset = from;
+    while (offset < text.readableBytes()
+        && byteAt(text, offset) <= ' '
+        && byteAt(text, offset) >= 0) {
+      offset++;
+    }
+    return offset;
+  }
 }
