--- /dev/null
+++ b/router/src/main/java/basaltlever/discovery/JsonObjectSplitter.java
@@ -0,0 +1,151 @@
+package basaltlever.discovery;
+
+import java.io.ByteArrayOutputStream;
+import java.nio.charset.StandardCharsets;
+
+/**
+ * Splits a stream of JSON objects into the texts of the single objects, byte by byte.
+ *
+ * <p>An object ends with its closing brace: it may be indented over several lines, and the last one
+ * needs no line end. Optionally, the objects of a list directly within an outermost object are
+ * passed on separately, each as soon as it is complete. An incomplete object is never passed on.
+ */
+final class JsonObjectSplitter {
+  private static final int MAX_OBJECT_BYTES = 4 << 20;
+
+  /** Depth directly within a list of the outermost object. */
+  private static final int LIST_DEPTH = 2;
+
+  private enum Lexical {
+    /** Outside of strings. */
+    STRUCTURE,
+    STRING,
+    /** Behind a backslash within a string. */
+    ESCAPE
+  }
+
+  private final TextSink objects;
+
+  /** Null if the objects of lists stay within the text of the outermost object. */
+  private final TextSink entries;
+
+  private final ByteArrayOutputStream object = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream entry = new ByteArrayOutputStream();
+  private Lexical lexical = Lexical.STRUCTURE;
+
+  /** The number of open braces and brackets. */
+  private int depth;
+
+  /** Bytes of the current outermost object, including those of its entries. */
+  private int objectBytes;
+
+  /** Whether the value opened last directly within the outermost object is a list. */
+  private boolean inList;
+
+  private boolean inEntry;
+  private boolean afterEntry;
+
+  /**
+   * Creates a splitter.
+   *
+   * @param objects receives each outermost object, and an empty text for each line end between them
+   * @param entries receives the objects in lists directly within the outermost object, which then
+   *     are left out of its text; null to leave them there
+   */
+  JsonObjectSplitter(TextSink objects, TextSink entries) {
+    this.objects = objects;
+    this.entries = entries;
+  }
+
+  /** Adds the next byte. */
+  void add(byte next) throws InvalidEndpointListException {
+    if (depth > 0 || next == '{') {
+      addToObject(next);
+    } else if (next == '\n') {
+      objects.accept("");
+    } else if (!isSpace(next)) {
+      throw new InvalidEndpointListException("a list begins with no object");
+    }
+  }
+
+  private void addToObject(byte next) throws InvalidEndpointListException {
+    objectBytes++;
+    if (objectBytes > MAX_OBJECT_BYTES) {
+      throw new InvalidEndpointListException("a list is too long");
+    }
+    inEntry |= opensEntry(next);
+    if (inEntry) {
+      entry.write(next);
+    } else if (!isSeparatorOfEntries(next)) {
+      object.write(next);
+    }
+    switch (lexical) {
+      case ESCAPE -> lexical = Lexical.STRING;
+      case STRING -> addToString(next);
+      case STRUCTURE -> addToStructure(next);
+    }
+  }
+
+  private boolean opensEntry(byte next) {
+    return entries != null
+        && lexical == Lexical.STRUCTURE
+        && depth == LIST_DEPTH
+        && next == '{'
+        && inList;
+  }
+
+  /** The commas and white space between entries are left out together with the entries. */
+  private boolean isSeparatorOfEntries(byte next) {
+    if (!afterEntry || lexical != Lexical.STRUCTURE || depth != LIST_DEPTH) {
+      return false;
+    }
+    afterEntry = next == ',' || next == '\n' || isSpace(next);
+    return afterEntry;
+  }
+
+  private void addToString(byte next) {
+    if (next == '\\') {
+      lexical = Lexical.ESCAPE;
+    } else if (next == '"') {
+      lexical = Lexical.STRUCTURE;
+    }
+  }
+
+  private void addToStructure(byte next) throws InvalidEndpointListException {
+    switch (next) {
+      case '"' -> lexical = Lexical.STRING;
+      case '{', '[' -> open(next);
+      case '}', ']' -> close();
+      default -> {}
+    }
+  }
+
+  private void open(byte next) {
+    if (depth == 1) {
+      inList = next == '[';
+    }
+    depth++;
+  }
+
+  private void close() throws InvalidEndpointListException {
+    depth--;
+    if (inEntry && depth == LIST_DEPTH) {
+      inEntry = false;
+      afterEntry = true;
+      entries.accept(takeText(entry));
+    } else if (depth == 0) {
+      objectBytes = 0;
+      objects.accept(takeText(object));
+    }
+  }
+
+  private static String takeText(ByteArrayOutputStream bytes) {
+    String text = bytes.toString(StandardCharsets.UTF_8);
+    bytes.reset();
+    return text;
+  }
+
+  private static boolean isSpace(byte next) {
+    return next == ' ' || next == '\r' || next == '\t';
+  }
+}
