--- a/router/src/main/java/basaltlever/discovery/EndpointEntry.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointEntry.java
@@ -8,8 +8,15 @@
 import java.util.Objects;
 
 /**
- * What a list says of one member. The address and the zone are null where the list names none, and
- * the moment of the last start is 0 for long ago, in Unix milliseconds.
+ * One endpoint of the endpoint list.
+ *
+ * @param id the identifier of the endpoint
+ * @param address null if the list states none
+ * @param zone null if the list states none
+ * @param group the replica group
+ * @param weight the share of load relative to other endpoints
+ * @param startedAtMillis when it started last, in Unix milliseconds; 0 if long ago
+ * @param listing its lifecycle as listed
  */
 public record EndpointEntry(
     String id,
@@ -19,51 +26,56 @@
     double weight,
     long startedAtMillis,
     EndpointLifecycle listing) {
-  private static final double LONGEST = 1e15;
+  private static final double MAX_NUMBER = 1e15;
 
-  /** Throws where the entry is not sound. */
-  static EndpointEntry of(Map<?, ?> member) throws InvalidEndpointListException {
-    if (!(member.get("instanceId") instanceof String id)) {
+  /** Converts a parsed entry; throws if it is invalid. */
+  static EndpointEntry of(Map<?, ?> fields) throws InvalidEndpointListException {
+    if (!(fields.get("instanceId") instanceof String id)) {
       throw new InvalidEndpointListException("an entry of the list has no instanceId");
     }
-    EndpointLifecycle listing = listing(member.get("lifecycle"));
+    EndpointLifecycle lifecycle = lifecycle(fields.get("lifecycle"));
     InetSocketAddress address =
-        member.get("hostPort") instanceof String text ? Addresses.parse(text) : null;
-    if (listing != EndpointLifecycle.GONE && address == null) {
+        fields.get("hostPort") instanceof String text ? Addresses.parse(text) : null;
+    if (lifecycle != EndpointLifecycle.GONE && address == null) {
       throw new InvalidEndpointListException("entry " + id + " has no hostPort");
     }
     return new EndpointEntry(
         id,
         address,
-        member.get("zone") instanceof String zone ? zone : null,
-        (int) number(member, "cell", 0),
-        number(member, "weight", 1),
-        (long) number(member, "startedAtMs", 0),
-        listing);
+        fields.get("zone") instanceof String zone ? zone : null,
+        (int) number(fields, "cell", 0),
+        number(fields, "weight", 1),
+        (long) number(fields, "startedAtMs", 0),
+        lifecycle);
   }
 
-  /** A state that is not known here is no invitation: nothing new goes there. */
-  private static EndpointLifecycle listing(Object lifecycle) {
-    return "in_service".equals(lifecycle)
-        ? EndpointLifecycle.READY
-        : "terminated".equals(lifecycle) ? EndpointLifecycle.GONE : EndpointLifecycle.DRAINING;
+  /** Unknown states count as draining, so that an endpoint in one gets no new statements. */
+  private static EndpointLifecycle lifecycle(Object text) {
+    if ("in_service".equals(text)) {
+      return EndpointLifecycle.READY;
+    }
+    return "terminated".equals(text) ? EndpointLifecycle.GONE : EndpointLifecycle.DRAINING;
   }
 
-  static double number(Map<?, ?> from, String name, double otherwise)
+  static double number(Map<?, ?> fields, String name, double defaultValue)
       throws InvalidEndpointListException {
-    Object value = from.get(name);
+    Object value = fields.get(name);
     if (value == null) {
-      return otherwise;
+      return defaultValue;
     }
-    if (value instanceof BigDecimal number
-        && number.doubleValue() >= 0
-        && number.doubleValue() <= LONGEST) {
-      return number.doubleValue();
+    if (value instanceof BigDecimal decimal) {
+      double number = decimal.doubleValue();
+      if (number >= 0 && number <= MAX_NUMBER) {
+        return number;
+      }
     }
     throw new InvalidEndpointListException("the list's " + name + " is no number");
   }
 
-  /** Written out: what a record makes of its own would be made at run time, on the loop. */
+  /**
+   * Written out since the generated method of a record is linked at its first call, which would
+   * block the event loop.
+   */
   @Override
   public boolean equals(Object other) {
     return other instanceof EndpointEntry entry
@@ -81,18 +93,21 @@
     return id.hashCode();
   }
 
-  /** The same member in another state. */
-  EndpointEntry in(EndpointLifecycle other) {
-    return new EndpointEntry(id, address, zone, group, weight, startedAtMillis, other);
+  /** The same endpoint in another state. */
+  EndpointEntry withLifecycle(EndpointLifecycle lifecycle) {
+    return new EndpointEntry(id, address, zone, group, weight, startedAtMillis, lifecycle);
   }
 
   /**
-   * Where this entry names no address, as one of a member that is gone may, it is still that of the
-   * former one.
+   * This entry with the address of the previous one if it states none itself, as entries of
+   * endpoints that are gone may.
+   *
+   * @param previous may be null
    */
-  EndpointEntry withAddressOf(EndpointEntry former) {
-    return address != null || former == null || former.address == null
-        ? this
-        : new EndpointEntry(id, former.address, zone, group, weight, startedAtMillis, listing);
+  EndpointEntry withAddressFrom(EndpointEntry previous) {
+    if (address != null || previous == null || previous.address == null) {
+      return this;
+    }
+    return new EndpointEntry(id, previous.address, zone, group, weight, startedAtMillis, listing);
   }
 }
--- a/router/src/main/java/basaltlever/discovery/EndpointList.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointList.java
@@ -137,13 +137,13 @@
   }
 
   public static EndpointUpdate parse(String line) throws InvalidEndpointListException {
-    return EndpointUpdate.of(EndpointUpdate.object(line));
+    return EndpointUpdate.of(EndpointUpdate.parseObject(line));
   }
 
   /** Throws before anything is taken in where the list does not belong to the one that is held. */
   public void take(Moment now, EndpointUpdate update, boolean asked)
       throws InvalidEndpointListException {
-    if (update.generation() < generation && !update.whole()) {
+    if (update.generation() < generation && !update.full()) {
       // A service that lost its state counts anew: its changes don't belong to the list held here.
       throw new InvalidEndpointListException(
           "the list's generation went from " + generation + " back to " + update.generation());
@@ -166,7 +166,7 @@
       drainsBind |= bindsStill;
       hold(
           bindsStill && entry.listing() == EndpointLifecycle.READY
-              ? entry.in(EndpointLifecycle.DRAINING)
+              ? entry.withLifecycle(EndpointLifecycle.DRAINING)
               : entry);
     }
     ends(now, drainsBind, asked);
@@ -186,7 +186,7 @@
           || before.listing() != EndpointLifecycle.READY) {
         continue;
       }
-      EndpointEntry drained = before.in(entry.listing());
+      EndpointEntry drained = before.withLifecycle(entry.listing());
       begun = true;
       tell(now, drained, drained.listing(), drained.group());
       hold(drained);
@@ -206,13 +206,13 @@
       EndpointEntry before = current.get(entry.id());
       if (!entry.equals(before) || !recollection.members().isEmpty()) {
         (entry.listing() == EndpointLifecycle.READY ? others : binding)
-            .add(entry.withAddressOf(before));
+            .add(entry.withAddressFrom(before));
       }
     }
-    if (update.whole()) {
+    if (update.full()) {
       for (EndpointEntry held : current.values()) {
         if (!named.contains(held.id())) {
-          binding.add(held.in(EndpointLifecycle.GONE));
+          binding.add(held.withLifecycle(EndpointLifecycle.GONE));
         }
       }
     }
@@ -313,7 +313,7 @@
         latest.put(entry.id(), entry);
       }
     }
-    ListAnomaly doubt = roll.told(now, update.whole(), update.generation(), said);
+    ListAnomaly doubt = roll.told(now, update.full(), update.generation(), said);
     if (doubt != ListAnomaly.NONE) {
       heldOff.note(update.generation(), doubt.name());
     }
--- a/router/src/main/java/basaltlever/discovery/EndpointListReader.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointListReader.java
@@ -5,53 +5,59 @@
 import java.util.List;
 
 /**
- * Reads the messages of one answer of discovery as their bytes come: each entry is parsed once it
- * is whole, so that no read has to go over a long list at once, and what an entry says can be acted
- * on while others are still to come.
+ * Reads the messages of one discovery response as its bytes arrive.
+ *
+ * <p>Each entry is parsed as soon as it is complete. So a long list never blocks the event loop in
+ * one piece, and an entry can be acted on while others are still to come.
  */
 public final class EndpointListReader {
-  /** What is read; called from within {@link #read}. */
+  /** Receives what is read, from within {@link #read}. */
   public interface Listener {
-    /** A line with nothing on it: discovery says that the answer goes on. */
+    /** An empty line: the service keeps the response open. */
     void keepAlive();
 
-    /** One entry of a message that has not come whole yet. */
+    /** One entry of a message that is not complete yet. */
     void entry(EndpointEntry entry);
 
-    /** A whole message, with all of its entries. */
+    /** A complete message, with all of its entries. */
     void update(EndpointUpdate update);
   }
 
   private final Listener listener;
-  private final ChunkedResponseReader reader = new ChunkedResponseReader(this::object, this::entry);
+  private final ChunkedResponseReader reader =
+      new ChunkedResponseReader(this::readMessage, this::readEntry);
+
+  /** The entries of the message that is not complete yet. */
   private List<EndpointEntry> entries = new ArrayList<>();
 
+  /** Creates a reader of one response. */
   public EndpointListReader(Listener listener) {
     this.listener = listener;
   }
 
+  /** Reads the next bytes of the response; the buffer stays with the caller. */
   public void read(ByteBuf in) throws InvalidEndpointListException {
     reader.read(in);
   }
 
-  /** True once the answer has ended. */
+  /** Whether the response has ended. */
   public boolean isOver() {
     return reader.isOver();
   }
 
-  private void entry(String text) throws InvalidEndpointListException {
-    EndpointEntry entry = EndpointEntry.of(EndpointUpdate.object(text));
+  private void readEntry(String text) throws InvalidEndpointListException {
+    EndpointEntry entry = EndpointEntry.of(EndpointUpdate.parseObject(text));
     entries.add(entry);
     listener.entry(entry);
   }
 
-  private void object(String text) throws InvalidEndpointListException {
+  private void readMessage(String text) throws InvalidEndpointListException {
     if (text.isEmpty()) {
       listener.keepAlive();
       return;
     }
-    List<EndpointEntry> cutOut = entries;
+    List<EndpointEntry> parsed = entries;
     entries = new ArrayList<>();
-    listener.update(EndpointUpdate.of(text, cutOut));
+    listener.update(EndpointUpdate.of(text, parsed));
   }
 }
--- a/router/src/main/java/basaltlever/discovery/EndpointUpdate.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointUpdate.java
@@ -6,19 +6,25 @@
 import java.util.List;
 import java.util.Map;
 
-/** One message of discovery: the whole list, or the entries that changed up to a generation. */
-public record EndpointUpdate(long generation, boolean whole, List<EndpointEntry> entries) {
-  /** Throws where anything of it is not sound. */
+/**
+ * One message of the discovery service: the full list, or the entries that changed.
+ *
+ * @param generation the version of the list after this message
+ * @param full whether endpoints that are not named are no longer listed
+ * @param entries the listed or changed endpoints
+ */
+public record EndpointUpdate(long generation, boolean full, List<EndpointEntry> entries) {
+  /** Converts a parsed message; throws if any part of it is invalid. */
   public static EndpointUpdate of(Map<?, ?> message) throws InvalidEndpointListException {
     if (!(message.get("instances") instanceof List<?> instances)) {
       throw new InvalidEndpointListException("a list has no instances");
     }
     List<EndpointEntry> entries = new ArrayList<>(instances.size());
     for (Object instance : instances) {
-      if (!(instance instanceof Map<?, ?> member)) {
+      if (!(instance instanceof Map<?, ?> fields)) {
         throw new InvalidEndpointListException("an entry of the list has no instanceId");
       }
-      entries.add(EndpointEntry.of(member));
+      entries.add(EndpointEntry.of(fields));
     }
     return new EndpointUpdate(
         (long) EndpointEntry.number(message, "generation", 0),
@@ -26,15 +32,20 @@
         entries);
   }
 
-  /** From the text of a message, with the entries that were cut out of it before. */
-  static EndpointUpdate of(String message, List<EndpointEntry> cutOut)
+  /**
+   * Parses a message whose entries were parsed before.
+   *
+   * @param message the text without these entries
+   * @param entries is taken over
+   */
+  static EndpointUpdate of(String message, List<EndpointEntry> entries)
       throws InvalidEndpointListException {
-    EndpointUpdate rest = of(object(message));
-    cutOut.addAll(rest.entries);
-    return new EndpointUpdate(rest.generation, rest.whole, cutOut);
+    EndpointUpdate rest = of(parseObject(message));
+    entries.addAll(rest.entries);
+    return new EndpointUpdate(rest.generation, rest.full, entries);
   }
 
-  static Map<?, ?> object(String text) throws InvalidEndpointListException {
+  static Map<?, ?> parseObject(String text) throws InvalidEndpointListException {
     try {
       if (Json.read(text) instanceof Map<?, ?> object) {
         return object;
--- a/router/src/main/java/basaltlever/discovery/InvalidEndpointListException.java
+++ b/router/src/main/java/basaltlever/discovery/InvalidEndpointListException.java
@@ -1,9 +1,10 @@
 package basaltlever.discovery;
 
-/** Discovery sent something that is no answer of its protocol. */
+/** The discovery service sent something that is not a valid endpoint list response. */
 public final class InvalidEndpointListException extends Exception {
   private static final long serialVersionUID = 1L;
 
+  /** Creates one with a message that names what is invalid. */
   public InvalidEndpointListException(String message) {
     super(message);
   }
--- a/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
+++ b/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
@@ -20,7 +20,7 @@
 class EndpointListReaderTest {
   private static final int LONG = 3_200;
 
-  private static final class Heard implements EndpointListReader.Listener {
+  private static final class RecordingListener implements EndpointListReader.Listener {
     final List<EndpointEntry> entries = new ArrayList<>();
     final List<EndpointUpdate> updates = new ArrayList<>();
 
@@ -90,8 +90,8 @@
   void severalListsInARowAreTheSameHoweverTheyAreCut(@ForAll long seed)
       throws InvalidEndpointListException {
     SplittableRandom random = new SplittableRandom(seed);
-    Heard heard = new Heard();
-    EndpointListReader reader = new EndpointListReader(heard);
+    RecordingListener listener = new RecordingListener();
+    EndpointListReader reader = new EndpointListReader(listener);
     StringBuilder body = new StringBuilder();
     int lists = 1 + random.nextInt(4);
     int[] sizes = new int[lists];
@@ -101,17 +101,18 @@
           .append(random.nextBoolean() ? "\n" : "");
     }
     read(reader, "HTTP/1.1 200 OK\r\n\r\n" + body, random, 1 + random.nextInt(300));
-    check(heard.updates.size() == lists, "each list: " + heard.updates.size() + " of " + lists);
+    check(
+        listener.updates.size() == lists, "each list: " + listener.updates.size() + " of " + lists);
     int total = 0;
     for (int i = 0; i < lists; i++) {
-      EndpointUpdate update = heard.updates.get(i);
+      EndpointUpdate update = listener.updates.get(i);
       check(
-          update.generation() == i + 5 && update.whole() && update.entries().size() == sizes[i],
+          update.generation() == i + 5 && update.full() && update.entries().size() == sizes[i],
           "list " + i);
       check(
           update.equals(
               EndpointUpdate.of(
-                  EndpointUpdate.object(
+                  EndpointUpdate.parseObject(
                       list(
                           new SplittableRandom(1),
                           i + 5,
@@ -123,23 +124,23 @@
           "the entries as a parser of whole texts reads them");
       total += sizes[i];
     }
-    check(heard.entries.size() == total, "each entry is told once");
+    check(listener.entries.size() == total, "each entry is told once");
   }
 
   @Example
   void anEntryIsToldBeforeItsListHasCome() throws InvalidEndpointListException {
     SplittableRandom random = new SplittableRandom(1);
     String list = list(random, 9, LONG, 7);
-    Heard heard = new Heard();
-    EndpointListReader reader = new EndpointListReader(heard);
+    RecordingListener listener = new RecordingListener();
+    EndpointListReader reader = new EndpointListReader(listener);
     read(reader, "HTTP/1.1 200 OK\r\n\r\n" + list.substring(0, list.length() / 2), random, 8_192);
     check(
-        heard.updates.isEmpty() && heard.entries.size() > LONG / 3,
-        "half of it: " + heard.entries.size());
-    check(heard.entries.get(7).listing() == EndpointLifecycle.DRAINING, "the drain is among it");
+        listener.updates.isEmpty() && listener.entries.size() > LONG / 3,
+        "half of it: " + listener.entries.size());
+    check(listener.entries.get(7).listing() == EndpointLifecycle.DRAINING, "the drain is among it");
     read(reader, list.substring(list.length() / 2), random, 8_192);
     check(
-        heard.updates.size() == 1 && heard.updates.get(0).entries().size() == LONG,
+        listener.updates.size() == 1 && listener.updates.get(0).entries().size() == LONG,
         "and the whole");
   }
 
@@ -153,14 +154,14 @@
             "{\"instances\":[{\"instanceId\":\"a\",\"hostPort\":\"127.0.0.1:5\",\"cell\":\"x\"}]}",
             "{}",
             "{\"instances\":[{\"instanceId\":\"a\",\"lifecycle\":\"terminated\"}],\"generation\":-1}")) {
-      Heard heard = new Heard();
+      RecordingListener listener = new RecordingListener();
       try {
-        new EndpointListReader(heard)
+        new EndpointListReader(listener)
             .read(
                 Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\n\r\n" + bad, StandardCharsets.US_ASCII));
         check(false, "taken: " + bad);
       } catch (InvalidEndpointListException fault) {
-        check(heard.updates.isEmpty() && !fault.getMessage().isEmpty(), "it says what");
+        check(listener.updates.isEmpty() && !fault.getMessage().isEmpty(), "it says what");
       }
     }
   }
