--- /dev/null
+++ b/router/src/main/java/basaltlever/discovery/AgreedEndpoints.java
@@ -0,0 +1,135 @@
+package basaltlever.discovery;
+
+import basaltlever.gateway.EndpointLifecycle;
+import basaltlever.log.Event;
+import basaltlever.log.RateLimitedLog;
+import basaltlever.membership.ListAnomaly;
+import basaltlever.membership.ListedEndpoint;
+import basaltlever.membership.MembershipView;
+import basaltlever.time.Moment;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Supplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.slf4j.event.Level;
+
+/**
+ * The endpoints of a router that belongs to a fleet: a list counts only as far as the membership
+ * view of the fleet agrees with it.
+ */
+final class AgreedEndpoints {
+  /** Named after the list, whose events these are. */
+  private static final Logger LOG = LoggerFactory.getLogger(EndpointList.class);
+
+  private static final long NEVER_PUBLISHED = -1;
+
+  private final MembershipView view;
+  private final EndpointPublisher publisher;
+  private final RateLimitedLog heldListLog;
+
+  /** The latest listed entry of each endpoint. */
+  private final Map<String, EndpointEntry> latest = new LinkedHashMap<>();
+
+  /** The entry of each endpoint as published last. */
+  private final Map<String, EndpointEntry> published = new HashMap<>();
+
+  /** The use of each endpoint as published last. */
+  private final Map<String, MembershipView.MemberUse> publishedUses = new HashMap<>();
+
+  private long publishedRevision = NEVER_PUBLISHED;
+
+  AgreedEndpoints(MembershipView view, EndpointPublisher publisher, Supplier<Moment> clock) {
+    this.view = view;
+    this.publisher = publisher;
+    heldListLog = new RateLimitedLog(LOG, Event.LIST_HELD, clock);
+  }
+
+  /** Adds an endpoint known from an earlier process, which is published as draining. */
+  void addRestored(EndpointEntry entry) {
+    latest.put(entry.id(), entry);
+    publishedUses.put(
+        entry.id(), new MembershipView.MemberUse(EndpointLifecycle.DRAINING, entry.group()));
+  }
+
+  /** Reports an update to the membership view and publishes what the view makes of it. */
+  void take(Moment now, EndpointUpdate update, boolean live) {
+    Map<String, ListedEndpoint> listed = new LinkedHashMap<>();
+    for (EndpointEntry entry : update.entries()) {
+      listed.put(entry.id(), new ListedEndpoint(entry.listing(), entry.group()));
+      // An entry of an endpoint that is gone may state no address: the previous entry stays.
+      if (entry.address() != null || !latest.containsKey(entry.id())) {
+        latest.put(entry.id(), entry);
+      }
+    }
+    ListAnomaly anomaly = view.told(now, update.full(), update.generation(), listed);
+    if (anomaly != ListAnomaly.NONE) {
+      heldListLog.note(update.generation(), anomaly.name());
+    }
+    publish(now, update.generation(), live);
+  }
+
+  /** Publishes what has changed in the membership view since the last time. */
+  void publishChanges(Moment now, long generation) {
+    if (view.revision(now) != publishedRevision) {
+      publish(now, generation, false);
+    }
+  }
+
+  private void publish(Moment now, long generation, boolean live) {
+    publishedRevision = view.revision(now);
+    Set<String> members = view.members();
+    members.addAll(publishedUses.keySet());
+    boolean begun = live;
+    boolean drainsUntilFullList = false;
+    if (live) {
+      publisher.begin();
+    }
+    for (String id : members) {
+      MembershipView.MemberUse use = view.use(now, id);
+      if (!needsPublishing(id, use)) {
+        continue;
+      }
+      if (!begun) {
+        publisher.begin();
+        begun = true;
+      }
+      logMigration(id, use);
+      drainsUntilFullList |=
+          publisher.publishListed(
+              now, latest.get(id), use.listing(), use.group(), generation, live);
+      publishedUses.put(id, use);
+    }
+    if (begun) {
+      publisher.endList(now, drainsUntilFullList, live);
+    }
+    forgetAllBut(members);
+  }
+
+  /** Also records the latest entry. One that was read anew is published even if it is equal. */
+  @SuppressWarnings("ReferenceEquality")
+  private boolean needsPublishing(String id, MembershipView.MemberUse use) {
+    EndpointEntry entry = latest.get(id);
+    boolean readAnew = entry != published.put(id, entry);
+    MembershipView.MemberUse previousUse = publishedUses.get(id);
+    if (entry == null || (previousUse == null && use.listing() == EndpointLifecycle.GONE)) {
+      return false;
+    }
+    return readAnew || !use.equals(previousUse);
+  }
+
+  private void logMigration(String id, MembershipView.MemberUse use) {
+    MembershipView.MemberUse previousUse = publishedUses.get(id);
+    if (previousUse != null && previousUse.group() != use.group()) {
+      Event.MEMBER_MOVES.log(LOG, Level.INFO, "", id, use.group(), use.listing());
+    }
+  }
+
+  private void forgetAllBut(Set<String> members) {
+    publishedUses.values().removeIf(use -> use.listing() == EndpointLifecycle.GONE);
+    published.keySet().retainAll(publishedUses.keySet());
+    latest.keySet().retainAll(members);
+  }
+}
--- /dev/null
+++ b/router/src/main/java/basaltlever/discovery/EndpointPublisher.java
@@ -0,0 +1,173 @@
+package basaltlever.discovery;
+
+import basaltlever.config.Addresses;
+import basaltlever.core.StatementRouter;
+import basaltlever.gateway.EndpointLifecycle;
+import basaltlever.snapshot.EndpointState;
+import basaltlever.snapshot.KnownEndpoint;
+import basaltlever.snapshot.StateRestore;
+import basaltlever.time.ClockOffset;
+import basaltlever.time.Moment;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
+
+/**
+ * Passes listed endpoints on to the statement router, together with the state that an earlier
+ * process stored about them.
+ */
+final class EndpointPublisher {
+  private static final int UNKNOWN_ZONE = -1;
+  private static final double DEFAULT_WEIGHT = 1;
+  private static final long MICROS_PER_MILLI = 1_000;
+
+  private final StatementRouter<String> core;
+  private final List<String> zones;
+  private final BiConsumer<String, InetSocketAddress> addresses;
+  private final Runnable requestFullList;
+  private ClockOffset clockOffset = new ClockOffset();
+  private StateRestore restore = StateRestore.NONE;
+  private Consumer<String> unresponsive = id -> {};
+
+  /**
+   * Creates a publisher.
+   *
+   * @param addresses receives the address of each endpoint, before the endpoint is published
+   * @param requestFullList is run if the next response of the service has to be the full list
+   */
+  EndpointPublisher(
+      StatementRouter<String> core,
+      List<String> zones,
+      BiConsumer<String, InetSocketAddress> addresses,
+      Runnable requestFullList) {
+    this.core = core;
+    this.zones = zones;
+    this.addresses = addresses;
+    this.requestFullList = requestFullList;
+  }
+
+  void setClockOffset(ClockOffset offset) {
+    clockOffset = offset;
+  }
+
+  void restoreFrom(StateRestore stored, Consumer<String> unresponsiveEndpoints) {
+    restore = stored;
+    unresponsive = unresponsiveEndpoints;
+  }
+
+  /** Endpoints known from an earlier process that were not listed since. */
+  List<KnownEndpoint> restoredEndpoints() {
+    return restore.members();
+  }
+
+  /** Begins a batch; each is ended by one of the methods below. */
+  void begin() {
+    core.listBegins();
+  }
+
+  /** Ends a batch that comes from a list. */
+  void endList(Moment now, boolean drainsUntilFullList, boolean live) {
+    core.recalled(now, restore.groups());
+    if (drainsUntilFullList) {
+      // Updates after this generation may not name the endpoint again.
+      requestFullList.run();
+    }
+    if (live) {
+      restore = StateRestore.NONE;
+    }
+    core.listEnds(now, false, live);
+  }
+
+  /** Ends a batch that does not come from a list. */
+  void endChanges(Moment now) {
+    core.listEnds(now, false, false);
+  }
+
+  /**
+   * Publishes an endpoint and restores its stored state.
+   *
+   * @param live whether the list comes from the service, not from storage
+   * @return whether the endpoint has to drain due to its stored state
+   */
+  boolean publishListed(
+      Moment now,
+      EndpointEntry entry,
+      EndpointLifecycle lifecycle,
+      int group,
+      long generation,
+      boolean live) {
+    if (entry.address() != null) {
+      addresses.accept(entry.id(), entry.address());
+    }
+    publish(now, entry, lifecycle, group);
+    EndpointState stored = entry.address() == null ? null : storedState(entry, generation, live);
+    if (stored == null) {
+      return false;
+    }
+    core.recalled(now, entry.id(), stored);
+    reportUnresponsive(entry.id(), stored);
+    return stored.drains();
+  }
+
+  private EndpointState storedState(EndpointEntry entry, long generation, boolean live) {
+    return restore.of(
+        entry.id(),
+        Addresses.text(entry.address()),
+        entry.startedAtMillis() * MICROS_PER_MILLI,
+        generation,
+        live);
+  }
+
+  /** Publishes an endpoint whose address is known. */
+  void publish(Moment now, EndpointEntry entry, EndpointLifecycle lifecycle, int group) {
+    core.listed(
+        now,
+        entry.id(),
+        lifecycle,
+        group,
+        entry.zone() == null ? UNKNOWN_ZONE : zones.indexOf(entry.zone()),
+        entry.weight(),
+        startedAt(entry));
+  }
+
+  private Moment startedAt(EndpointEntry entry) {
+    return entry.startedAtMillis() == 0
+        ? Moment.LONG_AGO
+        : clockOffset.started(new Moment(entry.startedAtMillis() * MICROS_PER_MILLI));
+  }
+
+  /** Publishes an endpoint known from an earlier process as draining, before any list names it. */
+  void publishRestored(Moment now, KnownEndpoint known, InetSocketAddress address) {
+    EndpointState stored = known.view();
+    addresses.accept(known.id(), address);
+    core.listed(
+        now,
+        known.id(),
+        EndpointLifecycle.DRAINING,
+        stored.group(),
+        UNKNOWN_ZONE,
+        DEFAULT_WEIGHT,
+        stored.listedStart() == 0 ? Moment.LONG_AGO : new Moment(stored.listedStart()));
+    reportUnresponsive(known.id(), stored);
+  }
+
+  /** The entry of an endpoint known from an earlier process. */
+  static EndpointEntry restoredEntry(KnownEndpoint known, InetSocketAddress address) {
+    EndpointState stored = known.view();
+    return new EndpointEntry(
+        known.id(),
+        address,
+        null,
+        stored.group(),
+        DEFAULT_WEIGHT,
+        stored.listedStart() / MICROS_PER_MILLI,
+        EndpointLifecycle.DRAINING);
+  }
+
+  private void reportUnresponsive(String id, EndpointState stored) {
+    if (stored.silent() || stored.isDown()) {
+      unresponsive.accept(id);
+    }
+  }
+}
