--- a/router/src/main/java/basaltlever/discovery/EndpointEntry.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointEntry.java
@@ -33,7 +33,7 @@
     if (!(fields.get("instanceId") instanceof String id)) {
       throw new InvalidEndpointListException("an entry of the list has no instanceId");
     }
-    EndpointLifecycle lifecycle = lifecycle(fields.get("lifecycle"));
+    EndpointLifecycle lifecycle = parseLifecycle(fields.get("lifecycle"));
     InetSocketAddress address =
         fields.get("hostPort") instanceof String text ? Addresses.parse(text) : null;
     if (lifecycle != EndpointLifecycle.GONE && address == null) {
@@ -50,7 +50,7 @@
   }
 
   /** Unknown states count as draining, so that an endpoint in one gets no new statements. */
-  private static EndpointLifecycle lifecycle(Object text) {
+  private static EndpointLifecycle parseLifecycle(Object text) {
     if ("in_service".equals(text)) {
       return EndpointLifecycle.READY;
     }
--- a/router/src/main/java/basaltlever/pg/QueryResponse.java
+++ b/router/src/main/java/basaltlever/pg/QueryResponse.java
@@ -45,10 +45,10 @@
   private boolean malformed;
   private int responseBytes;
 
-  /** The role that the server reported of itself, empty if it reported none. */
+  /** As {@link #role()}. */
   public String role = "";
 
-  /** The replication position in Unix milliseconds, 0 if the server reported none. */
+  /** As {@link #positionMillis()}. */
   public long position;
 
   /**
@@ -127,6 +127,16 @@
     return malformed ? null : error;
   }
 
+  /** The role that the server reported of itself, empty if it reported none. */
+  public String role() {
+    return role;
+  }
+
+  /** The replication position in Unix milliseconds, 0 if the server reported none. */
+  public long positionMillis() {
+    return position;
+  }
+
   /** The messages of the row; the caller has to release them. */
   public List<ByteBuf> takeRow() {
     List<ByteBuf> taken = List.copyOf(row);
