--- a/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
+++ b/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
@@ -38,11 +38,11 @@
     }
   }
 
-  private static String entry(int number, String lifecycle, String apart) {
+  private static String entry(int number, String lifecycle, String separator) {
     return "{\"instanceId\": \"s-"
         + number
         + "\","
-        + apart
+        + separator
         + "\"hostPort\":\"127.0.0.1:"
         + (1_000 + number)
         + "\",\"zone\":\"a]},{\",\"machineType\":{\"name\":\"m\"},\"cell\":"
@@ -50,28 +50,28 @@
         + ",\"lifecycle\":\""
         + lifecycle
         + "\",\"weight\":1.0,"
-        + apart
+        + separator
         + "\"startedAtMs\":0}";
   }
 
   private static String list(SplittableRandom random, int generation, int entries, int draining) {
-    String apart = random.nextBoolean() ? "\n      " : "";
+    String separator = random.nextBoolean() ? "\n      " : "";
     StringBuilder text = new StringBuilder();
     boolean namesFirst = random.nextBoolean();
-    String head = "\"generation\":" + generation + "," + apart + "\"reset\":true";
+    String head = "\"generation\":" + generation + "," + separator + "\"reset\":true";
     text.append('{')
-        .append(apart)
+        .append(separator)
         .append(namesFirst ? head + "," : "")
         .append("\"instances\": [")
-        .append(apart);
+        .append(separator);
     for (int i = 0; i < entries; i++) {
-      text.append(i == 0 ? "" : "," + apart)
-          .append(entry(i, i == draining ? "terminating" : "in_service", apart));
+      text.append(i == 0 ? "" : "," + separator)
+          .append(entry(i, i == draining ? "terminating" : "in_service", separator));
     }
-    return text.append(apart)
+    return text.append(separator)
         .append(']')
         .append(namesFirst ? "" : "," + head)
-        .append(apart)
+        .append(separator)
         .append('}')
         .toString();
   }
@@ -87,7 +87,7 @@
   }
 
   @Property(tries = 80, seed = "3838", shrinking = ShrinkingMode.OFF)
-  void severalListsInARowAreTheSameHoweverTheyAreCut(@ForAll long seed)
+  void consecutiveListsAreReadAlikeHoweverTheyAreSplit(@ForAll long seed)
       throws InvalidEndpointListException {
     SplittableRandom random = new SplittableRandom(seed);
     RecordingListener listener = new RecordingListener();
@@ -124,11 +124,11 @@
           "the entries as a parser of whole texts reads them");
       total += sizes[i];
     }
-    check(listener.entries.size() == total, "each entry is told once");
+    check(listener.entries.size() == total, "each entry is reported once");
   }
 
   @Example
-  void anEntryIsToldBeforeItsListHasCome() throws InvalidEndpointListException {
+  void entryIsReportedBeforeItsListIsComplete() throws InvalidEndpointListException {
     SplittableRandom random = new SplittableRandom(1);
     String list = list(random, 9, LONG, 7);
     RecordingListener listener = new RecordingListener();
@@ -145,7 +145,7 @@
   }
 
   @Example
-  void faultsWithinAListAreNamedAndNothingIsToldAsWhole() {
+  void invalidListIsRejectedWithAMessageAndNotReported() {
     for (String bad :
         List.of(
             "{\"instances\":[{}]}",
