--- a/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
+++ b/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
@@ -20,7 +20,7 @@
 class EndpointListReaderTest {
   private static final int LONG = 3_200;
 
-  private static final class Heard implements EndpointListReader.Listener {
+  private static final class RecordingListener implements EndpointListReader.Listener {
     final List<EndpointEntry> entries = new ArrayList<>();
     final List<EndpointUpdate> updates = new ArrayList<>();
 
@@ -38,11 +38,11 @@
     }
   }
 
-  private static String entry(int number, String lifecycle, String apart) {
+  private static String entry(int number, String lifecycle, String separator) {
     return "{\"instanceId\": \"s-"
         + number
         + "\","
-        + apart
+        + separator
         + "\"hostPort\":\"127.0.0.1:"
         + (1_000 + number)
         + "\",\"zone\":\"a]},{\",\"machineType\":{\"name\":\"m\"},\"cell\":"
@@ -50,28 +50,28 @@
         + ",\"lifecycle\":\""
         + lifecycle
         + "\",\"weight\":1.0,"
-        + apart
+        + separator
         + "\"startedAtMs\":0}";
   }
 
   private static String list(SplittableRandom random, int generation, int entries, int draining) {
-    String apart = random.nextBoolean() ? "\n      " : "";
+    String separator = random.nextBoolean() ? "\n      " : "";
     StringBuilder text = new StringBuilder();
     boolean namesFirst = random.nextBoolean();
-    String head = "\"generation\":" + generation + "," + apart + "\"reset\":true";
+    String head = "\"generation\":" + generation + "," + separator + "\"reset\":true";
     text.append('{')
-        .append(apart)
+        .append(separator)
         .append(namesFirst ? head + "," : "")
         .append("\"instances\": [")
-        .append(apart);
+        .append(separator);
     for (int i = 0; i < entries; i++) {
-      text.append(i == 0 ? "" : "," + apart)
-          .append(entry(i, i == draining ? "terminating" : "in_service", apart));
+      text.append(i == 0 ? "" : "," + separator)
+          .append(entry(i, i == draining ? "terminating" : "in_service", separator));
     }
-    return text.append(apart)
+    return text.append(separator)
         .append(']')
         .append(namesFirst ? "" : "," + head)
-        .append(apart)
+        .append(separator)
         .append('}')
         .toString();
   }
@@ -87,11 +87,11 @@
   }
 
   @Property(tries = 80, seed = "3838", shrinking = ShrinkingMode.OFF)
-  void severalListsInARowAreTheSameHoweverTheyAreCut(@ForAll long seed)
+  void consecutiveListsAreReadAlikeHoweverTheyAreSplit(@ForAll long seed)
       throws InvalidEndpointListException {
     SplittableRandom random = new SplittableRandom(seed);
-    Heard heard = new Heard();
-    EndpointListReader reader = new EndpointListReader(heard);
+    RecordingListener listener = new RecordingListener();
+    EndpointListReader reader = new EndpointListReader(listener);
     StringBuilder body = new StringBuilder();
     int lists = 1 + random.nextInt(4);
     int[] sizes = new int[lists];
@@ -101,17 +101,18 @@
           .append(random.nextBoolean() ? "\n" : "");
     }
     read(reader, "HTTP/1.1 200 OK\r\n\r\n" + body, random, 1 + random.nextInt(300));
-    check(heard.updates.size() == lists, "each list: " + heard.updates.size() + " of " + lists);
+    check(
+        listener.updates.size() == lists, "each list: " + listener.updates.size() + " of " + lists);
     int total = 0;
     for (int i = 0; i < lists; i++) {
-      EndpointUpdate update = heard.updates.get(i);
+      EndpointUpdate update = listener.updates.get(i);
       check(
-          update.generation() == i + 5 && update.whole() && update.entries().size() == sizes[i],
+          update.generation() == i + 5 && update.full() && update.entries().size() == sizes[i],
           "list " + i);
       check(
           update.equals(
               EndpointUpdate.of(
-                  EndpointUpdate.object(
+                  EndpointUpdate.parseObject(
                       list(
                           new SplittableRandom(1),
                           i + 5,
@@ -123,28 +124,28 @@
           "the entries as a parser of whole texts reads them");
       total += sizes[i];
     }
-    check(heard.entries.size() == total, "each entry is told once");
+    check(listener.entries.size() == total, "each entry is reported once");
   }
 
   @Example
-  void anEntryIsToldBeforeItsListHasCome() throws InvalidEndpointListException {
+  void entryIsReportedBeforeItsListIsComplete() throws InvalidEndpointListException {
     SplittableRandom random = new SplittableRandom(1);
     String list = list(random, 9, LONG, 7);
-    Heard heard = new Heard();
-    EndpointListReader reader = new EndpointListReader(heard);
+    RecordingListener listener = new RecordingListener();
+    EndpointListReader reader = new EndpointListReader(listener);
     read(reader, "HTTP/1.1 200 OK\r\n\r\n" + list.substring(0, list.length() / 2), random, 8_192);
     check(
-        heard.updates.isEmpty() && heard.entries.size() > LONG / 3,
-        "half of it: " + heard.entries.size());
-    check(heard.entries.get(7).listing() == EndpointLifecycle.DRAINING, "the drain is among it");
+        listener.updates.isEmpty() && listener.entries.size() > LONG / 3,
+        "half of it: " + listener.entries.size());
+    check(listener.entries.get(7).listing() == EndpointLifecycle.DRAINING, "the drain is among it");
     read(reader, list.substring(list.length() / 2), random, 8_192);
     check(
-        heard.updates.size() == 1 && heard.updates.get(0).entries().size() == LONG,
+        listener.updates.size() == 1 && listener.updates.get(0).entries().size() == LONG,
         "and the whole");
   }
 
   @Example
-  void faultsWithinAListAreNamedAndNothingIsToldAsWhole() {
+  void invalidListIsRejectedWithAMessageAndNotReported() {
     for (String bad :
         List.of(
             "{\"instances\":[{}]}",
@@ -153,14 +154,14 @@
             "{\"instances\":[{\"instanceId\":\"a\",\"hostPort\":\"127.0.0.1:5\",\"cell\":\"x\"}]}",
             "{}",
             "{\"instances\":[{\"instanceId\":\"a\",\"lifecycle\":\"terminated\"}],\"generation\":-1}")) {
-      Heard heard = new Heard();
+      RecordingListener listener = new RecordingListener();
       try {
-        new EndpointListReader(heard)
+        new EndpointListReader(listener)
             .read(
                 Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\n\r\n" + bad, StandardCharsets.US_ASCII));
         check(false, "taken: " + bad);
       } catch (InvalidEndpointListException fault) {
-        check(heard.updates.isEmpty() && !fault.getMessage().isEmpty(), "it says what");
+        check(listener.updates.isEmpty() && !fault.getMessage().isEmpty(), "it says what");
       }
     }
   }
