--- a/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
+++ b/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
@@ -289,8 +289,8 @@
   }
 
   /** The assignments by lists that most routers have reported, by endpoint. */
-  private TreeMap<String, GroupAssignment> newestWanted(List<HeartbeatReport> leased) {
-    TreeMap<String, GroupAssignment> newest = new TreeMap<>();
+  private Map<String, GroupAssignment> newestWanted(List<HeartbeatReport> leased) {
+    Map<String, GroupAssignment> newest = new TreeMap<>();
     for (HeartbeatReport report : leased) {
       if (!report.wanted().isEmpty() && reporters.isReportedByMajority(report)) {
         for (GroupAssignment wanted : report.wanted()) {
