--- a/router/src/main/java/basaltlever/json/Json.java
+++ b/router/src/main/java/basaltlever/json/Json.java
@@ -29,6 +29,7 @@
     this.text = text;
   }
 
+  /** Reads a text that holds exactly one value. */
   public static Object read(String text) throws InvalidJsonException {
     Json json = new Json(text);
     Object value = json.value();
--- a/router/src/main/java/basaltlever/log/Counters.java
+++ b/router/src/main/java/basaltlever/log/Counters.java
@@ -13,14 +13,17 @@
   private final long[] counts = new long[Counter.values().length];
   private final long[] reported = new long[counts.length];
 
+  /** Counts one more. */
   public void add(Counter counter) {
     counts[counter.ordinal()]++;
   }
 
+  /** Counts several more. */
   public void add(Counter counter, long more) {
     counts[counter.ordinal()] += more;
   }
 
+  /** The count since the start. */
   public long get(Counter counter) {
     return counts[counter.ordinal()];
   }
--- a/router/src/main/java/basaltlever/log/Event.java
+++ b/router/src/main/java/basaltlever/log/Event.java
@@ -56,7 +56,10 @@
   VIEW_NOT_KEPT("view_not_kept", "folder", "cause", "more"),
   VIEW_FOLDER_HELD("view_folder_held", "folder");
 
+  /** The value of "event" in the log line. */
   public final String key;
+
+  /** The names of the other fields, in their order. */
   public final List<String> fields;
 
   Event(String key, String... fields) {
@@ -69,6 +72,7 @@
     line(log, level, values).log(text);
   }
 
+  /** The same for an error with its cause. */
   public void fault(Logger log, String text, Throwable cause, Object... values) {
     line(log, Level.ERROR, values).setCause(cause).log(text);
   }
--- a/router/src/main/java/basaltlever/log/RateLimitedLog.java
+++ b/router/src/main/java/basaltlever/log/RateLimitedLog.java
@@ -24,6 +24,7 @@
     this.clock = clock;
   }
 
+  /** Logs a line, or only counts it where the last one was less than a second ago. */
   public void note(Object whose, String what) {
     Moment now = clock.get();
     if (now.since(last).isShorterThan(APART)) {
--- a/router/src/main/java/basaltlever/log/StatementTrace.java
+++ b/router/src/main/java/basaltlever/log/StatementTrace.java
@@ -62,6 +62,7 @@
     this.clock = clock;
   }
 
+  /** Whether any statements are traced. */
   public boolean areFollowed() {
     return over != null;
   }
