--- a/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
@@ -25,6 +25,7 @@
 import java.util.Map;
 import java.util.SortedSet;
 import java.util.SplittableRandom;
+import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
