--- a/router/src/main/java/basaltlever/membership/MembershipView.java
+++ b/router/src/main/java/basaltlever/membership/MembershipView.java
@@ -31,10 +31,10 @@
   /**
    * What may be done with an endpoint.
    *
-   * @param listing whether it may get new work
+   * @param lifecycle whether it may get new work
    * @param group in which it may be used
    */
-  public record MemberUse(EndpointLifecycle listing, int group) {}
+  public record EndpointUse(EndpointLifecycle lifecycle, int group) {}
 
   private final Span uncontested;
   private final Span assignmentValidity;
@@ -76,7 +76,7 @@
    * @param whole whether the entries are the complete list, else those that have changed
    * @return why the list is suspended
    */
-  public ListAnomaly told(
+  public ListAnomaly receiveList(
       Moment now, boolean whole, long generation, Map<String, ListedEndpoint> entries) {
     TreeMap<String, ListedEndpoint> list =
         whole || latest == null ? new TreeMap<>() : new TreeMap<>(latest.entries());
@@ -104,8 +104,8 @@
         .entries()
         .forEach(
             (endpoint, entry) -> {
-              if (entry.listing() != EndpointLifecycle.READY) {
-                boolean isGone = entry.listing() == EndpointLifecycle.GONE;
+              if (entry.lifecycle() != EndpointLifecycle.READY) {
+                boolean isGone = entry.lifecycle() == EndpointLifecycle.GONE;
                 addOwnMark(new DrainMark(endpoint, latest.version(), isGone));
               }
             });
@@ -127,45 +127,45 @@
   }
 
   /** Takes in the leader's update; to be called before the lease that comes with it is used. */
-  public void heard(Moment now, MembershipUpdate update) {
+  public void receiveUpdate(Moment now, MembershipUpdate update) {
     readDrainMarks(update);
     readAssignments(update);
     // Lists of a former era can't be compared with new ones: discovery has to send the list again.
     era = Math.max(era, update.era());
     if (latest != null && isAbout(update, latest)) {
-      latest.updateAgreement(now, update.verdict());
+      latest.updateAgreement(now, update.agreement());
       resumeIfConfirmed(now);
     }
     revision += settled.settle(now, latest, uncontested);
   }
 
   private void readDrainMarks(MembershipUpdate update) {
-    if (update.book() != coordinatorTerm) {
-      coordinatorTerm = update.book();
+    if (update.coordinatorTerm() != coordinatorTerm) {
+      coordinatorTerm = update.coordinatorTerm();
       readPosition = 0;
       drainMarks.resendAll();
     } else {
-      drainMarks.acknowledge(update.marksEnd());
+      drainMarks.acknowledge(update.drainMarksEnd());
     }
-    for (DrainMark mark : update.marks()) {
+    for (DrainMark mark : update.drainMarks()) {
       revision += drainMarks.addReceived(mark) ? 1 : 0;
     }
-    readPosition = Math.max(readPosition, update.place());
+    readPosition = Math.max(readPosition, update.readPosition());
   }
 
   private void readAssignments(MembershipUpdate update) {
     // A leader that was replaced without noticing sends an older table.
-    if (update.seatsNumber() > assignmentsNumber) {
-      for (GroupAssignment assignment : update.seats()) {
-        assignments.put(assignment.member(), assignment);
+    if (update.assignmentsNumber() > assignmentsNumber) {
+      for (GroupAssignment assignment : update.assignments()) {
+        assignments.put(assignment.endpoint(), assignment);
       }
-      assignmentsNumber = update.seatsNumber();
+      assignmentsNumber = update.assignmentsNumber();
       revision++;
     }
   }
 
   private static boolean isAbout(MembershipUpdate update, EndpointListCopy list) {
-    return update.at().equals(list.version()) && update.digest() == list.digest();
+    return update.listVersion().equals(list.version()) && update.digest() == list.digest();
   }
 
   /**
@@ -181,52 +181,52 @@
   }
 
   /** The router has a lease until that moment, and thereby contact to the leader. */
-  public void leased(Moment ends) {
+  public void extendLease(Moment ends) {
     lastLeaseEnd = lastLeaseEnd.later(ends);
   }
 
   /** Whether it has been out of contact for so long that endpoints may have changed groups. */
-  public boolean isAdrift(Moment now) {
+  public boolean isOutOfContact(Moment now) {
     return assignmentsNumber < 0 || now.since(lastLeaseEnd).isLongerThan(assignmentValidity);
   }
 
   /** A number that changes whenever the use of an endpoint may have changed. */
   public long revision(Moment now) {
-    return 2 * revision + (isAdrift(now) ? 1 : 0);
+    return 2 * revision + (isOutOfContact(now) ? 1 : 0);
   }
 
   /** All endpoints of the current lists, whether they may be used or not. */
-  public Set<String> members() {
+  public Set<String> endpoints() {
     Set<String> endpoints = new TreeSet<>(taken.entries().keySet());
     settled.addEndpointsTo(endpoints);
     return endpoints;
   }
 
   /** What may be done with the endpoint: the strictest of all that is known at this moment. */
-  public MemberUse use(Moment now, String member) {
+  public EndpointUse use(Moment now, String member) {
     ListedEndpoint entry = taken.entries().get(member);
     GroupAssignment assignment = assignments.get(member);
     EndpointLifecycle lifecycle = restrictByMark(member, restrictByLists(member, entry));
-    if (!isAssigned(entry, assignment) || isAdrift(now)) {
+    if (!isAssigned(entry, assignment) || isOutOfContact(now)) {
       lifecycle = stricter(lifecycle, EndpointLifecycle.DRAINING);
     }
-    return new MemberUse(lifecycle, groupOf(entry, assignment));
+    return new EndpointUse(lifecycle, groupOf(entry, assignment));
   }
 
   private EndpointLifecycle restrictByLists(String endpoint, ListedEndpoint entry) {
-    EndpointLifecycle own = entry == null ? EndpointLifecycle.GONE : entry.listing();
+    EndpointLifecycle own = entry == null ? EndpointLifecycle.GONE : entry.lifecycle();
     EndpointLifecycle lifecycle = settled.restrict(endpoint, own);
     // An older list gives no drain marks for other routers, but restricts this one.
     boolean isInOlderList = anomaly == ListAnomaly.BACK && latest.entries().containsKey(endpoint);
     return isInOlderList
-        ? stricter(lifecycle, latest.entries().get(endpoint).listing())
+        ? stricter(lifecycle, latest.entries().get(endpoint).lifecycle())
         : lifecycle;
   }
 
   private EndpointLifecycle restrictByMark(String endpoint, EndpointLifecycle lifecycle) {
     DrainMark mark = drainMarks.get(endpoint);
     // Only a newer list undoes a mark, and only once that list is settled.
-    if (mark == null || settled.version().isNewerThan(mark.at())) {
+    if (mark == null || settled.version().isNewerThan(mark.listVersion())) {
       return lifecycle;
     }
     return stricter(lifecycle, mark.gone() ? EndpointLifecycle.GONE : EndpointLifecycle.DRAINING);
@@ -255,7 +255,7 @@
     return known == null
         || (known.cleared()
             && entry.group() != known.group()
-            && taken.version().isNewerThan(known.at()));
+            && taken.version().isNewerThan(known.listVersion()));
   }
 
   /**
@@ -266,7 +266,7 @@
   public HeartbeatReport report(Moment now, Predicate<String> nothingInFlight) {
     List<DrainMark> marks = drainMarks.nextBatch();
     return new HeartbeatReport(
-        at(),
+        latestVersion(),
         latest == null ? 0 : latest.digest(),
         anomaly,
         marks,
@@ -289,7 +289,7 @@
         break;
       }
       ListedEndpoint listed = entry.getValue();
-      if (listed.listing() != EndpointLifecycle.GONE && needsAssignment(entry.getKey(), listed)) {
+      if (listed.lifecycle() != EndpointLifecycle.GONE && needsAssignment(entry.getKey(), listed)) {
         wanted.add(new GroupAssignment(entry.getKey(), listed.group(), taken.version(), false));
       }
     }
@@ -300,7 +300,7 @@
   private List<String> releasedEndpoints(Predicate<String> nothingInFlight) {
     return assignments.values().stream()
         .filter(assignment -> !assignment.cleared())
-        .map(GroupAssignment::member)
+        .map(GroupAssignment::endpoint)
         .filter(nothingInFlight)
         .toList();
   }
@@ -315,7 +315,7 @@
   }
 
   /** Whether the latest list is of a former era, so that discovery has to send it again. */
-  public boolean wantsList() {
+  public boolean needsList() {
     return latest != null && latest.version().era() < era;
   }
 
@@ -325,17 +325,17 @@
   }
 
   /** How the latest list agrees with the other routers'. */
-  public ListAgreement verdict() {
+  public ListAgreement agreement() {
     return latest == null ? ListAgreement.UNTOLD : latest.agreement();
   }
 
   /** Version of the last list that was not suspended. */
-  public ListVersion ownAt() {
+  public ListVersion takenVersion() {
     return taken.version();
   }
 
   /** Version of the latest list, suspended or not. */
-  public ListVersion at() {
+  public ListVersion latestVersion() {
     return latest == null ? ListVersion.NEVER : latest.version();
   }
 }
--- a/router/src/main/java/basaltlever/membership/SettledList.java
+++ b/router/src/main/java/basaltlever/membership/SettledList.java
@@ -40,7 +40,7 @@
                 strictest.computeIfPresent(
                     endpoint,
                     (name, known) ->
-                        entry.listing().compareTo(known.listing()) > 0 ? entry : known));
+                        entry.lifecycle().compareTo(known.lifecycle()) > 0 ? entry : known));
     entries = strictest;
   }
 
@@ -108,7 +108,7 @@
   private static EndpointLifecycle lifecycleIn(
       SortedMap<String, ListedEndpoint> list, String endpoint) {
     ListedEndpoint entry = list.get(endpoint);
-    return entry == null ? EndpointLifecycle.DRAINING : entry.listing();
+    return entry == null ? EndpointLifecycle.DRAINING : entry.lifecycle();
   }
 
   static EndpointLifecycle stricter(EndpointLifecycle one, EndpointLifecycle other) {
--- a/router/src/main/java/basaltlever/membership/VoterEligibility.java
+++ b/router/src/main/java/basaltlever/membership/VoterEligibility.java
@@ -13,11 +13,11 @@
  * other voters have abandoned.
  *
  * @param kind what the voter does
- * @param charter configuration epoch in which it votes
- * @param members the voters, itself among them
- * @param why the reason to wait; empty where it does not
+ * @param epoch configuration epoch in which it votes
+ * @param voters the voters, itself among them
+ * @param reason the reason to wait; empty where it does not
  */
-public record VoterEligibility(Kind kind, long charter, List<String> members, String why) {
+public record VoterEligibility(Kind kind, long epoch, List<String> voters, String reason) {
   /** What a voter does. */
   public enum Kind {
     /** Starts the first epoch, with an empty folder. */
@@ -35,32 +35,33 @@
    *
    * @param fleet name of the fleet
    * @param name of the voter
-   * @param id of this very folder
-   * @param charter configuration epoch
-   * @param members the voters of that epoch
+   * @param folderId of this very folder
+   * @param epoch configuration epoch
+   * @param voters the voters of that epoch
    */
   public record VoterIdentity(
-      String fleet, String name, String id, long charter, List<String> members) {}
+      String fleet, String name, String folderId, long epoch, List<String> voters) {}
 
   /**
    * What another voter reports.
    *
    * @param voter its name
-   * @param charter its configuration epoch
-   * @param members the voters of that epoch; empty where it does not vote itself
-   * @param sealOfAsker id of the recorded folder of the voter that asks; empty where none is
-   * @param fresh whether its own folder is empty
-   * @param leads whether it is the leader
+   * @param epoch its configuration epoch
+   * @param voters the voters of that epoch; empty where it does not vote itself
+   * @param recordedFolderOfAsker id of the recorded folder of the voter that asks; empty where none
+   *     is
+   * @param hasEmptyFolder whether its own folder is empty
+   * @param isLeader whether it is the leader
    */
   public record PeerStatus(
       String voter,
-      long charter,
-      List<String> members,
-      String sealOfAsker,
-      boolean fresh,
-      boolean leads) {
+      long epoch,
+      List<String> voters,
+      String recordedFolderOfAsker,
+      boolean hasEmptyFolder,
+      boolean isLeader) {
     private boolean votes() {
-      return !members.isEmpty();
+      return !voters.isEmpty();
     }
   }
 
@@ -77,18 +78,18 @@
     PeerStatus newest =
         told.stream()
             .filter(PeerStatus::votes)
-            .max(Comparator.comparingLong(PeerStatus::charter))
+            .max(Comparator.comparingLong(PeerStatus::epoch))
             .orElse(null);
     String reason = reasonToWait(name, own, founders, told, newest);
     if (!reason.isEmpty()) {
       return new VoterEligibility(Kind.WAIT, 0, List.of(), reason);
     }
     if (isBehind(own, newest)) {
-      return new VoterEligibility(Kind.JOIN, newest.charter(), newest.members(), "");
+      return new VoterEligibility(Kind.JOIN, newest.epoch(), newest.voters(), "");
     }
     return own == null
         ? new VoterEligibility(Kind.FOUND, 0, founders, "")
-        : new VoterEligibility(Kind.RESUME, own.charter(), own.members(), "");
+        : new VoterEligibility(Kind.RESUME, own.epoch(), own.voters(), "");
   }
 
   private static String reasonToWait(
@@ -97,9 +98,9 @@
       List<String> founders,
       Collection<PeerStatus> told,
       PeerStatus newest) {
-    if (isBehind(own, newest) && !newest.members().contains(name)) {
-      String voters = String.join(", ", newest.members());
-      return "charter " + newest.charter() + " has other voters: " + voters;
+    if (isBehind(own, newest) && !newest.voters().contains(name)) {
+      String voters = String.join(", ", newest.voters());
+      return "charter " + newest.epoch() + " has other voters: " + voters;
     }
     if (told.stream().anyMatch(peer -> knowsOtherFolder(peer, own))) {
       return "it has voted with another folder: take it out and in again";
@@ -112,15 +113,16 @@
 
   /** Whether a voter reports an epoch that this voter does not have in its folder. */
   private static boolean isBehind(VoterIdentity own, PeerStatus newest) {
-    return newest != null && (own == null || newest.charter() > own.charter());
+    return newest != null && (own == null || newest.epoch() > own.epoch());
   }
 
   /** Whether a voter of the same or a newer epoch has recorded another folder than this one. */
   private static boolean knowsOtherFolder(PeerStatus peer, VoterIdentity own) {
-    if (peer.sealOfAsker().isEmpty()) {
+    if (peer.recordedFolderOfAsker().isEmpty()) {
       return false;
     }
-    return own == null || (peer.charter() >= own.charter() && !peer.sealOfAsker().equals(own.id()));
+    return own == null
+        || (peer.epoch() >= own.epoch() && !peer.recordedFolderOfAsker().equals(own.folderId()));
   }
 
   /**
@@ -130,13 +132,16 @@
    */
   private static boolean isPastKnown(
       String name, PeerStatus newest, List<String> founders, Collection<PeerStatus> told) {
-    long epoch = newest == null ? 0 : newest.charter();
-    if (told.stream().anyMatch(peer -> peer.leads() && peer.charter() == epoch)) {
+    long epoch = newest == null ? 0 : newest.epoch();
+    if (told.stream().anyMatch(peer -> peer.isLeader() && peer.epoch() == epoch)) {
       return true;
     }
-    List<String> voters = newest == null ? founders : newest.members();
+    List<String> voters = newest == null ? founders : newest.voters();
     List<String> reporting =
-        told.stream().filter(peer -> peer.fresh() || peer.votes()).map(PeerStatus::voter).toList();
+        told.stream()
+            .filter(peer -> peer.hasEmptyFolder() || peer.votes())
+            .map(PeerStatus::voter)
+            .toList();
     return voters.stream().filter(voter -> !voter.equals(name)).allMatch(reporting::contains);
   }
 
@@ -144,7 +149,7 @@
   private static boolean isRemoved(
       String name, VoterIdentity own, PeerStatus newest, Collection<PeerStatus> told) {
     return newest != null
-        && newest.charter() == own.charter()
-        && told.stream().noneMatch(peer -> peer.members().contains(name));
+        && newest.epoch() == own.epoch()
+        && told.stream().noneMatch(peer -> peer.voters().contains(name));
   }
 }
--- a/router/src/main/java/basaltlever/model/HoldQueue.java
+++ b/router/src/main/java/basaltlever/model/HoldQueue.java
@@ -74,7 +74,7 @@
 
   /** Holds a statement. It never overtakes an earlier one of its session. */
   public void add(Statement statement) {
-    statement.setHoldPriority(statement.workload().importance());
+    statement.setHoldPriority(statement.workload().priorityWeight());
     if (statement.session() != 0) {
       ArrayDeque<Statement> own =
           sessions.computeIfAbsent(statement.session(), id -> new ArrayDeque<>(2));
--- a/router/src/main/java/basaltlever/model/ReplicaGroup.java
+++ b/router/src/main/java/basaltlever/model/ReplicaGroup.java
@@ -22,7 +22,7 @@
   private final int number;
   private final List<Endpoint> members = new ArrayList<>();
   private final List<Endpoint> primaryReporters = new ArrayList<>();
-  private final HoldQueue held;
+  private final HoldQueue holdQueue;
   private final PriorityQueue<Statement> waitingReads;
   private final PlannedSwitchover switchover;
   private final PrimarySearchState search = new PrimarySearchState();
@@ -47,11 +47,13 @@
       Moment now,
       Span maxReportAge,
       Comparator<Statement> order,
-      HoldQueue held,
+      HoldQueue holdQueue,
       DecisionSink sink) {
     this.number = number;
-    switchover = new PlannedSwitchover((entered, target) -> sink.change(number, entered, target));
-    this.held = held;
+    switchover =
+        new PlannedSwitchover(
+            (entered, target) -> sink.switchoverPhaseChanged(number, entered, target));
+    this.holdQueue = holdQueue;
     this.waitingReads = new PriorityQueue<>(order);
     this.holdSince = now;
     this.maxReportAge = maxReportAge;
@@ -95,7 +97,7 @@
 
   /** Statements held until a primary is known and has capacity. */
   public HoldQueue held() {
-    return held;
+    return holdQueue;
   }
 
   /** Reads that wait for capacity or for a position. */
--- a/router/src/main/java/basaltlever/model/Statement.java
+++ b/router/src/main/java/basaltlever/model/Statement.java
@@ -175,8 +175,8 @@
 
   /** How far behind a replica may be that is sent the statement at that moment. */
   public Span allowedLag(Moment at) {
-    return workload().needs() == Workload.ReadConsistency.BOUNDED
-        ? workload().bound()
+    return workload().consistency() == Workload.ReadConsistency.BOUNDED
+        ? workload().maxStaleness()
         : at.since(arrival.requiredPosition());
   }
 
--- a/router/src/main/java/basaltlever/net/AcceptHandler.java
+++ b/router/src/main/java/basaltlever/net/AcceptHandler.java
@@ -44,7 +44,7 @@
 
   private static final Span SECOND = Span.ofMillis(1_000);
 
-  private final LoopIteration turn;
+  private final LoopIteration iteration;
   private final Descriptors descriptors;
   private final ListenQueue queue;
   private final RateLimitedLog pauses;
@@ -64,8 +64,8 @@
   private double allowance = MOST_ROOM_AT_ONCE;
 
   AcceptHandler(
-      LoopIteration turn, Descriptors descriptors, int queueLength, RateLimitedLog pauses) {
-    this.turn = turn;
+      LoopIteration iteration, Descriptors descriptors, int queueLength, RateLimitedLog pauses) {
+    this.iteration = iteration;
     this.descriptors = descriptors;
     this.pauses = pauses;
     queue = new ListenQueue(queueLength);
@@ -74,7 +74,7 @@
 
   /** Since when the connection that is being accepted may have waited. */
   Moment queuedSince() {
-    return queue.accepts(turn.arrival(), turn.clock().now());
+    return queue.accepts(iteration.arrival(), iteration.clock().now());
   }
 
   /** For the listener, so that no more are accepted at once than there is room for. */
@@ -162,14 +162,14 @@
   @Override
   public void channelRead(ChannelHandlerContext context, Object connection) {
     accepted++;
-    turn.load().accepts();
+    iteration.load().accepts();
     turnsAway = Math.max(0, turnsAway - 1);
     context.fireChannelRead(connection);
   }
 
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    queue.looked(!stoppedByLimit, turn.arrival());
+    queue.looked(!stoppedByLimit, iteration.arrival());
     if (limit() == 0) {
       pause("no descriptor is free");
       resumeSoon();
@@ -179,7 +179,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    queue.lookFailed(turn.arrival());
+    queue.lookFailed(iteration.arrival());
     pause(cause.toString());
     resumeLater(PAUSE);
   }
@@ -187,11 +187,11 @@
   private void pause(String why) {
     if (!paused) {
       paused = true;
-      turn.counters().add(Counter.ACCEPT_PAUSED);
+      iteration.counters().add(Counter.ACCEPT_PAUSED);
       pauses.note("listener", why);
     }
     // From here on nobody looks.
-    queue.looked(false, turn.arrival());
+    queue.looked(false, iteration.arrival());
     listener.config().setAutoRead(false);
   }
 
@@ -199,9 +199,9 @@
   private void resumeSoon() {
     if (paused && !resumes) {
       resumes = true;
-      turn.hear(
+      iteration.hear(
           now ->
-              turn.act(
+              iteration.act(
                   () -> {
                     resumes = false;
                     resume();
@@ -240,7 +240,7 @@
   }
 
   private void makeRoom() {
-    Moment now = turn.clock().now();
+    Moment now = iteration.clock().now();
     allowance =
         Math.min(MOST_ROOM_AT_ONCE, allowance + ROOM_A_SECOND * now.since(roomMadeAt).over(SECOND));
     roomMadeAt = now;
--- a/router/src/main/java/basaltlever/net/AttemptExecutor.java
+++ b/router/src/main/java/basaltlever/net/AttemptExecutor.java
@@ -46,14 +46,14 @@
   /** Members that are asked for planned changes. */
   private static final int MOST_ASKED = 128;
 
-  private final LoopIteration turn;
+  private final LoopIteration iteration;
   private final EventLoop loop;
   private final Function<String, ConnectionPool> links;
   private final Consumer<String> forgotten;
-  private LoadReportFormat gauges;
+  private LoadReportFormat loadReport;
   private Span pollTimeout;
   private final MemoryBudget budget;
-  private final StatementTrace lives;
+  private final StatementTrace trace;
   private final Counters counters;
   private final ClockOffset clockOffset;
 
@@ -68,8 +68,9 @@
   /** All that are unanswered, by the time at which they are owed an answer. */
   private final TreeSet<PendingStatement> owed =
       new TreeSet<>(
-          Comparator.comparingLong((PendingStatement taken) -> taken.owedBy.micros())
-              .thenComparingLong(taken -> taken.ticket));
+          Comparator.comparingLong(
+                  (PendingStatement pendingStatement) -> pendingStatement.owedBy.micros())
+              .thenComparingLong(pendingStatement -> pendingStatement.ticket));
 
   private Future<?> look;
   private Moment looksAt = Moment.NEVER;
@@ -87,24 +88,24 @@
   private Runnable watch;
 
   AttemptExecutor(
-      LoopIteration turn,
+      LoopIteration iteration,
       EventLoop loop,
       Function<String, ConnectionPool> links,
       Consumer<String> forgotten,
-      LoadReportFormat gauges,
+      LoadReportFormat loadReport,
       Span pollTimeout,
       MemoryBudget budget,
-      StatementTrace lives) {
-    this.turn = turn;
+      StatementTrace trace) {
+    this.iteration = iteration;
     this.loop = loop;
     this.links = links;
     this.forgotten = forgotten;
-    this.gauges = gauges;
+    this.loadReport = loadReport;
     this.pollTimeout = pollTimeout;
     this.budget = budget;
-    this.lives = lives;
-    counters = turn.counters();
-    clockOffset = turn.clockOffset();
+    this.trace = trace;
+    counters = iteration.counters();
+    clockOffset = iteration.clockOffset();
   }
 
   void serve(StatementRouter<String> with, Runnable watchStarts) {
@@ -130,7 +131,7 @@
 
   /** What members' reports hold from now on, and how long one may take. */
   void reads(LoadReportFormat by, Span within) {
-    gauges = by;
+    loadReport = by;
     pollTimeout = within;
   }
 
@@ -167,10 +168,10 @@
     return statements.size();
   }
 
-  void add(PendingStatement taken) {
-    statements.put(taken.ticket, taken);
-    owed.add(taken);
-    lookAt(taken.owedBy.plus(GUARD));
+  void add(PendingStatement pendingStatement) {
+    statements.put(pendingStatement.ticket, pendingStatement);
+    owed.add(pendingStatement);
+    lookAt(pendingStatement.owedBy.plus(GUARD));
   }
 
   private void lookAt(Moment at) {
@@ -179,8 +180,10 @@
         look.cancel(false);
       }
       looksAt = at;
-      long left = Math.max(1, at.since(turn.clock().now()).micros());
-      look = loop.schedule(() -> turn.hear(now -> overdue(now, now)), left, TimeUnit.MICROSECONDS);
+      long left = Math.max(1, at.since(iteration.clock().now()).micros());
+      look =
+          loop.schedule(
+              () -> iteration.hear(now -> overdue(now, now)), left, TimeUnit.MICROSECONDS);
     }
   }
 
@@ -193,26 +196,26 @@
   private void overdue(Moment now, Moment upTo) {
     looksAt = Moment.NEVER;
     while (!owed.isEmpty() && !owed.first().owedBy.plus(GUARD).isAfter(upTo)) {
-      PendingStatement taken = owed.pollFirst();
-      guarded(taken, () -> core.timeIsOver(now, taken.ticket));
-      turn.act(() -> abortForgotten(taken));
+      PendingStatement pendingStatement = owed.pollFirst();
+      guarded(pendingStatement, () -> core.deadlinePassed(now, pendingStatement.ticket));
+      iteration.act(() -> abortForgotten(pendingStatement));
     }
     if (!owed.isEmpty()) {
       lookAt(owed.first().owedBy.plus(GUARD));
     }
   }
 
-  private void abortForgotten(PendingStatement taken) {
-    if (!taken.answered) {
+  private void abortForgotten(PendingStatement pendingStatement) {
+    if (!pendingStatement.answered) {
       counters.add(Counter.STATEMENT_OVERDUE);
       Event.OVERDUE.log(
           LOG,
           Level.WARN,
           "aborted by the guard",
-          taken.query.id,
-          taken.executions.size(),
-          taken.out);
-      settle(taken, ProtocolCodes.UNKNOWN_EFFECT, "the statement's time is over", null);
+          pendingStatement.query.id,
+          pendingStatement.executions.size(),
+          pendingStatement.out);
+      settle(pendingStatement, ProtocolCodes.SYSTEM_ERROR, "the statement's time is over", null);
     }
   }
 
@@ -222,52 +225,60 @@
   }
 
   /** Beyond what the settings allow to be open, before the decisions hear of it. */
-  void turnAway(PendingStatement taken) {
+  void turnAway(PendingStatement pendingStatement) {
     counters.add(Counter.REFUSED_TOO_MANY_OPEN);
-    turn.act(() -> settle(taken, ProtocolCodes.TOO_MANY, "too many statements are open", null));
+    iteration.act(
+        () ->
+            settle(
+                pendingStatement,
+                ProtocolCodes.TOO_MANY_CONNECTIONS,
+                "too many statements are open",
+                null));
   }
 
-  void left(PendingStatement taken) {
-    turn.hear(
+  void left(PendingStatement pendingStatement) {
+    iteration.hear(
         now -> {
-          lives.ends(taken.life, "left");
-          taken.answered = true;
-          guarded(taken, () -> core.clientLeft(now, taken.ticket));
-          forget(taken);
+          trace.ends(pendingStatement.life, "left");
+          pendingStatement.answered = true;
+          guarded(pendingStatement, () -> core.clientDisconnected(now, pendingStatement.ticket));
+          forget(pendingStatement);
         });
   }
 
   /** A fault in the decisions must not cost the statement its answer. */
-  void guarded(PendingStatement taken, Runnable step) {
+  void guarded(PendingStatement pendingStatement, Runnable step) {
     try {
       step.run();
     } catch (RuntimeException fault) {
-      Event.FAULT.fault(LOG, "", fault, "deciding on statement " + taken.ticket);
-      if (!taken.answered) {
-        turn.act(() -> settle(taken, ProtocolCodes.UNKNOWN_EFFECT, "the router failed", null));
-        left(taken);
+      Event.FAULT.fault(LOG, "", fault, "deciding on statement " + pendingStatement.ticket);
+      if (!pendingStatement.answered) {
+        iteration.act(
+            () -> settle(pendingStatement, ProtocolCodes.SYSTEM_ERROR, "the router failed", null));
+        left(pendingStatement);
       }
     }
   }
 
-  private void settle(PendingStatement taken, String code, String message, String detail) {
-    if (!taken.answered) {
-      lives.step(taken.life, code);
-      taken.answered = true;
-      taken.client.answerError(code, message, detail);
+  private void settle(
+      PendingStatement pendingStatement, String code, String message, String detail) {
+    if (!pendingStatement.answered) {
+      trace.step(pendingStatement.life, code);
+      pendingStatement.answered = true;
+      pendingStatement.client.answerError(code, message, detail);
     }
-    forget(taken);
+    forget(pendingStatement);
   }
 
-  private void forget(PendingStatement taken) {
-    if (taken.answered) {
-      owed.remove(taken);
+  private void forget(PendingStatement pendingStatement) {
+    if (pendingStatement.answered) {
+      owed.remove(pendingStatement);
     }
-    if (taken.answered && taken.out == 0 && !taken.forgotten) {
-      taken.forgotten = true;
-      statements.remove(taken.ticket);
-      budget.release(taken.text.capacity());
-      taken.text.release();
+    if (pendingStatement.answered && pendingStatement.out == 0 && !pendingStatement.forgotten) {
+      pendingStatement.forgotten = true;
+      statements.remove(pendingStatement.ticket);
+      budget.release(pendingStatement.text.capacity());
+      pendingStatement.text.release();
     }
   }
 
@@ -277,26 +288,26 @@
    * Counted as out from the decision on, so that the core hears of its end whatever comes between.
    */
   @Override
-  public void execute(long ticket, int execution, String node, Span timeout, Moment sendBy) {
-    PendingStatement taken = statements.get(ticket);
-    Span owed = taken.owedBy.since(turn.now());
+  public void startAttempt(long ticket, int execution, String node, Span timeout, Moment sendBy) {
+    PendingStatement pendingStatement = statements.get(ticket);
+    Span owed = pendingStatement.owedBy.since(iteration.now());
     Span limit = timeout.micros() == 0 ? owed : timeout.shorter(owed);
-    Attempt job = new Attempt(taken, execution, turn.now().plus(limit), sendBy);
-    taken.executions.add(job);
+    Attempt job = new Attempt(pendingStatement, execution, iteration.now().plus(limit), sendBy);
+    pendingStatement.executions.add(job);
     counters.add(Counter.EXECUTION_SENT);
     if (execution > 0) {
       counters.add(Counter.EXECUTION_RETRIED);
     }
-    if (taken.life != null) {
-      lives.step(taken.life, execution + ">" + node);
+    if (pendingStatement.life != null) {
+      trace.step(pendingStatement.life, execution + ">" + node);
     }
-    taken.out++;
-    turn.act(
+    pendingStatement.out++;
+    iteration.act(
         () -> {
           // From when it was decided: counted anew from here, its end comes behind that of the
           // statement.
-          Span left = job.until.since(turn.clock().now());
-          if (taken.answered || left.micros() <= 0) {
+          Span left = job.until.since(iteration.clock().now());
+          if (pendingStatement.answered || left.micros() <= 0) {
             job.endLost(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
             return;
           }
@@ -304,49 +315,51 @@
         });
   }
 
-  private void start(ServerQuery job, String node, Span limit) {
-    job.endsBy(loop.schedule(job::timeIsOver, Math.max(1, limit.micros()), TimeUnit.MICROSECONDS));
-    links.apply(node).start(job);
+  private void start(ServerQuery query, String node, Span limit) {
+    query.endsBy(
+        loop.schedule(query::timeIsOver, Math.max(1, limit.micros()), TimeUnit.MICROSECONDS));
+    links.apply(node).start(query);
   }
 
   @Override
   public void cancel(long ticket, int execution) {
-    PendingStatement taken = statements.get(ticket);
-    turn.act(() -> taken.executions.get(execution).giveUp(AttemptOutcome.CANCELLED));
+    PendingStatement pendingStatement = statements.get(ticket);
+    iteration.act(
+        () -> pendingStatement.executions.get(execution).giveUp(AttemptOutcome.CANCELLED));
   }
 
   @Override
-  public void reject(long ticket, Span comeBackAfter, RejectReason why) {
-    PendingStatement taken = statements.get(ticket);
+  public void reject(long ticket, Span comeBackAfter, RejectReason reason) {
+    PendingStatement pendingStatement = statements.get(ticket);
     counters.add(
-        switch (why) {
+        switch (reason) {
           case OVERDUE -> Counter.REFUSED_OVERDUE;
           case SHED -> Counter.REFUSED_SHED;
           case HOLD_FULL -> Counter.REFUSED_HOLD_FULL;
           case NO_ATTEMPT_LEFT -> Counter.REFUSED_NO_ATTEMPT_LEFT;
         });
-    if (taken.life != null) {
-      lives.step(taken.life, why.name());
+    if (pendingStatement.life != null) {
+      trace.step(pendingStatement.life, reason.name());
     }
     long millis = comeBackAfter.micros() / 1_000;
-    turn.act(
+    iteration.act(
         () ->
             settle(
-                taken,
-                ProtocolCodes.TOO_MANY,
+                pendingStatement,
+                ProtocolCodes.TOO_MANY_CONNECTIONS,
                 "nothing was done, try again",
                 millis > 0 ? "" + millis : null));
   }
 
   @Override
   public void abort(long ticket) {
-    PendingStatement taken = statements.get(ticket);
+    PendingStatement pendingStatement = statements.get(ticket);
     counters.add(Counter.FAILED_EFFECT_UNKNOWN);
-    turn.act(
+    iteration.act(
         () ->
             settle(
-                taken,
-                ProtocolCodes.UNKNOWN_EFFECT,
+                pendingStatement,
+                ProtocolCodes.SYSTEM_ERROR,
                 "the statement may or may not have had an effect",
                 null));
   }
@@ -365,28 +378,28 @@
       looked = true;
       firstLook.add(node);
     }
-    turn.act(() -> start(new Poll(node), node, pollTimeout));
+    iteration.act(() -> start(new Poll(node), node, pollTimeout));
   }
 
   @Override
-  public void letGo(String node) {
-    turn.act(() -> links.apply(node).letGo());
+  public void closeIdleConnections(String node) {
+    iteration.act(() -> links.apply(node).letGo());
   }
 
   @Override
-  public void forget(String node) {
-    turn.act(() -> forgotten.accept(node));
+  public void endpointRemoved(String node) {
+    iteration.act(() -> forgotten.accept(node));
   }
 
   @Override
-  public void watch() {
-    turn.act(watch);
+  public void watchEndpointList() {
+    iteration.act(watch);
   }
 
   @Override
-  public void wake(Span fromNow) {
-    Moment due = turn.now().plus(fromNow);
-    turn.act(() -> wakeAt(due));
+  public void setTimer(Span fromNow) {
+    Moment due = iteration.now().plus(fromNow);
+    iteration.act(() -> wakeAt(due));
   }
 
   /**
@@ -395,15 +408,15 @@
    */
   private void wakeAt(Moment due) {
     // From when it was decided: a loop that was held up since would come to it that much late.
-    long left = due.since(turn.clock().now()).micros();
+    long left = due.since(iteration.clock().now()).micros();
     loop.schedule(
         () ->
-            turn.hear(
+            iteration.hear(
                 now -> {
                   if (now.isBefore(due)) {
-                    turn.act(() -> wakeAt(due));
+                    iteration.act(() -> wakeAt(due));
                   } else {
-                    core.woken(now);
+                    core.timerFired(now);
                   }
                 }),
         Math.max(1, left),
@@ -414,8 +427,8 @@
    * Each is opened by a poll of its own: a connection that has answered one is known to be good.
    */
   @Override
-  public void prepare(String node, int connections) {
-    turn.act(
+  public void openConnections(String node, int connections) {
+    iteration.act(
         () -> {
           for (int more = links.apply(node).missing(connections); more > 0; more--) {
             start(new ConnectionWarmUp(), node, pollTimeout);
@@ -424,32 +437,32 @@
   }
 
   @Override
-  public void change(int group, PlannedSwitchover.Phase phase, String target) {
+  public void switchoverPhaseChanged(int group, PlannedSwitchover.Phase phase, String target) {
     Event.CHANGE.log(LOG, Level.INFO, "", group, phase, target);
   }
 
   @Override
-  public void watched(int groups, int members, int listed) {
+  public void polledGroupsChanged(int groups, int members, int listed) {
     Event.WATCHED.log(LOG, Level.INFO, "", groups, members, listed);
   }
 
   @Override
-  public void primary(int group, String node, boolean found) {
+  public void primaryChanged(int group, String node, boolean found) {
     (found ? Event.PRIMARY_FOUND : Event.PRIMARY_LOST)
         .log(LOG, Level.INFO, "", group, links.apply(node));
   }
 
   // ---- What became of it.
 
-  private Role role(QueryResponse answer) {
-    return answer.role.equals("master")
+  private Role role(QueryResponse response) {
+    return response.role().equals("master")
         ? Role.PRIMARY
-        : answer.role.equals("replica") ? Role.REPLICA : Role.UNTOLD;
+        : response.role().equals("replica") ? Role.REPLICA : Role.UNTOLD;
   }
 
-  private static AttemptOutcome ending(QueryResponse answer) {
-    String code = answer.error();
-    return answer.isRow()
+  private static AttemptOutcome ending(QueryResponse response) {
+    String code = response.sqlState();
+    return response.isSingleRow()
         ? AttemptOutcome.COMPLETED
         : code == null
             ? AttemptOutcome.UNKNOWN
@@ -462,20 +475,20 @@
   }
 
   private final class Attempt extends ServerQuery {
-    private final PendingStatement taken;
+    private final PendingStatement pendingStatement;
     private final int number;
     private final Moment until;
     private final Moment sendBy;
-    private final int decidedUnder = stance.applyAsInt(turn.now());
+    private final int decidedUnder = stance.applyAsInt(iteration.now());
 
-    Attempt(PendingStatement taken, int number, Moment until, Moment sendBy) {
-      this.taken = taken;
+    Attempt(PendingStatement pendingStatement, int number, Moment until, Moment sendBy) {
+      this.pendingStatement = pendingStatement;
       this.number = number;
       this.until = until;
       // No later than a connection may take: its own timer comes late where this process was held
       // up, and the
       // member may have been told to drain meanwhile.
-      this.sendBy = sendBy.earlier(turn.now().plus(pollTimeout).plus(GUARD));
+      this.sendBy = sendBy.earlier(iteration.now().plus(pollTimeout).plus(GUARD));
     }
 
     @Override
@@ -488,57 +501,61 @@
       // Its client's end may lie unread; and where executions may not be called off, one that waits
       // for its
       // connection outlives its statement.
-      taken.client.readAgain();
-      return taken.answered
-          || !taken.client.waitsFor(taken)
+      pendingStatement.client.readAgain();
+      return pendingStatement.answered
+          || !pendingStatement.client.waitsFor(pendingStatement)
           || now.isAfter(sendBy)
           || stance.applyAsInt(now) != decidedUnder;
     }
 
     @Override
     void write(ByteBuf out) {
-      if (taken.life != null) {
-        lives.step(taken.life, number + "w");
+      if (pendingStatement.life != null) {
+        trace.step(pendingStatement.life, number + "w");
       }
-      long left = Math.max(1, until.since(turn.clock().now()).micros());
+      long left = Math.max(1, until.since(iteration.clock().now()).micros());
       MessageEncoder.query(
-          out, taken.text, taken.query.waitFrom, taken.query.waitTo, (left + 999) / 1_000);
+          out,
+          pendingStatement.text,
+          pendingStatement.query.timeoutStart,
+          pendingStatement.query.timeoutEnd,
+          (left + 999) / 1_000);
     }
 
     @Override
-    void answered(QueryResponse answer) {
-      turn.hear(now -> ended(now, ending(answer), answer));
+    void answered(QueryResponse response) {
+      iteration.hear(now -> ended(now, ending(response), response));
     }
 
     @Override
-    void lost(AttemptOutcome ending) {
-      turn.hear(now -> ended(now, ending, new QueryResponse()));
+    void lost(AttemptOutcome outcome) {
+      iteration.hear(now -> ended(now, outcome, new QueryResponse()));
     }
 
-    private void ended(Moment now, AttemptOutcome ending, QueryResponse answer) {
-      taken.out--;
+    private void ended(Moment now, AttemptOutcome outcome, QueryResponse response) {
+      pendingStatement.out--;
       // Text put together for nobody costs a process that has just started most.
-      if (taken.life != null) {
-        lives.step(taken.life, number + "=" + ending);
+      if (pendingStatement.life != null) {
+        trace.step(pendingStatement.life, number + "=" + outcome);
       }
       guarded(
-          taken,
+          pendingStatement,
           () -> {
-            if (core.ended(
+            if (core.attemptEnded(
                 now,
-                taken.ticket,
+                pendingStatement.ticket,
                 number,
-                ending,
-                role(answer),
-                clockOffset.position(gauges.afterMillis(answer.position)),
+                outcome,
+                role(response),
+                clockOffset.position(loadReport.afterMillis(response.positionMillis())),
                 false)) {
-              taken.answered = true;
-              var row = answer.takeRow();
-              turn.act(() -> taken.client.answer(row));
+              pendingStatement.answered = true;
+              var row = response.takeRow();
+              iteration.act(() -> pendingStatement.client.answer(row));
             }
           });
-      answer.release();
-      forget(taken);
+      response.release();
+      forget(pendingStatement);
     }
   }
 
@@ -556,32 +573,35 @@
 
     @Override
     void write(ByteBuf out) {
-      MessageEncoder.query(out, gauges.names.isEmpty() ? "SELECT 1" : "SHOW gauges");
+      MessageEncoder.query(out, loadReport.names.isEmpty() ? "SELECT 1" : "SHOW gauges");
     }
 
     @Override
-    void answered(QueryResponse answer) {
+    void answered(QueryResponse response) {
       firstLook.remove(node);
-      AttemptOutcome ending = ending(answer);
-      Role role = role(answer);
-      double[] values = gauges.values(answer.text());
+      AttemptOutcome outcome = ending(response);
+      Role role = role(response);
+      double[] values = loadReport.values(response.value());
       Moment told =
-          gauges.position < 0
-              ? gauges.afterMillis(answer.position)
-              : gauges.position(Math.nextDown(gauges.value(values, gauges.position)));
-      Role claimed = gauges.primary < 0 ? role : gauges.role(gauges.value(values, gauges.primary));
-      answer.release();
-      turn.hear(
+          loadReport.position < 0
+              ? loadReport.afterMillis(response.positionMillis())
+              : loadReport.position(Math.nextDown(loadReport.value(values, loadReport.position)));
+      Role claimed =
+          loadReport.primary < 0
+              ? role
+              : loadReport.role(loadReport.value(values, loadReport.primary));
+      response.release();
+      iteration.hear(
           now -> {
             heedClock(now, claimed, told);
-            core.polled(
+            core.pollEnded(
                 now,
                 node,
-                ending,
+                outcome,
                 claimed,
                 clockOffset.position(told),
-                gauges.value(values, gauges.util),
-                gauges.value(values, gauges.queue));
+                loadReport.value(values, loadReport.util),
+                loadReport.value(values, loadReport.queue));
           });
     }
 
@@ -601,11 +621,12 @@
     }
 
     @Override
-    void lost(AttemptOutcome ending) {
+    void lost(AttemptOutcome outcome) {
       firstLook.remove(node);
-      turn.hear(
+      iteration.hear(
           now ->
-              core.polled(now, node, ending, Role.UNTOLD, Moment.LONG_AGO, Double.NaN, Double.NaN));
+              core.pollEnded(
+                  now, node, outcome, Role.UNTOLD, Moment.LONG_AGO, Double.NaN, Double.NaN));
     }
   }
 
@@ -628,24 +649,24 @@
     }
 
     @Override
-    void answered(QueryResponse answer) {
-      SwitchoverAnnouncement note = SwitchoverAnnouncement.read(answer.text());
-      answer.release();
-      if (note != null) {
-        turn.hear(
+    void answered(QueryResponse response) {
+      SwitchoverAnnouncement announcement = SwitchoverAnnouncement.read(response.value());
+      response.release();
+      if (announcement != null) {
+        iteration.hear(
             now ->
-                core.announced(
+                core.switchoverAnnounced(
                     now,
                     node,
-                    note.number(),
-                    note.target(),
-                    new Moment(note.atMillis() * 1_000),
-                    note.off()));
+                    announcement.number(),
+                    announcement.target(),
+                    new Moment(announcement.atMillis() * 1_000),
+                    announcement.off()));
       }
     }
 
     @Override
-    void lost(AttemptOutcome ending) {
+    void lost(AttemptOutcome outcome) {
       // Polls tell what there is to tell.
     }
   }
@@ -663,12 +684,12 @@
     }
 
     @Override
-    void answered(QueryResponse answer) {
-      answer.release();
+    void answered(QueryResponse response) {
+      response.release();
     }
 
     @Override
-    void lost(AttemptOutcome ending) {
+    void lost(AttemptOutcome outcome) {
       // One more or less.
     }
   }
--- a/router/src/main/java/basaltlever/net/ClientConnection.java
+++ b/router/src/main/java/basaltlever/net/ClientConnection.java
@@ -63,7 +63,7 @@
 
   private final ClientHost clients;
   private final MemoryBudget budget;
-  private final MessageDecoder frames;
+  private final MessageDecoder decoder;
   private final ClientLifecycle lifecycle = new ClientLifecycle(this);
   private ClientSocket socket;
   private final ArrivalTimes arrivals = new ArrivalTimes();
@@ -77,7 +77,7 @@
    */
   private ProtocolException after;
 
-  private PendingStatement taken;
+  private PendingStatement pendingStatement;
 
   /** After an error in the extended protocol all is skipped up to the next Sync. */
   private boolean skipping;
@@ -116,7 +116,7 @@
     this.budget = budget;
     this.number = number;
     this.queuedSince = queuedSince;
-    frames = new MessageDecoder(LARGEST_START, budget);
+    decoder = new MessageDecoder(LARGEST_START, budget);
     since = clients.now();
     idleSince = since;
     readAt = since;
@@ -154,12 +154,13 @@
       read.release();
       return;
     }
-    arrivals.read(read.readableBytes(), queuedSince == null ? clients.arrival() : queuedSince);
+    arrivals.recordRead(
+        read.readableBytes(), queuedSince == null ? clients.arrival() : queuedSince);
     try {
-      frames.add(read);
-      if (lifecycle.isBusy() && frames.size() > AHEAD) {
+      decoder.add(read);
+      if (lifecycle.isBusy() && decoder.bufferedBytes() > AHEAD) {
         throw new ProtocolException(
-            ProtocolCodes.TOO_MANY, "more than " + AHEAD + " bytes were sent ahead");
+            ProtocolCodes.TOO_MANY_CONNECTIONS, "more than " + AHEAD + " bytes were sent ahead");
       }
     } catch (ProtocolException fault) {
       // What came whole is owed its own answers first: this one would say nothing was done.
@@ -178,7 +179,7 @@
       // Once for all of them: each is a few bytes, and a write of its own costs more than all else
       // about it.
       socket.flush();
-      partSince = frames.size() == 0 ? Moment.NEVER : partSince.earlier(clients.now());
+      partSince = decoder.bufferedBytes() == 0 ? Moment.NEVER : partSince.earlier(clients.now());
       if (lifecycle.state() == ClientLifecycle.State.IDLE && asked) {
         rests();
       }
@@ -187,7 +188,8 @@
       } else if (lifecycle.isOpen()) {
         // A client may send more ahead, but not without end; one that waits for an answer may
         // leave.
-        socket.setReading(lifecycle.isBusy() || after != null || frames.size() <= LARGEST);
+        socket.setReading(
+            lifecycle.isBusy() || after != null || decoder.bufferedBytes() <= LARGEST);
       }
     } catch (ProtocolException fault) {
       refuse(fault, CloseReason.PROTOCOL_ERROR);
@@ -202,11 +204,11 @@
         return false;
       }
       boolean starting = lifecycle.state() == ClientLifecycle.State.STARTING;
-      ByteBuf message = starting ? frames.nextUntyped() : frames.next();
+      ByteBuf message = starting ? decoder.nextStartupMessage() : decoder.nextMessage();
       if (message == null) {
         return true;
       }
-      arrived = arrivals.cut(message.readableBytes());
+      arrived = arrivals.consumeMessage(message.readableBytes());
       clients.messageRead();
       if (starting) {
         start(message);
@@ -218,7 +220,7 @@
   }
 
   private void rests() {
-    if (frames.size() > 0) {
+    if (decoder.bufferedBytes() > 0) {
       // What has been read of a statement must not be lost with an idle connection.
       clients.descriptors().busy(this);
     } else if (clients.closesIdle()) {
@@ -272,11 +274,12 @@
     if (!isSilent(now)) {
       return;
     }
-    if (lifecycle.state() == ClientLifecycle.State.IDLE && frames.size() == 0) {
+    if (lifecycle.state() == ClientLifecycle.State.IDLE && decoder.bufferedBytes() == 0) {
       endIdle(CloseReason.SILENT);
     } else {
       refuse(
-          new ProtocolException(ProtocolCodes.VIOLATION, "a message did not come whole in time"),
+          new ProtocolException(
+              ProtocolCodes.PROTOCOL_VIOLATION, "a message did not come whole in time"),
           CloseReason.SILENT);
     }
   }
@@ -289,13 +292,13 @@
     pump();
   }
 
-  private boolean refuse(ProtocolException fault, CloseReason why) {
-    if (lifecycle.beginsToEndWithError(why)) {
-      if (why != CloseReason.SHUTDOWN) {
+  private boolean refuse(ProtocolException fault, CloseReason closeReason) {
+    if (lifecycle.beginsToEndWithError(closeReason)) {
+      if (closeReason != CloseReason.SHUTDOWN) {
         clients.spoilt(socket.peer(), fault.getMessage());
       }
       ByteBuf out = socket.alloc().buffer();
-      MessageEncoder.error(out, "FATAL", fault.code, fault.getMessage(), null);
+      MessageEncoder.errorResponse(out, "FATAL", fault.sqlState, fault.getMessage(), null);
       ends(out);
       return true;
     }
@@ -304,26 +307,27 @@
 
   private void start(ByteBuf message) throws ProtocolException {
     if (message.readableBytes() < 8) {
-      throw new ProtocolException(ProtocolCodes.VIOLATION, "a startup message is too short");
+      throw new ProtocolException(
+          ProtocolCodes.PROTOCOL_VIOLATION, "a startup message is too short");
     }
     int version = message.getInt(message.readerIndex() + 4);
-    if (version == ProtocolCodes.SSL || version == ProtocolCodes.GSS) {
+    if (version == ProtocolCodes.SSL_REQUEST || version == ProtocolCodes.GSS_ENCRYPTION_REQUEST) {
       socket.write(socket.alloc().buffer(1).writeByte('N'));
-    } else if (version == ProtocolCodes.CANCEL) {
+    } else if (version == ProtocolCodes.CANCEL_REQUEST) {
       // Nobody was given a key to cancel with, and no answer is owed.
       close(CloseReason.PEER_CLOSED);
-    } else if (version >>> 16 != ProtocolCodes.VERSION >>> 16) {
+    } else if (version >>> 16 != ProtocolCodes.PROTOCOL_VERSION >>> 16) {
       throw new ProtocolException(
-          ProtocolCodes.UNSUPPORTED,
+          ProtocolCodes.FEATURE_NOT_SUPPORTED,
           "protocol version " + (version >>> 16) + " is not spoken here");
     } else {
       ByteBuf out = socket.alloc().buffer();
-      if (version != ProtocolCodes.VERSION) {
-        MessageEncoder.negotiate(out);
+      if (version != ProtocolCodes.PROTOCOL_VERSION) {
+        MessageEncoder.negotiateProtocolVersion(out);
       }
-      MessageEncoder.welcome(out);
+      MessageEncoder.startupResponse(out);
       socket.write(out);
-      frames.admit(LARGEST);
+      decoder.setMaxMessageBytes(LARGEST);
       lifecycle.started();
       idles();
     }
@@ -349,29 +353,35 @@
       if (!skipping) {
         skipping = type != 'F';
         ByteBuf out = socket.alloc().buffer();
-        MessageEncoder.error(
-            out, "ERROR", ProtocolCodes.UNSUPPORTED, "only simple queries are taken here", null);
+        MessageEncoder.errorResponse(
+            out,
+            "ERROR",
+            ProtocolCodes.FEATURE_NOT_SUPPORTED,
+            "only simple queries are taken here",
+            null);
         if (type == 'F') {
-          MessageEncoder.ready(out);
+          MessageEncoder.readyForQuery(out);
         }
         socket.write(out);
       }
     } else if ("dcf".indexOf(type) < 0) {
-      throw new ProtocolException(ProtocolCodes.VIOLATION, "a message of unknown type " + type);
+      throw new ProtocolException(
+          ProtocolCodes.PROTOCOL_VIOLATION, "a message of unknown type " + type);
     }
   }
 
   private void query(ByteBuf message) throws ProtocolException {
     int last = message.writerIndex() - 1;
     if (!message.isReadable() || message.getByte(last) != 0) {
-      throw new ProtocolException(ProtocolCodes.VIOLATION, "a query does not end in a zero byte");
+      throw new ProtocolException(
+          ProtocolCodes.PROTOCOL_VIOLATION, "a query does not end in a zero byte");
     }
     ByteBuf text = message.slice(message.readerIndex(), message.readableBytes() - 1);
-    String idle = Query.idleCommand(text);
+    String idle = Query.sessionCommand(text);
     if (Query.isBlank(text)) {
-      reply(MessageEncoder::empty);
+      reply(MessageEncoder::emptyQueryResponse);
     } else if (idle != null) {
-      reply(out -> MessageEncoder.complete(out, idle));
+      reply(out -> MessageEncoder.commandComplete(out, idle));
     } else {
       take(text);
     }
@@ -379,21 +389,23 @@
 
   private void take(ByteBuf text) {
     try {
-      Query query = Query.read(text);
+      Query query = Query.parse(text);
       int workload = clients.workload(query);
       if (clients.refusesAll()) {
         clients.counters().add(Counter.REFUSED_SHUTDOWN);
         throw new ProtocolException(
-            ProtocolCodes.TOO_MANY, "this router ends, and nothing was done");
+            ProtocolCodes.TOO_MANY_CONNECTIONS, "this router ends, and nothing was done");
       }
       // It outlives the buffer that it was read into: later executions send it again.
       ByteBuf kept = socket.alloc().buffer(text.readableBytes()).writeBytes(text);
-      taken = clients.take(this, kept, query, workload, arrived);
+      pendingStatement = clients.take(this, kept, query, workload, arrived);
       lifecycle.takes();
       clients.descriptors().busy(this);
     } catch (ProtocolException fault) {
       clients.spoilt(socket.peer(), fault.getMessage());
-      reply(out -> MessageEncoder.error(out, "ERROR", fault.code, fault.getMessage(), null));
+      reply(
+          out ->
+              MessageEncoder.errorResponse(out, "ERROR", fault.sqlState, fault.getMessage(), null));
     }
   }
 
@@ -401,7 +413,7 @@
   private void reply(Consumer<ByteBuf> what) {
     ByteBuf out = socket.alloc().buffer();
     what.accept(out);
-    MessageEncoder.ready(out);
+    MessageEncoder.readyForQuery(out);
     socket.write(out);
   }
 
@@ -412,10 +424,10 @@
       return;
     }
     long size = row.stream().mapToLong(ByteBuf::readableBytes).sum();
-    if (!budget.hold(size)) {
+    if (!budget.reserve(size)) {
       budget.release(size);
       row.forEach(ByteBuf::release);
-      answerError(ProtocolCodes.UNKNOWN_EFFECT, "there is no memory for the answer", null);
+      answerError(ProtocolCodes.SYSTEM_ERROR, "there is no memory for the answer", null);
       return;
     }
     ByteBuf end = socket.alloc().buffer();
@@ -427,8 +439,8 @@
         socket.write(slice);
       }
     }
-    MessageEncoder.ready(end);
-    StatementTrace.Life life = taken.life;
+    MessageEncoder.readyForQuery(end);
+    StatementTrace.Life life = pendingStatement.life;
     socket.writeAndFlush(
         end,
         written -> {
@@ -440,17 +452,17 @@
 
   void answerError(String code, String message, String detail) {
     if (lifecycle.isBusy()) {
-      StatementTrace.Life life = taken.life;
+      StatementTrace.Life life = pendingStatement.life;
       ByteBuf out = socket.alloc().buffer();
-      MessageEncoder.error(out, "ERROR", code, message, detail);
-      MessageEncoder.ready(out);
+      MessageEncoder.errorResponse(out, "ERROR", code, message, detail);
+      MessageEncoder.readyForQuery(out);
       socket.writeAndFlush(out, written -> clients.lives().ends(life, written ? "out" : "lost"));
       answered();
     }
   }
 
   private void answered() {
-    taken = null;
+    pendingStatement = null;
     lifecycle.answered();
     idles();
     pump();
@@ -458,7 +470,7 @@
 
   private void idles() {
     idleSince = clients.now();
-    partSince = frames.size() == 0 ? Moment.NEVER : idleSince;
+    partSince = decoder.bufferedBytes() == 0 ? Moment.NEVER : idleSince;
   }
 
   /**
@@ -492,7 +504,7 @@
 
   @Override
   public boolean hasPartOfMessage() {
-    return frames.size() > 0;
+    return decoder.bufferedBytes() > 0;
   }
 
   @Override
@@ -510,13 +522,13 @@
    * again.
    */
   @Override
-  public boolean endIdle(CloseReason why) {
-    if (!asked && why != CloseReason.SILENT) {
+  public boolean endIdle(CloseReason closeReason) {
+    if (!asked && closeReason != CloseReason.SILENT) {
       // Its first statement may cross this, and no client sends that again as one on an idle
       // connection.
-      return why == CloseReason.SHUTDOWN ? refuse(routerEnds(), why) : turnAway();
+      return closeReason == CloseReason.SHUTDOWN ? refuse(routerEnds(), closeReason) : turnAway();
     }
-    if (!lifecycle.endsIdle(why)) {
+    if (!lifecycle.endsIdle(closeReason)) {
       clients.counters().add(Counter.CLIENT_END_DECLINED);
       return false;
     }
@@ -531,10 +543,10 @@
     }
     ByteBuf out = socket.alloc().buffer();
     long millis = clients.comeBackMillis();
-    MessageEncoder.error(
+    MessageEncoder.errorResponse(
         out,
         "FATAL",
-        ProtocolCodes.TOO_MANY,
+        ProtocolCodes.TOO_MANY_CONNECTIONS,
         "too many connections are open",
         millis > 0 ? "" + millis : null);
     ends(out);
@@ -575,7 +587,7 @@
 
   private void ended() {
     toldAt = clients.now();
-    int bytes = frames.size();
+    int bytes = decoder.bufferedBytes();
     released();
     clients.ends(number, socket.peer(), lifecycle.reason(), bytes);
     clients.descriptors().lingers(this);
@@ -612,15 +624,15 @@
 
   /** Whether its client is there and has had no answer to the statement. */
   boolean waitsFor(PendingStatement statement) {
-    return lifecycle.isBusy() && taken == statement;
+    return lifecycle.isBusy() && pendingStatement == statement;
   }
 
   boolean hasAsked() {
     return asked;
   }
 
-  private void close(CloseReason why) {
-    gone(why);
+  private void close(CloseReason closeReason) {
+    gone(closeReason);
     socket.close();
   }
 
@@ -645,29 +657,30 @@
     Event.FAULT.fault(LOG, "", cause, "talking to client " + socket.peer());
     if (lifecycle.isOpen()) {
       after =
-          new ProtocolException(ProtocolCodes.TOO_MANY, "the router could not read what was sent");
+          new ProtocolException(
+              ProtocolCodes.TOO_MANY_CONNECTIONS, "the router could not read what was sent");
       if (lifecycle.takesMessages()) {
         refuse(after, CloseReason.FAULT);
       }
     }
   }
 
-  private void gone(CloseReason why) {
+  private void gone(CloseReason closeReason) {
     boolean wasOpen = lifecycle.isOpen();
-    if (lifecycle.closed(why) && wasOpen) {
-      clients.counters().add(why.counter);
-      clients.lives().connectionEnds(socket.peer(), why, frames.size());
+    if (lifecycle.closed(closeReason) && wasOpen) {
+      clients.counters().add(closeReason.counter);
+      clients.lives().connectionEnds(socket.peer(), closeReason, decoder.bufferedBytes());
       released();
     }
   }
 
   /** Nothing more is taken from it. */
   private void released() {
-    frames.release();
+    decoder.release();
     if (asked) {
       clients.descriptors().asksNoMore();
     }
-    clients.left(this, taken);
-    taken = null;
+    clients.left(this, pendingStatement);
+    pendingStatement = null;
   }
 }
--- a/router/src/main/java/basaltlever/net/ClientHost.java
+++ b/router/src/main/java/basaltlever/net/ClientHost.java
@@ -30,7 +30,7 @@
       ClientConnection client, ByteBuf text, Query query, int workload, Moment arrived);
 
   /** The client waits for nothing any more, if it did for this statement; null for none. */
-  void left(ClientConnection connection, PendingStatement taken);
+  void left(ClientConnection connection, PendingStatement pendingStatement);
 
   /** The system has closed the connection. */
   void closed(ClientConnection connection);
@@ -39,7 +39,7 @@
    * This router ends the connection, for this reason, with so many bytes of a message that had not
    * come whole.
    */
-  void ends(long connection, Object client, CloseReason why, int bytes);
+  void ends(long connection, Object client, CloseReason closeReason, int bytes);
 
   /** The client sent what can't be used. */
   void spoilt(Object client, String what);
--- a/router/src/main/java/basaltlever/net/ClientLifecycle.java
+++ b/router/src/main/java/basaltlever/net/ClientLifecycle.java
@@ -120,7 +120,7 @@
    * sends meanwhile is closed over. False where the connection goes on, since its client has sent
    * something by now or has not taken its last answer.
    */
-  boolean endsIdle(CloseReason why) {
+  boolean endsIdle(CloseReason closeReason) {
     if (!isIdle() || !connection.isAllWritten()) {
       return false;
     }
@@ -129,7 +129,7 @@
       return false;
     }
     connection.endSending();
-    reason = why;
+    reason = closeReason;
     enter(State.HALF_CLOSED);
     return true;
   }
@@ -143,16 +143,16 @@
    * not taken. False where a statement is in hand, which is owed its own answer, or where the
    * connection ends already.
    */
-  boolean beginsToEndWithError(CloseReason why) {
+  boolean beginsToEndWithError(CloseReason closeReason) {
     if (!takesMessages()) {
       return false;
     }
-    ends(why);
+    ends(closeReason);
     return true;
   }
 
-  private void ends(CloseReason why) {
-    reason = why;
+  private void ends(CloseReason closeReason) {
+    reason = closeReason;
     enter(State.FLUSHING);
   }
 
@@ -165,11 +165,11 @@
    * The client has gone, could not be written to, or has had its time. False where it was closed
    * before.
    */
-  boolean closed(CloseReason why) {
+  boolean closed(CloseReason closeReason) {
     if (state == State.CLOSED) {
       return false;
     }
-    reason = reason == null ? why : reason;
+    reason = reason == null ? closeReason : reason;
     enter(State.CLOSED);
     return true;
   }
--- a/router/src/main/java/basaltlever/net/ClientSessions.java
+++ b/router/src/main/java/basaltlever/net/ClientSessions.java
@@ -27,16 +27,16 @@
    */
   private static final double COMES_BACK = 0.25;
 
-  private final LoopIteration turn;
+  private final LoopIteration iteration;
   private final Descriptors descriptors;
-  private WorkloadSlots places;
+  private WorkloadSlots slots;
   private final int mostOpen;
   private final MemoryBudget budget;
   private final RateLimitedLog bad;
-  private final StatementTrace lives;
+  private final StatementTrace trace;
   private final LinkedHashSet<ClientConnection> connections = new LinkedHashSet<>();
   private StatementRouter<String> core;
-  private AttemptExecutor carrier;
+  private AttemptExecutor executor;
   private long tickets;
   private long accepted;
   private Span comeBack = Span.NONE;
@@ -48,26 +48,26 @@
   private Moment ends = Moment.NEVER;
 
   ClientSessions(
-      LoopIteration turn,
+      LoopIteration iteration,
       Descriptors descriptors,
-      WorkloadSlots places,
+      WorkloadSlots slots,
       int mostOpen,
       MemoryBudget budget,
       RateLimitedLog bad,
-      StatementTrace lives) {
-    this.turn = turn;
+      StatementTrace trace) {
+    this.iteration = iteration;
     this.descriptors = descriptors;
-    this.places = places;
+    this.slots = slots;
     this.mostOpen = mostOpen;
     this.budget = budget;
     this.bad = bad;
-    this.lives = lives;
-    ended = new EndedConnections(turn.clock()::now);
+    this.trace = trace;
+    ended = new EndedConnections(iteration.clock()::now);
   }
 
   void serve(StatementRouter<String> with, AttemptExecutor by) {
     core = with;
-    carrier = by;
+    executor = by;
   }
 
   @Override
@@ -77,7 +77,7 @@
 
   @Override
   public Counters counters() {
-    return turn.counters();
+    return iteration.counters();
   }
 
   @Override
@@ -102,22 +102,22 @@
    * come whole.
    */
   @Override
-  public void ends(long connection, Object client, CloseReason why, int bytes) {
-    counters().add(why.counter);
-    if (why != CloseReason.SHUTDOWN) {
-      ended.note(connection, client, why, bytes);
+  public void ends(long connection, Object client, CloseReason closeReason, int bytes) {
+    counters().add(closeReason.counter);
+    if (closeReason != CloseReason.SHUTDOWN) {
+      ended.note(connection, client, closeReason, bytes);
     }
   }
 
   @Override
   public void messageRead() {
-    turn.load().reads();
+    iteration.load().reads();
   }
 
   /** In the turn behind all reads of this look at the sockets. */
   @Override
   public void later(Runnable step) {
-    turn.hear(now -> step.run());
+    iteration.hear(now -> step.run());
   }
 
   /**
@@ -134,15 +134,15 @@
 
   /** For what is read from here on. */
   void goBy(WorkloadSlots now) {
-    places = now;
+    slots = now;
   }
 
   @Override
   public int workload(Query query) throws ProtocolException {
-    int workload = places.of(query.workload);
+    int workload = slots.of(query.workload);
     if (workload < 0) {
       throw new ProtocolException(
-          ProtocolCodes.VIOLATION, "the workload " + query.workload + " is unknown");
+          ProtocolCodes.PROTOCOL_VIOLATION, "the workload " + query.workload + " is unknown");
     }
     return workload;
   }
@@ -151,50 +151,53 @@
   @Override
   public PendingStatement take(
       ClientConnection client, ByteBuf text, Query query, int workload, Moment arrived) {
-    PendingStatement taken =
+    PendingStatement pendingStatement =
         new PendingStatement(
             ++tickets,
             client,
             text,
             query,
             arrived,
-            lives.areFollowed()
-                ? lives.begins(
-                    query.id, arrived, arrived.plus(Span.ofMillis((double) query.waitMillis)))
+            trace.areFollowed()
+                ? trace.begins(
+                    query.id, arrived, arrived.plus(Span.ofMillis((double) query.timeoutMillis)))
                 : null);
-    boolean fits = budget.hold(text.capacity());
-    turn.hear(
+    boolean fits = budget.reserve(text.capacity());
+    iteration.hear(
         now -> {
           // Its client waits since it sent, not since this loop came to read.
-          taken.owedBy = arrived.plus(Span.ofMillis((double) query.waitMillis)).earlier(ends);
+          pendingStatement.owedBy =
+              arrived.plus(Span.ofMillis((double) query.timeoutMillis)).earlier(ends);
           // Where this loop was held up its client may have gone behind its statement, which nobody
           // has read yet.
           client.readBehind(arrived);
-          if (!client.waitsFor(taken)) {
+          if (!client.waitsFor(pendingStatement)) {
             return;
           }
-          if (carrier.open() >= mostOpen || !fits) {
-            carrier.turnAway(taken);
+          if (executor.open() >= mostOpen || !fits) {
+            executor.turnAway(pendingStatement);
             return;
           }
-          lives.step(taken.life, "taken");
-          carrier.add(taken);
-          carrier.guarded(
-              taken,
+          trace.step(pendingStatement.life, "taken");
+          executor.add(pendingStatement);
+          executor.guarded(
+              pendingStatement,
               () ->
-                  core.taken(
+                  core.statementReceived(
                       now,
-                      taken.ticket,
+                      pendingStatement.ticket,
                       workload,
                       query.group,
-                      query.session,
-                      taken.owedBy,
-                      query.after == 0
+                      query.sessionHash,
+                      pendingStatement.owedBy,
+                      query.lastCommitMillis == 0
                           ? Moment.LONG_AGO
-                          : turn.clockOffset().committed(new Moment(query.after * 1_000)),
-                      taken.text.capacity()));
+                          : iteration
+                              .clockOffset()
+                              .committed(new Moment(query.lastCommitMillis * 1_000)),
+                      pendingStatement.text.capacity()));
         });
-    return taken;
+    return pendingStatement;
   }
 
   /**
@@ -205,31 +208,31 @@
     Moment now = now();
     new ArrayList<>(connections).forEach(connection -> connection.endOverdue(now));
     descriptors.shed(now, KEPT);
-    lives.sweep();
+    trace.sweep();
   }
 
   @Override
   public StatementTrace lives() {
-    return lives;
+    return trace;
   }
 
   /** When the bytes that are read now have come, at the latest. */
   @Override
   public Moment arrival() {
-    return turn.arrival();
+    return iteration.arrival();
   }
 
   @Override
   public Moment now() {
-    return turn.clock().now();
+    return iteration.clock().now();
   }
 
   /** Its client has gone away, or must go. */
   @Override
-  public void left(ClientConnection connection, PendingStatement taken) {
+  public void left(ClientConnection connection, PendingStatement pendingStatement) {
     descriptors.busy(connection);
-    if (taken != null) {
-      carrier.left(taken);
+    if (pendingStatement != null) {
+      executor.left(pendingStatement);
     }
   }
 
--- a/router/src/main/java/basaltlever/net/ConnectionPool.java
+++ b/router/src/main/java/basaltlever/net/ConnectionPool.java
@@ -22,7 +22,7 @@
   private final String name;
   private final Bootstrap bootstrap;
   private final EventLoop loop;
-  private final LoopIteration turn;
+  private final LoopIteration iteration;
   private final Descriptors descriptors;
   private final MemoryBudget budget;
   private Span connectTimeout;
@@ -40,7 +40,7 @@
       String name,
       Bootstrap bootstrap,
       EventLoop loop,
-      LoopIteration turn,
+      LoopIteration iteration,
       Descriptors descriptors,
       MemoryBudget budget,
       Span connectTimeout,
@@ -49,7 +49,7 @@
     this.name = name;
     this.bootstrap = bootstrap;
     this.loop = loop;
-    this.turn = turn;
+    this.iteration = iteration;
     this.descriptors = descriptors;
     this.budget = budget;
     this.bad = bad;
@@ -71,11 +71,11 @@
   }
 
   void count(Counter counter) {
-    turn.counters().add(counter);
+    iteration.counters().add(counter);
   }
 
   Moment now() {
-    return turn.clock().now();
+    return iteration.clock().now();
   }
 
   void at(InetSocketAddress now) {
@@ -85,18 +85,18 @@
     }
   }
 
-  void start(ServerQuery job) {
+  void start(ServerQuery query) {
     // What a node sends unasked right behind an answer, or that it closes then, has shown by now on
     // the
     // longest idle; on the latest it would meet the next query.
     closeStale();
     PooledConnection next = idle.peekLast();
     if (next == null) {
-      open(job);
+      open(query);
     } else {
       idle.removeLast();
       descriptors.busy(next);
-      run(next, job);
+      run(next, query);
     }
   }
 
@@ -108,41 +108,42 @@
 
   private void closeStale() {
     while (!idle.isEmpty() && !now().since(idle.peekLast().idleSince()).isShorterThan(keptFor)) {
-      turn.counters().add(Counter.NODE_CONNECTION_EXPIRED);
+      iteration.counters().add(Counter.NODE_CONNECTION_EXPIRED);
       idle.peekLast().close();
     }
   }
 
-  private void open(ServerQuery job) {
+  private void open(ServerQuery query) {
     if (address == null) {
-      job.endLost(AttemptOutcome.NO_CONNECTION, AttemptOutcome.RESET);
+      query.endLost(AttemptOutcome.NO_CONNECTION, AttemptOutcome.RESET);
       return;
     }
-    switch (descriptors.admitsNode(job.use())) {
-      case OPEN -> connect(job);
-      case WAIT -> descriptors.await(() -> openIfWanted(job));
+    switch (descriptors.admitsNode(query.use())) {
+      case OPEN -> connect(query);
+      case WAIT -> descriptors.await(() -> openIfWanted(query));
       default -> {
-        turn.counters()
+        iteration
+            .counters()
             .add(
-                job.use() == Descriptors.Use.EXECUTION
+                query.use() == Descriptors.Use.EXECUTION
                     ? Counter.EXECUTION_WITHOUT_DESCRIPTOR
                     : Counter.POLL_WITHOUT_DESCRIPTOR);
-        job.endLost(AttemptOutcome.NO_DESCRIPTOR, AttemptOutcome.NO_DESCRIPTOR);
+        query.endLost(AttemptOutcome.NO_DESCRIPTOR, AttemptOutcome.NO_DESCRIPTOR);
       }
     }
   }
 
   /** While it waited for a descriptor its time may have passed, or a connection become free. */
-  private void openIfWanted(ServerQuery job) {
-    if (job.isOver() || job.isTooLate(now())) {
-      job.endLost(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
+  private void openIfWanted(ServerQuery query) {
+    if (query.isOver() || query.isTooLate(now())) {
+      query.endLost(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
     } else {
-      start(job);
+      start(query);
     }
   }
 
-  private void connect(ServerQuery job) {
-    PooledConnection connection = new PooledConnection(this, address, budget, job);
+  private void connect(ServerQuery query) {
+    PooledConnection connection = new PooledConnection(this, address, budget, query);
     ChannelFuture connecting = bootstrap.clone().handler(connection).connect(address);
     if (connecting.isDone() && !connecting.isSuccess()) {
       // No socket was to be had, or no way leads there: such a channel may belong to no loop.
@@ -151,7 +152,7 @@
     }
     connection.opens(connecting.channel(), connectTimeout.micros());
     opening++;
-    turn.counters().add(Counter.NODE_CONNECTION_OPENED);
+    iteration.counters().add(Counter.NODE_CONNECTION_OPENED);
     connecting.addListener(
         done -> {
           opening--;
@@ -167,9 +168,9 @@
    * left long before.
    */
   void welcomed(PooledConnection connection) {
-    turn.hear(
+    iteration.hear(
         now ->
-            turn.act(
+            iteration.act(
                 () -> {
                   ServerQuery first = connection.first();
                   if (first != null) {
@@ -179,12 +180,12 @@
   }
 
   /** Its job may have ended while the connection came up. */
-  void run(PooledConnection connection, ServerQuery job) {
-    if (job.isOver() || job.isTooLate(now())) {
-      job.endLost(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
+  void run(PooledConnection connection, ServerQuery query) {
+    if (query.isOver() || query.isTooLate(now())) {
+      query.endLost(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
       free(connection);
     } else {
-      connection.run(job);
+      connection.run(query);
     }
   }
 
--- a/router/src/main/java/basaltlever/net/Descriptors.java
+++ b/router/src/main/java/basaltlever/net/Descriptors.java
@@ -23,7 +23,7 @@
   /** A connection that can be ended between two uses of it. */
   interface Idle {
     /** False where it is in use after all: its peer has sent something that was not read yet. */
-    boolean endIdle(CloseReason why);
+    boolean endIdle(CloseReason closeReason);
 
     Moment idleSince();
   }
@@ -395,10 +395,10 @@
   }
 
   /** The longest idle that can be ended; one that turns out to be in use is passed over. */
-  private static boolean evict(Set<Idle> from, CloseReason why) {
+  private static boolean evict(Set<Idle> from, CloseReason closeReason) {
     for (int i = 0; i < MOST_CANDIDATES && !from.isEmpty(); i++) {
       Idle longest = from.iterator().next();
-      if (longest.endIdle(why)) {
+      if (longest.endIdle(closeReason)) {
         from.remove(longest);
         return true;
       }
--- a/router/src/main/java/basaltlever/net/DiscoveryWatch.java
+++ b/router/src/main/java/basaltlever/net/DiscoveryWatch.java
@@ -57,7 +57,7 @@
   private static final Span READS_FOR = Span.ofMillis(15);
 
   private final Bootstrap bootstrap;
-  private final LoopIteration turn;
+  private final LoopIteration iteration;
   private final EndpointList list;
   private final StatementRouter<String> core;
   private InetSocketAddress discovery;
@@ -73,12 +73,12 @@
   DiscoveryWatch(
       Bootstrap bootstrap,
       InetSocketAddress discovery,
-      LoopIteration turn,
+      LoopIteration iteration,
       EndpointList list,
       StatementRouter<String> core) {
     this.bootstrap = bootstrap;
     this.discovery = discovery;
-    this.turn = turn;
+    this.iteration = iteration;
     this.list = list;
     this.core = core;
   }
@@ -90,7 +90,7 @@
   void moveTo(InetSocketAddress other) {
     if (!other.equals(discovery)) {
       discovery = other;
-      list.forget();
+      list.requestFullList();
       if (standing != null) {
         standing.isOutdated();
       }
@@ -211,7 +211,7 @@
       ByteBuf bytes = (ByteBuf) in;
       try {
         reader.read(bytes);
-        if (reader.isOver()) {
+        if (reader.isComplete()) {
           fail("the watch ended");
         }
       } finally {
@@ -231,10 +231,10 @@
     @Override
     public void entry(EndpointEntry entry) {
       lastWhole = lastByte;
-      turn.counters().add(Counter.LIST_ENTRIES_READ);
-      if (entry.listing() != EndpointLifecycle.READY && !outdated) {
+      iteration.counters().add(Counter.LIST_ENTRIES_READ);
+      if (entry.lifecycle() != EndpointLifecycle.READY && !outdated) {
         if (early.isEmpty()) {
-          turn.hearNews(this::takeEarly);
+          iteration.hearNews(this::takeEarly);
         }
         early.add(entry);
       }
@@ -261,16 +261,16 @@
         standing = this;
         opening = null;
       }
-      turn.hearNews(now -> take(now, update));
+      iteration.hearNews(now -> take(now, update));
     }
 
     private void take(Moment now, EndpointUpdate update) {
       try {
         if (!outdated) {
-          list.take(now, update, true);
+          list.takeUpdate(now, update, true);
         }
       } catch (InvalidEndpointListException broken) {
-        list.forget();
+        list.requestFullList();
         outdated = true;
         fail(broken.getMessage());
       }
@@ -298,9 +298,9 @@
     }
 
     private void failed(String why) {
-      turn.counters().add(Counter.LIST_CALL_FAILED);
+      iteration.counters().add(Counter.LIST_CALL_FAILED);
       Event.WATCH_FAILED.log(LOG, Level.INFO, "", why);
-      turn.hear(core::listFailed);
+      iteration.hear(core::listCallFailed);
     }
 
     private void isOutdated() {
--- a/router/src/main/java/basaltlever/net/EndedConnections.java
+++ b/router/src/main/java/basaltlever/net/EndedConnections.java
@@ -24,14 +24,14 @@
     this.clock = clock;
   }
 
-  void note(long connection, Object client, CloseReason why, int bytes) {
+  void note(long connection, Object client, CloseReason closeReason, int bytes) {
     Moment now = clock.get();
     if (!now.since(second).isShorterThan(SECOND)) {
       second = now;
       lines = 0;
     }
     if (lines++ < LINES_A_SECOND) {
-      Event.CLIENT_ENDED.log(LOG, Level.INFO, "", connection, client, why, bytes);
+      Event.CLIENT_ENDED.log(LOG, Level.INFO, "", connection, client, closeReason, bytes);
     }
   }
 }
--- a/router/src/main/java/basaltlever/net/LeaseGuard.java
+++ b/router/src/main/java/basaltlever/net/LeaseGuard.java
@@ -30,10 +30,10 @@
 
   private static final int NONE = -1;
 
-  private final LeaseHolder follower = new LeaseHolder();
+  private final LeaseHolder leaseHolder = new LeaseHolder();
   private final StartFile own;
   private final Span widestBound;
-  private final MembershipView roll;
+  private final MembershipView membership;
   private final EndpointList list;
   private final BiConsumer<StartFile, Settings> keepTo;
 
@@ -54,12 +54,12 @@
   LeaseGuard(
       StartFile own,
       Span widestBound,
-      MembershipView roll,
+      MembershipView membership,
       EndpointList list,
       Runnable asksAnew,
       BiConsumer<StartFile, Settings> keepTo) {
     this.own = own;
-    this.roll = roll;
+    this.membership = membership;
     this.list = list;
     this.asksAnew = asksAnew;
     this.widestBound = widestBound;
@@ -68,7 +68,7 @@
   }
 
   LeaseHolder follower() {
-    return follower;
+    return leaseHolder;
   }
 
   long refused() {
@@ -85,7 +85,7 @@
    * node's budget, how long it takes to warm, how long a list may be kept.
    */
   void begin(SettingsVersion told) {
-    Settings holds = own.values().agreed();
+    Settings holds = own.startValues().settings();
     if (told != null) {
       // As any version: by place, other names would give one workload the times of another.
       String fault = fault(told);
@@ -107,22 +107,22 @@
         told == null ? "none" : told.number(),
         "none",
         true);
-    keepTo.accept(own, StricterSettings.careful(holds));
+    keepTo.accept(own, StricterSettings.strictest(holds));
   }
 
   /**
    * Counts up with every other thing that is kept to; none where what is kept to is over by now.
    */
   int stance(Moment now) {
-    return follower.isOver(now) || roll.isAdrift(now) != adrift ? NONE : stance;
+    return leaseHolder.isExpired(now) || membership.isOutOfContact(now) != adrift ? NONE : stance;
   }
 
   /** At the beginning of a turn. */
   void look(Moment now) {
-    if (follower.hasJustEnded(now)) {
+    if (leaseHolder.noteExpiry(now)) {
       keep();
     }
-    if (roll.isAdrift(now) != adrift) {
+    if (membership.isOutOfContact(now) != adrift) {
       drifts(now);
     }
   }
@@ -132,20 +132,20 @@
    * comes.
    */
   private void drifts(Moment now) {
-    adrift = roll.isAdrift(now);
+    adrift = membership.isOutOfContact(now);
     stance++;
     Event.ADRIFT.log(
         LOG,
         Level.WARN,
         adrift ? "no member is used" : "members are used again",
-        now.since(follower.leaseEnds()).micros() / 1_000);
-    list.apply(now);
+        now.since(leaseHolder.leaseEnds()).micros() / 1_000);
+    list.publishMembershipChanges(now);
   }
 
   /** With what the fleet makes of lists; null where its leader says nothing of them. */
-  void granted(Moment now, LeaseGrant grant, MembershipUpdate sight) {
-    if (sight != null) {
-      roll.heard(now, sight);
+  void granted(Moment now, LeaseGrant grant, MembershipUpdate update) {
+    if (update != null) {
+      membership.receiveUpdate(now, update);
     }
     if (grant.prepared() != null && grant.prepared().number() != refused) {
       String fault = fault(grant.prepared());
@@ -157,25 +157,29 @@
     }
     // A version that this router can't hold is not kept to either; the leader withdraws it for all.
     boolean takes = grant.prepared() == null || grant.prepared().number() != refused;
-    if (follower.granted(
+    if (leaseHolder.acceptGrant(
         now,
         takes
             ? grant
             : new LeaseGrant(
-                grant.beat(), grant.lasts(), grant.inForce(), null, grant.changes()))) {
+                grant.heartbeatNumber(),
+                grant.duration(),
+                grant.inForce(),
+                null,
+                grant.changeCount()))) {
       keep();
     }
-    if (grant.lasts().micros() > 0) {
+    if (grant.duration().micros() > 0) {
       // One that was replaced without knowing it goes on answering, with nothing to give.
-      roll.leased(follower.leaseEnds());
+      membership.extendLease(leaseHolder.leaseEnds());
     }
-    if (roll.isAdrift(now) != adrift) {
+    if (membership.isOutOfContact(now) != adrift) {
       drifts(now);
-    } else if (sight != null) {
-      list.apply(now);
+    } else if (update != null) {
+      list.publishMembershipChanges(now);
     }
-    if (roll.wantsList() && era != roll.era()) {
-      era = roll.era();
+    if (membership.needsList() && era != membership.era()) {
+      era = membership.era();
       asksAnew.run();
     }
   }
@@ -183,13 +187,14 @@
   private String fault(SettingsVersion version) {
     try {
       StartFile next = file(version);
-      List<String> fixed = next.fixedInFleet(own);
+      List<String> fixed = next.changesOfFixedFleetSettings(own);
       if (!fixed.isEmpty()) {
         return String.join(", ", fixed) + ": takes a restart";
       }
       return String.join(
           "; ",
-          SettingsConstraints.brokenBy(next.values().agreed(), own.values().agreed(), widestBound));
+          SettingsConstraints.findViolations(
+              next.startValues().settings(), own.startValues().settings(), widestBound));
     } catch (InvalidSettingsException fault) {
       return fault.getMessage().replace('\n', ';');
     }
@@ -198,7 +203,7 @@
   /** Of one that is free of faults. */
   private Settings agreed(SettingsVersion version) {
     try {
-      return file(version).values().agreed();
+      return file(version).startValues().settings();
     } catch (InvalidSettingsException impossible) {
       throw new IllegalStateException(impossible);
     }
@@ -210,16 +215,16 @@
 
   private void keep() {
     stance++;
-    SettingsVersion known = follower.inForce();
-    SettingsVersion next = follower.prepared();
+    SettingsVersion known = leaseHolder.inForce();
+    SettingsVersion next = leaseHolder.prepared();
     Settings holds;
     try {
       force = known == null ? own : file(known);
-      holds = force.values().agreed();
-      if (follower.isCareful()) {
-        holds = StricterSettings.careful(holds);
+      holds = force.startValues().settings();
+      if (leaseHolder.isRestricted()) {
+        holds = StricterSettings.strictest(holds);
       } else if (next != null) {
-        holds = StricterSettings.of(holds, file(next).values().agreed());
+        holds = StricterSettings.of(holds, file(next).startValues().settings());
       }
     } catch (InvalidSettingsException impossible) {
       // It was checked before it came into force, by this build or by another: whoever can't read
@@ -227,7 +232,7 @@
       // all others act on acts on nothing that could contradict it.
       Event.FLEET_TURNED_DOWN.log(
           LOG, Level.ERROR, "kept to with care", known.number(), impossible.getMessage());
-      holds = StricterSettings.careful(own.values().agreed());
+      holds = StricterSettings.strictest(own.startValues().settings());
     }
     Event.FLEET_KEEPS.log(
         LOG,
@@ -235,7 +240,7 @@
         "",
         known == null ? "none" : known.number(),
         next == null ? "none" : next.number(),
-        follower.isCareful());
+        leaseHolder.isRestricted());
     keepTo.accept(force, holds);
   }
 }
--- a/router/src/main/java/basaltlever/net/LoopIteration.java
+++ b/router/src/main/java/basaltlever/net/LoopIteration.java
@@ -52,16 +52,16 @@
   private boolean looksAgain;
   private Moment now;
   private Moment began;
-  private final ReadinessClock looks;
+  private final ReadinessClock readinessClock;
   private final IterationLoad load = new IterationLoad();
 
   /** What is to be done behind each turn. */
   private Runnable last = () -> {};
 
-  LoopIteration(SingleThreadEventLoop loop, Clock clock, ReadinessClock looks) {
+  LoopIteration(SingleThreadEventLoop loop, Clock clock, ReadinessClock readinessClock) {
     this.loop = loop;
     this.clock = clock;
-    this.looks = looks;
+    this.readinessClock = readinessClock;
     slowTurns = new RateLimitedLog(LOG, Event.TURN_SLOW, clock::now);
     now = clock.now();
     began = now;
@@ -94,7 +94,7 @@
    */
   Moment arrival() {
     begins();
-    return looks.cameSince();
+    return readinessClock.cameSince();
   }
 
   /** What the turn under way has had to do. */
@@ -105,7 +105,7 @@
   private void begins() {
     if (!asked) {
       asked = true;
-      looks.cameSince();
+      readinessClock.cameSince();
       began = clock.now();
       loop.executeAfterEventLoopIteration(this::run);
     }
--- a/router/src/main/java/basaltlever/net/PooledConnection.java
+++ b/router/src/main/java/basaltlever/net/PooledConnection.java
@@ -38,13 +38,13 @@
     CLOSED
   }
 
-  private final ConnectionPool link;
+  private final ConnectionPool pool;
   private final InetSocketAddress address;
-  private final MessageDecoder frames;
+  private final MessageDecoder decoder;
   private Channel channel;
   private State state = State.OPENING;
-  private ServerQuery job;
-  private QueryResponse answer;
+  private ServerQuery query;
+  private QueryResponse response;
   private Future<?> upBy;
   private Moment idleSince;
 
@@ -56,12 +56,12 @@
 
   /** Opens it for the job, which is its own until the job is over. */
   PooledConnection(
-      ConnectionPool link, InetSocketAddress address, MemoryBudget budget, ServerQuery job) {
-    this.link = link;
+      ConnectionPool pool, InetSocketAddress address, MemoryBudget budget, ServerQuery query) {
+    this.pool = pool;
     this.address = address;
-    frames = new MessageDecoder(LARGEST, budget);
-    this.job = job;
-    job.on(this);
+    decoder = new MessageDecoder(LARGEST, budget);
+    this.query = query;
+    query.on(this);
   }
 
   void opens(Channel opening, long micros) {
@@ -72,7 +72,7 @@
             .schedule(
                 () -> {
                   if (state == State.OPENING) {
-                    link.count(Counter.NODE_CONNECT_TIMED_OUT);
+                    pool.count(Counter.NODE_CONNECT_TIMED_OUT);
                     close();
                   }
                 },
@@ -90,16 +90,16 @@
     if (state != State.OPENING) {
       return null;
     }
-    ServerQuery first = job;
+    ServerQuery first = query;
     idle();
     return first;
   }
 
   void run(ServerQuery next) {
     state = State.BUSY;
-    job = next;
+    query = next;
     next.on(this);
-    answer = new QueryResponse();
+    response = new QueryResponse();
     ByteBuf out = channel.alloc().buffer();
     next.write(out);
     channel
@@ -115,7 +115,7 @@
   @Override
   public void channelActive(ChannelHandlerContext context) {
     ByteBuf out = context.alloc().buffer();
-    MessageEncoder.startup(out, "app", "shop");
+    MessageEncoder.startupMessage(out, "app", "shop");
     context.writeAndFlush(out);
   }
 
@@ -125,64 +125,68 @@
       ((ByteBuf) in).release();
       return;
     }
-    frames.add((ByteBuf) in);
-    for (ByteBuf m = frames.next(); m != null && state != State.CLOSED; m = frames.next()) {
+    decoder.add((ByteBuf) in);
+    for (ByteBuf m = decoder.nextMessage();
+        m != null && state != State.CLOSED;
+        m = decoder.nextMessage()) {
       message(m);
     }
-    if ((state == State.IDLE || (state == State.OPENING && welcomed)) && frames.size() > 0) {
+    if ((state == State.IDLE || (state == State.OPENING && welcomed))
+        && decoder.bufferedBytes() > 0) {
       // Its rest would be taken for the beginning of the next query's answer.
-      throw new ProtocolException(ProtocolCodes.VIOLATION, "half a message that nobody asked for");
+      throw new ProtocolException(
+          ProtocolCodes.PROTOCOL_VIOLATION, "half a message that nobody asked for");
     }
   }
 
   private void message(ByteBuf message) throws ProtocolException {
     byte type = message.getByte(message.readerIndex());
     if (state == State.BUSY) {
-      if (answer.add(message)) {
+      if (response.add(message)) {
         finished();
-      } else if (answer.isHopeless()) {
+      } else if (response.isUnusable()) {
         throw new ProtocolException(
-            ProtocolCodes.VIOLATION, "an answer is no row, or goes on without end");
+            ProtocolCodes.PROTOCOL_VIOLATION, "an answer is no row, or goes on without end");
       }
-    } else if (type == ProtocolCodes.READY && state == State.OPENING && !welcomed) {
-      if (frames.size() > 0) {
-        throw new ProtocolException(ProtocolCodes.VIOLATION, "more than a welcome");
+    } else if (type == ProtocolCodes.READY_FOR_QUERY && state == State.OPENING && !welcomed) {
+      if (decoder.bufferedBytes() > 0) {
+        throw new ProtocolException(ProtocolCodes.PROTOCOL_VIOLATION, "more than a welcome");
       }
       upBy.cancel(false);
       welcomed = true;
-      link.welcomed(this);
-    } else if (type == ProtocolCodes.ERROR && state == State.OPENING) {
-      LOG.debug("{} turned a connection away: {}", link, QueryResponse.field(message, 'C'));
+      pool.welcomed(this);
+    } else if (type == ProtocolCodes.ERROR_RESPONSE && state == State.OPENING) {
+      LOG.debug("{} turned a connection away: {}", pool, QueryResponse.errorField(message, 'C'));
       close();
-    } else if (type == ProtocolCodes.ERROR && state == State.IDLE) {
+    } else if (type == ProtocolCodes.ERROR_RESPONSE && state == State.IDLE) {
       close();
-    } else if (type != ProtocolCodes.STATUS
-        && type != ProtocolCodes.NOTICE
-        && type != ProtocolCodes.KEY
+    } else if (type != ProtocolCodes.PARAMETER_STATUS
+        && type != ProtocolCodes.NOTICE_RESPONSE
+        && type != ProtocolCodes.BACKEND_KEY_DATA
         && !(type == ProtocolCodes.AUTHENTICATION
             && state == State.OPENING
             && isAdmission(message))) {
       throw new ProtocolException(
-          ProtocolCodes.VIOLATION, "a message of type " + type + " that nobody asked for");
+          ProtocolCodes.PROTOCOL_VIOLATION, "a message of type " + type + " that nobody asked for");
     }
   }
 
   private static boolean isAdmission(ByteBuf message) {
-    return message.readableBytes() == MessageDecoder.HEAD + 4
-        && message.getInt(message.readerIndex() + MessageDecoder.HEAD) == 0;
+    return message.readableBytes() == MessageDecoder.HEADER_BYTES + 4
+        && message.getInt(message.readerIndex() + MessageDecoder.HEADER_BYTES) == 0;
   }
 
   private void finished() {
-    ServerQuery done = job;
-    QueryResponse whole = answer;
-    answer = null;
-    if (frames.size() == 0 && (whole.isRow() || whole.error() != null)) {
+    ServerQuery done = query;
+    QueryResponse whole = response;
+    response = null;
+    if (decoder.bufferedBytes() == 0 && (whole.isSingleRow() || whole.sqlState() != null)) {
       idle();
       done.endAnswered(whole);
-      link.free(this);
+      pool.free(this);
     } else {
       // A good answer stands, but what follows it unasked would be taken for the next one's.
-      link.spoilt("an answer to a query is none, or more than one");
+      pool.spoilt("an answer to a query is none, or more than one");
       done.endAnswered(whole);
       close();
     }
@@ -190,8 +194,8 @@
 
   private void idle() {
     state = State.IDLE;
-    job = null;
-    idleSince = link.now();
+    query = null;
+    idleSince = pool.now();
   }
 
   InetSocketAddress address() {
@@ -208,14 +212,14 @@
   /** One that is still being opened may serve another query. */
   void abandon() {
     if (state != State.OPENING) {
-      link.count(Counter.NODE_CONNECTION_ABANDONED);
+      pool.count(Counter.NODE_CONNECTION_ABANDONED);
       close();
     }
   }
 
   @Override
-  public boolean endIdle(CloseReason why) {
-    link.count(Counter.NODE_CONNECTION_EVICTED);
+  public boolean endIdle(CloseReason closeReason) {
+    pool.count(Counter.NODE_CONNECTION_EVICTED);
     close();
     return true;
   }
@@ -230,7 +234,7 @@
   @Override
   public void channelInactive(ChannelHandlerContext context) {
     if (state != State.CLOSED) {
-      link.count(Counter.NODE_CONNECTION_LOST);
+      pool.count(Counter.NODE_CONNECTION_LOST);
     }
     gone();
   }
@@ -239,9 +243,9 @@
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     if (cause instanceof ProtocolException) {
       spoilt = true;
-      link.spoilt(cause.getMessage());
+      pool.spoilt(cause.getMessage());
     } else if (!(cause instanceof java.io.IOException)) {
-      Event.FAULT.fault(LOG, "", cause, "talking to node " + link);
+      Event.FAULT.fault(LOG, "", cause, "talking to node " + pool);
     }
     close();
   }
@@ -255,13 +259,13 @@
     if (upBy != null) {
       upBy.cancel(false);
     }
-    frames.release();
-    link.closed(this);
-    ServerQuery lost = job;
-    job = null;
-    QueryResponse cut = answer;
-    answer = null;
-    if (lost != null && cut != null && cut.error() != null && !spoilt) {
+    decoder.release();
+    pool.closed(this);
+    ServerQuery lost = query;
+    query = null;
+    QueryResponse cut = response;
+    response = null;
+    if (lost != null && cut != null && cut.sqlState() != null && !spoilt) {
       // A fatal error needs no ReadyForQuery: what it says was proven before the end.
       lost.endAnswered(cut);
       return;
--- a/router/src/main/java/basaltlever/net/PreciseSelectStrategy.java
+++ b/router/src/main/java/basaltlever/net/PreciseSelectStrategy.java
@@ -26,17 +26,17 @@
   private final IoHandler sockets;
   private final Rounded rounded = new Rounded();
 
-  private final ReadinessClock looks;
+  private final ReadinessClock readinessClock;
 
-  private PreciseSelectStrategy(IoHandler sockets, ReadinessClock looks) {
+  private PreciseSelectStrategy(IoHandler sockets, ReadinessClock readinessClock) {
     this.sockets = sockets;
-    this.looks = looks;
+    this.readinessClock = readinessClock;
   }
 
   /** For one loop, whose looks at its sockets the clock is told of. */
-  static IoHandlerFactory newFactory(ReadinessClock looks) {
+  static IoHandlerFactory newFactory(ReadinessClock readinessClock) {
     IoHandlerFactory sockets = NioIoHandler.newFactory();
-    return executor -> new PreciseSelectStrategy(sockets.newHandler(executor), looks);
+    return executor -> new PreciseSelectStrategy(sockets.newHandler(executor), readinessClock);
   }
 
   private final class Rounded implements IoHandlerContext {
@@ -56,7 +56,7 @@
     @Override
     public long delayNanos(long now) {
       long delay = up(of.delayNanos(now));
-      looks.waits(new Span(Math.max(0, Math.min(delay, LONGEST_WAIT)) / MICRO));
+      readinessClock.waits(new Span(Math.max(0, Math.min(delay, LONGEST_WAIT)) / MICRO));
       return delay;
     }
 
@@ -79,9 +79,9 @@
   @Override
   public int run(IoHandlerContext context) {
     rounded.of = context;
-    looks.begins();
+    readinessClock.begins();
     int handled = sockets.run(rounded);
-    looks.ends();
+    readinessClock.ends();
     return handled;
   }
 
--- a/router/src/main/java/basaltlever/net/Router.java
+++ b/router/src/main/java/basaltlever/net/Router.java
@@ -123,9 +123,9 @@
   private volatile OperatorFile operator;
 
   /** Set by the thread that starts and reloads, ended by the loop. */
-  private volatile SnapshotWriter keeper;
+  private volatile SnapshotWriter snapshotWriter;
 
-  private LoopIteration turn;
+  private LoopIteration iteration;
   private StatementRouter<String> core;
   private EndpointList list;
   private DiscoveryWatch watch;
@@ -141,22 +141,22 @@
   private volatile Channel listener;
   private AcceptHandler accepting;
   private Clock clock;
-  private ReadinessClock looks;
+  private ReadinessClock readinessClock;
   private ClientSessions clients;
-  private WorkloadSlots places;
+  private WorkloadSlots slots;
   private RateLimitedLog badClients;
-  private AttemptExecutor carrier;
+  private AttemptExecutor executor;
   private HoldBudget holds;
   private Span longestTimeout;
 
   /** Statements that take longer are followed in the log; null for none. */
   private Span follows;
 
-  private StatementTrace lives;
+  private StatementTrace trace;
   private Moment swept;
   private volatile FleetMember fleet;
-  private LeaseGuard keeping;
-  private MembershipView roll;
+  private LeaseGuard leaseGuard;
+  private MembershipView membership;
   private PooledByteBufAllocator buffers;
 
   /** To be said before it starts: the life of each statement that takes longer goes to the log. */
@@ -173,27 +173,30 @@
     start = StartFile.read(from);
     inForce = start;
     operator = with;
-    keeper = keeper();
-    Span longest = start.values().longestTimeout();
+    snapshotWriter = keeper();
+    Span longest = start.startValues().longestTimeout();
     if (with != null
         && with.fleet() != null
-        && with.fleet().assigned().isShorterThan(longest.plus(with.fleet().stated()))) {
+        && with.fleet()
+            .assignmentLifetime()
+            .isShorterThan(longest.plus(with.fleet().fencingTime()))) {
       throw new InvalidSettingsException(
           List.of(
               "fleet.assigned_ms is "
-                  + with.fleet().assigned().micros() / 1_000
+                  + with.fleet().assignmentLifetime().micros() / 1_000
                   + ", less than fleet.stated_ms and the longest HardLimit together: what is out at a member then"
                   + " would not be over"));
     }
     enter(RouterPhase.DISCOVERING);
     clock = new Clock();
-    looks = new ReadinessClock(clock::now);
-    group = new MultiThreadIoEventLoopGroup(1, PreciseSelectStrategy.newFactory(looks));
+    readinessClock = new ReadinessClock(clock::now);
+    group = new MultiThreadIoEventLoopGroup(1, PreciseSelectStrategy.newFactory(readinessClock));
     loop = (SingleThreadEventLoop) group.next();
     loop.submit(this::build).sync();
     // Read meanwhile, on the keeper's thread: what it loads first would else be added to the start.
-    StateRestore recollection = keeper == null ? StateRestore.NONE : keeper.recall();
-    loop.submit(() -> begin(recollection)).sync();
+    StateRestore restore =
+        snapshotWriter == null ? StateRestore.NOTHING : snapshotWriter.awaitRestore();
+    loop.submit(() -> begin(restore)).sync();
     joinFleet();
     Promise<Void> looked = loop.newPromise();
     loop.execute(() -> lookAround(looked, System.nanoTime()));
@@ -201,8 +204,8 @@
     ChannelFuture bound = loop.submit(this::listen).sync().getNow();
     if (!bound.await().isSuccess()) {
       endUnserved();
-      if (keeper != null) {
-        keeper.ends(null);
+      if (snapshotWriter != null) {
+        snapshotWriter.close(null);
       }
       throw new InvalidSettingsException(
           List.of("listen: " + start.listen() + " can't be bound: " + bound.cause().getMessage()));
@@ -210,13 +213,13 @@
     listener = bound.channel();
     loop.submit(
             () -> {
-              carrier.serves();
+              executor.serves();
               enter(RouterPhase.SERVING);
             })
         .sync();
     Event.SERVES.log(LOG, Level.INFO, "", start.name(), address());
-    if (keeper != null) {
-      keeper.keeps();
+    if (snapshotWriter != null) {
+      snapshotWriter.startWriting();
     }
   }
 
@@ -229,7 +232,7 @@
     OperatorFile nextOperator;
     try {
       next = StartFile.read(file);
-      next.releaseKnown();
+      next.takeStoredEndpointList();
       nextOperator = operator == null ? null : OperatorFile.read(operator.path());
     } catch (InvalidSettingsException fault) {
       Event.RELOAD_REFUSED.log(LOG, Level.ERROR, "all stays as it was", fault.getMessage());
@@ -238,14 +241,14 @@
     loop.execute(
         () -> {
           Event.RELOADED.log(LOG, Level.INFO, "", next.discovery());
-          next.restartsFor(start).forEach(this::needsRestart);
-          descriptors.most(next.sockets() - reserved);
+          next.changesNeedingRestart(start).forEach(this::needsRestart);
+          descriptors.most(next.maxDescriptors() - reserved);
           watch.moveTo(next.discovery());
           agree(next);
           heed(nextOperator);
         });
     if (nextOperator != null) {
-      nextOperator.restartsFor(operator).forEach(this::needsRestart);
+      nextOperator.changesNeedingRestart(operator).forEach(this::needsRestart);
       keepBy(nextOperator);
     }
   }
@@ -264,7 +267,7 @@
           LOG, Level.ERROR, "this fleet agrees on its settings: propose a version", "settings");
       return;
     }
-    List<String> fixed = next.fixedFor(inForce);
+    List<String> fixed = next.changesOfFixedSettings(inForce);
     if (!fixed.isEmpty()) {
       Event.SETTINGS_LEFT.log(
           LOG,
@@ -273,8 +276,8 @@
           String.join(",", fixed));
       return;
     }
-    WorkloadSlots room = places.with(next.values().workloadNames());
-    if (room.size() > WorkloadSlots.MOST) {
+    WorkloadSlots room = slots.with(next.startValues().workloadNames());
+    if (room.size() > WorkloadSlots.MAX_SLOTS) {
       Event.SETTINGS_LEFT.log(
           LOG,
           Level.ERROR,
@@ -286,27 +289,29 @@
     adopt(next);
     // In one step: what was read before this is heard before it, what is read from here on goes by
     // both.
-    places = room;
+    slots = room;
     clients.goBy(room);
-    turn.hear(
+    iteration.hear(
         now ->
-            core.agree(
+            core.applySettings(
                 now,
-                balance ->
-                    balance.agree(
-                        now, room.arrange(next.values().agreed(), next.values().workloadNames()))));
-    Event.SETTINGS_TAKEN.log(LOG, Level.INFO, "", carrier.open());
+                balancer ->
+                    balancer.applySettings(
+                        now,
+                        room.arrange(
+                            next.startValues().settings(), next.startValues().workloadNames()))));
+    Event.SETTINGS_TAKEN.log(LOG, Level.INFO, "", executor.open());
   }
 
   /** What of the settings is not the decisions'. */
   private void adopt(StartFile next) {
     inForce = next;
-    StartValues values = next.values();
+    StartValues values = next.startValues();
     longestTimeout = longestTimeout.longer(values.longestTimeout());
-    carrier.reads(values.gauges(0), values.connectTimeout());
-    clients.comeBackWithin(values.agreed().allowance().longestComeBack());
+    executor.reads(values.loadReportFormat(0), values.connectTimeout());
+    clients.comeBackWithin(values.settings().attemptLimits().maxRetryAfter());
     connectWithin(values.connectTimeout());
-    links.values().forEach(link -> link.within(values.connectTimeout(), values.idleClose()));
+    links.values().forEach(pool -> pool.within(values.connectTimeout(), values.idleClose()));
   }
 
   private void connectWithin(Span timeout) {
@@ -326,8 +331,8 @@
             operator.folder(),
             operator.deployment(),
             start.name(),
-            operator.period(),
-            operator.mostBytes(),
+            operator.snapshotPeriod(),
+            operator.maxSnapshotBytes(),
             new SplittableRandom(start.seed()).split(),
             this::learnedOffLoop);
   }
@@ -335,20 +340,20 @@
   private void keepBy(OperatorFile next) throws InterruptedException {
     boolean same = Objects.equals(next.folder(), operator.folder());
     operator = next;
-    if (same && keeper != null) {
-      keeper.adjust(next.period(), next.mostBytes());
+    if (same && snapshotWriter != null) {
+      snapshotWriter.reconfigure(next.snapshotPeriod(), next.maxSnapshotBytes());
     } else if (!same) {
-      SnapshotWriter former = keeper;
-      keeper = keeper();
+      SnapshotWriter former = snapshotWriter;
+      snapshotWriter = keeper();
       if (former != null) {
-        former.ends(null);
-        former.awaitEnd();
+        former.close(null);
+        former.awaitClosed();
       }
-      if (keeper != null) {
+      if (snapshotWriter != null) {
         // For the folder's lock and number: what this router has learned itself is newer than its
         // view.
-        keeper.recall();
-        keeper.keeps();
+        snapshotWriter.awaitRestore();
+        snapshotWriter.startWriting();
       }
     }
   }
@@ -356,7 +361,7 @@
   private LearnedState learnedOffLoop() throws InterruptedException {
     Promise<LearnedState> told = loop.newPromise();
     List<KnownEndpoint> nodes = new ArrayList<>();
-    loop.execute(() -> turn.hear(now -> learnedOfSome(now, 0, nodes, told)));
+    loop.execute(() -> iteration.hear(now -> learnedOfSome(now, 0, nodes, told)));
     return told.await(LONGEST_EXPORT.micros(), TimeUnit.MICROSECONDS) ? told.getNow() : null;
   }
 
@@ -367,7 +372,8 @@
   private void learnedOfSome(
       Moment now, int from, List<KnownEndpoint> nodes, Promise<LearnedState> told) {
     if (learnedFrom(now, from, NODES_A_TURN, nodes)) {
-      loop.execute(() -> turn.hear(next -> learnedOfSome(next, from + NODES_A_TURN, nodes, told)));
+      loop.execute(
+          () -> iteration.hear(next -> learnedOfSome(next, from + NODES_A_TURN, nodes, told)));
     } else {
       told.trySuccess(learned(now, nodes));
     }
@@ -379,9 +385,9 @@
         from,
         places,
         (node, view) -> {
-          ConnectionPool link = links.get(node);
-          if (link != null && link.address() != null) {
-            nodes.add(new KnownEndpoint(node, Addresses.text(link.address()), view));
+          ConnectionPool pool = links.get(node);
+          if (pool != null && pool.address() != null) {
+            nodes.add(new KnownEndpoint(node, Addresses.text(pool.address()), view));
           }
         });
   }
@@ -391,9 +397,9 @@
         operator.deployment(),
         start.name(),
         0,
-        SystemClocks.now(),
-        SystemClocks.steady(),
-        SystemClocks.boot(),
+        SystemClocks.unixMicros(),
+        SystemClocks.monotonicMicros(),
+        SystemClocks.bootId(),
         list.generation(),
         nodes,
         core.learnedOfGroups(now));
@@ -407,7 +413,7 @@
    */
   private void lookAround(Promise<Void> looked, long since) {
     long took = (System.nanoTime() - since) / 1_000;
-    boolean seen = carrier.hasLookedAround() || took > LONGEST_LOOK.micros();
+    boolean seen = executor.hasLookedAround() || took > LONGEST_LOOK.micros();
     if ((seen && !watch.isFirst()) || took > LONGEST_CALL.micros()) {
       looked.setSuccess(null);
     } else {
@@ -417,57 +423,59 @@
 
   /** Waits for its first grant, for as long as an election takes; then it serves with care. */
   private void joinFleet() throws InvalidSettingsException, InterruptedException {
-    FleetSettings terms = operator == null ? null : operator.fleet();
-    if (terms == null) {
+    FleetSettings fleetSettings = operator == null ? null : operator.fleet();
+    if (fleetSettings == null) {
       return;
     }
     Promise<Void> granted = loop.newPromise();
     loop.submit(
             () -> {
-              keeping =
+              leaseGuard =
                   new LeaseGuard(
                       start,
-                      operator.widestBound(),
-                      roll,
+                      operator.maxStalenessBound(),
+                      membership,
                       list,
                       () -> {
-                        list.forget();
+                        list.requestFullList();
                         watch.start();
                       },
                       (file, holds) -> {
                         if (file != inForce) {
                           adopt(file);
                         }
-                        core.agree(
-                            turn.clock().now(),
-                            balance -> balance.agree(turn.clock().now(), holds));
+                        core.applySettings(
+                            iteration.clock().now(),
+                            balancer -> balancer.applySettings(iteration.clock().now(), holds));
                       });
-              turn.first(keeping::look);
-              carrier.keepsTo(keeping::stance);
+              iteration.first(leaseGuard::look);
+              executor.keepsTo(leaseGuard::stance);
             })
         .sync();
     try {
-      VoterStore papers = VoterStore.read(terms.folder(), terms.name(), start.name());
+      VoterStore voterStore =
+          VoterStore.read(fleetSettings.voterDirectory(), fleetSettings.name(), start.name());
       loop.submit(
               () -> {
-                keeping.follower().knows(papers.knows());
-                keeping.begin(papers.told());
+                leaseGuard.follower().restoreEpoch(voterStore.latestEpoch());
+                leaseGuard.begin(voterStore.inForce());
               })
           .sync();
       fleet =
           new FleetMember(
-              terms,
+              fleetSettings,
               start.name(),
-              papers,
+              voterStore,
               new SplittableRandom(start.seed()).split(),
               () -> loop.execute(this::beat),
-              (grant, sight) ->
+              (grant, update) ->
                   loop.execute(
                       () ->
-                          turn.hear(
+                          iteration.hear(
                               now -> {
-                                keeping.granted(now, grant, sight);
-                                if (!keeping.follower().isCareful() && roll.isSettled()) {
+                                leaseGuard.granted(now, grant, update);
+                                if (!leaseGuard.follower().isRestricted()
+                                    && membership.isSettled()) {
                                   granted.trySuccess(null);
                                 }
                               })));
@@ -480,28 +488,28 @@
       throw new InvalidSettingsException(
           List.of("fleet: " + start.name() + " can't take part: " + cause));
     }
-    granted.await(JOINS.longer(terms.lease().times(4)).micros(), TimeUnit.MICROSECONDS);
+    granted.await(JOINS.longer(fleetSettings.lease().times(4)).micros(), TimeUnit.MICROSECONDS);
   }
 
   private void beat() {
-    LeaseHolder follower = keeping.follower();
-    Moment now = turn.clock().now();
-    boolean holds = !follower.isCareful() && !follower.isOver(now);
-    fleet.beat(
-        follower.beat(now),
-        follower.charter(),
-        follower.inForce() == null ? 0 : follower.inForce().number(),
-        holds ? follower.keepsTo() : 0,
-        keeping.refused(),
-        keeping.refusal(),
+    LeaseHolder leaseHolder = leaseGuard.follower();
+    Moment now = iteration.clock().now();
+    boolean holds = !leaseHolder.isRestricted() && !leaseHolder.isExpired(now);
+    fleet.sendHeartbeat(
+        leaseHolder.registerHeartbeat(now),
+        leaseHolder.epoch(),
+        leaseHolder.inForce() == null ? 0 : leaseHolder.inForce().number(),
+        holds ? leaseHolder.acknowledgedVersion() : 0,
+        leaseGuard.refused(),
+        leaseGuard.refusal(),
         holds,
-        roll.report(now, core::isIdle));
+        membership.report(now, core::isIdle));
   }
 
   private void build() {
-    StartValues values = start.values();
-    turn = new LoopIteration(loop, clock, looks);
-    lives = new StatementTrace(follows, clock::now);
+    StartValues values = start.startValues();
+    iteration = new LoopIteration(loop, clock, readinessClock);
+    trace = new StatementTrace(follows, clock::now);
     swept = clock.now();
     buffers =
         new PooledByteBufAllocator(
@@ -517,7 +525,7 @@
     // now.
     MemoryBudget budget = new MemoryBudget(PlatformDependent.maxDirectMemory() / 2);
     reserved = inUse() + RESERVED;
-    descriptors = new Descriptors(start.sockets() - reserved, this::afterNextLook);
+    descriptors = new Descriptors(start.maxDescriptors() - reserved, this::afterNextLook);
     outwards =
         new Bootstrap()
             .group(loop)
@@ -537,50 +545,53 @@
                         name,
                         outwards,
                         loop,
-                        turn,
+                        iteration,
                         descriptors,
                         budget,
-                        inForce.values().connectTimeout(),
-                        inForce.values().idleClose(),
+                        inForce.startValues().connectTimeout(),
+                        inForce.startValues().idleClose(),
                         badNodes));
-    carrier =
+    executor =
         new AttemptExecutor(
-            turn,
+            iteration,
             loop,
             linkTo,
             this::forget,
-            values.gauges(0),
+            values.loadReportFormat(0),
             values.connectTimeout(),
             budget,
-            lives);
+            trace);
     badClients =
         new RateLimitedLog(
             LoggerFactory.getLogger(ClientSessions.class), Event.CLIENT_BAD, clock::now);
-    places = WorkloadSlots.of(values.workloadNames());
+    slots = WorkloadSlots.of(values.workloadNames());
     clients =
-        new ClientSessions(turn, descriptors, places, values.mostOpen(), budget, badClients, lives);
-    clients.comeBackWithin(values.agreed().allowance().longestComeBack());
-    turn.last(descriptors::endLongestIdle);
+        new ClientSessions(
+            iteration, descriptors, slots, values.maxOpenStatements(), budget, badClients, trace);
+    clients.comeBackWithin(values.settings().attemptLimits().maxRetryAfter());
+    iteration.last(descriptors::endLongestIdle);
     longestTimeout = values.longestTimeout();
-    holds = values.holds();
-    core = new StatementRouter<>(carrier, values.balance(start.seed(), turn.now(), holds));
+    holds = values.defaultHoldBudget();
+    core =
+        new StatementRouter<>(
+            executor, values.loadBalancerFactory(start.seed(), iteration.now(), holds));
     heed(operator);
     list =
         new EndpointList(core, values.zones(), (node, address) -> linkTo.apply(node).at(address));
     if (operator != null && operator.fleet() != null) {
       // What was begun before it lets go of a member is over when others may use it in another
       // group.
-      roll =
+      membership =
           new MembershipView(
-              operator.fleet().stated(),
-              operator.fleet().assigned().minus(values.longestTimeout()));
-      list.agreeBy(roll, clock::now);
+              operator.fleet().fencingTime(),
+              operator.fleet().assignmentLifetime().minus(values.longestTimeout()));
+      list.setMembershipView(membership, clock::now);
     }
-    watch = new DiscoveryWatch(outwards, start.discovery(), turn, list, core);
-    list.startsBy(turn.clockOffset());
-    carrier.onClockMoved(list::tellStarts);
-    clients.serve(core, carrier);
-    carrier.serve(core, watch::start);
+    watch = new DiscoveryWatch(outwards, start.discovery(), iteration, list, core);
+    list.setClockOffset(iteration.clockOffset());
+    executor.onClockMoved(list::publishStartTimes);
+    clients.serve(core, executor);
+    executor.serve(core, watch::start);
     every(SWEEPS, "sweeping", this::sweep);
     every(READS, "reading tables", this::readTables);
     every(REPORTS, "reporting counters", this::report);
@@ -607,17 +618,17 @@
   }
 
   private void sweep() {
-    Moment now = turn.clock().now();
-    lives.loopWas(now.since(swept).minus(SWEEPS));
+    Moment now = iteration.clock().now();
+    trace.loopWas(now.since(swept).minus(SWEEPS));
     swept = now;
     clients.sweep();
   }
 
   private void report() {
-    turn.counters().add(Counter.LISTEN_OVERFLOWS, listenQueue.newOverflows());
-    turn.counters().report();
+    iteration.counters().add(Counter.LISTEN_OVERFLOWS, listenQueue.newOverflows());
+    iteration.counters().report();
     descriptors.report();
-    core.reportWatched();
+    core.reportPolledGroups();
   }
 
   /**
@@ -627,9 +638,9 @@
   private void readTables() {
     reads++;
     int place = 0;
-    for (String node : List.copyOf(carrier.polledLately())) {
+    for (String node : List.copyOf(executor.polledLately())) {
       if ((place++ + reads) % READ_IN == 0) {
-        carrier.readTable(node);
+        executor.readTable(node);
       }
     }
   }
@@ -637,28 +648,28 @@
   /** What the operator says of holds and planned changes; nothing where there is no file. */
   private void heed(OperatorFile by) {
     if (by != null) {
-      carrier.asksFor(by.changeTable());
+      executor.asksFor(by.switchoverTable());
       holds.limit(
-          by.heldStatements() > 0
-              ? by.heldStatements()
-              : Math.max(1, start.values().mostOpen() / 2),
-          by.heldBytes());
+          by.maxHeldStatements() > 0
+              ? by.maxHeldStatements()
+              : Math.max(1, start.startValues().maxOpenStatements() / 2),
+          by.maxHeldBytes());
     }
   }
 
-  private void begin(StateRestore recollection) {
-    list.recalls(recollection, carrier::isAbsent);
-    turn.hear(
+  private void begin(StateRestore restore) {
+    list.restoreFrom(restore, executor::isAbsent);
+    iteration.hear(
         now -> {
           try {
-            if (start.hasKnown()) {
-              list.take(now, EndpointUpdate.of(start.releaseKnown()), false);
+            if (start.hasStoredEndpointList()) {
+              list.takeUpdate(now, EndpointUpdate.of(start.takeStoredEndpointList()), false);
               return;
             }
           } catch (InvalidEndpointListException fault) {
             Event.KNOWN_LEFT_OUT.log(LOG, Level.WARN, "", fault.getMessage());
           }
-          list.expect(now);
+          list.publishRestored(now);
         });
   }
 
@@ -667,7 +678,7 @@
     int queueLength = listenQueue.length();
     accepting =
         new AcceptHandler(
-            turn,
+            iteration,
             descriptors,
             queueLength,
             new RateLimitedLog(
@@ -695,9 +706,9 @@
   }
 
   private void forget(String node) {
-    ConnectionPool link = links.remove(node);
-    if (link != null) {
-      link.letGo();
+    ConnectionPool pool = links.remove(node);
+    if (pool != null) {
+      pool.letGo();
     }
   }
 
@@ -733,7 +744,7 @@
     if (phase == RouterPhase.SERVING || phase == RouterPhase.LISTENING) {
       enter(RouterPhase.DRAINING);
       Span left = SPARED.plus(longestTimeout.shorter(LONGEST_SPARED)).minus(ANSWERS_BEFORE);
-      clients.endBy(turn.clock().now().plus(left));
+      clients.endBy(iteration.clock().now().plus(left));
       loop.schedule(
           () ->
               accepting.closeOnceQuiet(
@@ -759,7 +770,7 @@
   }
 
   private void stopOnceAnswered() {
-    if (clients.areGone() && carrier.open() == 0) {
+    if (clients.areGone() && executor.open() == 0) {
       stop();
     } else if (phase == RouterPhase.DRAINING) {
       loop.schedule(this::stopOnceAnswered, LOOK_AGAIN.micros(), TimeUnit.MICROSECONDS);
@@ -771,32 +782,32 @@
       return;
     }
     enter(RouterPhase.STOPPED);
-    if (turn == null) {
+    if (iteration == null) {
       end();
       return;
     }
     report();
     clients.refuseAll();
-    turn.hear(carrier::answerAll);
-    turn.hear(
+    iteration.hear(executor::answerAll);
+    iteration.hear(
         now ->
-            turn.act(
+            iteration.act(
                 () -> {
                   if (listener != null) {
                     listener.close();
                   }
                   clients.endAll();
                 }));
-    if (keeper != null && core != null) {
-      turn.hear(
+    if (snapshotWriter != null && core != null) {
+      iteration.hear(
           now -> {
             List<KnownEndpoint> nodes = new ArrayList<>();
             learnedFrom(now, 0, Integer.MAX_VALUE / 2, nodes);
-            keeper.ends(learned(now, nodes));
-            turn.act(() -> endOnceLeft(Moment.NEVER));
+            snapshotWriter.close(learned(now, nodes));
+            iteration.act(() -> endOnceLeft(Moment.NEVER));
           });
     } else {
-      turn.hear(now -> turn.act(() -> endOnceLeft(Moment.NEVER)));
+      iteration.hear(now -> iteration.act(() -> endOnceLeft(Moment.NEVER)));
     }
   }
 
@@ -804,7 +815,7 @@
    * Its last answers are on their way: a process that ends over unread bytes would take them back.
    */
   private void endOnceLeft(Moment by) {
-    Moment now = turn.clock().now();
+    Moment now = iteration.clock().now();
     Moment latest = by.earlier(now.plus(ANSWERS_BEFORE.minus(ENDS_BEFORE)));
     if (clients.areGone() || !now.isBefore(latest)) {
       end();
@@ -838,8 +849,8 @@
 
   public void awaitStop() throws InterruptedException {
     stopped.await();
-    if (keeper != null) {
-      keeper.awaitEnd();
+    if (snapshotWriter != null) {
+      snapshotWriter.awaitClosed();
     }
   }
 }
--- a/router/src/main/java/basaltlever/net/ServerQuery.java
+++ b/router/src/main/java/basaltlever/net/ServerQuery.java
@@ -30,9 +30,9 @@
   }
 
   /** The answer is the job's to release. */
-  abstract void answered(QueryResponse answer);
+  abstract void answered(QueryResponse response);
 
-  abstract void lost(AttemptOutcome ending);
+  abstract void lost(AttemptOutcome outcome);
 
   final void on(PooledConnection connection) {
     this.connection = connection;
@@ -50,11 +50,11 @@
     return over;
   }
 
-  final void endAnswered(QueryResponse answer) {
+  final void endAnswered(QueryResponse response) {
     if (end()) {
-      answered(answer);
+      answered(response);
     } else {
-      answer.release();
+      response.release();
     }
   }
 
--- a/router/src/main/java/basaltlever/pg/ArrivalTimes.java
+++ b/router/src/main/java/basaltlever/pg/ArrivalTimes.java
@@ -21,14 +21,14 @@
   private long consumedBytes;
 
   /** Records that this many bytes arrived at this moment. */
-  public void read(int bytes, Moment at) {
+  public void recordRead(int bytes, Moment at) {
     receivedBytes += bytes;
     Moment recordedAt = reads.size() < MAX_READS ? at : reads.removeLast().at();
     reads.addLast(new Read(receivedBytes, recordedAt));
   }
 
   /** Consumes the bytes of the next message and returns when the last of them arrived. */
-  public Moment cut(int bytes) {
+  public Moment consumeMessage(int bytes) {
     consumedBytes += bytes;
     while (reads.size() > 1 && reads.peekFirst().endOffset() < consumedBytes) {
       reads.removeFirst();
--- a/router/src/main/java/basaltlever/pg/MemoryBudget.java
+++ b/router/src/main/java/basaltlever/pg/MemoryBudget.java
@@ -18,7 +18,7 @@
    *
    * @return false if more than the budget is reserved now
    */
-  public boolean hold(long bytes) {
+  public boolean reserve(long bytes) {
     reservedBytes += bytes;
     return reservedBytes <= maxBytes;
   }
@@ -29,7 +29,7 @@
   }
 
   /** The bytes that are reserved now. */
-  public long held() {
+  public long reservedBytes() {
     return reservedBytes;
   }
 }
--- a/router/src/main/java/basaltlever/pg/MessageDecoder.java
+++ b/router/src/main/java/basaltlever/pg/MessageDecoder.java
@@ -10,7 +10,7 @@
  */
 public final class MessageDecoder {
   /** Bytes of the header: type and length. */
-  public static final int HEAD = 5;
+  public static final int HEADER_BYTES = 5;
 
   /** Bytes of the length, which counts itself. */
   private static final int LENGTH_BYTES = Integer.BYTES;
@@ -47,8 +47,9 @@
     }
     int added = buffered.capacity() - reservedBytes;
     reservedBytes += added;
-    if (!budget.hold(added)) {
-      throw new ProtocolException(ProtocolCodes.TOO_MANY, "too many messages are under way");
+    if (!budget.reserve(added)) {
+      throw new ProtocolException(
+          ProtocolCodes.TOO_MANY_CONNECTIONS, "too many messages are under way");
     }
   }
 
@@ -79,16 +80,16 @@
    * Returns the next complete message with its header, or null. It is valid until the next call of
    * this decoder.
    */
-  public ByteBuf next() throws ProtocolException {
-    if (size() < HEAD) {
+  public ByteBuf nextMessage() throws ProtocolException {
+    if (bufferedBytes() < HEADER_BYTES) {
       return awaitMore();
     }
     return slice(buffered.getInt(buffered.readerIndex() + TYPE_BYTES), TYPE_BYTES);
   }
 
   /** As {@link #next}, for the messages of the startup phase, which have no type byte. */
-  public ByteBuf nextUntyped() throws ProtocolException {
-    if (size() < LENGTH_BYTES) {
+  public ByteBuf nextStartupMessage() throws ProtocolException {
+    if (bufferedBytes() < LENGTH_BYTES) {
       return awaitMore();
     }
     return slice(buffered.getInt(buffered.readerIndex()), 0);
@@ -99,7 +100,7 @@
       throw new ProtocolException(
           statedLength > maxMessageBytes
               ? ProtocolCodes.PROGRAM_LIMIT_EXCEEDED
-              : ProtocolCodes.VIOLATION,
+              : ProtocolCodes.PROTOCOL_VIOLATION,
           "a message states a length of " + statedLength);
     }
     int messageBytes = typeBytes + statedLength;
@@ -115,12 +116,12 @@
   }
 
   /** The buffered bytes that are not yet part of a returned message. */
-  public int size() {
+  public int bufferedBytes() {
     return buffered == null ? 0 : buffered.readableBytes();
   }
 
   /** Sets the greatest length that a message may state from here on. */
-  public void admit(int maxBytes) {
+  public void setMaxMessageBytes(int maxBytes) {
     maxMessageBytes = maxBytes;
   }
 
--- a/router/src/main/java/basaltlever/pg/MessageEncoder.java
+++ b/router/src/main/java/basaltlever/pg/MessageEncoder.java
@@ -17,9 +17,9 @@
   private MessageEncoder() {}
 
   /** StartupMessage, from a client. */
-  public static void startup(ByteBuf out, String user, String database) {
+  public static void startupMessage(ByteBuf out, String user, String database) {
     int lengthIndex = out.writerIndex();
-    out.writeInt(0).writeInt(ProtocolCodes.VERSION);
+    out.writeInt(0).writeInt(ProtocolCodes.PROTOCOL_VERSION);
     writeString(out, "user");
     writeString(out, user);
     writeString(out, "database");
@@ -29,51 +29,51 @@
   }
 
   /** The response to a startup message, from AuthenticationOk to ReadyForQuery. */
-  public static void welcome(ByteBuf out) {
+  public static void startupResponse(ByteBuf out) {
     out.writeByte(ProtocolCodes.AUTHENTICATION).writeInt(2 * Integer.BYTES);
     out.writeInt(AUTHENTICATION_OK);
-    status(out, "server_version", "15.0 (basaltlever)");
-    status(out, "server_encoding", "UTF8");
-    status(out, "client_encoding", "UTF8");
-    status(out, "standard_conforming_strings", "on");
-    status(out, "integer_datetimes", "on");
-    out.writeByte(ProtocolCodes.KEY).writeInt(3 * Integer.BYTES);
+    parameterStatus(out, "server_version", "15.0 (basaltlever)");
+    parameterStatus(out, "server_encoding", "UTF8");
+    parameterStatus(out, "client_encoding", "UTF8");
+    parameterStatus(out, "standard_conforming_strings", "on");
+    parameterStatus(out, "integer_datetimes", "on");
+    out.writeByte(ProtocolCodes.BACKEND_KEY_DATA).writeInt(3 * Integer.BYTES);
     out.writeInt(NO_CANCEL_KEY).writeInt(NO_CANCEL_KEY);
-    ready(out);
+    readyForQuery(out);
   }
 
   /**
    * NegotiateProtocolVersion: this side speaks an older minor version than was requested, and
    * rejects no named protocol option.
    */
-  public static void negotiate(ByteBuf out) {
+  public static void negotiateProtocolVersion(ByteBuf out) {
     int rejectedOptions = 0;
     out.writeByte(ProtocolCodes.NEGOTIATE_PROTOCOL_VERSION).writeInt(3 * Integer.BYTES);
-    out.writeInt(ProtocolCodes.VERSION).writeInt(rejectedOptions);
+    out.writeInt(ProtocolCodes.PROTOCOL_VERSION).writeInt(rejectedOptions);
   }
 
   /** ParameterStatus. */
-  public static void status(ByteBuf out, String name, String value) {
-    int lengthIndex = beginMessage(out, ProtocolCodes.STATUS);
+  public static void parameterStatus(ByteBuf out, String name, String value) {
+    int lengthIndex = beginMessage(out, ProtocolCodes.PARAMETER_STATUS);
     writeString(out, name);
     writeString(out, value);
     setLength(out, lengthIndex);
   }
 
   /** ReadyForQuery, outside of a transaction. */
-  public static void ready(ByteBuf out) {
-    out.writeByte(ProtocolCodes.READY).writeInt(Integer.BYTES + 1);
+  public static void readyForQuery(ByteBuf out) {
+    out.writeByte(ProtocolCodes.READY_FOR_QUERY).writeInt(Integer.BYTES + 1);
     out.writeByte(TRANSACTION_STATUS_IDLE);
   }
 
   /** EmptyQueryResponse. */
-  public static void empty(ByteBuf out) {
-    out.writeByte(ProtocolCodes.EMPTY).writeInt(Integer.BYTES);
+  public static void emptyQueryResponse(ByteBuf out) {
+    out.writeByte(ProtocolCodes.EMPTY_QUERY_RESPONSE).writeInt(Integer.BYTES);
   }
 
   /** CommandComplete with its command tag. */
-  public static void complete(ByteBuf out, String tag) {
-    int lengthIndex = beginMessage(out, ProtocolCodes.COMPLETE);
+  public static void commandComplete(ByteBuf out, String tag) {
+    int lengthIndex = beginMessage(out, ProtocolCodes.COMMAND_COMPLETE);
     writeString(out, tag);
     setLength(out, lengthIndex);
   }
@@ -84,9 +84,9 @@
    * @param code the SQLSTATE
    * @param detail null to omit the field
    */
-  public static void error(
+  public static void errorResponse(
       ByteBuf out, String severity, String code, String message, String detail) {
-    int lengthIndex = beginMessage(out, ProtocolCodes.ERROR);
+    int lengthIndex = beginMessage(out, ProtocolCodes.ERROR_RESPONSE);
     writeErrorField(out, 'S', severity);
     writeErrorField(out, 'V', severity);
     writeErrorField(out, 'C', code);
--- a/router/src/main/java/basaltlever/pg/ProtocolException.java
+++ b/router/src/main/java/basaltlever/pg/ProtocolException.java
@@ -5,16 +5,16 @@
   private static final long serialVersionUID = 1L;
 
   /** The SQLSTATE to report to a client, one of {@link ProtocolCodes}. */
-  public final String code;
+  public final String sqlState;
 
   /** Creates one with its SQLSTATE and a message that may be sent to a client. */
   public ProtocolException(String code, String message) {
     super(message);
-    this.code = code;
+    this.sqlState = code;
   }
 
   /** The peer broke the protocol. */
   static ProtocolException violation(String message) {
-    return new ProtocolException(ProtocolCodes.VIOLATION, message);
+    return new ProtocolException(ProtocolCodes.PROTOCOL_VIOLATION, message);
   }
 }
--- a/router/src/main/java/basaltlever/pg/Query.java
+++ b/router/src/main/java/basaltlever/pg/Query.java
@@ -33,10 +33,10 @@
   private static final String[] SESSION_COMMANDS = {"SET", "RESET", "DISCARD"};
 
   /** Offset of the first digit of the timeout, in bytes of the text. */
-  public final int waitFrom;
+  public final int timeoutStart;
 
   /** Offset behind the last digit of the timeout, in bytes of the text. */
-  public final int waitTo;
+  public final int timeoutEnd;
 
   /** The identifier of the statement, as the client chose it. */
   public final String id;
@@ -45,16 +45,16 @@
   public final String workload;
 
   /** How long the client waits for the response, in milliseconds. */
-  public final long waitMillis;
+  public final long timeoutMillis;
 
   /** The replica group. */
   public final int group;
 
   /** When the session committed last, in Unix milliseconds; 0 if it did not. */
-  public final long after;
+  public final long lastCommitMillis;
 
   /** Hash of the first quoted literal, which identifies the session; 0 if there is none. */
-  public final long session;
+  public final long sessionHash;
 
   /**
    * Parses the fields of the comment. It was decoded as ISO-8859-1, so that its character offsets
@@ -79,18 +79,19 @@
       }
       start = end + 1;
     }
-    this.waitFrom = timeoutStart;
-    this.waitTo = timeoutEnd;
+    this.timeoutStart = timeoutStart;
+    this.timeoutEnd = timeoutEnd;
     this.workload = required(fields, WORKLOAD_KEY);
     this.id = required(fields, ID_KEY);
-    this.waitMillis = number(TIMEOUT_KEY, required(fields, TIMEOUT_KEY), MAX_TIMEOUT_MILLIS);
+    this.timeoutMillis = number(TIMEOUT_KEY, required(fields, TIMEOUT_KEY), MAX_TIMEOUT_MILLIS);
     this.group = (int) number(GROUP_KEY, fields.getOrDefault(GROUP_KEY, "0"), Integer.MAX_VALUE);
-    this.after = number(COMMIT_KEY, fields.getOrDefault(COMMIT_KEY, "0"), MAX_COMMIT_MILLIS);
-    this.session = session;
+    this.lastCommitMillis =
+        number(COMMIT_KEY, fields.getOrDefault(COMMIT_KEY, "0"), MAX_COMMIT_MILLIS);
+    this.sessionHash = session;
   }
 
   /** Parses the text of a query, without the zero byte that terminates it. */
-  public static Query read(ByteBuf text) throws ProtocolException {
+  public static Query parse(ByteBuf text) throws ProtocolException {
     int commentStart = findCommentStart(text);
     int commentEnd = findCommentEnd(text, commentStart);
     String comment =
@@ -191,7 +192,7 @@
    * Returns the first word of a command that changes only the session, such as SET, or null. It has
    * no effect here, since statements of a session run on many connections.
    */
-  public static String idleCommand(ByteBuf text) {
+  public static String sessionCommand(ByteBuf text) {
     int start = skipSpace(text, 0);
     for (String command : SESSION_COMMANDS) {
       if (startsWithWord(text, start, command)) {
--- a/router/src/main/java/basaltlever/pg/QueryResponse.java
+++ b/router/src/main/java/basaltlever/pg/QueryResponse.java
@@ -24,14 +24,14 @@
   private static final int COLUMN_COUNT_BYTES = Short.BYTES;
   private static final int VALUE_LENGTH_BYTES = Integer.BYTES;
   private static final int MIN_ROW_BODY_BYTES = COLUMN_COUNT_BYTES + VALUE_LENGTH_BYTES;
-  private static final int READY_MESSAGE_BYTES = MessageDecoder.HEAD + 1;
+  private static final int READY_MESSAGE_BYTES = MessageDecoder.HEADER_BYTES + 1;
   private static final byte TERMINATOR = 0;
   private static final char SQLSTATE_FIELD = 'C';
   private static final Pattern UNIX_MILLIS = Pattern.compile("[0-9]{1,15}");
 
   /** The messages of a response that is one row, in their order. */
   private static final byte[] ROW_SEQUENCE = {
-    ProtocolCodes.ROW_DESCRIPTION, ProtocolCodes.DATA_ROW, ProtocolCodes.COMPLETE
+    ProtocolCodes.ROW_DESCRIPTION, ProtocolCodes.DATA_ROW, ProtocolCodes.COMMAND_COMPLETE
   };
 
   private static final int DATA_ROW_INDEX = 1;
@@ -41,15 +41,13 @@
 
   private int rowMessages;
   private boolean rowInSequence = true;
-  private String error;
+  private String sqlState;
   private boolean malformed;
   private int responseBytes;
 
-  /** As {@link #role()}. */
-  public String role = "";
+  private String role = "";
 
-  /** As {@link #positionMillis()}. */
-  public long position;
+  private long position;
 
   /**
    * Adds the next message of the response.
@@ -60,16 +58,16 @@
     responseBytes += message.readableBytes();
     byte type = message.getByte(message.readerIndex());
     switch (type) {
-      case ProtocolCodes.ROW_DESCRIPTION, ProtocolCodes.DATA_ROW, ProtocolCodes.COMPLETE ->
+      case ProtocolCodes.ROW_DESCRIPTION, ProtocolCodes.DATA_ROW, ProtocolCodes.COMMAND_COMPLETE ->
           addRowMessage(type, message);
-      case ProtocolCodes.ERROR -> addError(message);
-      case ProtocolCodes.STATUS -> addParameterStatus(message);
-      case ProtocolCodes.READY -> {
+      case ProtocolCodes.ERROR_RESPONSE -> addError(message);
+      case ProtocolCodes.PARAMETER_STATUS -> addParameterStatus(message);
+      case ProtocolCodes.READY_FOR_QUERY -> {
         malformed |= message.readableBytes() != READY_MESSAGE_BYTES;
         return true;
       }
-      case ProtocolCodes.EMPTY -> malformed = true;
-      case ProtocolCodes.NOTICE, ProtocolCodes.KEY -> {}
+      case ProtocolCodes.EMPTY_QUERY_RESPONSE -> malformed = true;
+      case ProtocolCodes.NOTICE_RESPONSE, ProtocolCodes.BACKEND_KEY_DATA -> {}
       default -> throw ProtocolException.violation("a node sent a message of type " + type);
     }
     return false;
@@ -85,12 +83,12 @@
   }
 
   private void addError(ByteBuf message) {
-    malformed |= error != null || rowMessages > 0;
-    error = field(message, SQLSTATE_FIELD);
+    malformed |= sqlState != null || rowMessages > 0;
+    sqlState = errorField(message, SQLSTATE_FIELD);
   }
 
   private void addParameterStatus(ByteBuf message) {
-    int nameStart = message.readerIndex() + MessageDecoder.HEAD;
+    int nameStart = message.readerIndex() + MessageDecoder.HEADER_BYTES;
     int nameEnd = findTerminator(message, nameStart);
     int valueEnd = nameEnd < 0 ? -1 : findTerminator(message, nameEnd + 1);
     if (valueEnd < 0 || valueEnd - nameStart > MAX_TEXT_BYTES) {
@@ -107,15 +105,15 @@
   }
 
   /** Whether this is one complete row of one column: only then did the statement complete. */
-  public boolean isRow() {
-    return !malformed && error == null && rowInSequence && rowMessages == ROW_SEQUENCE.length;
+  public boolean isSingleRow() {
+    return !malformed && sqlState == null && rowInSequence && rowMessages == ROW_SEQUENCE.length;
   }
 
   /**
    * Whether the response can't become one row or one error any more, so that it makes no sense to
    * wait for its end.
    */
-  public boolean isHopeless() {
+  public boolean isUnusable() {
     return malformed || responseBytes > MAX_RESPONSE_BYTES;
   }
 
@@ -123,8 +121,8 @@
    * The SQLSTATE of the error if the response is nothing else, otherwise null: an error after a row
    * does not prove that the statement failed.
    */
-  public String error() {
-    return malformed ? null : error;
+  public String sqlState() {
+    return malformed ? null : sqlState;
   }
 
   /** The role that the server reported of itself, empty if it reported none. */
@@ -145,12 +143,12 @@
   }
 
   /** The value of the row as text; empty if there is no row or the value is too long. */
-  public String text() {
-    if (!isRow() || row.size() <= DATA_ROW_INDEX) {
+  public String value() {
+    if (!isSingleRow() || row.size() <= DATA_ROW_INDEX) {
       return "";
     }
     ByteBuf data = row.get(DATA_ROW_INDEX);
-    int lengthIndex = data.readerIndex() + MessageDecoder.HEAD + COLUMN_COUNT_BYTES;
+    int lengthIndex = data.readerIndex() + MessageDecoder.HEADER_BYTES + COLUMN_COUNT_BYTES;
     int length = data.getInt(lengthIndex);
     return length > MAX_TEXT_BYTES
         ? ""
@@ -164,9 +162,9 @@
   }
 
   private static boolean isWellFormed(byte type, ByteBuf message) {
-    int body = message.readerIndex() + MessageDecoder.HEAD;
+    int body = message.readerIndex() + MessageDecoder.HEADER_BYTES;
     int bodyBytes = message.writerIndex() - body;
-    if (type == ProtocolCodes.COMPLETE) {
+    if (type == ProtocolCodes.COMMAND_COMPLETE) {
       return isPrintableTag(message, body, bodyBytes);
     }
     if (bodyBytes < MIN_ROW_BODY_BYTES || message.getShort(body) != 1) {
@@ -191,8 +189,8 @@
   }
 
   /** Returns a field of an ErrorResponse or NoticeResponse, or an empty text if it is missing. */
-  public static String field(ByteBuf message, char type) {
-    int fieldStart = message.readerIndex() + MessageDecoder.HEAD;
+  public static String errorField(ByteBuf message, char type) {
+    int fieldStart = message.readerIndex() + MessageDecoder.HEADER_BYTES;
     while (fieldStart < message.writerIndex() && message.getByte(fieldStart) != TERMINATOR) {
       int valueStart = fieldStart + 1;
       int valueEnd = findTerminator(message, valueStart);
--- a/router/src/main/java/basaltlever/settings/GroupAssignmentTable.java
+++ b/router/src/main/java/basaltlever/settings/GroupAssignmentTable.java
@@ -40,7 +40,7 @@
   }
 
   private static boolean mayMove(GroupAssignment known, int group, ListVersion at) {
-    return known.cleared() && known.group() != group && at.isNewerThan(known.at());
+    return known.cleared() && known.group() != group && at.isNewerThan(known.listVersion());
   }
 
   private void removeOldest() {
@@ -48,11 +48,11 @@
     // the least likely to meet such a list.
     assignments.values().stream()
         .filter(GroupAssignment::cleared)
-        .min(Comparator.comparing(GroupAssignment::at))
+        .min(Comparator.comparing(GroupAssignment::listVersion))
         .ifPresent(
             oldest -> {
-              assignments.remove(oldest.member());
-              changedAt.remove(oldest.member());
+              assignments.remove(oldest.endpoint());
+              changedAt.remove(oldest.endpoint());
             });
   }
 
@@ -62,14 +62,14 @@
     if (known == null || known.cleared()) {
       return false;
     }
-    put(new GroupAssignment(endpoint, known.group(), known.at(), true));
+    put(new GroupAssignment(endpoint, known.group(), known.listVersion(), true));
     return true;
   }
 
   private void put(GroupAssignment assignment) {
     number++;
-    assignments.put(assignment.member(), assignment);
-    changedAt.put(assignment.member(), number);
+    assignments.put(assignment.endpoint(), assignment);
+    changedAt.put(assignment.endpoint(), number);
   }
 
   /** Number of the last change. */
@@ -82,7 +82,7 @@
     return after >= number
         ? List.of()
         : assignments.values().stream()
-            .filter(assignment -> changedAt.get(assignment.member()) > after)
+            .filter(assignment -> changedAt.get(assignment.endpoint()) > after)
             .toList();
   }
 
@@ -95,7 +95,8 @@
   void unclearAll(long skippedNumbers) {
     number += skippedNumbers;
     assignments.replaceAll(
-        (endpoint, known) -> new GroupAssignment(endpoint, known.group(), known.at(), false));
+        (endpoint, known) ->
+            new GroupAssignment(endpoint, known.group(), known.listVersion(), false));
     changedAt.replaceAll((endpoint, changed) -> number);
   }
 
@@ -105,8 +106,8 @@
     assignments.clear();
     changedAt.clear();
     for (GroupAssignment assignment : snapshot) {
-      assignments.put(assignment.member(), assignment);
-      changedAt.put(assignment.member(), snapshotNumber);
+      assignments.put(assignment.endpoint(), assignment);
+      changedAt.put(assignment.endpoint(), snapshotNumber);
     }
   }
 }
--- a/router/src/main/java/basaltlever/settings/LeaseHolder.java
+++ b/router/src/main/java/basaltlever/settings/LeaseHolder.java
@@ -35,17 +35,17 @@
    * Restores the configuration epoch that an earlier process on this router had seen: grants from
    * before that epoch are rejected.
    */
-  public void knows(long charter) {
-    changes = Math.max(changes, VersionRegister.first(charter));
+  public void restoreEpoch(long charter) {
+    changes = Math.max(changes, VersionRegister.firstChange(charter));
   }
 
   /** The latest configuration epoch seen. */
-  public long charter() {
-    return VersionRegister.charter(changes);
+  public long epoch() {
+    return VersionRegister.epoch(changes);
   }
 
   /** Registers a heartbeat that is sent now and returns its number. */
-  public long beat(Moment now) {
+  public long registerHeartbeat(Moment now) {
     lastNumber++;
     unanswered.addLast(new SentHeartbeat(lastNumber, now));
     if (unanswered.size() > MAX_UNANSWERED) {
@@ -55,23 +55,23 @@
   }
 
   /** Takes in a grant; returns whether the settings to comply with differ from those before. */
-  public boolean granted(Moment now, LeaseGrant grant) {
-    Moment sent = removeAnswered(grant.beat());
+  public boolean acceptGrant(Moment now, LeaseGrant grant) {
+    Moment sent = removeAnswered(grant.heartbeatNumber());
     boolean isDuplicate = sent == null;
     // A leader that was replaced without noticing may lack a version that this router has already
     // acknowledged to its successor.
-    boolean isOutdated = grant.changes() < changes;
+    boolean isOutdated = grant.changeCount() < changes;
     if (isDuplicate || isOutdated) {
       return false;
     }
-    changes = grant.changes();
+    changes = grant.changeCount();
     boolean versionsDiffer =
         inForce == null
             || inForce.number() != grant.inForce().number()
             || numberOf(prepared) != numberOf(grant.prepared());
     inForce = grant.inForce();
     prepared = grant.prepared();
-    leaseEnds = leaseEnds.later(sent.plus(grant.lasts()));
+    leaseEnds = leaseEnds.later(sent.plus(grant.duration()));
     boolean wasRestricted = restricted;
     restricted = !now.isBefore(leaseEnds);
     return versionsDiffer || wasRestricted != restricted;
@@ -96,13 +96,13 @@
    * Whether the lease has ended and the end is not noted yet: nothing that was decided under it may
    * be carried out.
    */
-  public boolean isOver(Moment now) {
+  public boolean isExpired(Moment now) {
     return !restricted && !now.isBefore(leaseEnds);
   }
 
   /** Notes the end of the lease; true where it has ended since the last call. */
-  public boolean hasJustEnded(Moment now) {
-    boolean ended = isOver(now);
+  public boolean noteExpiry(Moment now) {
+    boolean ended = isExpired(now);
     restricted |= ended;
     return ended;
   }
@@ -112,7 +112,7 @@
   }
 
   /** Whether the router has no lease and is restricted to what every version allows. */
-  public boolean isCareful() {
+  public boolean isRestricted() {
     return restricted;
   }
 
@@ -135,7 +135,7 @@
    * Number of the prepared version that the next heartbeat acknowledges, because the router
    * complies with it under a lease; 0 where there is none.
    */
-  public long keepsTo() {
+  public long acknowledgedVersion() {
     return restricted ? 0 : numberOf(prepared);
   }
 }
--- a/router/src/main/java/basaltlever/settings/LeaseTable.java
+++ b/router/src/main/java/basaltlever/settings/LeaseTable.java
@@ -34,27 +34,27 @@
       /** The prepared version {@code number} is withdrawn for {@code reason}. */
       WITHDRAW,
       /** The version in force, {@code number}, is proposed again for {@code routers} routers. */
-      COUNT_ROUTERS
+      SET_ROUTER_COUNT
     }
 
     static final Step NOTHING = new Step(Kind.NOTHING, 0, "", 0);
   }
 
   /** What the leader knows of one router. */
-  public static final class Peer {
-    public final String name;
-    public long incarnation;
-    public Moment leaseEnds = Moment.LONG_AGO;
-    public Moment heard = Moment.LONG_AGO;
-    public long keepsTo;
-    public long inForce;
-    public String refusal = "";
+  public static final class RouterLease {
+    private final String name;
+    private long incarnation;
+    private Moment leaseEnds = Moment.LONG_AGO;
+    private Moment lastHeard = Moment.LONG_AGO;
+    private long acknowledged;
+    private long inForce;
+    private String rejectionReason = "";
     private long rejected;
 
     /** End of the leases of an earlier process under the same name. */
     private Moment barredUntil = Moment.LONG_AGO;
 
-    Peer(String name) {
+    RouterLease(String name) {
       this.name = name;
     }
 
@@ -75,12 +75,12 @@
 
     /** When its last heartbeat came. */
     public Moment lastHeard() {
-      return heard;
+      return lastHeard;
     }
 
     /** Number of the prepared version that it complies with already, or 0. */
     public long acknowledged() {
-      return keepsTo;
+      return acknowledged;
     }
 
     /** Number of the version that it has in force. */
@@ -90,7 +90,7 @@
 
     /** Why it can't comply with the prepared version; empty where it rejects nothing. */
     public String rejectionReason() {
-      return refusal;
+      return rejectionReason;
     }
 
     private void update(Moment now, RouterHeartbeat heartbeat) {
@@ -100,11 +100,11 @@
         barredUntil = leaseEnds;
         incarnation = heartbeat.incarnation();
       }
-      heard = now;
+      lastHeard = now;
       inForce = heartbeat.inForce();
-      keepsTo = heartbeat.acknowledged();
+      acknowledged = heartbeat.acknowledged();
       rejected = heartbeat.rejected();
-      refusal = heartbeat.rejectionReason();
+      rejectionReason = heartbeat.rejectionReason();
     }
 
     private boolean hasLease(Moment now) {
@@ -114,7 +114,7 @@
 
   private final Span leaseDuration;
   private final double maxClockDrift;
-  private final TreeMap<String, Peer> routers = new TreeMap<>();
+  private final TreeMap<String, RouterLease> routers = new TreeMap<>();
 
   /** Last heartbeat since the election, by router; routers removed from the table stay here. */
   private final Map<String, Moment> lastHeard = new HashMap<>();
@@ -142,7 +142,7 @@
   }
 
   /** This voter leads from now on and does not know which leases its predecessor granted. */
-  public void elected(Moment now) {
+  public void startLeading(Moment now) {
     routers.clear();
     lastHeard.clear();
     lastConfirmed = Moment.LONG_AGO;
@@ -150,7 +150,7 @@
   }
 
   /** This voter leads no more and grants nothing. */
-  public void resigned() {
+  public void stopLeading() {
     formerLeasesEnd = Moment.NEVER;
     lastConfirmed = Moment.LONG_AGO;
   }
@@ -159,37 +159,24 @@
    * A majority accepted a command that was sent at this moment, so nobody else had been elected by
    * then.
    */
-  public void confirmed(Moment sent) {
+  public void confirmLeadership(Moment sent) {
     lastConfirmed = lastConfirmed.later(sent);
   }
 
-  /** As {@link #heartbeat}, with the heartbeat's fields one by one. */
-  public LeaseGrant beat(
-      Moment now,
-      String name,
-      long incarnation,
-      long number,
-      long inForce,
-      long keepsTo,
-      long refused,
-      String refusal,
-      boolean holds,
-      VersionRegister register) {
-    RouterHeartbeat heartbeat =
-        new RouterHeartbeat(name, incarnation, number, inForce, keepsTo, refused, refusal, holds);
-    return heartbeat(now, heartbeat, register);
-  }
-
   /** Records a router's heartbeat and answers it; the grant's duration is zero without a lease. */
   public LeaseGrant heartbeat(Moment now, RouterHeartbeat heartbeat, VersionRegister register) {
     boolean isTableFull = !routers.containsKey(heartbeat.router()) && routers.size() >= MAX_ROUTERS;
     Span duration = isTableFull ? Span.NONE : recordAndLease(now, heartbeat, register);
     return new LeaseGrant(
-        heartbeat.number(), duration, register.inForce(), register.prepared(), register.changes());
+        heartbeat.number(),
+        duration,
+        register.inForce(),
+        register.prepared(),
+        register.changeCount());
   }
 
   private Span recordAndLease(Moment now, RouterHeartbeat heartbeat, VersionRegister register) {
-    Peer router = routers.computeIfAbsent(heartbeat.router(), Peer::new);
+    RouterLease router = routers.computeIfAbsent(heartbeat.router(), RouterLease::new);
     router.update(now, heartbeat);
     lastHeard.put(heartbeat.router(), now);
     boolean isEntitled =
@@ -222,7 +209,7 @@
   }
 
   /** The next command for the voters: for the prepared version if there is one, else the count. */
-  public Step next(Moment now, VersionRegister register) {
+  public Step nextStep(Moment now, VersionRegister register) {
     forgetSilentRouters(now);
     SettingsVersion prepared = register.prepared();
     return prepared == null
@@ -236,13 +223,13 @@
         .values()
         .removeIf(
             router ->
-                now.since(router.heard).isLongerThan(longestSilence) && !router.hasLease(now));
+                now.since(router.lastHeard).isLongerThan(longestSilence) && !router.hasLease(now));
   }
 
   private Step stepForPrepared(Moment now, SettingsVersion prepared) {
-    for (Peer router : routers.values()) {
+    for (RouterLease router : routers.values()) {
       if (router.rejected == prepared.number() && isHeardRecently(router, now)) {
-        String reason = router.name + ": " + router.refusal;
+        String reason = router.name + ": " + router.rejectionReason;
         return new Step(Step.Kind.WITHDRAW, prepared.number(), reason, 0);
       }
     }
@@ -252,11 +239,12 @@
   }
 
   private boolean isAcknowledgedByAll(Moment now, SettingsVersion prepared) {
-    List<Peer> leased = routers.values().stream().filter(router -> router.hasLease(now)).toList();
+    List<RouterLease> leased =
+        routers.values().stream().filter(router -> router.hasLease(now)).toList();
     // With no router at all nobody has checked the version, and it might suit none.
     return !formerLeasesMayRun(now)
         && !leased.isEmpty()
-        && leased.stream().allMatch(router -> router.keepsTo == prepared.number());
+        && leased.stream().allMatch(router -> router.acknowledged == prepared.number());
   }
 
   private Step stepForRouterCount(Moment now, SettingsVersion inForce) {
@@ -269,7 +257,7 @@
     boolean isChangeDue =
         present > inForce.routers() || (present < inForce.routers() && !formerLeasesMayRun(now));
     return isChangeDue && present > 0
-        ? new Step(Step.Kind.COUNT_ROUTERS, inForce.number(), "", present)
+        ? new Step(Step.Kind.SET_ROUTER_COUNT, inForce.number(), "", present)
         : Step.NOTHING;
   }
 
@@ -280,7 +268,7 @@
 
   /** Whether a router of this name may act under a lease of this leader. */
   public boolean hasLease(String name, Moment now) {
-    Peer router = routers.get(name);
+    RouterLease router = routers.get(name);
     return router != null && router.hasLease(now);
   }
 
@@ -302,12 +290,12 @@
     return lastHeard.getOrDefault(name, Moment.LONG_AGO);
   }
 
-  private boolean isHeardRecently(Peer router, Moment now) {
-    return !now.since(router.heard).isLongerThan(leaseDuration);
+  private boolean isHeardRecently(RouterLease router, Moment now) {
+    return !now.since(router.lastHeard).isLongerThan(leaseDuration);
   }
 
   /** All known routers, by name. */
-  public List<Peer> peers() {
+  public List<RouterLease> routers() {
     return new ArrayList<>(routers.values());
   }
 }
--- a/router/src/main/java/basaltlever/settings/SettingsConstraints.java
+++ b/router/src/main/java/basaltlever/settings/SettingsConstraints.java
@@ -23,12 +23,13 @@
    * @param installed the settings of the router's start file
    * @param maxStaleness upper limit for bounded staleness; zero for none
    */
-  public static List<String> brokenBy(Settings proposed, Settings installed, Span maxStaleness) {
+  public static List<String> findViolations(
+      Settings proposed, Settings installed, Span maxStaleness) {
     List<String> reasons = new ArrayList<>(StricterSettings.findConflicts(installed, proposed));
     double totalWeight = 0;
     for (int i = 0; reasons.isEmpty() && i < proposed.workloads().length; i++) {
       Workload workload = proposed.workloads()[i];
-      totalWeight += workload.importance();
+      totalWeight += workload.priorityWeight();
       checkIdempotency(i, workload, installed.workloads()[i], reasons);
       checkStaleness(i, workload, maxStaleness, reasons);
     }
@@ -40,22 +41,22 @@
 
   private static void checkIdempotency(
       int index, Workload proposed, Workload installed, List<String> reasons) {
-    if (installed.repeat() == Idempotency.NON_IDEMPOTENT
-        && proposed.repeat() != Idempotency.NON_IDEMPOTENT) {
+    if (installed.idempotency() == Idempotency.NON_IDEMPOTENT
+        && proposed.idempotency() != Idempotency.NON_IDEMPOTENT) {
       reasons.add("Classes." + index + ".Repeat: what must not run twice would be repeated");
     }
   }
 
   private static void checkStaleness(
       int index, Workload proposed, Span maxStaleness, List<String> reasons) {
-    if (proposed.needs() == ReadConsistency.BOUNDED
+    if (proposed.consistency() == ReadConsistency.BOUNDED
         && maxStaleness.micros() > 0
-        && proposed.bound().isLongerThan(maxStaleness)) {
+        && proposed.maxStaleness().isLongerThan(maxStaleness)) {
       reasons.add(
           "FamilyInfo.LagAllowed: class "
               + index
               + " would read data "
-              + proposed.bound().micros() / 1_000
+              + proposed.maxStaleness().micros() / 1_000
               + " ms old, the ceiling is "
               + maxStaleness.micros() / 1_000
               + " ms");
--- a/router/src/main/java/basaltlever/settings/SettingsVersion.java
+++ b/router/src/main/java/basaltlever/settings/SettingsVersion.java
@@ -7,9 +7,9 @@
  * @param number of the version
  * @param text the settings as JSON
  * @param routers number of routers that share the capacity, at least 1
- * @param who name of the proposer
- * @param why the proposer's reason
- * @param atMillis Unix time of the proposal by the proposer's clock
+ * @param proposer name of the proposer
+ * @param reason the proposer's reason
+ * @param proposedAtMillis Unix time of the proposal by the proposer's clock
  */
 public record SettingsVersion(
-    long number, String text, int routers, String who, String why, long atMillis) {}
+    long number, String text, int routers, String proposer, String reason, long proposedAtMillis) {}
--- a/router/src/main/java/basaltlever/settings/StricterSettings.java
+++ b/router/src/main/java/basaltlever/settings/StricterSettings.java
@@ -44,8 +44,8 @@
       return reasons;
     }
     for (int i = 0; i < older.workloads().length; i++) {
-      boolean writes = newer.workloads()[i].needs() == ReadConsistency.WRITE;
-      if (writes != (older.workloads()[i].needs() == ReadConsistency.WRITE)) {
+      boolean writes = newer.workloads()[i].consistency() == ReadConsistency.WRITE;
+      if (writes != (older.workloads()[i].consistency() == ReadConsistency.WRITE)) {
         reasons.add(
             "FamilyInfo.ClassRead: class "
                 + i
@@ -66,12 +66,12 @@
       workloads[i] = stricterWorkload(older.workloads()[i], newer.workloads()[i], sameTokens);
     }
     return new Settings(
-        stricterIdentity(older.standing(), newer.standing()),
+        stricterIdentity(older.identity(), newer.identity()),
         workloads,
         stricterReplication(older.replication(), newer.replication()),
         stricterDrainPolicy(older.drains(), newer.drains()),
-        stricterSlowStart(older.warmUp(), newer.warmUp()),
-        stricterAttemptLimits(older.allowance(), newer.allowance()),
+        stricterSlowStart(older.slowStart(), newer.slowStart()),
+        stricterAttemptLimits(older.attemptLimits(), newer.attemptLimits()),
         stricterPool(older.connections(), newer.connections()));
   }
 
@@ -79,18 +79,18 @@
    * What every version allows, for a router without a lease, which does not know the version in
    * force: only the primary answers reads, and each statement is attempted once.
    */
-  public static Settings careful(Settings known) {
+  public static Settings strictest(Settings known) {
     Workload[] workloads = new Workload[known.workloads().length];
     for (int i = 0; i < workloads.length; i++) {
       workloads[i] = strictestWorkload(known.workloads()[i]);
     }
-    AttemptLimits limits = known.allowance();
+    AttemptLimits limits = known.attemptLimits();
     return new Settings(
-        known.standing(),
+        known.identity(),
         workloads,
         new Replication(false, false, known.replication().sessionsCarryTokens()),
-        new DrainPolicy(known.drains().askedFor(), known.drains().mustAskIn(), true),
-        known.warmUp(),
+        new DrainPolicy(known.drains().listIsWatched(), known.drains().listRenewalInterval(), true),
+        known.slowStart(),
         new AttemptLimits(
             1, false, limits.cancels(), limits.polls(), Span.NONE, limits.answerSlack()),
         known.connections());
@@ -98,15 +98,17 @@
 
   private static Workload strictestWorkload(Workload known) {
     return new Workload(
-        known.needs() == ReadConsistency.WRITE ? ReadConsistency.WRITE : ReadConsistency.FRESH,
+        known.consistency() == ReadConsistency.WRITE
+            ? ReadConsistency.WRITE
+            : ReadConsistency.FRESH,
         Span.NONE,
         Idempotency.NON_IDEMPOTENT,
         DeduplicationScope.GROUP,
         Span.NONE,
-        known.slo(),
+        known.latencyObjective(),
         known.timeout(),
-        known.importance(),
-        known.lateShare());
+        known.priorityWeight(),
+        known.lateAnswerValue());
   }
 
   private static RouterIdentity stricterIdentity(RouterIdentity older, RouterIdentity newer) {
@@ -126,18 +128,18 @@
         stricterIdempotency(older, newer),
         stricterScope(older, newer),
         stricterWindow(older, newer),
-        newer.slo(),
+        newer.latencyObjective(),
         newer.timeout(),
-        newer.importance(),
-        newer.lateShare());
+        newer.priorityWeight(),
+        newer.lateAnswerValue());
   }
 
   private static ReadConsistency stricterConsistency(
       Workload older, Workload newer, boolean sameTokens) {
-    if (newer.needs() == ReadConsistency.WRITE) {
+    if (newer.consistency() == ReadConsistency.WRITE) {
       return ReadConsistency.WRITE;
     }
-    ReadConsistency strictest = strictestOf(older.needs(), newer.needs());
+    ReadConsistency strictest = strictestOf(older.consistency(), newer.consistency());
     // The two versions expect a session's last commit position in different places, so only the
     // primary is sure to have that commit.
     return strictest == ReadConsistency.SESSION && !sameTokens ? ReadConsistency.FRESH : strictest;
@@ -153,19 +155,21 @@
   }
 
   private static Span stricterStaleness(Workload older, Workload newer) {
-    if (older.needs() != ReadConsistency.BOUNDED) {
-      return newer.bound();
+    if (older.consistency() != ReadConsistency.BOUNDED) {
+      return newer.maxStaleness();
     }
-    return newer.needs() == ReadConsistency.BOUNDED
-        ? older.bound().shorter(newer.bound())
-        : older.bound();
+    return newer.consistency() == ReadConsistency.BOUNDED
+        ? older.maxStaleness().shorter(newer.maxStaleness())
+        : older.maxStaleness();
   }
 
   private static Idempotency stricterIdempotency(Workload older, Workload newer) {
     if (areBothDeduplicated(older, newer) && scopesOverlapOnly(older, newer)) {
       return Idempotency.NON_IDEMPOTENT;
     }
-    return older.repeat().compareTo(newer.repeat()) > 0 ? older.repeat() : newer.repeat();
+    return older.idempotency().compareTo(newer.idempotency()) > 0
+        ? older.idempotency()
+        : newer.idempotency();
   }
 
   private static boolean areBothDeduplicated(Workload older, Workload newer) {
@@ -173,28 +177,30 @@
   }
 
   private static boolean isDeduplicated(Workload workload) {
-    return workload.repeat() == Idempotency.DEDUPLICATED;
+    return workload.idempotency() == Idempotency.DEDUPLICATED;
   }
 
   /** A zone and a group only overlap: neither scope is the narrower one. */
   private static boolean scopesOverlapOnly(Workload older, Workload newer) {
-    return older.within() != newer.within()
-        && older.within() != DeduplicationScope.ALL
-        && newer.within() != DeduplicationScope.ALL;
+    return older.deduplicationScope() != newer.deduplicationScope()
+        && older.deduplicationScope() != DeduplicationScope.ALL
+        && newer.deduplicationScope() != DeduplicationScope.ALL;
   }
 
   private static DeduplicationScope stricterScope(Workload older, Workload newer) {
     if (areBothDeduplicated(older, newer)) {
-      return older.within() == DeduplicationScope.ALL ? newer.within() : older.within();
+      return older.deduplicationScope() == DeduplicationScope.ALL
+          ? newer.deduplicationScope()
+          : older.deduplicationScope();
     }
-    return isDeduplicated(older) ? older.within() : newer.within();
+    return isDeduplicated(older) ? older.deduplicationScope() : newer.deduplicationScope();
   }
 
   private static Span stricterWindow(Workload older, Workload newer) {
     if (areBothDeduplicated(older, newer)) {
-      return older.window().shorter(newer.window());
+      return older.deduplicationWindow().shorter(newer.deduplicationWindow());
     }
-    return isDeduplicated(older) ? older.window() : newer.window();
+    return isDeduplicated(older) ? older.deduplicationWindow() : newer.deduplicationWindow();
   }
 
   private static Replication stricterReplication(Replication older, Replication newer) {
@@ -207,26 +213,26 @@
 
   private static DrainPolicy stricterDrainPolicy(DrainPolicy older, DrainPolicy newer) {
     return new DrainPolicy(
-        older.askedFor() || newer.askedFor(),
-        older.mustAskIn().shorter(newer.mustAskIn()),
+        older.listIsWatched() || newer.listIsWatched(),
+        older.listRenewalInterval().shorter(newer.listRenewalInterval()),
         older.removalBinds() || newer.removalBinds());
   }
 
   private static SlowStartPolicy stricterSlowStart(SlowStartPolicy older, SlowStartPolicy newer) {
     return new SlowStartPolicy(
-        Math.min(older.coldFrom(), newer.coldFrom()),
+        Math.min(older.initialShare(), newer.initialShare()),
         older.warmAfter().longer(newer.warmAfter()),
-        Math.min(older.topplesAt(), newer.topplesAt()),
-        older.topplesIn().shorter(newer.topplesIn()));
+        Math.min(older.overloadFactor(), newer.overloadFactor()),
+        older.overloadTime().shorter(newer.overloadTime()));
   }
 
   private static AttemptLimits stricterAttemptLimits(AttemptLimits older, AttemptLimits newer) {
     return new AttemptLimits(
-        Math.min(older.executions(), newer.executions()),
-        older.secondCopies() && newer.secondCopies(),
+        Math.min(older.maxAttempts(), newer.maxAttempts()),
+        older.hedgedRequests() && newer.hedgedRequests(),
         older.cancels() && newer.cancels(),
         older.polls() && newer.polls(),
-        older.longestComeBack().shorter(newer.longestComeBack()),
+        older.maxRetryAfter().shorter(newer.maxRetryAfter()),
         older.answerSlack().shorter(newer.answerSlack()));
   }
 
--- a/router/src/main/java/basaltlever/settings/VersionRegister.java
+++ b/router/src/main/java/basaltlever/settings/VersionRegister.java
@@ -35,7 +35,7 @@
   private static final long SKIPPED_ASSIGNMENTS = 1_000_000;
 
   /** Longest text of a version, in characters. */
-  public static final int LARGEST = 128 * 1024;
+  public static final int MAX_TEXT_LENGTH = 128 * 1024;
 
   /** What became of a proposed version. */
   public enum VersionOutcome {
@@ -51,16 +51,16 @@
    * One proposal of the past.
    *
    * @param version that was proposed
-   * @param end what became of it
+   * @param outcome what became of it
    * @param reason why it did not take effect, or a remark; may be empty
    */
-  public record HistoryEntry(SettingsVersion version, VersionOutcome end, String reason) {}
+  public record HistoryEntry(SettingsVersion version, VersionOutcome outcome, String reason) {}
 
   private SettingsVersion inForce =
       new SettingsVersion(0, "", 1, "", "the start file of each router", 0);
   private SettingsVersion prepared;
   private long lastNumber;
-  private long changes;
+  private long changeCount;
   private final ArrayDeque<HistoryEntry> history = new ArrayDeque<>();
 
   private final GroupAssignmentTable assignments = new GroupAssignmentTable();
@@ -81,7 +81,7 @@
    */
   public String propose(
       long basis, String text, int routers, String who, String why, long atMillis) {
-    changes++;
+    changeCount++;
     String rejection = reasonToReject(basis, text);
     if (!rejection.isEmpty()) {
       SettingsVersion rejected = new SettingsVersion(0, text, routers, who, why, atMillis);
@@ -98,18 +98,20 @@
       return "version "
           + prepared.number()
           + " by "
-          + prepared.who()
+          + prepared.proposer()
           + " is being brought into force";
     }
     if (basis != inForce.number()) {
       return "version "
           + inForce.number()
           + " by "
-          + inForce.who()
+          + inForce.proposer()
           + " came into force since version "
           + basis;
     }
-    return text.length() > LARGEST ? "it is longer than " + LARGEST + " characters" : "";
+    return text.length() > MAX_TEXT_LENGTH
+        ? "it is longer than " + MAX_TEXT_LENGTH + " characters"
+        : "";
   }
 
   /**
@@ -117,7 +119,7 @@
    * no version of that number is prepared.
    */
   public boolean bringIntoForce(long number) {
-    changes++;
+    changeCount++;
     if (!isPrepared(number)) {
       return false;
     }
@@ -129,7 +131,7 @@
 
   /** Withdraws the prepared version; false where no version of that number is prepared. */
   public boolean withdraw(long number, String reason) {
-    changes++;
+    changeCount++;
     if (!isPrepared(number)) {
       return false;
     }
@@ -151,13 +153,13 @@
    * using it and the assignment is cleared. False where nothing changes.
    */
   public boolean seat(String member, int group, ListVersion at) {
-    changes++;
+    changeCount++;
     return assignments.assign(member, group, at);
   }
 
   /** Every router has stopped using the endpoint in its former group. */
-  public boolean clear(String member) {
-    changes++;
+  public boolean clearAssignment(String member) {
+    changeCount++;
     return assignments.clear(member);
   }
 
@@ -165,8 +167,8 @@
    * Discovery has lost its state and restarts its generations: lists belong to a new era from now
    * on. True where the era is now the one after the given, also for a repeated command.
    */
-  public boolean countAnew(long from) {
-    changes++;
+  public boolean startNewEra(long from) {
+    changeCount++;
     if (from == era) {
       era++;
     }
@@ -179,12 +181,12 @@
   }
 
   /** Number of the last change of a group assignment. */
-  public long seatsNumber() {
+  public long assignmentsNumber() {
     return assignments.number();
   }
 
   /** The group assignments that changed after that number. */
-  public List<GroupAssignment> seats(long after) {
+  public List<GroupAssignment> assignmentsAfter(long after) {
     return assignments.changedAfter(after);
   }
 
@@ -203,34 +205,34 @@
    * Records the folder with which a voter votes: a different folder under the same name has lost
    * those votes. False where one is recorded already.
    */
-  public boolean seal(String voter, String folder) {
-    changes++;
+  public boolean recordFolder(String voter, String folder) {
+    changeCount++;
     return folders.putIfAbsent(voter, folder) == null;
   }
 
   /** Removes the record of a voter that left, or that is to vote with another folder. */
-  public void unseal(String voter) {
-    changes++;
+  public void forgetFolder(String voter) {
+    changeCount++;
     folders.remove(voter);
   }
 
   /** Id of the voter's recorded folder; empty where none is. */
-  public String sealOf(String voter) {
+  public String recordedFolder(String voter) {
     return folders.getOrDefault(voter, "");
   }
 
   /** Configuration epoch: how often a lost majority was given up and the rest recovered. */
-  public long charter() {
-    return charter(changes);
+  public long epoch() {
+    return epoch(changeCount);
   }
 
   /** The configuration epoch of a change count, as in a grant. */
-  public static long charter(long changes) {
+  public static long epoch(long changes) {
     return changes >>> EPOCH_SHIFT;
   }
 
   /** The smallest change count of a configuration epoch. */
-  public static long first(long charter) {
+  public static long firstChange(long charter) {
     return charter << EPOCH_SHIFT;
   }
 
@@ -242,14 +244,14 @@
    * stopped using it.
    */
   public void recover(Set<String> lost, String who, String why, long atMillis) {
-    changes = first(charter() + 1);
+    changeCount = firstChange(epoch() + 1);
     if (prepared != null) {
       withdrawPrepared("a majority was lost");
     }
     lastNumber = Math.max(lastNumber, inForce.number()) + SKIPPED_VERSIONS;
     inForce =
         new SettingsVersion(lastNumber, inForce.text(), inForce.routers(), who, why, atMillis);
-    String remark = "charter " + charter() + ", without " + String.join(", ", lost);
+    String remark = "charter " + epoch() + ", without " + String.join(", ", lost);
     addToHistory(new HistoryEntry(inForce, VersionOutcome.IN_FORCE, remark));
     assignments.unclearAll(SKIPPED_ASSIGNMENTS);
     folders.clear();
@@ -258,12 +260,12 @@
   }
 
   /** Voters given up by the last recovery; the operator has confirmed that they are stopped. */
-  public Set<String> ended() {
+  public Set<String> lostVoters() {
     return lostVoters;
   }
 
   /** Id of each voter's recorded folder, by the voter's name. */
-  public Map<String, String> seals() {
+  public Map<String, String> recordedFolders() {
     return folders;
   }
 
@@ -293,13 +295,13 @@
   }
 
   /** The last version number given. */
-  public long last() {
+  public long lastNumber() {
     return lastNumber;
   }
 
   /** Number of commands applied; of two copies the one with more is the newer. */
-  public long changes() {
-    return changes;
+  public long changeCount() {
+    return changeCount;
   }
 
   /** Past proposals, oldest first; only the latest are kept. */
@@ -314,7 +316,7 @@
       long snapshotLast,
       long snapshotChanges,
       List<HistoryEntry> snapshotHistory) {
-    changes = snapshotChanges;
+    changeCount = snapshotChanges;
     inForce = snapshotInForce;
     prepared = snapshotPrepared;
     lastNumber = snapshotLast;
--- a/router/src/main/java/basaltlever/snapshot/EndpointState.java
+++ b/router/src/main/java/basaltlever/snapshot/EndpointState.java
@@ -8,43 +8,43 @@
  * happened.
  *
  * @param group the number of its replica group
- * @param listedStart when it started, in microseconds of Unix time, as the endpoint list says; 0
- *     where the list does not say
- * @param drains whether the endpoint list says that it is draining
+ * @param listedStartMicros when it started, in microseconds of Unix time, as the endpoint list
+ *     says; 0 where the list does not say
+ * @param draining whether the endpoint list says that it is draining
  * @param primary whether it was taken for the primary of its group
- * @param startedAgo since its start, as listed or as observed by the router, whichever is later
- * @param deniedAgo since it last reported itself not primary, or was lost as the primary; negative
- *     where that lies ahead of the snapshot
- * @param silent whether it owed responses and sent none
+ * @param sinceStart since its start, as listed or as observed by the router, whichever is later
+ * @param sinceNotPrimary since it last reported itself not primary, or was lost as the primary;
+ *     negative where that lies ahead of the snapshot
+ * @param unresponsive whether it owed responses and sent none
  * @param downFor since when it could not be reached
- * @param failing share of its attempts that were lost or failed, 0 to 1
- * @param strained latency strain: the ratio of response time to the latency objective, beyond the
- *     usual ratio
- * @param room capacity: how many attempts may be in flight at it
- * @param turnedAway how many times in a row it rejected an attempt as full
- * @param rests how much longer it was to be left alone
+ * @param failureRate share of its attempts that were lost or failed, 0 to 1
+ * @param latencyStrain latency strain: the ratio of response time to the latency objective, beyond
+ *     the usual ratio
+ * @param capacity capacity: how many attempts may be in flight at it
+ * @param consecutiveRejections how many times in a row it rejected an attempt as full
+ * @param remainingBackoff how much longer it was to be left alone
  * @param lag its replication lag when last observed
- * @param coldSpent the part of its slow-start budget that was spent and not refilled yet, in
+ * @param slowStartSpent the part of its slow-start budget that was spent and not refilled yet, in
  *     typical attempts; 0 where it was not warming up
- * @param coldAgo since when the slow-start budget has been refilling
+ * @param sinceSlowStartSpent since when the slow-start budget has been refilling
  */
 public record EndpointState(
     int group,
-    long listedStart,
-    boolean drains,
+    long listedStartMicros,
+    boolean draining,
     boolean primary,
-    Span startedAgo,
-    Span deniedAgo,
-    boolean silent,
+    Span sinceStart,
+    Span sinceNotPrimary,
+    boolean unresponsive,
     Span downFor,
-    double failing,
-    double strained,
-    double room,
-    int turnedAway,
-    Span rests,
+    double failureRate,
+    double latencyStrain,
+    double capacity,
+    int consecutiveRejections,
+    Span remainingBackoff,
     Span lag,
-    double coldSpent,
-    Span coldAgo) {
+    double slowStartSpent,
+    Span sinceSlowStartSpent) {
   /** The span since something that has not happened. */
   public static final Span NEVER = new Span(Long.MAX_VALUE / 8);
 
@@ -60,11 +60,16 @@
    * first when a snapshot must stay small.
    */
   public boolean isUnremarkable() {
-    return !drains && !primary && !silent && !isDown() && isHealthy() && coldSpent <= 0;
+    return !draining
+        && !primary
+        && !unresponsive
+        && !isDown()
+        && isHealthy()
+        && slowStartSpent <= 0;
   }
 
   private boolean isHealthy() {
-    return failing < NEGLIGIBLE && strained < NEGLIGIBLE;
+    return failureRate < NEGLIGIBLE && latencyStrain < NEGLIGIBLE;
   }
 
   /** A builder that starts from this state. */
--- a/router/src/main/java/basaltlever/snapshot/EndpointStateBuilder.java
+++ b/router/src/main/java/basaltlever/snapshot/EndpointStateBuilder.java
@@ -29,21 +29,21 @@
 
   EndpointStateBuilder(EndpointState state) {
     group = state.group();
-    listedStartMicros = state.listedStart();
-    draining = state.drains();
+    listedStartMicros = state.listedStartMicros();
+    draining = state.draining();
     primary = state.primary();
-    sinceStart = state.startedAgo();
-    sinceNotPrimary = state.deniedAgo();
-    unresponsive = state.silent();
+    sinceStart = state.sinceStart();
+    sinceNotPrimary = state.sinceNotPrimary();
+    unresponsive = state.unresponsive();
     downFor = state.downFor();
-    failureRate = state.failing();
-    latencyStrain = state.strained();
-    capacity = state.room();
-    consecutiveRejections = state.turnedAway();
-    remainingBackoff = state.rests();
+    failureRate = state.failureRate();
+    latencyStrain = state.latencyStrain();
+    capacity = state.capacity();
+    consecutiveRejections = state.consecutiveRejections();
+    remainingBackoff = state.remainingBackoff();
     lag = state.lag();
-    slowStartSpent = state.coldSpent();
-    sinceSlowStartSpent = state.coldAgo();
+    slowStartSpent = state.slowStartSpent();
+    sinceSlowStartSpent = state.sinceSlowStartSpent();
   }
 
   /** The number of its replica group. */
--- a/router/src/main/java/basaltlever/snapshot/KnownEndpoint.java
+++ b/router/src/main/java/basaltlever/snapshot/KnownEndpoint.java
@@ -5,6 +5,6 @@
  *
  * @param id its name in the endpoint list
  * @param address its address in the endpoint list
- * @param view what was learned
+ * @param state what was learned
  */
-public record KnownEndpoint(String id, String address, EndpointState view) {}
+public record KnownEndpoint(String id, String address, EndpointState state) {}
--- a/router/src/main/java/basaltlever/snapshot/StateDecay.java
+++ b/router/src/main/java/basaltlever/snapshot/StateDecay.java
@@ -40,26 +40,27 @@
     double healthWeight = weight(age, HEALTH_DECAY);
     double loadWeight = weight(age, LOAD_DECAY);
     boolean statesCount = healthWeight >= LEAST_WEIGHT_OF_STATES;
-    double failureRate = state.silent() || state.isDown() ? 1 : state.failing();
+    double failureRate = state.unresponsive() || state.isDown() ? 1 : state.failureRate();
     return state.toBuilder()
-        .sinceStart(longerAgo(state.startedAgo(), age))
-        .sinceNotPrimary(longerAgo(state.deniedAgo(), age))
-        .unresponsive(state.silent() && statesCount)
+        .sinceStart(longerAgo(state.sinceStart(), age))
+        .sinceNotPrimary(longerAgo(state.sinceNotPrimary(), age))
+        .unresponsive(state.unresponsive() && statesCount)
         .downFor(statesCount ? longerAgo(state.downFor(), age) : EndpointState.NEVER)
         .failureRate(failureRate * healthWeight)
-        .latencyStrain(Math.max(0, state.strained()) * loadWeight)
-        .capacity(state.room() / Math.max(loadWeight, LEAST_DIVISOR))
-        .consecutiveRejections(statesCount ? state.turnedAway() : 0)
-        .remainingBackoff(state.rests().minus(age).longer(Span.NONE))
+        .latencyStrain(Math.max(0, state.latencyStrain()) * loadWeight)
+        .capacity(state.capacity() / Math.max(loadWeight, LEAST_DIVISOR))
+        .consecutiveRejections(statesCount ? state.consecutiveRejections() : 0)
+        .remainingBackoff(state.remainingBackoff().minus(age).longer(Span.NONE))
         .lag(state.lag().times(loadWeight))
-        .sinceSlowStartSpent(longerAgo(state.coldAgo(), age))
+        .sinceSlowStartSpent(longerAgo(state.sinceSlowStartSpent(), age))
         .build();
   }
 
   /** The same state, that much later. */
   public static GroupState aged(GroupState state, Span age) {
     double loadWeight = weight(age, LOAD_DECAY);
-    return new GroupState(state.group(), state.jam() * loadWeight, state.primaryJam() * loadWeight);
+    return new GroupState(
+        state.group(), state.congestion() * loadWeight, state.primaryCongestion() * loadWeight);
   }
 
   private static Span longerAgo(Span ago, Span age) {
--- a/router/src/main/java/basaltlever/snapshot/StateRestore.java
+++ b/router/src/main/java/basaltlever/snapshot/StateRestore.java
@@ -13,7 +13,7 @@
  */
 public final class StateRestore {
   /** For a router without a stored state. */
-  public static final StateRestore NONE = rejected("there is none");
+  public static final StateRestore NOTHING = rejected("there is none");
 
   /** How far the system clock may differ from the monotonic one before neither is trusted. */
   private static final Span CLOCK_TOLERANCE = Span.ofMillis(2_000);
@@ -25,7 +25,7 @@
   private final Span age;
   private final long listVersion;
   private final Map<String, KnownEndpoint> pending = new LinkedHashMap<>();
-  private List<GroupState> groups;
+  private List<GroupState> takeGroups;
 
   private StateRestore(
       String rejection,
@@ -36,7 +36,7 @@
     this.rejection = rejection;
     this.age = age;
     this.listVersion = listVersion;
-    this.groups = groups;
+    this.takeGroups = groups;
     endpoints.forEach(known -> pending.put(known.id(), known));
   }
 
@@ -55,14 +55,14 @@
       return rejected(
           "it is of deployment '" + stored.deployment() + "', router '" + stored.router() + "'");
     }
-    Span systemAge = new Span(now - stored.writtenAt());
+    Span systemAge = new Span(now - stored.writtenAtMicros());
     if (systemAge.micros() < 0) {
       return rejected("it was written in the future, by this machine's clock");
     }
-    if (boot.isEmpty() || !boot.equals(stored.boot())) {
+    if (boot.isEmpty() || !boot.equals(stored.bootId())) {
       return aged(stored, systemAge);
     }
-    Span monotonicAge = new Span(steady - stored.steady());
+    Span monotonicAge = new Span(steady - stored.monotonicMicros());
     return agree(systemAge, monotonicAge)
         ? aged(stored, monotonicAge)
         : rejected("the clock was set since it was written");
@@ -75,14 +75,14 @@
   }
 
   private static StateRestore aged(LearnedState stored, Span age) {
-    List<KnownEndpoint> endpoints = new ArrayList<>(stored.nodes().size());
-    for (KnownEndpoint known : stored.nodes()) {
+    List<KnownEndpoint> endpoints = new ArrayList<>(stored.endpoints().size());
+    for (KnownEndpoint known : stored.endpoints()) {
       endpoints.add(
-          new KnownEndpoint(known.id(), known.address(), StateDecay.aged(known.view(), age)));
+          new KnownEndpoint(known.id(), known.address(), StateDecay.aged(known.state(), age)));
     }
     List<GroupState> groups =
         stored.groups().stream().map(group -> StateDecay.aged(group, age)).toList();
-    return new StateRestore("", age, stored.listed(), endpoints, groups);
+    return new StateRestore("", age, stored.listVersion(), endpoints, groups);
   }
 
   private static StateRestore rejected(String reason) {
@@ -105,7 +105,7 @@
   }
 
   /** The endpoints that have not been listed yet, in stored order: whom to poll first. */
-  public List<KnownEndpoint> members() {
+  public List<KnownEndpoint> pendingEndpoints() {
     return List.copyOf(pending.values());
   }
 
@@ -122,12 +122,12 @@
     boolean olderList = !live && version < listVersion;
     if (known == null
         || !known.address().equals(address)
-        || !isSameStart(known.view().listedStart(), listedStart, olderList)) {
+        || !isSameStart(known.state().listedStartMicros(), listedStart, olderList)) {
       return null;
     }
     pending.remove(id);
-    EndpointState state = known.view();
-    return state.drains() && !olderList ? state.toBuilder().draining(false).build() : state;
+    EndpointState state = known.state();
+    return state.draining() && !olderList ? state.toBuilder().draining(false).build() : state;
   }
 
   private static boolean isSameStart(long stored, long listed, boolean olderList) {
@@ -135,9 +135,9 @@
   }
 
   /** Hands out, once, what is known of the replica groups. */
-  public List<GroupState> groups() {
-    List<GroupState> handedOut = groups;
-    groups = List.of();
+  public List<GroupState> takeGroups() {
+    List<GroupState> handedOut = takeGroups;
+    takeGroups = List.of();
     return handedOut;
   }
 }
--- a/router/src/main/java/basaltlever/storage/DirectoryOperations.java
+++ b/router/src/main/java/basaltlever/storage/DirectoryOperations.java
@@ -9,7 +9,7 @@
  */
 public interface DirectoryOperations {
   /** The names of all files. */
-  List<String> names() throws IOException;
+  List<String> list() throws IOException;
 
   /** Reads a file; throws where it is longer than the given number of bytes. */
   byte[] read(String name, int maxBytes) throws IOException;
@@ -27,5 +27,5 @@
   void delete(String name) throws IOException;
 
   /** Makes all created, renamed and deleted names durable. */
-  void syncFolder() throws IOException;
+  void syncDirectory() throws IOException;
 }
--- a/router/src/main/java/basaltlever/storage/LockedDirectory.java
+++ b/router/src/main/java/basaltlever/storage/LockedDirectory.java
@@ -35,7 +35,7 @@
    *
    * @return false where another process holds the lock
    */
-  public boolean take() throws IOException {
+  public boolean tryLock() throws IOException {
     close();
     FileChannel channel =
         FileChannel.open(
@@ -64,7 +64,7 @@
   }
 
   @Override
-  public List<String> names() throws IOException {
+  public List<String> list() throws IOException {
     try (Stream<Path> files = Files.list(path)) {
       return files.map(file -> file.getFileName().toString()).toList();
     } catch (UncheckedIOException fault) {
@@ -126,7 +126,7 @@
   }
 
   @Override
-  public void syncFolder() throws IOException {
+  public void syncDirectory() throws IOException {
     try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
       channel.force(true);
     }
--- a/router/src/main/java/basaltlever/storage/SnapshotCodec.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotCodec.java
@@ -5,7 +5,7 @@
 /** Converts learned state to the bytes of a snapshot file and back; see {@link SnapshotFormat}. */
 public final class SnapshotCodec {
   /** No snapshot file is larger, whatever the operator allows. */
-  public static final int LARGEST = 16 << 20;
+  public static final int MAX_FILE_BYTES = 16 << 20;
 
   private SnapshotCodec() {}
 
@@ -14,7 +14,7 @@
    * which little was learned are left out.
    */
   public static byte[] write(LearnedState state, int maxBytes) {
-    return SnapshotEncoder.encode(state, Math.min(maxBytes, LARGEST));
+    return SnapshotEncoder.encode(state, Math.min(maxBytes, MAX_FILE_BYTES));
   }
 
   /**
--- a/router/src/main/java/basaltlever/storage/SnapshotEncoder.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotEncoder.java
@@ -40,8 +40,8 @@
 
   /** One record for each endpoint, those of which little was learned last, then the groups. */
   private static List<byte[]> records(LearnedState state) {
-    List<KnownEndpoint> endpoints = new ArrayList<>(state.nodes());
-    endpoints.sort(Comparator.comparing(known -> known.view().isUnremarkable()));
+    List<KnownEndpoint> endpoints = new ArrayList<>(state.endpoints());
+    endpoints.sort(Comparator.comparing(known -> known.state().isUnremarkable()));
     List<byte[]> records = new ArrayList<>();
     for (KnownEndpoint known : endpoints) {
       if (known.id().length() <= SnapshotFormat.MAX_NAME_CHARS
@@ -96,42 +96,42 @@
     out.writeStringField(SnapshotFormat.KIND, SnapshotFormat.KIND_SNAPSHOT);
     out.writeStringField(SnapshotFormat.DEPLOYMENT, state.deployment());
     out.writeStringField(SnapshotFormat.ROUTER, state.router());
-    out.writeNumberField(SnapshotFormat.SEQUENCE, state.number());
-    out.writeNumberField(SnapshotFormat.WRITTEN_AT, state.writtenAt());
-    out.writeNumberField(SnapshotFormat.MONOTONIC, state.steady());
-    out.writeStringField(SnapshotFormat.BOOT_ID, state.boot());
-    out.writeNumberField(SnapshotFormat.LIST_VERSION, state.listed());
+    out.writeNumberField(SnapshotFormat.SEQUENCE, state.sequence());
+    out.writeNumberField(SnapshotFormat.WRITTEN_AT, state.writtenAtMicros());
+    out.writeNumberField(SnapshotFormat.MONOTONIC, state.monotonicMicros());
+    out.writeStringField(SnapshotFormat.BOOT_ID, state.bootId());
+    out.writeNumberField(SnapshotFormat.LIST_VERSION, state.listVersion());
     out.writeNumberField(SnapshotFormat.RECORD_COUNT, records);
   }
 
   private static void endpoint(JsonGenerator out, KnownEndpoint known) throws IOException {
-    EndpointState state = known.view();
+    EndpointState state = known.state();
     out.writeStringField(SnapshotFormat.KIND, SnapshotFormat.KIND_ENDPOINT);
     out.writeStringField(SnapshotFormat.ID, known.id());
     out.writeStringField(SnapshotFormat.ADDRESS, known.address());
     out.writeNumberField(SnapshotFormat.GROUP, state.group());
-    out.writeNumberField(SnapshotFormat.LISTED_START, state.listedStart());
-    flag(out, SnapshotFormat.DRAINING, state.drains());
+    out.writeNumberField(SnapshotFormat.LISTED_START, state.listedStartMicros());
+    flag(out, SnapshotFormat.DRAINING, state.draining());
     flag(out, SnapshotFormat.PRIMARY, state.primary());
-    spanSince(out, SnapshotFormat.SINCE_START, state.startedAgo());
-    spanSince(out, SnapshotFormat.SINCE_NOT_PRIMARY, state.deniedAgo());
-    flag(out, SnapshotFormat.UNRESPONSIVE, state.silent());
+    spanSince(out, SnapshotFormat.SINCE_START, state.sinceStart());
+    spanSince(out, SnapshotFormat.SINCE_NOT_PRIMARY, state.sinceNotPrimary());
+    flag(out, SnapshotFormat.UNRESPONSIVE, state.unresponsive());
     spanSince(out, SnapshotFormat.DOWN_FOR, state.downFor());
-    out.writeNumberField(SnapshotFormat.FAILURE_RATE, state.failing());
-    out.writeNumberField(SnapshotFormat.LATENCY_STRAIN, state.strained());
-    out.writeNumberField(SnapshotFormat.CAPACITY, state.room());
-    out.writeNumberField(SnapshotFormat.CONSECUTIVE_REJECTIONS, state.turnedAway());
-    out.writeNumberField(SnapshotFormat.REMAINING_BACKOFF, state.rests().micros());
+    out.writeNumberField(SnapshotFormat.FAILURE_RATE, state.failureRate());
+    out.writeNumberField(SnapshotFormat.LATENCY_STRAIN, state.latencyStrain());
+    out.writeNumberField(SnapshotFormat.CAPACITY, state.capacity());
+    out.writeNumberField(SnapshotFormat.CONSECUTIVE_REJECTIONS, state.consecutiveRejections());
+    out.writeNumberField(SnapshotFormat.REMAINING_BACKOFF, state.remainingBackoff().micros());
     out.writeNumberField(SnapshotFormat.LAG, state.lag().micros());
-    out.writeNumberField(SnapshotFormat.SLOW_START_SPENT, state.coldSpent());
-    spanSince(out, SnapshotFormat.SINCE_SLOW_START_SPENT, state.coldAgo());
+    out.writeNumberField(SnapshotFormat.SLOW_START_SPENT, state.slowStartSpent());
+    spanSince(out, SnapshotFormat.SINCE_SLOW_START_SPENT, state.sinceSlowStartSpent());
   }
 
   private static void group(JsonGenerator out, GroupState state) throws IOException {
     out.writeStringField(SnapshotFormat.KIND, SnapshotFormat.KIND_GROUP);
     out.writeNumberField(SnapshotFormat.GROUP, state.group());
-    out.writeNumberField(SnapshotFormat.CONGESTION, state.jam());
-    out.writeNumberField(SnapshotFormat.PRIMARY_CONGESTION, state.primaryJam());
+    out.writeNumberField(SnapshotFormat.CONGESTION, state.congestion());
+    out.writeNumberField(SnapshotFormat.PRIMARY_CONGESTION, state.primaryCongestion());
   }
 
   /** Flags that are not set are left out. */
