--- a/router/src/main/java/basaltlever/storage/SnapshotStore.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotStore.java
@@ -45,12 +45,13 @@
   /**
    * The newest whole snapshot.
    *
-   * @param view its state; null where none is whole
+   * @param state its state; null where none is whole
    * @param name of its file; empty where none is whole
-   * @param number the highest sequence number in any file name that was looked at
+   * @param highestSequence the highest sequence number in any file name that was looked at
    * @param rejected newer files that hold no whole snapshot
    */
-  public record Found(LearnedState view, String name, long number, List<RejectedFile> rejected) {}
+  public record Found(
+      LearnedState state, String name, long highestSequence, List<RejectedFile> rejected) {}
 
   /** The file name of a snapshot. */
   public static String fileName(long sequence) {
@@ -59,7 +60,7 @@
 
   /** The file names of all snapshots, the newest first. */
   public static List<String> names(DirectoryOperations directory) throws IOException {
-    return directory.names().stream()
+    return directory.list().stream()
         .filter(name -> name.matches(FILE_NAME_PATTERN))
         .sorted(Comparator.reverseOrder())
         .toList();
@@ -86,10 +87,10 @@
   }
 
   private LearnedState read(String name) throws InvalidSnapshotException, IOException {
-    LearnedState state = SnapshotCodec.read(directory.read(name, SnapshotCodec.LARGEST));
-    if (state.number() != sequence(name)) {
+    LearnedState state = SnapshotCodec.read(directory.read(name, SnapshotCodec.MAX_FILE_BYTES));
+    if (state.sequence() != sequence(name)) {
       throw InvalidSnapshotException.ofFile(
-          "it is number " + state.number() + ", under another's name");
+          "it is number " + state.sequence() + ", under another's name");
     }
     return state;
   }
@@ -98,8 +99,8 @@
   public void store(LearnedState state, int maxBytes) throws IOException {
     directory.write(TEMPORARY_FILE, SnapshotCodec.write(state, maxBytes));
     directory.sync(TEMPORARY_FILE);
-    directory.rename(TEMPORARY_FILE, fileName(state.number()));
-    directory.syncFolder();
+    directory.rename(TEMPORARY_FILE, fileName(state.sequence()));
+    directory.syncDirectory();
     List<String> names = names(directory);
     for (String outdated : names.subList(Math.min(GENERATIONS, names.size()), names.size())) {
       directory.delete(outdated);
--- a/router/src/main/java/basaltlever/storage/SnapshotWriter.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotWriter.java
@@ -91,7 +91,8 @@
     this.source = source;
     store = new SnapshotStore(directory);
     failures =
-        new RateLimitedLog(LOG, Event.VIEW_NOT_KEPT, () -> new Moment(SystemClocks.steady()));
+        new RateLimitedLog(
+            LOG, Event.VIEW_NOT_KEPT, () -> new Moment(SystemClocks.monotonicMicros()));
     thread = new ScheduledThreadPoolExecutor(1, SnapshotWriter::daemonThread);
     restore = thread.submit(this::restore);
   }
@@ -103,7 +104,7 @@
   }
 
   /** Waits, for a second at most, for what the directory's snapshot is worth; never fails. */
-  public StateRestore recall() throws InterruptedException {
+  public StateRestore awaitRestore() throws InterruptedException {
     try {
       return restore.get(READ_TIMEOUT.micros(), TimeUnit.MICROSECONDS);
     } catch (TimeoutException slow) {
@@ -112,17 +113,17 @@
     } catch (ExecutionException fault) {
       Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault.getCause());
     }
-    return StateRestore.NONE;
+    return StateRestore.NOTHING;
   }
 
   /** Writes a snapshot each period from now on. */
-  public void keeps() {
+  public void startWriting() {
     double jitter = 1 - JITTER + 2 * JITTER * random.nextDouble();
     try {
       thread.schedule(
           () -> {
             writeCurrentState();
-            keeps();
+            startWriting();
           },
           period.times(jitter).micros(),
           TimeUnit.MICROSECONDS);
@@ -132,18 +133,18 @@
   }
 
   /** Changes the period and the largest size of the snapshots to come. */
-  public void adjust(Span newPeriod, int newMaxBytes) {
+  public void reconfigure(Span newPeriod, int newMaxBytes) {
     period = newPeriod;
     maxBytes = newMaxBytes;
   }
 
   /** The directory of the snapshots. */
-  public Path folder() {
+  public Path directoryPath() {
     return directory.path();
   }
 
   /** Writes a last snapshot, or none for null, then releases the directory. Returns at once. */
-  public void ends(LearnedState last) {
+  public void close(LearnedState last) {
     thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     thread.execute(
         () -> {
@@ -156,7 +157,7 @@
   }
 
   /** Waits for the last snapshot, for a second at most. */
-  public void awaitEnd() throws InterruptedException {
+  public void awaitClosed() throws InterruptedException {
     if (!thread.awaitTermination(LAST_WRITE_TIMEOUT.micros(), TimeUnit.MICROSECONDS)) {
       failures.note(directory, "the last view did not reach the disk in time");
     }
@@ -165,28 +166,28 @@
   private StateRestore restore() {
     try {
       if (!lockDirectory()) {
-        return StateRestore.NONE;
+        return StateRestore.NOTHING;
       }
       SnapshotStore.Found found = findNewest();
       found.rejected().stream()
           .limit(MAX_LOGGED_REJECTIONS)
           .forEach(file -> Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", file));
-      if (found.view() == null) {
-        return StateRestore.NONE;
+      if (found.state() == null) {
+        return StateRestore.NOTHING;
       }
       StateRestore result =
           StateRestore.of(
-              found.view(),
+              found.state(),
               deployment,
               router,
-              SystemClocks.now(),
-              SystemClocks.steady(),
-              SystemClocks.boot());
+              SystemClocks.unixMicros(),
+              SystemClocks.monotonicMicros(),
+              SystemClocks.bootId());
       logRestore(found.name(), result);
       return result;
     } catch (IOException fault) {
       Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault);
-      return StateRestore.NONE;
+      return StateRestore.NOTHING;
     }
   }
 
@@ -207,13 +208,13 @@
 
   private SnapshotStore.Found findNewest() throws IOException {
     SnapshotStore.Found found = store.newest();
-    sequence = Math.max(sequence, found.number());
+    sequence = Math.max(sequence, found.highestSequence());
     sequenceKnown = true;
     return found;
   }
 
   private boolean lockDirectory() throws IOException {
-    locked = directory.take();
+    locked = directory.tryLock();
     if (!locked && !lockRefusalLogged) {
       lockRefusalLogged = true;
       Event.VIEW_FOLDER_HELD.log(
--- a/router/src/main/java/basaltlever/storage/SystemClocks.java
+++ b/router/src/main/java/basaltlever/storage/SystemClocks.java
@@ -16,17 +16,17 @@
   private SystemClocks() {}
 
   /** Microseconds of Unix time. */
-  public static long now() {
+  public static long unixMicros() {
     return ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
   }
 
   /** Microseconds of the monotonic clock; on Linux since the boot, alike for all processes. */
-  public static long steady() {
+  public static long monotonicMicros() {
     return System.nanoTime() / 1_000;
   }
 
   /** Identifies the current boot of the machine; empty where that is unknown. */
-  public static String boot() {
+  public static String bootId() {
     try {
       return Files.readString(BOOT_ID_FILE).trim();
     } catch (IOException unknown) {
--- a/router/src/test/java/basaltlever/HoldBudgetTest.java
+++ b/router/src/test/java/basaltlever/HoldBudgetTest.java
@@ -41,18 +41,20 @@
 
   @Example
   void theMostImportantGoFirstAndSessionsKeepTheirOrder() {
-    HoldQueue held = new HoldBudget(100, 1 << 20).group(WORKLOADS.length);
-    held.add(statement(1, FRESH, 5, 10));
-    held.add(statement(2, WRITE, 5, 10));
-    held.add(statement(3, WRITE, 6, 10));
-    held.add(statement(4, FRESH, 0, 10));
+    HoldQueue holdQueue = new HoldBudget(100, 1 << 20).group(WORKLOADS.length);
+    holdQueue.add(statement(1, FRESH, 5, 10));
+    holdQueue.add(statement(2, WRITE, 5, 10));
+    holdQueue.add(statement(3, WRITE, 6, 10));
+    holdQueue.add(statement(4, FRESH, 0, 10));
     List<Integer> order = new ArrayList<>();
-    for (Statement next = held.first(); next != null; next = held.first()) {
+    for (Statement next = holdQueue.first(); next != null; next = holdQueue.first()) {
       order.add(next.id());
-      held.remove(next);
+      holdQueue.remove(next);
     }
     check(order.equals(List.of(3, 1, 2, 4)), "" + order);
-    check(held.isEmpty() && held.bytes() == 0 && held.size(WRITE) == 0, "nothing is left behind");
+    check(
+        holdQueue.isEmpty() && holdQueue.bytes() == 0 && holdQueue.size(WRITE) == 0,
+        "nothing is left behind");
   }
 
   @Example
@@ -96,28 +98,28 @@
     List<List<Statement>> plain = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
     for (int id = 0; id < 400; id++) {
       int group = chance.nextInt(3);
-      HoldQueue held = groups.get(group);
-      if (chance.nextInt(3) == 0 && !held.isEmpty()) {
+      HoldQueue holdQueue = groups.get(group);
+      if (chance.nextInt(3) == 0 && !holdQueue.isEmpty()) {
         Statement gone =
             chance.nextBoolean()
-                ? held.first()
+                ? holdQueue.first()
                 : plain.get(group).get(chance.nextInt(plain.get(group).size()));
-        held.remove(gone);
+        holdQueue.remove(gone);
         plain.get(group).remove(gone);
         if (chance.nextBoolean()) {
           // Sent, missed, and back: before those of its session that came after it.
-          held.add(gone);
+          holdQueue.add(gone);
           plain.get(group).add(gone);
         }
       } else {
         Statement next =
             statement(id, 3 + chance.nextInt(3), chance.nextInt(4), chance.nextInt(3_000));
-        held.add(next);
+        holdQueue.add(next);
         plain.get(group).add(next);
       }
-      for (Statement over = budget.nextToReject(held, WRITE);
+      for (Statement over = budget.nextToReject(holdQueue, WRITE);
           over != null;
-          over = budget.nextToReject(held, WRITE)) {
+          over = budget.nextToReject(holdQueue, WRITE)) {
         int in =
             groups.get(0).last() == over || plain.get(0).contains(over)
                 ? 0
@@ -138,7 +140,7 @@
         for (Statement next = own.first(); next != null; next = own.first()) {
           check(
               next.holdPriority() <= rank
-                  && next.holdPriority() <= next.workload().importance() + 9,
+                  && next.holdPriority() <= next.workload().priorityWeight() + 9,
               "by rank");
           rank = next.holdPriority();
           check(
--- a/router/src/test/java/basaltlever/HoldTest.java
+++ b/router/src/test/java/basaltlever/HoldTest.java
@@ -145,7 +145,7 @@
     world = new StandIn(true, true, true, false, true).steady(20);
     int missed = world.take(BOUNDED);
     Sent kept = world.last();
-    world.balance.pollEnded(
+    world.balancer.pollEnded(
         world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, 1, Double.NaN);
     world.relist(3 - kept.node(), EndpointLifecycle.DRAINING, Moment.LONG_AGO);
     world.later(45).end(kept, AttemptOutcome.MISS, Role.REPLICA);
@@ -270,7 +270,7 @@
     int node = world.last().node();
     world.later(300).end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA);
     for (int i = 0; i < 3; i++) {
-      world.balance.pollEnded(
+      world.balancer.pollEnded(
           world.now,
           3 - node,
           AttemptOutcome.NO_CONNECTION,
@@ -278,7 +278,7 @@
           Moment.LONG_AGO,
           0,
           Double.NaN);
-      world.balance.pollEnded(
+      world.balancer.pollEnded(
           world.now, node, AttemptOutcome.TIMED_OUT, Role.UNTOLD, Moment.LONG_AGO, 0, Double.NaN);
     }
     world.take(ANY);
@@ -368,7 +368,7 @@
       world.later(100);
       for (int node = 0; node < 3; node++) {
         Role role = node == 0 ? Role.PRIMARY : Role.REPLICA;
-        world.balance.pollEnded(
+        world.balancer.pollEnded(
             world.now,
             node,
             AttemptOutcome.COMPLETED,
@@ -380,8 +380,8 @@
       int before = world.sent.size();
       world.take(ANY);
       admitted[i / 100] += i % 100 > 50 ? world.sent.size() - before : 0;
-      AttemptOutcome ending = jammed ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMPLETED;
-      world.endThose(s -> !jammed || world.isOlder(s, 290), ending, Role.REPLICA);
+      AttemptOutcome outcome = jammed ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMPLETED;
+      world.endThose(s -> !jammed || world.isOlder(s, 290), outcome, Role.REPLICA);
     }
     check(admitted[0] == 49 && admitted[1] < 35 && admitted[2] == 49, Arrays.toString(admitted));
   }
@@ -390,7 +390,7 @@
   void aFailedWatchIsAskedForAgainWellBeforeTheRouterCountsAsInformed() {
     StandIn world = new StandIn(false, false, false, true, true).list(2);
     int asked = world.watches;
-    world.balance.listCallFailed(world.now);
+    world.balancer.listCallFailed(world.now);
     world.later(2_500);
     check(world.watches > asked, "asked again");
   }
--- a/router/src/test/java/basaltlever/MoveTest.java
+++ b/router/src/test/java/basaltlever/MoveTest.java
@@ -156,7 +156,7 @@
   void aPrimaryWithStatementsWaitingGetsNoReadsThatAReplicaWouldTake() {
     StandIn world = steady(2);
     for (double queue : new double[] {0, 3}) {
-      world.balance.pollEnded(
+      world.balancer.pollEnded(
           world.now,
           1,
           AttemptOutcome.COMPLETED,
@@ -166,16 +166,16 @@
           0);
       world
           .later(600)
-          .balance
+          .balancer
           .pollEnded(
               world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queue);
       int before = world.sent.size();
       world.take(ANY);
-      world.balance.pollEnded(
+      world.balancer.pollEnded(
           world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queue);
       world.relist(1, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
       world.take(ANY);
-      world.balance.pollEnded(
+      world.balancer.pollEnded(
           world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queue);
       world.later(25);
       boolean primary =
@@ -211,7 +211,7 @@
     world.later(400);
     check(world.sent.stream().filter(s -> s.statement() == read).count() >= 2, "a copy is out");
     AttemptLimits one = new AttemptLimits(2, false, true, true, ms(1_000), SLACK);
-    world.balance.agree(world.now, world.with(one, false));
+    world.balancer.applySettings(world.now, world.with(one, false));
     check(
         world.cancelled.stream()
             .anyMatch(s -> s.statement() == read && s.execution() > first.execution()),
@@ -220,7 +220,7 @@
         world.cancelled.stream().noneMatch(s -> s.statement() == read && s.execution() == 0),
         "the first goes on");
     world.end(first, AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
-    world.balance.agree(world.now, world.with(world.allowance, true));
+    world.balancer.applySettings(world.now, world.with(world.attemptLimits, true));
     world.relist(1, EndpointLifecycle.GONE, Moment.LONG_AGO);
     world.relist(2, EndpointLifecycle.GONE, Moment.LONG_AGO);
     int before = world.sent.size();
--- a/router/src/test/java/basaltlever/OperatorTest.java
+++ b/router/src/test/java/basaltlever/OperatorTest.java
@@ -44,20 +44,20 @@
     check(
         empty.folder() == null
             && !empty.logsJson()
-            && empty.period().equals(Span.ofMillis(5_000))
-            && empty.mostBytes() == 4_096 * 1_024,
+            && empty.snapshotPeriod().equals(Span.ofMillis(5_000))
+            && empty.maxSnapshotBytes() == 4_096 * 1_024,
         "defaults");
     OperatorFile full =
         file(
             "; c\n[state]\nfolder = /var/lib/a.b, c\nperiod_ms=250\ndeployment = east\n[log]\nform = json\n");
     check(
         full.folder().equals(Path.of("/var/lib/a.b, c"))
-            && full.period().equals(Span.ofMillis(250))
+            && full.snapshotPeriod().equals(Span.ofMillis(250))
             && full.deployment().equals("east")
             && full.logsJson(),
         "values");
     check(
-        full.restartsFor(empty).equals(List.of("log.form", "state.deployment")),
+        full.changesNeedingRestart(empty).equals(List.of("log.form", "state.deployment")),
         "what needs a restart");
   }
 
@@ -107,9 +107,9 @@
     check(shown.equals(told) && shown.size() >= 5, shown + " and " + told);
     OperatorFile read = OperatorFile.read(Path.of("deploy/operator.ini"));
     check(
-        read.restartsFor(file("")).isEmpty()
-            && read.period().equals(file("").period())
-            && read.mostBytes() == file("").mostBytes(),
+        read.changesNeedingRestart(file("")).isEmpty()
+            && read.snapshotPeriod().equals(file("").snapshotPeriod())
+            && read.maxSnapshotBytes() == file("").maxSnapshotBytes(),
         "the example shows the defaults");
     for (String key : shown) {
       String[] parts = key.split("\\.");
--- a/router/src/test/java/basaltlever/ParserTest.java
+++ b/router/src/test/java/basaltlever/ParserTest.java
@@ -45,7 +45,7 @@
   void framesAreTheSameHoweverTheyAreCut(@ForAll long seed) throws ProtocolException {
     SplittableRandom chance = new SplittableRandom(seed);
     MemoryBudget budget = new MemoryBudget(1 << 20);
-    MessageDecoder frames = new MessageDecoder(1 << 16, budget);
+    MessageDecoder decoder = new MessageDecoder(1 << 16, budget);
     ByteBuf all = Unpooled.buffer();
     List<String> sent = new ArrayList<>();
     for (int i = chance.nextInt(1, 12); i > 0; i--) {
@@ -58,34 +58,36 @@
     while (all.isReadable()) {
       ByteBuf part = all.readBytes(Math.min(all.readableBytes(), chance.nextInt(1, 1_500)));
       parts.add(part);
-      frames.add(part);
-      for (ByteBuf m = frames.next(); m != null; m = frames.next()) {
+      decoder.add(part);
+      for (ByteBuf m = decoder.nextMessage(); m != null; m = decoder.nextMessage()) {
         got.add(m.toString(m.readerIndex() + 5, m.readableBytes() - 6, StandardCharsets.UTF_8));
       }
     }
-    frames.release();
+    decoder.release();
     check(got.equals(sent), "the messages as they were sent");
-    check(budget.held() == 0 && parts.stream().allMatch(p -> p.refCnt() == 0), "all released");
+    check(
+        budget.reservedBytes() == 0 && parts.stream().allMatch(p -> p.refCnt() == 0),
+        "all released");
   }
 
   @Property(tries = 500, seed = "98", shrinking = ShrinkingMode.OFF)
   void nonsenseEndsInAFaultOrNothing(@ForAll byte[] bytes, @ForAll long seed) throws Exception {
     SplittableRandom chance = new SplittableRandom(seed);
-    MessageDecoder frames = new MessageDecoder(1 << 12, new MemoryBudget(1 << 16));
-    QueryResponse answer = new QueryResponse();
+    MessageDecoder decoder = new MessageDecoder(1 << 12, new MemoryBudget(1 << 16));
+    QueryResponse response = new QueryResponse();
     try {
-      frames.add(Unpooled.copiedBuffer(bytes));
-      for (ByteBuf m = frames.next(); m != null; m = frames.next()) {
-        answer.add(m);
+      decoder.add(Unpooled.copiedBuffer(bytes));
+      for (ByteBuf m = decoder.nextMessage(); m != null; m = decoder.nextMessage()) {
+        response.add(m);
       }
     } catch (ProtocolException expected) {
-      check(expected.code.length() == 5, "a fault has a code");
+      check(expected.sqlState.length() == 5, "a fault has a code");
     }
     check(
-        (!answer.isRow() && answer.takeRow().isEmpty()) || bytes.length > 20,
+        (!response.isSingleRow() && response.takeRow().isEmpty()) || bytes.length > 20,
         "no row out of nothing");
-    answer.release();
-    frames.release();
+    response.release();
+    decoder.release();
     String like = "/* id=1,c=basket,d=480,cluster=2 */ SELECT 'x'";
     int cut = chance.nextInt(like.length());
     String spoilt =
@@ -93,8 +95,10 @@
             + new String(bytes, StandardCharsets.ISO_8859_1)
             + like.substring(chance.nextInt(cut, like.length()));
     try {
-      Query query = Query.read(text(spoilt));
-      check(query.waitFrom < query.waitTo && query.waitMillis >= 0, "the wait has a place");
+      Query query = Query.parse(text(spoilt));
+      check(
+          query.timeoutStart < query.timeoutEnd && query.timeoutMillis >= 0,
+          "the wait has a place");
     } catch (ProtocolException expected) {
       check(!expected.getMessage().isEmpty(), "a fault says what");
     }
@@ -118,22 +122,22 @@
   @Example
   void lengthsThatCannotBeAreFaults() throws ProtocolException {
     for (int length : new int[] {-1, 0, 3, Integer.MIN_VALUE, Integer.MAX_VALUE, 5_000}) {
-      MessageDecoder frames = new MessageDecoder(4_096, new MemoryBudget(1 << 16));
-      frames.add(Unpooled.buffer().writeByte('Q').writeInt(length).writeByte(0));
+      MessageDecoder decoder = new MessageDecoder(4_096, new MemoryBudget(1 << 16));
+      decoder.add(Unpooled.buffer().writeByte('Q').writeInt(length).writeByte(0));
       try {
-        frames.next();
+        decoder.nextMessage();
         check(false, "a length of " + length);
       } catch (ProtocolException fault) {
         check(fault.getMessage().contains("" + length), "the length is named");
       }
-      frames.release();
+      decoder.release();
     }
     MessageDecoder small = new MessageDecoder(4_096, new MemoryBudget(8));
     try {
       small.add(Unpooled.buffer(64).writeZero(64));
       check(false, "more than the budget holds");
     } catch (ProtocolException fault) {
-      check(fault.code.equals("53300"), "turned away as too much");
+      check(fault.sqlState.equals("53300"), "turned away as too much");
     }
     small.release();
   }
@@ -144,16 +148,16 @@
         "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT doc FROM items"
             + " WHERE id = '7f3a9c21e0b4d655'";
     ByteBuf text = text(statement);
-    Query query = Query.read(text);
+    Query query = Query.parse(text);
     check(
         query.workload.equals("basket")
-            && query.waitMillis == 480
+            && query.timeoutMillis == 480
             && query.group == 2
-            && query.after == 1_767_225_600_123L
-            && query.session != 0,
+            && query.lastCommitMillis == 1_767_225_600_123L
+            && query.sessionHash != 0,
         "its fields");
     ByteBuf out = Unpooled.buffer();
-    MessageEncoder.query(out, text, query.waitFrom, query.waitTo, 77);
+    MessageEncoder.query(out, text, query.timeoutStart, query.timeoutEnd, 77);
     check(
         out.toString(5, out.readableBytes() - 6, StandardCharsets.UTF_8)
             .equals(statement.replace("d=480", "d=77")),
@@ -175,28 +179,28 @@
           "/* id=,c=a,d=5 */"
         }) {
       try {
-        Query.read(text(bad));
+        Query.parse(text(bad));
         check(false, "taken: " + bad);
       } catch (ProtocolException fault) {
-        check(fault.code.equals("08P01"), "the protocol's own error");
+        check(fault.sqlState.equals("08P01"), "the protocol's own error");
       }
     }
     check(Query.isBlank(text(" ;\n ")) && !Query.isBlank(text("/* */")), "blank");
     check(
-        "SET".equals(Query.idleCommand(text(" set x = 1")))
-            && Query.idleCommand(text("SETTLE")) == null,
+        "SET".equals(Query.sessionCommand(text(" set x = 1")))
+            && Query.sessionCommand(text("SETTLE")) == null,
         "commands that do nothing");
   }
 
   private static QueryResponse answer(ByteBuf all) throws ProtocolException {
-    MessageDecoder frames = new MessageDecoder(1 << 16, new MemoryBudget(1 << 20));
-    frames.add(all);
-    QueryResponse answer = new QueryResponse();
-    for (ByteBuf m = frames.next(); m != null; m = frames.next()) {
-      answer.add(m);
+    MessageDecoder decoder = new MessageDecoder(1 << 16, new MemoryBudget(1 << 20));
+    decoder.add(all);
+    QueryResponse response = new QueryResponse();
+    for (ByteBuf m = decoder.nextMessage(); m != null; m = decoder.nextMessage()) {
+      response.add(m);
     }
-    frames.release();
-    return answer;
+    decoder.release();
+    return response;
   }
 
   /** A good row of one letter but for the byte at that place. */
@@ -207,27 +211,29 @@
   @Example
   void anAnswerIsARowAnErrorOrNeither() throws ProtocolException {
     ByteBuf good = row("7");
-    MessageEncoder.status(good, "caught_up_to", "1767225600123");
-    MessageEncoder.status(good, "part", "replica");
-    QueryResponse answer = answer(good);
+    MessageEncoder.parameterStatus(good, "caught_up_to", "1767225600123");
+    MessageEncoder.parameterStatus(good, "part", "replica");
+    QueryResponse response = answer(good);
     check(
-        answer.isRow()
-            && answer.text().equals("7")
-            && answer.position == 1_767_225_600_123L
-            && answer.role.equals("replica")
-            && answer.error() == null,
+        response.isSingleRow()
+            && response.value().equals("7")
+            && response.positionMillis() == 1_767_225_600_123L
+            && response.role().equals("replica")
+            && response.sqlState() == null,
         "a row");
-    answer.release();
+    response.release();
     check(good.refCnt() == 0, "the buffer it was read into is free");
     ByteBuf error = Unpooled.buffer();
-    MessageEncoder.error(error, "ERROR", "25006", "no primary", null);
-    answer = answer(error);
-    check(!answer.isRow() && answer.error().equals("25006"), "an error");
+    MessageEncoder.errorResponse(error, "ERROR", "25006", "no primary", null);
+    response = answer(error);
+    check(!response.isSingleRow() && response.sqlState().equals("25006"), "an error");
     ByteBuf behind = row("7");
-    MessageEncoder.error(behind, "ERROR", "25006", "too late", null);
-    answer = answer(behind);
-    check(!answer.isRow() && answer.error() == null, "an error behind a row proves nothing");
-    answer.release();
+    MessageEncoder.errorResponse(behind, "ERROR", "25006", "too late", null);
+    response = answer(behind);
+    check(
+        !response.isSingleRow() && response.sqlState() == null,
+        "an error behind a row proves nothing");
+    response.release();
     for (ByteBuf none :
         new ByteBuf[] {
           Unpooled.buffer(),
@@ -245,24 +251,27 @@
           spoilt(54, 'x'),
           spoilt(50, 1)
         }) {
-      answer = answer(none);
-      check(!answer.isRow() && answer.error() == null, "neither");
-      answer.release();
+      response = answer(none);
+      check(!response.isSingleRow() && response.sqlState() == null, "neither");
+      response.release();
     }
   }
 
   @Example
   void loadReportsAreReadByNameAndRoundedDown() {
-    LoadReportFormat gauges = new LoadReportFormat(List.of("x0", "x1", "utilization"), 0);
-    double[] values = gauges.values("utilization=0.61,x0=1767225600.123, odd, x9=4,x1=1");
-    Moment position = gauges.position(Math.nextDown(gauges.value(values, gauges.position)));
+    LoadReportFormat loadReport = new LoadReportFormat(List.of("x0", "x1", "utilization"), 0);
+    double[] values = loadReport.values("utilization=0.61,x0=1767225600.123, odd, x9=4,x1=1");
+    Moment position =
+        loadReport.position(Math.nextDown(loadReport.value(values, loadReport.position)));
     check(
         !position.isAfter(new Moment(1_767_225_600_123_000L))
             && position.isAfter(new Moment(1_767_225_600_122_900L)),
         "never newer than told");
-    check(gauges.value(values, gauges.util) == 0.61, "by name");
+    check(loadReport.value(values, loadReport.util) == 0.61, "by name");
     check(
-        gauges.position(gauges.value(gauges.values("x0=soon"), 0)).equals(Moment.LONG_AGO),
+        loadReport
+            .position(loadReport.value(loadReport.values("x0=soon"), 0))
+            .equals(Moment.LONG_AGO),
         "no number");
   }
 
@@ -315,7 +324,7 @@
         got.stream().filter(String::isEmpty).count() == blanks,
         "each line between objects, none within");
     got.removeIf(String::isEmpty);
-    check(got.equals(sent) && reader.isOver(), "the objects as they were sent");
+    check(got.equals(sent) && reader.isComplete(), "the objects as they were sent");
   }
 
   /** An object over some lines, with strings that hold what ends one elsewhere. */
@@ -349,7 +358,7 @@
     reader.read(text("}"));
     check(got.equals(List.of("{\n \"a\": [\n  {}\n ]\n}")), "at once, with no line behind it");
     reader.read(text("{\"a\":"));
-    check(got.size() == 1 && !reader.isOver(), "half of one");
+    check(got.size() == 1 && !reader.isComplete(), "half of one");
   }
 
   @Example
@@ -379,14 +388,14 @@
   void listsAreTakenWholeOrNotAtAll() throws Exception {
     SocketWorld.Silent outside = new SocketWorld.Silent();
     StatementRouter<String> core =
-        new StatementRouter<>(outside, SocketWorld.values().balance(1, new Moment(0)));
+        new StatementRouter<>(outside, SocketWorld.values().loadBalancerFactory(1, new Moment(0)));
     EndpointList list =
         new EndpointList(core, List.of("a", "b"), (node, address) -> outside.told.add(node));
     String entry =
         "{\"instanceId\":\"n1\",\"hostPort\":\"127.0.0.1:5\",\"zone\":\"q\",\"cell\":1,"
             + "\"lifecycle\":\"in_service\",\"weight\":1.0,\"startedAtMs\":0,\"more\":[1,null]}";
     String shape = "{\"generation\":%s,\"reset\":%s,\"instances\":[%s]}";
-    list.take(new Moment(0), EndpointList.parse(shape.formatted("7", "true", entry)), true);
+    list.takeUpdate(new Moment(0), EndpointList.parse(shape.formatted("7", "true", entry)), true);
     check(list.generation() == 7 && outside.told.equals(List.of("n1")), "taken");
     for (String bad :
         new String[] {
@@ -399,13 +408,13 @@
           "{"
         }) {
       try {
-        list.take(new Moment(0), EndpointList.parse(bad), true);
+        list.takeUpdate(new Moment(0), EndpointList.parse(bad), true);
         check(false, "taken: " + bad);
       } catch (InvalidEndpointListException fault) {
         check(list.generation() == 7 && outside.told.size() == 1, "nothing of it is taken");
       }
     }
-    list.take(new Moment(0), EndpointList.parse(shape.formatted("2", "true", "")), true);
+    list.takeUpdate(new Moment(0), EndpointList.parse(shape.formatted("2", "true", "")), true);
     check(list.generation() == 2, "a whole list may count anew");
   }
 
@@ -413,15 +422,15 @@
   void nothingIsKeptOfMembersThatAreGone() throws Exception {
     SocketWorld.Silent outside = new SocketWorld.Silent();
     StatementRouter<String> core =
-        new StatementRouter<>(outside, SocketWorld.values().balance(1, new Moment(0)));
+        new StatementRouter<>(outside, SocketWorld.values().loadBalancerFactory(1, new Moment(0)));
     List<Integer> known = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
       Moment now = new Moment(i * 1_000_000L);
-      core.listBegins();
-      core.listed(now, "n" + i, EndpointLifecycle.READY, 0, 0, 1, Moment.LONG_AGO);
-      core.listEnds(now, true, true);
-      core.woken(now);
-      known.add(core.nodesKnown());
+      core.listStarted();
+      core.endpointListed(now, "n" + i, EndpointLifecycle.READY, 0, 0, 1, Moment.LONG_AGO);
+      core.listFinished(now, true, true);
+      core.timerFired(now);
+      known.add(core.knownEndpoints());
     }
     check(
         known.get(199) < 30 && outside.told.contains("forget n150"), "as many as lately: " + known);
--- a/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
+++ b/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
@@ -25,7 +25,7 @@
   private static StandIn announced(double inMillis) {
     StandIn world = StandIn.plain().steady(20);
     check(
-        world.balance.switchoverAnnounced(world.now, 2, 1, 1, world.now.plus(ms(inMillis)), false),
+        world.balancer.switchoverAnnounced(world.now, 2, 1, 1, world.now.plus(ms(inMillis)), false),
         "it stands");
     return world;
   }
@@ -91,7 +91,8 @@
       int held = world.take(WRITE, 9, Moment.LONG_AGO, 9_000);
       int before = world.sent.size();
       if (takenBack) {
-        check(world.balance.switchoverAnnounced(world.now, 1, 1, 1, world.now, true), "taken back");
+        check(
+            world.balancer.switchoverAnnounced(world.now, 1, 1, 1, world.now, true), "taken back");
       }
       polls(world, takenBack ? 100 : 3_200, 0);
       check(last(world) == Phase.CALLED_OFF, "" + world.phases);
@@ -110,7 +111,7 @@
     StandIn world = announced(1_000);
     polls(world, 1_200, 0);
     check(last(world) == Phase.IN_PROGRESS, "" + world.phases);
-    check(world.balance.switchoverAnnounced(world.now, 1, 2, 2, world.now, false), "a later one");
+    check(world.balancer.switchoverAnnounced(world.now, 1, 2, 2, world.now, false), "a later one");
     int held = world.take(WRITE);
     int sent = world.sent.size();
     polls(world, 300, 0);
@@ -132,7 +133,7 @@
     world.take(WRITE);
     world.later(700).poll(0, Role.REPLICA, world.now);
     int held = world.take(WRITE);
-    world.balance.pollEnded(
+    world.balancer.pollEnded(
         world.now, 1, AttemptOutcome.NO_CONNECTION, Role.UNTOLD, Moment.LONG_AGO, 0, Double.NaN);
     check(last(world) == Phase.CALLED_OFF, "the target died");
     world.later(20).poll(2, Role.PRIMARY, world.now);
@@ -146,24 +147,25 @@
     StandIn world = announced(5_000);
     Moment at = world.now.plus(ms(4_000));
     check(
-        !world.balance.switchoverAnnounced(world.now, 1, 1, 2, at, false), "the same number again");
+        !world.balancer.switchoverAnnounced(world.now, 1, 1, 2, at, false),
+        "the same number again");
     check(
-        !world.balance.switchoverAnnounced(world.now, 1, 9, 2, world.now.minus(ms(9_000)), false),
+        !world.balancer.switchoverAnnounced(world.now, 1, 9, 2, world.now.minus(ms(9_000)), false),
         "long past");
     check(
-        !world.balance.switchoverAnnounced(world.now, 1, 9, 2, world.now.plus(ms(1e9)), false),
+        !world.balancer.switchoverAnnounced(world.now, 1, 9, 2, world.now.plus(ms(1e9)), false),
         "far ahead");
-    world.balance.listStarted();
-    world.balance.endpointListed(world.now, 7, EndpointLifecycle.READY, 2, 0, 1, Moment.LONG_AGO);
-    world.balance.listFinished(world.now, false, true);
+    world.balancer.listStarted();
+    world.balancer.endpointListed(world.now, 7, EndpointLifecycle.READY, 2, 0, 1, Moment.LONG_AGO);
+    world.balancer.listFinished(world.now, false, true);
     check(
-        !world.balance.switchoverAnnounced(world.now, 1, 9, 7, at, false),
+        !world.balancer.switchoverAnnounced(world.now, 1, 9, 7, at, false),
         "a member of another group");
     check(
-        world.balance.switchoverAnnounced(world.now, 1, 9, 2, at, false),
+        world.balancer.switchoverAnnounced(world.now, 1, 9, 2, at, false),
         "a later one takes its place");
     check(
-        !world.balance.switchoverAnnounced(world.now, 1, 1, 1, at, true),
+        !world.balancer.switchoverAnnounced(world.now, 1, 1, 1, at, true),
         "an old one can't be taken back any more");
     for (String text :
         List.of(
@@ -175,8 +177,9 @@
             "number=99999999999999999999,target=a,at=1,state=off")) {
       check(SwitchoverAnnouncement.read(text) == null, "no note: " + text);
     }
-    SwitchoverAnnouncement note = new SwitchoverAnnouncement(7, "db-2", 1_767_225_600_123L, true);
-    check(note.equals(SwitchoverAnnouncement.read(note.text())), "as written");
+    SwitchoverAnnouncement announcement =
+        new SwitchoverAnnouncement(7, "db-2", 1_767_225_600_123L, true);
+    check(announcement.equals(SwitchoverAnnouncement.read(announcement.text())), "as written");
   }
 
   /**
@@ -235,7 +238,7 @@
     int left = world.take(WRITE);
     int stays = world.take(WRITE);
     world.fates.get(left).answered = true;
-    world.balance.clientDisconnected(world.now, left);
+    world.balancer.clientDisconnected(world.now, left);
     check(world.holds.held() == 1, "its place is free at once");
     world.poll(0, Role.PRIMARY, world.now);
     check(world.sent.size() == 1 && world.last().statement() == stays, "nothing is sent for it");
@@ -245,17 +248,17 @@
   @Example
   void allGroupsMayChangeAtOnce() {
     StandIn world = StandIn.plain();
-    world.balance.listStarted();
+    world.balancer.listStarted();
     for (int node = 0; node < 30; node++) {
-      world.balance.endpointListed(
+      world.balancer.endpointListed(
           world.now, node, EndpointLifecycle.READY, node / 3, 0, 1, Moment.LONG_AGO);
     }
-    world.balance.listFinished(world.now, true, true);
+    world.balancer.listFinished(world.now, true, true);
     for (int node = 0; node < 30; node++) {
       world.poll(node, node % 3 == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
     }
     for (int group = 0; group < 10; group++) {
-      world.balance.switchoverAnnounced(
+      world.balancer.switchoverAnnounced(
           world.now, 3 * group, 1, 3 * group + 1, world.now.plus(ms(50)), false);
     }
     world.later(100);
@@ -292,7 +295,7 @@
       }
       if (chance.nextInt(30) == 0) {
         notes.add(new int[] {notes.size() + 1, chance.nextInt(nodes)});
-        world.balance.switchoverAnnounced(
+        world.balancer.switchoverAnnounced(
             world.now,
             chance.nextInt(nodes),
             notes.size(),
@@ -302,7 +305,7 @@
       }
       if (!notes.isEmpty() && chance.nextInt(30) == 0) {
         int[] old = notes.get(chance.nextInt(notes.size()));
-        world.balance.switchoverAnnounced(
+        world.balancer.switchoverAnnounced(
             world.now, 0, old[0], old[1], world.now, chance.nextBoolean());
       }
     }
@@ -318,7 +321,7 @@
   void phasesOnlyGoForwardAndAHoldEnds(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     List<Phase> entered = new ArrayList<>();
-    PlannedSwitchover change = new PlannedSwitchover((phase, target) -> entered.add(phase));
+    PlannedSwitchover switchover = new PlannedSwitchover((phase, target) -> entered.add(phase));
     Moment now = new Moment(1_000_000_000L);
     Moment held = Moment.NEVER;
     long number = 0;
@@ -326,13 +329,13 @@
       int from = entered.size();
       now = now.plus(ms(chance.nextInt(200)));
       if (chance.nextInt(40) == 0) {
-        change.announced(
+        switchover.announced(
             now, ++number, chance.nextInt(3), now.plus(ms(chance.nextInt(3_000) - 500)), false);
         held = Moment.NEVER;
       } else if (chance.nextInt(60) == 0) {
-        change.announced(now, number, 0, now, true);
+        switchover.announced(now, number, 0, now, true);
       }
-      change.advance(
+      switchover.advance(
           now,
           chance.nextInt(20) == 0 ? chance.nextInt(3) : PlannedSwitchover.UNKNOWN_MEMBER,
           chance.nextInt(80) != 0);
@@ -342,10 +345,12 @@
                 || entered.get(i).ordinal() > entered.get(i - 1).ordinal(),
             "it went back: " + entered);
       }
-      held = change.holds() ? held.earlier(now) : Moment.NEVER;
+      held = switchover.holds() ? held.earlier(now) : Moment.NEVER;
       check(!now.since(held).isLongerThan(ms(3_000 + 400)), "held for longer than a bound");
       check(
-          change.nextStepAt().isAfter(now) || change.nextStepAt().equals(now) || !change.holds(),
+          switchover.nextStepAt().isAfter(now)
+              || switchover.nextStepAt().equals(now)
+              || !switchover.holds(),
           "it would not be woken");
     }
   }
--- a/router/src/test/java/basaltlever/RulesTest.java
+++ b/router/src/test/java/basaltlever/RulesTest.java
@@ -84,7 +84,7 @@
         named.clear();
         for (int place = 0; place < next.length; place++) {
           boolean gone = place > 0 && chance.nextInt(4) == 0;
-          next[place] = gone ? WorkloadSlots.GONE : kinds[chance.nextInt(kinds.length)];
+          next[place] = gone ? WorkloadSlots.REMOVED : kinds[chance.nextInt(kinds.length)];
           named.addAll(gone ? List.of() : List.of(place));
         }
         world.agree(next);
@@ -187,7 +187,7 @@
         if (step < 80 || step > 105) {
           world.poll(1, Role.REPLICA, world.now);
         } else {
-          world.balance.pollEnded(
+          world.balancer.pollEnded(
               world.now,
               1,
               AttemptOutcome.NO_CONNECTION,
@@ -201,23 +201,23 @@
           StandIn before = world;
           world = new StandIn(true, true, true, false, true, 150, chance.nextLong());
           world.now = before.now.plus(StandIn.ms(1_000));
-          world.balance.listStarted();
+          world.balancer.listStarted();
           for (int node = 0; node < 3; node++) {
-            world.balance.endpointListed(
+            world.balancer.endpointListed(
                 world.now, node, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
             if (withViews) {
               world
-                  .balance
+                  .balancer
                   .learnedState()
                   .restore(
                       world.now,
                       node,
                       StateDecay.aged(
-                          before.balance.learnedState().learned(before.now, node),
+                          before.balancer.learnedState().learned(before.now, node),
                           StandIn.ms(1_000)));
             }
           }
-          world.balance.listFinished(world.now, true, true);
+          world.balancer.listFinished(world.now, true, true);
           for (int node = 0; node < 3; node++) {
             world.poll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
           }
@@ -254,7 +254,7 @@
       world.later(chance.nextInt(10));
       world.timeOutWhoseClientLeft();
       if (chance.nextInt(20) == 0) {
-        world.balance.listCallFailed(world.now);
+        world.balancer.listCallFailed(world.now);
       }
       Moment when =
           chance.nextInt(9) == 0
@@ -263,7 +263,7 @@
       switch (chance.nextInt(4)) {
         case 0 -> world.take(chance.nextInt(6), chance.nextInt(3), world.now.minus(ms(50)), 400);
         case 1 ->
-            world.balance.pollEnded(
+            world.balancer.pollEnded(
                 world.now,
                 chance.nextInt(3),
                 endings[chance.nextInt(endings.length)],
@@ -279,7 +279,7 @@
             StandIn.check(old.execution() < world.fates.get(old.statement()).executions, "unknown");
             if (!world.ended.add(old)) {
               StandIn.check(
-                  !world.balance.attemptEnded(
+                  !world.balancer.attemptEnded(
                       world.now,
                       old.statement(),
                       old.execution(),
@@ -297,7 +297,7 @@
             }
           }
         }
-        default -> world.balance.clientDisconnected(world.now, world.leave(chance));
+        default -> world.balancer.clientDisconnected(world.now, world.leave(chance));
       }
     }
     for (int i = 0; i < 100; i++) {
--- a/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
+++ b/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public List<String> names() throws IOException {
+    public List<String> list() throws IOException {
       step();
       return List.copyOf(names.keySet());
     }
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public void syncFolder() throws IOException {
+    public void syncDirectory() throws IOException {
       step();
       if (bug != Bug.NO_FOLDER_SYNC) {
         pending.forEach(Runnable::run);
@@ -184,12 +184,12 @@
   private static void store(DirectoryOperations disk, LearnedState view, Bug bug)
       throws IOException {
     if (bug == Bug.RENAME_FIRST) {
-      disk.write(SnapshotStore.fileName(view.number()), SnapshotCodec.write(view, 1 << 20));
+      disk.write(SnapshotStore.fileName(view.sequence()), SnapshotCodec.write(view, 1 << 20));
       for (String old : SnapshotStore.names(disk).subList(1, SnapshotStore.names(disk).size())) {
         disk.delete(old);
       }
-      disk.sync(SnapshotStore.fileName(view.number()));
-      disk.syncFolder();
+      disk.sync(SnapshotStore.fileName(view.sequence()));
+      disk.syncDirectory();
     } else {
       new SnapshotStore(disk).store(view, 1 << 20);
     }
@@ -230,14 +230,14 @@
       }
       SnapshotStore.Found found = new SnapshotStore(disk).newest();
       boolean sound =
-          found.view() == null
+          found.state() == null
               ? kept <= 0
-              : found.view().equals(KeptViews.view(found.view().number(), 3))
-                  && found.view().number() >= kept;
+              : found.state().equals(KeptViews.view(found.state().sequence(), 3))
+                  && found.state().sequence() >= kept;
       // And the next one must be found again, whatever the cut left behind.
-      LearnedState next = KeptViews.view(found.number() + 1, 3);
+      LearnedState next = KeptViews.view(found.highestSequence() + 1, 3);
       store(disk, next, bug);
-      sound &= next.equals(new SnapshotStore(disk).newest().view());
+      sound &= next.equals(new SnapshotStore(disk).newest().state());
       broken += sound ? 0 : 1;
     }
     return broken;
@@ -261,16 +261,16 @@
     byte[] whole = SnapshotCodec.write(view, 1 << 20);
     check(
         SnapshotCodec.read(whole).groups().equals(view.groups())
-            && SnapshotCodec.read(whole).nodes().containsAll(view.nodes()),
+            && SnapshotCodec.read(whole).endpoints().containsAll(view.endpoints()),
         "all of it");
     byte[] cut = SnapshotCodec.write(view, 32 << 10);
-    List<KnownEndpoint> kept = SnapshotCodec.read(cut).nodes();
+    List<KnownEndpoint> kept = SnapshotCodec.read(cut).endpoints();
     check(
         cut.length <= 32 << 10 && kept.size() > 50 && kept.size() < 500, "bounded: " + kept.size());
     check(
-        kept.stream().noneMatch(known -> known.view().isUnremarkable())
-            || view.nodes().stream()
-                .filter(known -> !known.view().isUnremarkable())
+        kept.stream().noneMatch(known -> known.state().isUnremarkable())
+            || view.endpoints().stream()
+                .filter(known -> !known.state().isUnremarkable())
                 .allMatch(kept::contains),
         "what says little goes first");
   }
@@ -307,15 +307,15 @@
         .put(record.toByteArray())
         .put(sound, third, sound.length - third);
     LearnedState read = SnapshotCodec.read(Resum.over(made.array()));
-    check(read.nodes().size() == 1 && read.groups().size() == 2, "as many records");
-    EndpointState node = read.nodes().get(0).view();
+    check(read.endpoints().size() == 1 && read.groups().size() == 2, "as many records");
+    EndpointState node = read.endpoints().get(0).state();
     check(
-        read.nodes().get(0).id().equals("later")
-            && !node.silent()
+        read.endpoints().get(0).id().equals("later")
+            && !node.unresponsive()
             && !node.isDown()
-            && node.failing() == 0
-            && node.room() > 1e9
-            && node.startedAgo().equals(EndpointState.NEVER),
+            && node.failureRate() == 0
+            && node.capacity() > 1e9
+            && node.sinceStart().equals(EndpointState.NEVER),
         "nothing of it makes for more care");
     made.putInt(4, 2);
     check(
--- a/router/src/test/java/basaltlever/SnapshotWriterTest.java
+++ b/router/src/test/java/basaltlever/SnapshotWriterTest.java
@@ -37,10 +37,10 @@
         "n3",
         0,
         writtenAt,
-        SystemClocks.steady(),
-        SystemClocks.boot(),
+        SystemClocks.monotonicMicros(),
+        SystemClocks.bootId(),
         41,
-        view.nodes(),
+        view.endpoints(),
         view.groups());
   }
 
@@ -60,7 +60,7 @@
   }
 
   private static LearnedState newest(Path folder) throws IOException {
-    return new SnapshotStore(new LockedDirectory(folder)).newest().view();
+    return new SnapshotStore(new LockedDirectory(folder)).newest().state();
   }
 
   private interface Truth {
@@ -79,28 +79,28 @@
     Path folder = Files.createTempDirectory("view");
     try {
       AtomicInteger asked = new AtomicInteger();
-      SnapshotWriter keeper =
+      SnapshotWriter snapshotWriter =
           keeper(
               folder,
               () -> {
                 asked.incrementAndGet();
-                return view(SystemClocks.now());
+                return view(SystemClocks.unixMicros());
               });
-      check(keeper.recall() == StateRestore.NONE, "none at first");
-      keeper.keeps();
+      check(snapshotWriter.awaitRestore() == StateRestore.NOTHING, "none at first");
+      snapshotWriter.startWriting();
       await("it writes each period", () -> asked.get() > 4);
-      SnapshotWriter second = keeper(folder, () -> view(SystemClocks.now()));
-      check(second.recall() == StateRestore.NONE, "held by another: left alone");
-      second.ends(view(SystemClocks.now()));
-      second.awaitEnd();
-      keeper.ends(view(SystemClocks.now()));
-      keeper.awaitEnd();
+      SnapshotWriter second = keeper(folder, () -> view(SystemClocks.unixMicros()));
+      check(second.awaitRestore() == StateRestore.NOTHING, "held by another: left alone");
+      second.close(view(SystemClocks.unixMicros()));
+      second.awaitClosed();
+      snapshotWriter.close(view(SystemClocks.unixMicros()));
+      snapshotWriter.awaitClosed();
       check(SnapshotStore.names(new LockedDirectory(folder)).size() == 2, "two generations");
       SnapshotWriter next = keeper(folder, () -> null);
-      StateRestore recollection = next.recall();
-      check(recollection.rejection().isEmpty() && recollection.pendingCount() == 4, "recalled");
-      next.ends(null);
-      next.awaitEnd();
+      StateRestore restore = next.awaitRestore();
+      check(restore.rejection().isEmpty() && restore.pendingCount() == 4, "recalled");
+      next.close(null);
+      next.awaitClosed();
     } finally {
       clear(folder);
     }
@@ -109,9 +109,9 @@
   @Example
   void aFaultyFolderCostsNothingAndIsTakenAgainWhenItIsBack() throws Exception {
     Path folder = Files.createTempDirectory("view").resolve("mount");
-    SnapshotWriter keeper = keeper(folder, () -> view(SystemClocks.now()));
-    check(keeper.recall() == StateRestore.NONE, "no folder, no view");
-    keeper.keeps();
+    SnapshotWriter snapshotWriter = keeper(folder, () -> view(SystemClocks.unixMicros()));
+    check(snapshotWriter.awaitRestore() == StateRestore.NOTHING, "no folder, no view");
+    snapshotWriter.startWriting();
     Thread.sleep(300);
     Files.createDirectory(folder);
     await("kept once it is there", () -> newest(folder) != null);
@@ -124,38 +124,38 @@
     await("kept again", () -> newest(folder) != null);
     byte[] bytes =
         Files.readAllBytes(folder.resolve(SnapshotStore.names(new LockedDirectory(folder)).get(0)));
-    keeper.ends(null);
-    keeper.awaitEnd();
+    snapshotWriter.close(null);
+    snapshotWriter.awaitClosed();
     bytes[60] ^= 4;
     Files.write(folder.resolve(SnapshotStore.fileName(900)), bytes);
     Files.write(folder.resolve("view-ffffffffffffffff.blv"), bytes);
     Files.createDirectory(folder.resolve(SnapshotStore.fileName(901)));
     SnapshotWriter next = keeper(folder, () -> null);
     check(
-        next.recall().pendingCount() == 4,
+        next.awaitRestore().pendingCount() == 4,
         "past a broken one and a folder to the newest that is whole");
-    next.ends(view(SystemClocks.now()));
-    next.awaitEnd();
-    check(newest(folder).number() == 902, "numbers go on");
+    next.close(view(SystemClocks.unixMicros()));
+    next.awaitClosed();
+    check(newest(folder).sequence() == 902, "numbers go on");
     clear(folder.getParent());
   }
 
   @Example
   void aStuckSourceOrDiskHoldsUpNeitherStartNorEnd() throws Exception {
     Path folder = Files.createTempDirectory("view");
-    SnapshotWriter keeper =
+    SnapshotWriter snapshotWriter =
         keeper(
             folder,
             () -> {
               Thread.sleep(60_000);
               return null;
             });
-    keeper.recall();
-    keeper.keeps();
+    snapshotWriter.awaitRestore();
+    snapshotWriter.startWriting();
     Thread.sleep(200);
     long start = System.nanoTime();
-    keeper.ends(view(SystemClocks.now()));
-    keeper.awaitEnd();
+    snapshotWriter.close(view(SystemClocks.unixMicros()));
+    snapshotWriter.awaitClosed();
     check(System.nanoTime() - start < 1_500_000_000L, "bounded");
     clear(folder);
   }
@@ -173,15 +173,15 @@
       await("kept in a", () -> newest(a) != null);
       Files.writeString(ini, "[state]\nfolder = " + b + "\nperiod_ms = 1\n");
       world.router.reload();
-      long before = newest(a).number();
-      await("still in a", () -> newest(a).number() > before);
+      long before = newest(a).sequence();
+      await("still in a", () -> newest(a).sequence() > before);
       check(newest(b) == null, "not yet in b");
       Files.writeString(ini, "[state]\nfolder = " + b + "\nperiod_ms = 100\n");
       world.router.reload();
       await("now in b", () -> newest(b) != null);
-      long last = newest(a).number();
+      long last = newest(a).sequence();
       Thread.sleep(300);
-      check(newest(a).number() == last && new LockedDirectory(a).take(), "a is let go");
+      check(newest(a).sequence() == last && new LockedDirectory(a).tryLock(), "a is let go");
     } finally {
       clear(folder);
     }
@@ -191,13 +191,14 @@
   @Example
   void aViewOfThousandsServesAShortListAndIsGone() {
     LearnedState view = KeptViews.view(9, 2_000);
-    StateRestore recollection =
-        StateRestore.of(view, "fleet", "n3", view.writtenAt() + 9, view.steady() + 9, "boot");
+    StateRestore restore =
+        StateRestore.of(
+            view, "fleet", "n3", view.writtenAtMicros() + 9, view.monotonicMicros() + 9, "boot");
     basaltlever.core.StatementRouter<String> core = SocketWorld.core();
     EndpointList list = new EndpointList(core, List.of(), (node, address) -> {});
-    list.recalls(recollection, node -> {});
+    list.restoreFrom(restore, node -> {});
     StringBuilder members = new StringBuilder();
-    for (KnownEndpoint known : view.nodes().subList(0, 20)) {
+    for (KnownEndpoint known : view.endpoints().subList(0, 20)) {
       members
           .append(members.isEmpty() ? "" : ",")
           .append(
@@ -206,20 +207,20 @@
                   + "\",\"hostPort\":\""
                   + known.address()
                   + "\",\"lifecycle\":\"in_service\",\"startedAtMs\":"
-                  + known.view().listedStart() / 1_000
+                  + known.state().listedStartMicros() / 1_000
                   + "}");
     }
     try {
-      list.take(
-          new Moment(view.writtenAt()),
+      list.takeUpdate(
+          new Moment(view.writtenAtMicros()),
           EndpointList.parse(
               "{\"generation\":50,\"reset\":true," + "\"instances\":[" + members + "]}"),
           true);
     } catch (basaltlever.discovery.InvalidEndpointListException fault) {
       throw new AssertionError(fault);
     }
-    check(core.nodesKnown() == 20, "no node but the listed");
-    check(recollection.pendingCount() == 1_980, "and those were known again");
+    check(core.knownEndpoints() == 20, "no node but the listed");
+    check(restore.pendingCount() == 1_980, "and those were known again");
   }
 
   private static long broken(SocketWorld world) {
@@ -262,7 +263,7 @@
       check(
           reached[0] > 0 && reached[1] == 0,
           "with a view " + reached[1] + ", without one " + reached[0]);
-      List<KnownEndpoint> kept = newest(folder).nodes();
+      List<KnownEndpoint> kept = newest(folder).endpoints();
       check(
           kept.size() == 3 && SnapshotCodec.write(newest(folder), 1 << 20).length < 1_500,
           "three nodes, small");
@@ -305,9 +306,9 @@
       await(
           "the next write hangs",
           () -> {
-            long before = newest(folder).number();
+            long before = newest(folder).sequence();
             Thread.sleep(300);
-            return newest(folder).number() == before;
+            return newest(folder).sequence() == before;
           });
       serves(world, "hangs");
       long start = System.nanoTime();
@@ -336,7 +337,7 @@
     try (SocketWorld world = new SocketWorld(false)) {
       basaltlever.net.Router first = new basaltlever.net.Router();
       first.start(world.file, operator);
-      await("kept", () -> newest(folder) != null && newest(folder).nodes().size() == 3);
+      await("kept", () -> newest(folder) != null && newest(folder).endpoints().size() == 3);
       first.drain();
       first.awaitStop();
       String start = Files.readString(world.file).replaceAll("(?s)\"known\":.*?]\\},", "");
--- a/router/src/test/java/basaltlever/SocketWorld.java
+++ b/router/src/test/java/basaltlever/SocketWorld.java
@@ -76,7 +76,7 @@
     public final List<String> told = new ArrayList<>();
 
     @Override
-    public void execute(long ticket, int execution, String node, Span timeout, Moment sendBy) {
+    public void startAttempt(long ticket, int execution, String node, Span timeout, Moment sendBy) {
       told.add("execute");
     }
 
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void reject(long ticket, Span comeBackAfter, RejectReason why) {
+    public void reject(long ticket, Span comeBackAfter, RejectReason reason) {
       told.add("reject");
     }
 
@@ -99,29 +99,29 @@
     public void poll(String node) {}
 
     @Override
-    public void letGo(String node) {}
+    public void closeIdleConnections(String node) {}
 
     @Override
-    public void forget(String node) {
+    public void endpointRemoved(String node) {
       told.add("forget " + node);
     }
 
     @Override
-    public void watch() {
+    public void watchEndpointList() {
       told.add("watch");
     }
 
     @Override
-    public void wake(Span fromNow) {}
+    public void setTimer(Span fromNow) {}
 
     @Override
-    public void prepare(String node, int connections) {}
+    public void openConnections(String node, int connections) {}
 
     @Override
-    public void change(int group, PlannedSwitchover.Phase phase, String target) {}
+    public void switchoverPhaseChanged(int group, PlannedSwitchover.Phase phase, String target) {}
 
     @Override
-    public void primary(int group, String node, boolean found) {}
+    public void primaryChanged(int group, String node, boolean found) {}
   }
 
   /** One node: a primary or a replica that is never behind. */
@@ -172,7 +172,7 @@
         }
       }
       ByteBuf out = Unpooled.buffer();
-      MessageEncoder.welcome(out);
+      MessageEncoder.startupResponse(out);
       send(socket, out);
       while (in.readByte() == 'Q') {
         byte[] text = new byte[in.readInt() - 4];
@@ -197,7 +197,7 @@
                 + ",x1="
                 + (primary ? 1 : 0)
                 + ",utilization=0.2");
-        MessageEncoder.ready(out);
+        MessageEncoder.readyForQuery(out);
         send(socket, out);
         return;
       }
@@ -217,7 +217,7 @@
             default -> null;
           };
       if (code != null) {
-        MessageEncoder.error(out, "ERROR", code, "as asked", null);
+        MessageEncoder.errorResponse(out, "ERROR", code, "as asked", null);
       }
       switch (as) {
         case SILENT -> {
@@ -228,7 +228,7 @@
           return;
         }
         case FATAL -> {
-          MessageEncoder.error(out, "FATAL", "XX000", "as asked", null);
+          MessageEncoder.errorResponse(out, "FATAL", "XX000", "as asked", null);
           send(socket, out);
           socket.close();
           return;
@@ -239,7 +239,7 @@
             send(socket, out.writeBytes(description(1)).writeBytes(data(1, id)));
             out.clear().writeBytes(data(1, id));
           } else {
-            MessageEncoder.status(out, "more", "and more");
+            MessageEncoder.parameterStatus(out, "more", "and more");
           }
           while (true) {
             send(socket, out.duplicate());
@@ -256,12 +256,12 @@
         case LARGE -> row(out, id + "-" + "v".repeat(1 << 16));
         case TWO_ROWS -> {
           out.writeBytes(description(1)).writeBytes(data(1, id)).writeBytes(data(1, id));
-          MessageEncoder.complete(out, "SELECT 2");
+          MessageEncoder.commandComplete(out, "SELECT 2");
         }
         default -> {}
       }
       if (as == Mode.ERROR_AFTER_ROW) {
-        MessageEncoder.error(out, "ERROR", "25006", "as asked", null);
+        MessageEncoder.errorResponse(out, "ERROR", "25006", "as asked", null);
       }
       if (as == Mode.CUT) {
         out.writerIndex(out.writerIndex() - 3);
@@ -269,12 +269,12 @@
         socket.close();
         return;
       }
-      MessageEncoder.status(out, "part", primary ? "master" : "replica");
-      MessageEncoder.status(out, "caught_up_to", "" + now);
-      MessageEncoder.ready(out);
+      MessageEncoder.parameterStatus(out, "part", primary ? "master" : "replica");
+      MessageEncoder.parameterStatus(out, "caught_up_to", "" + now);
+      MessageEncoder.readyForQuery(out);
       if (as == Mode.TWICE) {
         row(out, "another");
-        MessageEncoder.ready(out);
+        MessageEncoder.readyForQuery(out);
       } else if (as == Mode.NOISE_BEHIND) {
         out.writeBytes(new byte[] {'D', 0, 0});
       }
@@ -311,7 +311,7 @@
 
     public Client start() throws IOException {
       ByteBuf out = Unpooled.buffer();
-      MessageEncoder.startup(out, "app", "shop");
+      MessageEncoder.startupMessage(out, "app", "shop");
       send(socket, out);
       return this;
     }
@@ -350,9 +350,9 @@
                   .append(new String(body, 6, body.length - 6, StandardCharsets.UTF_8));
           case 'E' ->
               told.append("error:")
-                  .append(QueryResponse.field(whole, 'C'))
+                  .append(QueryResponse.errorField(whole, 'C'))
                   .append(':')
-                  .append(QueryResponse.field(whole, 'D'));
+                  .append(QueryResponse.errorField(whole, 'D'));
           case 'T', 'C', 'R', 'S', 'K' -> {}
           default -> told.append((char) type);
         }
@@ -437,14 +437,15 @@
   public static basaltlever.core.StatementRouter<String> core() {
     try {
       return new basaltlever.core.StatementRouter<>(
-          new Silent(), values().balance(1, new Moment(0), values().holds()));
+          new Silent(),
+          values().loadBalancerFactory(1, new Moment(0), values().defaultHoldBudget()));
     } catch (InvalidSettingsException fault) {
       throw new AssertionError(fault);
     }
   }
 
   public static StartValues values() throws InvalidSettingsException {
-    return StartFile.of(startFile(1, 2, "[]")).values();
+    return StartFile.of(startFile(1, 2, "[]")).startValues();
   }
 
   String entries() {
@@ -585,7 +586,7 @@
 
   static void row(ByteBuf out, String value) {
     out.writeBytes(description(1)).writeBytes(data(1, value));
-    MessageEncoder.complete(out, "SELECT 1");
+    MessageEncoder.commandComplete(out, "SELECT 1");
   }
 
   public static ServerSocket listen(int port) {
--- a/router/src/test/java/basaltlever/StandIn.java
+++ b/router/src/test/java/basaltlever/StandIn.java
@@ -83,16 +83,16 @@
   }
 
   Moment now = new Moment(1_000_000_000L);
-  final LoadBalancer balance;
+  final LoadBalancer balancer;
   final HoldBudget holds = new HoldBudget(10_000, 1 << 20);
   final List<PlannedSwitchover.Phase> phases = new ArrayList<>();
   int prepared;
-  final Settings agreed;
+  final Settings settings;
   private final Span slo;
   Workload[] workloads;
   final Replication replication;
-  final AttemptLimits allowance;
-  final SlowStartPolicy warmUp = new SlowStartPolicy(0.2, ms(10_000), 2, ms(1_000));
+  final AttemptLimits attemptLimits;
+  final SlowStartPolicy slowStart = new SlowStartPolicy(0.2, ms(10_000), 2, ms(1_000));
   final List<Sent> sent = new ArrayList<>();
   final List<Integer> polled = new ArrayList<>();
   final List<Integer> letGo = new ArrayList<>();
@@ -199,17 +199,17 @@
               0);
     }
     replication = new Replication(check, positions, tokens);
-    allowance = new AttemptLimits(6, copies, true, true, ms(1_000), SLACK);
-    agreed =
+    attemptLimits = new AttemptLimits(6, copies, true, true, ms(1_000), SLACK);
+    settings =
         new Settings(
             new RouterIdentity(routers, 0, 0.01, 0.02),
             workloads,
             replication,
             new DrainPolicy(asked, ms(10_000), true),
-            warmUp,
-            allowance,
+            slowStart,
+            attemptLimits,
             new PoolSettings(1, ms(15_000)));
-    balance = new LoadBalancer(this, new SplittableRandom(seed), agreed, holds, now);
+    balancer = new LoadBalancer(this, new SplittableRandom(seed), settings, holds, now);
   }
 
   /**
@@ -218,34 +218,34 @@
    */
   static StandIn moved() {
     StandIn world = new StandIn(true, true, true, false, false, 2, 7, 300, 6_000);
-    world.balance.agree(world.now, world.with(world.allowance, false));
+    world.balancer.applySettings(world.now, world.with(world.attemptLimits, false));
     return world;
   }
 
   Settings with(AttemptLimits allows, boolean removalBinds) {
     return new Settings(
-        agreed.standing(),
+        settings.identity(),
         workloads,
         replication,
         new DrainPolicy(false, ms(10_000), removalBinds),
-        warmUp,
+        slowStart,
         allows,
-        agreed.connections());
+        settings.connections());
   }
 
   /** Settings with other workloads at their places: all that was taken before ends by its own. */
   void agree(Workload[] next) {
     workloads = next;
-    balance.agree(
+    balancer.applySettings(
         now,
         new Settings(
-            agreed.standing(),
+            settings.identity(),
             next,
             replication,
-            agreed.drains(),
-            warmUp,
-            allowance,
-            agreed.connections()));
+            settings.drains(),
+            slowStart,
+            attemptLimits,
+            settings.connections()));
   }
 
   static StandIn plain() {
@@ -255,30 +255,30 @@
   // ---- Driving by hand.
 
   StandIn list(int nodes) {
-    balance.listStarted();
+    balancer.listStarted();
     for (int i = 0; i < nodes; i++) {
-      balance.endpointListed(now, i, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
+      balancer.endpointListed(now, i, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
     }
-    balance.listFinished(now, true, true);
+    balancer.listFinished(now, true, true);
     return this;
   }
 
   void relist(int node, EndpointLifecycle state, Moment startedAt) {
-    balance.listStarted();
-    balance.endpointListed(now, node, state, 1, 0, 1, startedAt);
-    balance.listFinished(now, false, true);
+    balancer.listStarted();
+    balancer.endpointListed(now, node, state, 1, 0, 1, startedAt);
+    balancer.listFinished(now, false, true);
   }
 
   StandIn later(double millis) {
     for (Moment end = now.plus(ms(millis)); now.isBefore(end); ) {
       now = now.plus(ms(5)).earlier(end);
-      balance.timerFired(now);
+      balancer.timerFired(now);
     }
     return this;
   }
 
   void poll(int node, Role role, Moment position) {
-    balance.pollEnded(now, node, AttemptOutcome.COMPLETED, role, position, 0.5, Double.NaN);
+    balancer.pollEnded(now, node, AttemptOutcome.COMPLETED, role, position, 0.5, Double.NaN);
   }
 
   /** Three members, node 0 primary, the replicas shown at the given age. */
@@ -299,7 +299,7 @@
     fate.terms = workloads[workload];
     fate.session = session;
     fate.leaves = now.plus(ms(leavesMillis));
-    ReadConsistency needs = workloads[workload].needs();
+    ReadConsistency needs = workloads[workload].consistency();
     fate.needed =
         needs == ReadConsistency.FRESH
             ? now
@@ -310,7 +310,7 @@
                     : commits.getOrDefault(session, Moment.LONG_AGO);
     fates.add(fate);
     int id = fates.size() - 1;
-    balance.statementReceived(
+    balancer.statementReceived(
         now, id, new StatementRequest(workload, 1, session, fate.leaves, committed, 100));
     return id;
   }
@@ -326,18 +326,18 @@
     return sent.get(sent.size() - 1);
   }
 
-  void end(Sent execution, AttemptOutcome ending, Role role) {
-    end(execution, ending, role, Moment.LONG_AGO);
+  void end(Sent execution, AttemptOutcome outcome, Role role) {
+    end(execution, outcome, role, Moment.LONG_AGO);
   }
 
-  void end(Sent execution, AttemptOutcome ending, Role role, Moment position) {
+  void end(Sent execution, AttemptOutcome outcome, Role role, Moment position) {
     Fate fate = fates.get(execution.statement);
     fate.out--;
-    if (!ending.provesNotRun) {
+    if (!outcome.provesNotRun) {
       fate.mayHaveRun = true;
       fate.firstMaybe = fate.firstMaybe.earlier(execution.at);
     }
-    boolean first = ending == AttemptOutcome.COMPLETED && !fate.answered;
+    boolean first = outcome == AttemptOutcome.COMPLETED && !fate.answered;
     if (first) {
       check(!now.isAfter(fate.leaves.plus(SLACK)), "answered late");
       fate.answered = true;
@@ -345,13 +345,13 @@
     if (role == Role.REPLICA && execution.node < members.size()) {
       members.get(execution.node).toldReplica = true;
     }
-    balance.attemptEnded(
-        now, execution.statement, execution.execution, ending, role, position, fate.answered);
+    balancer.attemptEnded(
+        now, execution.statement, execution.execution, outcome, role, position, fate.answered);
   }
 
   /** Ends, once each, those executions that the test picks. */
-  void endThose(Predicate<Sent> which, AttemptOutcome ending, Role role) {
-    sent.stream().filter(which).filter(ended::add).toList().forEach(s -> end(s, ending, role));
+  void endThose(Predicate<Sent> which, AttemptOutcome outcome, Role role) {
+    sent.stream().filter(which).filter(ended::add).toList().forEach(s -> end(s, outcome, role));
   }
 
   /** What is still out when its client leaves times out then. */
@@ -373,18 +373,19 @@
   }
 
   @Override
-  public void execute(int statement, int node, Span timeout, Moment sendBy) {
+  public void startAttempt(int statement, int node, Span timeout, Moment sendBy) {
     Fate fate = fates.get(statement);
     Workload terms = fate.terms;
     check(!fate.answered, "rule 1: sent after the final answer");
-    check(fate.executions < allowance.executions(), "too many executions");
-    check(allowance.secondCopies() || fate.out == 0, "two at once");
-    if (terms.repeat() == Idempotency.NON_IDEMPOTENT) {
+    check(fate.executions < attemptLimits.maxAttempts(), "too many executions");
+    check(attemptLimits.hedgedRequests() || fate.out == 0, "two at once");
+    if (terms.idempotency() == Idempotency.NON_IDEMPOTENT) {
       check(!fate.mayHaveRun && fate.out == 0, "rule 2: non-idempotent sent again");
-    } else if (terms.repeat() == Idempotency.DEDUPLICATED && (fate.mayHaveRun || fate.out > 0)) {
+    } else if (terms.idempotency() == Idempotency.DEDUPLICATED
+        && (fate.mayHaveRun || fate.out > 0)) {
       check(
-          now.isBefore(fate.firstMaybe.plus(terms.window()))
-              && !sendBy.isAfter(fate.firstMaybe.plus(terms.window())),
+          now.isBefore(fate.firstMaybe.plus(terms.deduplicationWindow()))
+              && !sendBy.isAfter(fate.firstMaybe.plus(terms.deduplicationWindow())),
           "rule 2: sent again outside its window, now or once a connection stands");
     }
     if (node < members.size()) {
@@ -402,19 +403,25 @@
     check(member.listedReady, "rule 3: sent to a node known to drain or be gone");
     if (!replication.replicasCheck() && !(member.wasPrimary && !member.toldReplica)) {
       Moment needed =
-          terms.needs() == ReadConsistency.BOUNDED ? now.minus(terms.bound()) : fate.needed;
+          terms.consistency() == ReadConsistency.BOUNDED
+              ? now.minus(terms.maxStaleness())
+              : fate.needed;
       check(!truth(member).isBefore(needed), "rule 5: stale read");
     }
     Span age = now.since(member.startedAt);
-    if (age.isShorterThan(warmUp.warmAfter()) && member.toldStart.equals(member.startedAt)) {
+    if (age.isShorterThan(slowStart.warmAfter()) && member.toldStart.equals(member.startedAt)) {
       member.sends.add(now);
       long recent =
           member.sends.stream()
-              .filter(at -> now.since(at).isShorterThan(warmUp.topplesIn()))
+              .filter(at -> now.since(at).isShorterThan(slowStart.overloadTime()))
               .count();
       double able =
-          NODE_RATE * (warmUp.coldFrom() + (1 - warmUp.coldFrom()) * age.over(warmUp.warmAfter()));
-      check(recent <= Math.max(2, warmUp.topplesAt() * able), "rule 4: cold node pushed over");
+          NODE_RATE
+              * (slowStart.initialShare()
+                  + (1 - slowStart.initialShare()) * age.over(slowStart.warmAfter()));
+      check(
+          recent <= Math.max(2, slowStart.overloadFactor() * able),
+          "rule 4: cold node pushed over");
     }
   }
 
@@ -425,11 +432,11 @@
   }
 
   @Override
-  public void reject(int statement, Span comeBackAfter, RejectReason why) {
+  public void reject(int statement, Span comeBackAfter, RejectReason reason) {
     Fate fate = fates.get(statement);
-    check(!comeBackAfter.isLongerThan(allowance.longestComeBack()), "advice too long");
+    check(!comeBackAfter.isLongerThan(attemptLimits.maxRetryAfter()), "advice too long");
     check(
-        fate.terms.repeat() == Idempotency.IDEMPOTENT || (!fate.mayHaveRun && fate.out == 0),
+        fate.terms.idempotency() == Idempotency.IDEMPOTENT || (!fate.mayHaveRun && fate.out == 0),
         "rule 2: rejected what may have run");
     answer(fate);
     advice = comeBackAfter;
@@ -462,7 +469,7 @@
         plays.nextInt(1, 10),
         () -> {
           if (member.alive) {
-            balance.pollEnded(
+            balancer.pollEnded(
                 now,
                 node,
                 AttemptOutcome.COMPLETED,
@@ -471,7 +478,7 @@
                 plays.nextInt(20) == 0 ? Double.NaN : plays.nextDouble(),
                 Double.NaN);
           } else {
-            balance.pollEnded(
+            balancer.pollEnded(
                 now,
                 node,
                 plays.nextBoolean() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.NO_CONNECTION,
@@ -484,24 +491,24 @@
   }
 
   @Override
-  public void forget(int node) {
+  public void endpointRemoved(int node) {
     forgotten.add(node);
   }
 
   @Override
-  public void letGo(int node) {
+  public void closeIdleConnections(int node) {
     letGo.add(node);
   }
 
   @Override
-  public void watch() {
+  public void watchEndpointList() {
     watches++;
     if (plays != null) {
       after(
           plays.nextInt(5, 200),
           () -> {
             if (plays.nextInt(3) == 0) {
-              balance.listCallFailed(now);
+              balancer.listCallFailed(now);
             } else {
               listAll();
             }
@@ -510,21 +517,21 @@
   }
 
   @Override
-  public void wake(Span fromNow) {
+  public void setTimer(Span fromNow) {
     check(fromNow.micros() > 0, "woken in the past");
-    after(Math.max(1, fromNow.micros() / 1_000.0), () -> balance.timerFired(now));
+    after(Math.max(1, fromNow.micros() / 1_000.0), () -> balancer.timerFired(now));
   }
 
   @Override
-  public void primary(int group, int node, boolean found) {}
+  public void primaryChanged(int group, int node, boolean found) {}
 
   @Override
-  public void prepare(int node, int connections) {
+  public void openConnections(int node, int connections) {
     prepared = connections;
   }
 
   @Override
-  public void change(int group, PlannedSwitchover.Phase phase, int target) {
+  public void switchoverPhaseChanged(int group, PlannedSwitchover.Phase phase, int target) {
     phases.add(phase);
   }
 
@@ -544,11 +551,11 @@
   }
 
   void listAll() {
-    balance.listStarted();
+    balancer.listStarted();
     for (int i = 0; i < members.size(); i++) {
       Member member = members.get(i);
       member.toldStart = member.startedAt;
-      balance.endpointListed(
+      balancer.endpointListed(
           now,
           i,
           member.listedReady ? EndpointLifecycle.READY : EndpointLifecycle.DRAINING,
@@ -557,7 +564,7 @@
           1,
           member.startedAt);
     }
-    balance.listFinished(now, true, true);
+    balancer.listFinished(now, true, true);
   }
 
   private Moment truth(Member member) {
@@ -569,11 +576,11 @@
   }
 
   private void play(Sent execution, Member member, Fate fate) {
-    boolean write = fate.terms.needs() == ReadConsistency.WRITE;
+    boolean write = fate.terms.consistency() == ReadConsistency.WRITE;
     double last = execution.timeout.micros() > 0 ? execution.timeout.micros() / 1e3 : 1e9;
     double left = Math.max(1, Math.min(last, fate.leaves.since(now).micros() / 1e3));
     double takes = member.alive ? 1 + plays.nextInt(40) : 3;
-    AttemptOutcome ending =
+    AttemptOutcome outcome =
         !member.alive
             ? plays.nextBoolean() ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.RESET
             : member.hangs
@@ -583,11 +590,11 @@
                     : plays.nextInt(50) == 0
                         ? AttemptOutcome.FULL
                         : write && !member.primary ? AttemptOutcome.MISS : AttemptOutcome.COMPLETED;
-    if (ending == AttemptOutcome.TIMED_OUT || takes > left) {
+    if (outcome == AttemptOutcome.TIMED_OUT || takes > left) {
       takes = left;
-      ending = AttemptOutcome.TIMED_OUT;
+      outcome = AttemptOutcome.TIMED_OUT;
     }
-    AttemptOutcome planned = ending;
+    AttemptOutcome planned = outcome;
     after(
         takes,
         () -> {
--- a/router/src/test/java/basaltlever/StartTest.java
+++ b/router/src/test/java/basaltlever/StartTest.java
@@ -28,9 +28,9 @@
   void aSoundFileGivesItsValues() throws InvalidSettingsException {
     StartFile file = StartFile.of(SOUND);
     check(file.listen().getPort() == 5432 && file.discovery().getPort() == 8500, "addresses");
-    check(file.seed() == 0x8c1f30d27a5be964L && file.sockets() == 200, "seed and limits");
-    check(file.values().workloadNames().get(1).equals("post"), "workloads");
-    check(file.values().idleClose().equals(Span.ofMillis(2_000)), "spans are microseconds");
+    check(file.seed() == 0x8c1f30d27a5be964L && file.maxDescriptors() == 200, "seed and limits");
+    check(file.startValues().workloadNames().get(1).equals("post"), "workloads");
+    check(file.startValues().idleClose().equals(Span.ofMillis(2_000)), "spans are microseconds");
   }
 
   @Example
@@ -70,8 +70,9 @@
         SOUND.replace("\"on_request\"", "\"pushed\"").replace(",\n   \"MustAskIn\":10000000", "");
     SocketWorld.Silent outside = new SocketWorld.Silent();
     StatementRouter<String> core =
-        new StatementRouter<>(outside, StartFile.of(pushed).values().balance(1, new Moment(0)));
-    core.woken(new Moment(0));
+        new StatementRouter<>(
+            outside, StartFile.of(pushed).startValues().loadBalancerFactory(1, new Moment(0)));
+    core.timerFired(new Moment(0));
     check(outside.told.equals(List.of("watch")), "asked for at once");
   }
 
--- a/router/src/test/java/basaltlever/StateRestoreTest.java
+++ b/router/src/test/java/basaltlever/StateRestoreTest.java
@@ -81,7 +81,7 @@
 
   private static StateRestore after(LearnedState view, long age, long steadily, String boot) {
     return StateRestore.of(
-        view, "fleet", "n3", view.writtenAt() + age, view.steady() + steadily, boot);
+        view, "fleet", "n3", view.writtenAtMicros() + age, view.monotonicMicros() + steadily, boot);
   }
 
   private static EndpointState aged(EndpointState node, long age) {
@@ -92,31 +92,34 @@
   void whatWasLearnedFadesByItsCurveAndDaysOldIsNothing() {
     EndpointState node = aged(bad(true, true, 0.8), 10_000_000);
     check(
-        node.silent()
+        node.unresponsive()
             && node.downFor().equals(ms(13_000))
-            && Math.abs(node.failing() - Math.exp(-10 / 120.0)) < 1e-9,
+            && Math.abs(node.failureRate() - Math.exp(-10 / 120.0)) < 1e-9,
         "ten seconds: the states stand");
     check(
-        Math.abs(node.strained() - 0.4 * Math.exp(-10 / 15.0)) < 1e-9
-            && node.rests().equals(Span.NONE),
+        Math.abs(node.latencyStrain() - 0.4 * Math.exp(-10 / 15.0)) < 1e-9
+            && node.remainingBackoff().equals(Span.NONE),
         "load");
     EndpointState later = aged(bad(true, true, 0.8), 200_000_000);
     check(
-        !later.silent() && !later.isDown() && later.failing() > 0.1 && later.failing() < 0.2,
+        !later.unresponsive()
+            && !later.isDown()
+            && later.failureRate() > 0.1
+            && later.failureRate() < 0.2,
         "minutes: a guess");
     EndpointState days = aged(bad(true, true, 1), 48 * HOUR);
     check(
-        days.failing() < 0.01
-            && days.strained() < 0.01
+        days.failureRate() < 0.01
+            && days.latencyStrain() < 0.01
             && days.lag().micros() < 10_000
-            && days.room() > 12,
+            && days.capacity() > 12,
         "days: nothing");
     check(
         StateDecay.weight(ms(553_000)) < 0.01
             && StateDecay.weight(ms(83_000)) > 0.5
             && StateDecay.weight(ms(-1)) == 0,
         "the curve");
-    check(aged(drained(false), 0).drains() == false, "a live list has the later word on a drain");
+    check(aged(drained(false), 0).draining() == false, "a live list has the later word on a drain");
   }
 
   @Example
@@ -153,25 +156,26 @@
     check(
         after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 76, 39, false) != null,
         "an older list");
-    StateRestore recollection = after(view, 1, 1, "b1");
-    check(recollection.of("s-1", "127.0.0.1:7001", 77, 39, false).drains(), "told since: binds");
-    check(recollection.of("s-1", "127.0.0.1:7001", 77, 39, false) == null, "once");
+    StateRestore restore = after(view, 1, 1, "b1");
+    check(restore.of("s-1", "127.0.0.1:7001", 77, 39, false).draining(), "told since: binds");
+    check(restore.of("s-1", "127.0.0.1:7001", 77, 39, false) == null, "once");
     check(
-        !after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 77, 40, false).drains(),
+        !after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 77, 40, false).draining(),
         "as new a list");
   }
 
   /** A fresh router of three members, before it has heard anything else. */
   private static StandIn fresh(EndpointState... views) {
     StandIn world = StandIn.plain();
-    world.balance.listStarted();
+    world.balancer.listStarted();
     for (int i = 0; i < 3; i++) {
-      world.balance.endpointListed(world.now, i, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
+      world.balancer.endpointListed(
+          world.now, i, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
       if (i < views.length && views[i] != null) {
-        world.balance.learnedState().restore(world.now, i, views[i]);
+        world.balancer.learnedState().restore(world.now, i, views[i]);
       }
     }
-    world.balance.listFinished(world.now, true, true);
+    world.balancer.listFinished(world.now, true, true);
     return world;
   }
 
@@ -242,12 +246,12 @@
     SplittableRandom chance = new SplittableRandom(seed);
     StandIn world = new StandIn(chance.nextBoolean(), positions, tokens, true, true, 2, seed);
     world.playWith(chance.split(), 4);
-    world.balance.listStarted();
+    world.balancer.listStarted();
     for (int i = 0; i < 4; i++) {
       world
-          .balance
+          .balancer
           .learnedState()
-          .restore(world.now, i, KeptViews.view(seed & 0xFFFF, 4).nodes().get(i).view());
+          .restore(world.now, i, KeptViews.view(seed & 0xFFFF, 4).endpoints().get(i).state());
     }
     world.listAll();
     for (int step = 0; step < 500; step++) {
@@ -261,7 +265,7 @@
     world.run(4_000);
     for (int i = 0; i < 4; i++) {
       check(
-          world.balance.learnedState().learned(world.now, i) != null,
+          world.balancer.learnedState().learned(world.now, i) != null,
           "what was learned can be told");
     }
   }
--- a/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
+++ b/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
@@ -118,7 +118,7 @@
                           i + 5,
                           sizes[i],
                           update.entries().stream()
-                              .map(EndpointEntry::listing)
+                              .map(EndpointEntry::lifecycle)
                               .toList()
                               .indexOf(EndpointLifecycle.DRAINING))))),
           "the entries as a parser of whole texts reads them");
@@ -137,7 +137,8 @@
     check(
         listener.updates.isEmpty() && listener.entries.size() > LONG / 3,
         "half of it: " + listener.entries.size());
-    check(listener.entries.get(7).listing() == EndpointLifecycle.DRAINING, "the drain is among it");
+    check(
+        listener.entries.get(7).lifecycle() == EndpointLifecycle.DRAINING, "the drain is among it");
     read(reader, list.substring(list.length() / 2), random, 8_192);
     check(
         listener.updates.size() == 1 && listener.updates.get(0).entries().size() == LONG,
--- a/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
+++ b/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
@@ -82,7 +82,7 @@
           0.5);
 
   private final class Router implements DecisionSink {
-    private final LoadBalancer balance;
+    private final LoadBalancer balancer;
     private final SplittableRandom random;
     private final List<List<Moment>> arrivals;
     private final int groups;
@@ -97,7 +97,7 @@
       this.arrivals = arrivals;
       this.groups = groups;
       this.members = members;
-      balance =
+      balancer =
           new LoadBalancer(
               this,
               random.split(),
@@ -116,9 +116,9 @@
 
     void list(
         int groups, int members, Moment startedAt, java.util.function.IntPredicate restarted) {
-      balance.listStarted();
+      balancer.listStarted();
       for (int node = 0; node < groups * members; node++) {
-        balance.endpointListed(
+        balancer.endpointListed(
             now,
             node,
             EndpointLifecycle.READY,
@@ -126,13 +126,13 @@
             0,
             1,
             restarted.test(node) ? startedAt : Moment.LONG_AGO);
-        balance.ringOrderKnown(node, node * 0x9E3779B1);
+        balancer.ringOrderKnown(node, node * 0x9E3779B1);
       }
-      balance.listFinished(now, true, true);
+      balancer.listFinished(now, true, true);
     }
 
     void traffic() {
-      balance.statementReceived(
+      balancer.statementReceived(
           now,
           statements++,
           new StatementRequest(
@@ -148,13 +148,13 @@
     }
 
     @Override
-    public void execute(int statement, int node, Span timeout, Moment sendBy) {
+    public void startAttempt(int statement, int node, Span timeout, Moment sendBy) {
       arrivals.get(node).add(now);
       after(
           WORK.times(0.5 + random.nextDouble()),
           () -> {
             served +=
-                balance.attemptEnded(
+                balancer.attemptEnded(
                         now,
                         statement,
                         0,
@@ -172,7 +172,7 @@
       after(
           Span.ofMillis(5),
           () ->
-              balance.pollEnded(
+              balancer.pollEnded(
                   now, node, AttemptOutcome.COMPLETED, role(node), now, 0.3, Double.NaN));
     }
 
@@ -181,12 +181,12 @@
     }
 
     @Override
-    public void wake(Span fromNow) {
-      after(fromNow.longer(Span.ofMillis(1)), () -> balance.timerFired(now));
+    public void setTimer(Span fromNow) {
+      after(fromNow.longer(Span.ofMillis(1)), () -> balancer.timerFired(now));
     }
 
     @Override
-    public void reject(int statement, Span comeBackAfter, RejectReason why) {
+    public void reject(int statement, Span comeBackAfter, RejectReason reason) {
       refused++;
     }
 
@@ -199,22 +199,22 @@
     public void cancel(int statement, int execution) {}
 
     @Override
-    public void letGo(int node) {}
+    public void closeIdleConnections(int node) {}
 
     @Override
-    public void forget(int node) {}
+    public void endpointRemoved(int node) {}
 
     @Override
-    public void watch() {}
+    public void watchEndpointList() {}
 
     @Override
-    public void prepare(int node, int connections) {}
+    public void openConnections(int node, int connections) {}
 
     @Override
-    public void change(int group, PlannedSwitchover.Phase phase, int target) {}
+    public void switchoverPhaseChanged(int group, PlannedSwitchover.Phase phase, int target) {}
 
     @Override
-    public void primary(int group, int node, boolean found) {}
+    public void primaryChanged(int group, int node, boolean found) {}
   }
 
   private void after(Span span, Runnable act) {
--- a/router/src/test/java/basaltlever/fleet/StoredVersionTest.java
+++ b/router/src/test/java/basaltlever/fleet/StoredVersionTest.java
@@ -57,7 +57,7 @@
           if (fleet.get() != null) {
             HeartbeatReport report =
                 view.report(new Moment(System.nanoTime() / 1_000), member -> true);
-            fleet.get().beat(heartbeats.incrementAndGet(), 0, 0, 0, 0, "", true, report);
+            fleet.get().sendHeartbeat(heartbeats.incrementAndGet(), 0, 0, 0, 0, "", true, report);
           }
         };
     fleet.set(
@@ -70,14 +70,14 @@
   void theVersionInForceIsKeptByTheTimeARouterIsGrantedIt() throws Exception {
     Path folder = Files.createTempDirectory("told");
     VoterStore store = VoterStore.read(folder, "cards", "n1");
-    check(store.told() == null, "an empty folder was told nothing");
+    check(store.inForce() == null, "an empty folder was told nothing");
     AtomicReference<SettingsVersion> kept = new AtomicReference<>();
     AtomicReference<LeaseGrant> granted = new AtomicReference<>();
     CountDownLatch leased = new CountDownLatch(1);
     BiConsumer<LeaseGrant, MembershipUpdate> onGrant =
         (grant, lists) -> {
-          if (grant.lasts().micros() > 0 && leased.getCount() > 0) {
-            kept.set(store.told());
+          if (grant.duration().micros() > 0 && leased.getCount() > 0) {
+            kept.set(store.inForce());
             granted.set(grant);
             leased.countDown();
           }
@@ -90,7 +90,7 @@
           "in force: " + granted.get().inForce() + ", kept: " + kept);
     }
     check(
-        VoterStore.read(folder, "cards", "n1").told().equals(kept.get()),
+        VoterStore.read(folder, "cards", "n1").inForce().equals(kept.get()),
         "and found by the next process");
   }
 }
--- a/router/src/test/java/basaltlever/fleet/VoterStoreTest.java
+++ b/router/src/test/java/basaltlever/fleet/VoterStoreTest.java
@@ -24,20 +24,20 @@
   @Example
   void whatWasWrittenIsFoundAndNobodyElsesOrDamagedIsTaken() throws Exception {
     Path folder = Files.createTempDirectory("papers");
-    VoterStore papers = VoterStore.read(folder, "cards", "n1");
-    papers.recordVote(2, List.of("n1", "n4"));
-    papers.recordEpoch(3);
-    papers.recordVoters(List.of("n4", "n5"));
+    VoterStore voterStore = VoterStore.read(folder, "cards", "n1");
+    voterStore.recordVote(2, List.of("n1", "n4"));
+    voterStore.recordEpoch(3);
+    voterStore.recordVoters(List.of("n4", "n5"));
     SettingsVersion version =
         new SettingsVersion(7, "{\"Balancers\":3}", 12, "ops", "fewer copies", 1_796_000_000_000L);
-    papers.recordInForce(new SettingsVersion(6, "{}", 11, "ops", "before", 1));
-    papers.recordInForce(version);
+    voterStore.recordInForce(new SettingsVersion(6, "{}", 11, "ops", "before", 1));
+    voterStore.recordInForce(version);
     VoterStore again = VoterStore.read(folder, "cards", "n1");
     check(
-        again.identity().equals(papers.identity())
-            && again.knows() == 3
+        again.identity().equals(voterStore.identity())
+            && again.latestEpoch() == 3
             && again.voters().equals(List.of("n4", "n5"))
-            && again.told().equals(version),
+            && again.inForce().equals(version),
         "kept");
     check(
         refused(folder, "cards", "n2").contains("is the folder of n1 of fleet cards"),
@@ -62,10 +62,10 @@
     Path folder = Files.createTempDirectory("papers");
     Path file = folder.resolve("papers");
     Files.write(file, Golden.bytes("voter/papers"));
-    VoterStore papers = VoterStore.read(folder, "cards", "n1");
-    SettingsVersion told = papers.told();
-    papers.recordInForce(new SettingsVersion(1, "{}", 1, "ops", "another", 1));
-    papers.recordInForce(told);
+    VoterStore voterStore = VoterStore.read(folder, "cards", "n1");
+    SettingsVersion told = voterStore.inForce();
+    voterStore.recordInForce(new SettingsVersion(1, "{}", 1, "ops", "another", 1));
+    voterStore.recordInForce(told);
     Golden.check("voter/papers", Files.readAllBytes(file));
   }
 
@@ -73,13 +73,15 @@
   @Example
   void settingsThatFillAMessageAreLeftOutAndNothingElseIs() throws Exception {
     Path folder = Files.createTempDirectory("papers");
-    VoterStore papers = VoterStore.read(folder, "cards", "n1");
-    papers.recordVote(2, List.of("n1"));
-    papers.recordInForce(
+    VoterStore voterStore = VoterStore.read(folder, "cards", "n1");
+    voterStore.recordVote(2, List.of("n1"));
+    voterStore.recordInForce(
         new SettingsVersion(7, "x".repeat(MessageCodec.MAX_BYTES - 60), 12, "ops", "large", 1));
     VoterStore again = VoterStore.read(folder, "cards", "n1");
     check(
-        again.told() == null && again.identity().equals(papers.identity()) && again.knows() == 2,
+        again.inForce() == null
+            && again.identity().equals(voterStore.identity())
+            && again.latestEpoch() == 2,
         "all but the version");
   }
 }
--- a/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
@@ -25,7 +25,6 @@
 import java.util.Map;
 import java.util.SortedSet;
 import java.util.SplittableRandom;
-import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -72,9 +71,9 @@
 
   /** An instance whose router reports what it is given and takes whatever it is granted. */
   private static FleetMember instance(
-      FleetSettings terms,
+      FleetSettings fleetSettings,
       String name,
-      VoterStore papers,
+      VoterStore voterStore,
       BlockingQueue<LeaseGrant> grants,
       Supplier<HeartbeatReport> reports)
       throws Exception {
@@ -83,9 +82,9 @@
     AtomicReference<LeaseGrant> latest = new AtomicReference<>();
     fleet.set(
         new FleetMember(
-            terms,
+            fleetSettings,
             name,
-            papers,
+            voterStore,
             new SplittableRandom(1),
             () -> {
               if (fleet.get() != null) {
@@ -94,10 +93,12 @@
                 long force = last == null ? 0 : last.inForce().number();
                 long keeps =
                     last == null || last.prepared() == null ? force : last.prepared().number();
-                fleet.get().beat(beats.incrementAndGet(), 0, force, keeps, 0, "", true, report);
+                fleet
+                    .get()
+                    .sendHeartbeat(beats.incrementAndGet(), 0, force, keeps, 0, "", true, report);
               }
             },
-            (grant, sight) -> {
+            (grant, update) -> {
               latest.set(grant);
               grants.add(grant);
             }));
@@ -134,15 +135,15 @@
    */
   private static HeartbeatReport report(long generation) {
     ListVersion at = new ListVersion(0, generation);
-    GroupAssignment seat = new GroupAssignment("db-1", generation == 41 ? 0 : 1, at, false);
+    GroupAssignment assignment = new GroupAssignment("db-1", generation == 41 ? 0 : 1, at, false);
     List<String> free = generation == 41 ? List.of() : List.of("db-1");
-    ListAnomaly doubt = generation < 41 ? ListAnomaly.BACK : ListAnomaly.NONE;
-    return new HeartbeatReport(at, 99, doubt, List.of(), 0, List.of(seat), free, 0, 0, 0);
+    ListAnomaly anomaly = generation < 41 ? ListAnomaly.BACK : ListAnomaly.NONE;
+    return new HeartbeatReport(at, 99, anomaly, List.of(), 0, List.of(assignment), free, 0, 0, 0);
   }
 
   private static void leads(BlockingQueue<LeaseGrant> grants) throws InterruptedException {
     LeaseGrant grant = grants.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
-    while (grant != null && grant.lasts().micros() <= 0) {
+    while (grant != null && grant.duration().micros() <= 0) {
       grant = grants.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
     check(grant != null, "it leads itself");
@@ -167,12 +168,12 @@
   void aVoterAnswersRecordedRequestsAndLogsTheSameCommands() throws Exception {
     Path folder = Files.createTempDirectory("golden");
     InetSocketAddress peer = free();
-    FleetSettings terms = terms(folder, free(), peer);
+    FleetSettings fleetSettings = terms(folder, free(), peer);
     BlockingQueue<LeaseGrant> grants = new LinkedBlockingQueue<>();
     StringBuilder answers = new StringBuilder();
     AtomicReference<HeartbeatReport> list = new AtomicReference<>(HeartbeatReport.NONE);
     try (FleetMember voter =
-        instance(terms, NAME, VoterStore.read(folder, "cards", NAME), grants, list::get)) {
+        instance(fleetSettings, NAME, VoterStore.read(folder, "cards", NAME), grants, list::get)) {
       check(voter != null, "started");
       leads(grants);
       byte[] status = HexFormat.of().parseHex(requests().get(0)[1]);
@@ -184,7 +185,7 @@
         answers.append(request[0]).append(' ').append(Golden.json(answer)).append('\n');
         settled(peer, status, "");
       }
-      Path operator = operatorFile(folder, terms);
+      Path operator = operatorFile(folder, fleetSettings);
       for (List<String> command :
           List.of(
               List.of("settings", "status", "--json"),
@@ -222,15 +223,15 @@
     }
   }
 
-  private static Path operatorFile(Path folder, FleetSettings terms) throws IOException {
+  private static Path operatorFile(Path folder, FleetSettings fleetSettings) throws IOException {
     StringBuilder text = new StringBuilder("[fleet]\nname = cards\npeers = ");
-    terms
+    fleetSettings
         .peers()
         .forEach(
             (name, at) ->
                 text.append(name).append("@127.0.0.1:").append(at.getPort()).append(", "));
     text.setLength(text.length() - 2);
-    terms
+    fleetSettings
         .voters()
         .forEach(
             (name, at) ->
@@ -271,10 +272,10 @@
     try (ServerSocket voter = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
       voter.setSoTimeout(PATIENCE_MS);
       InetSocketAddress at = new InetSocketAddress("127.0.0.1", voter.getLocalPort());
-      VoterStore papers = VoterStore.read(folder, "cards", "n2");
+      VoterStore voterStore = VoterStore.read(folder, "cards", "n2");
       try (FleetMember router =
               instance(
-                  terms(folder, free(), at), "n2", papers, grants, () -> HeartbeatReport.NONE);
+                  terms(folder, free(), at), "n2", voterStore, grants, () -> HeartbeatReport.NONE);
           Socket open = voter.accept()) {
         check(router != null, "started");
         Golden.check("fleet-beat.txt", Golden.json(frame(open)) + "\n");
@@ -284,13 +285,15 @@
         out.write(grant);
         out.flush();
         LeaseGrant taken = grants.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        check(taken != null && taken.beat() == 1 && taken.lasts().micros() == 390_000, "its lease");
+        check(
+            taken != null && taken.heartbeatNumber() == 1 && taken.duration().micros() == 390_000,
+            "its lease");
         check(
             taken.inForce().number() == 2 && taken.inForce().routers() == 2,
             "the version in force");
         check(taken.inForce().text().equals("{\"MaxOpen\":400}"), "its settings");
-        check(taken.prepared() == null && taken.changes() == 7, "and nothing on its way");
-        check(papers.told().equals(taken.inForce()), "kept by then");
+        check(taken.prepared() == null && taken.changeCount() == 7, "and nothing on its way");
+        check(voterStore.inForce().equals(taken.inForce()), "kept by then");
       }
     }
   }
@@ -298,9 +301,10 @@
   @Example
   void aFolderOfAnEarlierReleaseIsRead() throws Exception {
     Path folder = recordedFolder();
-    VoterStore papers = VoterStore.read(folder, "cards", NAME);
+    VoterStore voterStore = VoterStore.read(folder, "cards", NAME);
     check(
-        papers.told().number() == 3 && papers.told().text().equals("{\"MaxOpen\":400}"),
+        voterStore.inForce().number() == 3
+            && voterStore.inForce().text().equals("{\"MaxOpen\":400}"),
         "the version told last");
     BlockingQueue<LeaseGrant> grants = new LinkedBlockingQueue<>();
     InetSocketAddress peer = free();
@@ -314,7 +318,7 @@
       check(voter != null, "started");
       leads(grants);
       byte[] status = HexFormat.of().parseHex(requests().get(0)[1]);
-      Golden.check("voter-status.txt", settled(peer, status, "") + "\n");
+      Golden.check("voter-status.txt", settled(peer, status, "\"keeps\":4") + "\n");
     }
   }
 
--- a/router/src/test/java/basaltlever/net/ClientModel.java
+++ b/router/src/test/java/basaltlever/net/ClientModel.java
@@ -70,15 +70,15 @@
   private final Map<Step, Integer> used = new EnumMap<>(Step.class);
   private final Counters counters = new Counters();
   private final Descriptors descriptors = new Descriptors(64);
-  private final WorkloadSlots places = WorkloadSlots.of(List.of("view"));
-  private final StatementTrace lives = new StatementTrace(null, this::now);
+  private final WorkloadSlots slots = WorkloadSlots.of(List.of("view"));
+  private final StatementTrace trace = new StatementTrace(null, this::now);
   private final ArrayDeque<Runnable> later = new ArrayDeque<>();
   private final ClientConnection connection;
   private final ArrayDeque<byte[]> unsent = new ArrayDeque<>();
   private Moment now = new Moment(1_000_000_000);
   private boolean closesIdle;
   private boolean refusesAll;
-  private PendingStatement taken;
+  private PendingStatement pendingStatement;
 
   private ByteBuf received = Unpooled.buffer();
   private boolean clientGone;
@@ -98,7 +98,7 @@
   ClientModel(Planted planted) {
     this.planted = planted;
     ByteBuf out = Unpooled.buffer();
-    MessageEncoder.startup(out, "app", "shop");
+    MessageEncoder.startupMessage(out, "app", "shop");
     unsent.add(bytes(out));
     MessageEncoder.query(out, "/* id=s1,c=view,d=900,cluster=1 */ SELECT 1");
     byte[] first = bytes(out);
@@ -139,7 +139,7 @@
           case SEND -> !unsent.isEmpty() && !clientGone && !closed;
           case READ -> received.isReadable() || clientGone;
           case RUN_LATER -> !later.isEmpty();
-          case ANSWER -> taken != null;
+          case ANSWER -> pendingStatement != null;
           case CLIENT_CLOSES, CLIENT_RESETS -> !clientGone;
           case TAKE_AGAIN -> !takes;
           case STOP_TAKING, WRITES_FAIL -> takes;
@@ -222,9 +222,9 @@
   }
 
   private void answer() {
-    if (taken != null) {
-      taken = null;
-      connection.answerError(ProtocolCodes.UNKNOWN_EFFECT, "as planned", null);
+    if (pendingStatement != null) {
+      pendingStatement = null;
+      connection.answerError(ProtocolCodes.SYSTEM_ERROR, "as planned", null);
     }
   }
 
@@ -281,8 +281,8 @@
       int length = in.readInt() - 4;
       String body = in.toString(in.readerIndex(), length, java.nio.charset.StandardCharsets.UTF_8);
       in.skipBytes(length);
-      ready += type == ProtocolCodes.READY ? 1 : 0;
-      if (type == ProtocolCodes.ERROR && body.contains("FATAL")) {
+      ready += type == ProtocolCodes.READY_FOR_QUERY ? 1 : 0;
+      if (type == ProtocolCodes.ERROR_RESPONSE && body.contains("FATAL")) {
         return Integer.MAX_VALUE;
       }
     }
@@ -302,7 +302,7 @@
         + "/"
         + later.size()
         + "/"
-        + (taken != null)
+        + (pendingStatement != null)
         + closesIdle
         + refusesAll
         + clientGone
@@ -346,7 +346,7 @@
   public void writeAndFlush(ByteBuf out, Consumer<Boolean> written) {
     boolean fatal =
         out.readableBytes() > 0
-            && out.getByte(out.readerIndex()) == ProtocolCodes.ERROR
+            && out.getByte(out.readerIndex()) == ProtocolCodes.ERROR_RESPONSE
             && out.toString(java.nio.charset.StandardCharsets.UTF_8).contains("FATAL");
     if (planted == Planted.WORDS_LOST && fatal) {
       out.release();
@@ -445,12 +445,12 @@
 
   @Override
   public StatementTrace lives() {
-    return lives;
+    return trace;
   }
 
   @Override
   public int workload(Query query) throws ProtocolException {
-    return places.of(query.workload);
+    return slots.of(query.workload);
   }
 
   @Override
@@ -459,13 +459,13 @@
     if (sendingEnded || closed) {
       broken = "a statement was taken behind the end";
     }
-    taken = new PendingStatement(1, client, text, query, arrived, null);
-    return taken;
+    pendingStatement = new PendingStatement(1, client, text, query, arrived, null);
+    return pendingStatement;
   }
 
   @Override
   public void left(ClientConnection left, PendingStatement statement) {
-    taken = null;
+    pendingStatement = null;
   }
 
   @Override
@@ -474,8 +474,8 @@
   }
 
   @Override
-  public void ends(long number, Object client, CloseReason why, int bytes) {
-    counters.add(why.counter);
+  public void ends(long number, Object client, CloseReason closeReason, int bytes) {
+    counters.add(closeReason.counter);
   }
 
   @Override
--- a/router/src/test/java/basaltlever/net/ComesUpTest.java
+++ b/router/src/test/java/basaltlever/net/ComesUpTest.java
@@ -58,14 +58,14 @@
     }
 
     @Override
-    void answered(QueryResponse answer) {
+    void answered(QueryResponse response) {
       answered.complete(true);
-      answer.release();
+      response.release();
     }
 
     @Override
-    void lost(AttemptOutcome ending) {
-      became.complete("" + ending);
+    void lost(AttemptOutcome outcome) {
+      became.complete("" + outcome);
       answered.complete(false);
     }
   }
@@ -82,13 +82,13 @@
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
     try (ServerSocket node = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
       Waits job = new Waits();
-      LoopIteration turn = HeldUpRouter.turn(loop);
+      LoopIteration iteration = HeldUpRouter.turn(loop);
       Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class);
-      loop.submit(() -> link(bootstrap, loop, turn, node).start(job)).sync();
+      loop.submit(() -> link(bootstrap, loop, iteration, node).start(job)).sync();
       try (Socket opened = node.accept()) {
         opened.getInputStream().read(new byte[200]);
         ByteBuf welcome = Unpooled.buffer();
-        MessageEncoder.welcome(welcome);
+        MessageEncoder.startupResponse(welcome);
         opened.getOutputStream().write(ByteBufUtil.getBytes(welcome));
         check(job.became.get(2, TimeUnit.SECONDS).equals("written"), "it is out");
         opened.getInputStream().read(new byte[200]);
@@ -103,8 +103,8 @@
               job.timeIsOver();
             });
         ByteBuf answer = Unpooled.buffer();
-        MessageEncoder.error(answer, "ERROR", "XX000", "as asked", null);
-        MessageEncoder.ready(answer);
+        MessageEncoder.errorResponse(answer, "ERROR", "XX000", "as asked", null);
+        MessageEncoder.readyForQuery(answer);
         opened.getOutputStream().write(ByteBufUtil.getBytes(answer));
         Thread.sleep(20);
         goesOn.countDown();
@@ -116,21 +116,23 @@
   }
 
   private static ConnectionPool link(
-      Bootstrap bootstrap, SingleThreadEventLoop loop, LoopIteration turn, ServerSocket node) {
-    ConnectionPool link =
+      Bootstrap bootstrap, SingleThreadEventLoop loop, LoopIteration iteration, ServerSocket node) {
+    ConnectionPool pool =
         new ConnectionPool(
             "s-1",
             bootstrap,
             loop,
-            turn,
+            iteration,
             new Descriptors(50),
             new MemoryBudget(1 << 20),
             Span.ofMillis(5_000),
             Span.ofMillis(9_000),
             new RateLimitedLog(
-                LoggerFactory.getLogger(ComesUpTest.class), Event.NODE_BAD, turn.clock()::now));
-    link.at((InetSocketAddress) node.getLocalSocketAddress());
-    return link;
+                LoggerFactory.getLogger(ComesUpTest.class),
+                Event.NODE_BAD,
+                iteration.clock()::now));
+    pool.at((InetSocketAddress) node.getLocalSocketAddress());
+    return pool;
   }
 
   @Example
@@ -144,19 +146,19 @@
         ServerSocket front = new ServerSocket(0, 5, here)) {
       Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class);
       Waits job = new Waits();
-      LoopIteration turn = HeldUpRouter.turn(loop);
+      LoopIteration iteration = HeldUpRouter.turn(loop);
       bootstrap
           .clone()
           .handler(
               new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelInactive(ChannelHandlerContext context) {
-                  turn.hear(now -> job.hasLeft = true);
+                  iteration.hear(now -> job.hasLeft = true);
                 }
               })
           .connect(front.getLocalSocketAddress())
           .sync();
-      loop.submit(() -> link(bootstrap, loop, turn, node).start(job)).sync();
+      loop.submit(() -> link(bootstrap, loop, iteration, node).start(job)).sync();
       try (Socket client = front.accept();
           Socket opened = node.accept()) {
         opened.getInputStream().read(new byte[200]);
@@ -173,7 +175,7 @@
             });
         stands.await();
         ByteBuf welcome = Unpooled.buffer();
-        MessageEncoder.welcome(welcome);
+        MessageEncoder.startupResponse(welcome);
         opened.getOutputStream().write(ByteBufUtil.getBytes(welcome));
         client.close();
         // For both to lie ready; the node's is first in line.
--- a/router/src/test/java/basaltlever/net/DescriptorsTest.java
+++ b/router/src/test/java/basaltlever/net/DescriptorsTest.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public boolean endIdle(CloseReason why) {
+    public boolean endIdle(CloseReason closeReason) {
       check(!lingers && !closed, "who was told to go is never ended for another one");
       if (node) {
         close();
--- a/router/src/test/java/basaltlever/net/FinalAnswerTest.java
+++ b/router/src/test/java/basaltlever/net/FinalAnswerTest.java
@@ -79,7 +79,7 @@
                     @Override
                     public void channelRead(ChannelHandlerContext context, Object read) {
                       ((ByteBuf) read).release();
-                      router.turn.hearNews(now -> order.add("news"));
+                      router.iteration.hearNews(now -> order.add("news"));
                     }
                   })
               .connect(discovery.getLocalSocketAddress())
@@ -89,7 +89,7 @@
             .loop
             .submit(
                 () -> {
-                  router.turn.hear(now -> order.add("statement"));
+                  router.iteration.hear(now -> order.add("statement"));
                   try {
                     socket.getOutputStream().write(1);
                     Thread.sleep(120);
@@ -135,7 +135,7 @@
       check(
           answer.startsWith("error:58000") && millisSince(sent) < 2_500,
           answer + millisSince(sent));
-      check(router.loop.submit(router.carrier::open).sync().getNow().equals(0), "none is open");
+      check(router.loop.submit(router.executor::open).sync().getNow().equals(0), "none is open");
       check(client.ask("").answer().equals("I"), "and its connection goes on");
     }
   }
--- a/router/src/test/java/basaltlever/net/FloodTest.java
+++ b/router/src/test/java/basaltlever/net/FloodTest.java
@@ -46,9 +46,9 @@
   @Example
   void eachReadOfAFloodAddsNoShareOfItsOwn() throws Exception {
     Clock clock = new Clock();
-    ReadinessClock looks = new ReadinessClock(clock::now);
+    ReadinessClock readinessClock = new ReadinessClock(clock::now);
     MultiThreadIoEventLoopGroup group =
-        new MultiThreadIoEventLoopGroup(1, PreciseSelectStrategy.newFactory(looks));
+        new MultiThreadIoEventLoopGroup(1, PreciseSelectStrategy.newFactory(readinessClock));
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
     AtomicInteger answered = new AtomicInteger();
     AtomicInteger most = new AtomicInteger();
@@ -58,7 +58,7 @@
                   () -> {
                     ClientSessions made =
                         new ClientSessions(
-                            new LoopIteration(loop, clock, looks),
+                            new LoopIteration(loop, clock, readinessClock),
                             new Descriptors(50),
                             WorkloadSlots.of(List.of("view")),
                             100,
@@ -104,7 +104,7 @@
               InetAddress.getLoopbackAddress(),
               ((InetSocketAddress) listener.localAddress()).getPort())) {
         ByteBuf out = Unpooled.buffer();
-        MessageEncoder.startup(out, "app", "shop");
+        MessageEncoder.startupMessage(out, "app", "shop");
         for (int i = 0; i < FLOOD; i++) {
           out.writeBytes(EMPTY);
         }
--- a/router/src/test/java/basaltlever/net/HeldUpRouter.java
+++ b/router/src/test/java/basaltlever/net/HeldUpRouter.java
@@ -29,13 +29,13 @@
 final class HeldUpRouter implements AutoCloseable {
   private static final int QUEUE = 100;
   private final Clock clock = new Clock();
-  private final ReadinessClock looks = new ReadinessClock(clock::now);
+  private final ReadinessClock readinessClock = new ReadinessClock(clock::now);
   final MultiThreadIoEventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, PreciseSelectStrategy.newFactory(looks));
+      new MultiThreadIoEventLoopGroup(1, PreciseSelectStrategy.newFactory(readinessClock));
   final SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
   ClientSessions clients;
-  AttemptExecutor carrier;
-  LoopIteration turn;
+  AttemptExecutor executor;
+  LoopIteration iteration;
 
   /** Whether the final answers of the decisions are given; nothing else that they want is done. */
   volatile boolean answers;
@@ -59,7 +59,7 @@
     loop.submit(this::build).sync();
     accepting =
         new AcceptHandler(
-            turn,
+            iteration,
             descriptors,
             QUEUE,
             new RateLimitedLog(
@@ -88,22 +88,22 @@
 
   @SuppressWarnings("unchecked")
   private Object build() throws Exception {
-    var values = StartFile.read(Path.of("deploy/example.json")).values();
-    turn = new LoopIteration(loop, clock, looks);
+    var values = StartFile.read(Path.of("deploy/example.json")).startValues();
+    iteration = new LoopIteration(loop, clock, readinessClock);
     descriptors = new Descriptors(sockets);
-    turn.last(descriptors::endLongestIdle);
+    iteration.last(descriptors::endLongestIdle);
     MemoryBudget budget = new MemoryBudget(1 << 24);
-    StatementTrace lives = new StatementTrace(null, clock::now);
-    carrier =
+    StatementTrace trace = new StatementTrace(null, clock::now);
+    executor =
         new AttemptExecutor(
-            turn,
+            iteration,
             loop,
             node -> null,
             node -> {},
             new LoadReportFormat(List.of(), 0),
             Span.ofMillis(100),
             budget,
-            lives);
+            trace);
     Effects<String> silent =
         (Effects<String>)
             Proxy.newProxyInstance(
@@ -114,24 +114,25 @@
                     throw new IllegalStateException("planted");
                   }
                   if (answers && List.of("reject", "abort").contains(method.getName())) {
-                    return method.invoke(carrier, arguments);
+                    return method.invoke(executor, arguments);
                   }
                   return null;
                 });
     clients =
         new ClientSessions(
-            turn,
+            iteration,
             descriptors,
             WorkloadSlots.of(values.workloadNames()),
             500,
             budget,
             new RateLimitedLog(
                 LoggerFactory.getLogger(HeldUpRouter.class), Event.CLIENT_BAD, clock::now),
-            lives);
+            trace);
     StatementRouter<String> core =
-        new StatementRouter<>(silent, values.balance(1, clock.now(), values.holds()));
-    clients.serve(core, carrier);
-    carrier.serve(core, () -> {});
+        new StatementRouter<>(
+            silent, values.loadBalancerFactory(1, clock.now(), values.defaultHoldBudget()));
+    clients.serve(core, executor);
+    executor.serve(core, () -> {});
     return null;
   }
 
@@ -155,7 +156,7 @@
   }
 
   void stall(long millis) {
-    loop.execute(() -> turn.hear(now -> sleep(millis)));
+    loop.execute(() -> iteration.hear(now -> sleep(millis)));
   }
 
   /** Not in a turn: as a process that was stopped while it waited, or another thread's doing. */
--- a/router/src/test/java/basaltlever/net/LeaseGuardTest.java
+++ b/router/src/test/java/basaltlever/net/LeaseGuardTest.java
@@ -32,21 +32,21 @@
         Files.exists(Path.of("deploy"))
             ? Path.of("deploy/example.json")
             : Path.of("../deploy/example.json");
-    MembershipView roll = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
+    MembershipView membership = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
     EndpointList list = new EndpointList(null, List.of(), null);
-    list.agreeBy(roll, () -> new Moment(0));
-    LeaseGuard keeping =
+    list.setMembershipView(membership, () -> new Moment(0));
+    LeaseGuard leaseGuard =
         new LeaseGuard(
-            StartFile.read(example), Span.NONE, roll, list, () -> {}, (file, holds) -> {});
-    HeartbeatReport report = roll.report(new Moment(0), member -> true);
-    MembershipUpdate sight =
+            StartFile.read(example), Span.NONE, membership, list, () -> {}, (file, holds) -> {});
+    HeartbeatReport report = membership.report(new Moment(0), member -> true);
+    MembershipUpdate update =
         new MembershipUpdate(
             1,
             0,
             List.of(),
             0,
             ListAgreement.UNTOLD,
-            report.at(),
+            report.listVersion(),
             report.digest(),
             0,
             0,
@@ -54,22 +54,23 @@
     Moment now = new Moment(1_000_000);
     for (int i = 0; i < 60; i++) {
       Span lasts = i < 3 ? Span.ofMillis(400) : Span.NONE;
-      keeping.granted(
+      leaseGuard.granted(
           now,
           new LeaseGrant(
-              keeping.follower().beat(now),
+              leaseGuard.follower().registerHeartbeat(now),
               lasts,
               new SettingsVersion(0, "", 1, "", "", 0),
               null,
               0),
-          sight);
-      check(i >= 3 || !roll.isAdrift(now), "under a lease");
+          update);
+      check(i >= 3 || !membership.isOutOfContact(now), "under a lease");
       now = now.plus(Span.ofMillis(100));
-      keeping.look(now);
+      leaseGuard.look(now);
     }
     check(
-        roll.isAdrift(now), "5.7 s after the last grant that lasted, whatever was answered since");
-    check(keeping.stance(now) >= 0, "and it knows: what is decided now may go out, to nobody");
+        membership.isOutOfContact(now),
+        "5.7 s after the last grant that lasted, whatever was answered since");
+    check(leaseGuard.stance(now) >= 0, "and it knows: what is decided now may go out, to nobody");
   }
 
   private static Settings begins(SettingsVersion told) throws Exception {
@@ -77,25 +78,25 @@
         Files.exists(Path.of("deploy"))
             ? Path.of("deploy/example.json")
             : Path.of("../deploy/example.json");
-    MembershipView roll = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
+    MembershipView membership = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
     EndpointList list = new EndpointList(null, List.of(), null);
-    list.agreeBy(roll, () -> new Moment(0));
+    list.setMembershipView(membership, () -> new Moment(0));
     List<Settings> kept = new ArrayList<>();
     StartFile own = StartFile.read(example);
-    LeaseGuard keeping =
+    LeaseGuard leaseGuard =
         new LeaseGuard(
             own,
             Span.NONE,
-            roll,
+            membership,
             list,
             () -> {},
             (file, holds) -> {
               check(file == own, "the file in force is its own until a grant comes");
               kept.add(holds);
             });
-    keeping.begin(told);
+    leaseGuard.begin(told);
     check(
-        keeping.follower().isCareful() && keeping.follower().inForce() == null,
+        leaseGuard.follower().isRestricted() && leaseGuard.follower().inForce() == null,
         "told is not in force");
     return kept.get(0);
   }
@@ -108,24 +109,24 @@
       throws Exception {
     Settings own = begins(null);
     Settings more =
-        begins(new SettingsVersion(7, "", own.standing().routers() + 40, "ops", "grown", 1));
+        begins(new SettingsVersion(7, "", own.identity().routers() + 40, "ops", "grown", 1));
     check(
-        more.standing().routers() == own.standing().routers() + 40,
+        more.identity().routers() == own.identity().routers() + 40,
         "a smaller share of each cold node");
     Settings fewer = begins(new SettingsVersion(8, "", 1, "ops", "shrunk", 1));
     check(
-        fewer.standing().routers() == own.standing().routers(),
+        fewer.identity().routers() == own.identity().routers(),
         "never a larger one than its file says");
     for (Settings holds : List.of(own, more, fewer)) {
       check(
-          holds.allowance().executions() == 1 && !holds.allowance().secondCopies(),
+          holds.attemptLimits().maxAttempts() == 1 && !holds.attemptLimits().hedgedRequests(),
           "with care in any case");
     }
     Settings unread =
         begins(
             new SettingsVersion(9, "{\"Balancers\":\"many\"}", 90, "ops", "of a later release", 1));
     check(
-        unread.standing().routers() == own.standing().routers(), "what can't be read is left out");
+        unread.identity().routers() == own.identity().routers(), "what can't be read is left out");
   }
 
   /** The example's settings, but for one thing. */
@@ -145,10 +146,10 @@
   void whatItWasToldIsStricterKeyByKeyAndLeftOutWhereItIsOfOtherWorkloads() throws Exception {
     Settings own = begins(null);
     Settings colder = begins(changed("\"Cold\": 9000000", "\"Cold\": 19000000"));
-    check(colder.warmUp().warmAfter().equals(Span.ofMillis(19_000)), "nodes warm for longer");
+    check(colder.slowStart().warmAfter().equals(Span.ofMillis(19_000)), "nodes warm for longer");
     Settings warmer = begins(changed("\"Cold\": 9000000", "\"Cold\": 1000000"));
     check(
-        warmer.warmUp().warmAfter().equals(own.warmUp().warmAfter()),
+        warmer.slowStart().warmAfter().equals(own.slowStart().warmAfter()),
         "and never for less than its file says");
     Settings renamed =
         begins(
@@ -156,9 +157,11 @@
                 "\"list\", \"Repeat\": \"idempotent\", \"Slo\": 400000",
                 "\"catalogue\", \"Repeat\": \"idempotent\", \"Slo\": 100000"));
     check(
-        renamed.workloads()[0].slo().equals(own.workloads()[0].slo()),
+        renamed.workloads()[0].latencyObjective().equals(own.workloads()[0].latencyObjective()),
         "not the time of another workload");
     Settings flipped = begins(changed("[\"bounded\", \"write\"]", "[\"write\", \"bounded\"]"));
-    check(flipped.workloads()[0].needs() == own.workloads()[0].needs(), "no write for a read");
+    check(
+        flipped.workloads()[0].consistency() == own.workloads()[0].consistency(),
+        "no write for a read");
   }
 }
--- a/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
+++ b/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
@@ -51,13 +51,13 @@
     }
 
     @Override
-    void answered(QueryResponse answer) {
-      answer.release();
+    void answered(QueryResponse response) {
+      response.release();
     }
 
     @Override
-    void lost(AttemptOutcome ending) {
-      became.complete(ending + " on " + Thread.currentThread().getName());
+    void lost(AttemptOutcome outcome) {
+      became.complete(outcome + " on " + Thread.currentThread().getName());
     }
   }
 
@@ -81,16 +81,16 @@
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
     try (ServerSocket node = SocketWorld.listen(0)) {
       Bootstrap bootstrap = failing(loop, new AtomicInteger(3));
-      LoopIteration turn = HeldUpRouter.turn(loop);
+      LoopIteration iteration = HeldUpRouter.turn(loop);
       Descriptors descriptors = new Descriptors(64);
-      ConnectionPool link =
+      ConnectionPool pool =
           loop.submit(
                   () ->
                       new ConnectionPool(
                           "s-1",
                           bootstrap,
                           loop,
-                          turn,
+                          iteration,
                           descriptors,
                           new MemoryBudget(1 << 20),
                           Span.ofMillis(5_000),
@@ -98,7 +98,7 @@
                           new RateLimitedLog(
                               LoggerFactory.getLogger(SystemCallFaultsTest.class),
                               Event.NODE_BAD,
-                              turn.clock()::now)))
+                              iteration.clock()::now)))
               .sync()
               .getNow();
       String thread = loop.submit(() -> Thread.currentThread().getName()).sync().getNow();
@@ -106,19 +106,19 @@
         Query query = new Query();
         loop.submit(
                 () -> {
-                  link.at((InetSocketAddress) node.getLocalSocketAddress());
-                  link.start(query);
+                  pool.at((InetSocketAddress) node.getLocalSocketAddress());
+                  pool.start(query);
                 })
             .sync();
         String became = query.became.get(1, TimeUnit.SECONDS);
         check(became.equals("NO_CONNECTION on " + thread), became);
       }
       Query next = new Query();
-      loop.submit(() -> link.start(next)).sync();
+      loop.submit(() -> pool.start(next)).sync();
       try (Socket opened = node.accept()) {
         opened.getInputStream().read(new byte[200]);
         ByteBuf welcome = io.netty.buffer.Unpooled.buffer();
-        MessageEncoder.welcome(welcome);
+        MessageEncoder.startupResponse(welcome);
         SocketWorld.send(opened, welcome);
         check(next.became.get(1, TimeUnit.SECONDS).equals("written"), next.became.get());
       }
@@ -134,24 +134,26 @@
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
     try (ServerSocket discovery = SocketWorld.listen(0)) {
       SocketWorld.Silent outside = new SocketWorld.Silent();
-      LoopIteration turn = HeldUpRouter.turn(loop);
-      Moment now = turn.clock().now();
+      LoopIteration iteration = HeldUpRouter.turn(loop);
+      Moment now = iteration.clock().now();
       StatementRouter<String> core =
           new StatementRouter<>(
-              outside, SocketWorld.values().balance(1, now, SocketWorld.values().holds()));
+              outside,
+              SocketWorld.values()
+                  .loadBalancerFactory(1, now, SocketWorld.values().defaultHoldBudget()));
       EndpointList list = new EndpointList(core, List.of(), (node, address) -> {});
       DiscoveryWatch watch =
           new DiscoveryWatch(
               failing(loop, new AtomicInteger(1)),
               (InetSocketAddress) discovery.getLocalSocketAddress(),
-              turn,
+              iteration,
               list,
               core);
       loop.submit(watch::start).sync();
       // The decisions hear that it failed, and ask again within a second and a half.
       for (int i = 0; i < 40 && !outside.told.contains("watch"); i++) {
         Thread.sleep(50);
-        loop.submit(() -> core.woken(turn.clock().now())).sync();
+        loop.submit(() -> core.timerFired(iteration.clock().now())).sync();
       }
       check(outside.told.contains("watch"), "nobody asks any more");
       loop.submit(watch::start).sync();
--- a/router/src/test/java/basaltlever/net/WatchReadsTest.java
+++ b/router/src/test/java/basaltlever/net/WatchReadsTest.java
@@ -52,14 +52,14 @@
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
     try (ServerSocket discovery = SocketWorld.listen(0)) {
-      LoopIteration turn = HeldUpRouter.turn(loop);
+      LoopIteration iteration = HeldUpRouter.turn(loop);
       StatementRouter<String> core = SocketWorld.core();
       EndpointList list = new EndpointList(core, List.of("a"), (node, address) -> {});
       DiscoveryWatch watch =
           new DiscoveryWatch(
               new Bootstrap().group(loop).channel(NioSocketChannel.class),
               (InetSocketAddress) discovery.getLocalSocketAddress(),
-              turn,
+              iteration,
               list,
               core);
       loop.submit(watch::start).sync();
@@ -72,7 +72,10 @@
         long read = 0;
         for (int i = 0; i < 200 && read < (long) ENTRIES * WARM_UP; i++) {
           Thread.sleep(20);
-          read = loop.submit(() -> turn.counters().get(Counter.LIST_ENTRIES_READ)).sync().getNow();
+          read =
+              loop.submit(() -> iteration.counters().get(Counter.LIST_ENTRIES_READ))
+                  .sync()
+                  .getNow();
         }
         check(read == (long) ENTRIES * WARM_UP, "all before: " + read);
         CountDownLatch goesOn = new CountDownLatch(1);
@@ -89,7 +92,7 @@
                       loop.execute(
                           () ->
                               afterOneLook.complete(
-                                  turn.counters().get(Counter.LIST_ENTRIES_READ))));
+                                  iteration.counters().get(Counter.LIST_ENTRIES_READ))));
             });
         call.getOutputStream().write(change(WARM_UP + 1));
         Thread.sleep(50);
--- a/router/src/test/java/basaltlever/pg/ArrivalTimesTest.java
+++ b/router/src/test/java/basaltlever/pg/ArrivalTimesTest.java
@@ -20,14 +20,14 @@
     for (int step = 0; step < 200; step++) {
       if (random.nextInt(3) > 0 || consumed == bytes.size()) {
         int size = 1 + random.nextInt(20);
-        arrivals.read(size, new Moment(step));
+        arrivals.recordRead(size, new Moment(step));
         for (int i = 0; i < size; i++) {
           bytes.add(new Moment(step));
         }
       } else {
         int size = 1 + random.nextInt(bytes.size() - consumed);
         consumed += size;
-        Moment arrival = arrivals.cut(size);
+        Moment arrival = arrivals.consumeMessage(size);
         Moment last = bytes.get(consumed - 1);
         boolean few = bytes.subList(consumed - size, bytes.size()).stream().distinct().count() < 32;
         check(few ? arrival.equals(last) : !arrival.isAfter(last), arrival + " and " + last);
--- a/router/src/test/java/basaltlever/settings/EndpointListAgreementTest.java
+++ b/router/src/test/java/basaltlever/settings/EndpointListAgreementTest.java
@@ -40,7 +40,7 @@
   /** What came to a member. */
   private static final class EndpointState {
     int group;
-    EndpointLifecycle listing = EndpointLifecycle.READY;
+    EndpointLifecycle lifecycle = EndpointLifecycle.READY;
     int moves;
     int groupChanges;
     int lastGroup = -1;
@@ -133,10 +133,10 @@
       for (int i = 0; i < routers.size(); i++) {
         names.add("r" + i);
       }
-      MembershipCoordinator census =
+      MembershipCoordinator coordinator =
           coordinators.computeIfAbsent(
               leader, l -> new MembershipCoordinator(l.leases, names, ASSIGNED.plus(LONGEST)));
-      census.elected(clock(leader), 1 + eventCount++);
+      coordinator.startLeading(clock(leader), 1 + eventCount++);
     }
 
     @Override
@@ -149,52 +149,58 @@
       return bug != Bug.MARKS_KEPT_TO_ITSELF
           ? report
           : new HeartbeatReport(
-              report.at(),
+              report.listVersion(),
               report.digest(),
-              report.doubt(),
+              report.anomaly(),
               List.of(),
               0,
-              report.wanted(),
-              report.free(),
-              report.book(),
-              report.read(),
-              report.seatsRead());
+              report.wantedAssignments(),
+              report.releasedEndpoints(),
+              report.coordinatorTerm(),
+              report.readPosition(),
+              report.assignmentsNumber());
     }
 
     @Override
     MembershipUpdate answer(Leader leader, VirtualFleet.Router router, HeartbeatReport report) {
-      MembershipUpdate sight =
+      MembershipUpdate update =
           coordinators
               .get(leader)
-              .beat(clock(leader), "r" + router.number, report, knownTo(leader));
+              .heartbeat(clock(leader), "r" + router.number, report, knownTo(leader));
       return bug != Bug.MOVES_AT_ONCE
-          ? sight
+          ? update
           : new MembershipUpdate(
-              sight.book(),
-              sight.place(),
-              sight.marks(),
-              sight.marksEnd(),
-              sight.verdict(),
-              sight.at(),
-              sight.digest(),
-              sight.era(),
-              sight.seatsNumber(),
-              sight.seats().stream()
-                  .map(seat -> new GroupAssignment(seat.member(), seat.group(), seat.at(), true))
+              update.coordinatorTerm(),
+              update.readPosition(),
+              update.drainMarks(),
+              update.drainMarksEnd(),
+              update.agreement(),
+              update.listVersion(),
+              update.digest(),
+              update.era(),
+              update.assignmentsNumber(),
+              update.assignments().stream()
+                  .map(
+                      assignment ->
+                          new GroupAssignment(
+                              assignment.endpoint(),
+                              assignment.group(),
+                              assignment.listVersion(),
+                              true))
                   .toList());
     }
 
     @Override
     void onLease(VirtualFleet.Router router) {
-      stateOf(router).view.leased(router.lease.leaseEnds());
+      stateOf(router).view.extendLease(router.lease.leaseEnds());
     }
 
     @Override
-    void receiveUpdate(VirtualFleet.Router router, MembershipUpdate sight) {
+    void receiveUpdate(VirtualFleet.Router router, MembershipUpdate update) {
       RouterState own = stateOf(router);
-      if (sight != null && now >= own.startsAt) {
-        own.view.heard(clock(router), sight);
-        if (own.view.wantsList()) {
+      if (update != null && now >= own.startsAt) {
+        own.view.receiveUpdate(clock(router), update);
+        if (own.view.needsList()) {
           long incarnation = router.incarnation;
           after(10_000, () -> deliverList(router, incarnation, truth(), generation));
         }
@@ -203,22 +209,22 @@
 
     @Override
     void carryOutMembershipStep(Leader leader) {
-      MembershipCoordinator.Step step = coordinators.get(leader).next(clock(leader), register);
+      MembershipCoordinator.Step step = coordinators.get(leader).nextStep(clock(leader), register);
       switch (step.kind()) {
-        case SEAT -> {
-          for (GroupAssignment seat : step.seats()) {
-            register.seat(seat.member(), seat.group(), seat.at());
+        case ASSIGN -> {
+          for (GroupAssignment assignment : step.assignments()) {
+            register.seat(assignment.endpoint(), assignment.group(), assignment.listVersion());
             if (bug == Bug.CLEARS_EARLY) {
-              register.clear(seat.member());
+              register.clearAssignment(assignment.endpoint());
             }
           }
         }
         case CLEAR -> {
-          for (GroupAssignment seat : step.seats()) {
-            clearedMoves += register.clear(seat.member()) ? 1 : 0;
+          for (GroupAssignment assignment : step.assignments()) {
+            clearedMoves += register.clearAssignment(assignment.endpoint()) ? 1 : 0;
           }
         }
-        case COUNT_ANEW -> register.countAnew(register.era());
+        case START_NEW_ERA -> register.startNewEra(register.era());
         default -> {}
       }
     }
@@ -227,8 +233,8 @@
       Map<String, ListedEndpoint> list = new TreeMap<>();
       members.forEach(
           (name, member) -> {
-            if (member.listing != EndpointLifecycle.GONE) {
-              list.put(name, new ListedEndpoint(member.listing, member.group));
+            if (member.lifecycle != EndpointLifecycle.GONE) {
+              list.put(name, new ListedEndpoint(member.lifecycle, member.group));
             }
           });
       return list;
@@ -236,7 +242,7 @@
 
     EndpointState pickEndpoint() {
       List<EndpointState> serving =
-          members.values().stream().filter(one -> one.listing != EndpointLifecycle.GONE).toList();
+          members.values().stream().filter(one -> one.lifecycle != EndpointLifecycle.GONE).toList();
       return serving.get(random.nextInt(serving.size()));
     }
 
@@ -252,13 +258,13 @@
       }
       after(400_000 + random.nextInt(900_000), this::changeEndpoints);
       long ready =
-          members.values().stream().filter(one -> one.listing == EndpointLifecycle.READY).count();
+          members.values().stream().filter(one -> one.lifecycle == EndpointLifecycle.READY).count();
       String drained = "";
       EndpointState one = pickEndpoint();
       switch (random.nextInt(6)) {
         case 0, 1 -> {
-          if (ready > 5 && one.listing == EndpointLifecycle.READY) {
-            one.listing = EndpointLifecycle.DRAINING;
+          if (ready > 5 && one.lifecycle == EndpointLifecycle.READY) {
+            one.lifecycle = EndpointLifecycle.DRAINING;
             drained =
                 members.entrySet().stream()
                     .filter(entry -> entry.getValue() == one)
@@ -269,11 +275,11 @@
         }
         case 2 ->
             members.values().stream()
-                .filter(any -> any.listing == EndpointLifecycle.DRAINING)
+                .filter(any -> any.lifecycle == EndpointLifecycle.DRAINING)
                 .findFirst()
                 .ifPresent(
                     any -> {
-                      any.listing = EndpointLifecycle.READY;
+                      any.lifecycle = EndpointLifecycle.READY;
                       any.readyAt = now + 2_500_000;
                     });
         case 3 -> {
@@ -288,8 +294,8 @@
           }
         }
         default -> {
-          if (ready > 5 && one.listing == EndpointLifecycle.READY) {
-            one.listing = EndpointLifecycle.GONE;
+          if (ready > 5 && one.lifecycle == EndpointLifecycle.READY) {
+            one.lifecycle = EndpointLifecycle.GONE;
           }
         }
       }
@@ -322,17 +328,17 @@
               if (!member.isEmpty()
                   && list.get(member) != null
                   && router.incarnation == incarnation
-                  && list.get(member).listing() == EndpointLifecycle.DRAINING) {
+                  && list.get(member).lifecycle() == EndpointLifecycle.DRAINING) {
                 long told = now;
                 after(
                     LEASE.micros() + 20_000,
                     () -> {
                       // Its lease is from a beat that it sent after it was told: the leader knows.
-                      if (!router.lease.isCareful()
+                      if (!router.lease.isRestricted()
                           && router.incarnation == incarnation
                           && router.pausedUntil < told
                           && counted == eras
-                          && own.view.at().equals(own.view.ownAt())) {
+                          && own.view.latestVersion().equals(own.view.takenVersion())) {
                         drains.add(new Drain(member, of, told, router));
                       }
                     });
@@ -347,10 +353,10 @@
       if (router.number == 1 && routers.size() > 3 && random.nextInt(4) == 0) {
         list.put("ghost" + random.nextInt(3), new ListedEndpoint(EndpointLifecycle.READY, 1));
         list.replaceAll(
-            (name, said) ->
+            (name, listed) ->
                 new ListedEndpoint(
                     EndpointLifecycle.READY,
-                    random.nextInt(5) == 0 ? 3 - said.group() : said.group()));
+                    random.nextInt(5) == 0 ? 3 - listed.group() : listed.group()));
       }
       return list;
     }
@@ -373,23 +379,23 @@
       if (router.incarnation != incarnation || now < own.disconnectedUntil) {
         return;
       }
-      ListVersion at = own.view.at();
+      ListVersion at = own.view.latestVersion();
       if (at.generation() > of && eras == 0 && random.nextInt(3) > 0 && now < FAULTS_END) {
         return;
       }
       Moment clock = clock(router);
       int odd = now < FAULTS_END ? random.nextInt(12) : 0;
       if (odd == 1) {
-        own.view.told(clock, true, of, Map.of());
+        own.view.receiveList(clock, true, of, Map.of());
         suspendedLists++;
       } else if (odd == 2) {
         Map<String, ListedEndpoint> few = new TreeMap<>(list);
         few.keySet().retainAll(list.keySet().stream().limit(2).toList());
-        own.view.told(clock, true, of, few);
+        own.view.receiveList(clock, true, of, few);
         suspendedLists++;
       } else if (odd == 3 && history.size() > 4) {
         int older = history.size() - 2 - random.nextInt(3);
-        own.view.told(
+        own.view.receiveList(
             clock,
             true,
             bug == Bug.OLDER_LIST_TAKEN ? of + 1_000 : base + older,
@@ -397,7 +403,7 @@
         suspendedLists++;
       }
       if (bug != Bug.OLDER_LIST_TAKEN || odd != 3) {
-        own.view.told(clock, true, of, list);
+        own.view.receiveList(clock, true, of, list);
       }
     }
 
@@ -407,9 +413,9 @@
       if (now < router.pausedUntil || now < own.startsAt) {
         return;
       }
-      for (String name : own.view.members()) {
-        MembershipView.MemberUse use = own.view.use(clock(router), name);
-        if (use.listing() != EndpointLifecycle.READY || random.nextInt(3) > 0) {
+      for (String name : own.view.endpoints()) {
+        MembershipView.EndpointUse use = own.view.use(clock(router), name);
+        if (use.lifecycle() != EndpointLifecycle.READY || random.nextInt(3) > 0) {
           continue;
         }
         if (name.startsWith("ghost")) {
@@ -473,22 +479,22 @@
     @Override
     void checkInvariants() {
       super.checkInvariants();
-      if (routers.stream().filter(router -> !router.lease.isCareful()).count() < 2) {
+      if (routers.stream().filter(router -> !router.lease.isRestricted()).count() < 2) {
         // Alone it is most: nobody is there to contradict what its discovery tells it.
         return;
       }
       for (Drain drain : drains) {
         if (now < drain.at + STATED
             || now > drain.at + STATED + 20_000
-            || drain.by.lease.isCareful()) {
+            || drain.by.lease.isRestricted()) {
           // Who was told and its leader, which both know, are not lost at once.
           continue;
         }
         for (VirtualFleet.Router router : routers) {
           RouterState own = stateOf(router);
           if (now >= router.pausedUntil
-              && !router.lease.isCareful()
-              && own.view.use(clock(router), drain.member).listing() == EndpointLifecycle.READY
+              && !router.lease.isRestricted()
+              && own.view.use(clock(router), drain.member).lifecycle() == EndpointLifecycle.READY
               && isStillDrained(drain)) {
             violation =
                 drain.member
@@ -509,15 +515,15 @@
     /** Every list since has said so. */
     private boolean isStillDrained(Drain drain) {
       EndpointState member = members.get(drain.member);
-      return member.listing != EndpointLifecycle.READY && member.readyAt < drain.at;
+      return member.lifecycle != EndpointLifecycle.READY && member.readyAt < drain.at;
     }
 
     String checkFinalState() {
       for (VirtualFleet.Router router : routers) {
-        MembershipView roll = stateOf(router).view;
+        MembershipView membership = stateOf(router).view;
         for (Map.Entry<String, ListedEndpoint> entry : truth().entrySet()) {
-          MembershipView.MemberUse use = roll.use(clock(router), entry.getKey());
-          if (use.listing() != entry.getValue().listing()
+          MembershipView.EndpointUse use = membership.use(clock(router), entry.getKey());
+          if (use.lifecycle() != entry.getValue().lifecycle()
               || use.group() != entry.getValue().group()) {
             return "r"
                 + router.number
@@ -526,11 +532,11 @@
                 + " of "
                 + entry
                 + " in the end: "
-                + roll.at()
+                + membership.latestVersion()
                 + " "
-                + roll.verdict()
+                + membership.agreement()
                 + " adrift "
-                + roll.isAdrift(clock(router));
+                + membership.isOutOfContact(clock(router));
           }
         }
       }
@@ -585,10 +591,10 @@
     }
   }
 
-  private static Map<String, ListedEndpoint> list(EndpointLifecycle listing, int group) {
+  private static Map<String, ListedEndpoint> list(EndpointLifecycle lifecycle, int group) {
     return Map.of(
         "m",
-        new ListedEndpoint(listing, group),
+        new ListedEndpoint(lifecycle, group),
         "n",
         new ListedEndpoint(EndpointLifecycle.READY, 1));
   }
@@ -599,9 +605,9 @@
         book,
         0,
         List.of(),
-        of.marksEnd(),
+        of.drainMarksEnd(),
         verdict,
-        of.at(),
+        of.listVersion(),
         of.digest(),
         0,
         seats,
@@ -616,38 +622,51 @@
   @Example
   void whoHoldsAListOffWantsNothingOfAnother() {
     Moment now = new Moment(1_000_000);
-    MembershipView roll = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
-    roll.told(now, true, 5, list(EndpointLifecycle.READY, 2));
-    roll.heard(now, sight(1, 1, roll.report(now, member -> true), ListAgreement.SEEN));
-    check(roll.report(now, member -> true).wanted().size() == 1, "its list has a member elsewhere");
+    MembershipView membership = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
+    membership.receiveList(now, true, 5, list(EndpointLifecycle.READY, 2));
+    membership.receiveUpdate(
+        now, sight(1, 1, membership.report(now, member -> true), ListAgreement.SEEN));
     check(
-        roll.told(now, true, 4, list(EndpointLifecycle.READY, 1)) == ListAnomaly.BACK,
+        membership.report(now, member -> true).wantedAssignments().size() == 1,
+        "its list has a member elsewhere");
+    check(
+        membership.receiveList(now, true, 4, list(EndpointLifecycle.READY, 1)) == ListAnomaly.BACK,
         "it goes back");
-    check(roll.report(now, member -> true).wanted().isEmpty(), "and says nothing of groups");
+    check(
+        membership.report(now, member -> true).wantedAssignments().isEmpty(),
+        "and says nothing of groups");
   }
 
   @Example
   void whatAListForbidsBindsAtOnceAndWhatItAllowsWaits() {
     Moment now = new Moment(1_000_000);
-    MembershipView roll = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
-    roll.told(now, true, 2, list(EndpointLifecycle.READY, 1));
-    roll.heard(now, sight(1, 1, roll.report(now, member -> true), ListAgreement.SEEN));
-    roll.leased(now);
-    check(roll.use(now, "m").listing() == EndpointLifecycle.READY, "settled, and in its seat");
-    roll.told(now, true, 3, list(EndpointLifecycle.DRAINING, 1));
-    check(roll.use(now, "m").listing() == EndpointLifecycle.DRAINING, "at once");
-    roll.told(now, true, 4, list(EndpointLifecycle.READY, 1));
-    check(roll.use(now, "m").listing() == EndpointLifecycle.DRAINING, "nobody has borne it out");
-    roll.heard(now, sight(1, 1, roll.report(now, member -> true), ListAgreement.DISPUTED));
+    MembershipView membership = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
+    membership.receiveList(now, true, 2, list(EndpointLifecycle.READY, 1));
+    membership.receiveUpdate(
+        now, sight(1, 1, membership.report(now, member -> true), ListAgreement.SEEN));
+    membership.extendLease(now);
+    check(
+        membership.use(now, "m").lifecycle() == EndpointLifecycle.READY,
+        "settled, and in its seat");
+    membership.receiveList(now, true, 3, list(EndpointLifecycle.DRAINING, 1));
+    check(membership.use(now, "m").lifecycle() == EndpointLifecycle.DRAINING, "at once");
+    membership.receiveList(now, true, 4, list(EndpointLifecycle.READY, 1));
+    check(
+        membership.use(now, "m").lifecycle() == EndpointLifecycle.DRAINING,
+        "nobody has borne it out");
+    membership.receiveUpdate(
+        now, sight(1, 1, membership.report(now, member -> true), ListAgreement.DISPUTED));
     check(
-        roll.use(now.plus(ASSIGNED), "m").listing() == EndpointLifecycle.DRAINING,
+        membership.use(now.plus(ASSIGNED), "m").lifecycle() == EndpointLifecycle.DRAINING,
         "others hold another");
-    roll.heard(now, sight(1, 1, roll.report(now, member -> true), ListAgreement.SEEN));
-    check(roll.use(now, "m").listing() == EndpointLifecycle.READY, "most hold it");
-    check(roll.told(now, true, 5, Map.of()) == ListAnomaly.EMPTY, "an empty one");
-    check(roll.use(now, "m").listing() == EndpointLifecycle.READY, "is used for nothing");
+    membership.receiveUpdate(
+        now, sight(1, 1, membership.report(now, member -> true), ListAgreement.SEEN));
+    check(membership.use(now, "m").lifecycle() == EndpointLifecycle.READY, "most hold it");
+    check(membership.receiveList(now, true, 5, Map.of()) == ListAnomaly.EMPTY, "an empty one");
+    check(membership.use(now, "m").lifecycle() == EndpointLifecycle.READY, "is used for nothing");
     check(
-        roll.use(now.plus(ASSIGNED.times(1.1)), "m").listing() == EndpointLifecycle.DRAINING,
+        membership.use(now.plus(ASSIGNED.times(1.1)), "m").lifecycle()
+            == EndpointLifecycle.DRAINING,
         "adrift");
   }
 }
--- a/router/src/test/java/basaltlever/settings/SettingsAgreementTest.java
+++ b/router/src/test/java/basaltlever/settings/SettingsAgreementTest.java
@@ -39,17 +39,23 @@
   void aFormerLeadersOlderRegisterUndoesNoPromise() {
     SettingsVersion force = new SettingsVersion(12, "", 1, "", "", 0);
     SettingsVersion next = new SettingsVersion(13, "", 1, "", "", 0);
-    LeaseHolder follower = new LeaseHolder();
-    follower.granted(
-        at(0), new LeaseGrant(follower.beat(at(0)), VirtualFleet.LEASE, force, next, 5));
-    check(follower.keepsTo() == 13, "it keeps to what is on its way");
+    LeaseHolder leaseHolder = new LeaseHolder();
+    leaseHolder.acceptGrant(
+        at(0),
+        new LeaseGrant(leaseHolder.registerHeartbeat(at(0)), VirtualFleet.LEASE, force, next, 5));
+    check(leaseHolder.acknowledgedVersion() == 13, "it keeps to what is on its way");
     boolean taken =
-        follower.granted(
-            at(9), new LeaseGrant(follower.beat(at(9)), VirtualFleet.LEASE, force, null, 4));
-    check(!taken && follower.keepsTo() == 13, "it keeps to it still, under the lease that goes on");
-    follower.granted(
-        at(9), new LeaseGrant(follower.beat(at(9)), VirtualFleet.LEASE, force, null, 6));
-    check(follower.keepsTo() == 0, "it was withdrawn");
+        leaseHolder.acceptGrant(
+            at(9),
+            new LeaseGrant(
+                leaseHolder.registerHeartbeat(at(9)), VirtualFleet.LEASE, force, null, 4));
+    check(
+        !taken && leaseHolder.acknowledgedVersion() == 13,
+        "it keeps to it still, under the lease that goes on");
+    leaseHolder.acceptGrant(
+        at(9),
+        new LeaseGrant(leaseHolder.registerHeartbeat(at(9)), VirtualFleet.LEASE, force, null, 6));
+    check(leaseHolder.acknowledgedVersion() == 0, "it was withdrawn");
   }
 
   private static Moment at(long millis) {
--- a/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
+++ b/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
@@ -65,18 +65,18 @@
    * not?
    */
   private static boolean mayRepeat(Workload kind, int millis, boolean sameZone, boolean sameGroup) {
-    return kind.repeat() == Idempotency.IDEMPOTENT
-        || (kind.repeat() == Idempotency.DEDUPLICATED
-            && millis < kind.window().micros() / 1_000
-            && (kind.within() == DeduplicationScope.ALL
-                || (kind.within() == DeduplicationScope.ZONE ? sameZone : sameGroup)));
+    return kind.idempotency() == Idempotency.IDEMPOTENT
+        || (kind.idempotency() == Idempotency.DEDUPLICATED
+            && millis < kind.deduplicationWindow().micros() / 1_000
+            && (kind.deduplicationScope() == DeduplicationScope.ALL
+                || (kind.deduplicationScope() == DeduplicationScope.ZONE ? sameZone : sameGroup)));
   }
 
   /** May a replica answer that lacks so much, to a session that has written or not? */
   private static boolean mayRead(Workload kind, int behindMillis, boolean wrote) {
-    return switch (kind.needs()) {
+    return switch (kind.consistency()) {
       case ANY -> true;
-      case BOUNDED -> behindMillis <= kind.bound().micros() / 1_000;
+      case BOUNDED -> behindMillis <= kind.maxStaleness().micros() / 1_000;
       case SESSION -> !wrote;
       default -> false;
     };
@@ -88,7 +88,7 @@
     Settings older = any(chance);
     Settings newer = any(chance);
     Settings meet = StricterSettings.of(older, newer);
-    for (Settings strict : List.of(meet, StricterSettings.careful(newer))) {
+    for (Settings strict : List.of(meet, StricterSettings.strictest(newer))) {
       for (Settings one : strict == meet ? List.of(older, newer) : List.of(older, newer, meet)) {
         noMore(chance, strict, one);
       }
@@ -98,13 +98,13 @@
     check(
         tokens
             || List.of(meet.workloads()).stream()
-                .noneMatch(kind -> kind.needs() == ReadConsistency.SESSION),
+                .noneMatch(kind -> kind.consistency() == ReadConsistency.SESSION),
         "where a session's commit is to be found differs, so none relies on it");
     check(
         StricterSettings.findConflicts(older, newer).isEmpty(),
         "reads and writes stay what they are");
     check(
-        StricterSettings.of(newer, newer).allowance().equals(newer.allowance()),
+        StricterSettings.of(newer, newer).attemptLimits().equals(newer.attemptLimits()),
         "a version meets itself");
   }
 
@@ -122,16 +122,18 @@
         // A session's read and one of a bounded age are no stricter than each other: fresh reads
         // are.
         boolean compares =
-            kind.needs() == ReadConsistency.FRESH
-                || kind.needs() == other.needs()
-                || other.needs() == ReadConsistency.ANY;
+            kind.consistency() == ReadConsistency.FRESH
+                || kind.consistency() == other.consistency()
+                || other.consistency() == ReadConsistency.ANY;
         check(
             i == 0 || !compares || !mayRead(kind, millis, zone) || mayRead(other, millis, zone),
             "reads: " + kind + " and " + other);
       }
     }
-    check(strict.allowance().executions() <= one.allowance().executions(), "executions");
-    check(!strict.allowance().secondCopies() || one.allowance().secondCopies(), "second copies");
+    check(strict.attemptLimits().maxAttempts() <= one.attemptLimits().maxAttempts(), "executions");
+    check(
+        !strict.attemptLimits().hedgedRequests() || one.attemptLimits().hedgedRequests(),
+        "second copies");
     check(!strict.replication().replicasCheck() || one.replication().replicasCheck(), "checks");
     check(strict.drains().removalBinds() || !one.drains().removalBinds(), "removals");
   }
@@ -146,8 +148,13 @@
     Span age = new Moment(chance.nextInt(1_000_000)).since(new Moment(0));
     for (Settings one : List.of(older, newer)) {
       check(
-          meet.warmUp().at(age) * meet.warmUp().topplesAt() / meet.standing().routers()
-              <= one.warmUp().at(age) * one.warmUp().topplesAt() / one.standing().routers() + 1e-9,
+          meet.slowStart().shareAtAge(age)
+                  * meet.slowStart().overloadFactor()
+                  / meet.identity().routers()
+              <= one.slowStart().shareAtAge(age)
+                      * one.slowStart().overloadFactor()
+                      / one.identity().routers()
+                  + 1e-9,
           "budget");
     }
   }
--- a/router/src/test/java/basaltlever/settings/VirtualFleet.java
+++ b/router/src/test/java/basaltlever/settings/VirtualFleet.java
@@ -148,7 +148,7 @@
     term++;
     currentLeader = number;
     leaders[number].term = term;
-    leaders[number].leases.elected(clock(leaders[number]));
+    leaders[number].leases.startLeading(clock(leaders[number]));
     onElected(leaders[number]);
   }
 
@@ -157,10 +157,10 @@
     copy.restore(
         register.inForce(),
         register.prepared(),
-        register.last(),
-        register.changes(),
+        register.lastNumber(),
+        register.changeCount(),
         register.history());
-    copy.restore(register.era(), register.seatsNumber(), register.seats(-1));
+    copy.restore(register.era(), register.assignmentsNumber(), register.assignmentsAfter(-1));
     return copy;
   }
 
@@ -178,7 +178,7 @@
     return null;
   }
 
-  void receiveUpdate(Router router, MembershipUpdate sight) {}
+  void receiveUpdate(Router router, MembershipUpdate update) {}
 
   void onLease(Router router) {}
 
@@ -192,12 +192,12 @@
     if (now < router.pausedUntil) {
       return;
     }
-    router.lease.hasJustEnded(clock(router));
-    long beat = router.lease.beat(clock(router));
+    router.lease.noteExpiry(clock(router));
+    long beat = router.lease.registerHeartbeat(clock(router));
     long force = router.lease.inForce() == null ? 0 : router.lease.inForce().number();
-    long keeps = router.lease.keepsTo();
+    long keeps = router.lease.acknowledgedVersion();
     long incarnation = router.incarnation;
-    boolean holds = !router.lease.isCareful();
+    boolean holds = !router.lease.isRestricted();
     HeartbeatReport report = report(router);
     RouterHeartbeat heartbeat =
         new RouterHeartbeat("r" + number, incarnation, beat, force, keeps, 0, "", holds);
@@ -214,10 +214,10 @@
     }
     LeaseGrant grant = leader.leases.heartbeat(clock(leader), heartbeat, knownTo(leader));
     MembershipUpdate update = answer(leader, router, report);
-    Span lasts = bug == Bug.NO_LEASE ? Span.ofMillis(3_600_000) : grant.lasts();
+    Span lasts = bug == Bug.NO_LEASE ? Span.ofMillis(3_600_000) : grant.duration();
     LeaseGrant answer =
         new LeaseGrant(
-            heartbeat.number(), lasts, grant.inForce(), grant.prepared(), grant.changes());
+            heartbeat.number(), lasts, grant.inForce(), grant.prepared(), grant.changeCount());
     send(
         now < router.disconnectedUntil,
         () -> {
@@ -229,8 +229,8 @@
 
   private void receiveGrant(Router router, LeaseGrant grant, MembershipUpdate update) {
     receiveUpdate(router, update);
-    router.lease.granted(clock(router), grant);
-    if (grant.lasts().micros() > 0) {
+    router.lease.acceptGrant(clock(router), grant);
+    if (grant.duration().micros() > 0) {
       onLease(router);
     }
   }
@@ -250,7 +250,7 @@
         3_000,
         () -> {
           if (leader.term == term || bug == Bug.UNCONFIRMED) {
-            leader.leases.confirmed(sent);
+            leader.leases.confirmLeadership(sent);
           }
         });
     if (leader.term != term) {
@@ -260,7 +260,7 @@
   }
 
   private void carryOutNextStep(Leader leader) {
-    LeaseTable.Step step = leader.leases.next(clock(leader), register);
+    LeaseTable.Step step = leader.leases.nextStep(clock(leader), register);
     SettingsVersion prepared = register.prepared();
     if (bug == Bug.EARLY && prepared != null) {
       step = new LeaseTable.Step(LeaseTable.Step.Kind.BRING_INTO_FORCE, prepared.number(), "", 0);
@@ -274,7 +274,7 @@
         versionsInForce += register.bringIntoForce(next) ? 1 : 0;
       }
       case WITHDRAW -> register.withdraw(step.number(), step.reason());
-      case COUNT_ROUTERS ->
+      case SET_ROUTER_COUNT ->
           register.propose(
               step.number(), register.inForce().text(), step.routers(), "fleet", "", 0);
       default -> carryOutMembershipStep(leader);
@@ -333,8 +333,8 @@
   /** As if a router accepted any grant, however old the version that it names. */
   private void grantOlderVersion(Router router) {
     router.lease = new LeaseHolder();
-    long beat = router.lease.beat(clock(router));
-    router.lease.granted(
+    long beat = router.lease.registerHeartbeat(clock(router));
+    router.lease.acceptGrant(
         clock(router),
         new LeaseGrant(beat, LEASE, new SettingsVersion(0, "", 99, "", "", 0), null, 0));
   }
@@ -377,10 +377,10 @@
   private List<Router> routersUnderLease() {
     List<Router> acting = new ArrayList<>();
     for (Router router : routers) {
-      acknowledgedVersions.add(router.lease.keepsTo());
+      acknowledgedVersions.add(router.lease.acknowledgedVersion());
       if (now >= router.pausedUntil) {
-        router.lease.hasJustEnded(clock(router));
-        if (!router.lease.isCareful()) {
+        router.lease.noteExpiry(clock(router));
+        if (!router.lease.isRestricted()) {
           acting.add(router);
         }
       }
--- a/router/src/test/java/basaltlever/settings/VoterEligibilityTest.java
+++ b/router/src/test/java/basaltlever/settings/VoterEligibilityTest.java
@@ -140,7 +140,7 @@
           VoterIdentity own = folders.get(name);
           if (!up.contains(name)
               && VoterEligibility.of(name, own, FOUNDERS, told).kind() != Kind.WAIT) {
-            String id = own != null ? own.id() : "folder" + step;
+            String id = own != null ? own.folderId() : "folder" + step;
             check(
                 agreed.getOrDefault(name, id).equals(id),
                 name + " votes by " + id + ", and has by " + agreed.get(name));
@@ -148,7 +148,7 @@
             up.add(name);
           }
           if (up.contains(name) && up.size() > 1 && !agreed.containsKey(name)) {
-            agreed.put(name, folders.get(name).id());
+            agreed.put(name, folders.get(name).folderId());
             List<String> majority = new ArrayList<>(up);
             while (majority.size() > 2) {
               majority.remove(chance.nextInt(majority.size()));
@@ -166,7 +166,7 @@
     left.propose(0, "{}", 5, "op", "one", 1);
     left.bringIntoForce(1);
     left.seat("db-1", 1, new ListVersion(0, 3));
-    left.seal("n3", "own");
+    left.recordFolder("n3", "own");
     VersionRegister lost = new VersionRegister();
     lost.propose(0, "{}", 5, "op", "one", 1);
     lost.bringIntoForce(1);
@@ -178,25 +178,29 @@
     left.propose(1, "{\"a\":1}", 5, "op", "on its way", 1);
     left.recover(Set.of("n2"), "op", "burnt", 2);
     check(
-        left.charter() == 1
-            && left.changes() > lost.changes()
-            && left.inForce().number() > lost.last()
-            && left.seatsNumber() > lost.seatsNumber(),
+        left.epoch() == 1
+            && left.changeCount() > lost.changeCount()
+            && left.inForce().number() > lost.lastNumber()
+            && left.assignmentsNumber() > lost.assignmentsNumber(),
         "numbers");
     check(
         left.prepared() == null
             && left.inForce().text().equals("{}")
             && !left.seat("db-1").cleared()
-            && left.sealOf("n3").isEmpty()
-            && left.ended().equals(Set.of("n2")),
+            && left.recordedFolder("n3").isEmpty()
+            && left.lostVoters().equals(Set.of("n2")),
         "what is left is taken back");
-    LeaseHolder follower = new LeaseHolder();
-    follower.knows(1);
+    LeaseHolder leaseHolder = new LeaseHolder();
+    leaseHolder.restoreEpoch(1);
     check(
-        !follower.granted(
+        !leaseHolder.acceptGrant(
             AT,
             new LeaseGrant(
-                follower.beat(AT), VirtualFleet.LEASE, lost.inForce(), null, lost.changes())),
+                leaseHolder.registerHeartbeat(AT),
+                VirtualFleet.LEASE,
+                lost.inForce(),
+                null,
+                lost.changeCount())),
         "an older charter's grant is worth nothing");
   }
 }
