--- a/lab/src/main/java/basaltlever/lab/virtual/VirtualRouter.java
+++ b/lab/src/main/java/basaltlever/lab/virtual/VirtualRouter.java
@@ -7,6 +7,7 @@
 import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.gateway.RejectReason;
 import basaltlever.gateway.Role;
+import basaltlever.gateway.StatementRequest;
 import basaltlever.lab.load.Front;
 import basaltlever.lab.world.Ask;
 import basaltlever.lab.world.Server;
@@ -148,12 +149,13 @@
             core.statementReceived(
                 world.now(),
                 ticket,
-                ask.kind.number(),
-                ask.group,
-                ask.session + 1,
-                ask.leaves,
-                ask.after == 0 ? Moment.LONG_AGO : new Moment(ask.after * 1_000),
-                100));
+                new StatementRequest(
+                    ask.kind.number(),
+                    ask.group,
+                    ask.session + 1,
+                    ask.leaves,
+                    ask.after == 0 ? Moment.LONG_AGO : new Moment(ask.after * 1_000),
+                    100)));
   }
 
   void leave(Ask ask) {
--- a/router/src/main/java/basaltlever/adapter/Instance.java
+++ b/router/src/main/java/basaltlever/adapter/Instance.java
@@ -9,6 +9,7 @@
 import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.gateway.RejectReason;
 import basaltlever.gateway.Role;
+import basaltlever.gateway.StatementRequest;
 import basaltlever.switchover.PlannedSwitchover;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
@@ -87,12 +88,13 @@
     if (!core.statementReceived(
         now,
         ticket,
-        in.get(at + 4) & 0xff,
-        (int) in.getFloat(at + 29),
-        in.getLong(at + 9),
-        new Moment(in.getLong(at + 17)),
-        committed,
-        0)) {
+        new StatementRequest(
+            in.get(at + 4) & 0xff,
+            (int) in.getFloat(at + 29),
+            in.getLong(at + 9),
+            new Moment(in.getLong(at + 17)),
+            committed,
+            0))) {
       throw new MalformedFrameException("request " + ticket + " came twice");
     }
   }
--- a/router/src/main/java/basaltlever/core/StatementRouter.java
+++ b/router/src/main/java/basaltlever/core/StatementRouter.java
@@ -156,15 +156,7 @@
   }
 
   /** False where a statement with this ticket is still here. */
-  public boolean statementReceived(
-      Moment now,
-      long ticket,
-      int workload,
-      int group,
-      long session,
-      Moment clientLeaves,
-      Moment committed,
-      int bytes) {
+  public boolean statementReceived(Moment now, long ticket, StatementRequest request) {
     if (slots.find(ticket) >= 0) {
       return false;
     }
@@ -174,8 +166,7 @@
     pending[slot] = 1;
     executions[slot] = 0;
     answered[slot] = false;
-    balancer.statementReceived(
-        now, slot, new StatementRequest(workload, group, session, clientLeaves, committed, bytes));
+    balancer.statementReceived(now, slot, request);
     return true;
   }
 
--- a/router/src/main/java/basaltlever/net/ClientSessions.java
+++ b/router/src/main/java/basaltlever/net/ClientSessions.java
@@ -2,6 +2,7 @@
 
 import basaltlever.config.WorkloadSlots;
 import basaltlever.core.StatementRouter;
+import basaltlever.gateway.StatementRequest;
 import basaltlever.log.Counter;
 import basaltlever.log.Counters;
 import basaltlever.log.RateLimitedLog;
@@ -186,16 +187,17 @@
                   core.statementReceived(
                       now,
                       pendingStatement.ticket,
-                      workload,
-                      query.group,
-                      query.sessionHash,
-                      pendingStatement.owedBy,
-                      query.lastCommitMillis == 0
-                          ? Moment.LONG_AGO
-                          : iteration
-                              .clockOffset()
-                              .committed(new Moment(query.lastCommitMillis * 1_000)),
-                      pendingStatement.text.capacity()));
+                      new StatementRequest(
+                          workload,
+                          query.group,
+                          query.sessionHash,
+                          pendingStatement.owedBy,
+                          query.lastCommitMillis == 0
+                              ? Moment.LONG_AGO
+                              : iteration
+                                  .clockOffset()
+                                  .committed(new Moment(query.lastCommitMillis * 1_000)),
+                          pendingStatement.text.capacity())));
         });
     return pendingStatement;
   }
--- a/router/src/main/java/basaltlever/time/ClockOffset.java
+++ b/router/src/main/java/basaltlever/time/ClockOffset.java
@@ -87,10 +87,12 @@
     return told.isAfter(Moment.LONG_AGO) ? told.plus(ahead) : told;
   }
 
+  /** How far this clock is behind the servers, at most; none where it is not. */
   public Span behind() {
     return behind;
   }
 
+  /** How far this clock is ahead of the servers; none where it is not. */
   public Span ahead() {
     return ahead;
   }
