--- a/router/src/main/java/basaltlever/fleet/FleetMember.java
+++ b/router/src/main/java/basaltlever/fleet/FleetMember.java
@@ -42,7 +42,7 @@
   /**
    * Both callbacks run on this fleet's event loop. Throws where the voter can't be started.
    *
-   * @param heartbeatDue has to send a heartbeat by {@link #beat}
+   * @param heartbeatDue has to send a heartbeat by {@link #sendHeartbeat}
    * @param granted takes each grant, with what the fleet agreed on about endpoints
    */
   public FleetMember(
@@ -73,13 +73,13 @@
    * Sends a heartbeat; from any thread.
    *
    * @param number of the heartbeat
-   * @param charter the latest configuration epoch that the router has learned of
-   * @param force number of the version in force at the router
-   * @param keeps number of the prepared version that the router keeps to
+   * @param epoch the latest configuration epoch that the router has learned of
+   * @param inForce number of the version in force at the router
+   * @param keepsTo number of the prepared version that the router keeps to
    * @param refused number of the version that it can't keep to; 0 where there is none
    * @param refusal why it can't
-   * @param holds whether the router holds a lease
-   * @param report on its endpoint list
+   * @param holdsLease whether the router holds a lease
+   * @param lists on its endpoint list
    */
   public void sendHeartbeat(
       long number,
--- a/router/src/main/java/basaltlever/fleet/MembershipCodec.java
+++ b/router/src/main/java/basaltlever/fleet/MembershipCodec.java
@@ -96,7 +96,7 @@
     return fields;
   }
 
-  /** {@link HeartbeatReport#NOTHING} where the value is no report. */
+  /** {@link HeartbeatReport#NONE} where the value is no report. */
   static HeartbeatReport decodeReport(Object value) {
     if (!(value instanceof Map<?, ?> fields)) {
       return HeartbeatReport.NONE;
--- a/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
+++ b/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
@@ -332,7 +332,7 @@
         .toList();
   }
 
-  /** The router's last report; {@link HeartbeatReport#NOTHING} where there is none. */
+  /** The router's last report; {@link HeartbeatReport#NONE} where there is none. */
   public HeartbeatReport lastReport(String name) {
     return reports.getOrDefault(name, HeartbeatReport.NONE);
   }
--- a/router/src/main/java/basaltlever/pg/MessageDecoder.java
+++ b/router/src/main/java/basaltlever/pg/MessageDecoder.java
@@ -87,7 +87,7 @@
     return slice(buffered.getInt(buffered.readerIndex() + TYPE_BYTES), TYPE_BYTES);
   }
 
-  /** As {@link #next}, for the messages of the startup phase, which have no type byte. */
+  /** As {@link #nextMessage}, for the messages of the startup phase, which have no type byte. */
   public ByteBuf nextStartupMessage() throws ProtocolException {
     if (bufferedBytes() < LENGTH_BYTES) {
       return awaitMore();
