--- a/router/src/test/java/basaltlever/AdapterTest.java
+++ b/router/src/test/java/basaltlever/AdapterTest.java
@@ -1,6 +1,6 @@
 package basaltlever;
 
-import static basaltlever.StandIn.*;
+import static basaltlever.StandIn.check;
 
 import basaltlever.adapter.Adapter;
 import basaltlever.adapter.MalformedFrameException;
--- a/router/src/test/java/basaltlever/HoldBudgetTest.java
+++ b/router/src/test/java/basaltlever/HoldBudgetTest.java
@@ -1,6 +1,10 @@
 package basaltlever;
 
-import static basaltlever.StandIn.*;
+import static basaltlever.StandIn.FRESH;
+import static basaltlever.StandIn.WRITE;
+import static basaltlever.StandIn.check;
+import static basaltlever.StandIn.ms;
+import static basaltlever.StandIn.plain;
 
 import basaltlever.gateway.Role;
 import basaltlever.gateway.Workload;
--- a/router/src/test/java/basaltlever/HoldTest.java
+++ b/router/src/test/java/basaltlever/HoldTest.java
@@ -1,6 +1,14 @@
 package basaltlever;
 
-import static basaltlever.StandIn.*;
+import static basaltlever.StandIn.ANY;
+import static basaltlever.StandIn.BOUNDED;
+import static basaltlever.StandIn.FRESH;
+import static basaltlever.StandIn.KEYED;
+import static basaltlever.StandIn.LATE;
+import static basaltlever.StandIn.Sent;
+import static basaltlever.StandIn.WRITE;
+import static basaltlever.StandIn.check;
+import static basaltlever.StandIn.ms;
 
 import basaltlever.gateway.AttemptOutcome;
 import basaltlever.gateway.EndpointLifecycle;
--- a/router/src/test/java/basaltlever/MoveTest.java
+++ b/router/src/test/java/basaltlever/MoveTest.java
@@ -1,6 +1,14 @@
 package basaltlever;
 
-import static basaltlever.StandIn.*;
+import static basaltlever.StandIn.ANY;
+import static basaltlever.StandIn.BOUNDED;
+import static basaltlever.StandIn.KEYED;
+import static basaltlever.StandIn.LONG;
+import static basaltlever.StandIn.SLACK;
+import static basaltlever.StandIn.Sent;
+import static basaltlever.StandIn.WRITE;
+import static basaltlever.StandIn.check;
+import static basaltlever.StandIn.ms;
 
 import basaltlever.gateway.AttemptLimits;
 import basaltlever.gateway.AttemptOutcome;
--- a/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
+++ b/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
@@ -1,6 +1,11 @@
 package basaltlever;
 
-import static basaltlever.StandIn.*;
+import static basaltlever.StandIn.ANY;
+import static basaltlever.StandIn.FRESH;
+import static basaltlever.StandIn.LATE;
+import static basaltlever.StandIn.WRITE;
+import static basaltlever.StandIn.check;
+import static basaltlever.StandIn.ms;
 
 import basaltlever.gateway.AttemptOutcome;
 import basaltlever.gateway.EndpointLifecycle;
--- a/router/src/test/java/basaltlever/RulesTest.java
+++ b/router/src/test/java/basaltlever/RulesTest.java
@@ -1,6 +1,7 @@
 package basaltlever;
 
-import static basaltlever.StandIn.*;
+import static basaltlever.StandIn.check;
+import static basaltlever.StandIn.ms;
 
 import basaltlever.config.WorkloadSlots;
 import basaltlever.gateway.AttemptOutcome;
