--- a/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
+++ b/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
@@ -142,10 +142,16 @@
     check(
         strict.attemptLimits().maxAttempts() <= other.attemptLimits().maxAttempts(), "executions");
     check(
-        !strict.attemptLimits().hedgedRequests() || other.attemptLimits().hedgedRequests(),
+        !strict.attemptLimits().hedgingEnabled() || other.attemptLimits().hedgingEnabled(),
         "second copies");
-    check(!strict.replication().replicasCheck() || other.replication().replicasCheck(), "checks");
-    check(strict.drains().removalBinds() || !other.drains().removalBinds(), "removals");
+    check(
+        !strict.replication().replicasCheckFreshness()
+            || other.replication().replicasCheckFreshness(),
+        "checks");
+    check(
+        strict.drainPolicy().excludesRemovedEndpoints()
+            || !other.drainPolicy().excludesRemovedEndpoints(),
+        "removals");
   }
 
   /** A new node's budget, by age: no more under the meet than under either. */
@@ -158,12 +164,12 @@
     Span age = new Moment(random.nextInt(1_000_000)).since(new Moment(0));
     for (Settings one : List.of(older, newer)) {
       check(
-          stricter.slowStart().shareAtAge(age)
+          stricter.slowStart().capacityShareAt(age)
                   * stricter.slowStart().overloadFactor()
-                  / stricter.identity().routers()
-              <= one.slowStart().shareAtAge(age)
+                  / stricter.identity().routerCount()
+              <= one.slowStart().capacityShareAt(age)
                       * one.slowStart().overloadFactor()
-                      / one.identity().routers()
+                      / one.identity().routerCount()
                   + 1e-9,
           "budget");
     }
