--- a/router/src/main/java/basaltlever/core/StatementRouter.java
+++ b/router/src/main/java/basaltlever/core/StatementRouter.java
@@ -60,12 +60,12 @@
   /** Other values for the decisions, as agreed from now on. */
   public void applySettings(Moment now, Consumer<LoadBalancer> change) {
     change.accept(balancer);
-    balancer.timerFired(now);
+    balancer.onTimerFired(now);
   }
 
   /** An endpoint list begins. */
   public void onListStarted() {
-    balancer.listStarted();
+    balancer.onListStarted();
   }
 
   /** The list names an endpoint. */
@@ -88,16 +88,16 @@
       endpoints.set(index, endpoint);
       endpointIndices.put(endpoint, index);
     }
-    balancer.endpointListed(now, index, lifecycle, group, zone, size, startedAt);
+    balancer.onEndpointListed(now, index, lifecycle, group, zone, size, startedAt);
     if (isNew) {
       // Spread by the odd multiplier of Knuth's multiplicative hash: ids may share their low bits.
-      balancer.ringOrderKnown(index, endpoint.hashCode() * 0x9E3779B1);
+      balancer.setRingOrder(index, endpoint.hashCode() * 0x9E3779B1);
     }
   }
 
   /** What was learned of members' positions came by a clock that was wrong. */
   public void resetPositions(Moment now) {
-    balancer.forgetPositions(now);
+    balancer.clearPositions(now);
   }
 
   /** Tells on-call how much of the list is polled regularly, where that has changed. */
@@ -135,7 +135,7 @@
     int end = Math.min(endpoints.size(), fromIndex + maxEndpoints);
     for (int index = fromIndex; index < end; index++) {
       if (endpoints.get(index) != null) {
-        consumer.accept(endpoints.get(index), balancer.learnedState().learned(now, index));
+        consumer.accept(endpoints.get(index), balancer.learnedState().endpointState(now, index));
       }
     }
     return end < endpoints.size();
@@ -143,17 +143,17 @@
 
   /** What has been learned of all groups by now. */
   public List<GroupState> groupStates(Moment now) {
-    return balancer.learnedState().learnedOfGroups(now);
+    return balancer.learnedState().groupStates(now);
   }
 
   /** The list ends; it may be complete, and may answer a call for it. */
   public void onListFinished(Moment now, boolean complete, boolean requested) {
-    balancer.listFinished(now, complete, requested);
+    balancer.onListFinished(now, complete, requested);
   }
 
   /** A call for the list failed. */
   public void onListCallFailed(Moment now) {
-    balancer.listCallFailed(now);
+    balancer.onListRequestFailed(now);
   }
 
   /** False where a statement with this ticket is still here. */
@@ -167,7 +167,7 @@
     referenceCounts[slot] = 1;
     attemptCounts[slot] = 0;
     answered[slot] = false;
-    balancer.statementReceived(now, slot, request);
+    balancer.onStatementReceived(now, slot, request);
     return true;
   }
 
@@ -204,7 +204,7 @@
     boolean completes = checkedOutcome == AttemptOutcome.COMPLETED && !answered[slot];
     boolean statementEnded = finished || completes || answered[slot];
     boolean wasInFlight =
-        balancer.attemptEnded(now, slot, attempt, checkedOutcome, role, position, statementEnded);
+        balancer.onAttemptEnded(now, slot, attempt, checkedOutcome, role, position, statementEnded);
     if (statementEnded) {
       markAnswered(slot);
     }
@@ -217,7 +217,9 @@
   /** A fresh read that a replica answered may lack what it had to see. */
   private AttemptOutcome checkFreshness(int slot, AttemptOutcome outcome, Role role) {
     boolean mayBeStale =
-        outcome == AttemptOutcome.COMPLETED && role == Role.REPLICA && balancer.needsFresh(slot);
+        outcome == AttemptOutcome.COMPLETED
+            && role == Role.REPLICA
+            && balancer.requiresFreshData(slot);
     return mayBeStale ? AttemptOutcome.MISS : outcome;
   }
 
@@ -232,7 +234,7 @@
       double queue) {
     Integer index = endpointIndices.get(endpoint);
     if (index != null) {
-      balancer.pollEnded(now, index, outcome, role, position, utilization, queue);
+      balancer.onPollEnded(now, index, outcome, role, position, utilization, queue);
     }
   }
 
@@ -246,7 +248,7 @@
     Integer targetIndex = endpointIndices.get(target);
     return announcerIndex != null
         && targetIndex != null
-        && balancer.switchoverAnnounced(
+        && balancer.onSwitchoverAnnounced(
             now, announcerIndex, number, targetIndex, startAt, cancelled);
   }
 
@@ -254,7 +256,7 @@
   public void onClientDisconnected(Moment now, long ticket) {
     int slot = slotIndex.find(ticket);
     if (slot >= 0) {
-      balancer.clientDisconnected(now, slot);
+      balancer.onClientDisconnected(now, slot);
       markAnswered(slot);
     }
   }
@@ -266,14 +268,14 @@
   public void onDeadlinePassed(Moment now, long ticket) {
     int slot = slotIndex.find(ticket);
     if (slot >= 0) {
-      balancer.deadlinePassed(now, slot);
+      balancer.onDeadlinePassed(now, slot);
       markAnswered(slot);
     }
   }
 
   /** The timer fired, or time has passed. */
   public void onTimerFired(Moment now) {
-    balancer.timerFired(now);
+    balancer.onTimerFired(now);
   }
 
   private void markAnswered(int slot) {
