--- a/router/src/main/java/basaltlever/net/AcceptHandler.java
+++ b/router/src/main/java/basaltlever/net/AcceptHandler.java
@@ -79,7 +79,7 @@
 
   /** Since when the connection that is being accepted may have waited. */
   Moment queuedSince() {
-    return queue.onAccept(iteration.arrival(), iteration.clock().now());
+    return queue.onAccept(iteration.earliestArrival(), iteration.clock().now());
   }
 
   /** For the listener, so that no more are accepted at once than there is room for. */
@@ -193,7 +193,7 @@
   @Override
   public void channelRead(ChannelHandlerContext context, Object connection) {
     accepted++;
-    iteration.load().accepts();
+    iteration.load().countAccepted();
     rejectionsAllowed = Math.max(0, rejectionsAllowed - 1);
     context.fireChannelRead(connection);
   }
@@ -202,7 +202,7 @@
   public void channelReadComplete(ChannelHandlerContext context) {
     batch.recordAccepted(
         accepted - acceptedBeforeRead, iteration.clock().now().since(readStartedAt));
-    queue.onReadComplete(!stoppedByLimit, iteration.arrival());
+    queue.onReadComplete(!stoppedByLimit, iteration.earliestArrival());
     if (acceptLimit() == 0 || descriptors.newClientCount() > MAX_NEW_CLIENTS_WITHOUT_DEFERRAL) {
       deferral.request();
     }
@@ -215,7 +215,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    queue.onReadFailed(iteration.arrival());
+    queue.onReadFailed(iteration.earliestArrival());
     pause(cause.toString());
     resumeAfter(ACCEPT_PAUSE);
   }
@@ -227,7 +227,7 @@
       pauseLog.note("listener", cause);
     }
     // From here on nobody looks.
-    queue.onReadComplete(false, iteration.arrival());
+    queue.onReadComplete(false, iteration.earliestArrival());
     listener.config().setAutoRead(false);
   }
 
@@ -235,9 +235,9 @@
   private void resumeAfterReads() {
     if (paused && !resumeQueued) {
       resumeQueued = true;
-      iteration.hear(
+      iteration.enqueue(
           now ->
-              iteration.act(
+              iteration.addEffect(
                   () -> {
                     resumeQueued = false;
                     resume();
--- a/router/src/main/java/basaltlever/net/ClientSessions.java
+++ b/router/src/main/java/basaltlever/net/ClientSessions.java
@@ -119,13 +119,13 @@
 
   @Override
   public void onMessageRead() {
-    iteration.load().reads();
+    iteration.load().countMessage();
   }
 
   /** In the turn behind all reads of this look at the sockets. */
   @Override
   public void runAfterReads(Runnable step) {
-    iteration.hear(now -> step.run());
+    iteration.enqueue(now -> step.run());
   }
 
   /**
@@ -173,10 +173,10 @@
                     arrivedAt.plus(Span.ofMillis((double) query.timeoutMillis)))
                 : null);
     boolean fits = budget.reserve(text.capacity());
-    iteration.hear(
+    iteration.enqueue(
         now -> {
           // Its client waits since it sent, not since this loop came to read.
-          pendingStatement.owedBy =
+          pendingStatement.answerDeadline =
               arrivedAt.plus(Span.ofMillis((double) query.timeoutMillis)).earlier(shutdownDeadline);
           // Where this loop was held up its client may have gone behind its statement, which nobody
           // has read yet.
@@ -184,13 +184,13 @@
           if (!client.isWaitingFor(pendingStatement)) {
             return;
           }
-          if (executor.open() >= maxOpenStatements || !fits) {
-            executor.turnAway(pendingStatement);
+          if (executor.openStatements() >= maxOpenStatements || !fits) {
+            executor.rejectTooManyOpen(pendingStatement);
             return;
           }
-          trace.step(pendingStatement.life, "taken");
+          trace.step(pendingStatement.trace, "taken");
           executor.add(pendingStatement);
-          executor.guarded(
+          executor.runGuarded(
               pendingStatement,
               () ->
                   statementRouter.onStatementReceived(
@@ -200,7 +200,7 @@
                           workload,
                           query.group,
                           query.sessionHash,
-                          pendingStatement.owedBy,
+                          pendingStatement.answerDeadline,
                           query.lastCommitMillis == 0
                               ? Moment.LONG_AGO
                               : iteration
@@ -230,7 +230,7 @@
   /** When the bytes that are read now have come, at the latest. */
   @Override
   public Moment earliestArrival() {
-    return iteration.arrival();
+    return iteration.earliestArrival();
   }
 
   @Override
@@ -243,7 +243,7 @@
   public void onClientLeft(ClientConnection connection, PendingStatement pendingStatement) {
     descriptors.markBusy(connection);
     if (pendingStatement != null) {
-      executor.left(pendingStatement);
+      executor.clientDisconnected(pendingStatement);
     }
   }
 
--- a/router/src/test/java/basaltlever/net/ClientEndTest.java
+++ b/router/src/test/java/basaltlever/net/ClientEndTest.java
@@ -21,7 +21,7 @@
   @Example
   void anIdleConnectionWithAReceivedStatementIsNotEnded() throws Exception {
     List<Client> idleClients = new ArrayList<>();
-    try (HeldUpRouter router = new HeldUpRouter(40)) {
+    try (StallableRouter router = new StallableRouter(40)) {
       for (int i = 0; i < 10; i++) {
         idleClients.add(new Client(router.port).start().ask(""));
         check(
@@ -30,7 +30,7 @@
       }
       try (Client another = new Client(router.port)) {
         check(another.start().answer().isEmpty(), "it has asked nothing yet");
-        router.standsStill(100);
+        router.stallOutsideIteration(100);
         Thread.sleep(20);
         another.ask("");
         idleClients.get(0).ask(statement("r1", "list", WAIT_MILLIS));
@@ -53,17 +53,17 @@
    */
   @Example
   void timeInTheListenQueueCountsTowardsTheTimeout() throws Exception {
-    try (HeldUpRouter router = new HeldUpRouter(100)) {
+    try (StallableRouter router = new StallableRouter(100)) {
       try (Client first = new Client(router.port)) {
         first.start().ask(statement("q0", "list", 100));
         check(first.answer().isEmpty() && first.answer().startsWith("error:58000"), "a first one");
       }
-      router.acceptFails = true;
+      router.failsAccept = true;
       long sentAt = System.nanoTime();
       try (Client client = new Client(router.port)) {
         client.start().ask(statement("q1", "list", WAIT_MILLIS));
         Thread.sleep(WAIT_MILLIS / 2);
-        router.acceptFails = false;
+        router.failsAccept = false;
         check(
             client.answer().isEmpty() && client.answer().startsWith("error:58000"),
             "the guard's answer");
