--- a/router/src/main/java/basaltlever/membership/HeartbeatReport.java
+++ b/router/src/main/java/basaltlever/membership/HeartbeatReport.java
@@ -15,7 +15,7 @@
  *     more
  * @param coordinatorTerm coordinator term that it has read
  * @param readPosition position that it has read up to in that term
- * @param assignmentsNumber number of the last change of a group assignment that it has
+ * @param assignmentChangeNumber number of the last change of a group assignment that it has
  */
 public record HeartbeatReport(
     ListVersion listVersion,
@@ -27,7 +27,7 @@
     List<String> releasedEndpoints,
     long coordinatorTerm,
     long readPosition,
-    long assignmentsNumber) {
+    long assignmentChangeNumber) {
   /** The report of a router that has received no list. */
   public static final HeartbeatReport NONE =
       new HeartbeatReport(
--- a/router/src/main/java/basaltlever/membership/EndpointListCopy.java
+++ b/router/src/main/java/basaltlever/membership/ReceivedEndpointList.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 
 /** One endpoint list as a router received it, and how it agrees with the other routers' lists. */
-final class EndpointListCopy {
+final class ReceivedEndpointList {
   /** A list that names less than this share of the ready endpoints is suspected to be wrong. */
   private static final double MIN_REMAINING_SHARE = 0.5;
 
@@ -25,7 +25,7 @@
   /** Since when most routers have held this very list. */
   private Moment heldByMajoritySince = Moment.NEVER;
 
-  EndpointListCopy(
+  ReceivedEndpointList(
       SortedMap<String, ListedEndpoint> entries, ListVersion version, Moment receivedAt) {
     this.entries = entries;
     this.version = version;
@@ -33,7 +33,7 @@
     digest = digestOf(entries, version.generation());
   }
 
-  private EndpointListCopy() {
+  private ReceivedEndpointList() {
     entries = new TreeMap<>();
     version = ListVersion.NONE;
     receivedAt = Moment.LONG_AGO;
@@ -41,8 +41,8 @@
   }
 
   /** The list of a router that has received none. */
-  static EndpointListCopy none() {
-    return new EndpointListCopy();
+  static ReceivedEndpointList none() {
+    return new ReceivedEndpointList();
   }
 
   SortedMap<String, ListedEndpoint> entries() {
@@ -90,7 +90,7 @@
   }
 
   /** Whether it lacks suspiciously many endpoints, compared with the list in use. */
-  ListAnomaly anomalyComparedWith(EndpointListCopy current) {
+  ListAnomaly anomalyComparedWith(ReceivedEndpointList current) {
     if (entries.values().stream().allMatch(entry -> entry.lifecycle() == EndpointLifecycle.GONE)) {
       return ListAnomaly.EMPTY;
     }
--- a/router/src/main/java/basaltlever/settings/VersionRegister.java
+++ b/router/src/main/java/basaltlever/settings/VersionRegister.java
@@ -182,12 +182,12 @@
   }
 
   /** Number of the last change of a group assignment. */
-  public long assignmentsNumber() {
+  public long assignmentChangeNumber() {
     return assignments.lastChangeNumber();
   }
 
   /** The group assignments that changed after that number. */
-  public List<GroupAssignment> assignmentsAfter(long changeNumber) {
+  public List<GroupAssignment> assignmentsChangedAfter(long changeNumber) {
     return assignments.changedAfter(changeNumber);
   }
 
--- a/router/src/test/java/basaltlever/settings/VoterEligibilityTest.java
+++ b/router/src/test/java/basaltlever/settings/VoterEligibilityTest.java
@@ -189,7 +189,7 @@
         surviving.epoch() == 1
             && surviving.changeCount() > lost.changeCount()
             && surviving.inForce().number() > lost.lastNumber()
-            && surviving.assignmentsNumber() > lost.assignmentsNumber(),
+            && surviving.assignmentChangeNumber() > lost.assignmentChangeNumber(),
         "numbers");
     check(
         surviving.prepared() == null
