--- a/router/src/main/java/basaltlever/endpoints/PrimarySearch.java
+++ b/router/src/main/java/basaltlever/endpoints/PrimarySearch.java
@@ -53,7 +53,7 @@
       Endpoint candidate =
           group
               .endpoints()
-              .get((startPosition + group.search().nextIndex()) % group.endpoints().size());
+              .get((startPosition + group.search().takeNextIndex()) % group.endpoints().size());
       if (canBePolled.test(candidate) && !candidate.polling().isInFlight()) {
         polled.add(candidate);
         toPoll.add(candidate);
--- a/router/src/main/java/basaltlever/endpoints/ReplicaSubset.java
+++ b/router/src/main/java/basaltlever/endpoints/ReplicaSubset.java
@@ -37,7 +37,7 @@
     if (group.endpoints().size() <= MIN_SIZE) {
       return group.endpoints();
     }
-    boolean due = !now.since(group.subset().chosenAt()).isShorterThan(MIN_RESELECTION_INTERVAL);
+    boolean due = !now.since(group.subset().selectedAt()).isShorterThan(MIN_RESELECTION_INTERVAL);
     if (group.subset().endpoints() == null || (group.subset().isStale() && due)) {
       group.subset().setEndpoints(selectFromRing(group, routers, index, isUsable), now);
     }
@@ -63,7 +63,7 @@
 
   /** Removes what the subset was widened by. */
   public static void narrow(ReplicaGroup group) {
-    group.subset().narrow();
+    group.subset().resetWidening();
   }
 
   private static List<Endpoint> selectFromRing(
--- a/router/src/main/java/basaltlever/model/HealthState.java
+++ b/router/src/main/java/basaltlever/model/HealthState.java
@@ -13,7 +13,7 @@
   private boolean unresponsive;
   private Moment unresponsiveSince = Moment.LONG_AGO;
   private int recoveryTrials;
-  private Moment lastTrialAt = Moment.LONG_AGO;
+  private Moment lastRecoveryTrialAt = Moment.LONG_AGO;
   private boolean down;
   private Moment downSince = Moment.NEVER;
   private int consecutiveQueueFullResponses;
@@ -55,7 +55,7 @@
   /** A statement is sent to see whether the silence is over: the pause before the next doubles. */
   public void recordRecoveryTrial(Moment now) {
     recoveryTrials = Math.min(MAX_COUNTED_RECOVERY_TRIALS, recoveryTrials + 1);
-    lastTrialAt = now;
+    lastRecoveryTrialAt = now;
   }
 
   /** Trials in a row without an answer, as far as they are counted. */
@@ -64,8 +64,8 @@
   }
 
   /** When the latest trial was sent. */
-  public Moment lastTrialAt() {
-    return lastTrialAt;
+  public Moment lastRecoveryTrialAt() {
+    return lastRecoveryTrialAt;
   }
 
   /** Whether connections to it fail. */
--- a/router/src/main/java/basaltlever/model/PrimarySearchState.java
+++ b/router/src/main/java/basaltlever/model/PrimarySearchState.java
@@ -22,7 +22,7 @@
   }
 
   /** The place of the next member, and moves on. */
-  public int nextIndex() {
+  public int takeNextIndex() {
     return nextIndex++;
   }
 
--- a/router/src/main/java/basaltlever/model/SubsetState.java
+++ b/router/src/main/java/basaltlever/model/SubsetState.java
@@ -6,7 +6,7 @@
 /** The members of a large group that reads go to, and by how many it was widened. */
 public final class SubsetState {
   private List<Endpoint> endpoints;
-  private Moment chosenAt = Moment.LONG_AGO;
+  private Moment selectedAt = Moment.LONG_AGO;
   private boolean stale = true;
   private int extraEndpoints;
   private Moment lastWideningAt = Moment.LONG_AGO;
@@ -17,8 +17,8 @@
   }
 
   /** When the members were chosen. */
-  public Moment chosenAt() {
-    return chosenAt;
+  public Moment selectedAt() {
+    return selectedAt;
   }
 
   /** Whether the group has changed since. */
@@ -32,9 +32,9 @@
   }
 
   /** Takes a new choice of members. */
-  public void setEndpoints(List<Endpoint> chosen, Moment now) {
-    endpoints = chosen;
-    chosenAt = now;
+  public void setEndpoints(List<Endpoint> selected, Moment now) {
+    endpoints = selected;
+    selectedAt = now;
     stale = false;
   }
 
@@ -50,7 +50,7 @@
   }
 
   /** Gives up what the subset was widened by. */
-  public void narrow() {
+  public void resetWidening() {
     extraEndpoints = 0;
     stale = true;
   }
