--- a/router/src/main/java/basaltlever/balancer/DecisionContext.java
+++ b/router/src/main/java/basaltlever/balancer/DecisionContext.java
@@ -32,11 +32,14 @@
     now = at;
   }
 
-  void applySettings(Moment at, Settings next) {
+  void applySettings(Moment at, Settings newSettings) {
     now = at;
-    settings = next;
+    settings = newSettings;
     highestPriorityWeight =
-        Arrays.stream(next.workloads()).mapToDouble(Workload::priorityWeight).max().orElse(1);
+        Arrays.stream(newSettings.workloads())
+            .mapToDouble(Workload::priorityWeight)
+            .max()
+            .orElse(1);
   }
 
   Moment now() {
--- a/router/src/main/java/basaltlever/balancer/LoadBalancer.java
+++ b/router/src/main/java/basaltlever/balancer/LoadBalancer.java
@@ -247,7 +247,7 @@
     }
     statements.attemptResults.record(statement, attempt, outcome, role, position);
     if (answered && !statement.isFinished()) {
-      statements.answers.finish(statement);
+      statements.completion.finish(statement);
     }
     if (needsAttempt(statement)) {
       statements.dispatcher.add(statement);
@@ -289,7 +289,7 @@
     context.advanceTo(at);
     Statement statement = statements.openStatements.statement(id);
     if (statement != null && !statement.isFinished()) {
-      statements.answers.finish(statement);
+      statements.completion.finish(statement);
     }
     applyRules();
   }
@@ -299,7 +299,7 @@
     context.advanceTo(at);
     Statement statement = statements.openStatements.statement(id);
     if (statement != null && !statement.isFinished()) {
-      statements.answers.rejectOrAbort(statement, false, RejectReason.OVERDUE);
+      statements.completion.rejectOrAbort(statement, false, RejectReason.OVERDUE);
     }
     applyRules();
   }
--- a/router/src/main/java/basaltlever/balancer/OpenStatements.java
+++ b/router/src/main/java/basaltlever/balancer/OpenStatements.java
@@ -22,7 +22,7 @@
   private final EvaluationQueue evaluations;
   private final AdmissionControl admission;
   private final AttemptPolicy attempts;
-  private final FinalAnswers answers;
+  private final StatementCompletion completion;
   private final StatementDispatcher dispatcher;
   private final List<Statement> open = new ArrayList<>();
   private Statement[] byId = new Statement[INITIAL_STATEMENTS];
@@ -34,14 +34,14 @@
       EvaluationQueue evaluations,
       AdmissionControl admission,
       AttemptPolicy attempts,
-      FinalAnswers answers,
+      StatementCompletion completion,
       StatementDispatcher dispatcher) {
     this.context = context;
     this.health = health;
     this.evaluations = evaluations;
     this.admission = admission;
     this.attempts = attempts;
-    this.answers = answers;
+    this.completion = completion;
     this.dispatcher = dispatcher;
   }
 
@@ -75,7 +75,7 @@
   void cancelHedgedRequests() {
     for (Statement statement : open) {
       if (statement.attemptsInFlight() > 1) {
-        answers.cancelAttempts(statement, statement.firstInFlight() + 1);
+        completion.cancelAttempts(statement, statement.firstInFlight() + 1);
       }
     }
   }
@@ -123,7 +123,7 @@
   private void scanQueued(Statement statement) {
     evaluations.add(statement.group());
     if (statement.workload().onlyPrimary() && admission.isOverdue(statement)) {
-      answers.removeFromHold(statement);
+      completion.removeFromHold(statement);
       dispatcher.add(statement);
     }
   }
@@ -137,7 +137,7 @@
     if (hedgingAllowed) {
       dispatcher.add(statement);
     } else {
-      answers.cancelAttempts(statement, 0);
+      completion.cancelAttempts(statement, 0);
     }
   }
 }
--- a/router/src/main/java/basaltlever/balancer/FinalAnswers.java
+++ b/router/src/main/java/basaltlever/balancer/StatementCompletion.java
@@ -7,13 +7,13 @@
 import basaltlever.model.Statement;
 
 /** Ends statements: by a rejection, an abort, or because they need no answer any more. */
-final class FinalAnswers {
+final class StatementCompletion {
   /** Rejected clients come back after this share of the longest Retry-After at least. */
   private static final double MIN_RETRY_AFTER_SHARE = 0.75;
 
   private final DecisionContext context;
 
-  FinalAnswers(DecisionContext context) {
+  StatementCompletion(DecisionContext context) {
     this.context = context;
   }
 
--- a/router/src/main/java/basaltlever/balancer/StatementDispatcher.java
+++ b/router/src/main/java/basaltlever/balancer/StatementDispatcher.java
@@ -18,7 +18,7 @@
   private final ReplicaSelector replicaSelector;
   private final AdmissionControl admission;
   private final AttemptLauncher launcher;
-  private final FinalAnswers answers;
+  private final StatementCompletion completion;
   private final ArrayDeque<Statement> pending = new ArrayDeque<>();
 
   StatementDispatcher(
@@ -28,14 +28,14 @@
       ReplicaSelector replicaSelector,
       AdmissionControl admission,
       AttemptLauncher launcher,
-      FinalAnswers answers) {
+      StatementCompletion completion) {
     this.holdBudget = holdBudget;
     this.primaries = primaries;
     this.primarySelector = primarySelector;
     this.replicaSelector = replicaSelector;
     this.admission = admission;
     this.launcher = launcher;
-    this.answers = answers;
+    this.completion = completion;
   }
 
   /** The statement needs an attempt, or its final answer. */
@@ -76,7 +76,7 @@
     if (statement.attemptsInFlight() == 0) {
       boolean isHeld =
           statement.group().phase() == Phase.HOLD && statement.workload().onlyPrimary();
-      answers.rejectOrAbort(
+      completion.rejectOrAbort(
           statement, isHeld && AttemptPolicy.canTryOtherRouter(statement), reason);
     }
   }
@@ -100,8 +100,8 @@
     group.held().add(statement);
     Statement excess = holdBudget.nextToReject(group.held(), statement.workloadIndex());
     while (excess != null) {
-      answers.removeFromHold(excess);
-      answers.rejectOrAbort(excess, false, RejectReason.HOLD_FULL);
+      completion.removeFromHold(excess);
+      completion.rejectOrAbort(excess, false, RejectReason.HOLD_FULL);
       excess = holdBudget.nextToReject(group.held(), statement.workloadIndex());
     }
   }
@@ -110,7 +110,7 @@
   void release(ReplicaGroup group) {
     Statement first = group.held().first();
     while (first != null && (admission.isOverdue(first) || primarySelector.select(first) != null)) {
-      answers.removeFromHold(first);
+      completion.removeFromHold(first);
       dispatch(first);
       first = group.held().first();
     }
--- a/router/src/main/java/basaltlever/balancer/StatementModules.java
+++ b/router/src/main/java/basaltlever/balancer/StatementModules.java
@@ -6,7 +6,7 @@
 final class StatementModules {
   final StatementDispatcher dispatcher;
   final OpenStatements openStatements;
-  final FinalAnswers answers;
+  final StatementCompletion completion;
   final AttemptResults attemptResults;
 
   StatementModules(EndpointModules endpoints, HoldBudget holdBudget) {
@@ -20,7 +20,7 @@
     LongReadPlacement longReads =
         new LongReadPlacement(
             context, endpoints.serviceTimes, endpoints.subsets, usability, endpoints.health);
-    answers = new FinalAnswers(context);
+    completion = new StatementCompletion(context);
     dispatcher =
         new StatementDispatcher(
             holdBudget,
@@ -29,7 +29,7 @@
             new ReplicaSelector(endpoints, usability, longReads, primarySelector),
             admission,
             new AttemptLauncher(context, attempts, endpoints.connections, endpoints.slowStart),
-            answers);
+            completion);
     openStatements =
         new OpenStatements(
             context,
@@ -37,7 +37,7 @@
             endpoints.evaluations,
             admission,
             attempts,
-            answers,
+            completion,
             dispatcher);
     attemptResults = new AttemptResults(endpoints);
   }
--- a/router/src/test/java/basaltlever/endpoints/ReplicaSubsetTest.java
+++ b/router/src/test/java/basaltlever/endpoints/ReplicaSubsetTest.java
@@ -21,7 +21,7 @@
 class ReplicaSubsetTest {
   private static final Moment NOW = new Moment(1_000_000_000);
 
-  private static ReplicaGroup group(int members, SplittableRandom random) {
+  private static ReplicaGroup group(int size, SplittableRandom random) {
     ReplicaGroup group =
         new ReplicaGroup(
             1,
@@ -30,7 +30,7 @@
             Comparator.comparingInt((Statement statement) -> statement.id()),
             new HoldBudget(10, 1_000).createQueue(1),
             null);
-    for (int i = 0; i < members; i++) {
+    for (int i = 0; i < size; i++) {
       Endpoint endpoint = new Endpoint(i, 1);
       endpoint.setRingOrder(random.nextInt());
       endpoint.setLifecycle(EndpointLifecycle.READY);
@@ -63,18 +63,18 @@
   @Property(tries = 60, seed = "38", shrinking = ShrinkingMode.OFF)
   void subsetsCoverTheEndpointsOfALargeGroupEvenly(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    int members = 9 + random.nextInt(400);
+    int groupSize = 9 + random.nextInt(400);
     int routers = 1 + random.nextInt(120);
-    int[] coverage = coverage(group(members, random), routers);
-    int least = Integer.MAX_VALUE;
+    int[] coverage = coverage(group(groupSize, random), routers);
+    int fewest = Integer.MAX_VALUE;
     int most = 0;
     for (int count : coverage) {
-      least = Math.min(least, count);
+      fewest = Math.min(fewest, count);
       most = Math.max(most, count);
     }
     check(
-        least >= 1 && most - least <= 2,
-        members + " members, " + routers + " routers: " + least + " to " + most);
+        fewest >= 1 && most - fewest <= 2,
+        groupSize + " members, " + routers + " routers: " + fewest + " to " + most);
   }
 
   @Example
--- a/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
+++ b/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
@@ -54,7 +54,7 @@
           Comparator.comparingLong((Event one) -> one.at.micros()).thenComparingLong(Event::order));
   private final Moment start = new Moment(1_000_000_000_000L);
   private Moment now = start;
-  private long order;
+  private long nextOrder;
 
   /** One router, and what its decisions want done. */
   private static final Workload READ =
@@ -223,7 +223,7 @@
   }
 
   private void schedule(Span delay, Runnable action) {
-    events.add(new Event(now.plus(delay), order++, action));
+    events.add(new Event(now.plus(delay), nextOrder++, action));
   }
 
   private void runUntil(Moment end) {
