--- a/router/src/main/java/basaltlever/net/AttemptExecutor.java
+++ b/router/src/main/java/basaltlever/net/AttemptExecutor.java
@@ -244,7 +244,7 @@
                 null));
   }
 
-  void clientDisconnected(PendingStatement pendingStatement) {
+  void onClientDisconnected(PendingStatement pendingStatement) {
     iteration.enqueue(
         now -> {
           trace.ends(pendingStatement.trace, "left");
@@ -266,7 +266,7 @@
             () ->
                 answerError(
                     pendingStatement, ProtocolCodes.SYSTEM_ERROR, "the router failed", null));
-        clientDisconnected(pendingStatement);
+        onClientDisconnected(pendingStatement);
       }
     }
   }
@@ -465,8 +465,8 @@
   }
 
   @Override
-  public void onPolledGroupsChanged(int groups, int members, int listed) {
-    Event.WATCHED.log(LOG, Level.INFO, "", groups, members, listed);
+  public void onPolledGroupsChanged(int groups, int endpoints, int listedEndpoints) {
+    Event.WATCHED.log(LOG, Level.INFO, "", groups, endpoints, listedEndpoints);
   }
 
   @Override
--- a/router/src/main/java/basaltlever/net/ClientSessions.java
+++ b/router/src/main/java/basaltlever/net/ClientSessions.java
@@ -243,7 +243,7 @@
   public void onClientLeft(ClientConnection connection, PendingStatement pendingStatement) {
     descriptors.markBusy(connection);
     if (pendingStatement != null) {
-      executor.clientDisconnected(pendingStatement);
+      executor.onClientDisconnected(pendingStatement);
     }
   }
 
