--- a/router/src/test/java/basaltlever/StandIn.java
+++ b/router/src/test/java/basaltlever/StandIn.java
@@ -230,7 +230,7 @@
         new DrainPolicy(false, ms(10_000), removalBinds),
         slowStart,
         allows,
-        settings.connections());
+        settings.poolSettings());
   }
 
   /** Settings with other workloads at their places: all that was taken before ends by its own. */
@@ -242,10 +242,10 @@
             settings.identity(),
             next,
             replication,
-            settings.drains(),
+            settings.drainPolicy(),
             slowStart,
             attemptLimits,
-            settings.connections()));
+            settings.poolSettings()));
   }
 
   static StandIn plain() {
@@ -333,7 +333,7 @@
   void end(Sent execution, AttemptOutcome outcome, Role role, Moment position) {
     Fate fate = fates.get(execution.statement);
     fate.out--;
-    if (!outcome.provesNotRun) {
+    if (!outcome.provesNotExecuted) {
       fate.mayHaveRun = true;
       fate.firstMaybe = fate.firstMaybe.earlier(execution.at);
     }
@@ -357,7 +357,7 @@
   /** What is still out when its client leaves times out then. */
   void timeOutWhoseClientLeft() {
     endThose(
-        s -> !now.isBefore(fates.get(s.statement).leaves), AttemptOutcome.TIMED_OUT, Role.UNTOLD);
+        s -> !now.isBefore(fates.get(s.statement).leaves), AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
   }
 
   boolean isOlder(Sent execution, double millis) {
@@ -378,7 +378,7 @@
     Workload terms = fate.terms;
     check(!fate.answered, "rule 1: sent after the final answer");
     check(fate.executions < attemptLimits.maxAttempts(), "too many executions");
-    check(attemptLimits.hedgedRequests() || fate.out == 0, "two at once");
+    check(attemptLimits.hedgingEnabled() || fate.out == 0, "two at once");
     if (terms.idempotency() == Idempotency.NON_IDEMPOTENT) {
       check(!fate.mayHaveRun && fate.out == 0, "rule 2: non-idempotent sent again");
     } else if (terms.idempotency() == Idempotency.DEDUPLICATED
@@ -401,7 +401,7 @@
 
   private void checkNode(Member member, Fate fate, Workload terms) {
     check(member.listedReady, "rule 3: sent to a node known to drain or be gone");
-    if (!replication.replicasCheck() && !(member.wasPrimary && !member.toldReplica)) {
+    if (!replication.replicasCheckFreshness() && !(member.wasPrimary && !member.toldReplica)) {
       Moment needed =
           terms.consistency() == ReadConsistency.BOUNDED
               ? now.minus(terms.maxStaleness())
@@ -409,7 +409,7 @@
       check(!truth(member).isBefore(needed), "rule 5: stale read");
     }
     Span age = now.since(member.startedAt);
-    if (age.isShorterThan(slowStart.warmAfter()) && member.toldStart.equals(member.startedAt)) {
+    if (age.isShorterThan(slowStart.warmUpTime()) && member.toldStart.equals(member.startedAt)) {
       member.sends.add(now);
       long recent =
           member.sends.stream()
@@ -418,7 +418,7 @@
       double able =
           NODE_RATE
               * (slowStart.initialShare()
-                  + (1 - slowStart.initialShare()) * age.over(slowStart.warmAfter()));
+                  + (1 - slowStart.initialShare()) * age.over(slowStart.warmUpTime()));
       check(
           recent <= Math.max(2, slowStart.overloadFactor() * able),
           "rule 4: cold node pushed over");
@@ -482,7 +482,7 @@
                 now,
                 node,
                 plays.nextBoolean() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.NO_CONNECTION,
-                Role.UNTOLD,
+                Role.UNKNOWN,
                 Moment.LONG_AGO,
                 Double.NaN,
                 Double.NaN);
@@ -491,7 +491,7 @@
   }
 
   @Override
-  public void endpointRemoved(int node) {
+  public void onEndpointRemoved(int node) {
     forgotten.add(node);
   }
 
@@ -523,7 +523,7 @@
   }
 
   @Override
-  public void primaryChanged(int group, int node, boolean found) {}
+  public void onPrimaryChanged(int group, int node, boolean found) {}
 
   @Override
   public void openConnections(int node, int connections) {
@@ -531,7 +531,7 @@
   }
 
   @Override
-  public void switchoverPhaseChanged(int group, PlannedSwitchover.Phase phase, int target) {
+  public void onSwitchoverPhaseChanged(int group, PlannedSwitchover.Phase phase, int target) {
     phases.add(phase);
   }
 
@@ -613,10 +613,10 @@
           end(
               execution,
               how,
-              !told ? Role.UNTOLD : member.primary ? Role.PRIMARY : Role.REPLICA,
+              !told ? Role.UNKNOWN : member.primary ? Role.PRIMARY : Role.REPLICA,
               wrote
                   ? now
-                  : told && replication.positionsInAnswers() ? member.position : Moment.LONG_AGO);
+                  : told && replication.positionsInResponses() ? member.position : Moment.LONG_AGO);
         });
   }
 
--- a/router/src/test/java/basaltlever/StartTest.java
+++ b/router/src/test/java/basaltlever/StartTest.java
@@ -72,7 +72,7 @@
     StatementRouter<String> core =
         new StatementRouter<>(
             outside, StartFile.of(pushed).startValues().loadBalancerFactory(1, new Moment(0)));
-    core.timerFired(new Moment(0));
+    core.onTimerFired(new Moment(0));
     check(outside.told.equals(List.of("watch")), "asked for at once");
   }
 
--- a/router/src/test/java/basaltlever/endpoints/ReplicaSubsetTest.java
+++ b/router/src/test/java/basaltlever/endpoints/ReplicaSubsetTest.java
@@ -35,15 +35,15 @@
       node.setRingOrder(random.nextInt());
       node.setLifecycle(EndpointLifecycle.READY);
       node.assignTo(group);
-      group.addMember(node);
+      group.addEndpoint(node);
     }
     return group;
   }
 
   private static int[] covered(ReplicaGroup group, int routers) {
-    int[] covered = new int[group.members().size()];
+    int[] covered = new int[group.endpoints().size()];
     for (int router = 0; router < routers; router++) {
-      group.subset().choose(null, Moment.LONG_AGO);
+      group.subset().setEndpoints(null, Moment.LONG_AGO);
       for (Endpoint member : ReplicaSubset.of(group, NOW, routers, router, Endpoint::isInService)) {
         covered[member.id()]++;
       }
@@ -55,7 +55,7 @@
   void aSmallGroupIsUsedWhole() {
     ReplicaGroup group = group(ReplicaSubset.LEAST, new SplittableRandom(1));
     check(
-        ReplicaSubset.of(group, NOW, 100, 7, Endpoint::isInService) == group.members(),
+        ReplicaSubset.of(group, NOW, 100, 7, Endpoint::isInService) == group.endpoints(),
         "the list itself");
   }
 
@@ -91,7 +91,7 @@
         List.copyOf(ReplicaSubset.of(group, NOW, 100, 0, Endpoint::isInService));
     check(before.size() == ReplicaSubset.LEAST, "the least: " + before.size());
     before.get(0).health().markDown(NOW);
-    before.get(3).health().markSilent(NOW);
+    before.get(3).health().markUnresponsive(NOW);
     group.subset().markStale();
     check(
         ReplicaSubset.of(group, NOW.plus(Span.ofMillis(50)), 100, 0, Endpoint::isInService)
--- a/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
+++ b/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
@@ -202,7 +202,7 @@
     public void closeIdleConnections(int node) {}
 
     @Override
-    public void endpointRemoved(int node) {}
+    public void onEndpointRemoved(int node) {}
 
     @Override
     public void watchEndpointList() {}
@@ -211,10 +211,10 @@
     public void openConnections(int node, int connections) {}
 
     @Override
-    public void switchoverPhaseChanged(int group, PlannedSwitchover.Phase phase, int target) {}
+    public void onSwitchoverPhaseChanged(int group, PlannedSwitchover.Phase phase, int target) {}
 
     @Override
-    public void primaryChanged(int group, int node, boolean found) {}
+    public void onPrimaryChanged(int group, int node, boolean found) {}
   }
 
   private void after(Span span, Runnable act) {
--- a/router/src/test/java/basaltlever/net/LeaseGuardTest.java
+++ b/router/src/test/java/basaltlever/net/LeaseGuardTest.java
@@ -109,24 +109,25 @@
       throws Exception {
     Settings own = begins(null);
     Settings more =
-        begins(new SettingsVersion(7, "", own.identity().routers() + 40, "ops", "grown", 1));
+        begins(new SettingsVersion(7, "", own.identity().routerCount() + 40, "ops", "grown", 1));
     check(
-        more.identity().routers() == own.identity().routers() + 40,
+        more.identity().routerCount() == own.identity().routerCount() + 40,
         "a smaller share of each cold node");
     Settings fewer = begins(new SettingsVersion(8, "", 1, "ops", "shrunk", 1));
     check(
-        fewer.identity().routers() == own.identity().routers(),
+        fewer.identity().routerCount() == own.identity().routerCount(),
         "never a larger one than its file says");
     for (Settings holds : List.of(own, more, fewer)) {
       check(
-          holds.attemptLimits().maxAttempts() == 1 && !holds.attemptLimits().hedgedRequests(),
+          holds.attemptLimits().maxAttempts() == 1 && !holds.attemptLimits().hedgingEnabled(),
           "with care in any case");
     }
     Settings unread =
         begins(
             new SettingsVersion(9, "{\"Balancers\":\"many\"}", 90, "ops", "of a later release", 1));
     check(
-        unread.identity().routers() == own.identity().routers(), "what can't be read is left out");
+        unread.identity().routerCount() == own.identity().routerCount(),
+        "what can't be read is left out");
   }
 
   /** The example's settings, but for one thing. */
@@ -146,10 +147,10 @@
   void whatItWasToldIsStricterKeyByKeyAndLeftOutWhereItIsOfOtherWorkloads() throws Exception {
     Settings own = begins(null);
     Settings colder = begins(changed("\"Cold\": 9000000", "\"Cold\": 19000000"));
-    check(colder.slowStart().warmAfter().equals(Span.ofMillis(19_000)), "nodes warm for longer");
+    check(colder.slowStart().warmUpTime().equals(Span.ofMillis(19_000)), "nodes warm for longer");
     Settings warmer = begins(changed("\"Cold\": 9000000", "\"Cold\": 1000000"));
     check(
-        warmer.slowStart().warmAfter().equals(own.slowStart().warmAfter()),
+        warmer.slowStart().warmUpTime().equals(own.slowStart().warmUpTime()),
         "and never for less than its file says");
     Settings renamed =
         begins(
--- a/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
+++ b/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
@@ -153,7 +153,7 @@
       // The decisions hear that it failed, and ask again within a second and a half.
       for (int i = 0; i < 40 && !outside.told.contains("watch"); i++) {
         Thread.sleep(50);
-        loop.submit(() -> core.timerFired(iteration.clock().now())).sync();
+        loop.submit(() -> core.onTimerFired(iteration.clock().now())).sync();
       }
       check(outside.told.contains("watch"), "nobody asks any more");
       loop.submit(watch::start).sync();
--- a/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
+++ b/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
@@ -132,10 +132,16 @@
     }
     check(strict.attemptLimits().maxAttempts() <= one.attemptLimits().maxAttempts(), "executions");
     check(
-        !strict.attemptLimits().hedgedRequests() || one.attemptLimits().hedgedRequests(),
+        !strict.attemptLimits().hedgingEnabled() || one.attemptLimits().hedgingEnabled(),
         "second copies");
-    check(!strict.replication().replicasCheck() || one.replication().replicasCheck(), "checks");
-    check(strict.drains().removalBinds() || !one.drains().removalBinds(), "removals");
+    check(
+        !strict.replication().replicasCheckFreshness()
+            || one.replication().replicasCheckFreshness(),
+        "checks");
+    check(
+        strict.drainPolicy().excludesRemovedEndpoints()
+            || !one.drainPolicy().excludesRemovedEndpoints(),
+        "removals");
   }
 
   /** A new node's budget, by age: no more under the meet than under either. */
@@ -148,12 +154,12 @@
     Span age = new Moment(chance.nextInt(1_000_000)).since(new Moment(0));
     for (Settings one : List.of(older, newer)) {
       check(
-          meet.slowStart().shareAtAge(age)
+          meet.slowStart().capacityShareAt(age)
                   * meet.slowStart().overloadFactor()
-                  / meet.identity().routers()
-              <= one.slowStart().shareAtAge(age)
+                  / meet.identity().routerCount()
+              <= one.slowStart().capacityShareAt(age)
                       * one.slowStart().overloadFactor()
-                      / one.identity().routers()
+                      / one.identity().routerCount()
                   + 1e-9,
           "budget");
     }
