--- a/router/src/main/java/basaltlever/adapter/Adapter.java
+++ b/router/src/main/java/basaltlever/adapter/Adapter.java
@@ -11,14 +11,14 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Speaks the bench's wire: reads batches, hands each event to its instance, writes one reply a
- * batch.
+ * Reads batches of events from the simulator, passes each event to its router instance, and writes
+ * one reply per batch.
  */
 public final class Adapter {
   private static final int HEADER_BYTES = 20;
   private static final int MAX_LISTS = 16;
 
-  /** The least length of each event's fields, by code; 0 where there is no such event. */
+  /** Minimum length in bytes of the fields of each event, by event code; 0 for unused codes. */
   private static final int[] MIN_FIELD_BYTES = {0, 12, 13, 39, 15, 23, 4, 4, 13, 4, 0, 8, 2};
 
   private final InputStream in;
@@ -42,7 +42,7 @@
       reply.begin(header.getInt(16));
       if (length < 0 || recordCount < 0) {
         throw new MalformedFrameException(
-            "a batch states a length of "
+            "batch header states a length of "
                 + (length & 0xffffffffL)
                 + " bytes and "
                 + (recordCount & 0xffffffffL)
@@ -60,7 +60,7 @@
   private boolean readFully(int length) throws IOException, MalformedFrameException {
     int filled = 0;
     while (filled < length) {
-      // The buffer grows with what has really come, so that a wild length can't exhaust the memory.
+      // The buffer grows with the bytes received, so that an invalid length can't exhaust the heap.
       if (filled == buffer.length) {
         buffer =
             java.util.Arrays.copyOf(buffer, (int) Math.min(2L * filled, Integer.MAX_VALUE - 8));
@@ -84,19 +84,19 @@
     for (int i = 0; i < recordCount; i++) {
       if (offset + 5 > fields.limit()) {
         throw new MalformedFrameException(
-            "a batch states " + recordCount + " records and ends after " + i);
+            "batch header states " + recordCount + " records, but the batch ends after " + i);
       }
       int code = fields.get(offset) & 0xff;
       int length = fields.getInt(offset + 1);
       offset += 5;
       if (length < 0 || length > fields.limit() - offset) {
         throw new MalformedFrameException(
-            "record " + i + " of code " + code + " reaches past its batch");
+            "record " + i + " with code " + code + " reaches past its batch");
       }
       if (code > 0 && code < MIN_FIELD_BYTES.length) {
         if (length < MIN_FIELD_BYTES[code]) {
           throw new MalformedFrameException(
-              "record " + i + " of code " + code + " has only " + length + " bytes");
+              "record " + i + " with code " + code + " has only " + length + " bytes");
         }
         if (code == 12) {
           instanceNumber = fields.getShort(offset) & 0xffff;
@@ -110,7 +110,7 @@
     }
     if (offset != fields.limit()) {
       throw new MalformedFrameException(
-          "a batch has " + (fields.limit() - offset) + " bytes after its last record");
+          "batch has " + (fields.limit() - offset) + " bytes after its last record");
     }
   }
 
@@ -118,7 +118,8 @@
     int number = fields.getInt(offset);
     int count = fields.getInt(offset + 4);
     if (number < 0 || number >= MAX_LISTS) {
-      throw new MalformedFrameException("a list has the number " + (number & 0xffffffffL));
+      throw new MalformedFrameException(
+          "list number " + (number & 0xffffffffL) + " is out of range");
     }
     if (count < 0 || 8 + (long) count * Instance.LIST_ENTRY_BYTES > length) {
       throw new MalformedFrameException(
@@ -140,7 +141,7 @@
       throws MalformedFrameException {
     if (instanceNumber < 0) {
       throw new MalformedFrameException(
-          "an event of code " + code + " comes before any instance is named");
+          "event with code " + code + " precedes the first instance record");
     }
     if (code == 1) {
       startInstance(fields, now, instanceNumber, offset, length);
@@ -149,14 +150,15 @@
     Instance instance = instanceNumber < instances.length ? instances[instanceNumber] : null;
     if (instance == null) {
       throw new MalformedFrameException(
-          "an event of code "
+          "event with code "
               + code
               + " is for instance "
               + instanceNumber
               + ", which is not running");
     }
     if (code == 8 && length < 13 + 4 * (fields.get(offset + 12) & 0xff)) {
-      throw new MalformedFrameException("a report is cut short");
+      throw new MalformedFrameException(
+          "load report is shorter than its number of values requires");
     }
     ByteBuffer entries = null;
     if (code == 2 && fields.get(offset) != 0) {
@@ -175,7 +177,7 @@
         case 7 -> instance.onTimerFired(now);
         case 8 -> instance.onPollEnded(now, fields, offset);
         case 10 -> instances[instanceNumber] = null;
-        // Streams and messages between routers have no part in these decisions.
+        // Streams and messages between routers do not affect routing decisions.
         default -> {}
       }
     } catch (RuntimeException cause) {
@@ -190,7 +192,7 @@
     int size = fields.getInt(offset + 8);
     if (size < 0 || size > length - 12) {
       throw new MalformedFrameException(
-          "the settings of instance " + instanceNumber + " reach past their record");
+          "settings of instance " + instanceNumber + " reach past their record");
     }
     byte[] text = new byte[size];
     fields.get(offset + 12, text);
--- a/router/src/main/java/basaltlever/adapter/Instance.java
+++ b/router/src/main/java/basaltlever/adapter/Instance.java
@@ -18,7 +18,8 @@
 import java.util.Arrays;
 
 /**
- * One router on the simulator's wire: each event's fields go into the core, each act into a record.
+ * One router instance in the simulator: decodes events for the router core and encodes its actions
+ * as records.
  */
 final class Instance implements Effects<Long> {
   static final int LIST_ENTRY_BYTES = 28;
@@ -78,7 +79,7 @@
 
   void onRequest(Moment now, ByteBuffer fields, int offset) throws MalformedFrameException {
     long ticket = fields.getInt(offset) & 0xffffffffL;
-    // A float holds the token only nearly: the next smaller one puts the commit later, never
+    // The token is rounded to a float. The next smaller float moves the commit time later, never
     // earlier.
     float token = fields.getFloat(offset + 33);
     Moment lastCommit =
@@ -95,7 +96,7 @@
             new Moment(fields.getLong(offset + 17)),
             lastCommit,
             0))) {
-      throw new MalformedFrameException("request " + ticket + " came twice");
+      throw new MalformedFrameException("request " + ticket + " is already open");
     }
   }
 
@@ -152,7 +153,7 @@
     return out.putInt((int) address).putShort((short) (address >> 32));
   }
 
-  /** The simulator sends at once. */
+  /** The simulator sends attempts immediately, so {@code sendBy} is not transmitted. */
   @Override
   public void startAttempt(long ticket, int attempt, Long endpoint, Span timeout, Moment sendBy) {
     putAddress(reply.addRecord(number, 7, 14).putInt((int) ticket), endpoint)
@@ -181,7 +182,7 @@
 
   @Override
   public void onEndpointRemoved(Long endpoint) {
-    // The wire has no word for it.
+    // The protocol has no record for it.
   }
 
   @Override
@@ -201,17 +202,17 @@
 
   @Override
   public void openConnections(Long endpoint, int connections) {
-    // The simulator announces no change.
+    // The simulator announces no planned switchovers.
   }
 
   @Override
   public void onSwitchoverPhaseChanged(int group, PlannedSwitchover.Phase phase, Long target) {
-    // As above.
+    // The simulator announces no planned switchovers.
   }
 
   @Override
   public void onPrimaryChanged(int group, Long endpoint, boolean found) {
-    // The simulator tells of every change of primary itself.
+    // The simulator reports each change of primary itself.
   }
 
   void sendFailure(String cause) {
--- a/router/src/main/java/basaltlever/adapter/MalformedFrameException.java
+++ b/router/src/main/java/basaltlever/adapter/MalformedFrameException.java
@@ -1,6 +1,6 @@
 package basaltlever.adapter;
 
-/** The other side sent something that the wire does not allow. */
+/** Thrown when the input violates the wire protocol. */
 public final class MalformedFrameException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/basaltlever/adapter/Reply.java
+++ b/router/src/main/java/basaltlever/adapter/Reply.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 
-/** One reply frame under construction; the buffer is used again for the next one. */
+/** Builds one reply frame; the buffer is reused for the next one. */
 final class Reply {
   private static final int HEADER_BYTES = 8;
   private ByteBuffer bytes = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
@@ -17,7 +17,9 @@
     lastInstance = -1;
   }
 
-  /** Opens a record of the instance; the caller puts exactly the stated number of field bytes. */
+  /**
+   * Adds a record for the instance; the caller must write exactly the given number of field bytes.
+   */
   ByteBuffer addRecord(int instance, int code, int length) {
     if (bytes.remaining() < length + 16) {
       ByteBuffer larger =
--- a/router/src/main/java/basaltlever/adapter/package-info.java
+++ b/router/src/main/java/basaltlever/adapter/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Speaks the simulator's wire protocol on standard input and output, on top of the same router
- * core.
+ * Implements the simulator's wire protocol on standard input and output, using the same router core
+ * as the socket server.
  */
 package basaltlever.adapter;
--- a/router/src/main/java/basaltlever/core/IdIndex.java
+++ b/router/src/main/java/basaltlever/core/IdIndex.java
@@ -2,7 +2,10 @@
 
 import java.util.Arrays;
 
-/** Maps the wire's ids to small indices without boxing; open addressing, kept at most half full. */
+/**
+ * Maps external ids to small indices without boxing. Uses open addressing with a load factor of at
+ * most one half.
+ */
 final class IdIndex {
   private static final long FREE = -1;
   private long[] ids = new long[64];
@@ -13,7 +16,7 @@
     Arrays.fill(ids, FREE);
   }
 
-  /** The index of the id, or -1. */
+  /** Returns the index of the id, or -1 if the id is unknown. */
   int find(long id) {
     int slot = slotOf(id);
     return ids[slot] == id ? indices[slot] : -1;
@@ -38,7 +41,7 @@
     }
     ids[slot] = FREE;
     size--;
-    // Later entries of the same run would no longer be found past the gap: they are laid anew.
+    // Lookups stop at a free slot, so the entries of the same run after it are reinserted.
     int mask = ids.length - 1;
     for (int next = (slot + 1) & mask; ids[next] != FREE; next = (next + 1) & mask) {
       long moved = ids[next];
--- a/router/src/main/java/basaltlever/core/LoadReportFormat.java
+++ b/router/src/main/java/basaltlever/core/LoadReportFormat.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Which value of a load report means what, by the names agreed in the settings. */
+/** The positions of the values in a load report, determined by the field names in the settings. */
 public final class LoadReportFormat {
   private static final int MICROS_PER_SECOND = 1_000_000;
   public final int positionIndex;
@@ -15,7 +15,10 @@
   public final List<String> names;
   private final long originMicros;
 
-  /** Positions count from the origin, on the clock of the batches. */
+  /**
+   * Creates a format; log positions are counted from the origin, in microseconds on the caller's
+   * clock.
+   */
   public LoadReportFormat(List<String> names, long originMicros) {
     this.names = names;
     this.originMicros = originMicros;
@@ -25,26 +28,32 @@
     queueIndex = names.indexOf("backlog");
   }
 
-  /** Rounded down, since a position that is too new would let a stale read through. */
+  /**
+   * Returns the log position for the seconds since the origin. It is rounded down, because a
+   * position that is too new would allow a stale read.
+   */
   public Moment positionAt(double seconds) {
     return seconds > 0 && seconds < 1e12
         ? new Moment(originMicros + (long) Math.floor(seconds * MICROS_PER_SECOND))
         : Moment.LONG_AGO;
   }
 
-  /** The role that a report states by this value. */
+  /** Returns the role that a report states by the given value. */
   public Role roleOf(double value) {
     return value >= 0.5 ? Role.PRIMARY : value >= 0 ? Role.REPLICA : Role.UNKNOWN;
   }
 
-  /** The moment so many milliseconds after the origin; long ago where that is 0. */
+  /**
+   * Returns the time at the given number of milliseconds after the origin; {@link Moment#LONG_AGO}
+   * for 0.
+   */
   public Moment momentAtMillis(long millis) {
     return millis == 0 ? Moment.LONG_AGO : new Moment(originMicros + millis * 1_000);
   }
 
   /**
-   * The values of a report that is a text of name=value pairs, by their places; NaN for what it
-   * lacks.
+   * Parses a report of name=value pairs and returns its values in the order of the field names; NaN
+   * for missing ones.
    */
   public double[] parseValues(String report) {
     double[] values = new double[names.size()];
@@ -59,7 +68,7 @@
     return values;
   }
 
-  /** The value at a place of a report; NaN where the report has no such place. */
+  /** Returns the value at an index of a report; NaN if the report has no such field. */
   public double valueAt(double[] values, int index) {
     return index < 0 ? Double.NaN : values[index];
   }
--- a/router/src/main/java/basaltlever/core/StatementRouter.java
+++ b/router/src/main/java/basaltlever/core/StatementRouter.java
@@ -23,9 +23,9 @@
 import java.util.function.Function;
 
 /**
- * One router without its I/O: turns the outside's ids into small indices, counts the executions
- * that are out and sees to it that each statement gets one final answer. Sockets and the simulator
- * both stand on it.
+ * One router without I/O. Maps external ids to small indices, counts the attempts in flight and
+ * ensures that each statement gets exactly one final response. Both the socket server and the
+ * simulator adapter use it.
  */
 public final class StatementRouter<N> implements DecisionSink {
   private static final int INITIAL_SLOTS = 256;
@@ -41,8 +41,8 @@
   private long[] tickets = new long[INITIAL_SLOTS];
 
   /**
-   * Attempts in flight, and one more while the final answer is owed: at zero the slot is free
-   * again.
+   * References to each slot: its attempts in flight, plus one until the final response. At zero the
+   * slot is free.
    */
   private int[] referenceCounts = new int[INITIAL_SLOTS];
 
@@ -57,18 +57,18 @@
     this.balancer = balancerFactory.apply(this);
   }
 
-  /** Other values for the decisions, as agreed from now on. */
+  /** Applies a change of settings to the balancer. */
   public void applySettings(Moment now, Consumer<LoadBalancer> change) {
     change.accept(balancer);
     balancer.timerFired(now);
   }
 
-  /** An endpoint list begins. */
+  /** Called at the start of an endpoint list. */
   public void onListStarted() {
     balancer.listStarted();
   }
 
-  /** The list names an endpoint. */
+  /** Called for each endpoint in the list. */
   public void onEndpointListed(
       Moment now,
       N endpoint,
@@ -90,45 +90,55 @@
     }
     balancer.endpointListed(now, index, lifecycle, group, zone, size, startedAt);
     if (isNew) {
-      // Spread by the odd multiplier of Knuth's multiplicative hash: ids may share their low bits.
+      // Endpoint ids may share their low bits, so they are spread by the odd multiplier of Knuth's
+      // multiplicative hash.
       balancer.ringOrderKnown(index, endpoint.hashCode() * 0x9E3779B1);
     }
   }
 
-  /** What was learned of members' positions came by a clock that was wrong. */
+  /**
+   * Discards the positions recorded for endpoints, because they were measured by a clock that was
+   * wrong.
+   */
   public void resetPositions(Moment now) {
     balancer.forgetPositions(now);
   }
 
-  /** Tells on-call how much of the list is polled regularly, where that has changed. */
+  /**
+   * Reports to on-call how many of the listed endpoints are polled regularly, if that has changed.
+   */
   public void reportPolledGroups() {
     balancer.reportPolledGroups();
   }
 
-  /** Members there are, and those gone that a rule may still ask for. */
+  /** Returns the number of endpoints, including removed ones that decisions may still refer to. */
   public int endpointCount() {
     return endpointIndices.size();
   }
 
-  /** Whether no execution is out at it; so it is where nobody knows it. */
+  /** Returns whether no attempt is in flight at the endpoint; also true for an unknown endpoint. */
   public boolean isIdle(N endpoint) {
     Integer index = endpointIndices.get(endpoint);
     return index == null || balancer.learnedState().attemptsInFlight(index) == 0;
   }
 
-  /** What was known of a node before this process, right after it is listed. */
+  /**
+   * Restores the state that an earlier process recorded for an endpoint. Called right after the
+   * endpoint is listed.
+   */
   public void restore(Moment now, N endpoint, EndpointState state) {
     balancer.learnedState().restore(now, endpointIndices.get(endpoint), state);
   }
 
-  /** Takes in what an earlier process learned of groups. */
+  /** Restores the state that an earlier process recorded for groups. */
   public void restore(Moment now, List<GroupState> groups) {
     groups.forEach(group -> balancer.learnedState().restore(now, group));
   }
 
   /**
-   * What has been learned of some nodes by now: those of so many places from the given one on.
-   * False where no place is left. A fleet told in one go would hold up the loop.
+   * Passes the learned state of a range of endpoint indices to the consumer. Returns false if no
+   * index is left. The range is limited because exporting a large endpoint list in one call would
+   * delay the event loop.
    */
   public boolean collectEndpointStates(
       Moment now, int fromIndex, int maxEndpoints, BiConsumer<N, EndpointState> consumer) {
@@ -141,22 +151,29 @@
     return end < endpoints.size();
   }
 
-  /** What has been learned of all groups by now. */
+  /** Returns the learned state of all groups. */
   public List<GroupState> groupStates(Moment now) {
     return balancer.learnedState().learnedOfGroups(now);
   }
 
-  /** The list ends; it may be complete, and may answer a call for it. */
+  /**
+   * Called at the end of an endpoint list.
+   *
+   * @param complete whether the list contains all endpoints
+   * @param requested whether the list answers a request for it
+   */
   public void onListFinished(Moment now, boolean complete, boolean requested) {
     balancer.listFinished(now, complete, requested);
   }
 
-  /** A call for the list failed. */
+  /** Called when a request for the endpoint list failed. */
   public void onListCallFailed(Moment now) {
     balancer.listCallFailed(now);
   }
 
-  /** False where a statement with this ticket is still here. */
+  /**
+   * Called when a statement arrives. Returns false if a statement with this ticket is still open.
+   */
   public boolean onStatementReceived(Moment now, long ticket, StatementRequest request) {
     if (slotIndex.find(ticket) >= 0) {
       return false;
@@ -185,8 +202,9 @@
   }
 
   /**
-   * True where this is the statement's final answer. Where the outside ends statements by itself it
-   * says so with {@code finished}.
+   * Called when an attempt ends. Returns whether this outcome is the statement's final response.
+   *
+   * @param finished whether the caller has already ended the statement
    */
   public boolean onAttemptEnded(
       Moment now,
@@ -214,14 +232,17 @@
     return wasInFlight && completes;
   }
 
-  /** A fresh read that a replica answered may lack what it had to see. */
+  /**
+   * Replaces the outcome of a fresh read by {@code MISS} if a replica answered it, because the
+   * replica may lack required data.
+   */
   private AttemptOutcome checkFreshness(int slot, AttemptOutcome outcome, Role role) {
     boolean mayBeStale =
         outcome == AttemptOutcome.COMPLETED && role == Role.REPLICA && balancer.needsFresh(slot);
     return mayBeStale ? AttemptOutcome.MISS : outcome;
   }
 
-  /** A poll ended. */
+  /** Called when a poll ends. */
   public void onPollEnded(
       Moment now,
       N endpoint,
@@ -237,8 +258,8 @@
   }
 
   /**
-   * A member's word on a planned change of its group's primary; false where it names nobody that is
-   * known.
+   * Called when an endpoint announces a planned switchover of its group's primary. Returns false if
+   * the target is unknown or nothing has changed.
    */
   public boolean onSwitchoverAnnounced(
       Moment now, N announcer, long number, N target, Moment startAt, boolean cancelled) {
@@ -250,7 +271,7 @@
             now, announcerIndex, number, targetIndex, startAt, cancelled);
   }
 
-  /** A client waits no longer and needs no answer. */
+  /** Called when a client has disconnected and needs no response. */
   public void onClientDisconnected(Moment now, long ticket) {
     int slot = slotIndex.find(ticket);
     if (slot >= 0) {
@@ -260,8 +281,8 @@
   }
 
   /**
-   * The time of a statement is over: the decisions give their final answer now, if they have not
-   * yet.
+   * Called when the time limit of a statement has passed: it gets its final response now, if it has
+   * none yet.
    */
   public void onDeadlinePassed(Moment now, long ticket) {
     int slot = slotIndex.find(ticket);
@@ -271,7 +292,7 @@
     }
   }
 
-  /** The timer fired, or time has passed. */
+  /** Called when the timer fires or time has passed. */
   public void onTimerFired(Moment now) {
     balancer.timerFired(now);
   }
--- a/router/src/main/java/basaltlever/core/package-info.java
+++ b/router/src/main/java/basaltlever/core/package-info.java
@@ -1,2 +1,5 @@
-/** One router without I/O: maps outside ids to indices and owes each statement one final answer. */
+/**
+ * One router without I/O: maps external ids to indices and ensures one final response for each
+ * statement.
+ */
 package basaltlever.core;
--- a/router/src/main/java/basaltlever/gateway/AttemptOutcome.java
+++ b/router/src/main/java/basaltlever/gateway/AttemptOutcome.java
@@ -1,6 +1,6 @@
 package basaltlever.gateway;
 
-/** How an execution or a poll ended. */
+/** The outcome of an attempt or a poll. */
 public enum AttemptOutcome {
   COMPLETED(false, true),
   ERROR(false, true),
@@ -10,15 +10,15 @@
   RESET(false, false),
   CANCELLED(false, false),
   NEVER_SENT(true, false),
-  /** This router had no descriptor for it: tells nothing of the node. */
+  /** This router had no free file descriptor; no evidence about the state of the endpoint. */
   NO_DESCRIPTOR(true, false),
   MISS(true, true),
   UNKNOWN(false, false);
 
-  /** True where the ending itself proves that nothing ran. */
+  /** Whether the outcome itself proves that the statement was not executed. */
   public final boolean provesNotExecuted;
 
-  /** True where it is an answer of the node. */
+  /** Whether the endpoint itself responded. */
   public final boolean answeredByEndpoint;
 
   AttemptOutcome(boolean provesNotExecuted, boolean answeredByEndpoint) {
--- a/router/src/main/java/basaltlever/gateway/DecisionSink.java
+++ b/router/src/main/java/basaltlever/gateway/DecisionSink.java
@@ -5,23 +5,27 @@
 import basaltlever.time.Span;
 
 /**
- * The outputs of the decisions. Endpoints and statements go by the small indices that their caller
- * gave them.
+ * Receives the outputs of routing decisions. Endpoints and statements are identified by the small
+ * indices that the caller assigned to them.
  */
 public interface DecisionSink {
   /**
-   * Starts an attempt; they count 0, 1, 2 for each statement. A timeout of zero lasts as long as
-   * the client waits. An attempt that can't be sent by the given moment must not be sent.
+   * Starts an attempt; the attempts of a statement are numbered 0, 1, 2. A timeout of zero means
+   * that the attempt may run until the client's deadline. An attempt that can't be sent by {@code
+   * sendBy} must not be sent.
    */
   void startAttempt(int statement, int endpoint, Span timeout, Moment sendBy);
 
   /** Cancels an attempt in flight. */
   void cancel(int statement, int attempt);
 
-  /** Final answer: a retry is harmless, and best after the span (Retry-After). */
+  /**
+   * Sends the final response: the statement was not executed and can be retried safely, preferably
+   * after the given delay (Retry-After).
+   */
   void reject(int statement, Span retryAfter, RejectReason reason);
 
-  /** Final answer: it may or may not have had an effect. */
+  /** Sends the final response: the statement may or may not have taken effect. */
   void abort(int statement);
 
   /** Polls an endpoint for its load report. */
@@ -30,27 +34,27 @@
   /** Closes idle connections to an endpoint. */
   void closeIdleConnections(int endpoint);
 
-  /** The endpoint is gone with nothing in flight: its index is free for another. */
+  /** Called when an endpoint is removed and has nothing in flight; its index may be reused. */
   void onEndpointRemoved(int endpoint);
 
-  /** Asks for the endpoint list and its changes from now on. */
+  /** Requests the endpoint list and a subscription to its changes. */
   void watchEndpointList();
 
-  /** Sets the timer, in place of an earlier one. */
+  /** Sets the timer and replaces an earlier one. */
   void setTimer(Span delay);
 
-  /** Opens connections to an endpoint ahead of need, until so many are idle. */
+  /** Opens connections to an endpoint in advance, until the given number is idle. */
   void openConnections(int endpoint, int connections);
 
-  /** Reports the phase of a planned switchover to on-call; its target may be -1. */
+  /** Reports the phase of a planned switchover to on-call; the target may be -1. */
   void onSwitchoverPhaseChanged(int group, PlannedSwitchover.Phase phase, int target);
 
   /**
-   * Reports to on-call how many groups and members are polled regularly, of how many members that
+   * Reports to on-call how many groups and endpoints are polled regularly, and how many endpoints
    * are listed.
    */
   default void onPolledGroupsChanged(int groups, int endpoints, int listed) {}
 
-  /** Reports to on-call that a group has found its primary, or lost it. */
+  /** Reports to on-call that the primary of a group was found or lost. */
   void onPrimaryChanged(int group, int endpoint, boolean found);
 }
--- a/router/src/main/java/basaltlever/gateway/EndpointLifecycle.java
+++ b/router/src/main/java/basaltlever/gateway/EndpointLifecycle.java
@@ -1,6 +1,6 @@
 package basaltlever.gateway;
 
-/** What the member list says of a node. */
+/** The state of an endpoint in the endpoint list. */
 public enum EndpointLifecycle {
   READY,
   DRAINING,
--- a/router/src/main/java/basaltlever/gateway/PoolSettings.java
+++ b/router/src/main/java/basaltlever/gateway/PoolSettings.java
@@ -2,9 +2,14 @@
 
 import basaltlever.time.Span;
 
-/** How many executions a connection carries at once, and after how long an idle one closes. */
+/**
+ * Settings of the connection pool.
+ *
+ * @param streamsPerConnection the number of attempts that one connection carries concurrently
+ * @param idleTimeout the time after which an idle connection is closed
+ */
 public record PoolSettings(int streamsPerConnection, Span idleTimeout) {
-  /** Whether one of a node's may carry one more execution. */
+  /** Returns whether some connection to an endpoint can carry one more attempt. */
   public boolean hasCapacity(int inFlight, int idleConnections) {
     return streamsPerConnection > 1 ? inFlight < streamsPerConnection : idleConnections > 0;
   }
--- a/router/src/main/java/basaltlever/gateway/RejectReason.java
+++ b/router/src/main/java/basaltlever/gateway/RejectReason.java
@@ -1,13 +1,13 @@
 package basaltlever.gateway;
 
-/** Why a statement is refused though nothing of it was done. */
+/** The reason why a statement is rejected without having been executed. */
 public enum RejectReason {
-  /** No server had room for it, or no primary was found, for as long as it may wait. */
+  /** No endpoint had capacity, or no primary was found, before the statement's time limit. */
   OVERDUE,
-  /** Its group's servers answer late; less important statements are not begun. */
+  /** The endpoints of its group respond late; statements of lower priority are not started. */
   SHED,
-  /** The hold has no room for it. */
+  /** The hold queue is full. */
   HOLD_FULL,
-  /** Its attempts are used up, or what it asks for fails everywhere. */
+  /** All attempts are used up, or the statement fails on every endpoint. */
   NO_ATTEMPT_LEFT
 }
--- a/router/src/main/java/basaltlever/gateway/Role.java
+++ b/router/src/main/java/basaltlever/gateway/Role.java
@@ -1,6 +1,6 @@
 package basaltlever.gateway;
 
-/** What a member says it is. */
+/** The role that an endpoint reports. */
 public enum Role {
   UNKNOWN,
   PRIMARY,
--- a/router/src/main/java/basaltlever/gateway/Settings.java
+++ b/router/src/main/java/basaltlever/gateway/Settings.java
@@ -1,7 +1,8 @@
 package basaltlever.gateway;
 
 /**
- * All that a router and its operator have agreed: it holds as a whole, and is exchanged as a whole.
+ * The settings that the router and its operator have agreed on. They are always replaced as one
+ * unit.
  */
 public record Settings(
     RouterIdentity identity,
--- a/router/src/main/java/basaltlever/gateway/SlowStartPolicy.java
+++ b/router/src/main/java/basaltlever/gateway/SlowStartPolicy.java
@@ -2,11 +2,20 @@
 
 import basaltlever.time.Span;
 
-/** How a node that has just started gains strength, and what topples it. */
+/**
+ * Describes how the capacity of a restarted endpoint grows, and which load overwhelms it.
+ *
+ * @param initialShare the share of its capacity that an endpoint has right after its start
+ * @param warmUpTime the time until an endpoint has its full capacity
+ * @param overloadFactor the load relative to the present capacity above which an endpoint is
+ *     overloaded
+ * @param overloadTime the duration of such a load after which the endpoint fails
+ */
 public record SlowStartPolicy(
     double initialShare, Span warmUpTime, double overloadFactor, Span overloadTime) {
   /**
-   * The least share of its strength that a node has at this age, taken to rise evenly; 1 once warm.
+   * Returns the minimum share of its capacity that an endpoint of the given age has, assuming a
+   * linear increase; 1 once it has warmed up.
    */
   public double capacityShareAt(Span age) {
     return age.isShorterThan(warmUpTime)
--- a/router/src/main/java/basaltlever/gateway/Workload.java
+++ b/router/src/main/java/basaltlever/gateway/Workload.java
@@ -3,17 +3,17 @@
 import basaltlever.time.Span;
 
 /**
- * One kind of statement, as agreed in the settings.
+ * One kind of statement, as defined in the settings.
  *
- * @param consistency how new the data must be
- * @param maxStaleness the staleness allowed where it is bounded
+ * @param consistency the required freshness of the data
+ * @param maxStaleness the maximum staleness, for bounded consistency
  * @param idempotency whether a statement may be executed more than once
- * @param deduplicationScope where repeats of a deduplicated statement are dropped
- * @param deduplicationWindow for how long repeats are dropped
+ * @param deduplicationScope where duplicates of a deduplicated statement are dropped
+ * @param deduplicationWindow the time for which duplicates are dropped
  * @param latencyObjective the latency objective
- * @param timeout how long clients wait
+ * @param timeout the time that clients wait
  * @param priorityWeight the priority weight
- * @param lateResponseValue what a late answer is worth, as a share of one in time
+ * @param lateResponseValue the value of a late response, as a share of the value of one in time
  */
 public record Workload(
     ReadConsistency consistency,
@@ -26,7 +26,7 @@
     double priorityWeight,
     double lateResponseValue) {
 
-  /** How new the data under it must be. */
+  /** The required freshness of the data. */
   public enum ReadConsistency {
     WRITE,
     FRESH,
@@ -42,14 +42,14 @@
     NON_IDEMPOTENT
   }
 
-  /** Where repeats of a deduplicated statement are dropped. */
+  /** The scope within which duplicates of a deduplicated statement are dropped. */
   public enum DeduplicationScope {
     ALL,
     ZONE,
     GROUP
   }
 
-  /** Whether only the primary can execute its statements. */
+  /** Returns whether only the primary can execute its statements. */
   public boolean requiresPrimary() {
     return consistency == ReadConsistency.WRITE || consistency == ReadConsistency.FRESH;
   }
--- a/router/src/main/java/basaltlever/gateway/package-info.java
+++ b/router/src/main/java/basaltlever/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** The settings that decisions work with, and the interface through which decisions take effect. */
+/** Defines the settings that decisions depend on and the interface that receives their outputs. */
 package basaltlever.gateway;
--- a/router/src/main/java/basaltlever/model/Endpoint.java
+++ b/router/src/main/java/basaltlever/model/Endpoint.java
@@ -3,7 +3,9 @@
 import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.time.Moment;
 
-/** One database server as listed, with all that this router knows about it. */
+/**
+ * A database server in the endpoint list, with the state that this router has collected about it.
+ */
 public final class Endpoint {
   private final int id;
   private final PollState polling = new PollState();
@@ -22,29 +24,31 @@
   private Moment listedStart = Moment.LONG_AGO;
   private int ringOrder;
 
-  /** An endpoint that is not yet listed, with the number of attempts it may have in flight. */
+  /**
+   * Creates an endpoint that is not yet listed, with the number of attempts it may have in flight.
+   */
   public Endpoint(int id, double capacity) {
     this.id = id;
     ringOrder = id;
     load = new LoadState(capacity);
   }
 
-  /** The index that the caller gave it. */
+  /** Returns the index that the caller assigned to the endpoint. */
   public int id() {
     return id;
   }
 
-  /** The group it belongs to. */
+  /** Returns the group that the endpoint belongs to. */
   public ReplicaGroup group() {
     return group;
   }
 
-  /** Moves it to a group; the group's members are the caller's business. */
+  /** Assigns the endpoint to a group; the caller updates the list of endpoints in the group. */
   public void assignTo(ReplicaGroup newGroup) {
     group = newGroup;
   }
 
-  /** What the endpoint list says about it now. */
+  /** Records the endpoint's entry in the endpoint list. */
   public void updateListing(int listedZone, double listedSize, Moment startedAt, int generation) {
     zone = listedZone;
     relativeSize = listedSize;
@@ -52,92 +56,94 @@
     listGeneration = generation;
   }
 
-  /** The zone it runs in. */
+  /** Returns the zone that the endpoint runs in. */
   public int zone() {
     return zone;
   }
 
-  /** How much it can do, relative to other endpoints. */
+  /** Returns the capacity relative to other endpoints. */
   public double relativeSize() {
     return relativeSize;
   }
 
-  /** When it started, according to the list. */
+  /** Returns the start time according to the endpoint list. */
   public Moment listedStart() {
     return listedStart;
   }
 
-  /** The latest endpoint list that named it. */
+  /** Returns the generation of the latest endpoint list that contains the endpoint. */
   public int listGeneration() {
     return listGeneration;
   }
 
-  /** Its state in the endpoint list. */
+  /** Returns the state in the endpoint list. */
   public EndpointLifecycle lifecycle() {
     return lifecycle;
   }
 
-  /** Sets its state in the endpoint list. */
+  /** Sets the state in the endpoint list. */
   public void setLifecycle(EndpointLifecycle state) {
     lifecycle = state;
   }
 
-  /** Whether it was listed as draining before it went. */
+  /** Returns whether the endpoint was listed as draining before its removal. */
   public boolean wasDraining() {
     return wasDraining;
   }
 
-  /** Sets whether it was listed as draining. */
+  /** Sets whether the endpoint was listed as draining. */
   public void setWasDraining(boolean draining) {
     wasDraining = draining;
   }
 
-  /** The order of a group's members that is the same at all routers. */
+  /**
+   * Returns the position in the order of the group's endpoints, which is the same on all routers.
+   */
   public int ringOrder() {
     return ringOrder;
   }
 
-  /** Sets its place in the order of its group's members. */
+  /** Sets the position in the order of the group's endpoints. */
   public void setRingOrder(int order) {
     ringOrder = order;
   }
 
-  /** Whether the list has it in service. */
+  /** Returns whether the endpoint list has the endpoint in service. */
   public boolean isInService() {
     return lifecycle == EndpointLifecycle.READY;
   }
 
-  /** Whether this router has polled it or sent it a statement. */
+  /** Returns whether this router has polled the endpoint or sent it a statement. */
   public boolean wasContacted() {
     return polling.sentAt().isAfter(Moment.LONG_AGO) || load.hasReceivedStatement();
   }
 
-  /** When it was and will be polled. */
+  /** Returns the state of its polls. */
   public PollState polling() {
     return polling;
   }
 
-  /** What it reported about being primary. */
+  /** Returns the reports about its role as primary. */
   public RoleReports roles() {
     return roles;
   }
 
-  /** Its faults. */
+  /** Returns its observed faults. */
   public HealthState health() {
     return health;
   }
 
-  /** What is in flight there, and its load. */
+  /** Returns the attempts in flight and the load. */
   public LoadState load() {
     return load;
   }
 
-  /** Its position in the log and its lag. */
+  /** Returns its position in the log and its lag. */
   public ReplicationState replication() {
     return replication;
   }
 
-  /** Its slow start. */
+  /** Returns the state of its slow start. */
   public WarmUpState warmUp() {
     return warmUp;
   }
--- a/router/src/main/java/basaltlever/model/HealthState.java
+++ b/router/src/main/java/basaltlever/model/HealthState.java
@@ -2,9 +2,9 @@
 
 import basaltlever.time.Moment;
 
-/** Faults of an endpoint that this router has seen. */
+/** Tracks the faults of an endpoint that this router has observed. */
 public final class HealthState {
-  /** More trials than this do not make the pause between them any longer. */
+  /** The pause between recovery trials stops growing after this number of trials. */
   private static final int MAX_COUNTED_RECOVERY_TRIALS = 2;
 
   private static final int MAX_COUNTED_QUEUE_FULL_RESPONSES = 5;
@@ -20,113 +20,122 @@
   private Moment backoffUntil = Moment.LONG_AGO;
   private final DecayingValue failureRate = new DecayingValue();
 
-  /** Whether it has ever answered anything, if only a poll. */
+  /** Returns whether the endpoint has ever responded to a statement or a poll. */
   public boolean hasResponded() {
     return hasResponded;
   }
 
-  /** It has answered something. */
+  /** Records that the endpoint has responded to a statement or a poll. */
   public void recordResponse() {
     hasResponded = true;
   }
 
-  /** Whether it leaves unanswered what it should have answered. */
+  /** Returns whether the endpoint leaves statements or polls without a response for too long. */
   public boolean isUnresponsive() {
     return unresponsive;
   }
 
-  /** When it last fell silent. */
+  /** Returns the time at which the endpoint last became unresponsive. */
   public Moment unresponsiveSince() {
     return unresponsiveSince;
   }
 
-  /** It leaves unanswered what it should have answered. */
+  /** Marks the endpoint as unresponsive. */
   public void markUnresponsive(Moment now) {
     unresponsive = true;
     unresponsiveSince = now;
   }
 
-  /** It answered a statement, so it is silent no longer. */
+  /** Marks the endpoint as responsive after it responded to a statement. */
   public void markResponsive() {
     unresponsive = false;
     recoveryTrials = 0;
   }
 
-  /** A statement is sent to see whether the silence is over: the pause before the next doubles. */
+  /**
+   * Records that a statement was sent to an unresponsive endpoint to test whether it has recovered.
+   * Each recorded trial doubles the pause before the next one, up to a limit.
+   */
   public void recordRecoveryTrial(Moment now) {
     recoveryTrials = Math.min(MAX_COUNTED_RECOVERY_TRIALS, recoveryTrials + 1);
     lastTrialAt = now;
   }
 
-  /** Trials in a row without an answer, as far as they are counted. */
+  /** Returns the number of consecutive recovery trials without a response, up to a limit. */
   public int recoveryTrials() {
     return recoveryTrials;
   }
 
-  /** When the latest trial was sent. */
+  /** Returns the time of the latest recovery trial. */
   public Moment lastTrialAt() {
     return lastTrialAt;
   }
 
-  /** Whether connections to it fail. */
+  /** Returns whether connections to the endpoint fail. */
   public boolean isDown() {
     return down;
   }
 
-  /** Since when connections to it fail. */
+  /** Returns the time since which connections to the endpoint fail. */
   public Moment downSince() {
     return downSince;
   }
 
-  /** Connections to it fail. */
+  /** Records that connections to the endpoint fail. */
   public void markDown(Moment now) {
     downSince = down ? downSince : now;
     down = true;
   }
 
-  /** It is down since that moment, as an earlier process saw it. */
+  /** Restores the time of the failure that an earlier process recorded. */
   public void restoreDownSince(Moment since) {
     downSince = since;
   }
 
-  /** It answers. */
+  /** Marks the endpoint as reachable. */
   public void markUp() {
     down = false;
   }
 
-  /** Attempts in a row that it turned away because its queue was full. */
+  /**
+   * Returns the number of consecutive attempts that the endpoint rejected because its queue was
+   * full.
+   */
   public int consecutiveQueueFullResponses() {
     return consecutiveQueueFullResponses;
   }
 
-  /** Its queue was full once more. */
+  /** Records one more rejection because of a full queue. */
   public void recordQueueFullResponse() {
     consecutiveQueueFullResponses =
         Math.min(MAX_COUNTED_QUEUE_FULL_RESPONSES, consecutiveQueueFullResponses + 1);
   }
 
-  /** It took an attempt. */
+  /** Resets the count of rejections after the endpoint accepted an attempt. */
   public void resetQueueFullResponses() {
     consecutiveQueueFullResponses = 0;
   }
 
-  /** At least so many in a row, as an earlier process counted them. */
+  /**
+   * Raises the count of consecutive rejections to at least the one that an earlier process
+   * recorded.
+   */
   public void restoreQueueFullResponses(int count) {
     consecutiveQueueFullResponses =
         Math.min(MAX_COUNTED_QUEUE_FULL_RESPONSES, Math.max(consecutiveQueueFullResponses, count));
   }
 
-  /** It gets no statement before this moment. */
+  /** Returns the time before which no statement is sent to the endpoint. */
   public Moment backoffUntil() {
     return backoffUntil;
   }
 
-  /** Sets until when it gets no statement. */
+  /** Sets the time before which no statement is sent to the endpoint. */
   public void setBackoffUntil(Moment until) {
     backoffUntil = until;
   }
 
-  /** Share of attempts that it recently lost or failed. */
+  /** Returns the share of recent attempts that the endpoint lost or failed. */
   public DecayingValue failureRate() {
     return failureRate;
   }
--- a/router/src/main/java/basaltlever/model/HoldQueue.java
+++ b/router/src/main/java/basaltlever/model/HoldQueue.java
@@ -9,9 +9,9 @@
 import java.util.TreeSet;
 
 /**
- * The statements of one group that wait for its primary: the highest priority weight first, among
- * equals the earliest, and those of one session always in the order in which they came. Each step
- * costs the logarithm of how many there are.
+ * The statements of one group that are held until its primary is available. They are ordered by
+ * descending priority weight, then by arrival time; statements of one session keep their order of
+ * arrival. Each operation takes time logarithmic in the number of statements.
  */
 public final class HoldQueue {
   private static final Comparator<Statement> RELEASE_ORDER =
@@ -21,7 +21,7 @@
 
   private final TreeSet<Statement> releaseOrder = new TreeSet<>(RELEASE_ORDER);
 
-  /** Of each session those that are held, the earliest first; a session commonly has one. */
+  /** Statements held for each session, the earliest first; a session usually has only one. */
   private final Map<Long, ArrayDeque<Statement>> heldBySession = new HashMap<>();
 
   private int[] sizeByWorkload;
@@ -31,37 +31,39 @@
     sizeByWorkload = new int[workloads];
   }
 
-  /** Whether no statement is held. */
+  /** Returns whether no statement is held. */
   public boolean isEmpty() {
     return releaseOrder.isEmpty();
   }
 
-  /** Statements held. */
+  /** Returns the number of statements held. */
   public int size() {
     return releaseOrder.size();
   }
 
-  /** Bytes of the texts of all statements held. */
+  /** Returns the total size in bytes of the texts of all statements held. */
   public long textBytes() {
     return textBytes;
   }
 
-  /** Statements held of one workload. */
+  /** Returns the number of statements held for one workload. */
   public int size(int workload) {
     return workload < sizeByWorkload.length ? sizeByWorkload[workload] : 0;
   }
 
-  /** The statement to release first; null where there is none. */
+  /** Returns the statement to release first; null if the queue is empty. */
   public Statement first() {
     return releaseOrder.isEmpty() ? null : releaseOrder.first();
   }
 
-  /** The statement to reject where the budget is exceeded; null where there is none. */
+  /**
+   * Returns the statement to reject first if the budget is exceeded; null if the queue is empty.
+   */
   public Statement last() {
     return releaseOrder.isEmpty() ? null : releaseOrder.last();
   }
 
-  /** The last statement of one workload; null where there is none. */
+  /** Returns the last statement of one workload; null if there is none. */
   public Statement last(int workload) {
     for (Iterator<Statement> iterator = releaseOrder.descendingIterator(); iterator.hasNext(); ) {
       Statement next = iterator.next();
@@ -72,7 +74,7 @@
     return null;
   }
 
-  /** Holds a statement. It never overtakes an earlier one of its session. */
+  /** Adds a statement. It never overtakes an earlier statement of its session. */
   public void add(Statement statement) {
     statement.setHoldPriority(statement.workload().priorityWeight());
     if (statement.session() != 0) {
@@ -80,7 +82,8 @@
           heldBySession.computeIfAbsent(statement.session(), id -> new ArrayDeque<>(2));
       ArrayDeque<Statement> later = new ArrayDeque<>(0);
       while (!sessionQueue.isEmpty() && isLater(sessionQueue.peekLast(), statement)) {
-        // It was sent before and has come back: those that came after it stay behind it.
+        // The statement was sent before and is held again; statements of its session that arrived
+        // later stay behind it.
         later.push(sessionQueue.pollLast());
         statement.setHoldPriority(Math.max(statement.holdPriority(), later.peek().holdPriority()));
       }
@@ -98,7 +101,7 @@
     }
     releaseOrder.add(statement);
     if (statement.workloadIndex() >= sizeByWorkload.length) {
-      // Settings may bring workloads while this group holds others.
+      // New settings may add workloads while this group holds statements.
       sizeByWorkload = Arrays.copyOf(sizeByWorkload, statement.workloadIndex() + 1);
     }
     sizeByWorkload[statement.workloadIndex()]++;
@@ -110,7 +113,7 @@
         || (one.receivedAt().equals(other.receivedAt()) && one.id() > other.id());
   }
 
-  /** Removes a statement; no effect where it is not held. */
+  /** Removes a statement; has no effect if the statement is not held. */
   public void remove(Statement statement) {
     if (!releaseOrder.remove(statement)) {
       return;
--- a/router/src/main/java/basaltlever/model/LoadState.java
+++ b/router/src/main/java/basaltlever/model/LoadState.java
@@ -2,7 +2,7 @@
 
 import basaltlever.time.Moment;
 
-/** What this router has in flight at an endpoint, and how loaded the endpoint is. */
+/** Tracks the attempts that this router has in flight at an endpoint, and the endpoint's load. */
 public final class LoadState {
   private int inFlight;
   private boolean hasReceivedStatement;
@@ -22,22 +22,25 @@
     this.capacity = capacity;
   }
 
-  /** Attempts in flight. */
+  /** Returns the number of attempts in flight. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** Whether it was ever sent a statement. */
+  /** Returns whether this router has ever sent the endpoint a statement. */
   public boolean hasReceivedStatement() {
     return hasReceivedStatement;
   }
 
-  /** Since when attempts are in flight without any answer; never where none are. */
+  /**
+   * Returns the time since which attempts have been in flight without any response; {@link
+   * Moment#NEVER} if none is in flight.
+   */
   public Moment unansweredSince() {
     return unansweredSince;
   }
 
-  /** An attempt was sent to it. */
+  /** Records that an attempt was sent to the endpoint. */
   public void recordAttemptStart(Moment now, boolean opensConnection) {
     idleConnections = opensConnection ? 0 : idleConnections - 1;
     hasReceivedStatement = true;
@@ -46,86 +49,94 @@
     }
   }
 
-  /** One of its attempts ended. */
+  /** Records that an attempt at the endpoint ended. */
   public void recordAttemptEnd() {
     inFlight--;
   }
 
-  /** It answered some attempt. */
+  /** Records that the endpoint responded to some attempt. */
   public void recordResponse(Moment now) {
     unansweredSince = now;
   }
 
-  /** To be called once the end of an attempt has been taken in. */
+  /**
+   * Clears {@link #unansweredSince} if no attempt is in flight. Called after the outcome of an
+   * attempt has been processed.
+   */
   public void clearUnansweredIfIdle() {
     unansweredSince = inFlight == 0 ? Moment.NEVER : unansweredSince;
   }
 
-  /** Open connections that carry nothing. */
+  /** Returns the number of idle connections. */
   public int idleConnections() {
     return idleConnections;
   }
 
-  /** When a connection was last seen to be open. */
+  /**
+   * Returns the time at which a connection last became idle, that is, was last known to be open.
+   */
   public Moment lastIdleConnectionAt() {
     return lastIdleConnectionAt;
   }
 
-  /** An attempt ended and left its connection open. */
+  /** Records that an attempt ended and left its connection open. */
   public void recordIdleConnection(Moment now) {
     idleConnections++;
     lastIdleConnectionAt = now;
   }
 
-  /** All idle connections are closed. */
+  /** Records that all idle connections were closed. */
   public void clearIdleConnections() {
     idleConnections = 0;
   }
 
-  /** When it last refused a connection at once. */
+  /** Returns the time at which the endpoint last refused a connection immediately. */
   public Moment connectionRefusedAt() {
     return connectionRefusedAt;
   }
 
-  /** It refused a connection at once. */
+  /** Records that the endpoint refused a connection immediately. */
   public void recordRefusedConnection(Moment now) {
     connectionRefusedAt = now;
   }
 
-  /** The refusal has been taken into account. */
+  /** Clears the refusal after it has been evaluated. */
   public void clearRefusedConnection() {
     connectionRefusedAt = Moment.LONG_AGO;
   }
 
-  /** Share of its cores that is busy, by its latest report. */
+  /** Returns the CPU utilization in the latest load report, between 0 and 1. */
   public double cpuUtilization() {
     return cpuUtilization;
   }
 
   /**
-   * Whether its latest report held a utilization: a switch of settings changes what reports hold.
+   * Returns whether the latest load report contained the CPU utilization. A change of settings can
+   * change the contents of reports.
    */
   public boolean hasCpuUtilization() {
     return hasCpuUtilization;
   }
 
-  /** Takes in a load report. */
+  /** Records a load report. */
   public void recordReport(boolean includesCpu, double utilization) {
     hasCpuUtilization = includesCpu;
     cpuUtilization = utilization;
   }
 
-  /** How many attempts this router may have in flight here. */
+  /** Returns the number of attempts that this router may have in flight at the endpoint. */
   public double capacity() {
     return capacity;
   }
 
-  /** Sets how many attempts may be in flight. */
+  /** Sets the number of attempts that may be in flight. */
   public void setCapacity(double maxAttempts) {
     capacity = maxAttempts;
   }
 
-  /** When the capacity was last reduced because the endpoint's queue was full. */
+  /**
+   * Returns the time at which the capacity was last reduced because the endpoint's queue was full.
+   */
   public Moment capacityReducedAt() {
     return capacityReducedAt;
   }
@@ -136,17 +147,17 @@
     capacityReducedAt = now;
   }
 
-  /** Recent response time over the latency objective, less what is usual. */
+  /** Returns the recent ratio of response time to latency objective, less the usual ratio. */
   public DecayingValue excessLatencyRatio() {
     return excessLatencyRatio;
   }
 
-  /** Attempts given up on that may still occupy the endpoint. */
+  /** Returns the number of cancelled or timed-out attempts that may still occupy the endpoint. */
   public DecayingValue abandonedAttempts() {
     return abandonedAttempts;
   }
 
-  /** Work in microseconds that it recently answered for this router. */
+  /** Returns the work, in microseconds, that the endpoint recently completed for this router. */
   public DecayingValue completedWork() {
     return completedWork;
   }
--- a/router/src/main/java/basaltlever/model/PollState.java
+++ b/router/src/main/java/basaltlever/model/PollState.java
@@ -3,7 +3,10 @@
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 
-/** When an endpoint was polled, when it is polled next, and how many polls it missed in a row. */
+/**
+ * Tracks when an endpoint was polled, when its next poll is due, and how many consecutive polls it
+ * missed.
+ */
 public final class PollState {
   private Moment nextPollAt = Moment.NEVER;
   private Moment nextCheckAt = Moment.NEVER;
@@ -11,63 +14,66 @@
   private boolean inFlight;
   private int missedPolls;
 
-  /** When the next poll is due; never where nothing asks for one. */
+  /** Returns the time at which the next poll is due; {@link Moment#NEVER} if none is scheduled. */
   public Moment nextPollAt() {
     return nextPollAt;
   }
 
-  /** When the schedule has to look at the endpoint next. */
+  /** Returns the time at which the schedule must check the endpoint next. */
   public Moment nextCheckAt() {
     return nextCheckAt;
   }
 
-  /** When the latest poll was sent. */
+  /** Returns the time at which the latest poll was sent. */
   public Moment sentAt() {
     return sentAt;
   }
 
-  /** Whether a poll has been sent and not been answered. */
+  /** Returns whether a poll was sent and has not ended yet. */
   public boolean isInFlight() {
     return inFlight;
   }
 
-  /** Polls in a row without an answer. */
+  /** Returns the number of consecutive polls without a response. */
   public int missedPolls() {
     return missedPolls;
   }
 
-  /** Sets the time of the next poll; never cancels it. */
+  /** Sets the time of the next poll; {@link Moment#NEVER} cancels it. */
   public void scheduleAt(Moment at) {
     nextPollAt = at;
   }
 
-  /** Brings the next poll forward to the given time where it would be later. */
+  /** Moves the next poll forward to the given time if it is scheduled later. */
   public void scheduleNoLaterThan(Moment at) {
     nextPollAt = nextPollAt.earlier(at);
   }
 
-  /** A poll was sent. */
+  /** Records that a poll was sent. */
   public void recordPollSent(Moment now) {
     inFlight = true;
     sentAt = now;
   }
 
-  /** The poll was answered, failed or timed out. */
+  /** Records that the poll was answered, failed or timed out. */
   public void recordPollEnd() {
     inFlight = false;
   }
 
-  /** Counts one more poll without an answer. */
+  /** Counts one more poll without a response. */
   public void recordMissedPoll() {
     missedPolls++;
   }
 
-  /** The endpoint has answered something. */
+  /** Resets the count of missed polls after the endpoint responded to a statement or a poll. */
   public void resetMissedPolls() {
     missedPolls = 0;
   }
 
-  /** Computes when to look at the endpoint next: its poll times out, or the next one is due. */
+  /**
+   * Computes the time of the next check: when the poll in flight times out, or else when the next
+   * poll is due.
+   */
   public void updateNextCheckAt(Span timeout) {
     nextCheckAt = inFlight ? sentAt.plus(timeout) : nextPollAt;
   }
--- a/router/src/main/java/basaltlever/model/PrimarySearchState.java
+++ b/router/src/main/java/basaltlever/model/PrimarySearchState.java
@@ -4,52 +4,52 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Progress of a search for a group's primary, in rounds over its members. */
+/** Tracks the search for the primary of a group, in rounds over the group's endpoints. */
 public final class PrimarySearchState {
   private final List<Endpoint> pendingEndpoints = new ArrayList<>();
   private int nextIndex;
   private int rounds;
   private Moment roundStartedAt = Moment.LONG_AGO;
 
-  /** Members polled that have not answered; the search adds to it and removes from it. */
+  /** Returns the endpoints polled that have not responded yet. The search modifies this list. */
   public List<Endpoint> pendingEndpoints() {
     return pendingEndpoints;
   }
 
-  /** Whether the round has come to the end of so many members. */
+  /** Returns whether the round has covered all endpoints of the group. */
   public boolean isRoundOver(int endpointCount) {
     return nextIndex >= endpointCount;
   }
 
-  /** The place of the next member, and moves on. */
+  /** Returns the index of the next endpoint and advances by one. */
   public int nextIndex() {
     return nextIndex++;
   }
 
-  /** Rounds that have found none since a primary was known. */
+  /** Returns the number of rounds started since a primary was last known. */
   public int rounds() {
     return rounds;
   }
 
-  /** When the round began. */
+  /** Returns the start time of the current round. */
   public Moment roundStartedAt() {
     return roundStartedAt;
   }
 
-  /** Begins another round. */
+  /** Starts another round. */
   public void startRound(Moment now) {
     rounds++;
     nextIndex = 0;
     roundStartedAt = now;
   }
 
-  /** The primary was lost: the next search begins at once. */
+  /** Resets the search after the primary was lost, so that the next round can start immediately. */
   public void onPrimaryLost() {
     nextIndex = 0;
     roundStartedAt = Moment.LONG_AGO;
   }
 
-  /** A primary was found. */
+  /** Ends the search after a primary was found. */
   public void onPrimaryFound() {
     rounds = 0;
     nextIndex = 0;
--- a/router/src/main/java/basaltlever/model/ReplicaGroup.java
+++ b/router/src/main/java/basaltlever/model/ReplicaGroup.java
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** One primary and its replicas, and the statements that wait for one of them. */
+/** A group of one primary and its replicas, with the statements that wait for one of them. */
 public final class ReplicaGroup {
-  /** Whether a member is trusted to be primary. */
+  /** Whether the primary of the group is known. */
   public enum Phase {
-    /** No member is trusted to be primary; what needs one waits. */
+    /** No endpoint is trusted to be primary; statements that need the primary are held. */
     HOLD,
-    /** A primary is known. */
+    /** The primary is known. */
     STEADY
   }
 
@@ -41,7 +41,7 @@
   private boolean polledRegularly;
   private boolean hasResponded;
 
-  /** A group without members, in its hold phase. */
+  /** Creates a group without endpoints, in its hold phase. */
   public ReplicaGroup(
       int number,
       Moment now,
@@ -59,22 +59,25 @@
     this.maxReportAge = maxReportAge;
   }
 
-  /** The number by which statements and the endpoint list name it. */
+  /** Returns the number that identifies the group in statements and in the endpoint list. */
   public int number() {
     return number;
   }
 
-  /** Its members, to be read only. */
+  /** Returns the endpoints of the group; callers must not modify the list. */
   public List<Endpoint> endpoints() {
     return endpoints;
   }
 
-  /** Members that reported themselves primary at some time, to be read only. */
+  /**
+   * Returns the endpoints that have ever reported themselves primary; callers must not modify the
+   * list.
+   */
   public List<Endpoint> primaryReporters() {
     return primaryReporters;
   }
 
-  /** Adds a member. */
+  /** Adds an endpoint. */
   public void addEndpoint(Endpoint endpoint) {
     endpoints.add(endpoint);
     if (endpoint.roles().hasReportedPrimary()) {
@@ -82,7 +85,7 @@
     }
   }
 
-  /** Removes a member. */
+  /** Removes an endpoint. */
   public void removeEndpoint(Endpoint endpoint) {
     endpoints.remove(endpoint);
     primaryReporters.remove(endpoint);
@@ -90,62 +93,62 @@
     subset.markStale();
   }
 
-  /** A member reports itself primary for the first time. */
+  /** Adds an endpoint that reported itself primary for the first time. */
   public void addPrimaryReporter(Endpoint endpoint) {
     primaryReporters.add(endpoint);
   }
 
-  /** Statements held until a primary is known and has capacity. */
+  /** Returns the statements that are held until a primary is known and has capacity. */
   public HoldQueue heldStatements() {
     return heldStatements;
   }
 
-  /** Reads that wait for capacity or for a position. */
+  /** Returns the reads that wait for capacity or for a replica to reach their position. */
   public PriorityQueue<Statement> waitingReads() {
     return waitingReads;
   }
 
-  /** The planned switchover that its members announce. */
+  /** Returns the planned switchover that the endpoints of the group announce. */
   public PlannedSwitchover switchover() {
     return switchover;
   }
 
-  /** The search for its primary. */
+  /** Returns the state of the search for the primary. */
   public PrimarySearchState search() {
     return search;
   }
 
-  /** The members that reads go to, where the group is large. */
+  /** Returns the subset of endpoints that reads are sent to if the group is large. */
   public SubsetState subset() {
     return subset;
   }
 
-  /** Whether a primary is known. */
+  /** Returns the phase of the group. */
   public Phase phase() {
     return phase;
   }
 
-  /** Since when no primary is known. */
+  /** Returns the start time of the latest hold phase. */
   public Moment holdSince() {
     return holdSince;
   }
 
-  /** When a primary was last found. */
+  /** Returns the time at which a primary was last found. */
   public Moment primaryFoundAt() {
     return primaryFoundAt;
   }
 
-  /** The primary; null where none is known. */
+  /** Returns the primary; null if none is known. */
   public Endpoint primary() {
     return primary;
   }
 
-  /** The primary that was lost; null once one is known. */
+  /** Returns the primary that was lost; null once a primary is known. */
   public Endpoint lostPrimary() {
     return lostPrimary;
   }
 
-  /** The primary is no longer trusted: the hold phase begins. */
+  /** Starts the hold phase because the primary is no longer trusted. */
   public void markPrimaryLost(Moment now) {
     phase = Phase.HOLD;
     holdSince = now;
@@ -154,7 +157,7 @@
     search.onPrimaryLost();
   }
 
-  /** A member is trusted to be primary from now on. */
+  /** Sets the endpoint that is trusted to be primary and ends the hold phase. */
   public void setPrimary(Endpoint found, Moment now) {
     Endpoint former = primary != null ? primary : lostPrimary;
     if (former != null) {
@@ -168,57 +171,60 @@
     lostPrimary = null;
   }
 
-  /** How old load reports have recently been on arrival, at most. */
+  /** Returns the maximum age on arrival of recent load reports. */
   public Span maxReportAge() {
     return maxReportAge;
   }
 
-  /** Sets how old load reports are at most. */
+  /** Sets the maximum age on arrival of recent load reports. */
   public void setMaxReportAge(Span age) {
     maxReportAge = age;
   }
 
-  /** Recent statements a second. */
+  /** Returns the recent rate of statements per second. */
   public DecayingValue statementRate() {
     return statementRate;
   }
 
-  /** Share of reads that busy replicas recently answered late or not at all. */
+  /** Returns the recent share of reads to which busy replicas responded late or not at all. */
   public DecayingValue replicaCongestion() {
     return replicaCongestion;
   }
 
-  /** Share of reads that a busy primary recently answered late or not at all. */
+  /** Returns the recent share of reads to which a busy primary responded late or not at all. */
   public DecayingValue primaryCongestion() {
     return primaryCongestion;
   }
 
-  /** Whether it is to be evaluated again. */
+  /** Returns whether the group is queued for evaluation. */
   public boolean isEvaluationPending() {
     return evaluationPending;
   }
 
-  /** Sets whether it is to be evaluated again. */
+  /** Sets whether the group is queued for evaluation. */
   public void setEvaluationPending(boolean pending) {
     evaluationPending = pending;
   }
 
-  /** Whether its members are polled all the time, not only when a statement needs it. */
+  /**
+   * Returns whether the endpoints of the group are polled continuously, not only on demand of a
+   * statement.
+   */
   public boolean isPolledRegularly() {
     return polledRegularly;
   }
 
-  /** Sets whether its members are polled all the time. */
+  /** Sets whether the endpoints of the group are polled continuously. */
   public void setPolledRegularly(boolean regularly) {
     polledRegularly = regularly;
   }
 
-  /** Whether some member has ever answered anything. */
+  /** Returns whether any endpoint of the group has ever responded. */
   public boolean hasResponded() {
     return hasResponded;
   }
 
-  /** Some member has answered something. */
+  /** Records that an endpoint of the group has responded. */
   public void recordResponse() {
     hasResponded = true;
   }
--- a/router/src/main/java/basaltlever/model/RoleReports.java
+++ b/router/src/main/java/basaltlever/model/RoleReports.java
@@ -2,63 +2,66 @@
 
 import basaltlever.time.Moment;
 
-/** What an endpoint reported about being its group's primary. */
+/** Tracks what an endpoint reported about its role as primary of its group. */
 public final class RoleReports {
   private Moment lastPrimaryReportAt = Moment.LONG_AGO;
   private Moment lastNotPrimaryReportAt = Moment.LONG_AGO;
   private boolean replaced;
 
-  /** The latest moment at which it is known to have been primary. */
+  /** Returns the latest time at which the endpoint is known to have been primary. */
   public Moment lastPrimaryReportAt() {
     return lastPrimaryReportAt;
   }
 
-  /** The latest moment at which it is known not to have been primary. */
+  /** Returns the latest time at which the endpoint is known not to have been primary. */
   public Moment lastNotPrimaryReportAt() {
     return lastNotPrimaryReportAt;
   }
 
-  /** Whether another took its place as primary and it has not reported itself replica since. */
+  /**
+   * Returns whether another endpoint has replaced it as primary and it has not reported itself
+   * replica since.
+   */
   public boolean isReplaced() {
     return replaced;
   }
 
-  /** Whether it reported itself primary at some time. */
+  /** Returns whether the endpoint has ever reported itself primary. */
   public boolean hasReportedPrimary() {
     return lastPrimaryReportAt.isAfter(Moment.LONG_AGO);
   }
 
-  /** Whether its latest report says that it is primary. */
+  /** Returns whether the latest report states that the endpoint is primary. */
   public boolean isLatestReportPrimary() {
     return lastPrimaryReportAt.isAfter(lastNotPrimaryReportAt);
   }
 
-  /** Whether its latest report says that it is not primary. */
+  /** Returns whether the latest report states that the endpoint is not primary. */
   public boolean isLatestReportNotPrimary() {
     return lastNotPrimaryReportAt.isAfter(lastPrimaryReportAt);
   }
 
-  /** It was primary at that moment. */
+  /** Records that the endpoint was primary at the given time. */
   public void recordPrimary(Moment at) {
     lastPrimaryReportAt = lastPrimaryReportAt.later(at);
   }
 
-  /** It was not primary at that moment. */
+  /** Records that the endpoint was not primary at the given time. */
   public void recordNotPrimary(Moment at) {
     lastNotPrimaryReportAt = lastNotPrimaryReportAt.later(at);
   }
 
-  /** Reports of being primary do not count up to that moment, replacing an earlier limit. */
+  /** Ignores reports of being primary up to the given time; replaces an earlier limit. */
   public void ignorePrimaryReportsUntil(Moment until) {
     lastNotPrimaryReportAt = until;
   }
 
-  /** Another member is primary in its place. */
+  /** Records that another endpoint has replaced this one as primary. */
   public void recordReplaced() {
     replaced = true;
   }
 
-  /** It is primary again, or has reported itself replica. */
+  /** Records that the endpoint is primary again or has reported itself replica. */
   public void clearReplaced() {
     replaced = false;
   }
--- a/router/src/main/java/basaltlever/model/SessionWrites.java
+++ b/router/src/main/java/basaltlever/model/SessionWrites.java
@@ -4,28 +4,32 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** When each session last wrote through this router, of as many sessions as are kept. */
+/** Tracks the last write of each session through this router, for a limited number of sessions. */
 public final class SessionWrites {
   private final int maxSessions;
   private final LinkedHashMap<Long, Moment> lastWriteBySession = new LinkedHashMap<>();
   private Moment latestEvictedWrite = Moment.LONG_AGO;
 
-  /** Remembers at most so many sessions. */
+  /** Creates a tracker with the given maximum number of sessions. */
   public SessionWrites(int maxSessions) {
     this.maxSessions = maxSessions;
   }
 
-  /** When the session last wrote; for a forgotten session no earlier than it did. */
+  /**
+   * Returns the time of the session's last write. For an evicted session it is no earlier than the
+   * actual last write.
+   */
   public Moment lastWrite(long session) {
     return lastWriteBySession.getOrDefault(session, latestEvictedWrite);
   }
 
-  /** The session has committed a write. */
+  /** Records a committed write of the session. */
   public void recordWrite(long session, Moment commit) {
     Moment earlier = lastWriteBySession.remove(session);
     lastWriteBySession.put(session, earlier == null ? commit : commit.later(earlier));
     if (lastWriteBySession.size() > maxSessions) {
-      // A forgotten session's reads must still see its write, so all unknown ones must see as much.
+      // Reads of an evicted session must still see its last write. Evicted sessions can't be told
+      // apart from unknown ones, so all of them require this position.
       Map.Entry<Long, Moment> oldest = lastWriteBySession.entrySet().iterator().next();
       latestEvictedWrite = latestEvictedWrite.later(oldest.getValue());
       lastWriteBySession.remove(oldest.getKey());
--- a/router/src/main/java/basaltlever/model/Statement.java
+++ b/router/src/main/java/basaltlever/model/Statement.java
@@ -4,7 +4,7 @@
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 
-/** One statement received from a client, and its attempts. */
+/** A statement received from a client, and its attempts. */
 public final class Statement {
   private final int id;
   private final StatementArrival arrival;
@@ -30,8 +30,8 @@
   private boolean queued;
 
   /**
-   * A statement without attempts. The random share, between 0 and 1, is drawn once, so that what is
-   * decided again and again is not granted by chance in the end.
+   * Creates a statement without attempts. The random share, between 0 and 1, is drawn only once: a
+   * new draw for each repeated decision would eventually grant any request.
    */
   public Statement(
       int id, StatementArrival arrival, ReplicaGroup group, int maxAttempts, double randomShare) {
@@ -48,68 +48,74 @@
     this.openedConnection = new boolean[maxAttempts];
   }
 
-  /** The index that the caller gave it. */
+  /** Returns the index that the caller assigned to the statement. */
   public int id() {
     return id;
   }
 
-  /** Place of its workload in the settings. */
+  /** Returns the index of its workload in the settings. */
   public int workloadIndex() {
     return arrival.workloadIndex();
   }
 
-  /** The terms in force when it arrived. */
+  /** Returns the settings of its workload when it arrived. */
   public Workload workload() {
     return arrival.workload();
   }
 
-  /** The group it addresses. */
+  /** Returns the group that it addresses. */
   public ReplicaGroup group() {
     return group;
   }
 
-  /** The client's session; 0 where it has none. */
+  /** Returns the client's session; 0 if there is none. */
   public long session() {
     return arrival.session();
   }
 
-  /** When it arrived. */
+  /** Returns the arrival time. */
   public Moment receivedAt() {
     return arrival.receivedAt();
   }
 
-  /** Until when its client waits. */
+  /** Returns the time until which its client waits. */
   public Moment clientDeadline() {
     return arrival.clientDeadline();
   }
 
-  /** Bytes of its text, as far as it is kept. */
+  /** Returns the size of its text in bytes, as far as the text is stored. */
   public int textBytes() {
     return arrival.textBytes();
   }
 
-  /** Since when it has been waiting for capacity, if it is waiting. */
+  /** Returns the time since which it has been waiting for capacity, if it is waiting. */
   public Moment capacityWaitStart() {
     return capacityWaitStart;
   }
 
-  /** How long scans of this router's statements had been delayed, in all, when that wait began. */
+  /** Returns the total delay of this router's scans of its statements at the start of that wait. */
   public Span scanDelayAtWaitStart() {
     return scanDelayAtWaitStart;
   }
 
-  /** An attempt ended that was never sent: the time that it took was no wait for capacity. */
+  /**
+   * Restarts the wait for capacity after an attempt ended that was never sent; the time spent on
+   * that attempt is not a wait for capacity.
+   */
   public void restartCapacityWait(Moment now, Span scanDelay) {
     capacityWaitStart = now;
     scanDelayAtWaitStart = scanDelay;
   }
 
-  /** A number between 0 and 1 that was drawn for it once. */
+  /** Returns the random number between 0 and 1 that was drawn for the statement. */
   public double randomShare() {
     return randomShare;
   }
 
-  /** Priority weight, less where an earlier statement of its session has less. */
+  /**
+   * Returns the priority in the hold queue: the priority weight, or less if an earlier statement of
+   * its session has less.
+   */
   public double holdPriority() {
     return holdPriority;
   }
@@ -118,47 +124,47 @@
     holdPriority = priority;
   }
 
-  /** The most attempts that settings allow it. */
+  /** Returns the maximum number of attempts that the settings allow. */
   public int maxAttempts() {
     return endpoints.length;
   }
 
-  /** Attempts so far. */
+  /** Returns the number of attempts started. */
   public int attempts() {
     return attempts;
   }
 
-  /** Attempts in flight. */
+  /** Returns the number of attempts in flight. */
   public int attemptsInFlight() {
     return attemptsInFlight;
   }
 
-  /** Where an attempt was sent. */
+  /** Returns the endpoint that an attempt was sent to. */
   public Endpoint endpoint(int attempt) {
     return endpoints[attempt];
   }
 
-  /** When an attempt was sent. */
+  /** Returns the time at which an attempt was sent. */
   public Moment sentAt(int attempt) {
     return sentAt[attempt];
   }
 
-  /** Whether an attempt is in flight. */
+  /** Returns whether an attempt is in flight. */
   public boolean isInFlight(int attempt) {
     return inFlight[attempt];
   }
 
-  /** Whether an attempt ended in an error of the database. */
+  /** Returns whether an attempt ended in an error of the database. */
   public boolean endedInError(int attempt) {
     return endedInError[attempt];
   }
 
-  /** Whether an attempt had to open a connection. */
+  /** Returns whether an attempt had to open a connection. */
   public boolean openedConnection(int attempt) {
     return openedConnection[attempt];
   }
 
-  /** Starts the next attempt. */
+  /** Records the start of the next attempt. */
   public void startAttempt(Endpoint endpoint, Moment now, boolean opensConnection) {
     endpoints[attempts] = endpoint;
     sentAt[attempts] = now;
@@ -168,13 +174,13 @@
     attemptsInFlight++;
   }
 
-  /** An attempt ended. */
+  /** Records the end of an attempt. */
   public void endAttempt(int attempt) {
     inFlight[attempt] = false;
     attemptsInFlight--;
   }
 
-  /** Whether some attempt went to the endpoint. */
+  /** Returns whether any attempt was sent to the endpoint. */
   public boolean wasSentTo(Endpoint endpoint) {
     for (int i = 0; i < attempts; i++) {
       if (endpoints[i] == endpoint) {
@@ -184,7 +190,7 @@
     return false;
   }
 
-  /** The first attempt that is in flight; there must be one. */
+  /** Returns the first attempt in flight; at least one must be in flight. */
   public int firstInFlight() {
     int first = 0;
     while (!inFlight[first]) {
@@ -193,46 +199,52 @@
     return first;
   }
 
-  /** How far behind a replica may be that is sent the statement at that moment. */
+  /** Returns the maximum lag of a replica to which the statement is sent at the given time. */
   public Span allowedLag(Moment at) {
     return workload().consistency() == Workload.ReadConsistency.BOUNDED
         ? workload().maxStaleness()
         : at.since(arrival.requiredPosition());
   }
 
-  /** An endpoint answered that its data is too old, or that it is not primary. */
+  /** Records a response that the endpoint's data is too old or that the endpoint is not primary. */
   public void recordStaleResponse() {
     staleResponses++;
   }
 
-  /** Attempts that were answered with "too old" or "not primary". */
+  /** Returns the number of responses that the data was too old or the endpoint not primary. */
   public int staleResponses() {
     return staleResponses;
   }
 
-  /** An attempt ended in an error of the database. */
+  /** Records that an attempt ended in an error of the database. */
   public void recordError(int attempt, boolean endpointIsHealthy) {
     endedInError[attempt] = true;
     errorsOnHealthyEndpoints += endpointIsHealthy ? 1 : 0;
   }
 
-  /** Errors by endpoints that otherwise work: they are likely the statement's own. */
+  /**
+   * Returns the number of errors on endpoints that otherwise work; the statement itself is the
+   * likely cause.
+   */
   public int errorsOnHealthyEndpoints() {
     return errorsOnHealthyEndpoints;
   }
 
-  /** An attempt ended that may have had its effect. */
+  /** Records that an attempt ended that may have executed the statement. */
   public void recordPossibleExecution(Moment sent) {
     mayHaveExecuted = true;
     earliestPossibleExecution = earliestPossibleExecution.earlier(sent);
   }
 
-  /** Whether some ended attempt may have had its effect. */
+  /** Returns whether any attempt that has ended may have executed the statement. */
   public boolean mayHaveExecuted() {
     return mayHaveExecuted;
   }
 
-  /** The earliest sending of all attempts that may have run or may be running. */
+  /**
+   * Returns the earliest send time of all attempts that may have executed or may be executing the
+   * statement.
+   */
   public Moment earliestPossibleExecution() {
     Moment since = earliestPossibleExecution;
     for (int i = 0; i < attempts; i++) {
@@ -243,22 +255,22 @@
     return since;
   }
 
-  /** Whether it has its final answer or needs none. */
+  /** Returns whether the statement has its final response or needs none. */
   public boolean isFinished() {
     return finished;
   }
 
-  /** It has its final answer or needs none. */
+  /** Records that the statement has its final response or needs none. */
   public void finish() {
     finished = true;
   }
 
-  /** Whether it waits in a queue of its group. */
+  /** Returns whether the statement waits in a queue of its group. */
   public boolean isQueued() {
     return queued;
   }
 
-  /** It waits in a queue of its group, or does so no longer. */
+  /** Sets whether the statement waits in a queue of its group. */
   public void setQueued(boolean inQueue) {
     queued = inQueue;
   }
--- a/router/src/main/java/basaltlever/model/StatementArrival.java
+++ b/router/src/main/java/basaltlever/model/StatementArrival.java
@@ -5,17 +5,18 @@
 import basaltlever.time.Span;
 
 /**
- * What is known of a statement when it arrives.
+ * The properties of a statement that are fixed on arrival.
  *
- * @param workloadIndex place of its workload in the settings
- * @param workload the terms in force when it arrived; a change of settings does not alter them
- * @param session the client's session; 0 where it has none
- * @param receivedAt when it arrived
- * @param clientDeadline until when its client waits
- * @param requiredPosition what its data must hold at least; with bounded staleness this moves with
- *     the clock instead
- * @param textBytes bytes of its text, as far as it is kept
- * @param scanDelay how long this router's scans of its statements had been delayed by then, in all
+ * @param workloadIndex the index of its workload in the settings
+ * @param workload the settings of the workload on arrival; later changes of the settings do not
+ *     affect it
+ * @param session the client's session; 0 if there is none
+ * @param receivedAt the arrival time
+ * @param clientDeadline the time until which the client waits
+ * @param requiredPosition the position that the data read must include; with bounded staleness the
+ *     required position moves with the clock instead
+ * @param textBytes the size of its text in bytes, as far as the text is stored
+ * @param scanDelay the total delay of this router's scans of its statements at that time
  */
 public record StatementArrival(
     int workloadIndex,
--- a/router/src/main/java/basaltlever/model/SubsetState.java
+++ b/router/src/main/java/basaltlever/model/SubsetState.java
@@ -3,7 +3,10 @@
 import basaltlever.time.Moment;
 import java.util.List;
 
-/** The members of a large group that reads go to, and by how many it was widened. */
+/**
+ * Holds the subset of a large group's endpoints that reads are sent to, and the number of endpoints
+ * added to it for lack of capacity.
+ */
 public final class SubsetState {
   private List<Endpoint> endpoints;
   private Moment chosenAt = Moment.LONG_AGO;
@@ -11,56 +14,56 @@
   private int extraEndpoints;
   private Moment lastWideningAt = Moment.LONG_AGO;
 
-  /** The members chosen; null before the first choice. */
+  /** Returns the endpoints of the subset; null before the first selection. */
   public List<Endpoint> endpoints() {
     return endpoints;
   }
 
-  /** When the members were chosen. */
+  /** Returns the time of the last selection. */
   public Moment chosenAt() {
     return chosenAt;
   }
 
-  /** Whether the group has changed since. */
+  /** Returns whether the subset has to be selected again. */
   public boolean isStale() {
     return stale;
   }
 
-  /** The group has changed. */
+  /** Records that the group has changed and the subset has to be selected again. */
   public void markStale() {
     stale = true;
   }
 
-  /** Takes a new choice of members. */
+  /** Replaces the endpoints of the subset. */
   public void setEndpoints(List<Endpoint> chosen, Moment now) {
     endpoints = chosen;
     chosenAt = now;
     stale = false;
   }
 
-  /** By how many members the subset is widened. */
+  /** Returns the number of endpoints by which the subset is widened. */
   public int extraEndpoints() {
     return extraEndpoints;
   }
 
-  /** Widens the subset from its next choice on. */
+  /** Widens the subset by the given number of endpoints, from the next selection on. */
   public void widenBy(int count) {
     extraEndpoints += count;
     stale = true;
   }
 
-  /** Gives up what the subset was widened by. */
+  /** Reverts the widening, from the next selection on. */
   public void narrow() {
     extraEndpoints = 0;
     stale = true;
   }
 
-  /** When it was last tried to widen the subset. */
+  /** Returns the time of the last attempt to widen the subset. */
   public Moment lastWideningAt() {
     return lastWideningAt;
   }
 
-  /** The subset is being widened. */
+  /** Records an attempt to widen the subset. */
   public void recordWidening(Moment now) {
     lastWideningAt = now;
   }
--- a/router/src/main/java/basaltlever/model/WarmUpState.java
+++ b/router/src/main/java/basaltlever/model/WarmUpState.java
@@ -2,34 +2,39 @@
 
 import basaltlever.time.Moment;
 
-/** Since when an endpoint is warming up, and the work this router has charged to it meanwhile. */
+/**
+ * Tracks the start of an endpoint's warm-up and the work that this router has charged to it since.
+ */
 public final class WarmUpState {
   private Moment startedAt = Moment.LONG_AGO;
   private double chargedMicros;
   private Moment chargedAt = Moment.LONG_AGO;
   private boolean unusedSinceStart;
 
-  /** Its latest start, as listed, or as the router itself saw it where that is later. */
+  /**
+   * Returns the latest start of the endpoint, as listed or as observed by this router, whichever is
+   * later.
+   */
   public Moment startedAt() {
     return startedAt;
   }
 
-  /** Work charged, in microseconds, as of {@link #chargedAt}. */
+  /** Returns the work charged, in microseconds, as of {@link #chargedAt}. */
   public double chargedMicros() {
     return chargedMicros;
   }
 
-  /** When work was charged last. */
+  /** Returns the time at which work was last charged. */
   public Moment chargedAt() {
     return chargedAt;
   }
 
-  /** Whether this router has sent it nothing since its latest start. */
+  /** Returns whether this router has sent the endpoint no statement since its latest start. */
   public boolean isUnusedSinceStart() {
     return unusedSinceStart;
   }
 
-  /** It started at that moment; the initial charge delays this router's first statement. */
+  /** Records a start of the endpoint. The initial charge delays this router's first statement. */
   public void recordStart(Moment at, Moment now, double initialChargeMicros) {
     startedAt = at;
     chargedMicros = initialChargeMicros;
@@ -37,14 +42,14 @@
     chargedAt = now;
   }
 
-  /** A statement was sent to it: the total of what is charged now. */
+  /** Records that a statement was sent, with the new total of the charged work. */
   public void charge(Moment now, double totalMicros) {
     chargedMicros = totalMicros;
     chargedAt = now;
     unusedSinceStart = false;
   }
 
-  /** Takes over what an earlier process charged. */
+  /** Restores the charge that an earlier process recorded. */
   public void restore(Moment now, double totalMicros, boolean wasUnused) {
     chargedMicros = totalMicros;
     chargedAt = now;
--- a/router/src/main/java/basaltlever/model/package-info.java
+++ b/router/src/main/java/basaltlever/model/package-info.java
@@ -1,2 +1,2 @@
-/** The state that decisions keep for each endpoint, replica group and statement. */
+/** Holds the state that decisions maintain for each endpoint, replica group and statement. */
 package basaltlever.model;
--- a/router/src/main/java/basaltlever/switchover/PlannedSwitchover.java
+++ b/router/src/main/java/basaltlever/switchover/PlannedSwitchover.java
@@ -4,15 +4,15 @@
 import basaltlever.time.Span;
 
 /**
- * The planned switchover of one group's primary, as announced by its members. Free of I/O: {@code
- * PrimaryTracker} tells it what it sees. An announcement never outweighs a report of being primary:
- * statements are only held for it, for a bounded time, and the target gets none before it reports
- * itself primary.
+ * The planned switchover of one group's primary, as announced by the endpoints of the group.
+ * Performs no I/O; {@code PrimaryTracker} passes in announcements and the state of the group. An
+ * announcement never overrides a report of being primary: it only causes statements to be held, for
+ * a limited time, and the target receives none before it reports itself primary.
  */
 public final class PlannedSwitchover {
   /**
-   * In their order; an announcement that ends without its target as primary is called off from any
-   * of them.
+   * The phases in their order. From any phase before {@code POST}, a switchover is called off if it
+   * ends without its target as primary.
    */
   public enum Phase {
     NOT_CREATED,
@@ -24,29 +24,35 @@
     CALLED_OFF
   }
 
-  /** Polls and connections are made ready this long before the announced time. */
+  /** Frequent polls start and connections are opened this long before the announced time. */
   static final Span PREPARATION_TIME = Span.ofMillis(2_000);
 
-  /** Held for longer, statements would run out of time for a change that may never come. */
+  /** Statements held for longer would time out waiting for a change that may never happen. */
   static final Span MAX_HOLD_TIME = Span.ofMillis(3_000);
 
   /**
-   * How long the members are watched closely afterwards: the old primary may come back with old
-   * claims.
+   * The time for which endpoints are polled frequently after the switchover, because the former
+   * primary may return and still report itself primary.
    */
   static final Span POST_SWITCHOVER_WATCH_TIME = Span.ofMillis(5_000);
 
-  /** Announced for a time that is over by more than this, it has happened or never will. */
+  /**
+   * An announcement whose start time is further in the past than this is ignored: the switchover
+   * has already happened or never will.
+   */
   static final Span MAX_START_DELAY = Span.ofMillis(1_000);
 
   static final Span MAX_ANNOUNCEMENT_LEAD_TIME = Span.ofMillis(24 * 3_600_000.0);
 
-  /** No known member; members go by the small indices that the decisions use. */
+  /**
+   * Stands for an unknown endpoint; known ones are identified by the indices that the decisions
+   * use.
+   */
   public static final int UNKNOWN_ENDPOINT = -1;
 
-  /** Is notified of each phase as it is entered. */
+  /** Is notified when a switchover enters a phase. */
   public interface Listener {
-    /** The switchover to the target has entered a phase. */
+    /** Called when the switchover to the target has entered a phase. */
     void onPhaseEntered(Phase phase, int target);
   }
 
@@ -62,12 +68,15 @@
     this.listener = listener;
   }
 
-  /** The present phase. */
+  /** Returns the current phase. */
   public Phase phase() {
     return phase;
   }
 
-  /** The member that is to be primary; unknown before the first announcement. */
+  /**
+   * Returns the endpoint that is to become primary; {@link #UNKNOWN_ENDPOINT} before the first
+   * announcement.
+   */
   public int target() {
     return target;
   }
@@ -77,25 +86,31 @@
         && phase.ordinal() <= Phase.IN_PROGRESS.ordinal();
   }
 
-  /** New statements for the primary wait, whatever the old one still says. */
+  /**
+   * Returns whether new statements for the primary are held, even if the former primary still
+   * reports itself primary.
+   */
   public boolean isHoldingStatements() {
     return phase == Phase.IN_PROGRESS;
   }
 
-  /** The members are polled often. */
+  /** Returns whether the endpoints of the group are polled frequently. */
   public boolean needsFrequentPolls() {
     return phase == Phase.PREPARATION || phase == Phase.IN_PROGRESS || phase == Phase.POST;
   }
 
-  /** While the change goes on, what the old primary claims is its past. */
+  /**
+   * Returns whether the endpoint is the former primary of a switchover in progress; its reports of
+   * being primary are then out of date.
+   */
   public boolean isExcluded(int endpoint) {
     return phase == Phase.IN_PROGRESS && endpoint == formerPrimary;
   }
 
   /**
-   * What a member's table says: a number that rises with each announcement, whom it names and from
-   * when on. True where anything changed. Members may lag behind each other: an older number says
-   * nothing any more.
+   * Processes an announcement read from an endpoint's control table: its number, which rises with
+   * each announcement, its target and its start time. Returns whether the state has changed.
+   * Endpoints may lag behind each other, so an announcement with an older number is ignored.
    */
   public boolean onAnnouncement(
       Moment now, long newNumber, int newTarget, Moment newStartAt, boolean cancelled) {
@@ -108,9 +123,8 @@
         || newStartAt.since(now).isLongerThan(MAX_ANNOUNCEMENT_LEAD_TIME)) {
       return false;
     }
-    // A later one takes the place of an earlier, also of one that is held for: it has not come to
-    // its
-    // end.
+    // A later announcement replaces an earlier one that has not completed, even while statements
+    // are held for it.
     announcementNumber = newNumber;
     target = newTarget;
     startAt = newStartAt;
@@ -118,12 +132,14 @@
   }
 
   /**
-   * Moves on by the clock and by what the router sees: its primary, NOBODY where it knows none, and
-   * whether it would send the target anything.
+   * Advances the phase according to the clock and the state of the group.
+   *
+   * @param primary the known primary, or {@link #UNKNOWN_ENDPOINT}
+   * @param targetIsUsable whether the router would send statements to the target
    */
   public void advance(Moment now, int primary, boolean targetIsUsable) {
     while (tryAdvance(now, primary, targetIsUsable)) {
-      // Several phases may be over at once.
+      // Several phases can end at the same time.
     }
   }
 
@@ -140,14 +156,14 @@
 
   private boolean tryAdvanceBeforeStart(Moment now, int primary, boolean targetIsUsable) {
     if (isTarget(primary)) {
-      // It took over before its time.
+      // The target became primary before the announced time.
       return enter(now, Phase.POST);
     }
     if (!targetIsUsable) {
       return enter(now, Phase.CALLED_OFF);
     }
     if (!now.isBefore(startAt)) {
-      // Where one switchover replaces another, the old primary is out of use already.
+      // If one switchover replaces another, the former primary is already excluded.
       formerPrimary = primary == UNKNOWN_ENDPOINT ? formerPrimary : primary;
       return enter(now, Phase.IN_PROGRESS);
     }
@@ -171,7 +187,7 @@
     return primary != UNKNOWN_ENDPOINT && primary == target;
   }
 
-  /** When it has to be looked at next by the clock alone. */
+  /** Returns the next time at which the phase can change through the passage of time alone. */
   public Moment nextStepAt() {
     Moment step =
         switch (phase) {
@@ -181,7 +197,7 @@
           case POST -> phaseEnteredAt.plus(POST_SWITCHOVER_WATCH_TIME);
           default -> Moment.NEVER;
         };
-    // Past the limits above, not at them.
+    // The limits of these phases are exclusive: the phase ends only after the limit has passed.
     return phase.ordinal() >= Phase.IN_PROGRESS.ordinal() ? step.plus(new Span(1)) : step;
   }
 
--- a/router/src/main/java/basaltlever/switchover/SwitchoverAnnouncement.java
+++ b/router/src/main/java/basaltlever/switchover/SwitchoverAnnouncement.java
@@ -4,12 +4,14 @@
 import java.util.regex.Pattern;
 
 /**
- * One row of the control table, as a member answers it: {@code
- * number=N,target=ID,at=MILLIS,state=announced}, the state {@code cancelled} once it is called off.
+ * One row of the control table, as an endpoint returns it: {@code
+ * number=N,target=ID,at=MILLIS,state=announced}; the state is {@code off} once the switchover is
+ * cancelled.
  *
  * @param number rises with each announcement of the group
- * @param target the member that is to be primary
- * @param atMillis from when on, in milliseconds of Unix time
+ * @param target the endpoint that is to become primary
+ * @param atMillis the start time, in milliseconds of Unix time
+ * @param cancelled whether the switchover is cancelled
  */
 public record SwitchoverAnnouncement(long number, String target, long atMillis, boolean cancelled) {
   private static final Pattern FORMAT =
@@ -18,7 +20,7 @@
               + "target=([A-Za-z0-9_.:-]{1,100}),"
               + "at=([0-9]{1,15}),state=(announced|off)");
 
-  /** Null where the text is none. */
+  /** Parses a row; returns null if the text is not an announcement. */
   public static SwitchoverAnnouncement parse(String text) {
     Matcher match = FORMAT.matcher(text);
     return match.matches()
@@ -31,7 +33,8 @@
   }
 
   /**
-   * The latest announcement of a member's own group as one text; an empty one where there is none.
+   * Returns the query for the latest announcement of the endpoint's own group as one text, which is
+   * empty if there is none.
    */
   public static String latestQuery(String table) {
     return "SELECT coalesce((SELECT 'number=' || number || ',target=' || target || ',at=' || at"
@@ -41,7 +44,9 @@
         + " ORDER BY number DESC, state DESC LIMIT 1), '')";
   }
 
-  /** The statement that writes it; a cancellation is a row of its own, too. */
+  /**
+   * Returns the statement that inserts this announcement. A cancellation is also a separate row.
+   */
   public String insertStatement(String table) {
     return "INSERT INTO "
         + table
@@ -56,7 +61,7 @@
         + "')";
   }
 
-  /** The row as a member answers it. */
+  /** Returns the row in the form in which an endpoint returns it. */
   public String toText() {
     return "number="
         + number
--- a/router/src/main/java/basaltlever/switchover/package-info.java
+++ b/router/src/main/java/basaltlever/switchover/package-info.java
@@ -1,2 +1,2 @@
-/** Planned switchovers of a group's primary: announcements and phases. Free of I/O. */
+/** Planned switchovers of a group's primary: announcements and phases. Performs no I/O. */
 package basaltlever.switchover;
