--- a/router/src/main/java/basaltlever/adapter/Adapter.java
+++ b/router/src/main/java/basaltlever/adapter/Adapter.java
@@ -24,7 +24,7 @@
   private final InputStream in;
   private final OutputStream out;
   private final Reply reply = new Reply();
-  private final ByteBuffer[] lists = new ByteBuffer[MAX_LISTS];
+  private final ByteBuffer[] endpointLists = new ByteBuffer[MAX_LISTS];
   private Instance[] instances = new Instance[64];
   private byte[] buffer = new byte[1 << 16];
 
@@ -39,7 +39,7 @@
       int length = header.getInt(0);
       Moment now = new Moment(header.getLong(4));
       int recordCount = header.getInt(12);
-      reply.begin(header.getInt(16));
+      reply.startFrame(header.getInt(16));
       if (length < 0 || recordCount < 0) {
         throw new MalformedFrameException(
             "batch header states a length of "
@@ -101,7 +101,7 @@
         if (code == 12) {
           instanceNumber = fields.getShort(offset) & 0xffff;
         } else if (code == 11) {
-          storeList(fields, offset, length);
+          storeEndpointList(fields, offset, length);
         } else {
           processEvent(fields, now, instanceNumber, code, offset, length);
         }
@@ -114,7 +114,8 @@
     }
   }
 
-  private void storeList(ByteBuffer fields, int offset, int length) throws MalformedFrameException {
+  private void storeEndpointList(ByteBuffer fields, int offset, int length)
+      throws MalformedFrameException {
     int number = fields.getInt(offset);
     int count = fields.getInt(offset + 4);
     if (number < 0 || number >= MAX_LISTS) {
@@ -133,7 +134,7 @@
     }
     byte[] entries = new byte[count * Instance.LIST_ENTRY_BYTES];
     fields.get(offset + 8, entries);
-    lists[number] = ByteBuffer.wrap(entries).order(ByteOrder.LITTLE_ENDIAN);
+    endpointLists[number] = ByteBuffer.wrap(entries).order(ByteOrder.LITTLE_ENDIAN);
   }
 
   private void processEvent(
@@ -163,7 +164,7 @@
     ByteBuffer entries = null;
     if (code == 2 && fields.get(offset) != 0) {
       int list = fields.getInt(offset + 9);
-      entries = list >= 0 && list < MAX_LISTS ? lists[list] : null;
+      entries = list >= 0 && list < MAX_LISTS ? endpointLists[list] : null;
       if (entries == null) {
         throw new MalformedFrameException("list " + (list & 0xffffffffL) + " was never given");
       }
--- a/router/src/main/java/basaltlever/adapter/Reply.java
+++ b/router/src/main/java/basaltlever/adapter/Reply.java
@@ -11,7 +11,7 @@
   private ByteBuffer bytes = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
   private int lastInstance = -1;
 
-  void begin(int batch) {
+  void startFrame(int batch) {
     bytes.clear();
     bytes.putInt(0).putInt(batch);
     lastInstance = -1;
--- a/router/src/main/java/basaltlever/balancer/EndpointUsability.java
+++ b/router/src/main/java/basaltlever/balancer/EndpointUsability.java
@@ -40,7 +40,7 @@
     return endpoint.load().inFlight() == 0
         && !context
             .now()
-            .since(health.unresponsiveSince().later(health.lastTrialAt()))
+            .since(health.unresponsiveSince().later(health.lastRecoveryTrialAt()))
             .isShorterThan(INITIAL_TRIAL_PAUSE.times(1 << health.recoveryTrials()));
   }
 }
--- a/router/src/main/java/basaltlever/core/IdIndex.java
+++ b/router/src/main/java/basaltlever/core/IdIndex.java
@@ -46,9 +46,9 @@
     for (int next = (slot + 1) & mask; ids[next] != FREE; next = (next + 1) & mask) {
       long moved = ids[next];
       ids[next] = FREE;
-      int free = slotOf(moved);
-      ids[free] = moved;
-      indices[free] = indices[next];
+      int freeSlot = slotOf(moved);
+      ids[freeSlot] = moved;
+      indices[freeSlot] = indices[next];
     }
   }
 
--- a/router/src/main/java/basaltlever/core/LoadReportFormat.java
+++ b/router/src/main/java/basaltlever/core/LoadReportFormat.java
@@ -12,20 +12,20 @@
   public final int primaryIndex;
   public final int utilizationIndex;
   public final int queueIndex;
-  public final List<String> names;
+  public final List<String> fieldNames;
   private final long originMicros;
 
   /**
    * Creates a format; log positions are counted from the origin, in microseconds on the caller's
    * clock.
    */
-  public LoadReportFormat(List<String> names, long originMicros) {
-    this.names = names;
+  public LoadReportFormat(List<String> fieldNames, long originMicros) {
+    this.fieldNames = fieldNames;
     this.originMicros = originMicros;
-    positionIndex = names.indexOf("x0");
-    primaryIndex = names.indexOf("x1");
-    utilizationIndex = names.indexOf("utilization");
-    queueIndex = names.indexOf("backlog");
+    positionIndex = fieldNames.indexOf("x0");
+    primaryIndex = fieldNames.indexOf("x1");
+    utilizationIndex = fieldNames.indexOf("utilization");
+    queueIndex = fieldNames.indexOf("backlog");
   }
 
   /**
@@ -56,11 +56,11 @@
    * for missing ones.
    */
   public double[] parseValues(String report) {
-    double[] values = new double[names.size()];
+    double[] values = new double[fieldNames.size()];
     Arrays.fill(values, Double.NaN);
     for (String pair : report.split(",")) {
       int equals = pair.indexOf('=');
-      int index = equals < 0 ? -1 : names.indexOf(pair.substring(0, equals).trim());
+      int index = equals < 0 ? -1 : fieldNames.indexOf(pair.substring(0, equals).trim());
       if (index >= 0) {
         values[index] = parseNumber(pair.substring(equals + 1).trim());
       }
--- a/router/src/main/java/basaltlever/endpoints/PrimarySearch.java
+++ b/router/src/main/java/basaltlever/endpoints/PrimarySearch.java
@@ -51,7 +51,7 @@
       Endpoint member =
           group
               .endpoints()
-              .get((startPlace + group.search().nextIndex()) % group.endpoints().size());
+              .get((startPlace + group.search().takeNextIndex()) % group.endpoints().size());
       if (mayBeAsked.test(member) && !member.polling().isInFlight()) {
         asked.add(member);
         next.add(member);
--- a/router/src/main/java/basaltlever/endpoints/ReplicaSubset.java
+++ b/router/src/main/java/basaltlever/endpoints/ReplicaSubset.java
@@ -37,7 +37,7 @@
     if (group.endpoints().size() <= LEAST) {
       return group.endpoints();
     }
-    boolean due = !now.since(group.subset().chosenAt()).isShorterThan(MIN_RECHOICE_INTERVAL);
+    boolean due = !now.since(group.subset().selectedAt()).isShorterThan(MIN_RECHOICE_INTERVAL);
     if (group.subset().endpoints() == null || (group.subset().isStale() && due)) {
       group.subset().setEndpoints(choose(group, routers, index, mayBeUsed), now);
     }
@@ -61,7 +61,7 @@
 
   /** Removes what the subset was widened by. */
   public static void narrow(ReplicaGroup group) {
-    group.subset().narrow();
+    group.subset().resetWidening();
   }
 
   private static List<Endpoint> choose(
--- a/router/src/main/java/basaltlever/model/HealthState.java
+++ b/router/src/main/java/basaltlever/model/HealthState.java
@@ -13,7 +13,7 @@
   private boolean unresponsive;
   private Moment unresponsiveSince = Moment.LONG_AGO;
   private int recoveryTrials;
-  private Moment lastTrialAt = Moment.LONG_AGO;
+  private Moment lastRecoveryTrialAt = Moment.LONG_AGO;
   private boolean down;
   private Moment downSince = Moment.NEVER;
   private int consecutiveQueueFullResponses;
@@ -58,7 +58,7 @@
    */
   public void recordRecoveryTrial(Moment now) {
     recoveryTrials = Math.min(MAX_COUNTED_RECOVERY_TRIALS, recoveryTrials + 1);
-    lastTrialAt = now;
+    lastRecoveryTrialAt = now;
   }
 
   /** Returns the number of consecutive recovery trials without a response, up to a limit. */
@@ -67,8 +67,8 @@
   }
 
   /** Returns the time of the latest recovery trial. */
-  public Moment lastTrialAt() {
-    return lastTrialAt;
+  public Moment lastRecoveryTrialAt() {
+    return lastRecoveryTrialAt;
   }
 
   /** Returns whether connections to the endpoint fail. */
--- a/router/src/main/java/basaltlever/model/HoldQueue.java
+++ b/router/src/main/java/basaltlever/model/HoldQueue.java
@@ -81,7 +81,7 @@
       ArrayDeque<Statement> sessionQueue =
           heldBySession.computeIfAbsent(statement.session(), id -> new ArrayDeque<>(2));
       ArrayDeque<Statement> later = new ArrayDeque<>(0);
-      while (!sessionQueue.isEmpty() && isLater(sessionQueue.peekLast(), statement)) {
+      while (!sessionQueue.isEmpty() && arrivedLater(sessionQueue.peekLast(), statement)) {
         // The statement was sent before and is held again; statements of its session that arrived
         // later stay behind it.
         later.push(sessionQueue.pollLast());
@@ -90,10 +90,11 @@
       if (!sessionQueue.isEmpty()) {
         statement.setHoldPriority(
             Math.min(statement.holdPriority(), sessionQueue.peekLast().holdPriority()));
-        for (Statement behind : later) {
-          releaseOrder.remove(behind);
-          behind.setHoldPriority(Math.min(behind.holdPriority(), statement.holdPriority()));
-          releaseOrder.add(behind);
+        for (Statement laterStatement : later) {
+          releaseOrder.remove(laterStatement);
+          laterStatement.setHoldPriority(
+              Math.min(laterStatement.holdPriority(), statement.holdPriority()));
+          releaseOrder.add(laterStatement);
         }
       }
       sessionQueue.add(statement);
@@ -108,7 +109,7 @@
     textBytes += statement.textBytes();
   }
 
-  private static boolean isLater(Statement one, Statement other) {
+  private static boolean arrivedLater(Statement one, Statement other) {
     return one.receivedAt().isAfter(other.receivedAt())
         || (one.receivedAt().equals(other.receivedAt()) && one.id() > other.id());
   }
--- a/router/src/main/java/basaltlever/model/PrimarySearchState.java
+++ b/router/src/main/java/basaltlever/model/PrimarySearchState.java
@@ -22,7 +22,7 @@
   }
 
   /** Returns the index of the next endpoint and advances by one. */
-  public int nextIndex() {
+  public int takeNextIndex() {
     return nextIndex++;
   }
 
--- a/router/src/main/java/basaltlever/model/SubsetState.java
+++ b/router/src/main/java/basaltlever/model/SubsetState.java
@@ -9,7 +9,7 @@
  */
 public final class SubsetState {
   private List<Endpoint> endpoints;
-  private Moment chosenAt = Moment.LONG_AGO;
+  private Moment selectedAt = Moment.LONG_AGO;
   private boolean stale = true;
   private int extraEndpoints;
   private Moment lastWideningAt = Moment.LONG_AGO;
@@ -20,8 +20,8 @@
   }
 
   /** Returns the time of the last selection. */
-  public Moment chosenAt() {
-    return chosenAt;
+  public Moment selectedAt() {
+    return selectedAt;
   }
 
   /** Returns whether the subset has to be selected again. */
@@ -35,9 +35,9 @@
   }
 
   /** Replaces the endpoints of the subset. */
-  public void setEndpoints(List<Endpoint> chosen, Moment now) {
-    endpoints = chosen;
-    chosenAt = now;
+  public void setEndpoints(List<Endpoint> selected, Moment now) {
+    endpoints = selected;
+    selectedAt = now;
     stale = false;
   }
 
@@ -53,7 +53,7 @@
   }
 
   /** Reverts the widening, from the next selection on. */
-  public void narrow() {
+  public void resetWidening() {
     extraEndpoints = 0;
     stale = true;
   }
--- a/router/src/main/java/basaltlever/net/AttemptExecutor.java
+++ b/router/src/main/java/basaltlever/net/AttemptExecutor.java
@@ -579,7 +579,7 @@
 
     @Override
     void write(ByteBuf out) {
-      MessageEncoder.query(out, loadReport.names.isEmpty() ? "SELECT 1" : "SHOW gauges");
+      MessageEncoder.query(out, loadReport.fieldNames.isEmpty() ? "SELECT 1" : "SHOW gauges");
     }
 
     @Override
