--- a/router/src/main/java/basaltlever/adapter/Adapter.java
+++ b/router/src/main/java/basaltlever/adapter/Adapter.java
@@ -119,8 +119,7 @@
     int number = fields.getInt(offset);
     int count = fields.getInt(offset + 4);
     if (number < 0 || number >= MAX_LISTS) {
-      throw new MalformedFrameException(
-          "list number " + (number & 0xffffffffL) + " is out of range");
+      throw new MalformedFrameException("list number out of range: " + (number & 0xffffffffL));
     }
     if (count < 0 || 8 + (long) count * Instance.LIST_ENTRY_BYTES > length) {
       throw new MalformedFrameException(
