--- a/lab/src/main/java/basaltlever/lab/fleet/FleetScale.java
+++ b/lab/src/main/java/basaltlever/lab/fleet/FleetScale.java
@@ -200,23 +200,23 @@
       return;
     }
     LeaseHolder leaseHolder = router.leaseHolder;
-    leaseHolder.noteExpiry(router.clock());
+    leaseHolder.restrictIfExpired(router.clock());
     long number = leaseHolder.registerHeartbeat(router.clock());
     long force = leaseHolder.inForce() == null ? 0 : leaseHolder.inForce().number();
     long keeps = leaseHolder.acknowledgedVersion();
     boolean holds = !leaseHolder.isRestricted();
-    HeartbeatReport report = router.membership.report(router.clock(), member -> true);
+    HeartbeatReport report = router.membership.createReport(router.clock(), member -> true);
     sends(
         () -> {
           beats++;
           long started = System.nanoTime();
           LeaseGrant grant =
-              leases.heartbeat(
+              leases.answerHeartbeat(
                   new Moment(now),
                   new RouterHeartbeat(router.name, 1, number, force, keeps, 0, "", holds),
                   register);
           MembershipUpdate update =
-              coordinator.heartbeat(new Moment(now), router.name, report, register);
+              coordinator.answerHeartbeat(new Moment(now), router.name, report, register);
           leaderNanos += System.nanoTime() - started;
           sends(
               () -> {
@@ -224,7 +224,7 @@
                   router.membership.receiveUpdate(router.clock(), update);
                   leaseHolder.acceptGrant(router.clock(), grant);
                   if (grant.duration().micros() > 0) {
-                    router.membership.extendLease(leaseHolder.leaseEnds());
+                    router.membership.extendLease(leaseHolder.leaseEnd());
                   }
                 }
               });
@@ -263,7 +263,7 @@
       case WITHDRAW -> register.withdraw(step.number(), step.reason());
       case SET_ROUTER_COUNT ->
           register.propose(
-              step.number(), register.inForce().text(), step.routers(), "fleet", "", 0);
+              step.number(), register.inForce().settingsJson(), step.routers(), "fleet", "", 0);
       default -> {
         switch (lists.kind()) {
           case ASSIGN ->
@@ -271,7 +271,7 @@
                   .assignments()
                   .forEach(
                       assignment ->
-                          register.seat(
+                          register.assignGroup(
                               assignment.endpoint(), assignment.group(), assignment.listVersion()));
           case CLEAR ->
               lists
@@ -303,7 +303,7 @@
         });
     Set<List<Long>> acted = new HashSet<>();
     for (Instance router : routers) {
-      router.leaseHolder.noteExpiry(router.clock());
+      router.leaseHolder.restrictIfExpired(router.clock());
       if (isActing(router)) {
         SettingsVersion prepared = router.leaseHolder.prepared();
         acted.add(
@@ -387,7 +387,7 @@
                 .noneMatch(
                     router ->
                         isActing(router)
-                            && router.membership.use(router.clock(), member).lifecycle()
+                            && router.membership.determineUse(router.clock(), member).lifecycle()
                                 == EndpointLifecycle.READY));
   }
 
@@ -402,7 +402,7 @@
     await(
         moved,
         () -> {
-          GroupAssignment assignment = register.seat(member);
+          GroupAssignment assignment = register.groupAssignment(member);
           return assignment.cleared()
               && assignment.group() == group
               && routers.stream()
@@ -411,7 +411,7 @@
                           !isActing(router)
                               || router
                                   .membership
-                                  .use(router.clock(), member)
+                                  .determineUse(router.clock(), member)
                                   .equals(
                                       new MembershipView.EndpointUse(
                                           EndpointLifecycle.READY, group)));
--- a/router/src/main/java/basaltlever/cli/FleetClient.java
+++ b/router/src/main/java/basaltlever/cli/FleetClient.java
@@ -178,14 +178,14 @@
     }
     SettingsVersion inForce = status.inForce();
     if (inForce != null && inForce.number() == number) {
-      return inForce.text();
+      return inForce.settingsJson();
     }
     for (StatusReport.HistoryLine line : status.history()) {
       SettingsVersion version = line.version().version();
       if (version.number() == number
           && line.outcome().equals("IN_FORCE")
           && line.version().hasText()) {
-        return version.text();
+        return version.settingsJson();
       }
     }
     throw new CommandRefusedException(
--- a/router/src/main/java/basaltlever/discovery/AgreedEndpoints.java
+++ b/router/src/main/java/basaltlever/discovery/AgreedEndpoints.java
@@ -88,7 +88,7 @@
       publisher.begin();
     }
     for (String id : members) {
-      MembershipView.EndpointUse use = view.use(now, id);
+      MembershipView.EndpointUse use = view.determineUse(now, id);
       if (!needsPublishing(id, use)) {
         continue;
       }
--- a/router/src/main/java/basaltlever/fleet/CommandApplier.java
+++ b/router/src/main/java/basaltlever/fleet/CommandApplier.java
@@ -41,7 +41,7 @@
     if (command instanceof Assign assign) {
       assign
           .assignments()
-          .forEach(each -> register.seat(each.endpoint(), each.group(), each.listVersion()));
+          .forEach(each -> register.assignGroup(each.endpoint(), each.group(), each.listVersion()));
     } else if (command instanceof ClearAssignments clear) {
       clear.assignments().forEach(each -> register.clearAssignment(each.endpoint()));
     } else if (command instanceof CountAnew anew) {
@@ -49,7 +49,7 @@
     } else if (command instanceof RegisterVoterFolder folder) {
       return register.recordFolder(folder.voter(), folder.folder()) ? "" : "its folder is known";
     } else if (command instanceof ForgetVoterFolder forget) {
-      register.forgetFolder(forget.voter());
+      register.removeRecordedFolder(forget.voter());
     } else if (command instanceof StartEpoch start) {
       startEpoch(start.content(), register);
     }
--- a/router/src/main/java/basaltlever/fleet/FleetLeader.java
+++ b/router/src/main/java/basaltlever/fleet/FleetLeader.java
@@ -169,7 +169,7 @@
           new RaftCommand.ProposeRouterCount(
               new RaftCommand.Propose(
                   step.number(),
-                  register.inForce().text(),
+                  register.inForce().settingsJson(),
                   step.routers(),
                   "fleet",
                   step.routers() + " routers are here",
@@ -206,7 +206,7 @@
   }
 
   private void logNewForks() {
-    List<ListFork> found = coordinator.forks(now());
+    List<ListFork> found = coordinator.findForks(now());
     if (!found.equals(forks)) {
       forks = found;
       found.forEach(
@@ -232,7 +232,7 @@
     VersionRegister register = lifecycle.register();
     synchronized (register) {
       grant =
-          leases.heartbeat(
+          leases.answerHeartbeat(
               now(),
               new RouterHeartbeat(
                   heartbeat.from(),
@@ -244,7 +244,7 @@
                   heartbeat.refusal(),
                   heartbeat.holdsLease()),
               register);
-      lists = coordinator.heartbeat(now(), heartbeat.from(), heartbeat.lists(), register);
+      lists = coordinator.answerHeartbeat(now(), heartbeat.from(), heartbeat.lists(), register);
     }
     registerFolder(heartbeat.from(), heartbeat.voterFolder());
     RaftNode node = lifecycle.node();
@@ -282,13 +282,13 @@
     HeartbeatReport report = coordinator.lastReport(peer.name());
     String listState =
         report.anomaly() == ListAnomaly.NONE
-            ? coordinator.agreementOn(peer.name(), now(), register).name()
+            ? coordinator.assessAgreement(peer.name(), now(), register).name()
             : report.anomaly().name();
     return new StatusReport.PeerLine(
         peer.name(),
         peer.incarnation(),
-        Math.max(0, peer.leaseEnds().since(now()).micros() / 1_000),
-        now().since(peer.lastHeard()).micros() / 1_000,
+        Math.max(0, peer.leaseEnd().since(now()).micros() / 1_000),
+        now().since(peer.lastHeartbeatAt()).micros() / 1_000,
         peer.inForce(),
         peer.acknowledged(),
         peer.rejectionReason(),
@@ -299,7 +299,7 @@
 
   /** Endpoint lists that contradict each other, for status. */
   List<StatusReport.ForkLine> forkLines() {
-    return coordinator.forks(now()).stream()
+    return coordinator.findForks(now()).stream()
         .map(
             fork ->
                 new StatusReport.ForkLine(
--- a/router/src/main/java/basaltlever/fleet/LeaderConnection.java
+++ b/router/src/main/java/basaltlever/fleet/LeaderConnection.java
@@ -181,14 +181,14 @@
   private static SettingsVersion withKnownText(
       SentVersion sent, SettingsVersion known, SettingsVersion other) {
     SettingsVersion version = sent == null ? null : sent.version();
-    if (version == null || !version.text().isEmpty()) {
+    if (version == null || !version.settingsJson().isEmpty()) {
       return version;
     }
     String text = "";
     if (known != null && known.number() == version.number()) {
-      text = known.text();
+      text = known.settingsJson();
     } else if (other != null && other.number() == version.number()) {
-      text = other.text();
+      text = other.settingsJson();
     }
     return VersionCodec.withText(version, text);
   }
--- a/router/src/main/java/basaltlever/fleet/MembershipCodec.java
+++ b/router/src/main/java/basaltlever/fleet/MembershipCodec.java
@@ -30,7 +30,7 @@
 
   private static ListVersion decodeVersion(Map<?, ?> fields) {
     return new ListVersion(
-        fields.containsKey("era") ? MessageCodec.number(fields, "era") : ListVersion.NEVER.era(),
+        fields.containsKey("era") ? MessageCodec.number(fields, "era") : ListVersion.NONE.era(),
         MessageCodec.number(fields, "generation"));
   }
 
@@ -88,7 +88,8 @@
     fields.put("doubt", report.anomaly().name());
     fields.put("marks", report.drainMarks().stream().map(MembershipCodec::encode).toList());
     fields.put("marks_end", report.drainMarksEnd());
-    fields.put("wanted", report.wantedAssignments().stream().map(MembershipCodec::encode).toList());
+    fields.put(
+        "wanted", report.requestedAssignments().stream().map(MembershipCodec::encode).toList());
     fields.put("free", report.releasedEndpoints());
     fields.put("book", report.coordinatorTerm());
     fields.put("read", report.readPosition());
--- a/router/src/main/java/basaltlever/fleet/VersionCodec.java
+++ b/router/src/main/java/basaltlever/fleet/VersionCodec.java
@@ -17,7 +17,7 @@
     }
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("number", version.number());
-    fields.put("text", version.text());
+    fields.put("text", version.settingsJson());
     fields.put("routers", version.routers());
     fields.put("who", version.proposer());
     fields.put("why", version.reason());
--- a/router/src/main/java/basaltlever/fleet/VoterLifecycle.java
+++ b/router/src/main/java/basaltlever/fleet/VoterLifecycle.java
@@ -85,7 +85,7 @@
       if (node == null && !closed) {
         VoterIdentity identity = store.identity();
         startVoting(
-            VoterEligibility.of(
+            VoterEligibility.decide(
                 name,
                 identity.voters().isEmpty() ? null : identity,
                 List.copyOf(settings.voters().keySet()),
--- a/router/src/main/java/basaltlever/membership/DrainMarkLog.java
+++ b/router/src/main/java/basaltlever/membership/DrainMarkLog.java
@@ -12,7 +12,7 @@
  */
 final class DrainMarkLog {
   private static final int MAX_MARKS = 5_000;
-  private static final int MAX_MARKS_PER_READ = 1_000;
+  private static final int MAX_MARKS_PER_BATCH = 1_000;
 
   /** The next marks for a reader, and the position that it has read up to with them. */
   record Batch(List<DrainMark> marks, long position) {}
@@ -36,13 +36,13 @@
 
   /** Appends the mark in place of the endpoint's former one, unless that one supersedes it. */
   void add(DrainMark mark) {
-    Long knownPosition = positionByEndpoint.get(mark.endpoint());
-    DrainMark known = knownPosition == null ? null : markByPosition.get(knownPosition);
-    if (!mark.supersedes(known)) {
+    Long currentPosition = positionByEndpoint.get(mark.endpoint());
+    DrainMark current = currentPosition == null ? null : markByPosition.get(currentPosition);
+    if (!mark.supersedes(current)) {
       return;
     }
-    if (knownPosition != null) {
-      markByPosition.remove(knownPosition);
+    if (currentPosition != null) {
+      markByPosition.remove(currentPosition);
     }
     lastPosition++;
     markByPosition.put(lastPosition, mark);
@@ -58,7 +58,7 @@
     long position = readTerm == term ? readPosition : 0;
     List<DrainMark> marks = new ArrayList<>();
     for (Map.Entry<Long, DrainMark> entry : markByPosition.tailMap(position, false).entrySet()) {
-      if (marks.size() == MAX_MARKS_PER_READ) {
+      if (marks.size() == MAX_MARKS_PER_BATCH) {
         break;
       }
       marks.add(entry.getValue());
--- a/router/src/main/java/basaltlever/membership/EndpointListCopy.java
+++ b/router/src/main/java/basaltlever/membership/EndpointListCopy.java
@@ -14,7 +14,7 @@
 /** One endpoint list as a router received it, and how it agrees with the other routers' lists. */
 final class EndpointListCopy {
   /** A list that names less than this share of the ready endpoints is suspected to be wrong. */
-  private static final double MIN_REMAINING = 0.5;
+  private static final double MIN_REMAINING_SHARE = 0.5;
 
   private final SortedMap<String, ListedEndpoint> entries;
   private final ListVersion version;
@@ -35,7 +35,7 @@
 
   private EndpointListCopy() {
     entries = new TreeMap<>();
-    version = ListVersion.NEVER;
+    version = ListVersion.NONE;
     receivedAt = Moment.LONG_AGO;
     digest = 0;
   }
@@ -66,10 +66,10 @@
    * Takes in the leader's judgement. A dispute ends only when most routers hold or held this list,
    * because a new leader may not know of the dispute yet.
    */
-  void updateAgreement(Moment now, ListAgreement judged) {
-    boolean isAgreed = judged == ListAgreement.SEEN || judged == ListAgreement.PASSED;
+  void updateAgreement(Moment now, ListAgreement newAgreement) {
+    boolean isAgreed = newAgreement == ListAgreement.SEEN || newAgreement == ListAgreement.PASSED;
     if (agreement != ListAgreement.DISPUTED || isAgreed) {
-      agreement = judged;
+      agreement = newAgreement;
     }
     heldByMajoritySince =
         agreement == ListAgreement.SEEN ? heldByMajoritySince.earlier(now) : Moment.NEVER;
@@ -102,7 +102,7 @@
         remaining += entries.containsKey(entry.getKey()) ? 1 : 0;
       }
     }
-    return remaining < MIN_REMAINING * ready ? ListAnomaly.SHRUNK : ListAnomaly.NONE;
+    return remaining < MIN_REMAINING_SHARE * ready ? ListAnomaly.SHRUNK : ListAnomaly.NONE;
   }
 
   /** Without addresses, which may differ between the routers' networks. */
--- a/router/src/main/java/basaltlever/membership/HeartbeatReport.java
+++ b/router/src/main/java/basaltlever/membership/HeartbeatReport.java
@@ -10,7 +10,7 @@
  * @param anomaly why that list is suspended
  * @param drainMarks drain marks that the leader may lack
  * @param drainMarksEnd how many of the router's marks the leader has once it has taken these
- * @param wantedAssignments group assignments that its list needs and that are not agreed yet
+ * @param requestedAssignments group assignments that its list needs and that are not agreed yet
  * @param releasedEndpoints names of endpoints that are changing groups and that it does not use any
  *     more
  * @param coordinatorTerm coordinator term that it has read
@@ -23,7 +23,7 @@
     ListAnomaly anomaly,
     List<DrainMark> drainMarks,
     long drainMarksEnd,
-    List<GroupAssignment> wantedAssignments,
+    List<GroupAssignment> requestedAssignments,
     List<String> releasedEndpoints,
     long coordinatorTerm,
     long readPosition,
@@ -31,5 +31,5 @@
   /** The report of a router that has received no list. */
   public static final HeartbeatReport NONE =
       new HeartbeatReport(
-          ListVersion.NEVER, 0, ListAnomaly.NONE, List.of(), 0, List.of(), List.of(), 0, 0, -1);
+          ListVersion.NONE, 0, ListAnomaly.NONE, List.of(), 0, List.of(), List.of(), 0, 0, -1);
 }
--- a/router/src/main/java/basaltlever/membership/ListVersion.java
+++ b/router/src/main/java/basaltlever/membership/ListVersion.java
@@ -10,7 +10,7 @@
  */
 public record ListVersion(long era, long generation) implements Comparable<ListVersion> {
   /** Older than any list. */
-  public static final ListVersion NEVER = new ListVersion(-1, 0);
+  public static final ListVersion NONE = new ListVersion(-1, 0);
 
   @Override
   public int compareTo(ListVersion other) {
--- a/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
+++ b/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
@@ -27,7 +27,7 @@
   private static final int MAX_ASSIGNMENTS_PER_STEP = 500;
 
   /** At most one new era in so many lease durations. */
-  private static final int LEASES_BETWEEN_ERAS = 5;
+  private static final int MIN_ERA_DURATION_LEASES = 5;
 
   /** Share of a lease duration for which a count of the reported lists is reused. */
   private static final double RECOUNT_INTERVAL_LEASES = 0.1;
@@ -73,8 +73,8 @@
   /** Routers that have stopped using a moving endpoint, by the endpoint. */
   private final Map<String, Set<String>> releasedBy = new HashMap<>();
 
-  private Moment electedAt = Moment.LONG_AGO;
-  private Moment lastEraChange = Moment.LONG_AGO;
+  private Moment leadingSince = Moment.LONG_AGO;
+  private Moment lastEraChangeAt = Moment.LONG_AGO;
 
   /** Number of routers with a lease that hold each list, as of the last count. */
   private Map<ListContent, Integer> holders = Map.of();
@@ -86,15 +86,16 @@
    * Creates the coordinator of a voter that does not lead yet.
    *
    * @param leases the leader's leases
-   * @param peers names of all routers of the fleet
-   * @param assigned how long a router without contact to the leader may go on using endpoints in
-   *     the groups that it knows, its longest attempt included
+   * @param routers names of all routers of the fleet
+   * @param assignmentValidity how long a router without contact to the leader may go on using
+   *     endpoints in the groups that it knows, its longest attempt included
    */
-  public MembershipCoordinator(LeaseTable leases, Collection<String> peers, Span assigned) {
+  public MembershipCoordinator(
+      LeaseTable leases, Collection<String> routers, Span assignmentValidity) {
     this.leases = leases;
-    this.routers = peers;
-    this.assignmentValidity = assigned;
-    this.reporters = new ListReporters(peers);
+    this.routers = routers;
+    this.assignmentValidity = assignmentValidity;
+    this.reporters = new ListReporters(routers);
   }
 
   /** This voter leads from now on, with an empty state under a term that no other leader has. */
@@ -103,14 +104,14 @@
     releasedBy.clear();
     drainMarks.startTerm(term);
     reporters.clear();
-    electedAt = now;
+    leadingSince = now;
     countedAt = Moment.LONG_AGO;
   }
 
   /** Records the report that came with a router's heartbeat and answers it. */
-  public MembershipUpdate heartbeat(
-      Moment now, String name, HeartbeatReport report, VersionRegister register) {
-    record(name, report);
+  public MembershipUpdate answerHeartbeat(
+      Moment now, String router, HeartbeatReport report, VersionRegister register) {
+    record(router, report);
     DrainMarkLog.Batch batch =
         drainMarks.readAfter(report.coordinatorTerm(), report.readPosition());
     boolean isOfThisTerm = report.coordinatorTerm() == drainMarks.term();
@@ -119,7 +120,7 @@
         batch.position(),
         batch.marks(),
         isOfThisTerm ? report.drainMarksEnd() : 0,
-        agreementOn(report, now, register),
+        assessAgreement(report, now, register),
         report.listVersion(),
         report.digest(),
         register.era(),
@@ -138,14 +139,15 @@
     }
   }
 
-  private ListAgreement agreementOn(HeartbeatReport report, Moment now, VersionRegister register) {
-    if (report.digest() == 0 || !isInControl(now)) {
+  private ListAgreement assessAgreement(
+      HeartbeatReport report, Moment now, VersionRegister register) {
+    if (report.digest() == 0 || !hasSoleAuthority(now)) {
       return ListAgreement.UNTOLD;
     }
     recountHolders(now);
     // Routers that this leader has not heard from yet count as well.
-    int total = Math.max(leasedRouters, register.inForce().routers());
-    if (2 * holders.getOrDefault(ListContent.of(report), 0) > total) {
+    int routerCount = Math.max(leasedRouters, register.inForce().routers());
+    if (2 * holders.getOrDefault(ListContent.of(report), 0) > routerCount) {
       return ListAgreement.SEEN;
     }
     if (reporters.isReportedByMajority(report)) {
@@ -154,11 +156,11 @@
     if (reporters.isDisputed(report.listVersion())) {
       return ListAgreement.DISPUTED;
     }
-    if (2 * countHoldersOfNewer(report.listVersion()) > total) {
+    if (2 * countHoldersOfNewer(report.listVersion()) > routerCount) {
       return ListAgreement.BEHIND;
     }
     // While most routers have not reported yet, the absence of objections means nothing.
-    return 2 * leasedRouters > total ? ListAgreement.AHEAD : ListAgreement.UNTOLD;
+    return 2 * leasedRouters > routerCount ? ListAgreement.AHEAD : ListAgreement.UNTOLD;
   }
 
   private int countHoldersOfNewer(ListVersion version) {
@@ -169,8 +171,8 @@
   }
 
   /** Whether this voter surely leads and no lease of its predecessor runs any more. */
-  private boolean isInControl(Moment now) {
-    return !leases.formerLeasesMayRun(now) && leases.isConfirmed(now);
+  private boolean hasSoleAuthority(Moment now) {
+    return !leases.canFormerLeasesRun(now) && leases.isConfirmed(now);
   }
 
   /** Counting at every heartbeat would cost the square of the number of routers. */
@@ -197,15 +199,15 @@
 
   /** The next command for the voters: a new era before cleared endpoints before assignments. */
   public Step nextStep(Moment now, VersionRegister register) {
-    if (!isInControl(now)) {
+    if (!hasSoleAuthority(now)) {
       return Step.NOTHING;
     }
     List<HeartbeatReport> leased = leasedReports(now);
     if (isNewEraDue(now, leased, register)) {
-      lastEraChange = now;
+      lastEraChangeAt = now;
       return new Step(Step.Kind.START_NEW_ERA, List.of());
     }
-    List<GroupAssignment> released = findReleased(now, register);
+    List<GroupAssignment> released = findReleasedMoves(now, register);
     if (!released.isEmpty()) {
       return new Step(Step.Kind.CLEAR, released);
     }
@@ -221,8 +223,8 @@
   private boolean isNewEraDue(Moment now, List<HeartbeatReport> leased, VersionRegister register) {
     // Not often: if discovery announces a generation far too high by mistake, every new era makes
     // all routers fetch their lists again.
-    Span minInterval = leases.leaseDuration().times(LEASES_BETWEEN_ERAS);
-    if (!now.since(lastEraChange).isLongerThan(minInterval)) {
+    Span minInterval = leases.leaseDuration().times(MIN_ERA_DURATION_LEASES);
+    if (!now.since(lastEraChangeAt).isLongerThan(minInterval)) {
       return false;
     }
     ListVersion newestAgreed = newestAgreedVersion(register);
@@ -236,8 +238,8 @@
       // A router that started since had no newer list to regress from.
       outdated += report.digest() != 0 && newestAgreed.isNewerThan(report.listVersion()) ? 1 : 0;
     }
-    int total = Math.max(leased.size(), register.inForce().routers());
-    return 2 * Math.max(regressed, outdated) > total;
+    int routerCount = Math.max(leased.size(), register.inForce().routers());
+    return 2 * Math.max(regressed, outdated) > routerCount;
   }
 
   /** A version reported by few routers does not count: their discovery may be wrong. */
@@ -246,14 +248,14 @@
         allAssignments(register).stream().map(GroupAssignment::listVersion);
     return Stream.concat(assigned, reporters.versionsReportedByMajority())
         .max(Comparator.naturalOrder())
-        .orElse(ListVersion.NEVER);
+        .orElse(ListVersion.NONE);
   }
 
   private static List<GroupAssignment> allAssignments(VersionRegister register) {
     return register.assignmentsAfter(-1);
   }
 
-  private List<GroupAssignment> findReleased(Moment now, VersionRegister register) {
+  private List<GroupAssignment> findReleasedMoves(Moment now, VersionRegister register) {
     return allAssignments(register).stream()
         .filter(assignment -> !assignment.cleared())
         .filter(assignment -> isReleasedByAll(assignment.endpoint(), now, register.lostVoters()))
@@ -277,26 +279,26 @@
    * the move is cleared, and a new process under its name learns of the move before its first act.
    */
   private boolean isAssignmentExpired(String router, Moment now) {
-    Moment lastContact = leases.lastHeard(router).later(electedAt);
+    Moment lastContact = leases.lastHeartbeatAt(router).later(leadingSince);
     Span validity = leases.withClockDrift(assignmentValidity.plus(leases.leaseDuration()));
     return now.since(lastContact).isLongerThan(validity);
   }
 
   private List<GroupAssignment> findNewAssignments(
       List<HeartbeatReport> leased, VersionRegister register) {
-    return newestWanted(leased).values().stream()
-        .filter(wanted -> mayAssign(wanted, register.seat(wanted.endpoint())))
+    return newestRequested(leased).values().stream()
+        .filter(requested -> canAssign(requested, register.groupAssignment(requested.endpoint())))
         .limit(MAX_ASSIGNMENTS_PER_STEP)
         .toList();
   }
 
   /** The assignments by lists that most routers have reported, by endpoint. */
-  private Map<String, GroupAssignment> newestWanted(List<HeartbeatReport> leased) {
+  private Map<String, GroupAssignment> newestRequested(List<HeartbeatReport> leased) {
     Map<String, GroupAssignment> newest = new TreeMap<>();
     for (HeartbeatReport report : leased) {
-      if (!report.wantedAssignments().isEmpty() && reporters.isReportedByMajority(report)) {
-        for (GroupAssignment wanted : report.wantedAssignments()) {
-          newest.merge(wanted.endpoint(), wanted, MembershipCoordinator::newerOf);
+      if (!report.requestedAssignments().isEmpty() && reporters.isReportedByMajority(report)) {
+        for (GroupAssignment requested : report.requestedAssignments()) {
+          newest.merge(requested.endpoint(), requested, MembershipCoordinator::newerOf);
         }
       }
     }
@@ -307,15 +309,15 @@
     return one.listVersion().isNewerThan(other.listVersion()) ? one : other;
   }
 
-  private static boolean mayAssign(GroupAssignment wanted, GroupAssignment known) {
-    return known == null
-        || (known.cleared()
-            && known.group() != wanted.group()
-            && wanted.listVersion().isNewerThan(known.listVersion()));
+  private static boolean canAssign(GroupAssignment requested, GroupAssignment current) {
+    return current == null
+        || (current.cleared()
+            && current.group() != requested.group()
+            && requested.listVersion().isNewerThan(current.listVersion()));
   }
 
   /** List versions under which routers with a lease hold different contents. */
-  public List<ListFork> forks(Moment now) {
+  public List<ListFork> findForks(Moment now) {
     Map<ListVersion, Map<Long, List<String>>> namesByContent = new TreeMap<>();
     reports.forEach(
         (router, report) -> {
@@ -333,12 +335,12 @@
   }
 
   /** The router's last report; {@link HeartbeatReport#NONE} where there is none. */
-  public HeartbeatReport lastReport(String name) {
-    return reports.getOrDefault(name, HeartbeatReport.NONE);
+  public HeartbeatReport lastReport(String router) {
+    return reports.getOrDefault(router, HeartbeatReport.NONE);
   }
 
   /** How the router's last reported list agrees with the others'. */
-  public ListAgreement agreementOn(String name, Moment now, VersionRegister register) {
-    return agreementOn(lastReport(name), now, register);
+  public ListAgreement assessAgreement(String router, Moment now, VersionRegister register) {
+    return assessAgreement(lastReport(router), now, register);
   }
 }
--- a/router/src/main/java/basaltlever/membership/MembershipView.java
+++ b/router/src/main/java/basaltlever/membership/MembershipView.java
@@ -23,7 +23,7 @@
  * draining or gone are restricted, and nothing else of it is used.
  */
 public final class MembershipView {
-  private static final int MAX_WANTED_PER_HEARTBEAT = 500;
+  private static final int MAX_REQUESTED_PER_HEARTBEAT = 500;
 
   /** Assignment number of a router that no leader has sent any assignments yet. */
   private static final long NO_ASSIGNMENTS = -1;
@@ -36,7 +36,7 @@
    */
   public record EndpointUse(EndpointLifecycle lifecycle, int group) {}
 
-  private final Span uncontested;
+  private final Span uncontestedDuration;
   private final Span assignmentValidity;
 
   /** The last list from discovery, suspended or not; null before the first. */
@@ -45,7 +45,7 @@
   private ListAnomaly anomaly = ListAnomaly.NONE;
 
   /** The last list that was not suspended. */
-  private EndpointListCopy taken = EndpointListCopy.none();
+  private EndpointListCopy accepted = EndpointListCopy.none();
 
   private final SettledList settled = new SettledList();
   private final DrainMarks drainMarks = new DrainMarks();
@@ -61,30 +61,32 @@
   /**
    * Creates the view of a router that knows no endpoint yet.
    *
-   * @param stated for how long nobody must have contradicted a list before what it allows is used
-   * @param assigned how long a router without contact to the leader may go on using endpoints in
-   *     the groups that it knows
+   * @param uncontestedDuration for how long nobody must have contradicted a list before what it
+   *     allows is used
+   * @param assignmentValidity how long a router without contact to the leader may go on using
+   *     endpoints in the groups that it knows
    */
-  public MembershipView(Span stated, Span assigned) {
-    this.uncontested = stated;
-    this.assignmentValidity = assigned;
+  public MembershipView(Span uncontestedDuration, Span assignmentValidity) {
+    this.uncontestedDuration = uncontestedDuration;
+    this.assignmentValidity = assignmentValidity;
   }
 
   /**
    * Takes in a list from discovery.
    *
-   * @param whole whether the entries are the complete list, else those that have changed
+   * @param isComplete whether the entries are the complete list, else those that have changed
    * @return why the list is suspended
    */
   public ListAnomaly receiveList(
-      Moment now, boolean whole, long generation, Map<String, ListedEndpoint> entries) {
+      Moment now, boolean isComplete, long generation, Map<String, ListedEndpoint> entries) {
     TreeMap<String, ListedEndpoint> list =
-        whole || latest == null ? new TreeMap<>() : new TreeMap<>(latest.entries());
+        isComplete || latest == null ? new TreeMap<>() : new TreeMap<>(latest.entries());
     list.putAll(entries);
     revision++;
     latest = new EndpointListCopy(list, new ListVersion(era, generation), now);
-    boolean isOlder = taken.version().era() == era && generation < taken.version().generation();
-    anomaly = isOlder ? ListAnomaly.BACK : latest.anomalyComparedWith(taken);
+    boolean isOlder =
+        accepted.version().era() == era && generation < accepted.version().generation();
+    anomaly = isOlder ? ListAnomaly.BACK : latest.anomalyComparedWith(accepted);
     applyLatest();
     return anomaly;
   }
@@ -92,14 +94,14 @@
   private void applyLatest() {
     if (anomaly != ListAnomaly.BACK) {
       // Also of an empty or short list: a mistake in its length does not explain these entries.
-      markRestricted();
+      addMarksOfLatest();
     }
     if (anomaly == ListAnomaly.NONE) {
-      takeLatest();
+      acceptLatest();
     }
   }
 
-  private void markRestricted() {
+  private void addMarksOfLatest() {
     latest
         .entries()
         .forEach(
@@ -111,15 +113,15 @@
             });
   }
 
-  private void takeLatest() {
+  private void acceptLatest() {
     revision++;
-    for (String endpoint : taken.entries().keySet()) {
+    for (String endpoint : accepted.entries().keySet()) {
       if (!latest.entries().containsKey(endpoint)) {
         addOwnMark(new DrainMark(endpoint, latest.version(), true));
       }
     }
-    taken = latest;
-    settled.add(taken);
+    accepted = latest;
+    settled.add(accepted);
   }
 
   private void addOwnMark(DrainMark mark) {
@@ -132,11 +134,11 @@
     readAssignments(update);
     // Lists of a former era can't be compared with new ones: discovery has to send the list again.
     era = Math.max(era, update.era());
-    if (latest != null && isAbout(update, latest)) {
+    if (latest != null && concerns(update, latest)) {
       latest.updateAgreement(now, update.agreement());
       resumeIfConfirmed(now);
     }
-    revision += settled.settle(now, latest, uncontested);
+    revision += settled.settle(now, latest, uncontestedDuration);
   }
 
   private void readDrainMarks(MembershipUpdate update) {
@@ -164,7 +166,7 @@
     }
   }
 
-  private static boolean isAbout(MembershipUpdate update, EndpointListCopy list) {
+  private static boolean concerns(MembershipUpdate update, EndpointListCopy list) {
     return update.listVersion().equals(list.version()) && update.digest() == list.digest();
   }
 
@@ -173,16 +175,16 @@
    * that long because meanwhile the voters would start a new era, had discovery lost its state.
    */
   private void resumeIfConfirmed(Moment now) {
-    boolean mayResume = anomaly == ListAnomaly.SHRUNK || anomaly == ListAnomaly.BACK;
-    if (mayResume && latest.isHeldByMajorityLongerThan(uncontested, now)) {
+    boolean canResume = anomaly == ListAnomaly.SHRUNK || anomaly == ListAnomaly.BACK;
+    if (canResume && latest.isHeldByMajorityLongerThan(uncontestedDuration, now)) {
       anomaly = ListAnomaly.NONE;
       applyLatest();
     }
   }
 
   /** The router has a lease until that moment, and thereby contact to the leader. */
-  public void extendLease(Moment ends) {
-    lastLeaseEnd = lastLeaseEnd.later(ends);
+  public void extendLease(Moment leaseEnd) {
+    lastLeaseEnd = lastLeaseEnd.later(leaseEnd);
   }
 
   /** Whether it has been out of contact for so long that endpoints may have changed groups. */
@@ -197,16 +199,16 @@
 
   /** All endpoints of the current lists, whether they may be used or not. */
   public Set<String> endpoints() {
-    Set<String> endpoints = new TreeSet<>(taken.entries().keySet());
+    Set<String> endpoints = new TreeSet<>(accepted.entries().keySet());
     settled.addEndpointsTo(endpoints);
     return endpoints;
   }
 
   /** What may be done with the endpoint: the strictest of all that is known at this moment. */
-  public EndpointUse use(Moment now, String member) {
-    ListedEndpoint entry = taken.entries().get(member);
-    GroupAssignment assignment = assignments.get(member);
-    EndpointLifecycle lifecycle = restrictByMark(member, restrictByLists(member, entry));
+  public EndpointUse determineUse(Moment now, String endpoint) {
+    ListedEndpoint entry = accepted.entries().get(endpoint);
+    GroupAssignment assignment = assignments.get(endpoint);
+    EndpointLifecycle lifecycle = restrictByMark(endpoint, restrictByLists(endpoint, entry));
     if (!isAssigned(entry, assignment) || isOutOfContact(now)) {
       lifecycle = stricter(lifecycle, EndpointLifecycle.DRAINING);
     }
@@ -251,19 +253,19 @@
 
   /** Whether the router's list gives the endpoint a group that the voters have not agreed on. */
   private boolean needsAssignment(String endpoint, ListedEndpoint entry) {
-    GroupAssignment known = assignments.get(endpoint);
-    return known == null
-        || (known.cleared()
-            && entry.group() != known.group()
-            && taken.version().isNewerThan(known.listVersion()));
+    GroupAssignment current = assignments.get(endpoint);
+    return current == null
+        || (current.cleared()
+            && entry.group() != current.group()
+            && accepted.version().isNewerThan(current.listVersion()));
   }
 
   /**
    * The report for the next heartbeat.
    *
-   * @param nothingInFlight whether this router has no attempt in flight at an endpoint
+   * @param isIdle whether this router has no attempt in flight at an endpoint
    */
-  public HeartbeatReport report(Moment now, Predicate<String> nothingInFlight) {
+  public HeartbeatReport createReport(Moment now, Predicate<String> isIdle) {
     List<DrainMark> marks = drainMarks.nextBatch();
     return new HeartbeatReport(
         latestVersion(),
@@ -271,37 +273,38 @@
         anomaly,
         marks,
         drainMarks.batchEnd(marks),
-        wantedAssignments(),
-        releasedEndpoints(nothingInFlight),
+        requestedAssignments(),
+        releasedEndpoints(isIdle),
         coordinatorTerm,
         readPosition,
         assignmentsNumber);
   }
 
   /** None while the latest list is suspended, as the report has that list's digest. */
-  private List<GroupAssignment> wantedAssignments() {
+  private List<GroupAssignment> requestedAssignments() {
     if (assignmentsNumber < 0 || anomaly != ListAnomaly.NONE) {
       return List.of();
     }
-    List<GroupAssignment> wanted = new ArrayList<>();
-    for (Map.Entry<String, ListedEndpoint> entry : taken.entries().entrySet()) {
-      if (wanted.size() == MAX_WANTED_PER_HEARTBEAT) {
+    List<GroupAssignment> requested = new ArrayList<>();
+    for (Map.Entry<String, ListedEndpoint> entry : accepted.entries().entrySet()) {
+      if (requested.size() == MAX_REQUESTED_PER_HEARTBEAT) {
         break;
       }
       ListedEndpoint listed = entry.getValue();
       if (listed.lifecycle() != EndpointLifecycle.GONE && needsAssignment(entry.getKey(), listed)) {
-        wanted.add(new GroupAssignment(entry.getKey(), listed.group(), taken.version(), false));
+        requested.add(
+            new GroupAssignment(entry.getKey(), listed.group(), accepted.version(), false));
       }
     }
-    return wanted;
+    return requested;
   }
 
   /** Endpoints that are changing groups and that this router does not use any more. */
-  private List<String> releasedEndpoints(Predicate<String> nothingInFlight) {
+  private List<String> releasedEndpoints(Predicate<String> isIdle) {
     return assignments.values().stream()
         .filter(assignment -> !assignment.cleared())
         .map(GroupAssignment::endpoint)
-        .filter(nothingInFlight)
+        .filter(isIdle)
         .toList();
   }
 
@@ -310,7 +313,7 @@
     return latest != null
         && anomaly == ListAnomaly.NONE
         && settled.isCurrent()
-        && taken.entries().entrySet().stream()
+        && accepted.entries().entrySet().stream()
             .noneMatch(entry -> needsAssignment(entry.getKey(), entry.getValue()));
   }
 
@@ -330,12 +333,12 @@
   }
 
   /** Version of the last list that was not suspended. */
-  public ListVersion takenVersion() {
-    return taken.version();
+  public ListVersion acceptedVersion() {
+    return accepted.version();
   }
 
   /** Version of the latest list, suspended or not. */
   public ListVersion latestVersion() {
-    return latest == null ? ListVersion.NEVER : latest.version();
+    return latest == null ? ListVersion.NONE : latest.version();
   }
 }
--- a/router/src/main/java/basaltlever/membership/SettledList.java
+++ b/router/src/main/java/basaltlever/membership/SettledList.java
@@ -17,14 +17,14 @@
   private static final int MAX_UNSETTLED = 32;
 
   private SortedMap<String, ListedEndpoint> entries = new TreeMap<>();
-  private ListVersion version = ListVersion.NEVER;
+  private ListVersion version = ListVersion.NONE;
 
   /** Oldest first. */
   private final ArrayDeque<EndpointListCopy> unsettled = new ArrayDeque<>();
 
   /** Adds the list that the router has just taken. */
-  void add(EndpointListCopy taken) {
-    unsettled.add(taken);
+  void add(EndpointListCopy accepted) {
+    unsettled.add(accepted);
     if (unsettled.size() > MAX_UNSETTLED) {
       mergeOldest(unsettled.removeFirst());
     }
@@ -39,8 +39,8 @@
             (endpoint, entry) ->
                 strictest.computeIfPresent(
                     endpoint,
-                    (name, known) ->
-                        entry.lifecycle().compareTo(known.lifecycle()) > 0 ? entry : known));
+                    (name, current) ->
+                        entry.lifecycle().compareTo(current.lifecycle()) > 0 ? entry : current));
     entries = strictest;
   }
 
@@ -49,13 +49,14 @@
    *
    * @param latest the latest list of the router. Only this one is settled for being uncontested: of
    *     one that was replaced, those who would contradict it may not have reported.
-   * @param uncontested for how long nobody must have contradicted the latest list
+   * @param uncontestedDuration for how long nobody must have contradicted the latest list
    * @return how many lists are no longer unsettled
    */
-  int settle(Moment now, EndpointListCopy latest, Span uncontested) {
+  int settle(Moment now, EndpointListCopy latest, Span uncontestedDuration) {
     EndpointListCopy newest = null;
     for (EndpointListCopy copy : unsettled) {
-      boolean isUncontested = copy == latest && copy.isUncontestedLongerThan(uncontested, now);
+      boolean isUncontested =
+          copy == latest && copy.isUncontestedLongerThan(uncontestedDuration, now);
       if (copy.isAgreed() || isUncontested) {
         newest = copy;
       }
--- a/router/src/main/java/basaltlever/membership/VoterEligibility.java
+++ b/router/src/main/java/basaltlever/membership/VoterEligibility.java
@@ -48,8 +48,7 @@
    * @param voter its name
    * @param epoch its configuration epoch
    * @param voters the voters of that epoch; empty where it does not vote itself
-   * @param recordedFolderOfAsker id of the recorded folder of the voter that asks; empty where none
-   *     is
+   * @param requesterFolderId id of the recorded folder of the voter that asks; empty where none is
    * @param hasEmptyFolder whether its own folder is empty
    * @param isLeader whether it is the leader
    */
@@ -57,10 +56,10 @@
       String voter,
       long epoch,
       List<String> voters,
-      String recordedFolderOfAsker,
+      String requesterFolderId,
       boolean hasEmptyFolder,
       boolean isLeader) {
-    private boolean votes() {
+    private boolean isVoting() {
       return !voters.isEmpty();
     }
   }
@@ -71,16 +70,16 @@
    * @param name of the voter that asks
    * @param own contents of its folder; null where that is empty
    * @param founders the voters that the operator's files name
-   * @param told reports of the other voters that answered
+   * @param peers reports of the other voters that answered
    */
-  public static VoterEligibility of(
-      String name, VoterIdentity own, List<String> founders, Collection<PeerStatus> told) {
+  public static VoterEligibility decide(
+      String name, VoterIdentity own, List<String> founders, Collection<PeerStatus> peers) {
     PeerStatus newest =
-        told.stream()
-            .filter(PeerStatus::votes)
+        peers.stream()
+            .filter(PeerStatus::isVoting)
             .max(Comparator.comparingLong(PeerStatus::epoch))
             .orElse(null);
-    String reason = reasonToWait(name, own, founders, told, newest);
+    String reason = reasonToWait(name, own, founders, peers, newest);
     if (!reason.isEmpty()) {
       return new VoterEligibility(Kind.WAIT, 0, List.of(), reason);
     }
@@ -96,19 +95,19 @@
       String name,
       VoterIdentity own,
       List<String> founders,
-      Collection<PeerStatus> told,
+      Collection<PeerStatus> peers,
       PeerStatus newest) {
     if (isBehind(own, newest) && !newest.voters().contains(name)) {
       String voters = String.join(", ", newest.voters());
       return "charter " + newest.epoch() + " has other voters: " + voters;
     }
-    if (told.stream().anyMatch(peer -> knowsOtherFolder(peer, own))) {
+    if (peers.stream().anyMatch(peer -> hasRecordedOtherFolder(peer, own))) {
       return "it has voted with another folder: take it out and in again";
     }
-    if (own == null && !isPastKnown(name, newest, founders, told)) {
+    if (own == null && !canRuleOutEarlierVote(name, newest, founders, peers)) {
       return "its folder is empty, and not all other voters tell whether it has voted";
     }
-    return own != null && isRemoved(name, own, newest, told) ? "it was taken out" : "";
+    return own != null && isRemoved(name, own, newest, peers) ? "it was taken out" : "";
   }
 
   /** Whether a voter reports an epoch that this voter does not have in its folder. */
@@ -117,12 +116,12 @@
   }
 
   /** Whether a voter of the same or a newer epoch has recorded another folder than this one. */
-  private static boolean knowsOtherFolder(PeerStatus peer, VoterIdentity own) {
-    if (peer.recordedFolderOfAsker().isEmpty()) {
+  private static boolean hasRecordedOtherFolder(PeerStatus peer, VoterIdentity own) {
+    if (peer.requesterFolderId().isEmpty()) {
       return false;
     }
     return own == null
-        || (peer.epoch() >= own.epoch() && !peer.recordedFolderOfAsker().equals(own.folderId()));
+        || (peer.epoch() >= own.epoch() && !peer.requesterFolderId().equals(own.folderId()));
   }
 
   /**
@@ -130,16 +129,16 @@
    * the leader of the newest epoch reports, who knows all that was agreed on, or all other voters
    * do.
    */
-  private static boolean isPastKnown(
-      String name, PeerStatus newest, List<String> founders, Collection<PeerStatus> told) {
+  private static boolean canRuleOutEarlierVote(
+      String name, PeerStatus newest, List<String> founders, Collection<PeerStatus> peers) {
     long epoch = newest == null ? 0 : newest.epoch();
-    if (told.stream().anyMatch(peer -> peer.isLeader() && peer.epoch() == epoch)) {
+    if (peers.stream().anyMatch(peer -> peer.isLeader() && peer.epoch() == epoch)) {
       return true;
     }
     List<String> voters = newest == null ? founders : newest.voters();
     List<String> reporting =
-        told.stream()
-            .filter(peer -> peer.hasEmptyFolder() || peer.votes())
+        peers.stream()
+            .filter(peer -> peer.hasEmptyFolder() || peer.isVoting())
             .map(PeerStatus::voter)
             .toList();
     return voters.stream().filter(voter -> !voter.equals(name)).allMatch(reporting::contains);
@@ -147,9 +146,9 @@
 
   /** Whether its own epoch is the newest reported and nobody who reports names it as a voter. */
   private static boolean isRemoved(
-      String name, VoterIdentity own, PeerStatus newest, Collection<PeerStatus> told) {
+      String name, VoterIdentity own, PeerStatus newest, Collection<PeerStatus> peers) {
     return newest != null
         && newest.epoch() == own.epoch()
-        && told.stream().noneMatch(peer -> peer.voters().contains(name));
+        && peers.stream().noneMatch(peer -> peer.voters().contains(name));
   }
 }
--- a/router/src/main/java/basaltlever/net/LeaseGuard.java
+++ b/router/src/main/java/basaltlever/net/LeaseGuard.java
@@ -119,7 +119,7 @@
 
   /** At the beginning of a turn. */
   void look(Moment now) {
-    if (leaseHolder.noteExpiry(now)) {
+    if (leaseHolder.restrictIfExpired(now)) {
       keep();
     }
     if (membership.isOutOfContact(now) != adrift) {
@@ -138,7 +138,7 @@
         LOG,
         Level.WARN,
         adrift ? "no member is used" : "members are used again",
-        now.since(leaseHolder.leaseEnds()).micros() / 1_000);
+        now.since(leaseHolder.leaseEnd()).micros() / 1_000);
     list.publishMembershipChanges(now);
   }
 
@@ -171,7 +171,7 @@
     }
     if (grant.duration().micros() > 0) {
       // One that was replaced without knowing it goes on answering, with nothing to give.
-      membership.extendLease(leaseHolder.leaseEnds());
+      membership.extendLease(leaseHolder.leaseEnd());
     }
     if (membership.isOutOfContact(now) != adrift) {
       drifts(now);
@@ -210,7 +210,7 @@
   }
 
   private StartFile file(SettingsVersion version) throws InvalidSettingsException {
-    return own.with(version.text(), version.routers());
+    return own.with(version.settingsJson(), version.routers());
   }
 
   private void keep() {
--- a/router/src/main/java/basaltlever/net/Router.java
+++ b/router/src/main/java/basaltlever/net/Router.java
@@ -516,7 +516,7 @@
         leaseGuard.refused(),
         leaseGuard.refusal(),
         holds,
-        membership.report(now, core::isIdle));
+        membership.createReport(now, core::isIdle));
   }
 
   private void build() {
--- a/router/src/main/java/basaltlever/settings/GroupAssignmentTable.java
+++ b/router/src/main/java/basaltlever/settings/GroupAssignmentTable.java
@@ -18,29 +18,31 @@
   private final TreeMap<String, GroupAssignment> assignments = new TreeMap<>();
 
   /** Number of each endpoint's last change. */
-  private final Map<String, Long> changedAt = new HashMap<>();
+  private final Map<String, Long> changeNumberByEndpoint = new HashMap<>();
 
-  private long number;
+  private long lastChangeNumber;
 
   /**
    * Assigns an endpoint to a group: at once where it has none, else after {@link #clear}. False
    * where nothing changes, because it is in that group, is still moving, or the list version is no
    * newer than the one that assigned it.
    */
-  boolean assign(String endpoint, int group, ListVersion at) {
-    GroupAssignment known = assignments.get(endpoint);
-    if (known != null && !mayMove(known, group, at)) {
+  boolean assign(String endpoint, int group, ListVersion listVersion) {
+    GroupAssignment current = assignments.get(endpoint);
+    if (current != null && !canMove(current, group, listVersion)) {
       return false;
     }
-    put(new GroupAssignment(endpoint, group, at, known == null));
+    put(new GroupAssignment(endpoint, group, listVersion, current == null));
     if (assignments.size() > MAX_ASSIGNMENTS) {
       removeOldest();
     }
     return true;
   }
 
-  private static boolean mayMove(GroupAssignment known, int group, ListVersion at) {
-    return known.cleared() && known.group() != group && at.isNewerThan(known.listVersion());
+  private static boolean canMove(GroupAssignment current, int group, ListVersion listVersion) {
+    return current.cleared()
+        && current.group() != group
+        && listVersion.isNewerThan(current.listVersion());
   }
 
   private void removeOldest() {
@@ -52,37 +54,37 @@
         .ifPresent(
             oldest -> {
               assignments.remove(oldest.endpoint());
-              changedAt.remove(oldest.endpoint());
+              changeNumberByEndpoint.remove(oldest.endpoint());
             });
   }
 
   /** No router uses the endpoint in its former group any more; false where nothing changes. */
   boolean clear(String endpoint) {
-    GroupAssignment known = assignments.get(endpoint);
-    if (known == null || known.cleared()) {
+    GroupAssignment current = assignments.get(endpoint);
+    if (current == null || current.cleared()) {
       return false;
     }
-    put(new GroupAssignment(endpoint, known.group(), known.listVersion(), true));
+    put(new GroupAssignment(endpoint, current.group(), current.listVersion(), true));
     return true;
   }
 
   private void put(GroupAssignment assignment) {
-    number++;
+    lastChangeNumber++;
     assignments.put(assignment.endpoint(), assignment);
-    changedAt.put(assignment.endpoint(), number);
+    changeNumberByEndpoint.put(assignment.endpoint(), lastChangeNumber);
   }
 
   /** Number of the last change. */
-  long number() {
-    return number;
+  long lastChangeNumber() {
+    return lastChangeNumber;
   }
 
   /** The assignments that changed after the given number. */
-  List<GroupAssignment> changedAfter(long after) {
-    return after >= number
+  List<GroupAssignment> changedAfter(long changeNumber) {
+    return changeNumber >= lastChangeNumber
         ? List.of()
         : assignments.values().stream()
-            .filter(assignment -> changedAt.get(assignment.endpoint()) > after)
+            .filter(assignment -> changeNumberByEndpoint.get(assignment.endpoint()) > changeNumber)
             .toList();
   }
 
@@ -93,21 +95,21 @@
 
   /** Skips some numbers and makes every endpoint wait until all routers have stopped using it. */
   void unclearAll(long skippedNumbers) {
-    number += skippedNumbers;
+    lastChangeNumber += skippedNumbers;
     assignments.replaceAll(
-        (endpoint, known) ->
-            new GroupAssignment(endpoint, known.group(), known.listVersion(), false));
-    changedAt.replaceAll((endpoint, changed) -> number);
+        (endpoint, current) ->
+            new GroupAssignment(endpoint, current.group(), current.listVersion(), false));
+    changeNumberByEndpoint.replaceAll((endpoint, changeNumber) -> lastChangeNumber);
   }
 
   /** Replaces the table by the contents of a snapshot. */
   void restore(long snapshotNumber, List<GroupAssignment> snapshot) {
-    number = snapshotNumber;
+    lastChangeNumber = snapshotNumber;
     assignments.clear();
-    changedAt.clear();
+    changeNumberByEndpoint.clear();
     for (GroupAssignment assignment : snapshot) {
       assignments.put(assignment.endpoint(), assignment);
-      changedAt.put(assignment.endpoint(), snapshotNumber);
+      changeNumberByEndpoint.put(assignment.endpoint(), snapshotNumber);
     }
   }
 }
--- a/router/src/main/java/basaltlever/settings/LeaseHolder.java
+++ b/router/src/main/java/basaltlever/settings/LeaseHolder.java
@@ -14,17 +14,17 @@
  */
 public final class LeaseHolder {
   /** Unanswered heartbeats remembered; a lease from an older one would be over already. */
-  private static final int MAX_UNANSWERED = 64;
+  private static final int MAX_UNANSWERED_HEARTBEATS = 64;
 
-  private record SentHeartbeat(long number, Moment sent) {}
+  private record SentHeartbeat(long number, Moment sentAt) {}
 
   private final ArrayDeque<SentHeartbeat> unanswered = new ArrayDeque<>();
   private long lastNumber;
 
   /** Change count of the latest grant accepted; grants with a smaller one are outdated. */
-  private long changes;
+  private long latestChangeCount;
 
-  private Moment leaseEnds = Moment.LONG_AGO;
+  private Moment leaseEnd = Moment.LONG_AGO;
   private SettingsVersion inForce;
   private SettingsVersion prepared;
 
@@ -35,20 +35,20 @@
    * Restores the configuration epoch that an earlier process on this router had seen: grants from
    * before that epoch are rejected.
    */
-  public void restoreEpoch(long charter) {
-    changes = Math.max(changes, VersionRegister.firstChange(charter));
+  public void restoreEpoch(long epoch) {
+    latestChangeCount = Math.max(latestChangeCount, VersionRegister.firstChangeCount(epoch));
   }
 
   /** The latest configuration epoch seen. */
   public long epoch() {
-    return VersionRegister.epoch(changes);
+    return VersionRegister.epoch(latestChangeCount);
   }
 
   /** Registers a heartbeat that is sent now and returns its number. */
   public long registerHeartbeat(Moment now) {
     lastNumber++;
     unanswered.addLast(new SentHeartbeat(lastNumber, now));
-    if (unanswered.size() > MAX_UNANSWERED) {
+    if (unanswered.size() > MAX_UNANSWERED_HEARTBEATS) {
       unanswered.removeFirst();
     }
     return lastNumber;
@@ -56,24 +56,24 @@
 
   /** Takes in a grant; returns whether the settings to comply with differ from those before. */
   public boolean acceptGrant(Moment now, LeaseGrant grant) {
-    Moment sent = removeAnswered(grant.heartbeatNumber());
-    boolean isDuplicate = sent == null;
+    Moment sentAt = removeAnswered(grant.heartbeatNumber());
+    boolean isDuplicate = sentAt == null;
     // A leader that was replaced without noticing may lack a version that this router has already
     // acknowledged to its successor.
-    boolean isOutdated = grant.changeCount() < changes;
+    boolean isOutdated = grant.changeCount() < latestChangeCount;
     if (isDuplicate || isOutdated) {
       return false;
     }
-    changes = grant.changeCount();
+    latestChangeCount = grant.changeCount();
     boolean versionsDiffer =
         inForce == null
             || inForce.number() != grant.inForce().number()
             || numberOf(prepared) != numberOf(grant.prepared());
     inForce = grant.inForce();
     prepared = grant.prepared();
-    leaseEnds = leaseEnds.later(sent.plus(grant.duration()));
+    leaseEnd = leaseEnd.later(sentAt.plus(grant.duration()));
     boolean wasRestricted = restricted;
-    restricted = !now.isBefore(leaseEnds);
+    restricted = !now.isBefore(leaseEnd);
     return versionsDiffer || wasRestricted != restricted;
   }
 
@@ -82,14 +82,14 @@
    * answered before or overtaken by the answer to a later one.
    */
   private Moment removeAnswered(long number) {
-    Moment sent = null;
+    Moment sentAt = null;
     while (!unanswered.isEmpty() && unanswered.peekFirst().number() <= number) {
       SentHeartbeat heartbeat = unanswered.removeFirst();
       if (heartbeat.number() == number) {
-        sent = heartbeat.sent();
+        sentAt = heartbeat.sentAt();
       }
     }
-    return sent;
+    return sentAt;
   }
 
   /**
@@ -97,11 +97,11 @@
    * be carried out.
    */
   public boolean isExpired(Moment now) {
-    return !restricted && !now.isBefore(leaseEnds);
+    return !restricted && !now.isBefore(leaseEnd);
   }
 
   /** Notes the end of the lease; true where it has ended since the last call. */
-  public boolean noteExpiry(Moment now) {
+  public boolean restrictIfExpired(Moment now) {
     boolean ended = isExpired(now);
     restricted |= ended;
     return ended;
@@ -117,8 +117,8 @@
   }
 
   /** Latest end of its leases, by the router's clock. */
-  public Moment leaseEnds() {
-    return leaseEnds;
+  public Moment leaseEnd() {
+    return leaseEnd;
   }
 
   /** The version in force; null before the first grant. */
--- a/router/src/main/java/basaltlever/settings/LeaseTable.java
+++ b/router/src/main/java/basaltlever/settings/LeaseTable.java
@@ -19,7 +19,7 @@
  */
 public final class LeaseTable {
   /** Routers that sent no heartbeat for so many lease durations are removed from the table. */
-  private static final int FORGET_AFTER_LEASES = 20;
+  private static final int MAX_SILENCE_LEASES = 20;
 
   private static final int MAX_ROUTERS = 2_000;
 
@@ -44,15 +44,15 @@
   public static final class RouterLease {
     private final String name;
     private long incarnation;
-    private Moment leaseEnds = Moment.LONG_AGO;
-    private Moment lastHeard = Moment.LONG_AGO;
+    private Moment leaseEnd = Moment.LONG_AGO;
+    private Moment lastHeartbeatAt = Moment.LONG_AGO;
     private long acknowledged;
     private long inForce;
     private String rejectionReason = "";
     private long rejected;
 
     /** End of the leases of an earlier process under the same name. */
-    private Moment barredUntil = Moment.LONG_AGO;
+    private Moment formerIncarnationLeaseEnd = Moment.LONG_AGO;
 
     RouterLease(String name) {
       this.name = name;
@@ -69,13 +69,13 @@
     }
 
     /** Latest end of its leases, by the leader's clock. */
-    public Moment leaseEnds() {
-      return leaseEnds;
+    public Moment leaseEnd() {
+      return leaseEnd;
     }
 
     /** When its last heartbeat came. */
-    public Moment lastHeard() {
-      return lastHeard;
+    public Moment lastHeartbeatAt() {
+      return lastHeartbeatAt;
     }
 
     /** Number of the prepared version that it complies with already, or 0. */
@@ -97,10 +97,10 @@
       if (incarnation != heartbeat.incarnation()) {
         // The earlier process may still act under its lease; with a second lease the two would use
         // two shares of the capacity under one name.
-        barredUntil = leaseEnds;
+        formerIncarnationLeaseEnd = leaseEnd;
         incarnation = heartbeat.incarnation();
       }
-      lastHeard = now;
+      lastHeartbeatAt = now;
       inForce = heartbeat.inForce();
       acknowledged = heartbeat.acknowledged();
       rejected = heartbeat.rejected();
@@ -108,7 +108,7 @@
     }
 
     private boolean hasLease(Moment now) {
-      return leaseEnds.isAfter(now);
+      return leaseEnd.isAfter(now);
     }
   }
 
@@ -117,9 +117,9 @@
   private final TreeMap<String, RouterLease> routers = new TreeMap<>();
 
   /** Last heartbeat since the election, by router; routers removed from the table stay here. */
-  private final Map<String, Moment> lastHeard = new HashMap<>();
+  private final Map<String, Moment> lastHeartbeatAt = new HashMap<>();
 
-  private Moment lastConfirmed = Moment.LONG_AGO;
+  private Moment lastConfirmedAt = Moment.LONG_AGO;
 
   /** By then all leases of the former leader are over. */
   private Moment formerLeasesEnd = Moment.NEVER;
@@ -144,29 +144,30 @@
   /** This voter leads from now on and does not know which leases its predecessor granted. */
   public void startLeading(Moment now) {
     routers.clear();
-    lastHeard.clear();
-    lastConfirmed = Moment.LONG_AGO;
+    lastHeartbeatAt.clear();
+    lastConfirmedAt = Moment.LONG_AGO;
     formerLeasesEnd = now.plus(withClockDrift(leaseDuration));
   }
 
   /** This voter leads no more and grants nothing. */
   public void stopLeading() {
     formerLeasesEnd = Moment.NEVER;
-    lastConfirmed = Moment.LONG_AGO;
+    lastConfirmedAt = Moment.LONG_AGO;
   }
 
   /**
    * A majority accepted a command that was sent at this moment, so nobody else had been elected by
    * then.
    */
-  public void confirmLeadership(Moment sent) {
-    lastConfirmed = lastConfirmed.later(sent);
+  public void confirmLeadership(Moment sentAt) {
+    lastConfirmedAt = lastConfirmedAt.later(sentAt);
   }
 
   /** Records a router's heartbeat and answers it; the grant's duration is zero without a lease. */
-  public LeaseGrant heartbeat(Moment now, RouterHeartbeat heartbeat, VersionRegister register) {
+  public LeaseGrant answerHeartbeat(
+      Moment now, RouterHeartbeat heartbeat, VersionRegister register) {
     boolean isTableFull = !routers.containsKey(heartbeat.router()) && routers.size() >= MAX_ROUTERS;
-    Span duration = isTableFull ? Span.NONE : recordAndLease(now, heartbeat, register);
+    Span duration = isTableFull ? Span.NONE : recordAndGrant(now, heartbeat, register);
     return new LeaseGrant(
         heartbeat.number(),
         duration,
@@ -175,21 +176,21 @@
         register.changeCount());
   }
 
-  private Span recordAndLease(Moment now, RouterHeartbeat heartbeat, VersionRegister register) {
+  private Span recordAndGrant(Moment now, RouterHeartbeat heartbeat, VersionRegister register) {
     RouterLease router = routers.computeIfAbsent(heartbeat.router(), RouterLease::new);
     router.update(now, heartbeat);
-    lastHeard.put(heartbeat.router(), now);
+    lastHeartbeatAt.put(heartbeat.router(), now);
     boolean isEntitled =
-        formerLeasesMayRun(now)
+        canFormerLeasesRun(now)
             ? heartbeat.holdsLease()
             : router.hasLease(now) || hasUnusedShare(now, register);
-    if (!isEntitled || now.isBefore(router.barredUntil)) {
+    if (!isEntitled || now.isBefore(router.formerIncarnationLeaseEnd)) {
       return Span.NONE;
     }
-    Span untilUnconfirmed = lastConfirmed.plus(leaseDuration).since(now);
+    Span untilUnconfirmed = lastConfirmedAt.plus(leaseDuration).since(now);
     Span duration = leaseDuration.shorter(untilUnconfirmed).longer(Span.NONE);
     if (duration.micros() > 0) {
-      router.leaseEnds = router.leaseEnds.later(now.plus(withClockDrift(duration)));
+      router.leaseEnd = router.leaseEnd.later(now.plus(withClockDrift(duration)));
     }
     return duration;
   }
@@ -210,25 +211,26 @@
 
   /** The next command for the voters: for the prepared version if there is one, else the count. */
   public Step nextStep(Moment now, VersionRegister register) {
-    forgetSilentRouters(now);
+    removeSilentRouters(now);
     SettingsVersion prepared = register.prepared();
     return prepared == null
         ? stepForRouterCount(now, register.inForce())
         : stepForPrepared(now, prepared);
   }
 
-  private void forgetSilentRouters(Moment now) {
-    Span longestSilence = leaseDuration.times(FORGET_AFTER_LEASES);
+  private void removeSilentRouters(Moment now) {
+    Span maxSilence = leaseDuration.times(MAX_SILENCE_LEASES);
     routers
         .values()
         .removeIf(
             router ->
-                now.since(router.lastHeard).isLongerThan(longestSilence) && !router.hasLease(now));
+                now.since(router.lastHeartbeatAt).isLongerThan(maxSilence)
+                    && !router.hasLease(now));
   }
 
   private Step stepForPrepared(Moment now, SettingsVersion prepared) {
     for (RouterLease router : routers.values()) {
-      if (router.rejected == prepared.number() && isHeardRecently(router, now)) {
+      if (router.rejected == prepared.number() && hasRecentHeartbeat(router, now)) {
         String reason = router.name + ": " + router.rejectionReason;
         return new Step(Step.Kind.WITHDRAW, prepared.number(), reason, 0);
       }
@@ -242,7 +244,7 @@
     List<RouterLease> leased =
         routers.values().stream().filter(router -> router.hasLease(now)).toList();
     // With no router at all nobody has checked the version, and it might suit none.
-    return !formerLeasesMayRun(now)
+    return !canFormerLeasesRun(now)
         && !leased.isEmpty()
         && leased.stream().allMatch(router -> router.acknowledged == prepared.number());
   }
@@ -251,11 +253,11 @@
     int present =
         (int)
             routers.values().stream()
-                .filter(router -> router.hasLease(now) || isHeardRecently(router, now))
+                .filter(router -> router.hasLease(now) || hasRecentHeartbeat(router, now))
                 .count();
     // A smaller count enlarges every share: not while unknown routers may hold a former lease.
     boolean isChangeDue =
-        present > inForce.routers() || (present < inForce.routers() && !formerLeasesMayRun(now));
+        present > inForce.routers() || (present < inForce.routers() && !canFormerLeasesRun(now));
     return isChangeDue && present > 0
         ? new Step(Step.Kind.SET_ROUTER_COUNT, inForce.number(), "", present)
         : Step.NOTHING;
@@ -273,7 +275,7 @@
   }
 
   /** Whether leases that the former leader granted may still run. */
-  public boolean formerLeasesMayRun(Moment now) {
+  public boolean canFormerLeasesRun(Moment now) {
     return now.isBefore(formerLeasesEnd);
   }
 
@@ -282,16 +284,16 @@
    * lead by now.
    */
   public boolean isConfirmed(Moment now) {
-    return now.isBefore(lastConfirmed.plus(leaseDuration));
+    return now.isBefore(lastConfirmedAt.plus(leaseDuration));
   }
 
   /** When the router's last heartbeat since the election came. */
-  public Moment lastHeard(String name) {
-    return lastHeard.getOrDefault(name, Moment.LONG_AGO);
+  public Moment lastHeartbeatAt(String name) {
+    return lastHeartbeatAt.getOrDefault(name, Moment.LONG_AGO);
   }
 
-  private boolean isHeardRecently(RouterLease router, Moment now) {
-    return !now.since(router.lastHeard).isLongerThan(leaseDuration);
+  private boolean hasRecentHeartbeat(RouterLease router, Moment now) {
+    return !now.since(router.lastHeartbeatAt).isLongerThan(leaseDuration);
   }
 
   /** All known routers, by name. */
--- a/router/src/main/java/basaltlever/settings/VersionRegister.java
+++ b/router/src/main/java/basaltlever/settings/VersionRegister.java
@@ -80,16 +80,17 @@
    * @return why it is rejected; empty where the version is now prepared
    */
   public String propose(
-      long basis, String text, int routers, String who, String why, long atMillis) {
+      long basis, String text, int routers, String proposer, String reason, long proposedAtMillis) {
     changeCount++;
     String rejection = reasonToReject(basis, text);
     if (!rejection.isEmpty()) {
-      SettingsVersion rejected = new SettingsVersion(0, text, routers, who, why, atMillis);
+      SettingsVersion rejected =
+          new SettingsVersion(0, text, routers, proposer, reason, proposedAtMillis);
       addToHistory(new HistoryEntry(rejected, VersionOutcome.REFUSED, rejection));
       return rejection;
     }
     lastNumber++;
-    prepared = new SettingsVersion(lastNumber, text, routers, who, why, atMillis);
+    prepared = new SettingsVersion(lastNumber, text, routers, proposer, reason, proposedAtMillis);
     return "";
   }
 
@@ -152,27 +153,27 @@
    * Assigns an endpoint to a group, at once where it has none, else once every router has stopped
    * using it and the assignment is cleared. False where nothing changes.
    */
-  public boolean seat(String member, int group, ListVersion at) {
+  public boolean assignGroup(String endpoint, int group, ListVersion listVersion) {
     changeCount++;
-    return assignments.assign(member, group, at);
+    return assignments.assign(endpoint, group, listVersion);
   }
 
   /** Every router has stopped using the endpoint in its former group. */
-  public boolean clearAssignment(String member) {
+  public boolean clearAssignment(String endpoint) {
     changeCount++;
-    return assignments.clear(member);
+    return assignments.clear(endpoint);
   }
 
   /**
    * Discovery has lost its state and restarts its generations: lists belong to a new era from now
    * on. True where the era is now the one after the given, also for a repeated command.
    */
-  public boolean startNewEra(long from) {
+  public boolean startNewEra(long formerEra) {
     changeCount++;
-    if (from == era) {
+    if (formerEra == era) {
       era++;
     }
-    return era == from + 1;
+    return era == formerEra + 1;
   }
 
   /** Era of the current endpoint lists. */
@@ -182,23 +183,24 @@
 
   /** Number of the last change of a group assignment. */
   public long assignmentsNumber() {
-    return assignments.number();
+    return assignments.lastChangeNumber();
   }
 
   /** The group assignments that changed after that number. */
-  public List<GroupAssignment> assignmentsAfter(long after) {
-    return assignments.changedAfter(after);
+  public List<GroupAssignment> assignmentsAfter(long changeNumber) {
+    return assignments.changedAfter(changeNumber);
   }
 
   /** The endpoint's group assignment; null where it has none. */
-  public GroupAssignment seat(String member) {
-    return assignments.get(member);
+  public GroupAssignment groupAssignment(String endpoint) {
+    return assignments.get(endpoint);
   }
 
   /** Restores the era and the group assignments from a snapshot. */
-  public void restore(long ofEra, long number, List<GroupAssignment> table) {
-    era = ofEra;
-    assignments.restore(number, table);
+  public void restore(
+      long snapshotEra, long snapshotNumber, List<GroupAssignment> snapshotAssignments) {
+    era = snapshotEra;
+    assignments.restore(snapshotNumber, snapshotAssignments);
   }
 
   /**
@@ -211,7 +213,7 @@
   }
 
   /** Removes the record of a voter that left, or that is to vote with another folder. */
-  public void forgetFolder(String voter) {
+  public void removeRecordedFolder(String voter) {
     changeCount++;
     folders.remove(voter);
   }
@@ -227,13 +229,13 @@
   }
 
   /** The configuration epoch of a change count, as in a grant. */
-  public static long epoch(long changes) {
-    return changes >>> EPOCH_SHIFT;
+  public static long epoch(long changeCount) {
+    return changeCount >>> EPOCH_SHIFT;
   }
 
   /** The smallest change count of a configuration epoch. */
-  public static long firstChange(long charter) {
-    return charter << EPOCH_SHIFT;
+  public static long firstChangeCount(long epoch) {
+    return epoch << EPOCH_SHIFT;
   }
 
   /**
@@ -243,20 +245,27 @@
    * beyond those that they can have handed out, and no endpoint is used before every router has
    * stopped using it.
    */
-  public void recover(Set<String> lost, String who, String why, long atMillis) {
-    changeCount = firstChange(epoch() + 1);
+  public void recover(
+      Set<String> givenUpVoters, String proposer, String reason, long proposedAtMillis) {
+    changeCount = firstChangeCount(epoch() + 1);
     if (prepared != null) {
       withdrawPrepared("a majority was lost");
     }
     lastNumber = Math.max(lastNumber, inForce.number()) + SKIPPED_VERSIONS;
     inForce =
-        new SettingsVersion(lastNumber, inForce.text(), inForce.routers(), who, why, atMillis);
-    String remark = "charter " + epoch() + ", without " + String.join(", ", lost);
+        new SettingsVersion(
+            lastNumber,
+            inForce.settingsJson(),
+            inForce.routers(),
+            proposer,
+            reason,
+            proposedAtMillis);
+    String remark = "charter " + epoch() + ", without " + String.join(", ", givenUpVoters);
     addToHistory(new HistoryEntry(inForce, VersionOutcome.IN_FORCE, remark));
     assignments.unclearAll(SKIPPED_ASSIGNMENTS);
     folders.clear();
     lostVoters.clear();
-    lostVoters.addAll(lost);
+    lostVoters.addAll(givenUpVoters);
   }
 
   /** Voters given up by the last recovery; the operator has confirmed that they are stopped. */
@@ -270,11 +279,11 @@
   }
 
   /** Restores the voters' folders and the lost voters from a snapshot. */
-  public void restore(Map<String, String> snapshotFolders, Collection<String> lost) {
+  public void restore(Map<String, String> snapshotFolders, Collection<String> snapshotLostVoters) {
     folders.clear();
     folders.putAll(snapshotFolders);
     lostVoters.clear();
-    lostVoters.addAll(lost);
+    lostVoters.addAll(snapshotLostVoters);
   }
 
   private void addToHistory(HistoryEntry entry) {
@@ -313,13 +322,13 @@
   public void restore(
       SettingsVersion snapshotInForce,
       SettingsVersion snapshotPrepared,
-      long snapshotLast,
-      long snapshotChanges,
+      long snapshotLastNumber,
+      long snapshotChangeCount,
       List<HistoryEntry> snapshotHistory) {
-    changeCount = snapshotChanges;
+    changeCount = snapshotChangeCount;
     inForce = snapshotInForce;
     prepared = snapshotPrepared;
-    lastNumber = snapshotLast;
+    lastNumber = snapshotLastNumber;
     history.clear();
     snapshotHistory.forEach(this::addToHistory);
   }
--- a/router/src/test/java/basaltlever/fleet/StoredVersionTest.java
+++ b/router/src/test/java/basaltlever/fleet/StoredVersionTest.java
@@ -56,7 +56,7 @@
         () -> {
           if (fleet.get() != null) {
             HeartbeatReport report =
-                view.report(new Moment(System.nanoTime() / 1_000), member -> true);
+                view.createReport(new Moment(System.nanoTime() / 1_000), member -> true);
             fleet.get().sendHeartbeat(heartbeats.incrementAndGet(), 0, 0, 0, 0, "", true, report);
           }
         };
--- a/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
@@ -291,7 +291,7 @@
         check(
             taken.inForce().number() == 2 && taken.inForce().routers() == 2,
             "the version in force");
-        check(taken.inForce().text().equals("{\"MaxOpen\":400}"), "its settings");
+        check(taken.inForce().settingsJson().equals("{\"MaxOpen\":400}"), "its settings");
         check(taken.prepared() == null && taken.changeCount() == 7, "and nothing on its way");
         check(voterStore.inForce().equals(taken.inForce()), "kept by then");
       }
@@ -304,7 +304,7 @@
     VoterStore voterStore = VoterStore.read(folder, "cards", NAME);
     check(
         voterStore.inForce().number() == 3
-            && voterStore.inForce().text().equals("{\"MaxOpen\":400}"),
+            && voterStore.inForce().settingsJson().equals("{\"MaxOpen\":400}"),
         "the version told last");
     BlockingQueue<LeaseGrant> grants = new LinkedBlockingQueue<>();
     InetSocketAddress peer = free();
--- a/router/src/test/java/basaltlever/settings/EndpointListAgreementTest.java
+++ b/router/src/test/java/basaltlever/settings/EndpointListAgreementTest.java
@@ -29,77 +29,78 @@
  * discovery tells.
  */
 class EndpointListAgreementTest {
-  private static final long STATED = 1_000_000;
-  private static final Span ASSIGNED = Span.ofMillis(3_000);
+  private static final long UNCONTESTED_MICROS = 1_000_000;
+  private static final Span ASSIGNMENT_VALIDITY = Span.ofMillis(3_000);
 
   /** An execution that was begun before a router let go of a member is over by then. */
-  private static final Span LONGEST = Span.ofMillis(1_600);
+  private static final Span MAX_ATTEMPT_DURATION = Span.ofMillis(1_600);
 
-  private static final long FAULTS_END = 14_000_000;
+  private static final long FAULTS_END_MICROS = 14_000_000;
 
   /** What came to a member. */
   private static final class EndpointState {
     int group;
     EndpointLifecycle lifecycle = EndpointLifecycle.READY;
-    int moves;
-    int groupChanges;
-    int lastGroup = -1;
-    long readyAt;
+    int plannedMoves;
+    int observedMoves;
+    int lastServedGroup = -1;
+    long readyListsDeliveredBy;
 
     /** By group, of which process. */
     final Map<Integer, Map<String, Integer>> inFlight =
         new HashMap<>(Map.of(1, new HashMap<>(), 2, new HashMap<>()));
   }
 
-  private record Drain(String member, long generation, long at, VirtualFleet.Router by) {}
+  private record Drain(
+      String endpoint, long generation, long receivedAt, VirtualFleet.Router receiver) {}
 
   private static final class RouterState {
     MembershipView view;
     final Map<String, Integer> inFlight = new HashMap<>();
-    long startsAt;
-    boolean late;
+    long startedAt;
+    boolean isDiscoveryLate;
     long disconnectedUntil;
   }
 
   private static final class ListFleet extends VirtualFleet {
-    final Map<String, EndpointState> members = new TreeMap<>();
+    final Map<String, EndpointState> endpoints = new TreeMap<>();
     final List<RouterState> routerStates = new ArrayList<>();
     final Map<Leader, MembershipCoordinator> coordinators = new HashMap<>();
     final List<Drain> drains = new ArrayList<>();
-    final List<Map<String, ListedEndpoint>> history = new ArrayList<>();
+    final List<Map<String, ListedEndpoint>> listHistory = new ArrayList<>();
 
     /** Far from where one that lost its state begins: nobody could tell the two rows apart else. */
     long generation = 1_000;
 
     /** Of the oldest list that is remembered. */
-    long base = generation;
+    long oldestGeneration = generation;
 
-    long eras;
-    int names;
+    long generationRestarts;
+    int endpointsCreated;
     int clearedMoves;
-    int suspendedLists;
+    int anomalousLists;
 
-    ListFleet(long seed, Bug bug, int count) {
-      super(seed, bug, count);
-      keepsLeader = seed % 2 == 1;
+    ListFleet(long seed, Bug bug, int routerCount) {
+      super(seed, bug, routerCount);
+      hasStableLeader = seed % 2 == 1;
       for (int i = 0; i < 8; i++) {
-        EndpointState member = new EndpointState();
-        member.group = 1 + i % 2;
-        members.put("m" + names++, member);
+        EndpointState endpoint = new EndpointState();
+        endpoint.group = 1 + i % 2;
+        endpoints.put("m" + endpointsCreated++, endpoint);
       }
       for (VirtualFleet.Router router : routers) {
-        RouterState own = new RouterState();
-        routerStates.add(own);
+        RouterState state = new RouterState();
+        routerStates.add(state);
         startProcess(router);
-        after(random.nextInt(20_000), () -> useEndpoints(router));
+        schedule(random.nextInt(20_000), () -> useEndpoints(router));
       }
-      history.add(truth());
+      listHistory.add(actualList());
       for (Leader leader : leaders) {
         if (!coordinators.containsKey(leader)) {
           onElected(leader);
         }
       }
-      after(700_000, this::changeEndpoints);
+      schedule(700_000, this::changeEndpoints);
     }
 
     RouterState stateOf(VirtualFleet.Router router) {
@@ -107,15 +108,17 @@
     }
 
     void startProcess(VirtualFleet.Router router) {
-      RouterState own = stateOf(router);
-      own.view =
+      RouterState state = stateOf(router);
+      state.view =
           new MembershipView(
-              Span.ofMillis(STATED / 1_000),
-              bug == Bug.NEVER_ADRIFT ? ASSIGNED.times(1_000) : ASSIGNED);
-      own.inFlight.clear();
-      own.startsAt = now + 120_000;
+              Span.ofMillis(UNCONTESTED_MICROS / 1_000),
+              bug == Bug.ASSIGNMENTS_NEVER_EXPIRE
+                  ? ASSIGNMENT_VALIDITY.times(1_000)
+                  : ASSIGNMENT_VALIDITY);
+      state.inFlight.clear();
+      state.startedAt = now + 120_000;
       long incarnation = router.incarnation;
-      after(120_000, () -> deliverList(router, incarnation, truth(), generation));
+      schedule(120_000, () -> deliverList(router, incarnation, actualList(), generation));
     }
 
     @Override
@@ -135,18 +138,23 @@
       }
       MembershipCoordinator coordinator =
           coordinators.computeIfAbsent(
-              leader, l -> new MembershipCoordinator(l.leases, names, ASSIGNED.plus(LONGEST)));
+              leader,
+              l ->
+                  new MembershipCoordinator(
+                      l.leases, names, ASSIGNMENT_VALIDITY.plus(MAX_ATTEMPT_DURATION)));
       coordinator.startLeading(clock(leader), 1 + eventCount++);
     }
 
     @Override
-    HeartbeatReport report(VirtualFleet.Router router) {
-      RouterState own = stateOf(router);
+    HeartbeatReport createReport(VirtualFleet.Router router) {
+      RouterState state = stateOf(router);
       HeartbeatReport report =
-          own.view.report(
+          state.view.createReport(
               clock(router),
-              member -> bug == Bug.LETS_GO_EARLY || own.inFlight.getOrDefault(member, 0) == 0);
-      return bug != Bug.MARKS_KEPT_TO_ITSELF
+              endpoint ->
+                  bug == Bug.RELEASED_WHILE_IN_FLIGHT
+                      || state.inFlight.getOrDefault(endpoint, 0) == 0);
+      return bug != Bug.DRAIN_MARKS_NOT_REPORTED
           ? report
           : new HeartbeatReport(
               report.listVersion(),
@@ -154,7 +162,7 @@
               report.anomaly(),
               List.of(),
               0,
-              report.wantedAssignments(),
+              report.requestedAssignments(),
               report.releasedEndpoints(),
               report.coordinatorTerm(),
               report.readPosition(),
@@ -162,12 +170,13 @@
     }
 
     @Override
-    MembershipUpdate answer(Leader leader, VirtualFleet.Router router, HeartbeatReport report) {
+    MembershipUpdate createUpdate(
+        Leader leader, VirtualFleet.Router router, HeartbeatReport report) {
       MembershipUpdate update =
           coordinators
               .get(leader)
-              .heartbeat(clock(leader), "r" + router.number, report, knownTo(leader));
-      return bug != Bug.MOVES_AT_ONCE
+              .answerHeartbeat(clock(leader), "r" + router.number, report, registerOf(leader));
+      return bug != Bug.MOVE_USED_BEFORE_CLEARED
           ? update
           : new MembershipUpdate(
               update.coordinatorTerm(),
@@ -191,30 +200,31 @@
     }
 
     @Override
-    void onLease(VirtualFleet.Router router) {
-      stateOf(router).view.extendLease(router.lease.leaseEnds());
+    void onLeaseGranted(VirtualFleet.Router router) {
+      stateOf(router).view.extendLease(router.lease.leaseEnd());
     }
 
     @Override
     void receiveUpdate(VirtualFleet.Router router, MembershipUpdate update) {
-      RouterState own = stateOf(router);
-      if (update != null && now >= own.startsAt) {
-        own.view.receiveUpdate(clock(router), update);
-        if (own.view.needsList()) {
+      RouterState state = stateOf(router);
+      if (update != null && now >= state.startedAt) {
+        state.view.receiveUpdate(clock(router), update);
+        if (state.view.needsList()) {
           long incarnation = router.incarnation;
-          after(10_000, () -> deliverList(router, incarnation, truth(), generation));
+          schedule(10_000, () -> deliverList(router, incarnation, actualList(), generation));
         }
       }
     }
 
     @Override
-    void carryOutMembershipStep(Leader leader) {
+    void applyMembershipStep(Leader leader) {
       MembershipCoordinator.Step step = coordinators.get(leader).nextStep(clock(leader), register);
       switch (step.kind()) {
         case ASSIGN -> {
           for (GroupAssignment assignment : step.assignments()) {
-            register.seat(assignment.endpoint(), assignment.group(), assignment.listVersion());
-            if (bug == Bug.CLEARS_EARLY) {
+            register.assignGroup(
+                assignment.endpoint(), assignment.group(), assignment.listVersion());
+            if (bug == Bug.MOVE_CLEARED_BEFORE_RELEASED) {
               register.clearAssignment(assignment.endpoint());
             }
           }
@@ -229,117 +239,124 @@
       }
     }
 
-    Map<String, ListedEndpoint> truth() {
+    Map<String, ListedEndpoint> actualList() {
       Map<String, ListedEndpoint> list = new TreeMap<>();
-      members.forEach(
-          (name, member) -> {
-            if (member.lifecycle != EndpointLifecycle.GONE) {
-              list.put(name, new ListedEndpoint(member.lifecycle, member.group));
+      endpoints.forEach(
+          (name, endpoint) -> {
+            if (endpoint.lifecycle != EndpointLifecycle.GONE) {
+              list.put(name, new ListedEndpoint(endpoint.lifecycle, endpoint.group));
             }
           });
       return list;
     }
 
     EndpointState pickEndpoint() {
-      List<EndpointState> serving =
-          members.values().stream().filter(one -> one.lifecycle != EndpointLifecycle.GONE).toList();
-      return serving.get(random.nextInt(serving.size()));
+      List<EndpointState> listed =
+          endpoints.values().stream()
+              .filter(endpoint -> endpoint.lifecycle != EndpointLifecycle.GONE)
+              .toList();
+      return listed.get(random.nextInt(listed.size()));
     }
 
     void changeEndpoints() {
-      if (now > FAULTS_END) {
+      if (now > FAULTS_END_MICROS) {
         generation++;
-        routers.forEach(router -> deliverList(router, router.incarnation, truth(), generation));
-        if (now < FAULTS_END + 3_000_000) {
+        routers.forEach(
+            router -> deliverList(router, router.incarnation, actualList(), generation));
+        if (now < FAULTS_END_MICROS + 3_000_000) {
           // Once more behind what was late.
-          after(3_000_000, this::changeEndpoints);
+          schedule(3_000_000, this::changeEndpoints);
         }
         return;
       }
-      after(400_000 + random.nextInt(900_000), this::changeEndpoints);
-      long ready =
-          members.values().stream().filter(one -> one.lifecycle == EndpointLifecycle.READY).count();
+      schedule(400_000 + random.nextInt(900_000), this::changeEndpoints);
+      long readyCount =
+          endpoints.values().stream()
+              .filter(endpoint -> endpoint.lifecycle == EndpointLifecycle.READY)
+              .count();
       String drained = "";
-      EndpointState one = pickEndpoint();
+      EndpointState endpoint = pickEndpoint();
       switch (random.nextInt(6)) {
         case 0, 1 -> {
-          if (ready > 5 && one.lifecycle == EndpointLifecycle.READY) {
-            one.lifecycle = EndpointLifecycle.DRAINING;
+          if (readyCount > 5 && endpoint.lifecycle == EndpointLifecycle.READY) {
+            endpoint.lifecycle = EndpointLifecycle.DRAINING;
             drained =
-                members.entrySet().stream()
-                    .filter(entry -> entry.getValue() == one)
+                endpoints.entrySet().stream()
+                    .filter(entry -> entry.getValue() == endpoint)
                     .findFirst()
                     .orElseThrow()
                     .getKey();
           }
         }
         case 2 ->
-            members.values().stream()
-                .filter(any -> any.lifecycle == EndpointLifecycle.DRAINING)
+            endpoints.values().stream()
+                .filter(
+                    drainingEndpoint -> drainingEndpoint.lifecycle == EndpointLifecycle.DRAINING)
                 .findFirst()
                 .ifPresent(
-                    any -> {
-                      any.lifecycle = EndpointLifecycle.READY;
-                      any.readyAt = now + 2_500_000;
+                    drainingEndpoint -> {
+                      drainingEndpoint.lifecycle = EndpointLifecycle.READY;
+                      drainingEndpoint.readyListsDeliveredBy = now + 2_500_000;
                     });
         case 3 -> {
-          one.group = 3 - one.group;
-          one.moves++;
+          endpoint.group = 3 - endpoint.group;
+          endpoint.plannedMoves++;
         }
         case 4 -> {
-          if (members.size() < 14) {
-            EndpointState member = new EndpointState();
-            member.group = 1 + random.nextInt(2);
-            members.put("m" + names++, member);
+          if (endpoints.size() < 14) {
+            EndpointState drainedEndpoint = new EndpointState();
+            drainedEndpoint.group = 1 + random.nextInt(2);
+            endpoints.put("m" + endpointsCreated++, drainedEndpoint);
           }
         }
         default -> {
-          if (ready > 5 && one.lifecycle == EndpointLifecycle.READY) {
-            one.lifecycle = EndpointLifecycle.GONE;
+          if (readyCount > 5 && endpoint.lifecycle == EndpointLifecycle.READY) {
+            endpoint.lifecycle = EndpointLifecycle.GONE;
           }
         }
       }
       if (random.nextInt(30) == 0) {
         // It loses its state and counts anew, for everybody.
         generation = 0;
-        eras++;
+        generationRestarts++;
         drains.clear();
-        history.clear();
-        base = 1;
+        listHistory.clear();
+        oldestGeneration = 1;
       }
       generation++;
-      history.add(truth());
+      listHistory.add(actualList());
       for (VirtualFleet.Router router : routers) {
-        RouterState own = stateOf(router);
-        own.late = router.number % 3 == 2 && random.nextInt(2) == 0;
-        long late = own.late ? random.nextInt(2_500_000) : 2_000 + random.nextInt(40_000);
+        RouterState state = stateOf(router);
+        state.isDiscoveryLate = router.number % 3 == 2 && random.nextInt(2) == 0;
+        long delayMicros =
+            state.isDiscoveryLate ? random.nextInt(2_500_000) : 2_000 + random.nextInt(40_000);
         long incarnation = router.incarnation;
         Map<String, ListedEndpoint> list = listFromDiscovery(router);
-        long of = generation;
-        String member = drained;
-        long counted = eras;
-        after(
-            late,
+        long listGeneration = generation;
+        String drainedEndpoint = drained;
+        long restartsBefore = generationRestarts;
+        schedule(
+            delayMicros,
             () -> {
-              if (counted != eras) {
+              if (restartsBefore != generationRestarts) {
                 return;
               }
-              deliverList(router, incarnation, list, of);
-              if (!member.isEmpty()
-                  && list.get(member) != null
+              deliverList(router, incarnation, list, listGeneration);
+              if (!drainedEndpoint.isEmpty()
+                  && list.get(drainedEndpoint) != null
                   && router.incarnation == incarnation
-                  && list.get(member).lifecycle() == EndpointLifecycle.DRAINING) {
-                long told = now;
-                after(
-                    LEASE.micros() + 20_000,
+                  && list.get(drainedEndpoint).lifecycle() == EndpointLifecycle.DRAINING) {
+                long receivedAt = now;
+                schedule(
+                    LEASE_DURATION.micros() + 20_000,
                     () -> {
                       // Its lease is from a beat that it sent after it was told: the leader knows.
                       if (!router.lease.isRestricted()
                           && router.incarnation == incarnation
-                          && router.pausedUntil < told
-                          && counted == eras
-                          && own.view.latestVersion().equals(own.view.takenVersion())) {
-                        drains.add(new Drain(member, of, told, router));
+                          && router.pausedUntil < receivedAt
+                          && restartsBefore == generationRestarts
+                          && state.view.latestVersion().equals(state.view.acceptedVersion())) {
+                        drains.add(new Drain(drainedEndpoint, listGeneration, receivedAt, router));
                       }
                     });
               }
@@ -349,7 +366,7 @@
 
     /** One router in some is told another thing under the same generation. */
     Map<String, ListedEndpoint> listFromDiscovery(VirtualFleet.Router router) {
-      Map<String, ListedEndpoint> list = new TreeMap<>(truth());
+      Map<String, ListedEndpoint> list = new TreeMap<>(actualList());
       if (router.number == 1 && routers.size() > 3 && random.nextInt(4) == 0) {
         list.put("ghost" + random.nextInt(3), new ListedEndpoint(EndpointLifecycle.READY, 1));
         list.replaceAll(
@@ -362,59 +379,65 @@
     }
 
     void deliverList(
-        VirtualFleet.Router router, long incarnation, Map<String, ListedEndpoint> list, long of) {
-      RouterState own = stateOf(router);
+        VirtualFleet.Router router,
+        long incarnation,
+        Map<String, ListedEndpoint> list,
+        long listGeneration) {
+      RouterState state = stateOf(router);
       if (router.incarnation == incarnation && now < router.pausedUntil) {
         // It reads what had come once it goes on.
-        long counted = eras;
-        after(
+        long restartsBefore = generationRestarts;
+        schedule(
             router.pausedUntil - now + 1,
             () -> {
-              if (counted == eras) {
-                deliverList(router, incarnation, list, of);
+              if (restartsBefore == generationRestarts) {
+                deliverList(router, incarnation, list, listGeneration);
               }
             });
         return;
       }
-      if (router.incarnation != incarnation || now < own.disconnectedUntil) {
+      if (router.incarnation != incarnation || now < state.disconnectedUntil) {
         return;
       }
-      ListVersion at = own.view.latestVersion();
-      if (at.generation() > of && eras == 0 && random.nextInt(3) > 0 && now < FAULTS_END) {
+      ListVersion latestVersion = state.view.latestVersion();
+      if (latestVersion.generation() > listGeneration
+          && generationRestarts == 0
+          && random.nextInt(3) > 0
+          && now < FAULTS_END_MICROS) {
         return;
       }
       Moment clock = clock(router);
-      int odd = now < FAULTS_END ? random.nextInt(12) : 0;
-      if (odd == 1) {
-        own.view.receiveList(clock, true, of, Map.of());
-        suspendedLists++;
-      } else if (odd == 2) {
-        Map<String, ListedEndpoint> few = new TreeMap<>(list);
-        few.keySet().retainAll(list.keySet().stream().limit(2).toList());
-        own.view.receiveList(clock, true, of, few);
-        suspendedLists++;
-      } else if (odd == 3 && history.size() > 4) {
-        int older = history.size() - 2 - random.nextInt(3);
-        own.view.receiveList(
+      int anomaly = now < FAULTS_END_MICROS ? random.nextInt(12) : 0;
+      if (anomaly == 1) {
+        state.view.receiveList(clock, true, listGeneration, Map.of());
+        anomalousLists++;
+      } else if (anomaly == 2) {
+        Map<String, ListedEndpoint> shortList = new TreeMap<>(list);
+        shortList.keySet().retainAll(list.keySet().stream().limit(2).toList());
+        state.view.receiveList(clock, true, listGeneration, shortList);
+        anomalousLists++;
+      } else if (anomaly == 3 && listHistory.size() > 4) {
+        int olderIndex = listHistory.size() - 2 - random.nextInt(3);
+        state.view.receiveList(
             clock,
             true,
-            bug == Bug.OLDER_LIST_TAKEN ? of + 1_000 : base + older,
-            history.get(older));
-        suspendedLists++;
+            bug == Bug.OLDER_LIST_ACCEPTED ? listGeneration + 1_000 : oldestGeneration + olderIndex,
+            listHistory.get(olderIndex));
+        anomalousLists++;
       }
-      if (bug != Bug.OLDER_LIST_TAKEN || odd != 3) {
-        own.view.receiveList(clock, true, of, list);
+      if (bug != Bug.OLDER_LIST_ACCEPTED || anomaly != 3) {
+        state.view.receiveList(clock, true, listGeneration, list);
       }
     }
 
     void useEndpoints(VirtualFleet.Router router) {
-      after(10_000 + random.nextInt(20_000), () -> useEndpoints(router));
-      RouterState own = stateOf(router);
-      if (now < router.pausedUntil || now < own.startsAt) {
+      schedule(10_000 + random.nextInt(20_000), () -> useEndpoints(router));
+      RouterState state = stateOf(router);
+      if (now < router.pausedUntil || now < state.startedAt) {
         return;
       }
-      for (String name : own.view.endpoints()) {
-        MembershipView.EndpointUse use = own.view.use(clock(router), name);
+      for (String name : state.view.endpoints()) {
+        MembershipView.EndpointUse use = state.view.determineUse(clock(router), name);
         if (use.lifecycle() != EndpointLifecycle.READY || random.nextInt(3) > 0) {
           continue;
         }
@@ -422,44 +445,44 @@
           violation = name + " was used at " + now + " us by r" + router.number;
           return;
         }
-        own.inFlight.merge(name, 1, Integer::sum);
-        Map<String, Integer> outs = own.inFlight;
+        state.inFlight.merge(name, 1, Integer::sum);
+        Map<String, Integer> attemptsInFlight = state.inFlight;
         long incarnation = router.incarnation;
-        long arrives = 500L + random.nextInt(10_000);
-        long works = 1_000L + random.nextInt(random.nextInt(5) == 0 ? 1_500_000 : 20_000);
+        long networkDelay = 500L + random.nextInt(10_000);
+        long executionTime = 1_000L + random.nextInt(random.nextInt(5) == 0 ? 1_500_000 : 20_000);
         String process = router.number + " " + incarnation;
-        after(arrives, () -> arrive(name, use.group(), router.number, process));
-        after(
-            arrives + works,
-            () -> members.get(name).inFlight.get(use.group()).merge(process, -1, Integer::sum));
-        after(
-            arrives + works,
+        schedule(networkDelay, () -> startExecution(name, use.group(), router.number, process));
+        schedule(
+            networkDelay + executionTime,
+            () -> endpoints.get(name).inFlight.get(use.group()).merge(process, -1, Integer::sum));
+        schedule(
+            networkDelay + executionTime,
             () -> {
               if (router.incarnation == incarnation) {
-                outs.merge(name, -1, Integer::sum);
+                attemptsInFlight.merge(name, -1, Integer::sum);
               }
             });
       }
     }
 
-    void arrive(String name, int group, int by, String process) {
-      EndpointState member = members.get(name);
-      if (member.lastGroup != group) {
-        member.groupChanges += member.lastGroup < 0 ? 0 : 1;
-        member.lastGroup = group;
+    void startExecution(String name, int group, int routerNumber, String process) {
+      EndpointState endpoint = endpoints.get(name);
+      if (endpoint.lastServedGroup != group) {
+        endpoint.observedMoves += endpoint.lastServedGroup < 0 ? 0 : 1;
+        endpoint.lastServedGroup = group;
       }
-      member.inFlight.get(group).merge(process, 1, Integer::sum);
+      endpoint.inFlight.get(group).merge(process, 1, Integer::sum);
       // What a process that was ended has left in a member is no use of it any more.
-      boolean both =
+      boolean isUsedInOtherGroup =
           routers.stream()
               .anyMatch(
                   router ->
-                      member
+                      endpoint
                               .inFlight
                               .get(3 - group)
                               .getOrDefault(router.number + " " + router.incarnation, 0)
                           > 0);
-      if (member.groupChanges > member.moves || both) {
+      if (endpoint.observedMoves > endpoint.plannedMoves || isUsedInOtherGroup) {
         violation =
             name
                 + " served two groups at "
@@ -467,11 +490,11 @@
                 + " us, for "
                 + group
                 + " by r"
-                + by
+                + routerNumber
                 + ", "
-                + member.groupChanges
+                + endpoint.observedMoves
                 + " flips of "
-                + member.moves
+                + endpoint.plannedMoves
                 + " moves";
       }
     }
@@ -484,20 +507,21 @@
         return;
       }
       for (Drain drain : drains) {
-        if (now < drain.at + STATED
-            || now > drain.at + STATED + 20_000
-            || drain.by.lease.isRestricted()) {
+        if (now < drain.receivedAt + UNCONTESTED_MICROS
+            || now > drain.receivedAt + UNCONTESTED_MICROS + 20_000
+            || drain.receiver.lease.isRestricted()) {
           // Who was told and its leader, which both know, are not lost at once.
           continue;
         }
         for (VirtualFleet.Router router : routers) {
-          RouterState own = stateOf(router);
+          RouterState state = stateOf(router);
           if (now >= router.pausedUntil
               && !router.lease.isRestricted()
-              && own.view.use(clock(router), drain.member).lifecycle() == EndpointLifecycle.READY
+              && state.view.determineUse(clock(router), drain.endpoint).lifecycle()
+                  == EndpointLifecycle.READY
               && isStillDrained(drain)) {
             violation =
-                drain.member
+                drain.endpoint
                     + " is used at "
                     + now
                     + " us by r"
@@ -505,24 +529,25 @@
                     + ", drained in "
                     + drain.generation
                     + ", told at "
-                    + drain.at;
+                    + drain.receivedAt;
           }
         }
       }
-      drains.removeIf(drain -> now > drain.at + STATED + 20_000);
+      drains.removeIf(drain -> now > drain.receivedAt + UNCONTESTED_MICROS + 20_000);
     }
 
     /** Every list since has said so. */
     private boolean isStillDrained(Drain drain) {
-      EndpointState member = members.get(drain.member);
-      return member.lifecycle != EndpointLifecycle.READY && member.readyAt < drain.at;
+      EndpointState endpoint = endpoints.get(drain.endpoint);
+      return endpoint.lifecycle != EndpointLifecycle.READY
+          && endpoint.readyListsDeliveredBy < drain.receivedAt;
     }
 
-    String checkFinalState() {
+    String findFinalMismatch() {
       for (VirtualFleet.Router router : routers) {
-        MembershipView membership = stateOf(router).view;
-        for (Map.Entry<String, ListedEndpoint> entry : truth().entrySet()) {
-          MembershipView.EndpointUse use = membership.use(clock(router), entry.getKey());
+        MembershipView view = stateOf(router).view;
+        for (Map.Entry<String, ListedEndpoint> entry : actualList().entrySet()) {
+          MembershipView.EndpointUse use = view.determineUse(clock(router), entry.getKey());
           if (use.lifecycle() != entry.getValue().lifecycle()
               || use.group() != entry.getValue().group()) {
             return "r"
@@ -532,11 +557,11 @@
                 + " of "
                 + entry
                 + " in the end: "
-                + membership.latestVersion()
+                + view.latestVersion()
                 + " "
-                + membership.agreement()
+                + view.agreement()
                 + " adrift "
-                + membership.isOutOfContact(clock(router));
+                + view.isOutOfContact(clock(router));
           }
         }
       }
@@ -545,7 +570,7 @@
 
     @Override
     void injectFault() {
-      if (now >= FAULTS_END) {
+      if (now >= FAULTS_END_MICROS) {
         return;
       }
       super.injectFault();
@@ -553,10 +578,12 @@
         // From its voters and its discovery, and not from members and clients; longer than groups
         // hold.
         VirtualFleet.Router router = routers.get(random.nextInt(routers.size()));
-        long until = now + 6_000_000 + random.nextInt(3_000_000);
-        stateOf(router).disconnectedUntil = until;
-        router.disconnectedUntil = until;
-        after(until - now, () -> deliverList(router, router.incarnation, truth(), generation));
+        long disconnectedUntil = now + 6_000_000 + random.nextInt(3_000_000);
+        stateOf(router).disconnectedUntil = disconnectedUntil;
+        router.disconnectedUntil = disconnectedUntil;
+        schedule(
+            disconnectedUntil - now,
+            () -> deliverList(router, router.incarnation, actualList(), generation));
       }
     }
 
@@ -565,29 +592,32 @@
   }
 
   @Example
-  void membersServeOneGroupAtATimeAndDrainsAreKnownToAll() {
-    int cleared = 0;
-    int held = 0;
+  void endpointsServeOneGroupAtATimeAndDrainsReachAllRouters() {
+    int clearedMoves = 0;
+    int anomalousLists = 0;
     for (int seed = 0; seed < 60; seed++) {
-      ListFleet run = new ListFleet(seed, VirtualFleet.Bug.NONE, 4 + seed % 6);
-      String broken = run.run(FAULTS_END + 20_000_000);
-      check(broken.isEmpty(), "seed " + seed + ": " + broken);
-      check(run.checkFinalState().isEmpty(), "seed " + seed + ": " + run.checkFinalState());
-      cleared += run.clearedMoves;
-      held += run.suspendedLists;
+      ListFleet fleet = new ListFleet(seed, VirtualFleet.Bug.NONE, 4 + seed % 6);
+      String violation = fleet.run(FAULTS_END_MICROS + 20_000_000);
+      check(violation.isEmpty(), "seed " + seed + ": " + violation);
+      check(fleet.findFinalMismatch().isEmpty(), "seed " + seed + ": " + fleet.findFinalMismatch());
+      clearedMoves += fleet.clearedMoves;
+      anomalousLists += fleet.anomalousLists;
     }
-    check(cleared > 60 && held > 60, "members move, and odd lists come: " + cleared + ", " + held);
+    check(
+        clearedMoves > 60 && anomalousLists > 60,
+        "members move, and odd lists come: " + clearedMoves + ", " + anomalousLists);
   }
 
   @Example
-  void plantedBugsAreFound() {
+  void injectedBugsAreDetected() {
     for (VirtualFleet.Bug bug :
-        EnumSet.range(VirtualFleet.Bug.MARKS_KEPT_TO_ITSELF, VirtualFleet.Bug.OLDER_LIST_TAKEN)) {
-      boolean found = false;
-      for (int seed = 0; seed < 60 && !found; seed++) {
-        found = !new ListFleet(seed, bug, 6).run(FAULTS_END).isEmpty();
+        EnumSet.range(
+            VirtualFleet.Bug.DRAIN_MARKS_NOT_REPORTED, VirtualFleet.Bug.OLDER_LIST_ACCEPTED)) {
+      boolean isDetected = false;
+      for (int seed = 0; seed < 60 && !isDetected; seed++) {
+        isDetected = !new ListFleet(seed, bug, 6).run(FAULTS_END_MICROS).isEmpty();
       }
-      check(found, bug + " was not found");
+      check(isDetected, bug + " was not found");
     }
   }
 
@@ -599,18 +629,21 @@
         new ListedEndpoint(EndpointLifecycle.READY, 1));
   }
 
-  private static MembershipUpdate sight(
-      long book, long seats, HeartbeatReport of, ListAgreement verdict) {
+  private static MembershipUpdate update(
+      long coordinatorTerm,
+      long assignmentsNumber,
+      HeartbeatReport report,
+      ListAgreement agreement) {
     return new MembershipUpdate(
-        book,
+        coordinatorTerm,
         0,
         List.of(),
-        of.drainMarksEnd(),
-        verdict,
-        of.listVersion(),
-        of.digest(),
+        report.drainMarksEnd(),
+        agreement,
+        report.listVersion(),
+        report.digest(),
         0,
-        seats,
+        assignmentsNumber,
         List.of(
             new GroupAssignment("m", 1, new ListVersion(0, 1), true),
             new GroupAssignment("n", 1, new ListVersion(0, 1), true)));
@@ -620,52 +653,54 @@
    * What it wants of the list that it keeps was once told with the digest of one that it held off.
    */
   @Example
-  void whoHoldsAListOffWantsNothingOfAnother() {
+  void routerWithSuspendedListRequestsNoAssignments() {
     Moment now = new Moment(1_000_000);
-    MembershipView membership = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
-    membership.receiveList(now, true, 5, list(EndpointLifecycle.READY, 2));
-    membership.receiveUpdate(
-        now, sight(1, 1, membership.report(now, member -> true), ListAgreement.SEEN));
+    MembershipView view = new MembershipView(Span.ofMillis(1_000), ASSIGNMENT_VALIDITY);
+    view.receiveList(now, true, 5, list(EndpointLifecycle.READY, 2));
+    view.receiveUpdate(
+        now, update(1, 1, view.createReport(now, endpoint -> true), ListAgreement.SEEN));
     check(
-        membership.report(now, member -> true).wantedAssignments().size() == 1,
+        view.createReport(now, endpoint -> true).requestedAssignments().size() == 1,
         "its list has a member elsewhere");
     check(
-        membership.receiveList(now, true, 4, list(EndpointLifecycle.READY, 1)) == ListAnomaly.BACK,
+        view.receiveList(now, true, 4, list(EndpointLifecycle.READY, 1)) == ListAnomaly.BACK,
         "it goes back");
     check(
-        membership.report(now, member -> true).wantedAssignments().isEmpty(),
+        view.createReport(now, endpoint -> true).requestedAssignments().isEmpty(),
         "and says nothing of groups");
   }
 
   @Example
-  void whatAListForbidsBindsAtOnceAndWhatItAllowsWaits() {
+  void restrictionsApplyImmediatelyAndPermissionsWaitForAgreement() {
     Moment now = new Moment(1_000_000);
-    MembershipView membership = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
-    membership.receiveList(now, true, 2, list(EndpointLifecycle.READY, 1));
-    membership.receiveUpdate(
-        now, sight(1, 1, membership.report(now, member -> true), ListAgreement.SEEN));
-    membership.extendLease(now);
+    MembershipView view = new MembershipView(Span.ofMillis(1_000), ASSIGNMENT_VALIDITY);
+    view.receiveList(now, true, 2, list(EndpointLifecycle.READY, 1));
+    view.receiveUpdate(
+        now, update(1, 1, view.createReport(now, endpoint -> true), ListAgreement.SEEN));
+    view.extendLease(now);
     check(
-        membership.use(now, "m").lifecycle() == EndpointLifecycle.READY,
+        view.determineUse(now, "m").lifecycle() == EndpointLifecycle.READY,
         "settled, and in its seat");
-    membership.receiveList(now, true, 3, list(EndpointLifecycle.DRAINING, 1));
-    check(membership.use(now, "m").lifecycle() == EndpointLifecycle.DRAINING, "at once");
-    membership.receiveList(now, true, 4, list(EndpointLifecycle.READY, 1));
+    view.receiveList(now, true, 3, list(EndpointLifecycle.DRAINING, 1));
+    check(view.determineUse(now, "m").lifecycle() == EndpointLifecycle.DRAINING, "at once");
+    view.receiveList(now, true, 4, list(EndpointLifecycle.READY, 1));
     check(
-        membership.use(now, "m").lifecycle() == EndpointLifecycle.DRAINING,
+        view.determineUse(now, "m").lifecycle() == EndpointLifecycle.DRAINING,
         "nobody has borne it out");
-    membership.receiveUpdate(
-        now, sight(1, 1, membership.report(now, member -> true), ListAgreement.DISPUTED));
+    view.receiveUpdate(
+        now, update(1, 1, view.createReport(now, endpoint -> true), ListAgreement.DISPUTED));
     check(
-        membership.use(now.plus(ASSIGNED), "m").lifecycle() == EndpointLifecycle.DRAINING,
+        view.determineUse(now.plus(ASSIGNMENT_VALIDITY), "m").lifecycle()
+            == EndpointLifecycle.DRAINING,
         "others hold another");
-    membership.receiveUpdate(
-        now, sight(1, 1, membership.report(now, member -> true), ListAgreement.SEEN));
-    check(membership.use(now, "m").lifecycle() == EndpointLifecycle.READY, "most hold it");
-    check(membership.receiveList(now, true, 5, Map.of()) == ListAnomaly.EMPTY, "an empty one");
-    check(membership.use(now, "m").lifecycle() == EndpointLifecycle.READY, "is used for nothing");
+    view.receiveUpdate(
+        now, update(1, 1, view.createReport(now, endpoint -> true), ListAgreement.SEEN));
+    check(view.determineUse(now, "m").lifecycle() == EndpointLifecycle.READY, "most hold it");
+    check(view.receiveList(now, true, 5, Map.of()) == ListAnomaly.EMPTY, "an empty one");
+    check(
+        view.determineUse(now, "m").lifecycle() == EndpointLifecycle.READY, "is used for nothing");
     check(
-        membership.use(now.plus(ASSIGNED.times(1.1)), "m").lifecycle()
+        view.determineUse(now.plus(ASSIGNMENT_VALIDITY.times(1.1)), "m").lifecycle()
             == EndpointLifecycle.DRAINING,
         "adrift");
   }
--- a/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
+++ b/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
@@ -23,82 +23,87 @@
 /** Seen through what a router might do: what the meet allows, both allow. */
 @SuppressWarnings("ReferenceEquality") // Asks which of two values it holds.
 class StricterSettingsTest {
-  private static Settings any(SplittableRandom chance) {
-    Workload[] kinds = new Workload[3];
-    for (int i = 0; i < kinds.length; i++) {
-      ReadConsistency needs =
-          i == 0 ? ReadConsistency.WRITE : ReadConsistency.values()[1 + chance.nextInt(4)];
-      kinds[i] =
+  private static Settings randomSettings(SplittableRandom random) {
+    Workload[] workloads = new Workload[3];
+    for (int i = 0; i < workloads.length; i++) {
+      ReadConsistency consistency =
+          i == 0 ? ReadConsistency.WRITE : ReadConsistency.values()[1 + random.nextInt(4)];
+      workloads[i] =
           new Workload(
-              needs,
-              Span.ofMillis(needs == ReadConsistency.BOUNDED ? chance.nextInt(900) : 0),
-              Idempotency.values()[chance.nextInt(3)],
-              DeduplicationScope.values()[chance.nextInt(3)],
-              Span.ofMillis(chance.nextInt(900)),
+              consistency,
+              Span.ofMillis(consistency == ReadConsistency.BOUNDED ? random.nextInt(900) : 0),
+              Idempotency.values()[random.nextInt(3)],
+              DeduplicationScope.values()[random.nextInt(3)],
+              Span.ofMillis(random.nextInt(900)),
               Span.ofMillis(300),
               Span.ofMillis(900),
               1,
               0);
     }
     return new Settings(
-        new RouterIdentity(1 + chance.nextInt(9), 0, 0, 0),
-        kinds,
-        new Replication(chance.nextBoolean(), chance.nextBoolean(), chance.nextBoolean()),
-        new DrainPolicy(true, Span.ofMillis(chance.nextInt(900)), chance.nextBoolean()),
+        new RouterIdentity(1 + random.nextInt(9), 0, 0, 0),
+        workloads,
+        new Replication(random.nextBoolean(), random.nextBoolean(), random.nextBoolean()),
+        new DrainPolicy(true, Span.ofMillis(random.nextInt(900)), random.nextBoolean()),
         new SlowStartPolicy(
-            chance.nextDouble(),
-            Span.ofMillis(1 + chance.nextInt(900)),
-            1 + chance.nextInt(5),
-            Span.ofMillis(1 + chance.nextInt(900))),
+            random.nextDouble(),
+            Span.ofMillis(1 + random.nextInt(900)),
+            1 + random.nextInt(5),
+            Span.ofMillis(1 + random.nextInt(900))),
         new AttemptLimits(
-            1 + chance.nextInt(6),
-            chance.nextBoolean(),
-            chance.nextBoolean(),
+            1 + random.nextInt(6),
+            random.nextBoolean(),
+            random.nextBoolean(),
             true,
-            Span.ofMillis(chance.nextInt(900)),
+            Span.ofMillis(random.nextInt(900)),
             Span.ofMillis(20)),
-        new PoolSettings(1 + chance.nextInt(3), Span.ofMillis(chance.nextInt(900))));
+        new PoolSettings(1 + random.nextInt(3), Span.ofMillis(random.nextInt(900))));
   }
 
   /**
    * May a second execution follow one that may have run, so long ago, in the same group and zone or
    * not?
    */
-  private static boolean mayRepeat(Workload kind, int millis, boolean sameZone, boolean sameGroup) {
-    return kind.idempotency() == Idempotency.IDEMPOTENT
-        || (kind.idempotency() == Idempotency.DEDUPLICATED
-            && millis < kind.deduplicationWindow().micros() / 1_000
-            && (kind.deduplicationScope() == DeduplicationScope.ALL
-                || (kind.deduplicationScope() == DeduplicationScope.ZONE ? sameZone : sameGroup)));
+  private static boolean canRepeat(
+      Workload workload, int ageMillis, boolean sameZone, boolean sameGroup) {
+    return workload.idempotency() == Idempotency.IDEMPOTENT
+        || (workload.idempotency() == Idempotency.DEDUPLICATED
+            && ageMillis < workload.deduplicationWindow().micros() / 1_000
+            && (workload.deduplicationScope() == DeduplicationScope.ALL
+                || (workload.deduplicationScope() == DeduplicationScope.ZONE
+                    ? sameZone
+                    : sameGroup)));
   }
 
   /** May a replica answer that lacks so much, to a session that has written or not? */
-  private static boolean mayRead(Workload kind, int behindMillis, boolean wrote) {
-    return switch (kind.consistency()) {
+  private static boolean canReadFromReplica(
+      Workload workload, int behindMillis, boolean hasWritten) {
+    return switch (workload.consistency()) {
       case ANY -> true;
-      case BOUNDED -> behindMillis <= kind.maxStaleness().micros() / 1_000;
-      case SESSION -> !wrote;
+      case BOUNDED -> behindMillis <= workload.maxStaleness().micros() / 1_000;
+      case SESSION -> !hasWritten;
       default -> false;
     };
   }
 
   @Property(tries = 2_000, seed = "291")
-  void whatTheMeetAllowsBothAllow(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    Settings older = any(chance);
-    Settings newer = any(chance);
-    Settings meet = StricterSettings.of(older, newer);
-    for (Settings strict : List.of(meet, StricterSettings.strictest(newer))) {
-      for (Settings one : strict == meet ? List.of(older, newer) : List.of(older, newer, meet)) {
-        noMore(chance, strict, one);
+  void stricterSettingsAllowOnlyWhatBothAllow(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    Settings older = randomSettings(random);
+    Settings newer = randomSettings(random);
+    Settings stricter = StricterSettings.of(older, newer);
+    for (Settings strict : List.of(stricter, StricterSettings.strictest(newer))) {
+      for (Settings one :
+          strict == stricter ? List.of(older, newer) : List.of(older, newer, stricter)) {
+        checkAllowsNoMore(random, strict, one);
       }
     }
-    boolean tokens =
+    boolean sameTokens =
         older.replication().sessionsCarryTokens() == newer.replication().sessionsCarryTokens();
     check(
-        tokens
-            || List.of(meet.workloads()).stream()
-                .noneMatch(kind -> kind.consistency() == ReadConsistency.SESSION),
+        sameTokens
+            || List.of(stricter.workloads()).stream()
+                .noneMatch(workload -> workload.consistency() == ReadConsistency.SESSION),
         "where a session's commit is to be found differs, so none relies on it");
     check(
         StricterSettings.findConflicts(older, newer).isEmpty(),
@@ -108,49 +113,54 @@
         "a version meets itself");
   }
 
-  private static void noMore(SplittableRandom chance, Settings strict, Settings one) {
+  private static void checkAllowsNoMore(SplittableRandom random, Settings strict, Settings other) {
     for (int i = 0; i < 3; i++) {
-      Workload kind = strict.workloads()[i];
-      Workload other = one.workloads()[i];
-      for (int k = 0; k < 20; k++) {
-        int millis = chance.nextInt(1_000);
-        boolean zone = chance.nextBoolean();
-        boolean group = chance.nextBoolean();
+      Workload strictWorkload = strict.workloads()[i];
+      Workload otherWorkload = other.workloads()[i];
+      for (int attempt = 0; attempt < 20; attempt++) {
+        int millis = random.nextInt(1_000);
+        boolean sameZone = random.nextBoolean();
+        boolean sameGroup = random.nextBoolean();
         check(
-            !mayRepeat(kind, millis, zone, group) || mayRepeat(other, millis, zone, group),
-            "repeats: " + kind + " and " + other);
+            !canRepeat(strictWorkload, millis, sameZone, sameGroup)
+                || canRepeat(otherWorkload, millis, sameZone, sameGroup),
+            "repeats: " + strictWorkload + " and " + otherWorkload);
         // A session's read and one of a bounded age are no stricter than each other: fresh reads
         // are.
-        boolean compares =
-            kind.consistency() == ReadConsistency.FRESH
-                || kind.consistency() == other.consistency()
-                || other.consistency() == ReadConsistency.ANY;
+        boolean isComparable =
+            strictWorkload.consistency() == ReadConsistency.FRESH
+                || strictWorkload.consistency() == otherWorkload.consistency()
+                || otherWorkload.consistency() == ReadConsistency.ANY;
         check(
-            i == 0 || !compares || !mayRead(kind, millis, zone) || mayRead(other, millis, zone),
-            "reads: " + kind + " and " + other);
+            i == 0
+                || !isComparable
+                || !canReadFromReplica(strictWorkload, millis, sameZone)
+                || canReadFromReplica(otherWorkload, millis, sameZone),
+            "reads: " + strictWorkload + " and " + otherWorkload);
       }
     }
-    check(strict.attemptLimits().maxAttempts() <= one.attemptLimits().maxAttempts(), "executions");
     check(
-        !strict.attemptLimits().hedgedRequests() || one.attemptLimits().hedgedRequests(),
+        strict.attemptLimits().maxAttempts() <= other.attemptLimits().maxAttempts(), "executions");
+    check(
+        !strict.attemptLimits().hedgedRequests() || other.attemptLimits().hedgedRequests(),
         "second copies");
-    check(!strict.replication().replicasCheck() || one.replication().replicasCheck(), "checks");
-    check(strict.drains().removalBinds() || !one.drains().removalBinds(), "removals");
+    check(!strict.replication().replicasCheck() || other.replication().replicasCheck(), "checks");
+    check(strict.drains().removalBinds() || !other.drains().removalBinds(), "removals");
   }
 
   /** A new node's budget, by age: no more under the meet than under either. */
   @Property(tries = 500, seed = "292")
-  void sharesAndBudgetsAreNoLarger(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    Settings older = any(chance);
-    Settings newer = any(chance);
-    Settings meet = StricterSettings.of(older, newer);
-    Span age = new Moment(chance.nextInt(1_000_000)).since(new Moment(0));
+  void stricterSlowStartBudgetIsNoLargerThanEither(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    Settings older = randomSettings(random);
+    Settings newer = randomSettings(random);
+    Settings stricter = StricterSettings.of(older, newer);
+    Span age = new Moment(random.nextInt(1_000_000)).since(new Moment(0));
     for (Settings one : List.of(older, newer)) {
       check(
-          meet.slowStart().shareAtAge(age)
-                  * meet.slowStart().overloadFactor()
-                  / meet.identity().routers()
+          stricter.slowStart().shareAtAge(age)
+                  * stricter.slowStart().overloadFactor()
+                  / stricter.identity().routers()
               <= one.slowStart().shareAtAge(age)
                       * one.slowStart().overloadFactor()
                       / one.identity().routers()
--- a/router/src/test/java/basaltlever/settings/VirtualFleet.java
+++ b/router/src/test/java/basaltlever/settings/VirtualFleet.java
@@ -19,38 +19,38 @@
  * an old leader's commands are taken no more once another was elected.
  */
 class VirtualFleet {
-  static final Span LEASE = Span.ofMillis(400);
-  static final double DRIFT = 0.02;
+  static final Span LEASE_DURATION = Span.ofMillis(400);
+  static final double MAX_CLOCK_DRIFT = 0.02;
 
   /** Faults planted in the code under test, each of which a run must find. */
   enum Bug {
     NONE,
-    NO_LEASE,
-    STOPPED_CLOCK,
-    EARLY,
-    UNCONFIRMED,
-    OLDER_TAKEN,
-    SHARES,
-    MARKS_KEPT_TO_ITSELF,
-    MOVES_AT_ONCE,
-    CLEARS_EARLY,
-    LETS_GO_EARLY,
-    NEVER_ADRIFT,
-    OLDER_LIST_TAKEN
+    LEASE_DOES_NOT_EXPIRE,
+    CLOCK_STOPS_DURING_PAUSE,
+    IN_FORCE_BEFORE_ACKNOWLEDGED,
+    LEADERSHIP_NOT_CONFIRMED,
+    OLDER_VERSION_ACCEPTED,
+    SHARES_TOO_LARGE,
+    DRAIN_MARKS_NOT_REPORTED,
+    MOVE_USED_BEFORE_CLEARED,
+    MOVE_CLEARED_BEFORE_RELEASED,
+    RELEASED_WHILE_IN_FLIGHT,
+    ASSIGNMENTS_NEVER_EXPIRE,
+    OLDER_LIST_ACCEPTED
   }
 
-  private record Event(long at, long order, Runnable action) {}
+  private record Event(long atMicros, long order, Runnable action) {}
 
   /** A router and its process. */
   static final class Router {
     LeaseHolder lease = new LeaseHolder();
     long incarnation = 1;
-    double speed;
-    long offset;
+    double clockSpeed;
+    long clockOffset;
     long pausedUntil;
-    long pausedFor;
+    long totalPaused;
     long disconnectedUntil;
-    int leader;
+    int lastKnownLeader;
     final int number;
 
     Router(int number) {
@@ -60,20 +60,21 @@
 
   /** A voter that leads or led; one that was replaced may not know it. */
   static final class Leader {
-    LeaseTable leases = new LeaseTable(LEASE, DRIFT);
-    double speed;
-    long offset;
+    LeaseTable leases = new LeaseTable(LEASE_DURATION, MAX_CLOCK_DRIFT);
+    double clockSpeed;
+    long clockOffset;
     long term;
     boolean isDisconnected;
 
     /** What it knows since it was replaced. */
-    VersionRegister stateWhenReplaced;
+    VersionRegister registerWhenReplaced;
   }
 
   final SplittableRandom random;
   final Bug bug;
   final PriorityQueue<Event> events =
-      new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+      new PriorityQueue<>(
+          Comparator.comparingLong(Event::atMicros).thenComparingLong(Event::order));
   final List<Router> routers = new ArrayList<>();
   final Leader[] leaders = new Leader[3];
   final VersionRegister register = new VersionRegister();
@@ -85,66 +86,66 @@
   long eventCount;
   long term;
   int currentLeader;
-  int versionsInForce;
+  int versionsBroughtIntoForce;
   String violation = "";
 
   /** No leader is ever replaced: what waits for time since an election would wait for good else. */
-  boolean keepsLeader;
+  boolean hasStableLeader;
 
-  VirtualFleet(long seed, Bug bug, int count) {
+  VirtualFleet(long seed, Bug bug, int routerCount) {
     random = new SplittableRandom(seed);
     this.bug = bug;
-    for (int i = 0; i < count; i++) {
+    for (int i = 0; i < routerCount; i++) {
       Router router = new Router(i);
-      router.speed = 1 + DRIFT / 2 * (2 * random.nextDouble() - 1);
-      router.offset = random.nextInt(1_000_000);
+      router.clockSpeed = 1 + MAX_CLOCK_DRIFT / 2 * (2 * random.nextDouble() - 1);
+      router.clockOffset = random.nextInt(1_000_000);
       routers.add(router);
       int number = i;
-      after(random.nextInt(100_000), () -> sendHeartbeat(number));
+      schedule(random.nextInt(100_000), () -> sendHeartbeat(number));
     }
     for (int i = 0; i < 3; i++) {
       leaders[i] = new Leader();
-      leaders[i].speed = 1 + DRIFT / 2 * (2 * random.nextDouble() - 1);
-      leaders[i].offset = random.nextInt(1_000_000);
+      leaders[i].clockSpeed = 1 + MAX_CLOCK_DRIFT / 2 * (2 * random.nextDouble() - 1);
+      leaders[i].clockOffset = random.nextInt(1_000_000);
       int number = i;
-      after(1_000 + i, () -> runLeader(number));
+      schedule(1_000 + i, () -> runLeader(number));
     }
     elect(0);
-    after(300_000, this::proposeVersion);
-    after(200_000, this::injectFault);
+    schedule(300_000, this::proposeVersion);
+    schedule(200_000, this::injectFault);
   }
 
-  void after(long micros, Runnable what) {
-    events.add(new Event(now + micros, eventCount++, what));
+  void schedule(long delayMicros, Runnable action) {
+    events.add(new Event(now + delayMicros, eventCount++, action));
   }
 
   /** Lost, late, repeated. */
-  void send(boolean cut, Runnable what) {
+  void send(boolean isDisconnected, Runnable action) {
     for (int copies = random.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
-      if (!cut && random.nextInt(20) > 0) {
-        after(
+      if (!isDisconnected && random.nextInt(20) > 0) {
+        schedule(
             200
                 + (long)
                     (random.nextInt(10) == 0 ? random.nextInt(300_000) : random.nextInt(5_000)),
-            what);
+            action);
       }
     }
   }
 
   Moment clock(Router router) {
-    long at = bug == Bug.STOPPED_CLOCK ? now - router.pausedFor : now;
-    return new Moment(router.offset + (long) (at * router.speed));
+    long nowMicros = bug == Bug.CLOCK_STOPS_DURING_PAUSE ? now - router.totalPaused : now;
+    return new Moment(router.clockOffset + (long) (nowMicros * router.clockSpeed));
   }
 
   Moment clock(Leader leader) {
-    return new Moment(leader.offset + (long) (now * leader.speed));
+    return new Moment(leader.clockOffset + (long) (now * leader.clockSpeed));
   }
 
   void elect(int number) {
     if (number != currentLeader) {
-      leaders[currentLeader].stateWhenReplaced = copy();
+      leaders[currentLeader].registerWhenReplaced = copyRegister();
     }
-    leaders[number].stateWhenReplaced = null;
+    leaders[number].registerWhenReplaced = null;
     term++;
     currentLeader = number;
     leaders[number].term = term;
@@ -152,7 +153,7 @@
     onElected(leaders[number]);
   }
 
-  private VersionRegister copy() {
+  private VersionRegister copyRegister() {
     VersionRegister copy = new VersionRegister();
     copy.restore(
         register.inForce(),
@@ -164,46 +165,48 @@
     return copy;
   }
 
-  VersionRegister knownTo(Leader leader) {
-    return leader.stateWhenReplaced == null ? register : leader.stateWhenReplaced;
+  VersionRegister registerOf(Leader leader) {
+    return leader.registerWhenReplaced == null ? register : leader.registerWhenReplaced;
   }
 
   void onElected(Leader leader) {}
 
-  HeartbeatReport report(Router router) {
+  HeartbeatReport createReport(Router router) {
     return HeartbeatReport.NONE;
   }
 
-  MembershipUpdate answer(Leader leader, Router router, HeartbeatReport report) {
+  MembershipUpdate createUpdate(Leader leader, Router router, HeartbeatReport report) {
     return null;
   }
 
   void receiveUpdate(Router router, MembershipUpdate update) {}
 
-  void onLease(Router router) {}
+  void onLeaseGranted(Router router) {}
 
-  void carryOutMembershipStep(Leader leader) {}
+  void applyMembershipStep(Leader leader) {}
 
   void onRestart(Router router) {}
 
   void sendHeartbeat(int number) {
     Router router = routers.get(number);
-    after(80_000 + random.nextInt(40_000), () -> sendHeartbeat(number));
+    schedule(80_000 + random.nextInt(40_000), () -> sendHeartbeat(number));
     if (now < router.pausedUntil) {
       return;
     }
-    router.lease.noteExpiry(clock(router));
-    long beat = router.lease.registerHeartbeat(clock(router));
-    long force = router.lease.inForce() == null ? 0 : router.lease.inForce().number();
-    long keeps = router.lease.acknowledgedVersion();
+    router.lease.restrictIfExpired(clock(router));
+    long heartbeatNumber = router.lease.registerHeartbeat(clock(router));
+    long inForce = router.lease.inForce() == null ? 0 : router.lease.inForce().number();
+    long acknowledged = router.lease.acknowledgedVersion();
     long incarnation = router.incarnation;
-    boolean holds = !router.lease.isRestricted();
-    HeartbeatReport report = report(router);
+    boolean holdsLease = !router.lease.isRestricted();
+    HeartbeatReport report = createReport(router);
     RouterHeartbeat heartbeat =
-        new RouterHeartbeat("r" + number, incarnation, beat, force, keeps, 0, "", holds);
-    Leader leader = leaders[router.leader];
+        new RouterHeartbeat(
+            "r" + number, incarnation, heartbeatNumber, inForce, acknowledged, 0, "", holdsLease);
+    Leader leader = leaders[router.lastKnownLeader];
     // The heartbeat goes to the leader that the router last heard of, which may be replaced by now.
-    router.leader = random.nextInt(number % 2 == 0 ? 3 : 12) == 0 ? currentLeader : router.leader;
+    router.lastKnownLeader =
+        random.nextInt(number % 2 == 0 ? 3 : 12) == 0 ? currentLeader : router.lastKnownLeader;
     send(now < router.disconnectedUntil, () -> receiveHeartbeat(leader, router, heartbeat, report));
   }
 
@@ -212,12 +215,12 @@
     if (leader.term == 0) {
       return;
     }
-    LeaseGrant grant = leader.leases.heartbeat(clock(leader), heartbeat, knownTo(leader));
-    MembershipUpdate update = answer(leader, router, report);
-    Span lasts = bug == Bug.NO_LEASE ? Span.ofMillis(3_600_000) : grant.duration();
+    LeaseGrant grant = leader.leases.answerHeartbeat(clock(leader), heartbeat, registerOf(leader));
+    MembershipUpdate update = createUpdate(leader, router, report);
+    Span duration = bug == Bug.LEASE_DOES_NOT_EXPIRE ? Span.ofMillis(3_600_000) : grant.duration();
     LeaseGrant answer =
         new LeaseGrant(
-            heartbeat.number(), lasts, grant.inForce(), grant.prepared(), grant.changeCount());
+            heartbeat.number(), duration, grant.inForce(), grant.prepared(), grant.changeCount());
     send(
         now < router.disconnectedUntil,
         () -> {
@@ -231,64 +234,65 @@
     receiveUpdate(router, update);
     router.lease.acceptGrant(clock(router), grant);
     if (grant.duration().micros() > 0) {
-      onLease(router);
+      onLeaseGranted(router);
     }
   }
 
   /** A leader's own doings, whether or not it has been replaced. */
   void runLeader(int number) {
     Leader leader = leaders[number];
-    after(40_000 + random.nextInt(20_000), () -> runLeader(number));
-    if (leader.term == 0 || (leader.term < term && bug != Bug.UNCONFIRMED)) {
+    schedule(40_000 + random.nextInt(20_000), () -> runLeader(number));
+    if (leader.term == 0 || (leader.term < term && bug != Bug.LEADERSHIP_NOT_CONFIRMED)) {
       return;
     }
-    Moment sent = clock(leader);
-    if (leader.isDisconnected && bug != Bug.UNCONFIRMED) {
+    Moment sentAt = clock(leader);
+    if (leader.isDisconnected && bug != Bug.LEADERSHIP_NOT_CONFIRMED) {
       return;
     }
-    after(
+    schedule(
         3_000,
         () -> {
-          if (leader.term == term || bug == Bug.UNCONFIRMED) {
-            leader.leases.confirmLeadership(sent);
+          if (leader.term == term || bug == Bug.LEADERSHIP_NOT_CONFIRMED) {
+            leader.leases.confirmLeadership(sentAt);
           }
         });
     if (leader.term != term) {
       return;
     }
-    carryOutNextStep(leader);
+    applyNextStep(leader);
   }
 
-  private void carryOutNextStep(Leader leader) {
+  private void applyNextStep(Leader leader) {
     LeaseTable.Step step = leader.leases.nextStep(clock(leader), register);
     SettingsVersion prepared = register.prepared();
-    if (bug == Bug.EARLY && prepared != null) {
+    if (bug == Bug.IN_FORCE_BEFORE_ACKNOWLEDGED && prepared != null) {
       step = new LeaseTable.Step(LeaseTable.Step.Kind.BRING_INTO_FORCE, prepared.number(), "", 0);
     }
     switch (step.kind()) {
       case BRING_INTO_FORCE -> {
-        long next = step.number();
-        if (!acknowledgedVersions.contains(next) && bug != Bug.EARLY) {
-          violation = "version " + next + " came into force and nobody had checked it";
+        long preparedNumber = step.number();
+        if (!acknowledgedVersions.contains(preparedNumber)
+            && bug != Bug.IN_FORCE_BEFORE_ACKNOWLEDGED) {
+          violation = "version " + preparedNumber + " came into force and nobody had checked it";
         }
-        versionsInForce += register.bringIntoForce(next) ? 1 : 0;
+        versionsBroughtIntoForce += register.bringIntoForce(preparedNumber) ? 1 : 0;
       }
       case WITHDRAW -> register.withdraw(step.number(), step.reason());
       case SET_ROUTER_COUNT ->
           register.propose(
-              step.number(), register.inForce().text(), step.routers(), "fleet", "", 0);
-      default -> carryOutMembershipStep(leader);
+              step.number(), register.inForce().settingsJson(), step.routers(), "fleet", "", 0);
+      default -> applyMembershipStep(leader);
     }
   }
 
   void proposeVersion() {
-    after(300_000 + random.nextInt(500_000), this::proposeVersion);
+    schedule(300_000 + random.nextInt(500_000), this::proposeVersion);
     register.propose(
         register.inForce().number(), "v" + eventCount, register.inForce().routers(), "o", "", 0);
   }
 
   void injectFault() {
-    after(100_000 + random.nextInt(300_000), this::injectFault);
+    schedule(100_000 + random.nextInt(300_000), this::injectFault);
     Router router = routers.get(random.nextInt(routers.size()));
     int fault = random.nextInt(5);
     switch (fault) {
@@ -298,22 +302,22 @@
               Math.max(router.disconnectedUntil, now + random.nextInt(1_500_000));
       case 2 -> restart(router);
       case 3 -> {
-        if (keepsLeader) {
+        if (hasStableLeader) {
           return;
         }
         replaceLeader();
       }
       default -> {}
     }
-    if (bug == Bug.OLDER_TAKEN && router.lease.inForce() != null) {
+    if (bug == Bug.OLDER_VERSION_ACCEPTED && router.lease.inForce() != null) {
       grantOlderVersion(router);
     }
   }
 
   private void pauseRouter(Router router) {
-    long lasts = 100_000L + random.nextInt(1_500_000);
-    router.pausedUntil = Math.max(router.pausedUntil, now + lasts);
-    router.pausedFor += lasts;
+    long pauseMicros = 100_000L + random.nextInt(1_500_000);
+    router.pausedUntil = Math.max(router.pausedUntil, now + pauseMicros);
+    router.totalPaused += pauseMicros;
   }
 
   private void restart(Router router) {
@@ -324,32 +328,33 @@
 
   /** Cut off from the majority, the old leader does not learn that another was elected. */
   private void replaceLeader() {
-    Leader old = leaders[currentLeader];
-    old.isDisconnected = true;
-    after(200_000 + random.nextInt(600_000), () -> elect((currentLeader + 1) % 3));
-    after(2_000_000, () -> old.isDisconnected = false);
+    Leader former = leaders[currentLeader];
+    former.isDisconnected = true;
+    schedule(200_000 + random.nextInt(600_000), () -> elect((currentLeader + 1) % 3));
+    schedule(2_000_000, () -> former.isDisconnected = false);
   }
 
   /** As if a router accepted any grant, however old the version that it names. */
   private void grantOlderVersion(Router router) {
     router.lease = new LeaseHolder();
-    long beat = router.lease.registerHeartbeat(clock(router));
+    long heartbeatNumber = router.lease.registerHeartbeat(clock(router));
     router.lease.acceptGrant(
         clock(router),
-        new LeaseGrant(beat, LEASE, new SettingsVersion(0, "", 99, "", "", 0), null, 0));
+        new LeaseGrant(
+            heartbeatNumber, LEASE_DURATION, new SettingsVersion(0, "", 99, "", "", 0), null, 0));
   }
 
   /** Versions that a router may act on as if they held alone: none while it is careful. */
-  static boolean contradictEachOther(Router a, Router b) {
+  static boolean haveContradictingVersions(Router a, Router b) {
     LeaseHolder one = a.lease;
     LeaseHolder two = b.lease;
-    long force = one.inForce().number();
-    long other = two.inForce().number();
-    boolean sees =
-        force == other
-            || (one.prepared() != null && one.prepared().number() == other)
-            || (two.prepared() != null && two.prepared().number() == force);
-    return !sees;
+    long oneInForce = one.inForce().number();
+    long twoInForce = two.inForce().number();
+    boolean isCompatible =
+        oneInForce == twoInForce
+            || (one.prepared() != null && one.prepared().number() == twoInForce)
+            || (two.prepared() != null && two.prepared().number() == oneInForce);
+    return !isCompatible;
   }
 
   void checkInvariants() {
@@ -358,7 +363,7 @@
     for (Router one : acting) {
       shares += shareOf(one);
       for (Router other : acting) {
-        if (contradictEachOther(one, other)) {
+        if (haveContradictingVersions(one, other)) {
           violation =
               "contradiction at "
                   + now
@@ -379,7 +384,7 @@
     for (Router router : routers) {
       acknowledgedVersions.add(router.lease.acknowledgedVersion());
       if (now >= router.pausedUntil) {
-        router.lease.noteExpiry(clock(router));
+        router.lease.restrictIfExpired(clock(router));
         if (!router.lease.isRestricted()) {
           acting.add(router);
         }
@@ -390,15 +395,15 @@
 
   private double shareOf(Router router) {
     SettingsVersion prepared = router.lease.prepared();
-    int inForceRouters = router.lease.inForce().routers();
-    int by = Math.max(inForceRouters, prepared == null ? 0 : prepared.routers());
-    return 1.0 / (bug == Bug.SHARES ? inForceRouters - 1.5 : by);
+    int routersInForce = router.lease.inForce().routers();
+    int routerCount = Math.max(routersInForce, prepared == null ? 0 : prepared.routers());
+    return 1.0 / (bug == Bug.SHARES_TOO_LARGE ? routersInForce - 1.5 : routerCount);
   }
 
-  String run(long until) {
-    while (violation.isEmpty() && now < until) {
+  String run(long endMicros) {
+    while (violation.isEmpty() && now < endMicros) {
       Event next = events.poll();
-      now = next.at();
+      now = next.atMicros();
       next.action().run();
       checkInvariants();
     }
--- a/router/src/test/java/basaltlever/settings/VoterEligibilityTest.java
+++ b/router/src/test/java/basaltlever/settings/VoterEligibilityTest.java
@@ -22,56 +22,59 @@
 import net.jqwik.api.ShrinkingMode;
 
 class VoterEligibilityTest {
-  private static final Moment AT = new Moment(1_000_000);
+  private static final Moment NOW = new Moment(1_000_000);
   private static final List<String> FOUNDERS = List.of("n1", "n2", "n3");
 
-  private static VoterIdentity seal(long charter, String... members) {
-    return new VoterIdentity("cards", "n3", "own", charter, List.of(members));
+  private static VoterIdentity identity(long epoch, String... voters) {
+    return new VoterIdentity("cards", "n3", "own", epoch, List.of(voters));
   }
 
-  private static PeerStatus told(String voter, long charter, String seal, String... members) {
-    return new PeerStatus(voter, charter, List.of(members), seal, members.length == 0, false);
+  private static PeerStatus peer(
+      String voter, long epoch, String requesterFolderId, String... voters) {
+    return new PeerStatus(
+        voter, epoch, List.of(voters), requesterFolderId, voters.length == 0, false);
   }
 
-  private static PeerStatus leads(String voter, long charter, String... members) {
-    return new PeerStatus(voter, charter, List.of(members), "", false, true);
+  private static PeerStatus leader(String voter, long epoch, String... voters) {
+    return new PeerStatus(voter, epoch, List.of(voters), "", false, true);
   }
 
-  private static Kind kind(VoterIdentity own, PeerStatus... told) {
-    return VoterEligibility.of("n3", own, FOUNDERS, List.of(told)).kind();
+  private static Kind kind(VoterIdentity own, PeerStatus... peers) {
+    return VoterEligibility.decide("n3", own, FOUNDERS, List.of(peers)).kind();
   }
 
   @Example
-  void whoMayVoteAndWhoWaits() {
-    PeerStatus[] founding = {told("n1", 0, ""), told("n2", 0, "")};
-    check(kind(null, founding) == Kind.FOUND, "all are there, and nobody knows of a vote");
-    check(kind(null, founding[0]) == Kind.WAIT, "the one that is missing may know of its vote");
+  void eligibilityFollowsFolderAndPeerReports() {
+    PeerStatus[] emptyPeers = {peer("n1", 0, ""), peer("n2", 0, "")};
+    check(kind(null, emptyPeers) == Kind.FOUND, "all are there, and nobody knows of a vote");
+    check(kind(null, emptyPeers[0]) == Kind.WAIT, "the one that is missing may know of its vote");
     check(
-        kind(null, founding[0], told("n2", 0, "", "n1", "n2", "n3")) == Kind.JOIN,
+        kind(null, emptyPeers[0], peer("n2", 0, "", "n1", "n2", "n3")) == Kind.JOIN,
         "one has founded");
     check(
-        kind(null, new PeerStatus("n1", 0, List.of(), "", false, false), founding[1]) == Kind.WAIT,
+        kind(null, new PeerStatus("n1", 0, List.of(), "", false, false), emptyPeers[1])
+            == Kind.WAIT,
         "one that has voted " + "before, and is no further yet");
-    check(kind(null, told("n1", 0, "", "n1", "n2", "n3")) == Kind.WAIT, "one that may lag");
-    check(kind(null, leads("n1", 0, "n1", "n2", "n3")) == Kind.JOIN, "who leads knows all");
+    check(kind(null, peer("n1", 0, "", "n1", "n2", "n3")) == Kind.WAIT, "one that may lag");
+    check(kind(null, leader("n1", 0, "n1", "n2", "n3")) == Kind.JOIN, "who leads knows all");
     check(
-        kind(null, told("n1", 0, "other", "n1", "n2", "n3"), founding[1]) == Kind.WAIT,
+        kind(null, peer("n1", 0, "other", "n1", "n2", "n3"), emptyPeers[1]) == Kind.WAIT,
         "its folder is lost");
-    check(kind(seal(0, "n1", "n2", "n3")) == Kind.RESUME, "nobody answers: it has its folder");
+    check(kind(identity(0, "n1", "n2", "n3")) == Kind.RESUME, "nobody answers: it has its folder");
     check(
-        kind(seal(0, "n1", "n2", "n3"), told("n1", 1, "", "n1")) == Kind.WAIT,
+        kind(identity(0, "n1", "n2", "n3"), peer("n1", 1, "", "n1")) == Kind.WAIT,
         "given up with the majority");
     check(
-        kind(seal(0, "n1", "n2", "n3"), told("n1", 1, "", "n1", "n3")) == Kind.JOIN,
+        kind(identity(0, "n1", "n2", "n3"), peer("n1", 1, "", "n1", "n3")) == Kind.JOIN,
         "and taken in again");
-    check(kind(null, told("n1", 1, "", "n1", "n3")) == Kind.JOIN, "with an empty folder too");
-    check(kind(seal(1, "n1"), told("n1", 1, "own", "n1", "n4")) == Kind.WAIT, "taken out");
+    check(kind(null, peer("n1", 1, "", "n1", "n3")) == Kind.JOIN, "with an empty folder too");
+    check(kind(identity(1, "n1"), peer("n1", 1, "own", "n1", "n4")) == Kind.WAIT, "taken out");
     check(
-        kind(seal(1, "n1"), told("n1", 1, "own", "n1", "n3"), told("n4", 1, "", "n1", "n4"))
+        kind(identity(1, "n1"), peer("n1", 1, "own", "n1", "n3"), peer("n4", 1, "", "n1", "n4"))
             == Kind.RESUME,
         "one that lags does not know yet that it was taken in");
     check(
-        kind(seal(1, "n1", "n3"), told("n2", 0, "old", "n1", "n2", "n3")) == Kind.RESUME,
+        kind(identity(1, "n1", "n3"), peer("n2", 0, "old", "n1", "n2", "n3")) == Kind.RESUME,
         "what an older charter knows binds nobody");
   }
 
@@ -80,80 +83,85 @@
    * known to some majority of those that are up then, and to whoever leads.
    */
   @Property(tries = 500, seed = "2912", shrinking = ShrinkingMode.OFF)
-  void noFolderVotesWhereAnotherOfThatNameHasVoted(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+  void voterNeverVotesWithTwoFolders(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
     Map<String, VoterIdentity> folders = new TreeMap<>();
-    Map<String, String> agreed = new TreeMap<>();
-    Map<String, Set<String>> knowing = new TreeMap<>();
-    FOUNDERS.forEach(name -> knowing.put(name, new HashSet<>()));
-    Set<String> up = new TreeSet<>();
+    Map<String, String> recordedFolders = new TreeMap<>();
+    Map<String, Set<String>> informedVoters = new TreeMap<>();
+    FOUNDERS.forEach(name -> informedVoters.put(name, new HashSet<>()));
+    Set<String> running = new TreeSet<>();
     for (int step = 0; step < 80; step++) {
-      String name = FOUNDERS.get(chance.nextInt(3));
-      List<String> others = FOUNDERS.stream().filter(one -> !one.equals(name)).toList();
-      switch (chance.nextInt(8)) {
-        case 0 -> up.remove(name);
+      String name = FOUNDERS.get(random.nextInt(3));
+      List<String> others = FOUNDERS.stream().filter(candidate -> !candidate.equals(name)).toList();
+      switch (random.nextInt(8)) {
+        case 0 -> running.remove(name);
         case 1 -> {
           if (folders.size() == 3
               && others.stream()
                   .allMatch(
-                      one ->
-                          knowing.values().stream()
+                      candidate ->
+                          informedVoters.values().stream()
                               .allMatch(
-                                  who -> who.isEmpty() || who.size() > 2 || !who.contains(name)))) {
+                                  informed ->
+                                      informed.isEmpty()
+                                          || informed.size() > 2
+                                          || !informed.contains(name)))) {
             folders.remove(name);
-            up.remove(name);
-            knowing.values().forEach(who -> who.remove(name));
+            running.remove(name);
+            informedVoters.values().forEach(informed -> informed.remove(name));
           }
         }
         case 2 -> {
-          if (up.size() > 1) {
+          if (running.size() > 1) {
             // One after the other catches up with who leads.
-            knowing.values().forEach(who -> who.addAll(who.isEmpty() ? Set.of() : up));
+            informedVoters
+                .values()
+                .forEach(informed -> informed.addAll(informed.isEmpty() ? Set.of() : running));
           }
         }
         default -> {
-          List<PeerStatus> told = new ArrayList<>();
+          List<PeerStatus> peers = new ArrayList<>();
           String leader =
-              up.size() < 2
+              running.size() < 2
                   ? ""
-                  : up.stream()
+                  : running.stream()
                       .filter(
-                          one ->
-                              agreed.keySet().stream()
-                                  .allMatch(voter -> knowing.get(voter).contains(one)))
+                          candidate ->
+                              recordedFolders.keySet().stream()
+                                  .allMatch(voter -> informedVoters.get(voter).contains(candidate)))
                       .findFirst()
                       .orElse("");
           for (String other : others) {
-            if (chance.nextInt(3) > 0) {
-              told.add(
+            if (random.nextInt(3) > 0) {
+              peers.add(
                   new PeerStatus(
                       other,
                       0,
-                      up.contains(other) ? FOUNDERS : List.of(),
-                      up.contains(other) && knowing.get(name).contains(other)
-                          ? agreed.get(name)
+                      running.contains(other) ? FOUNDERS : List.of(),
+                      running.contains(other) && informedVoters.get(name).contains(other)
+                          ? recordedFolders.get(name)
                           : "",
                       !folders.containsKey(other),
                       other.equals(leader)));
             }
           }
           VoterIdentity own = folders.get(name);
-          if (!up.contains(name)
-              && VoterEligibility.of(name, own, FOUNDERS, told).kind() != Kind.WAIT) {
-            String id = own != null ? own.folderId() : "folder" + step;
+          if (!running.contains(name)
+              && VoterEligibility.decide(name, own, FOUNDERS, peers).kind() != Kind.WAIT) {
+            String folderId = own != null ? own.folderId() : "folder" + step;
             check(
-                agreed.getOrDefault(name, id).equals(id),
-                name + " votes by " + id + ", and has by " + agreed.get(name));
-            folders.put(name, new VoterIdentity("cards", name, id, 0, FOUNDERS));
-            up.add(name);
+                recordedFolders.getOrDefault(name, folderId).equals(folderId),
+                name + " votes by " + folderId + ", and has by " + recordedFolders.get(name));
+            folders.put(name, new VoterIdentity("cards", name, folderId, 0, FOUNDERS));
+            running.add(name);
           }
-          if (up.contains(name) && up.size() > 1 && !agreed.containsKey(name)) {
-            agreed.put(name, folders.get(name).folderId());
-            List<String> majority = new ArrayList<>(up);
+          if (running.contains(name) && running.size() > 1 && !recordedFolders.containsKey(name)) {
+            recordedFolders.put(name, folders.get(name).folderId());
+            List<String> majority = new ArrayList<>(running);
             while (majority.size() > 2) {
-              majority.remove(chance.nextInt(majority.size()));
+              majority.remove(random.nextInt(majority.size()));
             }
-            knowing.get(name).addAll(majority);
+            informedVoters.get(name).addAll(majority);
           }
         }
       }
@@ -161,12 +169,12 @@
   }
 
   @Example
-  void aNewCharterStandsAboveAllThatTheLostOnesCanHaveSaid() {
-    VersionRegister left = new VersionRegister();
-    left.propose(0, "{}", 5, "op", "one", 1);
-    left.bringIntoForce(1);
-    left.seat("db-1", 1, new ListVersion(0, 3));
-    left.recordFolder("n3", "own");
+  void recoveredEpochSupersedesAllNumbersOfLostVoters() {
+    VersionRegister surviving = new VersionRegister();
+    surviving.propose(0, "{}", 5, "op", "one", 1);
+    surviving.bringIntoForce(1);
+    surviving.assignGroup("db-1", 1, new ListVersion(0, 3));
+    surviving.recordFolder("n3", "own");
     VersionRegister lost = new VersionRegister();
     lost.propose(0, "{}", 5, "op", "one", 1);
     lost.bringIntoForce(1);
@@ -174,30 +182,30 @@
       lost.propose(i, "{}", 5, "op", "more", 1);
       lost.bringIntoForce(i + 1);
     }
-    lost.seat("db-1", 1, new ListVersion(0, 3));
-    left.propose(1, "{\"a\":1}", 5, "op", "on its way", 1);
-    left.recover(Set.of("n2"), "op", "burnt", 2);
+    lost.assignGroup("db-1", 1, new ListVersion(0, 3));
+    surviving.propose(1, "{\"a\":1}", 5, "op", "on its way", 1);
+    surviving.recover(Set.of("n2"), "op", "burnt", 2);
     check(
-        left.epoch() == 1
-            && left.changeCount() > lost.changeCount()
-            && left.inForce().number() > lost.lastNumber()
-            && left.assignmentsNumber() > lost.assignmentsNumber(),
+        surviving.epoch() == 1
+            && surviving.changeCount() > lost.changeCount()
+            && surviving.inForce().number() > lost.lastNumber()
+            && surviving.assignmentsNumber() > lost.assignmentsNumber(),
         "numbers");
     check(
-        left.prepared() == null
-            && left.inForce().text().equals("{}")
-            && !left.seat("db-1").cleared()
-            && left.recordedFolder("n3").isEmpty()
-            && left.lostVoters().equals(Set.of("n2")),
+        surviving.prepared() == null
+            && surviving.inForce().settingsJson().equals("{}")
+            && !surviving.groupAssignment("db-1").cleared()
+            && surviving.recordedFolder("n3").isEmpty()
+            && surviving.lostVoters().equals(Set.of("n2")),
         "what is left is taken back");
     LeaseHolder leaseHolder = new LeaseHolder();
     leaseHolder.restoreEpoch(1);
     check(
         !leaseHolder.acceptGrant(
-            AT,
+            NOW,
             new LeaseGrant(
-                leaseHolder.registerHeartbeat(AT),
-                VirtualFleet.LEASE,
+                leaseHolder.registerHeartbeat(NOW),
+                VirtualFleet.LEASE_DURATION,
                 lost.inForce(),
                 null,
                 lost.changeCount())),
