--- a/router/src/main/java/basaltlever/membership/DrainMarkLog.java
+++ b/router/src/main/java/basaltlever/membership/DrainMarkLog.java
@@ -7,14 +7,14 @@
 import java.util.TreeMap;
 
 /**
- * The drain marks that one leader has learned, in the order in which it learned them. Readers name
- * the term and the position up to which they have read; a position means nothing in another term.
+ * Log of the drain marks that one leader has received, in order of arrival. Readers state the term
+ * and the position up to which they have read; a position is only valid within its term.
  */
 final class DrainMarkLog {
   private static final int MAX_MARKS = 5_000;
   private static final int MAX_MARKS_PER_BATCH = 1_000;
 
-  /** The next marks for a reader, and the position that it has read up to with them. */
+  /** The next marks for a reader, and its read position after them. */
   record Batch(List<DrainMark> marks, long position) {}
 
   private final TreeMap<Long, DrainMark> markByPosition = new TreeMap<>();
@@ -34,7 +34,7 @@
     return term;
   }
 
-  /** Appends the mark in place of the endpoint's former one, unless that one supersedes it. */
+  /** Appends the mark and removes the endpoint's current one, if the new mark supersedes that. */
   void add(DrainMark mark) {
     Long currentPosition = positionByEndpoint.get(mark.endpoint());
     DrainMark current = currentPosition == null ? null : markByPosition.get(currentPosition);
@@ -53,7 +53,7 @@
     }
   }
 
-  /** The marks after a reader's position; all from the beginning if it has read another term. */
+  /** Returns the marks after a reader's position, or from the start if that is of another term. */
   Batch readAfter(long readTerm, long readPosition) {
     long position = readTerm == term ? readPosition : 0;
     List<DrainMark> marks = new ArrayList<>();
--- a/router/src/main/java/basaltlever/membership/DrainMarks.java
+++ b/router/src/main/java/basaltlever/membership/DrainMarks.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The drain marks that one router knows, and which of them its leader may lack. */
+/** Drain marks of one router, with those that its leader has not acknowledged. */
 final class DrainMarks {
   private static final int MAX_MARKS = 5_000;
   private static final int MAX_MARKS_PER_HEARTBEAT = 500;
@@ -16,10 +16,10 @@
   /** Marks that the leader has not acknowledged, oldest first. */
   private final ArrayDeque<DrainMark> unacknowledged = new ArrayDeque<>();
 
-  /** Number of marks that were removed from the head of the queue. */
+  /** Number of marks removed from the head of the queue so far. */
   private long acknowledged;
 
-  /** Adds a mark from this router's own list; false where a known one supersedes it. */
+  /** Adds a mark from this router's own list; returns false if it supersedes no present mark. */
   boolean addOwn(DrainMark mark) {
     boolean isNew = mark.supersedes(markByEndpoint.get(mark.endpoint()));
     if (isNew) {
@@ -32,7 +32,7 @@
     return isNew;
   }
 
-  /** Adds a mark from the leader, which needs no acknowledgement; false where superseded. */
+  /** Adds a mark from the leader, which needs no acknowledgement; returns whether it is new. */
   boolean addReceived(DrainMark mark) {
     boolean isNew = mark.supersedes(markByEndpoint.get(mark.endpoint()));
     if (isNew) {
@@ -50,19 +50,19 @@
     }
   }
 
-  /** The endpoint's mark; null where there is none. */
+  /** Returns the endpoint's mark, or null if there is none. */
   DrainMark get(String endpoint) {
     return markByEndpoint.get(endpoint);
   }
 
-  /** A new leader may lack all marks. */
+  /** Queues all marks again, since a new leader may lack any of them. */
   void resendAll() {
     acknowledged += unacknowledged.size();
     unacknowledged.clear();
     unacknowledged.addAll(markByEndpoint.values());
   }
 
-  /** The leader has all marks up to the count that it was told with {@link #batchEnd}. */
+  /** Removes the marks up to a {@link #batchEnd} that the leader has acknowledged. */
   void acknowledge(long end) {
     while (acknowledged < end && !unacknowledged.isEmpty()) {
       unacknowledged.removeFirst();
@@ -70,12 +70,12 @@
     }
   }
 
-  /** The marks for the next heartbeat. */
+  /** Returns the marks for the next heartbeat. */
   List<DrainMark> nextBatch() {
     return unacknowledged.stream().limit(MAX_MARKS_PER_HEARTBEAT).toList();
   }
 
-  /** What the leader acknowledges once it has that batch. */
+  /** Returns the count that the leader acknowledges after it has received the batch. */
   long batchEnd(List<DrainMark> batch) {
     return acknowledged + batch.size();
   }
--- a/router/src/main/java/basaltlever/membership/EndpointListCopy.java
+++ b/router/src/main/java/basaltlever/membership/EndpointListCopy.java
@@ -11,9 +11,9 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** One endpoint list as a router received it, and how it agrees with the other routers' lists. */
+/** One endpoint list as received by a router, with its agreement with other routers' lists. */
 final class EndpointListCopy {
-  /** A list that names less than this share of the ready endpoints is suspected to be wrong. */
+  /** A list with less than this share of the formerly ready endpoints is presumed wrong. */
   private static final double MIN_REMAINING_SHARE = 0.5;
 
   private final SortedMap<String, ListedEndpoint> entries;
@@ -22,7 +22,7 @@
   private final Moment receivedAt;
   private ListAgreement agreement = ListAgreement.UNTOLD;
 
-  /** Since when most routers have held this very list. */
+  /** Time since which most routers have held the same list; NEVER while they do not. */
   private Moment heldByMajoritySince = Moment.NEVER;
 
   EndpointListCopy(
@@ -40,7 +40,7 @@
     digest = 0;
   }
 
-  /** The list of a router that has received none. */
+  /** Returns the placeholder of a router that has received no list. */
   static EndpointListCopy none() {
     return new EndpointListCopy();
   }
@@ -53,7 +53,7 @@
     return version;
   }
 
-  /** Never 0, which stands for no list. */
+  /** Returns the digest of the contents; never 0, which denotes the absence of a list. */
   long digest() {
     return digest;
   }
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Takes in the leader's judgement. A dispute ends only when most routers hold or held this list,
-   * because a new leader may not know of the dispute yet.
+   * Applies the agreement reported by the leader. A dispute ends only when most routers hold or
+   * have held this list, because a new leader may not have received the contradicting report yet.
    */
   void updateAgreement(Moment now, ListAgreement newAgreement) {
     boolean isAgreed = newAgreement == ListAgreement.SEEN || newAgreement == ListAgreement.PASSED;
@@ -79,17 +79,17 @@
     return now.since(heldByMajoritySince).isLongerThan(span);
   }
 
-  /** Whether most routers hold or held this list. */
+  /** Whether most routers hold this list or have held it. */
   boolean isAgreed() {
     return agreement == ListAgreement.SEEN || agreement == ListAgreement.PASSED;
   }
 
-  /** Whether it is newer than what most routers hold, and uncontested for longer than the span. */
+  /** Whether it is newer than the list of most routers and uncontested for longer than the span. */
   boolean isUncontestedLongerThan(Span span, Moment now) {
     return agreement == ListAgreement.AHEAD && now.since(receivedAt).isLongerThan(span);
   }
 
-  /** Whether it lacks suspiciously many endpoints, compared with the list in use. */
+  /** Returns the anomaly if the list lacks all or most endpoints of the list in use. */
   ListAnomaly anomalyComparedWith(EndpointListCopy current) {
     if (entries.values().stream().allMatch(entry -> entry.lifecycle() == EndpointLifecycle.GONE)) {
       return ListAnomaly.EMPTY;
@@ -105,7 +105,7 @@
     return remaining < MIN_REMAINING_SHARE * ready ? ListAnomaly.SHRUNK : ListAnomaly.NONE;
   }
 
-  /** Without addresses, which may differ between the routers' networks. */
+  /** Computes the digest without addresses, which may differ between the routers' networks. */
   private static long digestOf(SortedMap<String, ListedEndpoint> entries, long generation) {
     MessageDigest sha256 = newSha256();
     entries.forEach(
--- a/router/src/main/java/basaltlever/membership/HeartbeatReport.java
+++ b/router/src/main/java/basaltlever/membership/HeartbeatReport.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * What a router reports of its endpoint lists with a heartbeat.
+ * Report of a router on its endpoint lists, sent with a heartbeat.
  *
  * @param listVersion version of its latest list, suspended or not
- * @param digest of the contents of that list; 0 where there is none yet
- * @param anomaly why that list is suspended
+ * @param digest of the contents of that list; 0 before the first list
+ * @param anomaly reason for suspending that list
  * @param drainMarks drain marks that the leader may lack
- * @param drainMarksEnd how many of the router's marks the leader has once it has taken these
- * @param requestedAssignments group assignments that its list needs and that are not agreed yet
- * @param releasedEndpoints names of endpoints that are changing groups and that it does not use any
- *     more
- * @param coordinatorTerm coordinator term that it has read
- * @param readPosition position that it has read up to in that term
- * @param assignmentsNumber number of the last change of a group assignment that it has
+ * @param drainMarksEnd count that the leader acknowledges after receiving these marks
+ * @param requestedAssignments group assignments that its list needs and that are not agreed on yet
+ * @param releasedEndpoints names of endpoints that are changing groups and that the router has
+ *     stopped using
+ * @param coordinatorTerm term of the coordinator whose drain marks it has read
+ * @param readPosition position up to which it has read in that term
+ * @param assignmentsNumber number of the last change of a group assignment that it has received
  */
 public record HeartbeatReport(
     ListVersion listVersion,
@@ -28,7 +28,7 @@
     long coordinatorTerm,
     long readPosition,
     long assignmentsNumber) {
-  /** The report of a router that has received no list. */
+  /** Report of a router that has received no list. */
   public static final HeartbeatReport NONE =
       new HeartbeatReport(
           ListVersion.NONE, 0, ListAnomaly.NONE, List.of(), 0, List.of(), List.of(), 0, 0, -1);
--- a/router/src/main/java/basaltlever/membership/ListAgreement.java
+++ b/router/src/main/java/basaltlever/membership/ListAgreement.java
@@ -1,14 +1,14 @@
 package basaltlever.membership;
 
-/** How the latest list of one router agrees with the lists of the other routers. */
+/** Agreement of one router's latest list with the lists of the other routers. */
 public enum ListAgreement {
-  /** Too few routers have reported, or the leader can't judge yet. */
+  /** Unknown: too few routers have reported, or the leader does not have sole authority. */
   UNTOLD,
   /** Most routers hold the same list. */
   SEEN,
-  /** Most routers have held the same list, and some have a newer one by now. */
+  /** Most routers have held the same list, and some hold a newer one by now. */
   PASSED,
-  /** It is newer than what most routers hold. */
+  /** The list is newer than the list that most routers hold. */
   AHEAD,
   /** Most routers hold a newer list. */
   BEHIND,
--- a/router/src/main/java/basaltlever/membership/ListAnomaly.java
+++ b/router/src/main/java/basaltlever/membership/ListAnomaly.java
@@ -1,13 +1,13 @@
 package basaltlever.membership;
 
-/** Why a router suspends a list. */
+/** Reason why a router suspends a list. */
 public enum ListAnomaly {
-  /** It does not. */
+  /** The list is not suspended. */
   NONE,
-  /** Its generation is older than that of the list before. */
+  /** The generation is older than that of the last accepted list. */
   BACK,
-  /** It names no endpoint. */
+  /** The list contains no endpoint, or only endpoints that are gone. */
   EMPTY,
-  /** It lacks most of the endpoints that were ready in the list before. */
+  /** The list lacks most of the endpoints that were ready in the last accepted list. */
   SHRUNK
 }
--- a/router/src/main/java/basaltlever/membership/ListReporters.java
+++ b/router/src/main/java/basaltlever/membership/ListReporters.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 
-/** Which routers have ever reported which content of a list version since the election. */
+/** Tracks which routers have reported which contents of a list version since the election. */
 final class ListReporters {
   private static final int MAX_VERSIONS = 64;
 
@@ -20,7 +20,7 @@
   /**
    * Creates the empty record.
    *
-   * @param routers names of all routers of the fleet, of which a majority counts
+   * @param routers names of all routers of the fleet, which determine the majority
    */
   ListReporters(Collection<String> routers) {
     this.routers = routers;
@@ -40,7 +40,10 @@
     }
   }
 
-  /** A router whose discovery invents ever newer versions thereby evicts only its own. */
+  /**
+   * Removes the version with the fewest reports, so that a router whose discovery produces ever
+   * newer versions evicts only those.
+   */
   private void removeLeastReported() {
     reporters.entrySet().stream()
         .min(Comparator.comparingInt(entry -> countReports(entry.getValue())))
@@ -51,7 +54,7 @@
     return byDigest.values().stream().mapToInt(Set::size).sum();
   }
 
-  /** Whether most routers of the fleet have reported the same content of that version. */
+  /** Whether most routers of the fleet have reported the same contents of that version. */
   boolean isReportedByMajority(HeartbeatReport report) {
     Set<String> names =
         reporters
@@ -60,12 +63,12 @@
     return isMajority(names);
   }
 
-  /** Whether different contents were reported under that version. */
+  /** Whether different contents have been reported for that version. */
   boolean isDisputed(ListVersion version) {
     return reporters.getOrDefault(version, Map.of()).size() > 1;
   }
 
-  /** The list versions of which most routers have reported the same content. */
+  /** Returns the list versions for which most routers have reported the same contents. */
   Stream<ListVersion> versionsReportedByMajority() {
     return reporters.entrySet().stream()
         .filter(entry -> entry.getValue().values().stream().anyMatch(this::isMajority))
--- a/router/src/main/java/basaltlever/membership/ListVersion.java
+++ b/router/src/main/java/basaltlever/membership/ListVersion.java
@@ -1,15 +1,15 @@
 package basaltlever.membership;
 
 /**
- * Version of an endpoint list. Discovery increases the generation with every list; where it loses
- * its state and restarts the generations the fleet agrees on a new era, and all lists of the eras
- * before are older.
+ * Version of an endpoint list. Discovery increases the generation with every list. If it loses its
+ * state and restarts the generations, the fleet agrees on a new era, whose lists are newer than all
+ * lists of earlier eras.
  *
- * @param era of the generations, from 0
- * @param generation of the list, as discovery gives it
+ * @param era era of the generations, starting at 0
+ * @param generation generation assigned to the list by discovery
  */
 public record ListVersion(long era, long generation) implements Comparable<ListVersion> {
-  /** Older than any list. */
+  /** Version that denotes the absence of a list; older than that of any list. */
   public static final ListVersion NONE = new ListVersion(-1, 0);
 
   @Override
--- a/router/src/main/java/basaltlever/membership/ListedEndpoint.java
+++ b/router/src/main/java/basaltlever/membership/ListedEndpoint.java
@@ -3,10 +3,10 @@
 import basaltlever.gateway.EndpointLifecycle;
 
 /**
- * What a list says of one endpoint, as far as the fleet has to agree on it. The endpoint's start
- * time is no part of it: routers may legitimately see different ones under the same list version.
+ * Entry of an endpoint in a list, as far as the fleet has to agree on it. The endpoint's start time
+ * is not included: routers may legitimately receive different ones for the same list version.
  *
  * @param lifecycle whether the endpoint is ready, draining or gone
- * @param group that it belongs to
+ * @param group group of the endpoint
  */
 public record ListedEndpoint(EndpointLifecycle lifecycle, int group) {}
--- a/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
+++ b/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
@@ -16,33 +16,33 @@
 import java.util.stream.Stream;
 
 /**
- * The leader's view of all routers' endpoint lists. It passes drain marks between routers, judges
+ * Tracks the endpoint lists of all routers at the leader. It distributes drain marks, determines
  * whether each router's list agrees with the others', and proposes group assignments and eras to
  * the voters.
  *
- * <p>Drain marks only restrict and may be passed on without a vote. Group assignments and eras also
- * allow something, so they take effect only as commands of the consensus log.
+ * <p>Drain marks only restrict and are distributed without a vote. Group assignments and eras also
+ * permit the use of endpoints, so they take effect only as commands of the consensus log.
  */
 public final class MembershipCoordinator {
   private static final int MAX_ASSIGNMENTS_PER_STEP = 500;
 
-  /** At most one new era in so many lease durations. */
+  /** Minimum time between two new eras, in lease durations. */
   private static final int MIN_ERA_DURATION_LEASES = 5;
 
-  /** Share of a lease duration for which a count of the reported lists is reused. */
+  /** Time for which a count of the reported lists is reused, in lease durations. */
   private static final double RECOUNT_INTERVAL_LEASES = 0.1;
 
   /** The next command that the leader has to propose to the voters. */
   public record Step(Kind kind, List<GroupAssignment> assignments) {
-    /** What the command does. */
+    /** Type of the command. */
     public enum Kind {
-      /** Nothing is due. */
+      /** No command is due. */
       NOTHING,
-      /** Endpoints are assigned to groups. */
+      /** Assigns endpoints to groups. */
       ASSIGN,
-      /** Endpoints may be used in their new groups. */
+      /** Clears endpoints for use in their new groups. */
       CLEAR,
-      /** Endpoint lists belong to a new era. */
+      /** Starts a new era of endpoint lists. */
       START_NEW_ERA
     }
 
@@ -50,9 +50,9 @@
   }
 
   /**
-   * Different lists under one version.
+   * Different list contents under one version.
    *
-   * @param listVersion the version
+   * @param listVersion version of the lists
    * @param holders names of the routers that hold each content, by its digest
    */
   public record ListFork(ListVersion listVersion, Map<Long, List<String>> holders) {}
@@ -70,25 +70,25 @@
   private final DrainMarkLog drainMarks = new DrainMarkLog();
   private final ListReporters reporters;
 
-  /** Routers that have stopped using a moving endpoint, by the endpoint. */
+  /** Names of routers that have stopped using a moving endpoint, by endpoint. */
   private final Map<String, Set<String>> releasedBy = new HashMap<>();
 
   private Moment leadingSince = Moment.LONG_AGO;
   private Moment lastEraChangeAt = Moment.LONG_AGO;
 
-  /** Number of routers with a lease that hold each list, as of the last count. */
+  /** Number of routers with a lease that held each list at the last count. */
   private Map<ListContent, Integer> holders = Map.of();
 
   private int leasedRouters;
   private Moment countedAt = Moment.LONG_AGO;
 
   /**
-   * Creates the coordinator of a voter that does not lead yet.
+   * Creates the coordinator of a voter that is not the leader yet.
    *
-   * @param leases the leader's leases
+   * @param leases table of router leases at this voter
    * @param routers names of all routers of the fleet
-   * @param assignmentValidity how long a router without contact to the leader may go on using
-   *     endpoints in the groups that it knows, its longest attempt included
+   * @param assignmentValidity how long a router without contact to the leader may continue to use
+   *     endpoints in the groups last assigned to them, including its longest attempt
    */
   public MembershipCoordinator(
       LeaseTable leases, Collection<String> routers, Span assignmentValidity) {
@@ -98,7 +98,7 @@
     this.reporters = new ListReporters(routers);
   }
 
-  /** This voter leads from now on, with an empty state under a term that no other leader has. */
+  /** Called when this voter becomes the leader; resets the state for a new, unique term. */
   public void startLeading(Moment now, long term) {
     reports.clear();
     releasedBy.clear();
@@ -108,7 +108,7 @@
     countedAt = Moment.LONG_AGO;
   }
 
-  /** Records the report that came with a router's heartbeat and answers it. */
+  /** Records the report received with a router's heartbeat and answers it. */
   public MembershipUpdate answerHeartbeat(
       Moment now, String router, HeartbeatReport report, VersionRegister register) {
     record(router, report);
@@ -145,7 +145,7 @@
       return ListAgreement.UNTOLD;
     }
     recountHolders(now);
-    // Routers that this leader has not heard from yet count as well.
+    // Routers that have not sent a heartbeat to this leader yet count as well.
     int routerCount = Math.max(leasedRouters, register.inForce().routers());
     if (2 * holders.getOrDefault(ListContent.of(report), 0) > routerCount) {
       return ListAgreement.SEEN;
@@ -159,7 +159,7 @@
     if (2 * countHoldersOfNewer(report.listVersion()) > routerCount) {
       return ListAgreement.BEHIND;
     }
-    // While most routers have not reported yet, the absence of objections means nothing.
+    // Until most routers have reported, the absence of contradicting reports proves nothing.
     return 2 * leasedRouters > routerCount ? ListAgreement.AHEAD : ListAgreement.UNTOLD;
   }
 
@@ -170,12 +170,15 @@
         .sum();
   }
 
-  /** Whether this voter surely leads and no lease of its predecessor runs any more. */
+  /** Whether this voter is confirmed as the leader and all leases of its predecessor have ended. */
   private boolean hasSoleAuthority(Moment now) {
     return !leases.canFormerLeasesRun(now) && leases.isConfirmed(now);
   }
 
-  /** Counting at every heartbeat would cost the square of the number of routers. */
+  /**
+   * Recounts the holders of each list unless a recent count exists. Counting at every heartbeat
+   * would cost the square of the number of routers.
+   */
   private void recountHolders(Moment now) {
     Span interval = leases.leaseDuration().times(RECOUNT_INTERVAL_LEASES);
     if (now.since(countedAt).isShorterThan(interval)) {
@@ -197,7 +200,7 @@
         .toList();
   }
 
-  /** The next command for the voters: a new era before cleared endpoints before assignments. */
+  /** Returns the next command: a new era first, then cleared endpoints, then new assignments. */
   public Step nextStep(Moment now, VersionRegister register) {
     if (!hasSoleAuthority(now)) {
       return Step.NOTHING;
@@ -217,12 +220,13 @@
   }
 
   /**
-   * Whether most routers hold a list that is older than what they held or than what was agreed on
-   * before, so that discovery must have restarted its generations.
+   * Whether most routers hold a list that is older than their previous one or than the newest list
+   * agreed on, so that discovery must have restarted its generations.
    */
   private boolean isNewEraDue(Moment now, List<HeartbeatReport> leased, VersionRegister register) {
-    // Not often: if discovery announces a generation far too high by mistake, every new era makes
-    // all routers fetch their lists again.
+    // Eras are limited in frequency because every new era makes all routers fetch their lists
+    // again,
+    // and discovery may announce a generation that is far too high by mistake.
     Span minInterval = leases.leaseDuration().times(MIN_ERA_DURATION_LEASES);
     if (!now.since(lastEraChangeAt).isLongerThan(minInterval)) {
       return false;
@@ -235,14 +239,17 @@
         continue;
       }
       regressed += report.anomaly() == ListAnomaly.BACK ? 1 : 0;
-      // A router that started since had no newer list to regress from.
+      // A router that has started since then had no newer list before this one.
       outdated += report.digest() != 0 && newestAgreed.isNewerThan(report.listVersion()) ? 1 : 0;
     }
     int routerCount = Math.max(leased.size(), register.inForce().routers());
     return 2 * Math.max(regressed, outdated) > routerCount;
   }
 
-  /** A version reported by few routers does not count: their discovery may be wrong. */
+  /**
+   * Returns the newest version agreed on. Versions reported by a minority do not count, as their
+   * discovery may be wrong.
+   */
   private ListVersion newestAgreedVersion(VersionRegister register) {
     Stream<ListVersion> assigned =
         allAssignments(register).stream().map(GroupAssignment::listVersion);
@@ -274,9 +281,10 @@
   }
 
   /**
-   * Whether a router has been out of contact for so long that it uses no endpoint by what it knew.
-   * One that has released an endpoint needs no such wait: it does not use the endpoint again before
-   * the move is cleared, and a new process under its name learns of the move before its first act.
+   * Whether a router has been out of contact for so long that the group assignments it received
+   * have expired. A router that has released an endpoint needs no such wait: it does not use the
+   * endpoint again before the move is cleared, and a new process of that name receives the move
+   * before its first attempt.
    */
   private boolean isAssignmentExpired(String router, Moment now) {
     Moment lastContact = leases.lastHeartbeatAt(router).later(leadingSince);
@@ -292,7 +300,7 @@
         .toList();
   }
 
-  /** The assignments by lists that most routers have reported, by endpoint. */
+  /** Returns the newest assignment per endpoint in lists that most routers have reported. */
   private Map<String, GroupAssignment> newestRequested(List<HeartbeatReport> leased) {
     Map<String, GroupAssignment> newest = new TreeMap<>();
     for (HeartbeatReport report : leased) {
@@ -316,7 +324,7 @@
             && requested.listVersion().isNewerThan(current.listVersion()));
   }
 
-  /** List versions under which routers with a lease hold different contents. */
+  /** Returns the list versions for which routers with a lease hold different contents. */
   public List<ListFork> findForks(Moment now) {
     Map<ListVersion, Map<Long, List<String>>> namesByContent = new TreeMap<>();
     reports.forEach(
@@ -334,12 +342,12 @@
         .toList();
   }
 
-  /** The router's last report; {@link HeartbeatReport#NONE} where there is none. */
+  /** Returns the router's last report, or {@link HeartbeatReport#NONE} if there is none. */
   public HeartbeatReport lastReport(String router) {
     return reports.getOrDefault(router, HeartbeatReport.NONE);
   }
 
-  /** How the router's last reported list agrees with the others'. */
+  /** Returns the agreement of the router's last reported list with the others'. */
   public ListAgreement assessAgreement(String router, Moment now, VersionRegister register) {
     return assessAgreement(lastReport(router), now, register);
   }
--- a/router/src/main/java/basaltlever/membership/MembershipUpdate.java
+++ b/router/src/main/java/basaltlever/membership/MembershipUpdate.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * What the leader answers to a router's report, with the grant of the lease.
+ * Answer of the leader to a router's report, sent with the grant of the lease.
  *
- * @param coordinatorTerm coordinator term of this leader
- * @param readPosition position that the router has read up to with these marks
+ * @param coordinatorTerm term of the coordinator at this leader
+ * @param readPosition position up to which the router has read after these marks
  * @param drainMarks drain marks that the router has not read yet
- * @param drainMarksEnd how many of the router's own marks the leader has by now
- * @param agreement on the list with the following version and digest
- * @param listVersion list version of the report that this answers
- * @param digest of the report that this answers
- * @param era of the current endpoint lists
+ * @param drainMarksEnd count of the router's own marks that the leader acknowledges
+ * @param agreement agreement on the list with the following version and digest
+ * @param listVersion list version of the answered report
+ * @param digest list digest of the answered report
+ * @param era era of the current endpoint lists
  * @param assignmentsNumber number of the last change of a group assignment
- * @param assignments group assignments that changed after the number that the router has
+ * @param assignments group assignments that changed after the number reported by the router
  */
 public record MembershipUpdate(
     long coordinatorTerm,
--- a/router/src/main/java/basaltlever/membership/MembershipView.java
+++ b/router/src/main/java/basaltlever/membership/MembershipView.java
@@ -14,32 +14,32 @@
 import java.util.function.Predicate;
 
 /**
- * Which endpoints one router may use and in which group, by its own lists and by what the leader
- * says.
+ * Determines which endpoints one router may use and in which group, from its own lists and the
+ * updates of the leader.
  *
- * <p>What any router's list forbids takes effect at once. What a list allows waits until most
- * routers hold the same list, or until nobody has contradicted it for long enough. A list that is
- * older than the one before, empty or much shorter is suspended: the endpoints that it names as
- * draining or gone are restricted, and nothing else of it is used.
+ * <p>Restrictions in any router's list take effect immediately. Permissions in a list take effect
+ * once most routers hold the same list, or once no router has contradicted it for a given time. A
+ * list that is older than the last accepted one, empty or much shorter is suspended: the endpoints
+ * that it names as draining or gone are restricted, and the rest of it is not used.
  */
 public final class MembershipView {
   private static final int MAX_REQUESTED_PER_HEARTBEAT = 500;
 
-  /** Assignment number of a router that no leader has sent any assignments yet. */
+  /** Assignment number of a router that has not received any assignments yet. */
   private static final long NO_ASSIGNMENTS = -1;
 
   /**
-   * What may be done with an endpoint.
+   * Permitted use of an endpoint.
    *
-   * @param lifecycle whether it may get new work
-   * @param group in which it may be used
+   * @param lifecycle whether the endpoint may receive new statements
+   * @param group group in which the endpoint may be used
    */
   public record EndpointUse(EndpointLifecycle lifecycle, int group) {}
 
   private final Span uncontestedDuration;
   private final Span assignmentValidity;
 
-  /** The last list from discovery, suspended or not; null before the first. */
+  /** The last list from discovery, whether suspended or not; null before the first. */
   private EndpointListCopy latest;
 
   private ListAnomaly anomaly = ListAnomaly.NONE;
@@ -59,12 +59,12 @@
   private long revision;
 
   /**
-   * Creates the view of a router that knows no endpoint yet.
+   * Creates the view of a router that has received no list yet.
    *
-   * @param uncontestedDuration for how long nobody must have contradicted a list before what it
-   *     allows is used
-   * @param assignmentValidity how long a router without contact to the leader may go on using
-   *     endpoints in the groups that it knows
+   * @param uncontestedDuration time without contradiction by another router after which the
+   *     permissions of a list take effect
+   * @param assignmentValidity how long a router without contact to the leader may continue to use
+   *     endpoints in the groups last assigned to them
    */
   public MembershipView(Span uncontestedDuration, Span assignmentValidity) {
     this.uncontestedDuration = uncontestedDuration;
@@ -72,10 +72,10 @@
   }
 
   /**
-   * Takes in a list from discovery.
+   * Applies a list from discovery.
    *
-   * @param isComplete whether the entries are the complete list, else those that have changed
-   * @return why the list is suspended
+   * @param isComplete true if the entries are the complete list, false if only the changed ones
+   * @return the reason for suspending the list
    */
   public ListAnomaly receiveList(
       Moment now, boolean isComplete, long generation, Map<String, ListedEndpoint> entries) {
@@ -93,7 +93,7 @@
 
   private void applyLatest() {
     if (anomaly != ListAnomaly.BACK) {
-      // Also of an empty or short list: a mistake in its length does not explain these entries.
+      // Applies to empty and short lists as well: missing entries do not make the others wrong.
       addMarksOfLatest();
     }
     if (anomaly == ListAnomaly.NONE) {
@@ -128,13 +128,14 @@
     revision += drainMarks.addOwn(mark) ? 1 : 0;
   }
 
-  /** Takes in the leader's update; to be called before the lease that comes with it is used. */
+  /** Applies an update of the leader; must be called before the lease received with it is used. */
   public void receiveUpdate(Moment now, MembershipUpdate update) {
     readDrainMarks(update);
     readAssignments(update);
-    // Lists of a former era can't be compared with new ones: discovery has to send the list again.
+    // Lists of a former era can't be compared with new ones, so discovery has to send the list
+    // again.
     era = Math.max(era, update.era());
-    if (latest != null && concerns(update, latest)) {
+    if (latest != null && isForList(update, latest)) {
       latest.updateAgreement(now, update.agreement());
       resumeIfConfirmed(now);
     }
@@ -156,7 +157,7 @@
   }
 
   private void readAssignments(MembershipUpdate update) {
-    // A leader that was replaced without noticing sends an older table.
+    // A leader that was replaced without noticing sends an older table, which is ignored.
     if (update.assignmentsNumber() > assignmentsNumber) {
       for (GroupAssignment assignment : update.assignments()) {
         assignments.put(assignment.endpoint(), assignment);
@@ -166,13 +167,14 @@
     }
   }
 
-  private static boolean concerns(MembershipUpdate update, EndpointListCopy list) {
+  private static boolean isForList(MembershipUpdate update, EndpointListCopy list) {
     return update.listVersion().equals(list.version()) && update.digest() == list.digest();
   }
 
   /**
-   * Takes a suspended list that most routers have held long enough. An older list has to be held
-   * that long because meanwhile the voters would start a new era, had discovery lost its state.
+   * Accepts a suspended list that most routers have held for the required time. An older list has
+   * to be held that long, because within that time the voters would start a new era if discovery
+   * had lost its state.
    */
   private void resumeIfConfirmed(Moment now) {
     boolean canResume = anomaly == ListAnomaly.SHRUNK || anomaly == ListAnomaly.BACK;
@@ -182,29 +184,31 @@
     }
   }
 
-  /** The router has a lease until that moment, and thereby contact to the leader. */
+  /** Records a lease until the given time, which proves contact to the leader. */
   public void extendLease(Moment leaseEnd) {
     lastLeaseEnd = lastLeaseEnd.later(leaseEnd);
   }
 
-  /** Whether it has been out of contact for so long that endpoints may have changed groups. */
+  /** Whether the router has been out of contact so long that endpoints may have changed groups. */
   public boolean isOutOfContact(Moment now) {
     return assignmentsNumber < 0 || now.since(lastLeaseEnd).isLongerThan(assignmentValidity);
   }
 
-  /** A number that changes whenever the use of an endpoint may have changed. */
+  /** Returns a number that changes whenever the permitted use of an endpoint may have changed. */
   public long revision(Moment now) {
     return 2 * revision + (isOutOfContact(now) ? 1 : 0);
   }
 
-  /** All endpoints of the current lists, whether they may be used or not. */
+  /** Returns all endpoints of the current lists, whether they may be used or not. */
   public Set<String> endpoints() {
     Set<String> endpoints = new TreeSet<>(accepted.entries().keySet());
     settled.addEndpointsTo(endpoints);
     return endpoints;
   }
 
-  /** What may be done with the endpoint: the strictest of all that is known at this moment. */
+  /**
+   * Returns the permitted use of the endpoint: the strictest by its lists, marks and assignment.
+   */
   public EndpointUse determineUse(Moment now, String endpoint) {
     ListedEndpoint entry = accepted.entries().get(endpoint);
     GroupAssignment assignment = assignments.get(endpoint);
@@ -218,7 +222,7 @@
   private EndpointLifecycle restrictByLists(String endpoint, ListedEndpoint entry) {
     EndpointLifecycle own = entry == null ? EndpointLifecycle.GONE : entry.lifecycle();
     EndpointLifecycle lifecycle = settled.restrict(endpoint, own);
-    // An older list gives no drain marks for other routers, but restricts this one.
+    // An older list produces no drain marks for other routers, but restricts this one.
     boolean isInOlderList = anomaly == ListAnomaly.BACK && latest.entries().containsKey(endpoint);
     return isInOlderList
         ? stricter(lifecycle, latest.entries().get(endpoint).lifecycle())
@@ -227,7 +231,7 @@
 
   private EndpointLifecycle restrictByMark(String endpoint, EndpointLifecycle lifecycle) {
     DrainMark mark = drainMarks.get(endpoint);
-    // Only a newer list undoes a mark, and only once that list is settled.
+    // A mark is revoked only by a newer list, and only once that list is settled.
     if (mark == null || settled.version().isNewerThan(mark.listVersion())) {
       return lifecycle;
     }
@@ -235,8 +239,9 @@
   }
 
   /**
-   * Whether the agreed group is the listed one and free to use. They differ where this router's
-   * list is outdated, or newer than what was agreed; then neither group is used.
+   * Whether the agreed group equals the listed one and is cleared for use. The groups differ if
+   * this router's list is outdated or newer than the agreement; then the endpoint is not used at
+   * all.
    */
   private static boolean isAssigned(ListedEndpoint entry, GroupAssignment assignment) {
     return assignment != null
@@ -251,8 +256,10 @@
     return entry == null ? 0 : entry.group();
   }
 
-  /** Whether the router's list gives the endpoint a group that the voters have not agreed on. */
-  private boolean needsAssignment(String endpoint, ListedEndpoint entry) {
+  /**
+   * Whether the router's list names a group for the endpoint that the voters have not agreed on.
+   */
+  private boolean isAssignmentMissing(String endpoint, ListedEndpoint entry) {
     GroupAssignment current = assignments.get(endpoint);
     return current == null
         || (current.cleared()
@@ -261,9 +268,9 @@
   }
 
   /**
-   * The report for the next heartbeat.
+   * Creates the report for the next heartbeat.
    *
-   * @param isIdle whether this router has no attempt in flight at an endpoint
+   * @param isIdle whether this router has no attempt in flight at the given endpoint
    */
   public HeartbeatReport createReport(Moment now, Predicate<String> isIdle) {
     List<DrainMark> marks = drainMarks.nextBatch();
@@ -280,7 +287,7 @@
         assignmentsNumber);
   }
 
-  /** None while the latest list is suspended, as the report has that list's digest. */
+  /** Returns none while the latest list is suspended, as the report has that list's digest. */
   private List<GroupAssignment> requestedAssignments() {
     if (assignmentsNumber < 0 || anomaly != ListAnomaly.NONE) {
       return List.of();
@@ -291,7 +298,8 @@
         break;
       }
       ListedEndpoint listed = entry.getValue();
-      if (listed.lifecycle() != EndpointLifecycle.GONE && needsAssignment(entry.getKey(), listed)) {
+      if (listed.lifecycle() != EndpointLifecycle.GONE
+          && isAssignmentMissing(entry.getKey(), listed)) {
         requested.add(
             new GroupAssignment(entry.getKey(), listed.group(), accepted.version(), false));
       }
@@ -299,7 +307,7 @@
     return requested;
   }
 
-  /** Endpoints that are changing groups and that this router does not use any more. */
+  /** Returns the endpoints that are changing groups and that this router has stopped using. */
   private List<String> releasedEndpoints(Predicate<String> isIdle) {
     return assignments.values().stream()
         .filter(assignment -> !assignment.cleared())
@@ -308,36 +316,36 @@
         .toList();
   }
 
-  /** Whether all that the router's own list allows is settled and agreed on. */
+  /** Whether all permissions of the router's own list are settled and agreed on. */
   public boolean isSettled() {
     return latest != null
         && anomaly == ListAnomaly.NONE
         && settled.isCurrent()
         && accepted.entries().entrySet().stream()
-            .noneMatch(entry -> needsAssignment(entry.getKey(), entry.getValue()));
+            .noneMatch(entry -> isAssignmentMissing(entry.getKey(), entry.getValue()));
   }
 
-  /** Whether the latest list is of a former era, so that discovery has to send it again. */
+  /** Whether the latest list belongs to a former era, so that discovery has to send it again. */
   public boolean needsList() {
     return latest != null && latest.version().era() < era;
   }
 
-  /** Era of the current endpoint lists. */
+  /** Returns the era of the current endpoint lists. */
   public long era() {
     return era;
   }
 
-  /** How the latest list agrees with the other routers'. */
+  /** Returns the agreement of the latest list with the other routers' lists. */
   public ListAgreement agreement() {
     return latest == null ? ListAgreement.UNTOLD : latest.agreement();
   }
 
-  /** Version of the last list that was not suspended. */
+  /** Returns the version of the last list that was not suspended. */
   public ListVersion acceptedVersion() {
     return accepted.version();
   }
 
-  /** Version of the latest list, suspended or not. */
+  /** Returns the version of the latest list, whether suspended or not. */
   public ListVersion latestVersion() {
     return latest == null ? ListVersion.NONE : latest.version();
   }
--- a/router/src/main/java/basaltlever/membership/SettledList.java
+++ b/router/src/main/java/basaltlever/membership/SettledList.java
@@ -9,9 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * The newest list of one router that is settled, and the lists that the router took since. A list
- * is settled once most routers hold or held it, or once nobody has contradicted it for long enough.
- * Until then every list since the settled one restricts the use of its endpoints.
+ * Newest settled list of one router, and the lists that the router has accepted since. A list is
+ * settled once most routers hold it or have held it, or once no router has contradicted it for a
+ * given time. Until then every list since the settled one restricts the use of its endpoints.
  */
 final class SettledList {
   private static final int MAX_UNSETTLED = 32;
@@ -19,10 +19,10 @@
   private SortedMap<String, ListedEndpoint> entries = new TreeMap<>();
   private ListVersion version = ListVersion.NONE;
 
-  /** Oldest first. */
+  /** Lists accepted since the settled one, oldest first. */
   private final ArrayDeque<EndpointListCopy> unsettled = new ArrayDeque<>();
 
-  /** Adds the list that the router has just taken. */
+  /** Adds a list that the router has accepted. */
   void add(EndpointListCopy accepted) {
     unsettled.add(accepted);
     if (unsettled.size() > MAX_UNSETTLED) {
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Keeps only the restrictions: endpoints that the list alone names stay unsettled. */
+  /** Merges only the restrictions of the list: endpoints that it adds remain unsettled. */
   private void mergeOldest(EndpointListCopy oldest) {
     SortedMap<String, ListedEndpoint> strictest = new TreeMap<>(entries);
     oldest
@@ -45,12 +45,12 @@
   }
 
   /**
-   * Settles the newest list that may be settled, and with it all before it.
+   * Settles the newest list that may be settled and thereby all earlier ones.
    *
-   * @param latest the latest list of the router. Only this one is settled for being uncontested: of
-   *     one that was replaced, those who would contradict it may not have reported.
-   * @param uncontestedDuration for how long nobody must have contradicted the latest list
-   * @return how many lists are no longer unsettled
+   * @param latest the latest list of the router. Only this list can be settled for being
+   *     uncontested: routers that would contradict a replaced list may not have reported it.
+   * @param uncontestedDuration time for which the latest list must have been uncontested
+   * @return the number of lists that are no longer unsettled
    */
   int settle(Moment now, EndpointListCopy latest, Span uncontestedDuration) {
     EndpointListCopy newest = null;
@@ -76,12 +76,12 @@
     return removed;
   }
 
-  /** Whether the router has taken no list since the settled one. */
+  /** Whether the router has accepted no list since the settled one. */
   boolean isCurrent() {
     return unsettled.isEmpty();
   }
 
-  /** Version of the settled list. */
+  /** Returns the version of the settled list. */
   ListVersion version() {
     return version;
   }
@@ -92,8 +92,8 @@
   }
 
   /**
-   * The strictest of the given lifecycle, the settled list and all since. An endpoint missing in
-   * one of them is draining, since most routers may not know it.
+   * Returns the strictest of the given lifecycle and those in the settled list and all later ones.
+   * An endpoint that one of them lacks counts as draining, since most routers may lack it too.
    */
   EndpointLifecycle restrict(String endpoint, EndpointLifecycle lifecycle) {
     if (unsettled.isEmpty()) {
--- a/router/src/main/java/basaltlever/membership/VoterEligibility.java
+++ b/router/src/main/java/basaltlever/membership/VoterEligibility.java
@@ -5,50 +5,50 @@
 import java.util.List;
 
 /**
- * Whether a voter may vote, and with whom, by what its folder contains and what the other voters
- * report.
+ * Decision whether a voter may vote, and with which other voters, based on the contents of its
+ * folder and the reports of the other voters.
  *
  * <p>A voter must not vote if it was given up with a lost majority, was removed, or has lost the
- * folder with which it voted: it could vote twice in one term, or lead routers by a state that the
+ * folder that it voted with: it could vote twice in one term, or lead routers by a state that the
  * other voters have abandoned.
  *
- * @param kind what the voter does
+ * @param kind action of the voter
  * @param epoch configuration epoch in which it votes
- * @param voters the voters, itself among them
- * @param reason the reason to wait; empty where it does not
+ * @param voters names of the voters, including this one
+ * @param reason reason to wait; empty if it does not wait
  */
 public record VoterEligibility(Kind kind, long epoch, List<String> voters, String reason) {
-  /** What a voter does. */
+  /** Action of a voter. */
   public enum Kind {
     /** Starts the first epoch, with an empty folder. */
     FOUND,
     /** Continues with the contents of its folder. */
     RESUME,
-    /** Joins the voters of a newer epoch, or of the first where its folder is empty. */
+    /** Joins the voters of a newer epoch, or of the first one if its folder is empty. */
     JOIN,
-    /** Does not vote, and asks the other voters again later. */
+    /** Does not vote, and polls the other voters again later. */
     WAIT
   }
 
   /**
-   * What a voter's folder contains.
+   * Contents of a voter's folder.
    *
    * @param fleet name of the fleet
-   * @param name of the voter
-   * @param folderId of this very folder
+   * @param name name of the voter
+   * @param folderId unique id of this folder
    * @param epoch configuration epoch
-   * @param voters the voters of that epoch
+   * @param voters names of the voters of that epoch
    */
   public record VoterIdentity(
       String fleet, String name, String folderId, long epoch, List<String> voters) {}
 
   /**
-   * What another voter reports.
+   * Report of another voter.
    *
    * @param voter its name
    * @param epoch its configuration epoch
-   * @param voters the voters of that epoch; empty where it does not vote itself
-   * @param requesterFolderId id of the recorded folder of the voter that asks; empty where none is
+   * @param voters names of the voters of that epoch; empty if it does not vote itself
+   * @param requesterFolderId id of the folder recorded for the requesting voter; empty if none is
    * @param hasEmptyFolder whether its own folder is empty
    * @param isLeader whether it is the leader
    */
@@ -67,10 +67,10 @@
   /**
    * Decides by the first rule that applies.
    *
-   * @param name of the voter that asks
-   * @param own contents of its folder; null where that is empty
-   * @param founders the voters that the operator's files name
-   * @param peers reports of the other voters that answered
+   * @param name name of this voter
+   * @param own contents of its folder; null if that is empty
+   * @param founders names of the voters in the operator's files
+   * @param peers reports of the other voters that have answered
    */
   public static VoterEligibility decide(
       String name, VoterIdentity own, List<String> founders, Collection<PeerStatus> peers) {
@@ -110,12 +110,14 @@
     return own != null && isRemoved(name, own, newest, peers) ? "it was taken out" : "";
   }
 
-  /** Whether a voter reports an epoch that this voter does not have in its folder. */
+  /** Whether a voter reports an epoch that is newer than the one in this voter's folder. */
   private static boolean isBehind(VoterIdentity own, PeerStatus newest) {
     return newest != null && (own == null || newest.epoch() > own.epoch());
   }
 
-  /** Whether a voter of the same or a newer epoch has recorded another folder than this one. */
+  /**
+   * Whether a voter of the same or a newer epoch has recorded a different folder for this voter.
+   */
   private static boolean hasRecordedOtherFolder(PeerStatus peer, VoterIdentity own) {
     if (peer.requesterFolderId().isEmpty()) {
       return false;
@@ -125,9 +127,9 @@
   }
 
   /**
-   * Whether the reports suffice to know if a voter with an empty folder has voted before: either
-   * the leader of the newest epoch reports, who knows all that was agreed on, or all other voters
-   * do.
+   * Whether the reports suffice to determine if a voter with an empty folder has voted before:
+   * either the leader of the newest epoch, which has all agreed commands, or all other voters must
+   * have reported.
    */
   private static boolean canRuleOutEarlierVote(
       String name, PeerStatus newest, List<String> founders, Collection<PeerStatus> peers) {
@@ -144,7 +146,7 @@
     return voters.stream().filter(voter -> !voter.equals(name)).allMatch(reporting::contains);
   }
 
-  /** Whether its own epoch is the newest reported and nobody who reports names it as a voter. */
+  /** Whether its own epoch is the newest reported and no report names it as a voter. */
   private static boolean isRemoved(
       String name, VoterIdentity own, PeerStatus newest, Collection<PeerStatus> peers) {
     return newest != null
--- a/router/src/main/java/basaltlever/membership/package-info.java
+++ b/router/src/main/java/basaltlever/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Agreement of a fleet on the endpoint list and on who may vote: drain marks, group assignments and
- * the coordinator that the leader runs. Free of I/O.
+ * Agreement of a fleet on the endpoint list and on the eligibility of voters: drain marks, group
+ * assignments and the coordinator that runs at the leader. Contains no I/O.
  */
 package basaltlever.membership;
--- a/router/src/main/java/basaltlever/settings/GroupAssignmentTable.java
+++ b/router/src/main/java/basaltlever/settings/GroupAssignmentTable.java
@@ -9,23 +9,23 @@
 import java.util.TreeMap;
 
 /**
- * In which group each endpoint is used, as the voters agreed. Every change gets the next number, so
- * that a reader needs only what has changed since the number that it has.
+ * Stores the group in which each endpoint is used, as the voters agreed. Each change is numbered,
+ * so that a reader fetches only the changes after the last number that it has read.
  */
 final class GroupAssignmentTable {
   private static final int MAX_ASSIGNMENTS = 4_000;
 
   private final TreeMap<String, GroupAssignment> assignments = new TreeMap<>();
 
-  /** Number of each endpoint's last change. */
+  /** Number of the last change of each endpoint's assignment. */
   private final Map<String, Long> changeNumberByEndpoint = new HashMap<>();
 
   private long lastChangeNumber;
 
   /**
-   * Assigns an endpoint to a group: at once where it has none, else after {@link #clear}. False
-   * where nothing changes, because it is in that group, is still moving, or the list version is no
-   * newer than the one that assigned it.
+   * Assigns an endpoint to a group. The assignment of a new endpoint is cleared immediately, any
+   * other by {@link #clear}. Returns false if nothing changes, because the endpoint is in that
+   * group, is still moving, or the list version is no newer than that of its assignment.
    */
   boolean assign(String endpoint, int group, ListVersion listVersion) {
     GroupAssignment current = assignments.get(endpoint);
@@ -46,8 +46,8 @@
   }
 
   private void removeOldest() {
-    // An outdated list may still name a removed endpoint in another group; the oldest assignment is
-    // the least likely to meet such a list.
+    // An outdated list may still name a removed endpoint in another group. The oldest assignment is
+    // the least likely to be needed against such a list.
     assignments.values().stream()
         .filter(GroupAssignment::cleared)
         .min(Comparator.comparing(GroupAssignment::listVersion))
@@ -58,7 +58,10 @@
             });
   }
 
-  /** No router uses the endpoint in its former group any more; false where nothing changes. */
+  /**
+   * Clears the endpoint for use in its new group, once no router uses it in the former one. Returns
+   * false if nothing changes.
+   */
   boolean clear(String endpoint) {
     GroupAssignment current = assignments.get(endpoint);
     if (current == null || current.cleared()) {
@@ -74,12 +77,12 @@
     changeNumberByEndpoint.put(assignment.endpoint(), lastChangeNumber);
   }
 
-  /** Number of the last change. */
+  /** Returns the number of the last change. */
   long lastChangeNumber() {
     return lastChangeNumber;
   }
 
-  /** The assignments that changed after the given number. */
+  /** Returns the assignments that changed after the given number. */
   List<GroupAssignment> changedAfter(long changeNumber) {
     return changeNumber >= lastChangeNumber
         ? List.of()
@@ -88,12 +91,15 @@
             .toList();
   }
 
-  /** Null where the endpoint has none. */
+  /** Returns the assignment of the endpoint, or null if it has none. */
   GroupAssignment get(String endpoint) {
     return assignments.get(endpoint);
   }
 
-  /** Skips some numbers and makes every endpoint wait until all routers have stopped using it. */
+  /**
+   * Skips change numbers and marks all assignments as not cleared, so that no endpoint is used
+   * until every router has stopped using it.
+   */
   void unclearAll(long skippedNumbers) {
     lastChangeNumber += skippedNumbers;
     assignments.replaceAll(
@@ -102,7 +108,7 @@
     changeNumberByEndpoint.replaceAll((endpoint, changeNumber) -> lastChangeNumber);
   }
 
-  /** Replaces the table by the contents of a snapshot. */
+  /** Replaces the contents of the table with those of a snapshot. */
   void restore(long snapshotNumber, List<GroupAssignment> snapshot) {
     lastChangeNumber = snapshotNumber;
     assignments.clear();
--- a/router/src/main/java/basaltlever/settings/LeaseGrant.java
+++ b/router/src/main/java/basaltlever/settings/LeaseGrant.java
@@ -3,15 +3,15 @@
 import basaltlever.time.Span;
 
 /**
- * The leader's answer to one heartbeat of a router.
+ * Answer of the leader to one heartbeat of a router.
  *
- * @param heartbeatNumber number of the heartbeat that it answers
+ * @param heartbeatNumber number of the heartbeat that this grant answers
  * @param duration duration of the lease from the sending of that heartbeat, by the router's clock;
- *     zero where no lease is granted
+ *     zero if no lease is granted
  * @param inForce the version in force
- * @param prepared the prepared version, or null
- * @param changeCount the leader's change count of the register when it answered; a leader that was
- *     replaced without noticing has a smaller one than its successor
+ * @param prepared the prepared version, or null if there is none
+ * @param changeCount change count of the leader's register at the time of the answer; smaller at a
+ *     leader that was replaced without noticing than at its successor
  */
 public record LeaseGrant(
     long heartbeatNumber,
--- a/router/src/main/java/basaltlever/settings/LeaseHolder.java
+++ b/router/src/main/java/basaltlever/settings/LeaseHolder.java
@@ -4,16 +4,15 @@
 import java.util.ArrayDeque;
 
 /**
- * One router's lease: which versions of the settings it complies with, and until when.
+ * Tracks the lease of one router: the versions of the settings it complies with, and until when.
  *
- * <p>A lease counts from the sending of the heartbeat that it answers, by the router's own
- * monotonic clock, so it ends here before it ends at the leader. The holder must be asked before
- * every act whether the lease has just ended: a process that was paused or disconnected thereby
- * notices the end of its lease first. Without a lease the router is restricted to what every
- * version allows.
+ * <p>A lease starts when the heartbeat that it answers is sent, by the router's own monotonic
+ * clock, so it ends at the router before it ends at the leader. The router must check for its
+ * expiry before every action, so that a process that was paused or disconnected does not act under
+ * an expired lease. Without a lease the router is restricted to what every version allows.
  */
 public final class LeaseHolder {
-  /** Unanswered heartbeats remembered; a lease from an older one would be over already. */
+  /** Maximum of tracked heartbeats; a lease granted for an older one would have expired. */
   private static final int MAX_UNANSWERED_HEARTBEATS = 64;
 
   private record SentHeartbeat(long number, Moment sentAt) {}
@@ -21,30 +20,30 @@
   private final ArrayDeque<SentHeartbeat> unanswered = new ArrayDeque<>();
   private long lastNumber;
 
-  /** Change count of the latest grant accepted; grants with a smaller one are outdated. */
+  /** Change count of the last accepted grant; grants with a smaller count are outdated. */
   private long latestChangeCount;
 
   private Moment leaseEnd = Moment.LONG_AGO;
   private SettingsVersion inForce;
   private SettingsVersion prepared;
 
-  /** True without a lease, as before the first grant. */
+  /** Whether the router has no lease, as before the first grant. */
   private boolean restricted = true;
 
   /**
-   * Restores the configuration epoch that an earlier process on this router had seen: grants from
-   * before that epoch are rejected.
+   * Restores the latest configuration epoch that an earlier process of this router received. Grants
+   * of earlier epochs are rejected.
    */
   public void restoreEpoch(long epoch) {
     latestChangeCount = Math.max(latestChangeCount, VersionRegister.firstChangeCount(epoch));
   }
 
-  /** The latest configuration epoch seen. */
+  /** Returns the latest configuration epoch received. */
   public long epoch() {
     return VersionRegister.epoch(latestChangeCount);
   }
 
-  /** Registers a heartbeat that is sent now and returns its number. */
+  /** Records the sending of a heartbeat and returns its number. */
   public long registerHeartbeat(Moment now) {
     lastNumber++;
     unanswered.addLast(new SentHeartbeat(lastNumber, now));
@@ -54,12 +53,12 @@
     return lastNumber;
   }
 
-  /** Takes in a grant; returns whether the settings to comply with differ from those before. */
+  /** Applies a grant; returns whether the settings to comply with have changed. */
   public boolean acceptGrant(Moment now, LeaseGrant grant) {
     Moment sentAt = removeAnswered(grant.heartbeatNumber());
     boolean isDuplicate = sentAt == null;
     // A leader that was replaced without noticing may lack a version that this router has already
-    // acknowledged to its successor.
+    // acknowledged to the new leader.
     boolean isOutdated = grant.changeCount() < latestChangeCount;
     if (isDuplicate || isOutdated) {
       return false;
@@ -78,8 +77,8 @@
   }
 
   /**
-   * Removes the heartbeat and all before it; returns when it was sent, or null where it was
-   * answered before or overtaken by the answer to a later one.
+   * Removes the heartbeat and all earlier ones. Returns when it was sent, or null if it or a later
+   * heartbeat has been answered before.
    */
   private Moment removeAnswered(long number) {
     Moment sentAt = null;
@@ -93,14 +92,16 @@
   }
 
   /**
-   * Whether the lease has ended and the end is not noted yet: nothing that was decided under it may
-   * be carried out.
+   * Whether the lease has expired and {@link #restrictIfExpired} has not been called since.
+   * Decisions made under that lease must not be carried out.
    */
   public boolean isExpired(Moment now) {
     return !restricted && !now.isBefore(leaseEnd);
   }
 
-  /** Notes the end of the lease; true where it has ended since the last call. */
+  /**
+   * Restricts the router if its lease has expired; returns whether it expired since the last call.
+   */
   public boolean restrictIfExpired(Moment now) {
     boolean ended = isExpired(now);
     restricted |= ended;
@@ -111,29 +112,29 @@
     return version == null ? 0 : version.number();
   }
 
-  /** Whether the router has no lease and is restricted to what every version allows. */
+  /** Whether the router is restricted to what every version allows, having no lease. */
   public boolean isRestricted() {
     return restricted;
   }
 
-  /** Latest end of its leases, by the router's clock. */
+  /** Returns the latest end of any lease granted so far, by the router's clock. */
   public Moment leaseEnd() {
     return leaseEnd;
   }
 
-  /** The version in force; null before the first grant. */
+  /** Returns the version in force, or null before the first grant. */
   public SettingsVersion inForce() {
     return inForce;
   }
 
-  /** The prepared version, which the router complies with as well; null where there is none. */
+  /** Returns the prepared version, which the router also complies with; null if there is none. */
   public SettingsVersion prepared() {
     return prepared;
   }
 
   /**
-   * Number of the prepared version that the next heartbeat acknowledges, because the router
-   * complies with it under a lease; 0 where there is none.
+   * Returns the number of the prepared version that the next heartbeat acknowledges, as the router
+   * complies with it under a lease; 0 if there is none.
    */
   public long acknowledgedVersion() {
     return restricted ? 0 : numberOf(prepared);
--- a/router/src/main/java/basaltlever/settings/LeaseTable.java
+++ b/router/src/main/java/basaltlever/settings/LeaseTable.java
@@ -9,25 +9,25 @@
 import java.util.TreeMap;
 
 /**
- * The leader's table of router leases: who holds one until when and who has acknowledged the
- * prepared version. From it follows what the voters have to agree on next.
+ * Table of router leases at the leader: which routers hold a lease until when, and which have
+ * acknowledged the prepared version. It determines the next command to propose to the voters.
  *
- * <p>Two rules keep leases of successive leaders from contradicting each other. A lease never
- * outlasts one lease duration after the last moment at which a majority confirmed the leader, so a
- * leader that was replaced without noticing soon has nothing left to grant. A new leader assumes
- * for the longest duration of a lease that every router may hold one from its predecessor.
+ * <p>Two rules keep leases of successive leaders from contradicting each other. A lease ends at
+ * most one lease duration after the last moment at which a majority confirmed the leader, so a
+ * leader that was replaced without noticing can soon grant nothing. A new leader assumes, for the
+ * maximum duration of a lease, that every router may hold one from its predecessor.
  */
 public final class LeaseTable {
-  /** Routers that sent no heartbeat for so many lease durations are removed from the table. */
+  /** Lease durations without a heartbeat after which a router is removed from the table. */
   private static final int MAX_SILENCE_LEASES = 20;
 
   private static final int MAX_ROUTERS = 2_000;
 
   /** The next command that the leader has to propose to the voters. */
   public record Step(Kind kind, long number, String reason, int routers) {
-    /** What the command does. */
+    /** Type of the command. */
     public enum Kind {
-      /** Nothing is due. */
+      /** No command is due. */
       NOTHING,
       /** The prepared version {@code number} takes effect. */
       BRING_INTO_FORCE,
@@ -40,7 +40,7 @@
     static final Step NOTHING = new Step(Kind.NOTHING, 0, "", 0);
   }
 
-  /** What the leader knows of one router. */
+  /** State of one router at the leader. */
   public static final class RouterLease {
     private final String name;
     private long incarnation;
@@ -51,52 +51,52 @@
     private String rejectionReason = "";
     private long rejected;
 
-    /** End of the leases of an earlier process under the same name. */
+    /** End of the leases of the former process of that name. */
     private Moment formerIncarnationLeaseEnd = Moment.LONG_AGO;
 
     RouterLease(String name) {
       this.name = name;
     }
 
-    /** Name of the router. */
+    /** Returns the name of the router. */
     public String name() {
       return name;
     }
 
-    /** Of the process that sent the last heartbeat. */
+    /** Returns the incarnation of the process that sent the last heartbeat. */
     public long incarnation() {
       return incarnation;
     }
 
-    /** Latest end of its leases, by the leader's clock. */
+    /** Returns the latest end of any lease granted to it, by the leader's clock. */
     public Moment leaseEnd() {
       return leaseEnd;
     }
 
-    /** When its last heartbeat came. */
+    /** Returns when its last heartbeat arrived. */
     public Moment lastHeartbeatAt() {
       return lastHeartbeatAt;
     }
 
-    /** Number of the prepared version that it complies with already, or 0. */
+    /** Returns the number of the prepared version that it has acknowledged, or 0. */
     public long acknowledged() {
       return acknowledged;
     }
 
-    /** Number of the version that it has in force. */
+    /** Returns the number of the version that it has in force. */
     public long inForce() {
       return inForce;
     }
 
-    /** Why it can't comply with the prepared version; empty where it rejects nothing. */
+    /** Returns why it can't comply with the prepared version; empty if it rejects none. */
     public String rejectionReason() {
       return rejectionReason;
     }
 
     private void update(Moment now, RouterHeartbeat heartbeat) {
       if (incarnation != heartbeat.incarnation()) {
-        // The earlier process may still act under its lease; with a second lease the two would use
-        // two shares of the capacity under one name.
+        // The former process may still act under its lease. With a second lease the two processes
+        // would use two shares of the capacity under one name.
         formerIncarnationLeaseEnd = leaseEnd;
         incarnation = heartbeat.incarnation();
       }
@@ -116,18 +116,18 @@
   private final double maxClockDrift;
   private final TreeMap<String, RouterLease> routers = new TreeMap<>();
 
-  /** Last heartbeat since the election, by router; routers removed from the table stay here. */
+  /** Last heartbeat since the election, by router; includes routers removed from the table. */
   private final Map<String, Moment> lastHeartbeatAt = new HashMap<>();
 
   private Moment lastConfirmedAt = Moment.LONG_AGO;
 
-  /** By then all leases of the former leader are over. */
+  /** Time by which all leases of the former leader have expired. */
   private Moment formerLeasesEnd = Moment.NEVER;
 
   /**
    * Creates the empty table of a voter that does not lead.
    *
-   * @param leaseDuration how long a lease lasts by the router's clock
+   * @param leaseDuration duration of a lease by the router's clock
    * @param maxClockDrift share by which any clock may run faster or slower than any other, below
    *     0.5
    */
@@ -136,12 +136,12 @@
     this.maxClockDrift = maxClockDrift;
   }
 
-  /** How long at most, by the leader's clock, lasts what a router counts as the given duration. */
+  /** Returns the maximum, by the leader's clock, of a duration measured by a router's clock. */
   public Span withClockDrift(Span byRouterClock) {
     return byRouterClock.times(1 + 2 * maxClockDrift);
   }
 
-  /** This voter leads from now on and does not know which leases its predecessor granted. */
+  /** Called when this voter becomes the leader; leases of its predecessor are unknown. */
   public void startLeading(Moment now) {
     routers.clear();
     lastHeartbeatAt.clear();
@@ -149,21 +149,21 @@
     formerLeasesEnd = now.plus(withClockDrift(leaseDuration));
   }
 
-  /** This voter leads no more and grants nothing. */
+  /** Called when this voter is no longer the leader; it grants no more leases. */
   public void stopLeading() {
     formerLeasesEnd = Moment.NEVER;
     lastConfirmedAt = Moment.LONG_AGO;
   }
 
   /**
-   * A majority accepted a command that was sent at this moment, so nobody else had been elected by
-   * then.
+   * Records that a majority accepted a command sent at this time, so that no other leader had been
+   * elected by then.
    */
   public void confirmLeadership(Moment sentAt) {
     lastConfirmedAt = lastConfirmedAt.later(sentAt);
   }
 
-  /** Records a router's heartbeat and answers it; the grant's duration is zero without a lease. */
+  /** Records a router's heartbeat and answers it; a grant of zero duration means no lease. */
   public LeaseGrant answerHeartbeat(
       Moment now, RouterHeartbeat heartbeat, VersionRegister register) {
     boolean isTableFull = !routers.containsKey(heartbeat.router()) && routers.size() >= MAX_ROUTERS;
@@ -195,7 +195,10 @@
     return duration;
   }
 
-  /** Whether one more router may act: the versions divide all capacity by their router counts. */
+  /**
+   * Whether one more router may hold a lease. Each router uses the capacity divided by the router
+   * count of the version, so no more routers than that may act.
+   */
   private boolean hasUnusedShare(Moment now, VersionRegister register) {
     SettingsVersion prepared = register.prepared();
     int shares = register.inForce().routers();
@@ -209,7 +212,9 @@
     return (int) routers.values().stream().filter(router -> router.hasLease(now)).count();
   }
 
-  /** The next command for the voters: for the prepared version if there is one, else the count. */
+  /**
+   * Returns the next command: on the prepared version if there is one, else on the router count.
+   */
   public Step nextStep(Moment now, VersionRegister register) {
     removeSilentRouters(now);
     SettingsVersion prepared = register.prepared();
@@ -243,7 +248,7 @@
   private boolean isAcknowledgedByAll(Moment now, SettingsVersion prepared) {
     List<RouterLease> leased =
         routers.values().stream().filter(router -> router.hasLease(now)).toList();
-    // With no router at all nobody has checked the version, and it might suit none.
+    // Without any router with a lease no router has validated the version.
     return !canFormerLeasesRun(now)
         && !leased.isEmpty()
         && leased.stream().allMatch(router -> router.acknowledged == prepared.number());
@@ -255,7 +260,8 @@
             routers.values().stream()
                 .filter(router -> router.hasLease(now) || hasRecentHeartbeat(router, now))
                 .count();
-    // A smaller count enlarges every share: not while unknown routers may hold a former lease.
+    // A smaller count enlarges every share, which is unsafe while unknown routers may hold leases
+    // of the former leader.
     boolean isChangeDue =
         present > inForce.routers() || (present < inForce.routers() && !canFormerLeasesRun(now));
     return isChangeDue && present > 0
@@ -263,12 +269,12 @@
         : Step.NOTHING;
   }
 
-  /** How long a lease lasts by the router's clock. */
+  /** Returns the duration of a lease by the router's clock. */
   public Span leaseDuration() {
     return leaseDuration;
   }
 
-  /** Whether a router of this name may act under a lease of this leader. */
+  /** Whether the router of this name may hold a lease of this leader. */
   public boolean hasLease(String name, Moment now) {
     RouterLease router = routers.get(name);
     return router != null && router.hasLease(now);
@@ -280,14 +286,14 @@
   }
 
   /**
-   * Whether a majority confirmed this leader within the last lease duration; otherwise another may
-   * lead by now.
+   * Whether a majority confirmed this leader within the last lease duration; otherwise another
+   * leader may have been elected.
    */
   public boolean isConfirmed(Moment now) {
     return now.isBefore(lastConfirmedAt.plus(leaseDuration));
   }
 
-  /** When the router's last heartbeat since the election came. */
+  /** Returns when the router's last heartbeat since the election arrived. */
   public Moment lastHeartbeatAt(String name) {
     return lastHeartbeatAt.getOrDefault(name, Moment.LONG_AGO);
   }
@@ -296,7 +302,7 @@
     return !now.since(router.lastHeartbeatAt).isLongerThan(leaseDuration);
   }
 
-  /** All known routers, by name. */
+  /** Returns all routers in the table, sorted by name. */
   public List<RouterLease> routers() {
     return new ArrayList<>(routers.values());
   }
--- a/router/src/main/java/basaltlever/settings/SettingsConstraints.java
+++ b/router/src/main/java/basaltlever/settings/SettingsConstraints.java
@@ -9,19 +9,19 @@
 import java.util.List;
 
 /**
- * What no proposed version may change, because the start files state it as a fact about the
+ * Checks that a proposed version leaves unchanged what the start files declare as facts about the
  * application: which workloads write and which statements must not run twice.
  */
 public final class SettingsConstraints {
   private SettingsConstraints() {}
 
   /**
-   * Why a router rejects the proposed settings, each reason beginning with the settings key; empty
-   * where it accepts them.
+   * Returns the reasons why a router rejects the proposed settings, each starting with the settings
+   * key; empty if it accepts them.
    *
-   * @param proposed the settings to check
-   * @param installed the settings of the router's start file
-   * @param maxStaleness upper limit for bounded staleness; zero for none
+   * @param proposed settings to check
+   * @param installed settings of the router's start file
+   * @param maxStaleness upper limit of bounded staleness; zero for no limit
    */
   public static List<String> findViolations(
       Settings proposed, Settings installed, Span maxStaleness) {
--- a/router/src/main/java/basaltlever/settings/StricterSettings.java
+++ b/router/src/main/java/basaltlever/settings/StricterSettings.java
@@ -16,10 +16,10 @@
 import java.util.List;
 
 /**
- * The stricter of two settings, key by key: whatever it allows, each of the two allows. While a
- * fleet changes from one version to the next its routers comply with the stricter of both, so that
- * no two of them contradict each other (docs/agreement.md has the table of keys). Keys that only
- * concern a router's own choices are independent: the newer value is taken.
+ * Computes the stricter of two settings, key by key: whatever it allows, both settings allow. While
+ * a fleet changes from one version to the next its routers comply with the stricter of both, so
+ * that no two of them contradict each other (docs/agreement.md has the table of keys). For keys
+ * that only concern a router's own choices the newer value is used.
  */
 public final class StricterSettings {
   private static final ReadConsistency[] FROM_STRICTEST = {
@@ -29,8 +29,8 @@
   private StricterSettings() {}
 
   /**
-   * Why there is no stricter of these two settings, each reason beginning with the settings key;
-   * empty where there is one.
+   * Returns the reasons why these two settings can't be combined, each starting with the settings
+   * key; empty if they can.
    */
   public static List<String> findConflicts(Settings older, Settings newer) {
     List<String> reasons = new ArrayList<>();
@@ -56,7 +56,7 @@
   }
 
   /**
-   * The stricter of both, for which {@link #findConflicts} must have found no reason against it.
+   * Returns the stricter of both settings, for which {@link #findConflicts} must return no reason.
    */
   public static Settings of(Settings older, Settings newer) {
     boolean sameTokens =
@@ -76,39 +76,37 @@
   }
 
   /**
-   * What every version allows, for a router without a lease, which does not know the version in
-   * force: only the primary answers reads, and each statement is attempted once.
+   * Returns settings that every version allows, for a router without a lease, which can't rely on
+   * the version in force: only the primary answers reads, and each statement is attempted once.
    */
-  public static Settings strictest(Settings known) {
-    Workload[] workloads = new Workload[known.workloads().length];
+  public static Settings strictest(Settings base) {
+    Workload[] workloads = new Workload[base.workloads().length];
     for (int i = 0; i < workloads.length; i++) {
-      workloads[i] = strictestWorkload(known.workloads()[i]);
+      workloads[i] = strictestWorkload(base.workloads()[i]);
     }
-    AttemptLimits limits = known.attemptLimits();
+    AttemptLimits limits = base.attemptLimits();
     return new Settings(
-        known.identity(),
+        base.identity(),
         workloads,
-        new Replication(false, false, known.replication().sessionsCarryTokens()),
-        new DrainPolicy(known.drains().listIsWatched(), known.drains().listRenewalInterval(), true),
-        known.slowStart(),
+        new Replication(false, false, base.replication().sessionsCarryTokens()),
+        new DrainPolicy(base.drains().listIsWatched(), base.drains().listRenewalInterval(), true),
+        base.slowStart(),
         new AttemptLimits(
             1, false, limits.cancels(), limits.polls(), Span.NONE, limits.answerSlack()),
-        known.connections());
+        base.connections());
   }
 
-  private static Workload strictestWorkload(Workload known) {
+  private static Workload strictestWorkload(Workload base) {
     return new Workload(
-        known.consistency() == ReadConsistency.WRITE
-            ? ReadConsistency.WRITE
-            : ReadConsistency.FRESH,
+        base.consistency() == ReadConsistency.WRITE ? ReadConsistency.WRITE : ReadConsistency.FRESH,
         Span.NONE,
         Idempotency.NON_IDEMPOTENT,
         DeduplicationScope.GROUP,
         Span.NONE,
-        known.latencyObjective(),
-        known.timeout(),
-        known.priorityWeight(),
-        known.lateAnswerValue());
+        base.latencyObjective(),
+        base.timeout(),
+        base.priorityWeight(),
+        base.lateAnswerValue());
   }
 
   private static RouterIdentity stricterIdentity(RouterIdentity older, RouterIdentity newer) {
@@ -180,7 +178,7 @@
     return workload.idempotency() == Idempotency.DEDUPLICATED;
   }
 
-  /** A zone and a group only overlap: neither scope is the narrower one. */
+  /** Whether the scopes are zone and group, which overlap without one containing the other. */
   private static boolean scopesOverlapOnly(Workload older, Workload newer) {
     return older.deduplicationScope() != newer.deduplicationScope()
         && older.deduplicationScope() != DeduplicationScope.ALL
@@ -204,7 +202,7 @@
   }
 
   private static Replication stricterReplication(Replication older, Replication newer) {
-    // Where replicas may not check the position themselves the router must have proof of it.
+    // If replicas may not check the position themselves, the router must have evidence of it.
     return new Replication(
         older.replicasCheck() && newer.replicasCheck(),
         older.positionsInAnswers() && newer.positionsInAnswers(),
--- a/router/src/main/java/basaltlever/settings/VersionRegister.java
+++ b/router/src/main/java/basaltlever/settings/VersionRegister.java
@@ -12,12 +12,13 @@
 import java.util.TreeSet;
 
 /**
- * The replicated state of the voters: versions of the settings, group assignments of endpoints, the
- * era of endpoint lists and the voters' folders.
+ * Replicated state of the voters: versions of the settings, group assignments of endpoints, the era
+ * of endpoint lists and the voters' folders.
  *
- * <p>It changes by commands alone, which the consensus log gives every voter in the same order, and
- * reads no clock, so all copies are equal. A proposed version is first prepared, while every router
- * complies with the stricter of it and the version in force, and then takes effect or is withdrawn.
+ * <p>Only commands change it, which the consensus log delivers to every voter in the same order,
+ * and it reads no clock, so all copies are equal. A proposed version is first prepared, while every
+ * router complies with the stricter of it and the version in force, and then takes effect or is
+ * withdrawn.
  */
 public final class VersionRegister {
   private static final int MAX_HISTORY = 200;
@@ -28,30 +29,30 @@
    */
   private static final int EPOCH_SHIFT = 40;
 
-  /** Version numbers skipped by a recovery: more than lost voters can have handed out unseen. */
+  /** Version numbers skipped by a recovery: more than lost voters can have assigned unseen. */
   private static final int SKIPPED_VERSIONS = 1_000;
 
-  /** Assignment numbers skipped by a recovery, for the same reason. */
+  /** Assignment change numbers skipped by a recovery, for the same reason. */
   private static final long SKIPPED_ASSIGNMENTS = 1_000_000;
 
-  /** Longest text of a version, in characters. */
+  /** Maximum length of the JSON text of a version, in characters. */
   public static final int MAX_TEXT_LENGTH = 128 * 1024;
 
-  /** What became of a proposed version. */
+  /** Outcome of a proposed version. */
   public enum VersionOutcome {
-    /** It took effect. */
+    /** The version took effect. */
     IN_FORCE,
-    /** It was prepared and then withdrawn. */
+    /** The version was prepared and then withdrawn. */
     WITHDRAWN,
-    /** It was not prepared at all. */
+    /** The version was rejected and never prepared. */
     REFUSED
   }
 
   /**
-   * One proposal of the past.
+   * One past proposal.
    *
-   * @param version that was proposed
-   * @param outcome what became of it
+   * @param version the proposed version
+   * @param outcome outcome of the proposal
    * @param reason why it did not take effect, or a remark; may be empty
    */
   public record HistoryEntry(SettingsVersion version, VersionOutcome outcome, String reason) {}
@@ -66,18 +67,18 @@
   private final GroupAssignmentTable assignments = new GroupAssignmentTable();
   private long era;
 
-  /** Id of the folder with which each voter has voted, by the voter's name. */
+  /** Id of the folder that each voter has voted with, by the voter's name. */
   private final TreeMap<String, String> folders = new TreeMap<>();
 
-  /** Voters that the last recovery gave up. */
+  /** Voters given up by the last recovery. */
   private final TreeSet<String> lostVoters = new TreeSet<>();
 
   /**
-   * Proposes a version against the version in force that the proposer has read. The later of two
-   * concurrent proposals is rejected and learns which one it lost to.
+   * Proposes a version, based on the version in force that the proposer has read. The later of two
+   * concurrent proposals is rejected, with a reason that names the other one.
    *
    * @param basis number of the version in force when the proposal was written
-   * @return why it is rejected; empty where the version is now prepared
+   * @return why the proposal is rejected; empty if the version is now prepared
    */
   public String propose(
       long basis, String text, int routers, String proposer, String reason, long proposedAtMillis) {
@@ -116,8 +117,8 @@
   }
 
   /**
-   * The prepared version takes effect: every router with a lease has acknowledged it. False where
-   * no version of that number is prepared.
+   * Brings the prepared version into force, once every router with a lease has acknowledged it.
+   * Returns false if no version of that number is prepared.
    */
   public boolean bringIntoForce(long number) {
     changeCount++;
@@ -130,7 +131,7 @@
     return true;
   }
 
-  /** Withdraws the prepared version; false where no version of that number is prepared. */
+  /** Withdraws the prepared version; returns false if no version of that number is prepared. */
   public boolean withdraw(long number, String reason) {
     changeCount++;
     if (!isPrepared(number)) {
@@ -150,23 +151,24 @@
   }
 
   /**
-   * Assigns an endpoint to a group, at once where it has none, else once every router has stopped
-   * using it and the assignment is cleared. False where nothing changes.
+   * Assigns an endpoint to a group. If it has one already, the new assignment applies only after it
+   * is cleared, once every router has stopped using the endpoint. Returns false if nothing changes.
    */
   public boolean assignGroup(String endpoint, int group, ListVersion listVersion) {
     changeCount++;
     return assignments.assign(endpoint, group, listVersion);
   }
 
-  /** Every router has stopped using the endpoint in its former group. */
+  /** Clears an assignment, once every router has stopped using the endpoint in its former group. */
   public boolean clearAssignment(String endpoint) {
     changeCount++;
     return assignments.clear(endpoint);
   }
 
   /**
-   * Discovery has lost its state and restarts its generations: lists belong to a new era from now
-   * on. True where the era is now the one after the given, also for a repeated command.
+   * Starts a new era of endpoint lists, because discovery has lost its state and restarted its
+   * generations. Returns whether the era is now the one after the given, also for a repeated
+   * command.
    */
   public boolean startNewEra(long formerEra) {
     changeCount++;
@@ -176,22 +178,22 @@
     return era == formerEra + 1;
   }
 
-  /** Era of the current endpoint lists. */
+  /** Returns the era of the current endpoint lists. */
   public long era() {
     return era;
   }
 
-  /** Number of the last change of a group assignment. */
+  /** Returns the number of the last change of a group assignment. */
   public long assignmentsNumber() {
     return assignments.lastChangeNumber();
   }
 
-  /** The group assignments that changed after that number. */
+  /** Returns the group assignments that changed after the given number. */
   public List<GroupAssignment> assignmentsAfter(long changeNumber) {
     return assignments.changedAfter(changeNumber);
   }
 
-  /** The endpoint's group assignment; null where it has none. */
+  /** Returns the endpoint's group assignment, or null if it has none. */
   public GroupAssignment groupAssignment(String endpoint) {
     return assignments.get(endpoint);
   }
@@ -204,45 +206,45 @@
   }
 
   /**
-   * Records the folder with which a voter votes: a different folder under the same name has lost
-   * those votes. False where one is recorded already.
+   * Records the folder that a voter votes with: a different folder of a voter of that name lacks
+   * those votes. Returns false if one is recorded already.
    */
   public boolean recordFolder(String voter, String folder) {
     changeCount++;
     return folders.putIfAbsent(voter, folder) == null;
   }
 
-  /** Removes the record of a voter that left, or that is to vote with another folder. */
+  /** Removes the record of a voter that was removed or that will vote with another folder. */
   public void removeRecordedFolder(String voter) {
     changeCount++;
     folders.remove(voter);
   }
 
-  /** Id of the voter's recorded folder; empty where none is. */
+  /** Returns the id of the voter's recorded folder; empty if none is recorded. */
   public String recordedFolder(String voter) {
     return folders.getOrDefault(voter, "");
   }
 
-  /** Configuration epoch: how often a lost majority was given up and the rest recovered. */
+  /** Returns the configuration epoch: the number of recoveries from the loss of a majority. */
   public long epoch() {
     return epoch(changeCount);
   }
 
-  /** The configuration epoch of a change count, as in a grant. */
+  /** Returns the configuration epoch of a change count, such as that of a grant. */
   public static long epoch(long changeCount) {
     return changeCount >>> EPOCH_SHIFT;
   }
 
-  /** The smallest change count of a configuration epoch. */
+  /** Returns the smallest change count of a configuration epoch. */
   public static long firstChangeCount(long epoch) {
     return epoch << EPOCH_SHIFT;
   }
 
   /**
-   * Starts a new configuration epoch from this copy, after a majority was lost for good.
+   * Starts a new configuration epoch from this copy, after a majority was permanently lost.
    *
    * <p>The lost voters may have agreed on changes that this copy lacks. All numbers therefore skip
-   * beyond those that they can have handed out, and no endpoint is used before every router has
+   * those that the lost voters can have assigned, and no endpoint is used until every router has
    * stopped using it.
    */
   public void recover(
@@ -268,12 +270,12 @@
     lostVoters.addAll(givenUpVoters);
   }
 
-  /** Voters given up by the last recovery; the operator has confirmed that they are stopped. */
+  /** Returns the voters given up by the last recovery; the operator confirmed that they stopped. */
   public Set<String> lostVoters() {
     return lostVoters;
   }
 
-  /** Id of each voter's recorded folder, by the voter's name. */
+  /** Returns the id of each voter's recorded folder, by the voter's name. */
   public Map<String, String> recordedFolders() {
     return folders;
   }
@@ -293,27 +295,30 @@
     }
   }
 
-  /** The version in force. */
+  /** Returns the version in force. */
   public SettingsVersion inForce() {
     return inForce;
   }
 
-  /** The prepared version; null where there is none. */
+  /** Returns the prepared version, or null if there is none. */
   public SettingsVersion prepared() {
     return prepared;
   }
 
-  /** The last version number given. */
+  /** Returns the last version number assigned. */
   public long lastNumber() {
     return lastNumber;
   }
 
-  /** Number of commands applied; of two copies the one with more is the newer. */
+  /**
+   * Returns the configuration epoch in the upper bits and the number of commands applied in it in
+   * the lower ones. The copy with the larger count is the newer one.
+   */
   public long changeCount() {
     return changeCount;
   }
 
-  /** Past proposals, oldest first; only the latest are kept. */
+  /** Returns the latest past proposals, oldest first. */
   public List<HistoryEntry> history() {
     return new ArrayList<>(history);
   }
--- a/router/src/main/java/basaltlever/settings/package-info.java
+++ b/router/src/main/java/basaltlever/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Versions of the settings on which a fleet agrees: which one is in force, which leases stand, and
- * the stricter of two versions. Free of I/O.
+ * Versions of the settings on which a fleet agrees: the version in force, the leases of the routers
+ * and the stricter of two versions. Contains no I/O.
  */
 package basaltlever.settings;
--- a/router/src/test/java/basaltlever/settings/EndpointListAgreementTest.java
+++ b/router/src/test/java/basaltlever/settings/EndpointListAgreementTest.java
@@ -23,30 +23,32 @@
 import net.jqwik.api.Example;
 
 /**
- * Lists in virtual time: each router has a discovery of its own that is late, goes back, empties,
- * shrinks or tells another thing than the others'; members drain, come and go and move between
- * groups. The judge are the members, which see who comes for which group, and the truth of which
- * discovery tells.
+ * Checks endpoint lists in virtual time: each router's discovery may deliver lists that are late,
+ * older, empty, short or different from the others', while endpoints drain, are added and removed
+ * and move between groups. The checks use the executions that arrive at each endpoint, by group,
+ * and the actual list.
  */
 class EndpointListAgreementTest {
   private static final long UNCONTESTED_MICROS = 1_000_000;
   private static final Span ASSIGNMENT_VALIDITY = Span.ofMillis(3_000);
 
-  /** An execution that was begun before a router let go of a member is over by then. */
+  /** Executions that started before a router released an endpoint have ended after this time. */
   private static final Span MAX_ATTEMPT_DURATION = Span.ofMillis(1_600);
 
   private static final long FAULTS_END_MICROS = 14_000_000;
 
-  /** What came to a member. */
+  /** The actual state of an endpoint and the executions that it received. */
   private static final class EndpointState {
     int group;
     EndpointLifecycle lifecycle = EndpointLifecycle.READY;
     int plannedMoves;
     int observedMoves;
     int lastServedGroup = -1;
+
+    /** Time by which even late lists that name the endpoint as ready again are delivered. */
     long readyListsDeliveredBy;
 
-    /** By group, of which process. */
+    /** Number of executions by group, then by router process. */
     final Map<Integer, Map<String, Integer>> inFlight =
         new HashMap<>(Map.of(1, new HashMap<>(), 2, new HashMap<>()));
   }
@@ -69,10 +71,13 @@
     final List<Drain> drains = new ArrayList<>();
     final List<Map<String, ListedEndpoint>> listHistory = new ArrayList<>();
 
-    /** Far from where one that lost its state begins: nobody could tell the two rows apart else. */
+    /**
+     * Starts far above the first generation after a restart, as the two sequences could not be
+     * distinguished otherwise.
+     */
     long generation = 1_000;
 
-    /** Of the oldest list that is remembered. */
+    /** Generation of the oldest list in the history. */
     long oldestGeneration = generation;
 
     long generationRestarts;
@@ -129,7 +134,7 @@
     @Override
     void onElected(Leader leader) {
       if (routerStates == null) {
-        // Before this run's own parts exist.
+        // The superclass constructor elects a leader before the fields of this class exist.
         return;
       }
       List<String> names = new ArrayList<>();
@@ -264,7 +269,7 @@
         routers.forEach(
             router -> deliverList(router, router.incarnation, actualList(), generation));
         if (now < FAULTS_END_MICROS + 3_000_000) {
-          // Once more behind what was late.
+          // Delivers the list again after the late lists.
           schedule(3_000_000, this::changeEndpoints);
         }
         return;
@@ -304,9 +309,9 @@
         }
         case 4 -> {
           if (endpoints.size() < 14) {
-            EndpointState drainedEndpoint = new EndpointState();
-            drainedEndpoint.group = 1 + random.nextInt(2);
-            endpoints.put("m" + endpointsCreated++, drainedEndpoint);
+            EndpointState addedEndpoint = new EndpointState();
+            addedEndpoint.group = 1 + random.nextInt(2);
+            endpoints.put("m" + endpointsCreated++, addedEndpoint);
           }
         }
         default -> {
@@ -316,7 +321,7 @@
         }
       }
       if (random.nextInt(30) == 0) {
-        // It loses its state and counts anew, for everybody.
+        // Discovery loses its state and restarts the generations, for all routers.
         generation = 0;
         generationRestarts++;
         drains.clear();
@@ -350,7 +355,8 @@
                 schedule(
                     LEASE_DURATION.micros() + 20_000,
                     () -> {
-                      // Its lease is from a beat that it sent after it was told: the leader knows.
+                      // The lease answers a heartbeat sent after the list arrived, so the
+                      // leader has received the drain mark.
                       if (!router.lease.isRestricted()
                           && router.incarnation == incarnation
                           && router.pausedUntil < receivedAt
@@ -364,7 +370,7 @@
       }
     }
 
-    /** One router in some is told another thing under the same generation. */
+    /** Returns the actual list or, for router 1 at times, another list of the same generation. */
     Map<String, ListedEndpoint> listFromDiscovery(VirtualFleet.Router router) {
       Map<String, ListedEndpoint> list = new TreeMap<>(actualList());
       if (router.number == 1 && routers.size() > 3 && random.nextInt(4) == 0) {
@@ -385,7 +391,7 @@
         long listGeneration) {
       RouterState state = stateOf(router);
       if (router.incarnation == incarnation && now < router.pausedUntil) {
-        // It reads what had come once it goes on.
+        // A paused process reads the list when it resumes.
         long restartsBefore = generationRestarts;
         schedule(
             router.pausedUntil - now + 1,
@@ -472,7 +478,7 @@
         endpoint.lastServedGroup = group;
       }
       endpoint.inFlight.get(group).merge(process, 1, Integer::sum);
-      // What a process that was ended has left in a member is no use of it any more.
+      // Executions that a terminated process left running do not count.
       boolean isUsedInOtherGroup =
           routers.stream()
               .anyMatch(
@@ -493,9 +499,9 @@
                 + routerNumber
                 + ", "
                 + endpoint.observedMoves
-                + " flips of "
+                + " observed moves, "
                 + endpoint.plannedMoves
-                + " moves";
+                + " planned moves";
       }
     }
 
@@ -503,14 +509,14 @@
     void checkInvariants() {
       super.checkInvariants();
       if (routers.stream().filter(router -> !router.lease.isRestricted()).count() < 2) {
-        // Alone it is most: nobody is there to contradict what its discovery tells it.
+        // A single router is a majority: no other router can contradict its list.
         return;
       }
       for (Drain drain : drains) {
         if (now < drain.receivedAt + UNCONTESTED_MICROS
             || now > drain.receivedAt + UNCONTESTED_MICROS + 20_000
             || drain.receiver.lease.isRestricted()) {
-          // Who was told and its leader, which both know, are not lost at once.
+          // The receiver and the leader have the drain; losing both at once is not covered.
           continue;
         }
         for (VirtualFleet.Router router : routers) {
@@ -522,13 +528,13 @@
               && isStillDrained(drain)) {
             violation =
                 drain.endpoint
-                    + " is used at "
+                    + " is in use at "
                     + now
                     + " us by r"
                     + router.number
                     + ", drained in "
                     + drain.generation
-                    + ", told at "
+                    + ", drain received at "
                     + drain.receivedAt;
           }
         }
@@ -536,7 +542,7 @@
       drains.removeIf(drain -> now > drain.receivedAt + UNCONTESTED_MICROS + 20_000);
     }
 
-    /** Every list since has said so. */
+    /** Whether every list since the drain names the endpoint as draining or gone. */
     private boolean isStillDrained(Drain drain) {
       EndpointState endpoint = endpoints.get(drain.endpoint);
       return endpoint.lifecycle != EndpointLifecycle.READY
@@ -552,15 +558,15 @@
               || use.group() != entry.getValue().group()) {
             return "r"
                 + router.number
-                + " makes "
-                + use
-                + " of "
+                + " uses "
                 + entry
-                + " in the end: "
+                + " as "
+                + use
+                + " at the end: latest list "
                 + view.latestVersion()
-                + " "
+                + ", agreement "
                 + view.agreement()
-                + " adrift "
+                + ", out of contact "
                 + view.isOutOfContact(clock(router));
           }
         }
@@ -575,8 +581,8 @@
       }
       super.injectFault();
       if (random.nextInt(12) == 0) {
-        // From its voters and its discovery, and not from members and clients; longer than groups
-        // hold.
+        // Disconnects a router from the voters and its discovery, but not from endpoints and
+        // clients, for longer than group assignments are valid.
         VirtualFleet.Router router = routers.get(random.nextInt(routers.size()));
         long disconnectedUntil = now + 6_000_000 + random.nextInt(3_000_000);
         stateOf(router).disconnectedUntil = disconnectedUntil;
@@ -605,7 +611,10 @@
     }
     check(
         clearedMoves > 60 && anomalousLists > 60,
-        "members move, and odd lists come: " + clearedMoves + ", " + anomalousLists);
+        "more than 60 cleared moves and 60 anomalous lists: "
+            + clearedMoves
+            + ", "
+            + anomalousLists);
   }
 
   @Example
@@ -617,7 +626,7 @@
       for (int seed = 0; seed < 60 && !isDetected; seed++) {
         isDetected = !new ListFleet(seed, bug, 6).run(FAULTS_END_MICROS).isEmpty();
       }
-      check(isDetected, bug + " was not found");
+      check(isDetected, "the injected bug is detected: " + bug);
     }
   }
 
@@ -650,7 +659,8 @@
   }
 
   /**
-   * What it wants of the list that it keeps was once told with the digest of one that it held off.
+   * Guards against assignments requested by the accepted list that were once reported with the
+   * digest of a suspended one.
    */
   @Example
   void routerWithSuspendedListRequestsNoAssignments() {
@@ -661,13 +671,13 @@
         now, update(1, 1, view.createReport(now, endpoint -> true), ListAgreement.SEEN));
     check(
         view.createReport(now, endpoint -> true).requestedAssignments().size() == 1,
-        "its list has a member elsewhere");
+        "the accepted list has an endpoint in another group than agreed");
     check(
         view.receiveList(now, true, 4, list(EndpointLifecycle.READY, 1)) == ListAnomaly.BACK,
-        "it goes back");
+        "a list of an older generation is suspended");
     check(
         view.createReport(now, endpoint -> true).requestedAssignments().isEmpty(),
-        "and says nothing of groups");
+        "no assignment is requested while a list is suspended");
   }
 
   @Example
@@ -680,28 +690,35 @@
     view.extendLease(now);
     check(
         view.determineUse(now, "m").lifecycle() == EndpointLifecycle.READY,
-        "settled, and in its seat");
+        "an endpoint of a settled list with its agreed group is ready");
     view.receiveList(now, true, 3, list(EndpointLifecycle.DRAINING, 1));
-    check(view.determineUse(now, "m").lifecycle() == EndpointLifecycle.DRAINING, "at once");
+    check(
+        view.determineUse(now, "m").lifecycle() == EndpointLifecycle.DRAINING,
+        "a drain applies immediately");
     view.receiveList(now, true, 4, list(EndpointLifecycle.READY, 1));
     check(
         view.determineUse(now, "m").lifecycle() == EndpointLifecycle.DRAINING,
-        "nobody has borne it out");
+        "the endpoint stays draining until other routers confirm the newer list");
     view.receiveUpdate(
         now, update(1, 1, view.createReport(now, endpoint -> true), ListAgreement.DISPUTED));
     check(
         view.determineUse(now.plus(ASSIGNMENT_VALIDITY), "m").lifecycle()
             == EndpointLifecycle.DRAINING,
-        "others hold another");
+        "the endpoint stays draining while the list is disputed");
     view.receiveUpdate(
         now, update(1, 1, view.createReport(now, endpoint -> true), ListAgreement.SEEN));
-    check(view.determineUse(now, "m").lifecycle() == EndpointLifecycle.READY, "most hold it");
-    check(view.receiveList(now, true, 5, Map.of()) == ListAnomaly.EMPTY, "an empty one");
     check(
-        view.determineUse(now, "m").lifecycle() == EndpointLifecycle.READY, "is used for nothing");
+        view.determineUse(now, "m").lifecycle() == EndpointLifecycle.READY,
+        "the endpoint is ready once most routers hold the list");
+    check(
+        view.receiveList(now, true, 5, Map.of()) == ListAnomaly.EMPTY,
+        "an empty list is suspended");
+    check(
+        view.determineUse(now, "m").lifecycle() == EndpointLifecycle.READY,
+        "the suspended empty list changes nothing");
     check(
         view.determineUse(now.plus(ASSIGNMENT_VALIDITY.times(1.1)), "m").lifecycle()
             == EndpointLifecycle.DRAINING,
-        "adrift");
+        "the endpoint is draining after the assignments have expired");
   }
 }
--- a/router/src/test/java/basaltlever/settings/SettingsAgreementTest.java
+++ b/router/src/test/java/basaltlever/settings/SettingsAgreementTest.java
@@ -7,8 +7,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Leases and versions: after each step no two routers may act on versions of which neither keeps to
- * the other.
+ * Checks after each step of a simulated fleet that no two routers act on contradicting versions,
+ * where neither complies with the other's version.
  */
 class SettingsAgreementTest {
   @Example
@@ -22,7 +22,7 @@
     }
     check(
         versionsBroughtIntoForce > 500,
-        "versions come into force all the same: " + versionsBroughtIntoForce);
+        "more than 500 versions come into force: " + versionsBroughtIntoForce);
   }
 
   @Example
@@ -33,11 +33,14 @@
       for (int seed = 0; seed < 60 && !isDetected; seed++) {
         isDetected = !new VirtualFleet(seed, bug, 6).run(12_000_000).isEmpty();
       }
-      check(isDetected, bug + " was not found");
+      check(isDetected, "the injected bug is detected: " + bug);
     }
   }
 
-  /** It was replaced without knowing it, and knows nothing of what its successor was promised. */
+  /**
+   * A leader that was replaced without noticing does not know that a router has acknowledged a
+   * version to its successor.
+   */
   @Example
   void grantOfReplacedLeaderDoesNotRevokeAcknowledgedVersion() {
     SettingsVersion inForce = new SettingsVersion(12, "", 1, "", "", 0);
@@ -51,7 +54,7 @@
             inForce,
             prepared,
             5));
-    check(leaseHolder.acknowledgedVersion() == 13, "it keeps to what is on its way");
+    check(leaseHolder.acknowledgedVersion() == 13, "the router complies with the prepared version");
     boolean isChanged =
         leaseHolder.acceptGrant(
             at(9),
@@ -63,12 +66,12 @@
                 4));
     check(
         !isChanged && leaseHolder.acknowledgedVersion() == 13,
-        "it keeps to it still, under the lease that goes on");
+        "the outdated grant leaves the acknowledgement unchanged while the lease runs");
     leaseHolder.acceptGrant(
         at(9),
         new LeaseGrant(
             leaseHolder.registerHeartbeat(at(9)), VirtualFleet.LEASE_DURATION, inForce, null, 6));
-    check(leaseHolder.acknowledgedVersion() == 0, "it was withdrawn");
+    check(leaseHolder.acknowledgedVersion() == 0, "a newer grant withdraws the prepared version");
   }
 
   private static Moment at(long millis) {
--- a/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
+++ b/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
@@ -20,8 +20,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Seen through what a router might do: what the meet allows, both allow. */
-@SuppressWarnings("ReferenceEquality") // Asks which of two values it holds.
+/** Checks that the stricter of two settings allows a router nothing that either forbids. */
+@SuppressWarnings("ReferenceEquality") // Compares the identity of list elements.
 class StricterSettingsTest {
   private static Settings randomSettings(SplittableRandom random) {
     Workload[] workloads = new Workload[3];
@@ -61,8 +61,8 @@
   }
 
   /**
-   * May a second execution follow one that may have run, so long ago, in the same group and zone or
-   * not?
+   * Whether a statement that may have run that many milliseconds ago may run again, in the same or
+   * another zone and group.
    */
   private static boolean canRepeat(
       Workload workload, int ageMillis, boolean sameZone, boolean sameGroup) {
@@ -75,7 +75,7 @@
                     : sameGroup)));
   }
 
-  /** May a replica answer that lacks so much, to a session that has written or not? */
+  /** Whether a replica with that staleness may answer a session, which may have written. */
   private static boolean canReadFromReplica(
       Workload workload, int behindMillis, boolean hasWritten) {
     return switch (workload.consistency()) {
@@ -104,13 +104,13 @@
         sameTokens
             || List.of(stricter.workloads()).stream()
                 .noneMatch(workload -> workload.consistency() == ReadConsistency.SESSION),
-        "where a session's commit is to be found differs, so none relies on it");
+        "no workload has SESSION consistency where only one of both carries session tokens");
     check(
         StricterSettings.findConflicts(older, newer).isEmpty(),
-        "reads and writes stay what they are");
+        "no conflict while each workload stays a read or a write");
     check(
         StricterSettings.of(newer, newer).attemptLimits().equals(newer.attemptLimits()),
-        "a version meets itself");
+        "the stricter of equal attempt limits equals them");
   }
 
   private static void checkAllowsNoMore(SplittableRandom random, Settings strict, Settings other) {
@@ -124,9 +124,11 @@
         check(
             !canRepeat(strictWorkload, millis, sameZone, sameGroup)
                 || canRepeat(otherWorkload, millis, sameZone, sameGroup),
-            "repeats: " + strictWorkload + " and " + otherWorkload);
-        // A session's read and one of a bounded age are no stricter than each other: fresh reads
-        // are.
+            "a repeat is allowed only where both settings allow it: "
+                + strictWorkload
+                + " and "
+                + otherWorkload);
+        // Neither of SESSION and BOUNDED is stricter than the other; FRESH is stricter than both.
         boolean isComparable =
             strictWorkload.consistency() == ReadConsistency.FRESH
                 || strictWorkload.consistency() == otherWorkload.consistency()
@@ -136,19 +138,27 @@
                 || !isComparable
                 || !canReadFromReplica(strictWorkload, millis, sameZone)
                 || canReadFromReplica(otherWorkload, millis, sameZone),
-            "reads: " + strictWorkload + " and " + otherWorkload);
+            "a read is allowed only where both settings allow it: "
+                + strictWorkload
+                + " and "
+                + otherWorkload);
       }
     }
     check(
-        strict.attemptLimits().maxAttempts() <= other.attemptLimits().maxAttempts(), "executions");
+        strict.attemptLimits().maxAttempts() <= other.attemptLimits().maxAttempts(),
+        "no more attempts than either allows");
     check(
         !strict.attemptLimits().hedgedRequests() || other.attemptLimits().hedgedRequests(),
-        "second copies");
-    check(!strict.replication().replicasCheck() || other.replication().replicasCheck(), "checks");
-    check(strict.drains().removalBinds() || !other.drains().removalBinds(), "removals");
+        "hedged requests only where both allow them");
+    check(
+        !strict.replication().replicasCheck() || other.replication().replicasCheck(),
+        "position checks by replicas only where both rely on them");
+    check(
+        strict.drains().removalBinds() || !other.drains().removalBinds(),
+        "a removal binds where it binds in either");
   }
 
-  /** A new node's budget, by age: no more under the meet than under either. */
+  /** A new endpoint's budget at any age is no larger than under either of the settings. */
   @Property(tries = 500, seed = "292")
   void stricterSlowStartBudgetIsNoLargerThanEither(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -165,7 +175,7 @@
                       * one.slowStart().overloadFactor()
                       / one.identity().routers()
                   + 1e-9,
-          "budget");
+          "the budget of a new endpoint is no larger than in either");
     }
   }
 }
--- a/router/src/test/java/basaltlever/settings/VirtualFleet.java
+++ b/router/src/test/java/basaltlever/settings/VirtualFleet.java
@@ -13,16 +13,16 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet in virtual time: routers whose clocks drift, messages that are lost, late, repeated and
- * overtake each other, processes that stop and go on, leaders that are replaced with and without
- * knowing it. The engine is stood in for by one register, the order of elections, and the rule that
- * an old leader's commands are taken no more once another was elected.
+ * Simulates a fleet in virtual time: routers with drifting clocks, messages that are lost, delayed,
+ * duplicated and reordered, processes that are paused and resumed, and leaders that are replaced,
+ * some without noticing. In place of the consensus log there is one register, a sequence of
+ * elections, and the rule that commands of a replaced leader are not applied.
  */
 class VirtualFleet {
   static final Span LEASE_DURATION = Span.ofMillis(400);
   static final double MAX_CLOCK_DRIFT = 0.02;
 
-  /** Faults planted in the code under test, each of which a run must find. */
+  /** Faults injected into the code under test, each of which a run must detect. */
   enum Bug {
     NONE,
     LEASE_DOES_NOT_EXPIRE,
@@ -41,7 +41,7 @@
 
   private record Event(long atMicros, long order, Runnable action) {}
 
-  /** A router and its process. */
+  /** A router and its current process. All times are in microseconds. */
   static final class Router {
     LeaseHolder lease = new LeaseHolder();
     long incarnation = 1;
@@ -58,7 +58,7 @@
     }
   }
 
-  /** A voter that leads or led; one that was replaced may not know it. */
+  /** A voter that leads or has led; a replaced leader may not have noticed. */
   static final class Leader {
     LeaseTable leases = new LeaseTable(LEASE_DURATION, MAX_CLOCK_DRIFT);
     double clockSpeed;
@@ -66,7 +66,7 @@
     long term;
     boolean isDisconnected;
 
-    /** What it knows since it was replaced. */
+    /** Copy of the register as of the replacement of this leader; null while it leads. */
     VersionRegister registerWhenReplaced;
   }
 
@@ -79,7 +79,7 @@
   final Leader[] leaders = new Leader[3];
   final VersionRegister register = new VersionRegister();
 
-  /** Versions that some router has kept to while they were on their way. */
+  /** Numbers of prepared versions that some router has acknowledged. */
   final Set<Long> acknowledgedVersions = new HashSet<>();
 
   long now;
@@ -89,7 +89,10 @@
   int versionsBroughtIntoForce;
   String violation = "";
 
-  /** No leader is ever replaced: what waits for time since an election would wait for good else. */
+  /**
+   * Whether the leader is never replaced. With frequent elections, steps that wait for some time
+   * since the last election would never be reached.
+   */
   boolean hasStableLeader;
 
   VirtualFleet(long seed, Bug bug, int routerCount) {
@@ -119,7 +122,7 @@
     events.add(new Event(now + delayMicros, eventCount++, action));
   }
 
-  /** Lost, late, repeated. */
+  /** Delivers a message never, once or twice, each time with a random delay. */
   void send(boolean isDisconnected, Runnable action) {
     for (int copies = random.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
       if (!isDisconnected && random.nextInt(20) > 0) {
@@ -204,7 +207,7 @@
         new RouterHeartbeat(
             "r" + number, incarnation, heartbeatNumber, inForce, acknowledged, 0, "", holdsLease);
     Leader leader = leaders[router.lastKnownLeader];
-    // The heartbeat goes to the leader that the router last heard of, which may be replaced by now.
+    // The heartbeat goes to the last leader that the router discovered, which may be replaced.
     router.lastKnownLeader =
         random.nextInt(number % 2 == 0 ? 3 : 12) == 0 ? currentLeader : router.lastKnownLeader;
     send(now < router.disconnectedUntil, () -> receiveHeartbeat(leader, router, heartbeat, report));
@@ -238,7 +241,7 @@
     }
   }
 
-  /** A leader's own doings, whether or not it has been replaced. */
+  /** Runs the periodic work of a leader, whether or not it has been replaced. */
   void runLeader(int number) {
     Leader leader = leaders[number];
     schedule(40_000 + random.nextInt(20_000), () -> runLeader(number));
@@ -273,7 +276,10 @@
         long preparedNumber = step.number();
         if (!acknowledgedVersions.contains(preparedNumber)
             && bug != Bug.IN_FORCE_BEFORE_ACKNOWLEDGED) {
-          violation = "version " + preparedNumber + " came into force and nobody had checked it";
+          violation =
+              "version "
+                  + preparedNumber
+                  + " came into force without an acknowledgement by any router";
         }
         versionsBroughtIntoForce += register.bringIntoForce(preparedNumber) ? 1 : 0;
       }
@@ -326,7 +332,7 @@
     onRestart(router);
   }
 
-  /** Cut off from the majority, the old leader does not learn that another was elected. */
+  /** Disconnects the leader from the majority, so that it does not notice the next election. */
   private void replaceLeader() {
     Leader former = leaders[currentLeader];
     former.isDisconnected = true;
@@ -334,7 +340,7 @@
     schedule(2_000_000, () -> former.isDisconnected = false);
   }
 
-  /** As if a router accepted any grant, however old the version that it names. */
+  /** Simulates a router that accepts any grant, however old the version in it. */
   private void grantOlderVersion(Router router) {
     router.lease = new LeaseHolder();
     long heartbeatNumber = router.lease.registerHeartbeat(clock(router));
@@ -344,7 +350,10 @@
             heartbeatNumber, LEASE_DURATION, new SettingsVersion(0, "", 99, "", "", 0), null, 0));
   }
 
-  /** Versions that a router may act on as if they held alone: none while it is careful. */
+  /**
+   * Whether two routers with leases act on contradicting versions: neither complies with the
+   * version that the other has in force.
+   */
   static boolean haveContradictingVersions(Router a, Router b) {
     LeaseHolder one = a.lease;
     LeaseHolder two = b.lease;
@@ -365,7 +374,7 @@
       for (Router other : acting) {
         if (haveContradictingVersions(one, other)) {
           violation =
-              "contradiction at "
+              "contradicting versions at "
                   + now
                   + " us: "
                   + one.lease.inForce().number()
--- a/router/src/test/java/basaltlever/settings/VoterEligibilityTest.java
+++ b/router/src/test/java/basaltlever/settings/VoterEligibilityTest.java
@@ -46,41 +46,56 @@
   @Example
   void eligibilityFollowsFolderAndPeerReports() {
     PeerStatus[] emptyPeers = {peer("n1", 0, ""), peer("n2", 0, "")};
-    check(kind(null, emptyPeers) == Kind.FOUND, "all are there, and nobody knows of a vote");
-    check(kind(null, emptyPeers[0]) == Kind.WAIT, "the one that is missing may know of its vote");
+    check(
+        kind(null, emptyPeers) == Kind.FOUND,
+        "all other voters report empty folders and no earlier vote");
+    check(
+        kind(null, emptyPeers[0]) == Kind.WAIT,
+        "the voter that does not report may know of an earlier vote");
     check(
         kind(null, emptyPeers[0], peer("n2", 0, "", "n1", "n2", "n3")) == Kind.JOIN,
-        "one has founded");
+        "another voter has founded the epoch");
     check(
         kind(null, new PeerStatus("n1", 0, List.of(), "", false, false), emptyPeers[1])
             == Kind.WAIT,
-        "one that has voted " + "before, and is no further yet");
-    check(kind(null, peer("n1", 0, "", "n1", "n2", "n3")) == Kind.WAIT, "one that may lag");
-    check(kind(null, leader("n1", 0, "n1", "n2", "n3")) == Kind.JOIN, "who leads knows all");
+        "a peer that has a folder but does not vote yet reports nothing about earlier votes");
+    check(
+        kind(null, peer("n1", 0, "", "n1", "n2", "n3")) == Kind.WAIT,
+        "a voter that does not lead may lag behind an earlier vote");
+    check(
+        kind(null, leader("n1", 0, "n1", "n2", "n3")) == Kind.JOIN,
+        "the leader has the record of every vote");
     check(
         kind(null, peer("n1", 0, "other", "n1", "n2", "n3"), emptyPeers[1]) == Kind.WAIT,
-        "its folder is lost");
-    check(kind(identity(0, "n1", "n2", "n3")) == Kind.RESUME, "nobody answers: it has its folder");
+        "a peer has recorded another folder, which is lost");
+    check(
+        kind(identity(0, "n1", "n2", "n3")) == Kind.RESUME,
+        "its own folder suffices where no peer reports");
     check(
         kind(identity(0, "n1", "n2", "n3"), peer("n1", 1, "", "n1")) == Kind.WAIT,
-        "given up with the majority");
+        "the newer epoch gave up this voter with the lost majority");
     check(
         kind(identity(0, "n1", "n2", "n3"), peer("n1", 1, "", "n1", "n3")) == Kind.JOIN,
-        "and taken in again");
-    check(kind(null, peer("n1", 1, "", "n1", "n3")) == Kind.JOIN, "with an empty folder too");
-    check(kind(identity(1, "n1"), peer("n1", 1, "own", "n1", "n4")) == Kind.WAIT, "taken out");
+        "the newer epoch has added this voter again");
+    check(
+        kind(null, peer("n1", 1, "", "n1", "n3")) == Kind.JOIN,
+        "a voter with an empty folder joins the newer epoch");
+    check(
+        kind(identity(1, "n1"), peer("n1", 1, "own", "n1", "n4")) == Kind.WAIT,
+        "removed from the voters");
     check(
         kind(identity(1, "n1"), peer("n1", 1, "own", "n1", "n3"), peer("n4", 1, "", "n1", "n4"))
             == Kind.RESUME,
-        "one that lags does not know yet that it was taken in");
+        "one peer names it as a voter, the other lags behind");
     check(
         kind(identity(1, "n1", "n3"), peer("n2", 0, "old", "n1", "n2", "n3")) == Kind.RESUME,
-        "what an older charter knows binds nobody");
+        "a recorded folder of an older epoch does not count");
   }
 
   /**
-   * Three voters that come, go and lose a folder, one at a time. Which folder a voter votes by is
-   * known to some majority of those that are up then, and to whoever leads.
+   * Guards against two votes in one term: a voter that lost its folder votes again with a new one.
+   * Three voters start, stop and lose a folder, one at a time. The record of a voter's folder is
+   * present at a majority of those running at the time, and at the leader.
    */
   @Property(tries = 500, seed = "2912", shrinking = ShrinkingMode.OFF)
   void voterNeverVotesWithTwoFolders(@ForAll long seed) {
@@ -113,7 +128,7 @@
         }
         case 2 -> {
           if (running.size() > 1) {
-            // One after the other catches up with who leads.
+            // The running voters catch up with the leader.
             informedVoters
                 .values()
                 .forEach(informed -> informed.addAll(informed.isEmpty() ? Set.of() : running));
@@ -151,7 +166,11 @@
             String folderId = own != null ? own.folderId() : "folder" + step;
             check(
                 recordedFolders.getOrDefault(name, folderId).equals(folderId),
-                name + " votes by " + folderId + ", and has by " + recordedFolders.get(name));
+                name
+                    + " votes with "
+                    + folderId
+                    + " after it voted with "
+                    + recordedFolders.get(name));
             folders.put(name, new VoterIdentity("cards", name, folderId, 0, FOUNDERS));
             running.add(name);
           }
@@ -183,21 +202,21 @@
       lost.bringIntoForce(i + 1);
     }
     lost.assignGroup("db-1", 1, new ListVersion(0, 3));
-    surviving.propose(1, "{\"a\":1}", 5, "op", "on its way", 1);
+    surviving.propose(1, "{\"a\":1}", 5, "op", "prepared", 1);
     surviving.recover(Set.of("n2"), "op", "burnt", 2);
     check(
         surviving.epoch() == 1
             && surviving.changeCount() > lost.changeCount()
             && surviving.inForce().number() > lost.lastNumber()
             && surviving.assignmentsNumber() > lost.assignmentsNumber(),
-        "numbers");
+        "the recovered epoch exceeds every number that the lost voters can have assigned");
     check(
         surviving.prepared() == null
             && surviving.inForce().settingsJson().equals("{}")
             && !surviving.groupAssignment("db-1").cleared()
             && surviving.recordedFolder("n3").isEmpty()
             && surviving.lostVoters().equals(Set.of("n2")),
-        "what is left is taken back");
+        "recovery withdraws the prepared version and resets assignments and folders");
     LeaseHolder leaseHolder = new LeaseHolder();
     leaseHolder.restoreEpoch(1);
     check(
@@ -209,6 +228,6 @@
                 lost.inForce(),
                 null,
                 lost.changeCount())),
-        "an older charter's grant is worth nothing");
+        "a grant of an older epoch is rejected");
   }
 }
