--- a/router/src/main/java/basaltlever/fleet/MembershipCodec.java
+++ b/router/src/main/java/basaltlever/fleet/MembershipCodec.java
@@ -93,7 +93,7 @@
     fields.put("free", report.releasedEndpoints());
     fields.put("book", report.coordinatorTerm());
     fields.put("read", report.readPosition());
-    fields.put("seats_read", report.assignmentsNumber());
+    fields.put("seats_read", report.assignmentChangeNumber());
     return fields;
   }
 
@@ -129,7 +129,7 @@
     put(fields, update.listVersion());
     fields.put("digest", update.digest());
     fields.put("now_era", update.era());
-    fields.put("seats_number", update.assignmentsNumber());
+    fields.put("seats_number", update.assignmentChangeNumber());
     fields.put("seats", update.assignments().stream().map(MembershipCodec::encode).toList());
     return fields;
   }
--- a/router/src/main/java/basaltlever/fleet/RegisterContent.java
+++ b/router/src/main/java/basaltlever/fleet/RegisterContent.java
@@ -33,8 +33,8 @@
           register.lastNumber(),
           register.changeCount(),
           register.era(),
-          register.assignmentsNumber(),
-          register.assignmentsAfter(-1),
+          register.assignmentChangeNumber(),
+          register.assignmentsChangedAfter(-1),
           new LinkedHashMap<>(register.recordedFolders()),
           List.copyOf(register.lostVoters()),
           withoutOldTexts(register.history()));
--- a/router/src/main/java/basaltlever/fleet/StatusReporter.java
+++ b/router/src/main/java/basaltlever/fleet/StatusReporter.java
@@ -40,8 +40,8 @@
           leader.peerLines(register),
           leader.forkLines(),
           register.era(),
-          register.assignmentsNumber(),
-          register.assignmentsAfter(-1).stream().filter(each -> !each.cleared()).toList(),
+          register.assignmentChangeNumber(),
+          register.assignmentsChangedAfter(-1).stream().filter(each -> !each.cleared()).toList(),
           register.recordedFolder(asker));
     }
   }
--- a/router/src/main/java/basaltlever/membership/HeartbeatReport.java
+++ b/router/src/main/java/basaltlever/membership/HeartbeatReport.java
@@ -15,7 +15,8 @@
  *     stopped using
  * @param coordinatorTerm term of the coordinator whose drain marks it has read
  * @param readPosition position up to which it has read in that term
- * @param assignmentsNumber number of the last change of a group assignment that it has received
+ * @param assignmentChangeNumber number of the last change of a group assignment that it has
+ *     received
  */
 public record HeartbeatReport(
     ListVersion listVersion,
@@ -27,7 +28,7 @@
     List<String> releasedEndpoints,
     long coordinatorTerm,
     long readPosition,
-    long assignmentsNumber) {
+    long assignmentChangeNumber) {
   /** Report of a router that has received no list. */
   public static final HeartbeatReport NONE =
       new HeartbeatReport(
--- a/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
+++ b/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
@@ -124,8 +124,8 @@
         report.listVersion(),
         report.digest(),
         register.era(),
-        register.assignmentsNumber(),
-        register.assignmentsAfter(report.assignmentsNumber()));
+        register.assignmentChangeNumber(),
+        register.assignmentsChangedAfter(report.assignmentChangeNumber()));
   }
 
   private void record(String router, HeartbeatReport report) {
@@ -259,7 +259,7 @@
   }
 
   private static List<GroupAssignment> allAssignments(VersionRegister register) {
-    return register.assignmentsAfter(-1);
+    return register.assignmentsChangedAfter(-1);
   }
 
   private List<GroupAssignment> findReleasedMoves(Moment now, VersionRegister register) {
--- a/router/src/main/java/basaltlever/membership/MembershipUpdate.java
+++ b/router/src/main/java/basaltlever/membership/MembershipUpdate.java
@@ -13,7 +13,7 @@
  * @param listVersion list version of the answered report
  * @param digest list digest of the answered report
  * @param era era of the current endpoint lists
- * @param assignmentsNumber number of the last change of a group assignment
+ * @param assignmentChangeNumber number of the last change of a group assignment
  * @param assignments group assignments that changed after the number reported by the router
  */
 public record MembershipUpdate(
@@ -25,5 +25,5 @@
     ListVersion listVersion,
     long digest,
     long era,
-    long assignmentsNumber,
+    long assignmentChangeNumber,
     List<GroupAssignment> assignments) {}
--- a/router/src/main/java/basaltlever/membership/MembershipView.java
+++ b/router/src/main/java/basaltlever/membership/MembershipView.java
@@ -40,17 +40,17 @@
   private final Span assignmentValidity;
 
   /** The last list from discovery, whether suspended or not; null before the first. */
-  private EndpointListCopy latest;
+  private ReceivedEndpointList latest;
 
   private ListAnomaly anomaly = ListAnomaly.NONE;
 
   /** The last list that was not suspended. */
-  private EndpointListCopy accepted = EndpointListCopy.none();
+  private ReceivedEndpointList accepted = ReceivedEndpointList.none();
 
   private final SettledList settled = new SettledList();
   private final DrainMarks drainMarks = new DrainMarks();
   private final Map<String, GroupAssignment> assignments = new TreeMap<>();
-  private long assignmentsNumber = NO_ASSIGNMENTS;
+  private long assignmentChangeNumber = NO_ASSIGNMENTS;
 
   private long coordinatorTerm;
   private long readPosition;
@@ -83,7 +83,7 @@
         isComplete || latest == null ? new TreeMap<>() : new TreeMap<>(latest.entries());
     list.putAll(entries);
     revision++;
-    latest = new EndpointListCopy(list, new ListVersion(era, generation), now);
+    latest = new ReceivedEndpointList(list, new ListVersion(era, generation), now);
     boolean isOlder =
         accepted.version().era() == era && generation < accepted.version().generation();
     anomaly = isOlder ? ListAnomaly.BACK : latest.anomalyComparedWith(accepted);
@@ -158,16 +158,16 @@
 
   private void readAssignments(MembershipUpdate update) {
     // A leader that was replaced without noticing sends an older table, which is ignored.
-    if (update.assignmentsNumber() > assignmentsNumber) {
+    if (update.assignmentChangeNumber() > assignmentChangeNumber) {
       for (GroupAssignment assignment : update.assignments()) {
         assignments.put(assignment.endpoint(), assignment);
       }
-      assignmentsNumber = update.assignmentsNumber();
+      assignmentChangeNumber = update.assignmentChangeNumber();
       revision++;
     }
   }
 
-  private static boolean isForList(MembershipUpdate update, EndpointListCopy list) {
+  private static boolean isForList(MembershipUpdate update, ReceivedEndpointList list) {
     return update.listVersion().equals(list.version()) && update.digest() == list.digest();
   }
 
@@ -191,7 +191,7 @@
 
   /** Whether the router has been out of contact so long that endpoints may have changed groups. */
   public boolean isOutOfContact(Moment now) {
-    return assignmentsNumber < 0 || now.since(lastLeaseEnd).isLongerThan(assignmentValidity);
+    return assignmentChangeNumber < 0 || now.since(lastLeaseEnd).isLongerThan(assignmentValidity);
   }
 
   /** Returns a number that changes whenever the permitted use of an endpoint may have changed. */
@@ -284,12 +284,12 @@
         releasedEndpoints(isIdle),
         coordinatorTerm,
         readPosition,
-        assignmentsNumber);
+        assignmentChangeNumber);
   }
 
   /** Returns none while the latest list is suspended, as the report has that list's digest. */
   private List<GroupAssignment> requestedAssignments() {
-    if (assignmentsNumber < 0 || anomaly != ListAnomaly.NONE) {
+    if (assignmentChangeNumber < 0 || anomaly != ListAnomaly.NONE) {
       return List.of();
     }
     List<GroupAssignment> requested = new ArrayList<>();
@@ -326,7 +326,7 @@
   }
 
   /** Whether the latest list belongs to a former era, so that discovery has to send it again. */
-  public boolean needsList() {
+  public boolean isListOutdated() {
     return latest != null && latest.version().era() < era;
   }
 
--- a/router/src/main/java/basaltlever/membership/EndpointListCopy.java
+++ b/router/src/main/java/basaltlever/membership/ReceivedEndpointList.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 
 /** One endpoint list as received by a router, with its agreement with other routers' lists. */
-final class EndpointListCopy {
+final class ReceivedEndpointList {
   /** A list with less than this share of the formerly ready endpoints is presumed wrong. */
   private static final double MIN_REMAINING_SHARE = 0.5;
 
@@ -25,7 +25,7 @@
   /** Time since which most routers have held the same list; NEVER while they do not. */
   private Moment heldByMajoritySince = Moment.NEVER;
 
-  EndpointListCopy(
+  ReceivedEndpointList(
       SortedMap<String, ListedEndpoint> entries, ListVersion version, Moment receivedAt) {
     this.entries = entries;
     this.version = version;
@@ -33,7 +33,7 @@
     digest = digestOf(entries, version.generation());
   }
 
-  private EndpointListCopy() {
+  private ReceivedEndpointList() {
     entries = new TreeMap<>();
     version = ListVersion.NONE;
     receivedAt = Moment.LONG_AGO;
@@ -41,8 +41,8 @@
   }
 
   /** Returns the placeholder of a router that has received no list. */
-  static EndpointListCopy none() {
-    return new EndpointListCopy();
+  static ReceivedEndpointList none() {
+    return new ReceivedEndpointList();
   }
 
   SortedMap<String, ListedEndpoint> entries() {
@@ -90,7 +90,7 @@
   }
 
   /** Returns the anomaly if the list lacks all or most endpoints of the list in use. */
-  ListAnomaly anomalyComparedWith(EndpointListCopy current) {
+  ListAnomaly anomalyComparedWith(ReceivedEndpointList current) {
     if (entries.values().stream().allMatch(entry -> entry.lifecycle() == EndpointLifecycle.GONE)) {
       return ListAnomaly.EMPTY;
     }
--- a/router/src/main/java/basaltlever/membership/SettledList.java
+++ b/router/src/main/java/basaltlever/membership/SettledList.java
@@ -20,10 +20,10 @@
   private ListVersion version = ListVersion.NONE;
 
   /** Lists accepted since the settled one, oldest first. */
-  private final ArrayDeque<EndpointListCopy> unsettled = new ArrayDeque<>();
+  private final ArrayDeque<ReceivedEndpointList> unsettled = new ArrayDeque<>();
 
   /** Adds a list that the router has accepted. */
-  void add(EndpointListCopy accepted) {
+  void add(ReceivedEndpointList accepted) {
     unsettled.add(accepted);
     if (unsettled.size() > MAX_UNSETTLED) {
       mergeOldest(unsettled.removeFirst());
@@ -31,7 +31,7 @@
   }
 
   /** Merges only the restrictions of the list: endpoints that it adds remain unsettled. */
-  private void mergeOldest(EndpointListCopy oldest) {
+  private void mergeOldest(ReceivedEndpointList oldest) {
     SortedMap<String, ListedEndpoint> strictest = new TreeMap<>(entries);
     oldest
         .entries()
@@ -52,25 +52,25 @@
    * @param uncontestedDuration time for which the latest list must have been uncontested
    * @return the number of lists that are no longer unsettled
    */
-  int settle(Moment now, EndpointListCopy latest, Span uncontestedDuration) {
-    EndpointListCopy newest = null;
-    for (EndpointListCopy copy : unsettled) {
+  int settle(Moment now, ReceivedEndpointList latest, Span uncontestedDuration) {
+    ReceivedEndpointList newest = null;
+    for (ReceivedEndpointList list : unsettled) {
       boolean isUncontested =
-          copy == latest && copy.isUncontestedLongerThan(uncontestedDuration, now);
-      if (copy.isAgreed() || isUncontested) {
-        newest = copy;
+          list == latest && list.isUncontestedLongerThan(uncontestedDuration, now);
+      if (list.isAgreed() || isUncontested) {
+        newest = list;
       }
     }
     return newest == null ? 0 : settleUpTo(newest);
   }
 
-  private int settleUpTo(EndpointListCopy newest) {
+  private int settleUpTo(ReceivedEndpointList newest) {
     int removed = 0;
-    EndpointListCopy copy;
+    ReceivedEndpointList list;
     do {
-      copy = unsettled.removeFirst();
+      list = unsettled.removeFirst();
       removed++;
-    } while (copy != newest);
+    } while (list != newest);
     entries = newest.entries();
     version = newest.version();
     return removed;
@@ -88,7 +88,7 @@
 
   void addEndpointsTo(Set<String> endpoints) {
     endpoints.addAll(entries.keySet());
-    unsettled.forEach(copy -> endpoints.addAll(copy.entries().keySet()));
+    unsettled.forEach(list -> endpoints.addAll(list.entries().keySet()));
   }
 
   /**
@@ -100,8 +100,8 @@
       return lifecycle;
     }
     EndpointLifecycle strictest = stricter(lifecycle, lifecycleIn(entries, endpoint));
-    for (EndpointListCopy copy : unsettled) {
-      strictest = stricter(strictest, lifecycleIn(copy.entries(), endpoint));
+    for (ReceivedEndpointList list : unsettled) {
+      strictest = stricter(strictest, lifecycleIn(list.entries(), endpoint));
     }
     return strictest;
   }
--- a/router/src/main/java/basaltlever/net/LeaseGuard.java
+++ b/router/src/main/java/basaltlever/net/LeaseGuard.java
@@ -178,7 +178,7 @@
     } else if (update != null) {
       list.publishMembershipChanges(now);
     }
-    if (membership.needsList() && era != membership.era()) {
+    if (membership.isListOutdated() && era != membership.era()) {
       era = membership.era();
       asksAnew.run();
     }
--- a/router/src/main/java/basaltlever/settings/VersionRegister.java
+++ b/router/src/main/java/basaltlever/settings/VersionRegister.java
@@ -184,12 +184,12 @@
   }
 
   /** Returns the number of the last change of a group assignment. */
-  public long assignmentsNumber() {
+  public long assignmentChangeNumber() {
     return assignments.lastChangeNumber();
   }
 
   /** Returns the group assignments that changed after the given number. */
-  public List<GroupAssignment> assignmentsAfter(long changeNumber) {
+  public List<GroupAssignment> assignmentsChangedAfter(long changeNumber) {
     return assignments.changedAfter(changeNumber);
   }
 
--- a/router/src/test/java/basaltlever/settings/EndpointListAgreementTest.java
+++ b/router/src/test/java/basaltlever/settings/EndpointListAgreementTest.java
@@ -171,7 +171,7 @@
               report.releasedEndpoints(),
               report.coordinatorTerm(),
               report.readPosition(),
-              report.assignmentsNumber());
+              report.assignmentChangeNumber());
     }
 
     @Override
@@ -192,7 +192,7 @@
               update.listVersion(),
               update.digest(),
               update.era(),
-              update.assignmentsNumber(),
+              update.assignmentChangeNumber(),
               update.assignments().stream()
                   .map(
                       assignment ->
@@ -214,7 +214,7 @@
       RouterState state = stateOf(router);
       if (update != null && now >= state.startedAt) {
         state.view.receiveUpdate(clock(router), update);
-        if (state.view.needsList()) {
+        if (state.view.isListOutdated()) {
           long incarnation = router.incarnation;
           schedule(10_000, () -> deliverList(router, incarnation, actualList(), generation));
         }
@@ -640,7 +640,7 @@
 
   private static MembershipUpdate update(
       long coordinatorTerm,
-      long assignmentsNumber,
+      long assignmentChangeNumber,
       HeartbeatReport report,
       ListAgreement agreement) {
     return new MembershipUpdate(
@@ -652,7 +652,7 @@
         report.listVersion(),
         report.digest(),
         0,
-        assignmentsNumber,
+        assignmentChangeNumber,
         List.of(
             new GroupAssignment("m", 1, new ListVersion(0, 1), true),
             new GroupAssignment("n", 1, new ListVersion(0, 1), true)));
--- a/router/src/test/java/basaltlever/settings/VirtualFleet.java
+++ b/router/src/test/java/basaltlever/settings/VirtualFleet.java
@@ -164,7 +164,8 @@
         register.lastNumber(),
         register.changeCount(),
         register.history());
-    copy.restore(register.era(), register.assignmentsNumber(), register.assignmentsAfter(-1));
+    copy.restore(
+        register.era(), register.assignmentChangeNumber(), register.assignmentsChangedAfter(-1));
     return copy;
   }
 
--- a/router/src/test/java/basaltlever/settings/VoterEligibilityTest.java
+++ b/router/src/test/java/basaltlever/settings/VoterEligibilityTest.java
@@ -208,7 +208,7 @@
         surviving.epoch() == 1
             && surviving.changeCount() > lost.changeCount()
             && surviving.inForce().number() > lost.lastNumber()
-            && surviving.assignmentsNumber() > lost.assignmentsNumber(),
+            && surviving.assignmentChangeNumber() > lost.assignmentChangeNumber(),
         "the recovered epoch exceeds every number that the lost voters can have assigned");
     check(
         surviving.prepared() == null
