--- a/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
+++ b/router/src/main/java/basaltlever/membership/MembershipCoordinator.java
@@ -225,8 +225,7 @@
    */
   private boolean isNewEraDue(Moment now, List<HeartbeatReport> leased, VersionRegister register) {
     // Eras are limited in frequency because every new era makes all routers fetch their lists
-    // again,
-    // and discovery may announce a generation that is far too high by mistake.
+    // again, and discovery may announce a generation that is far too high by mistake.
     Span minInterval = leases.leaseDuration().times(MIN_ERA_DURATION_LEASES);
     if (!now.since(lastEraChangeAt).isLongerThan(minInterval)) {
       return false;
--- a/router/src/test/java/basaltlever/settings/EndpointListAgreementTest.java
+++ b/router/src/test/java/basaltlever/settings/EndpointListAgreementTest.java
@@ -558,10 +558,10 @@
               || use.group() != entry.getValue().group()) {
             return "r"
                 + router.number
-                + " uses "
-                + entry
-                + " as "
+                + " applies "
                 + use
+                + " to "
+                + entry
                 + " at the end: latest list "
                 + view.latestVersion()
                 + ", agreement "
@@ -626,7 +626,7 @@
       for (int seed = 0; seed < 60 && !isDetected; seed++) {
         isDetected = !new ListFleet(seed, bug, 6).run(FAULTS_END_MICROS).isEmpty();
       }
-      check(isDetected, "the injected bug is detected: " + bug);
+      check(isDetected, bug + " is detected in one of 60 runs");
     }
   }
 
--- a/router/src/test/java/basaltlever/settings/SettingsAgreementTest.java
+++ b/router/src/test/java/basaltlever/settings/SettingsAgreementTest.java
@@ -33,7 +33,7 @@
       for (int seed = 0; seed < 60 && !isDetected; seed++) {
         isDetected = !new VirtualFleet(seed, bug, 6).run(12_000_000).isEmpty();
       }
-      check(isDetected, "the injected bug is detected: " + bug);
+      check(isDetected, bug + " is detected in one of 60 runs");
     }
   }
 
--- a/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
+++ b/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
@@ -115,33 +115,30 @@
 
   private static void checkAllowsNoMore(SplittableRandom random, Settings strict, Settings other) {
     for (int i = 0; i < 3; i++) {
-      Workload strictWorkload = strict.workloads()[i];
-      Workload otherWorkload = other.workloads()[i];
+      Workload stricter = strict.workloads()[i];
+      Workload looser = other.workloads()[i];
       for (int attempt = 0; attempt < 20; attempt++) {
         int millis = random.nextInt(1_000);
         boolean sameZone = random.nextBoolean();
         boolean sameGroup = random.nextBoolean();
         check(
-            !canRepeat(strictWorkload, millis, sameZone, sameGroup)
-                || canRepeat(otherWorkload, millis, sameZone, sameGroup),
+            !canRepeat(stricter, millis, sameZone, sameGroup)
+                || canRepeat(looser, millis, sameZone, sameGroup),
             "a repeat is allowed only where both settings allow it: "
-                + strictWorkload
+                + stricter
                 + " and "
-                + otherWorkload);
+                + looser);
         // Neither of SESSION and BOUNDED is stricter than the other; FRESH is stricter than both.
         boolean isComparable =
-            strictWorkload.consistency() == ReadConsistency.FRESH
-                || strictWorkload.consistency() == otherWorkload.consistency()
-                || otherWorkload.consistency() == ReadConsistency.ANY;
+            stricter.consistency() == ReadConsistency.FRESH
+                || stricter.consistency() == looser.consistency()
+                || looser.consistency() == ReadConsistency.ANY;
         check(
             i == 0
                 || !isComparable
-                || !canReadFromReplica(strictWorkload, millis, sameZone)
-                || canReadFromReplica(otherWorkload, millis, sameZone),
-            "a read is allowed only where both settings allow it: "
-                + strictWorkload
-                + " and "
-                + otherWorkload);
+                || !canReadFromReplica(stricter, millis, sameZone)
+                || canReadFromReplica(looser, millis, sameZone),
+            "a read is allowed only where both settings allow it: " + stricter + " and " + looser);
       }
     }
     check(
@@ -153,9 +150,7 @@
     check(
         !strict.replication().replicasCheck() || other.replication().replicasCheck(),
         "position checks by replicas only where both rely on them");
-    check(
-        strict.drains().removalBinds() || !other.drains().removalBinds(),
-        "a removal binds where it binds in either");
+    check(strict.drains().removalBinds() || !other.drains().removalBinds(), "removals still bind");
   }
 
   /** A new endpoint's budget at any age is no larger than under either of the settings. */
