--- a/router/src/main/java/basaltlever/cli/RouterProcess.java
+++ b/router/src/main/java/basaltlever/cli/RouterProcess.java
@@ -104,7 +104,7 @@
     logBy(operatorFile != null && operatorFile.logsJson() ? JSON_LOG : PLAIN_LOG);
     configureNetty();
     Router router = new Router();
-    router.follow(follow == null ? null : Span.ofMillis(follow));
+    router.traceStatementsSlowerThan(follow == null ? null : Span.ofMillis(follow));
     return router;
   }
 
--- a/router/src/main/java/basaltlever/net/AcceptHandler.java
+++ b/router/src/main/java/basaltlever/net/AcceptHandler.java
@@ -79,7 +79,7 @@
 
   /** Since when the connection that is being accepted may have waited. */
   Moment queuedSince() {
-    return queue.accepts(iteration.arrival(), iteration.clock().now());
+    return queue.accepts(iteration.earliestArrival(), iteration.clock().now());
   }
 
   /** For the listener, so that no more are accepted at once than there is room for. */
@@ -193,7 +193,7 @@
   @Override
   public void channelRead(ChannelHandlerContext context, Object connection) {
     accepted++;
-    iteration.load().accepts();
+    iteration.load().countAccepted();
     turnsAway = Math.max(0, turnsAway - 1);
     context.fireChannelRead(connection);
   }
@@ -201,7 +201,7 @@
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
     batch.accepted(accepted - acceptedBefore, iteration.clock().now().since(lookedAt));
-    queue.looked(!stoppedByLimit, iteration.arrival());
+    queue.looked(!stoppedByLimit, iteration.earliestArrival());
     if (limit() == 0 || descriptors.unaskedClients() > MANY_UNASKED) {
       deferral.request();
     }
@@ -214,7 +214,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    queue.lookFailed(iteration.arrival());
+    queue.lookFailed(iteration.earliestArrival());
     pause(cause.toString());
     resumeLater(PAUSE);
   }
@@ -226,7 +226,7 @@
       pauses.note("listener", why);
     }
     // From here on nobody looks.
-    queue.looked(false, iteration.arrival());
+    queue.looked(false, iteration.earliestArrival());
     listener.config().setAutoRead(false);
   }
 
@@ -234,9 +234,9 @@
   private void resumeSoon() {
     if (paused && !resumes) {
       resumes = true;
-      iteration.hear(
+      iteration.enqueue(
           now ->
-              iteration.act(
+              iteration.addEffect(
                   () -> {
                     resumes = false;
                     resume();
--- a/router/src/main/java/basaltlever/net/AttemptExecutor.java
+++ b/router/src/main/java/basaltlever/net/AttemptExecutor.java
@@ -41,15 +41,15 @@
   private static final Logger LOG = LoggerFactory.getLogger(AttemptExecutor.class);
 
   /** The decisions' own timers, and executions cut to the same moment, come first. */
-  private static final Span GUARD = Span.ofMillis(10);
+  private static final Span DEADLINE_GUARD_DELAY = Span.ofMillis(10);
 
   /** Members that are asked for planned changes. */
-  private static final int MOST_ASKED = 128;
+  private static final int MAX_RECENTLY_POLLED = 128;
 
   private final LoopIteration iteration;
   private final EventLoop loop;
-  private final Function<String, ConnectionPool> links;
-  private final Consumer<String> forgotten;
+  private final Function<String, ConnectionPool> pools;
+  private final Consumer<String> removedEndpointListener;
   private LoadReportFormat loadReport;
   private Span pollTimeout;
   private final MemoryBudget budget;
@@ -58,48 +58,48 @@
   private final ClockOffset clockOffset;
 
   /** What was told in the servers' time is to be taken in again. */
-  private Consumer<Moment> clockMoved = now -> {};
+  private Consumer<Moment> clockOffsetListener = now -> {};
 
   /** What is kept to, by number: what was decided under another is not sent. */
-  private ToIntFunction<Moment> stance = now -> 0;
+  private ToIntFunction<Moment> fencingTokenSource = now -> 0;
 
   private final LongObjectHashMap<PendingStatement> statements = new LongObjectHashMap<>();
 
   /** All that are unanswered, by the time at which they are owed an answer. */
-  private final TreeSet<PendingStatement> owed =
+  private final TreeSet<PendingStatement> unansweredByDeadline =
       new TreeSet<>(
           Comparator.comparingLong(
-                  (PendingStatement pendingStatement) -> pendingStatement.owedBy.micros())
+                  (PendingStatement pendingStatement) -> pendingStatement.answerDeadline.micros())
               .thenComparingLong(pendingStatement -> pendingStatement.ticket));
 
-  private Future<?> look;
-  private Moment looksAt = Moment.NEVER;
+  private Future<?> deadlineTimer;
+  private Moment deadlineTimerAt = Moment.NEVER;
 
   /** Empty where members are not asked for planned changes. */
-  private String changeTable = "";
+  private String switchoverTable = "";
 
   /** Members that are being polled, and those that a start does not wait for. */
-  private final Set<String> firstLook = new HashSet<>();
+  private final Set<String> pendingFirstPolls = new HashSet<>();
 
-  private final Set<String> absent = new HashSet<>();
-  private boolean looked;
-  private final LinkedHashSet<String> polledLately = new LinkedHashSet<>();
+  private final Set<String> unreachableEndpoints = new HashSet<>();
+  private boolean hasPolled;
+  private final LinkedHashSet<String> recentlyPolled = new LinkedHashSet<>();
   private StatementRouter<String> core;
-  private Runnable watch;
+  private Runnable startWatch;
 
   AttemptExecutor(
       LoopIteration iteration,
       EventLoop loop,
-      Function<String, ConnectionPool> links,
-      Consumer<String> forgotten,
+      Function<String, ConnectionPool> pools,
+      Consumer<String> removedEndpointListener,
       LoadReportFormat loadReport,
       Span pollTimeout,
       MemoryBudget budget,
       StatementTrace trace) {
     this.iteration = iteration;
     this.loop = loop;
-    this.links = links;
-    this.forgotten = forgotten;
+    this.pools = pools;
+    this.removedEndpointListener = removedEndpointListener;
     this.loadReport = loadReport;
     this.pollTimeout = pollTimeout;
     this.budget = budget;
@@ -108,82 +108,84 @@
     clockOffset = iteration.clockOffset();
   }
 
-  void serve(StatementRouter<String> with, Runnable watchStarts) {
-    core = with;
-    watch = watchStarts;
+  void setCore(StatementRouter<String> statementRouter, Runnable watchStarter) {
+    core = statementRouter;
+    startWatch = watchStarter;
   }
 
   /** An earlier process had no answer from it: a start does not wait for one. */
-  void isAbsent(String node) {
-    absent.add(node);
-    firstLook.remove(node);
+  void excludeFromStartup(String endpoint) {
+    unreachableEndpoints.add(endpoint);
+    pendingFirstPolls.remove(endpoint);
   }
 
   /** Whether members were polled, and each of them has answered or failed. */
-  boolean hasLookedAround() {
-    return looked && firstLook.isEmpty();
+  boolean hasCompletedFirstPolls() {
+    return hasPolled && pendingFirstPolls.isEmpty();
   }
 
   /** The start is over: nobody waits for a first look any more. */
-  void serves() {
-    absent.clear();
+  void onServing() {
+    unreachableEndpoints.clear();
   }
 
   /** What members' reports hold from now on, and how long one may take. */
-  void reads(LoadReportFormat by, Span within) {
-    loadReport = by;
-    pollTimeout = within;
+  void configurePolls(LoadReportFormat format, Span timeout) {
+    loadReport = format;
+    pollTimeout = timeout;
   }
 
-  void onClockMoved(Consumer<Moment> then) {
-    clockMoved = then;
+  void onClockOffsetChanged(Consumer<Moment> listener) {
+    clockOffsetListener = listener;
   }
 
-  void keepsTo(ToIntFunction<Moment> numbered) {
-    stance = numbered;
+  void setFencingTokenSource(ToIntFunction<Moment> source) {
+    fencingTokenSource = source;
   }
 
-  void asksFor(String table) {
-    changeTable = table;
+  void setSwitchoverTable(String table) {
+    switchoverTable = table;
   }
 
   /** Members polled lately, the latest last: those that are asked for planned changes. */
-  Set<String> polledLately() {
-    return polledLately;
+  Set<String> recentlyPolled() {
+    return recentlyPolled;
   }
 
   /**
    * Apart from polls, which a router with little traffic sends too rarely to hear of a change in
    * time.
    */
-  void readTable(String node) {
-    if (!changeTable.isEmpty()) {
-      start(new AnnouncementQuery(node), node);
+  void querySwitchoverTable(String endpoint) {
+    if (!switchoverTable.isEmpty()) {
+      startQuery(new AnnouncementQuery(endpoint), endpoint);
     }
   }
 
   // ---- Statements.
 
-  int open() {
+  int openStatements() {
     return statements.size();
   }
 
   void add(PendingStatement pendingStatement) {
     statements.put(pendingStatement.ticket, pendingStatement);
-    owed.add(pendingStatement);
-    lookAt(pendingStatement.owedBy.plus(GUARD));
+    unansweredByDeadline.add(pendingStatement);
+    scheduleDeadlineCheck(pendingStatement.answerDeadline.plus(DEADLINE_GUARD_DELAY));
   }
 
-  private void lookAt(Moment at) {
-    if (at.isBefore(looksAt)) {
-      if (look != null) {
-        look.cancel(false);
+  private void scheduleDeadlineCheck(Moment checkAt) {
+    if (checkAt.isBefore(deadlineTimerAt)) {
+      if (deadlineTimer != null) {
+        deadlineTimer.cancel(false);
       }
-      looksAt = at;
-      long left = Math.max(1, at.since(iteration.clock().now()).micros());
-      look =
+      deadlineTimerAt = checkAt;
+      long delayMicros = Math.max(1, checkAt.since(iteration.clock().now()).micros());
+      deadlineTimer =
           loop.schedule(
-              () -> iteration.hear(now -> overdue(now, now)), left, TimeUnit.MICROSECONDS);
+              () -> iteration.enqueue(now -> expireStatements(now, now)),
+              delayMicros,
+              TimeUnit.MICROSECONDS);
     }
   }
 
@@ -193,19 +195,24 @@
    * that wait to be heard. So they are asked for their last word on each statement whose time is
    * over. What they forget even so is aborted: nothing is proven of it here.
    */
-  private void overdue(Moment now, Moment upTo) {
-    looksAt = Moment.NEVER;
-    while (!owed.isEmpty() && !owed.first().owedBy.plus(GUARD).isAfter(upTo)) {
-      PendingStatement pendingStatement = owed.pollFirst();
-      guarded(pendingStatement, () -> core.deadlinePassed(now, pendingStatement.ticket));
-      iteration.act(() -> abortForgotten(pendingStatement));
+  private void expireStatements(Moment now, Moment latestCheck) {
+    deadlineTimerAt = Moment.NEVER;
+    while (!unansweredByDeadline.isEmpty()
+        && !unansweredByDeadline
+            .first()
+            .answerDeadline
+            .plus(DEADLINE_GUARD_DELAY)
+            .isAfter(latestCheck)) {
+      PendingStatement pendingStatement = unansweredByDeadline.pollFirst();
+      runGuarded(pendingStatement, () -> core.deadlinePassed(now, pendingStatement.ticket));
+      iteration.addEffect(() -> abortUnanswered(pendingStatement));
     }
-    if (!owed.isEmpty()) {
-      lookAt(owed.first().owedBy.plus(GUARD));
+    if (!unansweredByDeadline.isEmpty()) {
+      scheduleDeadlineCheck(unansweredByDeadline.first().answerDeadline.plus(DEADLINE_GUARD_DELAY));
     }
   }
 
-  private void abortForgotten(PendingStatement pendingStatement) {
+  private void abortUnanswered(PendingStatement pendingStatement) {
     if (!pendingStatement.answered) {
       counters.add(Counter.STATEMENT_OVERDUE);
       Event.OVERDUE.log(
@@ -213,69 +220,74 @@
           Level.WARN,
           "aborted by the guard",
           pendingStatement.query.id,
-          pendingStatement.executions.size(),
-          pendingStatement.out);
-      settle(pendingStatement, ProtocolCodes.SYSTEM_ERROR, "the statement's time is over", null);
+          pendingStatement.attempts.size(),
+          pendingStatement.openAttempts);
+      answerError(
+          pendingStatement, ProtocolCodes.SYSTEM_ERROR, "the statement's time is over", null);
     }
   }
 
   /** A router that stops leaves nobody without an answer. */
   void answerAll(Moment now) {
-    overdue(now, Moment.NEVER);
+    expireStatements(now, Moment.NEVER);
   }
 
   /** Beyond what the settings allow to be open, before the decisions hear of it. */
-  void turnAway(PendingStatement pendingStatement) {
+  void rejectTooManyOpen(PendingStatement pendingStatement) {
     counters.add(Counter.REFUSED_TOO_MANY_OPEN);
-    iteration.act(
+    iteration.addEffect(
         () ->
-            settle(
+            answerError(
                 pendingStatement,
                 ProtocolCodes.TOO_MANY_CONNECTIONS,
                 "too many statements are open",
                 null));
   }
 
-  void left(PendingStatement pendingStatement) {
-    iteration.hear(
+  void clientDisconnected(PendingStatement pendingStatement) {
+    iteration.enqueue(
         now -> {
-          trace.ends(pendingStatement.life, "left");
+          trace.ends(pendingStatement.trace, "left");
           pendingStatement.answered = true;
-          guarded(pendingStatement, () -> core.clientDisconnected(now, pendingStatement.ticket));
-          forget(pendingStatement);
+          runGuarded(pendingStatement, () -> core.clientDisconnected(now, pendingStatement.ticket));
+          releaseIfFinished(pendingStatement);
         });
   }
 
   /** A fault in the decisions must not cost the statement its answer. */
-  void guarded(PendingStatement pendingStatement, Runnable step) {
+  void runGuarded(PendingStatement pendingStatement, Runnable step) {
     try {
       step.run();
     } catch (RuntimeException fault) {
       Event.FAULT.fault(LOG, "", fault, "deciding on statement " + pendingStatement.ticket);
       if (!pendingStatement.answered) {
-        iteration.act(
-            () -> settle(pendingStatement, ProtocolCodes.SYSTEM_ERROR, "the router failed", null));
-        left(pendingStatement);
+        iteration.addEffect(
+            () ->
+                answerError(
+                    pendingStatement, ProtocolCodes.SYSTEM_ERROR, "the router failed", null));
+        clientDisconnected(pendingStatement);
       }
     }
   }
 
-  private void settle(
+  private void answerError(
       PendingStatement pendingStatement, String code, String message, String detail) {
     if (!pendingStatement.answered) {
-      trace.step(pendingStatement.life, code);
+      trace.step(pendingStatement.trace, code);
       pendingStatement.answered = true;
       pendingStatement.client.answerError(code, message, detail);
     }
-    forget(pendingStatement);
+    releaseIfFinished(pendingStatement);
   }
 
-  private void forget(PendingStatement pendingStatement) {
+  private void releaseIfFinished(PendingStatement pendingStatement) {
     if (pendingStatement.answered) {
-      owed.remove(pendingStatement);
+      unansweredByDeadline.remove(pendingStatement);
     }
-    if (pendingStatement.answered && pendingStatement.out == 0 && !pendingStatement.forgotten) {
-      pendingStatement.forgotten = true;
+    if (pendingStatement.answered
+        && pendingStatement.openAttempts == 0
+        && !pendingStatement.released) {
+      pendingStatement.released = true;
       statements.remove(pendingStatement.ticket);
       budget.release(pendingStatement.text.capacity());
       pendingStatement.text.release();
@@ -288,54 +300,56 @@
    * Counted as out from the decision on, so that the core hears of its end whatever comes between.
    */
   @Override
-  public void startAttempt(long ticket, int execution, String node, Span timeout, Moment sendBy) {
+  public void startAttempt(
+      long ticket, int execution, String endpoint, Span timeout, Moment sendBy) {
     PendingStatement pendingStatement = statements.get(ticket);
-    Span owed = pendingStatement.owedBy.since(iteration.now());
-    Span limit = timeout.micros() == 0 ? owed : timeout.shorter(owed);
-    Attempt job = new Attempt(pendingStatement, execution, iteration.now().plus(limit), sendBy);
-    pendingStatement.executions.add(job);
+    Span remaining = pendingStatement.answerDeadline.since(iteration.now());
+    Span limit = timeout.micros() == 0 ? remaining : timeout.shorter(remaining);
+    Attempt attempt = new Attempt(pendingStatement, execution, iteration.now().plus(limit), sendBy);
+    pendingStatement.attempts.add(attempt);
     counters.add(Counter.EXECUTION_SENT);
     if (execution > 0) {
       counters.add(Counter.EXECUTION_RETRIED);
     }
-    if (pendingStatement.life != null) {
-      trace.step(pendingStatement.life, execution + ">" + node);
+    if (pendingStatement.trace != null) {
+      trace.step(pendingStatement.trace, execution + ">" + endpoint);
     }
-    pendingStatement.out++;
-    iteration.act(
+    pendingStatement.openAttempts++;
+    iteration.addEffect(
         () -> {
           // From when it was decided: counted anew from here, its end comes behind that of the
           // statement.
-          Span left = job.until.since(iteration.clock().now());
-          if (pendingStatement.answered || left.micros() <= 0) {
-            job.endLost(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
+          Span remainingNow = attempt.deadline.since(iteration.clock().now());
+          if (pendingStatement.answered || remainingNow.micros() <= 0) {
+            attempt.fail(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
             return;
           }
-          startAttempt(job, node, left);
+          sendAttempt(attempt, endpoint, remainingNow);
         });
   }
 
-  private void startAttempt(Attempt attempt, String node, Span left) {
-    attempt.endsBy(
-        loop.schedule(attempt::timeIsOver, Math.max(1, left.micros()), TimeUnit.MICROSECONDS));
-    links.apply(node).start(attempt);
+  private void sendAttempt(Attempt attempt, String endpoint, Span remainingNow) {
+    attempt.setTimeout(
+        loop.schedule(
+            attempt::onTimeout, Math.max(1, remainingNow.micros()), TimeUnit.MICROSECONDS));
+    pools.apply(endpoint).start(attempt);
   }
 
   /** What is no client's has no deadline, only the time that the server may take. */
-  private void start(ServerQuery query, String node) {
-    query.endsBy(PeerTimeout.start(iteration, loop, pollTimeout, query::timeIsOver));
-    links.apply(node).start(query);
+  private void startQuery(ServerQuery query, String endpoint) {
+    query.setTimeout(PeerTimeout.start(iteration, loop, pollTimeout, query::onTimeout));
+    pools.apply(endpoint).start(query);
   }
 
   @Override
   public void cancel(long ticket, int execution) {
     PendingStatement pendingStatement = statements.get(ticket);
-    iteration.act(
-        () -> pendingStatement.executions.get(execution).giveUp(AttemptOutcome.CANCELLED));
+    iteration.addEffect(
+        () -> pendingStatement.attempts.get(execution).cancel(AttemptOutcome.CANCELLED));
   }
 
   @Override
-  public void reject(long ticket, Span comeBackAfter, RejectReason reason) {
+  public void reject(long ticket, Span retryAfter, RejectReason reason) {
     PendingStatement pendingStatement = statements.get(ticket);
     counters.add(
         switch (reason) {
@@ -344,26 +358,26 @@
           case HOLD_FULL -> Counter.REFUSED_HOLD_FULL;
           case NO_ATTEMPT_LEFT -> Counter.REFUSED_NO_ATTEMPT_LEFT;
         });
-    if (pendingStatement.life != null) {
-      trace.step(pendingStatement.life, reason.name());
+    if (pendingStatement.trace != null) {
+      trace.step(pendingStatement.trace, reason.name());
     }
-    long millis = comeBackAfter.micros() / 1_000;
-    iteration.act(
+    long retryAfterMillis = retryAfter.micros() / 1_000;
+    iteration.addEffect(
         () ->
-            settle(
+            answerError(
                 pendingStatement,
                 ProtocolCodes.TOO_MANY_CONNECTIONS,
                 "nothing was done, try again",
-                millis > 0 ? "" + millis : null));
+                retryAfterMillis > 0 ? "" + retryAfterMillis : null));
   }
 
   @Override
   public void abort(long ticket) {
     PendingStatement pendingStatement = statements.get(ticket);
     counters.add(Counter.FAILED_EFFECT_UNKNOWN);
-    iteration.act(
+    iteration.addEffect(
         () ->
-            settle(
+            answerError(
                 pendingStatement,
                 ProtocolCodes.SYSTEM_ERROR,
                 "the statement may or may not have had an effect",
@@ -371,61 +385,61 @@
   }
 
   @Override
-  public void poll(String node) {
+  public void poll(String endpoint) {
     counters.add(Counter.POLL_SENT);
-    if (!changeTable.isEmpty()) {
-      polledLately.remove(node);
-      polledLately.add(node);
-      if (polledLately.size() > MOST_ASKED) {
-        polledLately.remove(polledLately.iterator().next());
+    if (!switchoverTable.isEmpty()) {
+      recentlyPolled.remove(endpoint);
+      recentlyPolled.add(endpoint);
+      if (recentlyPolled.size() > MAX_RECENTLY_POLLED) {
+        recentlyPolled.remove(recentlyPolled.iterator().next());
       }
     }
-    if (!absent.contains(node)) {
-      looked = true;
-      firstLook.add(node);
+    if (!unreachableEndpoints.contains(endpoint)) {
+      hasPolled = true;
+      pendingFirstPolls.add(endpoint);
     }
-    iteration.act(() -> start(new Poll(node), node));
+    iteration.addEffect(() -> startQuery(new Poll(endpoint), endpoint));
   }
 
   @Override
-  public void closeIdleConnections(String node) {
-    iteration.act(() -> links.apply(node).letGo());
+  public void closeIdleConnections(String endpoint) {
+    iteration.addEffect(() -> pools.apply(endpoint).closeIdle());
   }
 
   @Override
-  public void endpointRemoved(String node) {
-    iteration.act(() -> forgotten.accept(node));
+  public void endpointRemoved(String endpoint) {
+    iteration.addEffect(() -> removedEndpointListener.accept(endpoint));
   }
 
   @Override
   public void watchEndpointList() {
-    iteration.act(watch);
+    iteration.addEffect(startWatch);
   }
 
   @Override
   public void setTimer(Span fromNow) {
-    Moment due = iteration.now().plus(fromNow);
-    iteration.act(() -> wakeAt(due));
+    Moment dueAt = iteration.now().plus(fromNow);
+    iteration.addEffect(() -> scheduleCoreTimer(dueAt));
   }
 
   /**
    * Woken too early, the decisions would wait for a timer that is gone, and look at nothing until
    * spoken to.
    */
-  private void wakeAt(Moment due) {
+  private void scheduleCoreTimer(Moment dueAt) {
     // From when it was decided: a loop that was held up since would come to it that much late.
-    long left = due.since(iteration.clock().now()).micros();
+    long delayMicros = dueAt.since(iteration.clock().now()).micros();
     loop.schedule(
         () ->
-            iteration.hear(
+            iteration.enqueue(
                 now -> {
-                  if (now.isBefore(due)) {
-                    iteration.act(() -> wakeAt(due));
+                  if (now.isBefore(dueAt)) {
+                    iteration.addEffect(() -> scheduleCoreTimer(dueAt));
                   } else {
                     core.timerFired(now);
                   }
                 }),
-        Math.max(1, left),
+        Math.max(1, delayMicros),
         TimeUnit.MICROSECONDS);
   }
 
@@ -433,11 +447,13 @@
    * Each is opened by a poll of its own: a connection that has answered one is known to be good.
    */
   @Override
-  public void openConnections(String node, int connections) {
-    iteration.act(
+  public void openConnections(String endpoint, int connections) {
+    iteration.addEffect(
         () -> {
-          for (int more = links.apply(node).missing(connections); more > 0; more--) {
-            start(new ConnectionWarmUp(), node);
+          for (int missing = pools.apply(endpoint).missingIdle(connections);
+              missing > 0;
+              missing--) {
+            startQuery(new ConnectionWarmUp(), endpoint);
           }
         });
   }
@@ -453,20 +469,20 @@
   }
 
   @Override
-  public void primaryChanged(int group, String node, boolean found) {
+  public void primaryChanged(int group, String endpoint, boolean found) {
     (found ? Event.PRIMARY_FOUND : Event.PRIMARY_LOST)
-        .log(LOG, Level.INFO, "", group, links.apply(node));
+        .log(LOG, Level.INFO, "", group, pools.apply(endpoint));
   }
 
   // ---- What became of it.
 
-  private Role role(QueryResponse response) {
+  private Role toRole(QueryResponse response) {
     return response.role().equals("master")
         ? Role.PRIMARY
         : response.role().equals("replica") ? Role.REPLICA : Role.UNTOLD;
   }
 
-  private static AttemptOutcome ending(QueryResponse response) {
+  private static AttemptOutcome toOutcome(QueryResponse response) {
     String code = response.sqlState();
     return response.isSingleRow()
         ? AttemptOutcome.COMPLETED
@@ -482,19 +498,19 @@
 
   private final class Attempt extends ServerQuery {
     private final PendingStatement pendingStatement;
-    private final int number;
-    private final Moment until;
+    private final int attemptNumber;
+    private final Moment deadline;
     private final Moment sendBy;
-    private final int decidedUnder = stance.applyAsInt(iteration.now());
+    private final int fencingToken = fencingTokenSource.applyAsInt(iteration.now());
 
-    Attempt(PendingStatement pendingStatement, int number, Moment until, Moment sendBy) {
+    Attempt(PendingStatement pendingStatement, int attemptNumber, Moment deadline, Moment sendBy) {
       this.pendingStatement = pendingStatement;
-      this.number = number;
-      this.until = until;
+      this.attemptNumber = attemptNumber;
+      this.deadline = deadline;
       // No later than a connection may take: its own timer comes late where this process was held
       // up, and the
       // member may have been told to drain meanwhile.
-      this.sendBy = sendBy.earlier(iteration.now().plus(pollTimeout).plus(GUARD));
+      this.sendBy = sendBy.earlier(iteration.now().plus(pollTimeout).plus(DEADLINE_GUARD_DELAY));
     }
 
     @Override
@@ -503,7 +519,7 @@
     }
 
     @Override
-    boolean isTooLate(Moment now) {
+    boolean isObsolete(Moment now) {
       // Its client's end may lie unread; and where executions may not be called off, one that waits
       // for its
       // connection outlives its statement.
@@ -511,65 +527,65 @@
       return pendingStatement.answered
           || !pendingStatement.client.waitsFor(pendingStatement)
           || now.isAfter(sendBy)
-          || stance.applyAsInt(now) != decidedUnder;
+          || fencingTokenSource.applyAsInt(now) != fencingToken;
     }
 
     @Override
     void write(ByteBuf out) {
-      if (pendingStatement.life != null) {
-        trace.step(pendingStatement.life, number + "w");
+      if (pendingStatement.trace != null) {
+        trace.step(pendingStatement.trace, attemptNumber + "w");
       }
-      long left = Math.max(1, until.since(iteration.clock().now()).micros());
+      long remainingMicros = Math.max(1, deadline.since(iteration.clock().now()).micros());
       MessageEncoder.query(
           out,
           pendingStatement.text,
           pendingStatement.query.timeoutStart,
           pendingStatement.query.timeoutEnd,
-          (left + 999) / 1_000);
+          (remainingMicros + 999) / 1_000);
     }
 
     @Override
-    void answered(QueryResponse response) {
-      iteration.hear(now -> ended(now, ending(response), response));
+    void onResponse(QueryResponse response) {
+      iteration.enqueue(now -> onEnded(now, toOutcome(response), response));
     }
 
     @Override
-    void lost(AttemptOutcome outcome) {
-      iteration.hear(now -> ended(now, outcome, new QueryResponse()));
+    void onFailure(AttemptOutcome outcome) {
+      iteration.enqueue(now -> onEnded(now, outcome, new QueryResponse()));
     }
 
-    private void ended(Moment now, AttemptOutcome outcome, QueryResponse response) {
-      pendingStatement.out--;
+    private void onEnded(Moment now, AttemptOutcome outcome, QueryResponse response) {
+      pendingStatement.openAttempts--;
       // Text put together for nobody costs a process that has just started most.
-      if (pendingStatement.life != null) {
-        trace.step(pendingStatement.life, number + "=" + outcome);
+      if (pendingStatement.trace != null) {
+        trace.step(pendingStatement.trace, attemptNumber + "=" + outcome);
       }
-      guarded(
+      runGuarded(
           pendingStatement,
           () -> {
             if (core.attemptEnded(
                 now,
                 pendingStatement.ticket,
-                number,
+                attemptNumber,
                 outcome,
-                role(response),
+                toRole(response),
                 clockOffset.position(loadReport.afterMillis(response.positionMillis())),
                 false)) {
               pendingStatement.answered = true;
               var row = response.takeRow();
-              iteration.act(() -> pendingStatement.client.answer(row));
+              iteration.addEffect(() -> pendingStatement.client.answer(row));
             }
           });
       response.release();
-      forget(pendingStatement);
+      releaseIfFinished(pendingStatement);
     }
   }
 
   private final class Poll extends ServerQuery {
-    private final String node;
+    private final String endpoint;
 
-    Poll(String node) {
-      this.node = node;
+    Poll(String endpoint) {
+      this.endpoint = endpoint;
     }
 
     @Override
@@ -583,38 +599,38 @@
     }
 
     @Override
-    void answered(QueryResponse response) {
-      firstLook.remove(node);
-      AttemptOutcome outcome = ending(response);
-      Role role = role(response);
+    void onResponse(QueryResponse response) {
+      pendingFirstPolls.remove(endpoint);
+      AttemptOutcome outcome = toOutcome(response);
+      Role role = toRole(response);
       double[] values = loadReport.values(response.value());
-      Moment told =
+      Moment position =
           loadReport.position < 0
               ? loadReport.afterMillis(response.positionMillis())
               : loadReport.position(Math.nextDown(loadReport.value(values, loadReport.position)));
-      Role claimed =
+      Role claimedRole =
           loadReport.primary < 0
               ? role
               : loadReport.role(loadReport.value(values, loadReport.primary));
       response.release();
-      iteration.hear(
+      iteration.enqueue(
           now -> {
-            heedClock(now, claimed, told);
+            updateClockOffset(now, claimedRole, position);
             core.pollEnded(
                 now,
-                node,
+                endpoint,
                 outcome,
-                claimed,
-                clockOffset.position(told),
+                claimedRole,
+                clockOffset.position(position),
                 loadReport.value(values, loadReport.util),
                 loadReport.value(values, loadReport.queue));
           });
     }
 
-    private void heedClock(Moment now, Role claimed, Moment told) {
-      if (claimed == Role.PRIMARY
-          && told.isAfter(Moment.LONG_AGO)
-          && clockOffset.primaryAt(now, told)) {
+    private void updateClockOffset(Moment now, Role claimedRole, Moment position) {
+      if (claimedRole == Role.PRIMARY
+          && position.isAfter(Moment.LONG_AGO)
+          && clockOffset.primaryAt(now, position)) {
         Event.CLOCK_OFF.log(
             LOG,
             Level.WARN,
@@ -622,26 +638,26 @@
             clockOffset.behind().micros() / 1_000,
             clockOffset.ahead().micros() / 1_000);
         core.forgetPositions(now);
-        clockMoved.accept(now);
+        clockOffsetListener.accept(now);
       }
     }
 
     @Override
-    void lost(AttemptOutcome outcome) {
-      firstLook.remove(node);
-      iteration.hear(
+    void onFailure(AttemptOutcome outcome) {
+      pendingFirstPolls.remove(endpoint);
+      iteration.enqueue(
           now ->
               core.pollEnded(
-                  now, node, outcome, Role.UNTOLD, Moment.LONG_AGO, Double.NaN, Double.NaN));
+                  now, endpoint, outcome, Role.UNTOLD, Moment.LONG_AGO, Double.NaN, Double.NaN));
     }
   }
 
   /** What a member's table says of a planned change of its group's primary. */
   private final class AnnouncementQuery extends ServerQuery {
-    private final String node;
+    private final String endpoint;
 
-    AnnouncementQuery(String node) {
-      this.node = node;
+    AnnouncementQuery(String endpoint) {
+      this.endpoint = endpoint;
     }
 
     @Override
@@ -651,19 +667,19 @@
 
     @Override
     void write(ByteBuf out) {
-      MessageEncoder.query(out, SwitchoverAnnouncement.query(changeTable));
+      MessageEncoder.query(out, SwitchoverAnnouncement.query(switchoverTable));
     }
 
     @Override
-    void answered(QueryResponse response) {
+    void onResponse(QueryResponse response) {
       SwitchoverAnnouncement announcement = SwitchoverAnnouncement.read(response.value());
       response.release();
       if (announcement != null) {
-        iteration.hear(
+        iteration.enqueue(
             now ->
                 core.switchoverAnnounced(
                     now,
-                    node,
+                    endpoint,
                     announcement.number(),
                     announcement.target(),
                     new Moment(announcement.atMillis() * 1_000),
@@ -672,7 +688,7 @@
     }
 
     @Override
-    void lost(AttemptOutcome outcome) {
+    void onFailure(AttemptOutcome outcome) {
       // Polls tell what there is to tell.
     }
   }
@@ -690,12 +706,12 @@
     }
 
     @Override
-    void answered(QueryResponse response) {
+    void onResponse(QueryResponse response) {
       response.release();
     }
 
     @Override
-    void lost(AttemptOutcome outcome) {
+    void onFailure(AttemptOutcome outcome) {
       // One more or less.
     }
   }
--- a/router/src/main/java/basaltlever/net/ClientConnection.java
+++ b/router/src/main/java/basaltlever/net/ClientConnection.java
@@ -454,7 +454,7 @@
       }
     }
     MessageEncoder.readyForQuery(end);
-    StatementTrace.Life life = pendingStatement.life;
+    StatementTrace.Life life = pendingStatement.trace;
     socket.writeAndFlush(
         end,
         written -> {
@@ -466,7 +466,7 @@
 
   void answerError(String code, String message, String detail) {
     if (lifecycle.isBusy()) {
-      StatementTrace.Life life = pendingStatement.life;
+      StatementTrace.Life life = pendingStatement.trace;
       ByteBuf out = socket.alloc().buffer();
       MessageEncoder.errorResponse(out, "ERROR", code, message, detail);
       MessageEncoder.readyForQuery(out);
--- a/router/src/main/java/basaltlever/net/ClientSessions.java
+++ b/router/src/main/java/basaltlever/net/ClientSessions.java
@@ -113,13 +113,13 @@
 
   @Override
   public void messageRead() {
-    iteration.load().reads();
+    iteration.load().countMessage();
   }
 
   /** In the turn behind all reads of this look at the sockets. */
   @Override
   public void later(Runnable step) {
-    iteration.hear(now -> step.run());
+    iteration.enqueue(now -> step.run());
   }
 
   /**
@@ -165,10 +165,10 @@
                     query.id, arrived, arrived.plus(Span.ofMillis((double) query.timeoutMillis)))
                 : null);
     boolean fits = budget.reserve(text.capacity());
-    iteration.hear(
+    iteration.enqueue(
         now -> {
           // Its client waits since it sent, not since this loop came to read.
-          pendingStatement.owedBy =
+          pendingStatement.answerDeadline =
               arrived.plus(Span.ofMillis((double) query.timeoutMillis)).earlier(ends);
           // Where this loop was held up its client may have gone behind its statement, which nobody
           // has read yet.
@@ -176,13 +176,13 @@
           if (!client.waitsFor(pendingStatement)) {
             return;
           }
-          if (executor.open() >= mostOpen || !fits) {
-            executor.turnAway(pendingStatement);
+          if (executor.openStatements() >= mostOpen || !fits) {
+            executor.rejectTooManyOpen(pendingStatement);
             return;
           }
-          trace.step(pendingStatement.life, "taken");
+          trace.step(pendingStatement.trace, "taken");
           executor.add(pendingStatement);
-          executor.guarded(
+          executor.runGuarded(
               pendingStatement,
               () ->
                   core.statementReceived(
@@ -192,7 +192,7 @@
                           workload,
                           query.group,
                           query.sessionHash,
-                          pendingStatement.owedBy,
+                          pendingStatement.answerDeadline,
                           query.lastCommitMillis == 0
                               ? Moment.LONG_AGO
                               : iteration
@@ -222,7 +222,7 @@
   /** When the bytes that are read now have come, at the latest. */
   @Override
   public Moment arrival() {
-    return iteration.arrival();
+    return iteration.earliestArrival();
   }
 
   @Override
@@ -235,7 +235,7 @@
   public void left(ClientConnection connection, PendingStatement pendingStatement) {
     descriptors.busy(connection);
     if (pendingStatement != null) {
-      executor.left(pendingStatement);
+      executor.clientDisconnected(pendingStatement);
     }
   }
 
--- a/router/src/main/java/basaltlever/net/Clock.java
+++ b/router/src/main/java/basaltlever/net/Clock.java
@@ -9,11 +9,11 @@
  */
 final class Clock {
   /** Whole milliseconds would make a position that a node has just told lie in the future. */
-  private final long start = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
+  private final long startMicros = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
 
-  private final long steady = System.nanoTime();
+  private final long startNanos = System.nanoTime();
 
   Moment now() {
-    return new Moment(start + (System.nanoTime() - steady) / 1_000);
+    return new Moment(startMicros + (System.nanoTime() - startNanos) / 1_000);
   }
 }
--- a/router/src/main/java/basaltlever/net/ConnectionPool.java
+++ b/router/src/main/java/basaltlever/net/ConnectionPool.java
@@ -26,12 +26,12 @@
   private final Descriptors descriptors;
   private final MemoryBudget budget;
   private Span connectTimeout;
-  private Span keptFor;
-  private final RateLimitedLog bad;
+  private Span idleTimeout;
+  private final RateLimitedLog badEndpointLog;
   private final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
   private InetSocketAddress address;
-  private int opening;
-  private boolean sweeping;
+  private int connectionsOpening;
+  private boolean sweepScheduled;
 
   /**
    * An idle connection is closed a connect time-out before the node may: a path can take that long.
@@ -45,20 +45,20 @@
       MemoryBudget budget,
       Span connectTimeout,
       Span idleClose,
-      RateLimitedLog bad) {
+      RateLimitedLog badEndpointLog) {
     this.name = name;
     this.bootstrap = bootstrap;
     this.loop = loop;
     this.iteration = iteration;
     this.descriptors = descriptors;
     this.budget = budget;
-    this.bad = bad;
-    within(connectTimeout, idleClose);
+    this.badEndpointLog = badEndpointLog;
+    setTimeouts(connectTimeout, idleClose);
   }
 
-  void within(Span connects, Span idleClose) {
-    connectTimeout = connects;
-    keptFor = idleClose.minus(connects).longer(Span.NONE);
+  void setTimeouts(Span newConnectTimeout, Span idleClose) {
+    connectTimeout = newConnectTimeout;
+    idleTimeout = idleClose.minus(newConnectTimeout).longer(Span.NONE);
   }
 
   /** Null where the list has not named one. */
@@ -66,8 +66,8 @@
     return address;
   }
 
-  void spoilt(String what) {
-    bad.note(this, what);
+  void logProtocolViolation(String description) {
+    badEndpointLog.note(this, description);
   }
 
   void count(Counter counter) {
@@ -83,10 +83,10 @@
     return PeerTimeout.start(iteration, loop, connectTimeout, onTimeout);
   }
 
-  void at(InetSocketAddress now) {
-    if (!now.equals(address)) {
-      letGo();
-      address = now;
+  void setAddress(InetSocketAddress newAddress) {
+    if (!newAddress.equals(address)) {
+      closeIdle();
+      address = newAddress;
     }
   }
 
@@ -95,24 +95,25 @@
     // the
     // longest idle; on the latest it would meet the next query.
     closeStale();
-    PooledConnection next = idle.peekLast();
-    if (next == null) {
+    PooledConnection connection = idle.peekLast();
+    if (connection == null) {
       open(query);
     } else {
       idle.removeLast();
-      descriptors.busy(next);
-      run(next, query);
+      descriptors.busy(connection);
+      sendIfStillNeeded(connection, query);
     }
   }
 
   /** How many more connections it takes until so many stand idle. */
-  int missing(int wanted) {
+  int missingIdle(int target) {
     closeStale();
-    return wanted - idle.size() - opening;
+    return target - idle.size() - connectionsOpening;
   }
 
   private void closeStale() {
-    while (!idle.isEmpty() && !now().since(idle.peekLast().idleSince()).isShorterThan(keptFor)) {
+    while (!idle.isEmpty()
+        && !now().since(idle.peekLast().idleSince()).isShorterThan(idleTimeout)) {
       iteration.counters().add(Counter.NODE_CONNECTION_EXPIRED);
       idle.peekLast().close();
     }
@@ -120,12 +121,12 @@
 
   private void open(ServerQuery query) {
     if (address == null) {
-      query.endLost(AttemptOutcome.NO_CONNECTION, AttemptOutcome.RESET);
+      query.fail(AttemptOutcome.NO_CONNECTION, AttemptOutcome.RESET);
       return;
     }
     switch (descriptors.admitsNode(query.use())) {
       case OPEN -> connect(query);
-      case WAIT -> descriptors.await(() -> openIfWanted(query));
+      case WAIT -> descriptors.await(() -> openIfStillNeeded(query));
       default -> {
         iteration
             .counters()
@@ -133,15 +134,15 @@
                 query.use() == Descriptors.Use.EXECUTION
                     ? Counter.EXECUTION_WITHOUT_DESCRIPTOR
                     : Counter.POLL_WITHOUT_DESCRIPTOR);
-        query.endLost(AttemptOutcome.NO_DESCRIPTOR, AttemptOutcome.NO_DESCRIPTOR);
+        query.fail(AttemptOutcome.NO_DESCRIPTOR, AttemptOutcome.NO_DESCRIPTOR);
       }
     }
   }
 
   /** While it waited for a descriptor its time may have passed, or a connection become free. */
-  private void openIfWanted(ServerQuery query) {
-    if (query.isOver() || query.isTooLate(now())) {
-      query.endLost(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
+  private void openIfStillNeeded(ServerQuery query) {
+    if (query.isFinished() || query.isObsolete(now())) {
+      query.fail(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
     } else {
       start(query);
     }
@@ -152,17 +153,17 @@
     ChannelFuture connecting = bootstrap.clone().handler(connection).connect(address);
     if (connecting.isDone() && !connecting.isSuccess()) {
       // No socket was to be had, or no way leads there: such a channel may belong to no loop.
-      connection.gone();
+      connection.onClosed();
       return;
     }
-    connection.opens(connecting.channel());
-    opening++;
+    connection.onConnecting(connecting.channel());
+    connectionsOpening++;
     iteration.counters().add(Counter.NODE_CONNECTION_OPENED);
     connecting.addListener(
         done -> {
-          opening--;
+          connectionsOpening--;
           if (!done.isSuccess()) {
-            connection.gone();
+            connection.onClosed();
           }
         });
   }
@@ -172,60 +173,60 @@
    * After a turn that took long both have waited, and a statement went out for a client that had
    * left long before.
    */
-  void welcomed(PooledConnection connection) {
-    iteration.hear(
+  void onStartupCompleted(PooledConnection connection) {
+    iteration.enqueue(
         now ->
-            iteration.act(
+            iteration.addEffect(
                 () -> {
-                  ServerQuery first = connection.first();
-                  if (first != null) {
-                    run(connection, first);
+                  ServerQuery query = connection.takeFirstQuery();
+                  if (query != null) {
+                    sendIfStillNeeded(connection, query);
                   }
                 }));
   }
 
   /** Its job may have ended while the connection came up. */
-  void run(PooledConnection connection, ServerQuery query) {
-    if (query.isOver() || query.isTooLate(now())) {
-      query.endLost(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
-      free(connection);
+  void sendIfStillNeeded(PooledConnection connection, ServerQuery query) {
+    if (query.isFinished() || query.isObsolete(now())) {
+      query.fail(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
+      returnIdle(connection);
     } else {
-      connection.run(query);
+      connection.send(query);
     }
   }
 
-  void free(PooledConnection connection) {
+  void returnIdle(PooledConnection connection) {
     if (!connection.address().equals(address)) {
       connection.close();
       return;
     }
     idle.addFirst(connection);
     descriptors.idleNode(connection);
-    sweepLater();
+    scheduleSweep();
   }
 
-  void closed(PooledConnection connection) {
+  void onConnectionClosed(PooledConnection connection) {
     idle.remove(connection);
     descriptors.busy(connection);
     descriptors.nodeClosed();
   }
 
-  void letGo() {
+  void closeIdle() {
     new ArrayList<>(idle).forEach(PooledConnection::close);
   }
 
-  private void sweepLater() {
-    if (!sweeping && !idle.isEmpty()) {
-      sweeping = true;
-      long left = keptFor.minus(now().since(idle.peekLast().idleSince())).micros();
-      loop.schedule(this::sweep, Math.max(1_000, left), TimeUnit.MICROSECONDS);
+  private void scheduleSweep() {
+    if (!sweepScheduled && !idle.isEmpty()) {
+      sweepScheduled = true;
+      long remainingMicros = idleTimeout.minus(now().since(idle.peekLast().idleSince())).micros();
+      loop.schedule(this::sweep, Math.max(1_000, remainingMicros), TimeUnit.MICROSECONDS);
     }
   }
 
   private void sweep() {
-    sweeping = false;
+    sweepScheduled = false;
     closeStale();
-    sweepLater();
+    scheduleSweep();
   }
 
   @Override
--- a/router/src/main/java/basaltlever/net/DiscoveryWatch.java
+++ b/router/src/main/java/basaltlever/net/DiscoveryWatch.java
@@ -40,21 +40,21 @@
    * An empty line comes every 2 s; half of the 6 s in which silence must be made up for are left
    * then.
    */
-  private static final Span SILENCE = Span.ofMillis(3_000);
+  private static final Span SILENCE_TIMEOUT = Span.ofMillis(3_000);
 
   /** Bytes that never make a line are a sign of life for no longer than this. */
-  private static final Span LINE = Span.ofMillis(4_000);
+  private static final Span LINE_TIMEOUT = Span.ofMillis(4_000);
 
   /** A call to which nothing is said is given up by then. */
-  private static final Span ANSWER = Span.ofMillis(2_500);
+  private static final Span RESPONSE_TIMEOUT = Span.ofMillis(2_500);
 
   /** One whose answer has begun goes on for as long as entries come, at most for this long. */
-  private static final Span WHOLE = Span.ofMillis(20_000);
+  private static final Span FULL_RESPONSE_TIMEOUT = Span.ofMillis(20_000);
 
   /** So much of an answer is read at once, some tens of entries, and for so long in one turn. */
   private static final int READ_BYTES = 8_192;
 
-  private static final Span READS_FOR = Span.ofMillis(15);
+  private static final Span MAX_READ_TIME = Span.ofMillis(15);
 
   private final Bootstrap bootstrap;
   private final LoopIteration iteration;
@@ -63,10 +63,10 @@
   private InetSocketAddress discovery;
 
   /** The one whose news is taken; null while none has answered. */
-  private DiscoveryCall standing;
+  private DiscoveryCall establishedCall;
 
   /** The latest call while it has not answered. */
-  private DiscoveryCall opening;
+  private DiscoveryCall pendingCall;
 
   private int calls;
 
@@ -87,15 +87,15 @@
    * Versions mean nothing to another service: it is asked for the whole list, and ours holds till
    * then.
    */
-  void moveTo(InetSocketAddress other) {
-    if (!other.equals(discovery)) {
-      discovery = other;
+  void setDiscoveryAddress(InetSocketAddress newAddress) {
+    if (!newAddress.equals(discovery)) {
+      discovery = newAddress;
       list.requestFullList();
-      if (standing != null) {
-        standing.isOutdated();
+      if (establishedCall != null) {
+        establishedCall.discard();
       }
-      if (opening != null) {
-        opening.isOutdated();
+      if (pendingCall != null) {
+        pendingCall.discard();
       }
       start();
     }
@@ -104,8 +104,8 @@
   /**
    * Whether the first call is still under way; once it has failed, nothing is to be had for now.
    */
-  boolean isFirst() {
-    return calls == 1 && opening != null;
+  boolean isFirstCallPending() {
+    return calls == 1 && pendingCall != null;
   }
 
   /**
@@ -113,17 +113,19 @@
    * answered.
    */
   void start() {
-    if (opening != null) {
-      opening.drop();
+    if (pendingCall != null) {
+      pendingCall.close();
     }
     DiscoveryCall call = new DiscoveryCall();
-    opening = call;
+    pendingCall = call;
     calls++;
     ChannelFuture connecting =
         bootstrap
             .clone()
             .handler(call)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, new TimedReads(READ_BYTES, READS_FOR))
+            .option(
+                ChannelOption.RECVBUF_ALLOCATOR,
+                new TimeLimitedReadAllocator(READ_BYTES, MAX_READ_TIME))
             .connect(discovery);
     if (connecting.isDone() && !connecting.isSuccess()) {
       // No socket was to be had, or no way leads there: such a channel may belong to no loop.
@@ -131,7 +133,7 @@
       return;
     }
     call.channel = connecting.channel();
-    call.check();
+    call.checkTimeouts();
     connecting.addListener(
         done -> {
           if (!done.isSuccess()) {
@@ -145,17 +147,17 @@
     private final EndpointListReader reader = new EndpointListReader(this);
 
     /** Entries of a message under way that bind before it has come whole. */
-    private List<EndpointEntry> early = new ArrayList<>();
+    private List<EndpointEntry> earlyEntries = new ArrayList<>();
 
     private Channel channel;
     private Future<?> timer;
-    private final long since = System.nanoTime();
+    private final long startedAt = System.nanoTime();
 
     /** Any byte, and any line or object that was whole. */
-    private long lastByte;
+    private long lastByteAt;
 
-    private long lastWhole = since;
-    private boolean spoke;
+    private long lastCompleteAt = startedAt;
+    private boolean responseStarted;
 
     /**
      * Its news is no longer that of the list held here. What it said before it broke off still is.
@@ -163,26 +165,30 @@
     private boolean outdated;
 
     /** The timer is set anew at most once a silence, not at each byte. */
-    private void check() {
-      if (this != opening && this != standing) {
+    private void checkTimeouts() {
+      if (this != pendingCall && this != establishedCall) {
         return;
       }
-      long left =
-          this == opening && !spoke
-              ? left(ANSWER, since)
-              : this == opening
-                  ? Math.min(left(WHOLE, since), left(LINE, lastWhole))
-                  : Math.min(left(SILENCE, lastByte), left(LINE, lastWhole));
-      if (left > 0) {
-        timer = channel.eventLoop().schedule(this::check, left, TimeUnit.MICROSECONDS);
-      } else if (this == opening) {
+      long remaining =
+          this == pendingCall && !responseStarted
+              ? remainingMicros(RESPONSE_TIMEOUT, startedAt)
+              : this == pendingCall
+                  ? Math.min(
+                      remainingMicros(FULL_RESPONSE_TIMEOUT, startedAt),
+                      remainingMicros(LINE_TIMEOUT, lastCompleteAt))
+                  : Math.min(
+                      remainingMicros(SILENCE_TIMEOUT, lastByteAt),
+                      remainingMicros(LINE_TIMEOUT, lastCompleteAt));
+      if (remaining > 0) {
+        timer = channel.eventLoop().schedule(this::checkTimeouts, remaining, TimeUnit.MICROSECONDS);
+      } else if (this == pendingCall) {
         fail("a call was not answered");
       } else {
-        failed("discovery has been silent");
+        reportFailure("discovery has been silent");
       }
     }
 
-    private long left(Span limit, long from) {
+    private long remainingMicros(Span limit, long from) {
       return limit.micros() - (System.nanoTime() - from) / 1_000;
     }
 
@@ -204,10 +210,10 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object in)
         throws InvalidEndpointListException {
-      lastByte = System.nanoTime();
+      lastByteAt = System.nanoTime();
       // The head of an answer is a sign of life too.
-      lastWhole = spoke ? lastWhole : lastByte;
-      spoke = true;
+      lastCompleteAt = responseStarted ? lastCompleteAt : lastByteAt;
+      responseStarted = true;
       ByteBuf bytes = (ByteBuf) in;
       try {
         reader.read(bytes);
@@ -221,7 +227,7 @@
 
     @Override
     public void keepAlive() {
-      lastWhole = lastByte;
+      lastCompleteAt = lastByteAt;
     }
 
     /**
@@ -230,41 +236,41 @@
      */
     @Override
     public void entry(EndpointEntry entry) {
-      lastWhole = lastByte;
+      lastCompleteAt = lastByteAt;
       iteration.counters().add(Counter.LIST_ENTRIES_READ);
       if (entry.lifecycle() != EndpointLifecycle.READY && !outdated) {
-        if (early.isEmpty()) {
-          iteration.hearNews(this::takeEarly);
+        if (earlyEntries.isEmpty()) {
+          iteration.enqueueDiscovery(this::applyEarlyEntries);
         }
-        early.add(entry);
+        earlyEntries.add(entry);
       }
     }
 
-    private void takeEarly(Moment now) {
-      List<EndpointEntry> come = early;
-      early = new ArrayList<>();
+    private void applyEarlyEntries(Moment now) {
+      List<EndpointEntry> entries = earlyEntries;
+      earlyEntries = new ArrayList<>();
       if (!outdated) {
-        list.takeEarly(now, come);
+        list.takeEarly(now, entries);
       }
     }
 
     @Override
     public void update(EndpointUpdate update) {
-      lastWhole = lastByte;
+      lastCompleteAt = lastByteAt;
       if (outdated) {
         return;
       }
-      if (this == opening) {
-        if (standing != null) {
-          standing.isOutdated();
+      if (this == pendingCall) {
+        if (establishedCall != null) {
+          establishedCall.discard();
         }
-        standing = this;
-        opening = null;
+        establishedCall = this;
+        pendingCall = null;
       }
-      iteration.hearNews(now -> take(now, update));
+      iteration.enqueueDiscovery(now -> applyUpdate(now, update));
     }
 
-    private void take(Moment now, EndpointUpdate update) {
+    private void applyUpdate(Moment now, EndpointUpdate update) {
       try {
         if (!outdated) {
           list.takeUpdate(now, update, true);
@@ -286,31 +292,31 @@
       fail(cause instanceof InvalidEndpointListException ? cause.getMessage() : cause.toString());
     }
 
-    private void fail(String why) {
-      if (this == opening || this == standing) {
+    private void fail(String reason) {
+      if (this == pendingCall || this == establishedCall) {
         // Where another call is under way, that one's end is told.
-        boolean covered = this == standing && opening != null;
-        drop();
-        if (!covered) {
-          failed(why);
+        boolean isReplacementPending = this == establishedCall && pendingCall != null;
+        close();
+        if (!isReplacementPending) {
+          reportFailure(reason);
         }
       }
     }
 
-    private void failed(String why) {
+    private void reportFailure(String reason) {
       iteration.counters().add(Counter.LIST_CALL_FAILED);
-      Event.WATCH_FAILED.log(LOG, Level.INFO, "", why);
-      iteration.hear(core::listCallFailed);
+      Event.WATCH_FAILED.log(LOG, Level.INFO, "", reason);
+      iteration.enqueue(core::listCallFailed);
     }
 
-    private void isOutdated() {
+    private void discard() {
       outdated = true;
-      drop();
+      close();
     }
 
-    private void drop() {
-      opening = opening == this ? null : opening;
-      standing = standing == this ? null : standing;
+    private void close() {
+      pendingCall = pendingCall == this ? null : pendingCall;
+      establishedCall = establishedCall == this ? null : establishedCall;
       if (timer != null) {
         timer.cancel(false);
       }
--- a/router/src/main/java/basaltlever/net/IterationLoad.java
+++ b/router/src/main/java/basaltlever/net/IterationLoad.java
@@ -2,26 +2,26 @@
 
 /** What one turn of the loop had to do, for the log line of a slow one. */
 final class IterationLoad {
-  private static final long KILOBYTE = 1 << 10;
+  private static final long BYTES_PER_KB = 1 << 10;
   private int accepted;
   private int messages;
   private long heapAtStart;
 
   IterationLoad() {
-    begins();
+    reset();
   }
 
-  void begins() {
+  void reset() {
     accepted = 0;
     messages = 0;
     heapAtStart = heapUsed();
   }
 
-  void accepts() {
+  void countAccepted() {
     accepted++;
   }
 
-  void reads() {
+  void countMessage() {
     messages++;
   }
 
@@ -40,7 +40,7 @@
   /** A heap that holds less than at the start of the turn has been collected in it. */
   @Override
   public String toString() {
-    long grown = (heapUsed() - heapAtStart) / KILOBYTE;
+    long grown = (heapUsed() - heapAtStart) / BYTES_PER_KB;
     return accepted
         + " accepted, "
         + messages
--- a/router/src/main/java/basaltlever/net/LeaseGuard.java
+++ b/router/src/main/java/basaltlever/net/LeaseGuard.java
@@ -28,55 +28,55 @@
 final class LeaseGuard {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseGuard.class);
 
-  private static final int NONE = -1;
+  private static final int NO_TOKEN = -1;
 
   private final LeaseHolder leaseHolder = new LeaseHolder();
-  private final StartFile own;
-  private final Span widestBound;
+  private final StartFile installedFile;
+  private final Span maxStalenessBound;
   private final MembershipView membership;
   private final EndpointList list;
-  private final BiConsumer<StartFile, Settings> keepTo;
+  private final BiConsumer<StartFile, Settings> settingsListener;
 
   /** Asks discovery for the whole list. */
-  private final Runnable asksAnew;
+  private final Runnable fullListRequest;
 
-  private boolean adrift = true;
+  private boolean outOfContact = true;
   private long era;
-  private int stance;
-  private StartFile force;
-  private long refused;
-  private String refusal = "";
+  private int fencingToken;
+  private StartFile fileInForce;
+  private long refusedVersion;
+  private String refusalReason = "";
 
   /**
    * Own is the start file as installed; roll and list are this router's; keepTo is given the file
    * in force and what holds for now.
    */
   LeaseGuard(
-      StartFile own,
-      Span widestBound,
+      StartFile installedFile,
+      Span maxStalenessBound,
       MembershipView membership,
       EndpointList list,
-      Runnable asksAnew,
-      BiConsumer<StartFile, Settings> keepTo) {
-    this.own = own;
+      Runnable fullListRequest,
+      BiConsumer<StartFile, Settings> settingsListener) {
+    this.installedFile = installedFile;
     this.membership = membership;
     this.list = list;
-    this.asksAnew = asksAnew;
-    this.widestBound = widestBound;
-    this.keepTo = keepTo;
-    force = own;
+    this.fullListRequest = fullListRequest;
+    this.maxStalenessBound = maxStalenessBound;
+    this.settingsListener = settingsListener;
+    fileInForce = installedFile;
   }
 
-  LeaseHolder follower() {
+  LeaseHolder leaseHolder() {
     return leaseHolder;
   }
 
-  long refused() {
-    return refused;
+  long refusedVersion() {
+    return refusedVersion;
   }
 
-  String refusal() {
-    return refusal;
+  String refusalReason() {
+    return refusalReason;
   }
 
   /**
@@ -84,19 +84,19 @@
    * earlier process of this router was told last bounds what no care can: how many share a cold
    * node's budget, how long it takes to warm, how long a list may be kept.
    */
-  void begin(SettingsVersion told) {
-    Settings holds = own.startValues().settings();
-    if (told != null) {
+  void begin(SettingsVersion lastReceived) {
+    Settings effective = installedFile.startValues().settings();
+    if (lastReceived != null) {
       // As any version: by place, other names would give one workload the times of another.
-      String fault = fault(told);
+      String fault = findFault(lastReceived);
       if (fault.isEmpty()) {
-        holds = StricterSettings.of(holds, agreed(told));
+        effective = StricterSettings.of(effective, settingsOf(lastReceived));
       } else {
         Event.FLEET_TURNED_DOWN.log(
             LOG,
             Level.WARN,
             "left out: the start file is kept to, with care",
-            told.number(),
+            lastReceived.number(),
             fault);
       }
     }
@@ -104,26 +104,28 @@
         LOG,
         Level.INFO,
         "until its fleet is heard",
-        told == null ? "none" : told.number(),
+        lastReceived == null ? "none" : lastReceived.number(),
         "none",
         true);
-    keepTo.accept(own, StricterSettings.strictest(holds));
+    settingsListener.accept(installedFile, StricterSettings.strictest(effective));
   }
 
   /**
    * Counts up with every other thing that is kept to; none where what is kept to is over by now.
    */
-  int stance(Moment now) {
-    return leaseHolder.isExpired(now) || membership.isOutOfContact(now) != adrift ? NONE : stance;
+  int fencingToken(Moment now) {
+    return leaseHolder.isExpired(now) || membership.isOutOfContact(now) != outOfContact
+        ? NO_TOKEN
+        : fencingToken;
   }
 
   /** At the beginning of a turn. */
-  void look(Moment now) {
+  void checkLease(Moment now) {
     if (leaseHolder.noteExpiry(now)) {
-      keep();
+      applySettings();
     }
-    if (membership.isOutOfContact(now) != adrift) {
-      drifts(now);
+    if (membership.isOutOfContact(now) != outOfContact) {
+      updateContact(now);
     }
   }
 
@@ -131,35 +133,35 @@
    * Without a word for so long that any member may serve another group: none is used until one
    * comes.
    */
-  private void drifts(Moment now) {
-    adrift = membership.isOutOfContact(now);
-    stance++;
+  private void updateContact(Moment now) {
+    outOfContact = membership.isOutOfContact(now);
+    fencingToken++;
     Event.ADRIFT.log(
         LOG,
         Level.WARN,
-        adrift ? "no member is used" : "members are used again",
+        outOfContact ? "no member is used" : "members are used again",
         now.since(leaseHolder.leaseEnds()).micros() / 1_000);
     list.publishMembershipChanges(now);
   }
 
   /** With what the fleet makes of lists; null where its leader says nothing of them. */
-  void granted(Moment now, LeaseGrant grant, MembershipUpdate update) {
+  void onGrant(Moment now, LeaseGrant grant, MembershipUpdate update) {
     if (update != null) {
       membership.receiveUpdate(now, update);
     }
-    if (grant.prepared() != null && grant.prepared().number() != refused) {
-      String fault = fault(grant.prepared());
+    if (grant.prepared() != null && grant.prepared().number() != refusedVersion) {
+      String fault = findFault(grant.prepared());
       if (!fault.isEmpty()) {
-        refused = grant.prepared().number();
-        refusal = fault;
-        Event.FLEET_TURNED_DOWN.log(LOG, Level.WARN, "", refused, refusal);
+        refusedVersion = grant.prepared().number();
+        refusalReason = fault;
+        Event.FLEET_TURNED_DOWN.log(LOG, Level.WARN, "", refusedVersion, refusalReason);
       }
     }
     // A version that this router can't hold is not kept to either; the leader withdraws it for all.
-    boolean takes = grant.prepared() == null || grant.prepared().number() != refused;
+    boolean isAcceptable = grant.prepared() == null || grant.prepared().number() != refusedVersion;
     if (leaseHolder.acceptGrant(
         now,
-        takes
+        isAcceptable
             ? grant
             : new LeaseGrant(
                 grant.heartbeatNumber(),
@@ -167,80 +169,83 @@
                 grant.inForce(),
                 null,
                 grant.changeCount()))) {
-      keep();
+      applySettings();
     }
     if (grant.duration().micros() > 0) {
       // One that was replaced without knowing it goes on answering, with nothing to give.
       membership.extendLease(leaseHolder.leaseEnds());
     }
-    if (membership.isOutOfContact(now) != adrift) {
-      drifts(now);
+    if (membership.isOutOfContact(now) != outOfContact) {
+      updateContact(now);
     } else if (update != null) {
       list.publishMembershipChanges(now);
     }
     if (membership.needsList() && era != membership.era()) {
       era = membership.era();
-      asksAnew.run();
+      fullListRequest.run();
     }
   }
 
-  private String fault(SettingsVersion version) {
+  private String findFault(SettingsVersion version) {
     try {
-      StartFile next = file(version);
-      List<String> fixed = next.changesOfFixedFleetSettings(own);
-      if (!fixed.isEmpty()) {
-        return String.join(", ", fixed) + ": takes a restart";
+      StartFile candidate = fileWith(version);
+      List<String> keysNeedingRestart = candidate.changesOfFixedFleetSettings(installedFile);
+      if (!keysNeedingRestart.isEmpty()) {
+        return String.join(", ", keysNeedingRestart) + ": takes a restart";
       }
       return String.join(
           "; ",
           SettingsConstraints.findViolations(
-              next.startValues().settings(), own.startValues().settings(), widestBound));
+              candidate.startValues().settings(),
+              installedFile.startValues().settings(),
+              maxStalenessBound));
     } catch (InvalidSettingsException fault) {
       return fault.getMessage().replace('\n', ';');
     }
   }
 
   /** Of one that is free of faults. */
-  private Settings agreed(SettingsVersion version) {
+  private Settings settingsOf(SettingsVersion version) {
     try {
-      return file(version).startValues().settings();
+      return fileWith(version).startValues().settings();
     } catch (InvalidSettingsException impossible) {
       throw new IllegalStateException(impossible);
     }
   }
 
-  private StartFile file(SettingsVersion version) throws InvalidSettingsException {
-    return own.with(version.text(), version.routers());
+  private StartFile fileWith(SettingsVersion version) throws InvalidSettingsException {
+    return installedFile.with(version.text(), version.routers());
   }
 
-  private void keep() {
-    stance++;
-    SettingsVersion known = leaseHolder.inForce();
-    SettingsVersion next = leaseHolder.prepared();
-    Settings holds;
+  private void applySettings() {
+    fencingToken++;
+    SettingsVersion versionInForce = leaseHolder.inForce();
+    SettingsVersion preparedVersion = leaseHolder.prepared();
+    Settings effective;
     try {
-      force = known == null ? own : file(known);
-      holds = force.startValues().settings();
+      fileInForce = versionInForce == null ? installedFile : fileWith(versionInForce);
+      effective = fileInForce.startValues().settings();
       if (leaseHolder.isRestricted()) {
-        holds = StricterSettings.strictest(holds);
-      } else if (next != null) {
-        holds = StricterSettings.of(holds, file(next).startValues().settings());
+        effective = StricterSettings.strictest(effective);
+      } else if (preparedVersion != null) {
+        effective =
+            StricterSettings.of(effective, fileWith(preparedVersion).startValues().settings());
       }
-    } catch (InvalidSettingsException impossible) {
+    } catch (InvalidSettingsException unreadable) {
       // It was checked before it came into force, by this build or by another: whoever can't read
       // what
       // all others act on acts on nothing that could contradict it.
       Event.FLEET_TURNED_DOWN.log(
-          LOG, Level.ERROR, "kept to with care", known.number(), impossible.getMessage());
-      holds = StricterSettings.strictest(own.startValues().settings());
+          LOG, Level.ERROR, "kept to with care", versionInForce.number(), unreadable.getMessage());
+      effective = StricterSettings.strictest(installedFile.startValues().settings());
     }
     Event.FLEET_KEEPS.log(
         LOG,
         Level.INFO,
         "",
-        known == null ? "none" : known.number(),
-        next == null ? "none" : next.number(),
+        versionInForce == null ? "none" : versionInForce.number(),
+        preparedVersion == null ? "none" : preparedVersion.number(),
         leaseHolder.isRestricted());
-    keepTo.accept(force, holds);
+    settingsListener.accept(fileInForce, effective);
   }
 }
--- a/router/src/main/java/basaltlever/net/LoopIteration.java
+++ b/router/src/main/java/basaltlever/net/LoopIteration.java
@@ -28,54 +28,54 @@
   private final ClockOffset clockOffset = new ClockOffset();
 
   /** A turn that takes longer than this is counted, and named in the log. */
-  private static final Span SLOW = Span.ofMillis(20);
+  private static final Span SLOW_THRESHOLD = Span.ofMillis(20);
 
-  private final RateLimitedLog slowTurns;
+  private final RateLimitedLog slowIterationLog;
 
   /** A turn that comes this much after its reading does not know any more what has come since. */
-  private static final Span HELD_UP = Span.ofMillis(50);
+  private static final Span STALL_THRESHOLD = Span.ofMillis(50);
 
   /**
    * This loop is never without something to do for longer, or a standstill of the process would not
    * show.
    */
-  private static final Span TICKS = Span.ofMillis(50);
+  private static final Span TICK_INTERVAL = Span.ofMillis(50);
 
-  private final ArrayDeque<Consumer<Moment>> news = new ArrayDeque<>();
-  private final ArrayDeque<Consumer<Moment>> heard = new ArrayDeque<>();
-  private final ArrayDeque<Runnable> acts = new ArrayDeque<>();
+  private final ArrayDeque<Consumer<Moment>> discoveryInputs = new ArrayDeque<>();
+  private final ArrayDeque<Consumer<Moment>> inputs = new ArrayDeque<>();
+  private final ArrayDeque<Runnable> effects = new ArrayDeque<>();
 
   /** Null for nothing. */
-  private Consumer<Moment> first;
+  private Consumer<Moment> firstStep;
 
-  private boolean asked;
-  private boolean looksAgain;
+  private boolean runScheduled;
+  private boolean selectingAgain;
   private Moment now;
-  private Moment began;
+  private Moment startedAt;
   private final ReadinessClock readinessClock;
   private final IterationLoad load = new IterationLoad();
 
   /** What is to be done behind each turn. */
-  private Runnable last = () -> {};
+  private Runnable lastStep = () -> {};
 
   LoopIteration(SingleThreadEventLoop loop, Clock clock, ReadinessClock readinessClock) {
     this.loop = loop;
     this.clock = clock;
     this.readinessClock = readinessClock;
-    slowTurns = new RateLimitedLog(LOG, Event.TURN_SLOW, clock::now);
+    slowIterationLog = new RateLimitedLog(LOG, Event.TURN_SLOW, clock::now);
     now = clock.now();
-    began = now;
+    startedAt = now;
     tick();
   }
 
   private void tick() {
-    loop.schedule(this::tick, TICKS.micros(), TimeUnit.MICROSECONDS);
+    loop.schedule(this::tick, TICK_INTERVAL.micros(), TimeUnit.MICROSECONDS);
   }
 
   /** For handlers and timers; on the loop's thread only. */
-  void hear(Consumer<Moment> input) {
-    heard.add(input);
-    begins();
+  void enqueue(Consumer<Moment> input) {
+    inputs.add(input);
+    scheduleRun();
   }
 
   /**
@@ -83,32 +83,32 @@
    * up finds all of the meantime ready to be read at once, statements and the drain of the member
    * that they would go to.
    */
-  void hearNews(Consumer<Moment> input) {
-    news.add(input);
-    begins();
+  void enqueueDiscovery(Consumer<Moment> input) {
+    discoveryInputs.add(input);
+    scheduleRun();
   }
 
   /**
    * For handlers that read: no earlier than this can the bytes have come that are read in this
    * turn.
    */
-  Moment arrival() {
-    begins();
-    return readinessClock.cameSince();
+  Moment earliestArrival() {
+    scheduleRun();
+    return readinessClock.earliestArrival();
   }
 
   /**
    * Runs the task behind the loop's next look at its sockets: by way of a task, since what is put
    * behind an iteration from behind it would run in it.
    */
-  void afterNextLook(Runnable task) {
+  void runAfterNextSelect(Runnable task) {
     loop.executeAfterEventLoopIteration(
         () -> loop.execute(() -> loop.executeAfterEventLoopIteration(task)));
   }
 
   /** For how long this loop has been held up since it began, in all. */
-  Span heldUp() {
-    return readinessClock.heldUp();
+  Span stalledTime() {
+    return readinessClock.stalledTime();
   }
 
   /** What the turn under way has had to do. */
@@ -116,28 +116,28 @@
     return load;
   }
 
-  private void begins() {
-    if (!asked) {
-      asked = true;
-      readinessClock.cameSince();
-      began = clock.now();
+  private void scheduleRun() {
+    if (!runScheduled) {
+      runScheduled = true;
+      readinessClock.earliestArrival();
+      startedAt = clock.now();
       loop.executeAfterEventLoopIteration(this::run);
     }
   }
 
   /** To be done behind all else of each turn. */
-  void last(Runnable step) {
-    last = step;
+  void setLastStep(Runnable step) {
+    lastStep = step;
   }
 
   /** To be done in every turn before anything else is heard. */
-  void first(Consumer<Moment> look) {
-    first = look;
+  void setFirstStep(Consumer<Moment> step) {
+    firstStep = step;
   }
 
   /** For what the decisions want done. */
-  void act(Runnable effect) {
-    acts.add(effect);
+  void addEffect(Runnable effect) {
+    effects.add(effect);
   }
 
   /** The clock of the batch in hand, or of the last one. */
@@ -151,32 +151,32 @@
 
   private void run() {
     now = clock.now();
-    if (!looksAgain && now.since(began).isLongerThan(HELD_UP)) {
+    if (!selectingAgain && now.since(startedAt).isLongerThan(STALL_THRESHOLD)) {
       // Held up since it looked at its connections: news may wait there by now.
-      looksAgain = true;
+      selectingAgain = true;
       // By way of a task: what is put behind this iteration from here would run in it.
       loop.execute(() -> loop.executeAfterEventLoopIteration(this::run));
       return;
     }
-    asked = false;
-    looksAgain = false;
-    if (first != null) {
-      guarded("looking at the lease", () -> first.accept(now));
+    runScheduled = false;
+    selectingAgain = false;
+    if (firstStep != null) {
+      runGuarded("looking at the lease", () -> firstStep.accept(now));
     }
-    decide(news);
-    decide(heard);
-    for (Runnable act = acts.poll(); act != null; act = acts.poll()) {
-      guarded("carrying out", act);
+    processInputs(discoveryInputs);
+    processInputs(inputs);
+    for (Runnable effect = effects.poll(); effect != null; effect = effects.poll()) {
+      runGuarded("carrying out", effect);
     }
-    guarded("ending the turn", last);
-    Moment ended = clock.now();
-    if (ended.since(began).isLongerThan(SLOW)) {
+    runGuarded("ending the turn", lastStep);
+    Moment endedAt = clock.now();
+    if (endedAt.since(startedAt).isLongerThan(SLOW_THRESHOLD)) {
       counters.add(Counter.TURN_SLOW);
-      slowTurns.note(
-          ended.since(began).micros() / 1_000,
-          "reading took " + now.since(began).micros() / 1_000 + " ms of it, " + load);
+      slowIterationLog.note(
+          endedAt.since(startedAt).micros() / 1_000,
+          "reading took " + now.since(startedAt).micros() / 1_000 + " ms of it, " + load);
     }
-    load.begins();
+    load.reset();
   }
 
   /** How this process's clock stands to the servers'. */
@@ -189,19 +189,19 @@
     return counters;
   }
 
-  private void decide(ArrayDeque<Consumer<Moment>> inputs) {
+  private void processInputs(ArrayDeque<Consumer<Moment>> inputs) {
     // What is heard while this goes on belongs to the next turn.
-    for (int left = inputs.size(); left > 0; left--) {
+    for (int remaining = inputs.size(); remaining > 0; remaining--) {
       Consumer<Moment> input = inputs.poll();
-      guarded("deciding", () -> input.accept(now));
+      runGuarded("deciding", () -> input.accept(now));
     }
   }
 
-  private static void guarded(String what, Runnable step) {
+  private static void runGuarded(String description, Runnable step) {
     try {
       step.run();
     } catch (RuntimeException | OutOfMemoryError fault) {
-      Event.FAULT.fault(LOG, "", fault, what);
+      Event.FAULT.fault(LOG, "", fault, description);
     }
   }
 }
--- a/router/src/main/java/basaltlever/net/PeerTimeout.java
+++ b/router/src/main/java/basaltlever/net/PeerTimeout.java
@@ -19,7 +19,7 @@
   private final EventLoop loop;
   private final Runnable onTimeout;
   private Span extensionLeft;
-  private Span heldUpBefore;
+  private Span stalledTimeAtStart;
   private Future<?> timer;
   private boolean cancelled;
 
@@ -44,21 +44,21 @@
   }
 
   private void schedule(Span limit) {
-    heldUpBefore = iteration.heldUp();
-    timer = loop.schedule(this::isDue, Math.max(1, limit.micros()), TimeUnit.MICROSECONDS);
+    stalledTimeAtStart = iteration.stalledTime();
+    timer = loop.schedule(this::onTimer, Math.max(1, limit.micros()), TimeUnit.MICROSECONDS);
   }
 
-  private void isDue() {
-    Span heldUp = iteration.heldUp().minus(heldUpBefore).shorter(extensionLeft);
-    if (heldUp.isLongerThan(Span.NONE)) {
-      extensionLeft = extensionLeft.minus(heldUp);
-      schedule(heldUp);
+  private void onTimer() {
+    Span stalledTime = iteration.stalledTime().minus(stalledTimeAtStart).shorter(extensionLeft);
+    if (stalledTime.isLongerThan(Span.NONE)) {
+      extensionLeft = extensionLeft.minus(stalledTime);
+      schedule(stalledTime);
     } else {
-      iteration.afterNextLook(this::end);
+      iteration.runAfterNextSelect(this::fire);
     }
   }
 
-  private void end() {
+  private void fire() {
     if (!cancelled) {
       onTimeout.run();
     }
--- a/router/src/main/java/basaltlever/net/PendingStatement.java
+++ b/router/src/main/java/basaltlever/net/PendingStatement.java
@@ -15,18 +15,18 @@
   final Query query;
 
   /** Null where nobody follows it. */
-  final StatementTrace.Life life;
+  final StatementTrace.Life trace;
 
   /** By the count that the decisions give them. */
-  final List<ServerQuery> executions = new ArrayList<>(2);
+  final List<ServerQuery> attempts = new ArrayList<>(2);
 
   /** Its last byte had come by then at the latest, and its answer goes out by then. */
-  final Moment arrived;
+  final Moment arrivedAt;
 
-  Moment owedBy;
-  int out;
+  Moment answerDeadline;
+  int openAttempts;
   boolean answered;
-  boolean forgotten;
+  boolean released;
 
   /** Takes the text over. */
   PendingStatement(
@@ -34,13 +34,13 @@
       ClientConnection client,
       ByteBuf text,
       Query query,
-      Moment arrived,
-      StatementTrace.Life life) {
+      Moment arrivedAt,
+      StatementTrace.Life trace) {
     this.ticket = ticket;
     this.client = client;
     this.text = text;
     this.query = query;
-    this.arrived = arrived;
-    this.life = life;
+    this.arrivedAt = arrivedAt;
+    this.trace = trace;
   }
 }
--- a/router/src/main/java/basaltlever/net/PooledConnection.java
+++ b/router/src/main/java/basaltlever/net/PooledConnection.java
@@ -27,7 +27,7 @@
    * Values of up to 400 KB were met, though 64 KiB are agreed: a bound on memory, not on what is
    * right.
    */
-  private static final int LARGEST = 1 << 20;
+  private static final int MAX_MESSAGE_BYTES = 1 << 20;
 
   private enum State {
     OPENING,
@@ -43,32 +43,32 @@
   private State state = State.OPENING;
   private ServerQuery query;
   private QueryResponse response;
-  private PeerTimeout upBy;
+  private PeerTimeout connectTimeout;
   private Moment idleSince;
 
   /** Whether what came could not be read: the node lives and the statement may have run. */
-  private boolean spoilt;
+  private boolean protocolViolated;
 
   /** Whether it could carry its job by now. */
-  private boolean welcomed;
+  private boolean startupCompleted;
 
   /** Opens it for the job, which is its own until the job is over. */
   PooledConnection(
       ConnectionPool pool, InetSocketAddress address, MemoryBudget budget, ServerQuery query) {
     this.pool = pool;
     this.address = address;
-    decoder = new MessageDecoder(LARGEST, budget);
+    decoder = new MessageDecoder(MAX_MESSAGE_BYTES, budget);
     this.query = query;
-    query.on(this);
+    query.attachTo(this);
   }
 
-  void opens(Channel opening) {
-    channel = opening;
-    upBy = pool.connectTimeout(this::connectTimedOut);
+  void onConnecting(Channel connectingChannel) {
+    channel = connectingChannel;
+    connectTimeout = pool.connectTimeout(this::onConnectTimeout);
   }
 
-  private void connectTimedOut() {
-    if (state == State.OPENING && !welcomed) {
+  private void onConnectTimeout() {
+    if (state == State.OPENING && !startupCompleted) {
       pool.count(Counter.NODE_CONNECT_TIMED_OUT);
       close();
     }
@@ -80,28 +80,28 @@
   }
 
   /** The job that it was opened for, which may be over by now; null where this connection is. */
-  ServerQuery first() {
+  ServerQuery takeFirstQuery() {
     if (state != State.OPENING) {
       return null;
     }
-    ServerQuery first = query;
-    idle();
-    return first;
+    ServerQuery firstQuery = query;
+    markIdle();
+    return firstQuery;
   }
 
-  void run(ServerQuery next) {
+  void send(ServerQuery nextQuery) {
     state = State.BUSY;
-    query = next;
-    next.on(this);
+    query = nextQuery;
+    nextQuery.attachTo(this);
     response = new QueryResponse();
     ByteBuf out = channel.alloc().buffer();
-    next.write(out);
+    nextQuery.write(out);
     channel
         .writeAndFlush(out)
         .addListener(
             done -> {
               if (done.isSuccess()) {
-                next.wasWritten();
+                nextQuery.markWritten();
               }
             });
   }
@@ -120,12 +120,12 @@
       return;
     }
     decoder.add((ByteBuf) in);
-    for (ByteBuf m = decoder.nextMessage();
-        m != null && state != State.CLOSED;
-        m = decoder.nextMessage()) {
-      message(m);
+    for (ByteBuf message = decoder.nextMessage();
+        message != null && state != State.CLOSED;
+        message = decoder.nextMessage()) {
+      handleMessage(message);
     }
-    if ((state == State.IDLE || (state == State.OPENING && welcomed))
+    if ((state == State.IDLE || (state == State.OPENING && startupCompleted))
         && decoder.bufferedBytes() > 0) {
       // Its rest would be taken for the beginning of the next query's answer.
       throw new ProtocolException(
@@ -133,22 +133,24 @@
     }
   }
 
-  private void message(ByteBuf message) throws ProtocolException {
+  private void handleMessage(ByteBuf message) throws ProtocolException {
     byte type = message.getByte(message.readerIndex());
     if (state == State.BUSY) {
       if (response.add(message)) {
-        finished();
+        onResponseComplete();
       } else if (response.isUnusable()) {
         throw new ProtocolException(
             ProtocolCodes.PROTOCOL_VIOLATION, "an answer is no row, or goes on without end");
       }
-    } else if (type == ProtocolCodes.READY_FOR_QUERY && state == State.OPENING && !welcomed) {
+    } else if (type == ProtocolCodes.READY_FOR_QUERY
+        && state == State.OPENING
+        && !startupCompleted) {
       if (decoder.bufferedBytes() > 0) {
         throw new ProtocolException(ProtocolCodes.PROTOCOL_VIOLATION, "more than a welcome");
       }
-      upBy.cancel();
-      welcomed = true;
-      pool.welcomed(this);
+      connectTimeout.cancel();
+      startupCompleted = true;
+      pool.onStartupCompleted(this);
     } else if (type == ProtocolCodes.ERROR_RESPONSE && state == State.OPENING) {
       LOG.debug("{} turned a connection away: {}", pool, QueryResponse.errorField(message, 'C'));
       close();
@@ -159,34 +161,35 @@
         && type != ProtocolCodes.BACKEND_KEY_DATA
         && !(type == ProtocolCodes.AUTHENTICATION
             && state == State.OPENING
-            && isAdmission(message))) {
+            && isAuthenticationOk(message))) {
       throw new ProtocolException(
           ProtocolCodes.PROTOCOL_VIOLATION, "a message of type " + type + " that nobody asked for");
     }
   }
 
-  private static boolean isAdmission(ByteBuf message) {
+  private static boolean isAuthenticationOk(ByteBuf message) {
     return message.readableBytes() == MessageDecoder.HEADER_BYTES + 4
         && message.getInt(message.readerIndex() + MessageDecoder.HEADER_BYTES) == 0;
   }
 
-  private void finished() {
-    ServerQuery done = query;
-    QueryResponse whole = response;
+  private void onResponseComplete() {
+    ServerQuery finishedQuery = query;
+    QueryResponse completeResponse = response;
     response = null;
-    if (decoder.bufferedBytes() == 0 && (whole.isSingleRow() || whole.sqlState() != null)) {
-      idle();
-      done.endAnswered(whole);
-      pool.free(this);
+    if (decoder.bufferedBytes() == 0
+        && (completeResponse.isSingleRow() || completeResponse.sqlState() != null)) {
+      markIdle();
+      finishedQuery.complete(completeResponse);
+      pool.returnIdle(this);
     } else {
       // A good answer stands, but what follows it unasked would be taken for the next one's.
-      pool.spoilt("an answer to a query is none, or more than one");
-      done.endAnswered(whole);
+      pool.logProtocolViolation("an answer to a query is none, or more than one");
+      finishedQuery.complete(completeResponse);
       close();
     }
   }
 
-  private void idle() {
+  private void markIdle() {
     state = State.IDLE;
     query = null;
     idleSince = pool.now();
@@ -222,7 +225,7 @@
     if (channel != null) {
       channel.close();
     }
-    gone();
+    onClosed();
   }
 
   @Override
@@ -230,14 +233,14 @@
     if (state != State.CLOSED) {
       pool.count(Counter.NODE_CONNECTION_LOST);
     }
-    gone();
+    onClosed();
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     if (cause instanceof ProtocolException) {
-      spoilt = true;
-      pool.spoilt(cause.getMessage());
+      protocolViolated = true;
+      pool.logProtocolViolation(cause.getMessage());
     } else if (!(cause instanceof java.io.IOException)) {
       Event.FAULT.fault(LOG, "", cause, "talking to node " + pool);
     }
@@ -245,31 +248,35 @@
   }
 
   /** Once, however the connection ended. */
-  void gone() {
+  void onClosed() {
     if (state == State.CLOSED) {
       return;
     }
     state = State.CLOSED;
-    if (upBy != null) {
-      upBy.cancel();
+    if (connectTimeout != null) {
+      connectTimeout.cancel();
     }
     decoder.release();
-    pool.closed(this);
-    ServerQuery lost = query;
+    pool.onConnectionClosed(this);
+    ServerQuery openQuery = query;
     query = null;
-    QueryResponse cut = response;
+    QueryResponse partialResponse = response;
     response = null;
-    if (lost != null && cut != null && cut.sqlState() != null && !spoilt) {
+    if (openQuery != null
+        && partialResponse != null
+        && partialResponse.sqlState() != null
+        && !protocolViolated) {
       // A fatal error needs no ReadyForQuery: what it says was proven before the end.
-      lost.endAnswered(cut);
+      openQuery.complete(partialResponse);
       return;
     }
-    if (lost != null) {
-      lost.endLost(
-          AttemptOutcome.NO_CONNECTION, spoilt ? AttemptOutcome.UNKNOWN : AttemptOutcome.RESET);
+    if (openQuery != null) {
+      openQuery.fail(
+          AttemptOutcome.NO_CONNECTION,
+          protocolViolated ? AttemptOutcome.UNKNOWN : AttemptOutcome.RESET);
     }
-    if (cut != null) {
-      cut.release();
+    if (partialResponse != null) {
+      partialResponse.release();
     }
   }
 }
--- a/router/src/main/java/basaltlever/net/PreciseSelectStrategy.java
+++ b/router/src/main/java/basaltlever/net/PreciseSelectStrategy.java
@@ -17,101 +17,103 @@
  * up to a millisecond late and costs one look.
  */
 final class PreciseSelectStrategy implements IoHandler {
-  private static final long MICRO = TimeUnit.MICROSECONDS.toNanos(1);
+  private static final long NANOS_PER_MICRO = TimeUnit.MICROSECONDS.toNanos(1);
 
   /** No loop waits for longer: a timer of the turn is always due sooner. */
-  private static final long LONGEST_WAIT = TimeUnit.SECONDS.toNanos(1);
+  private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
-  private final IoHandler sockets;
-  private final Rounded rounded = new Rounded();
+  private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+  private final IoHandler ioHandler;
+  private final RoundingContext roundingContext = new RoundingContext();
 
   private final ReadinessClock readinessClock;
 
-  private PreciseSelectStrategy(IoHandler sockets, ReadinessClock readinessClock) {
-    this.sockets = sockets;
+  private PreciseSelectStrategy(IoHandler ioHandler, ReadinessClock readinessClock) {
+    this.ioHandler = ioHandler;
     this.readinessClock = readinessClock;
   }
 
   /** For one loop, whose looks at its sockets the clock is told of. */
   static IoHandlerFactory newFactory(ReadinessClock readinessClock) {
-    IoHandlerFactory sockets = NioIoHandler.newFactory();
-    return executor -> new PreciseSelectStrategy(sockets.newHandler(executor), readinessClock);
+    IoHandlerFactory ioHandlerFactory = NioIoHandler.newFactory();
+    return executor ->
+        new PreciseSelectStrategy(ioHandlerFactory.newHandler(executor), readinessClock);
   }
 
-  private final class Rounded implements IoHandlerContext {
-    private IoHandlerContext of;
+  private final class RoundingContext implements IoHandlerContext {
+    private IoHandlerContext delegate;
 
-    private long up(long nanos) {
-      return nanos <= 0 || nanos > Long.MAX_VALUE - MILLI
+    private long roundUpToMillis(long nanos) {
+      return nanos <= 0 || nanos > Long.MAX_VALUE - NANOS_PER_MILLI
           ? nanos
-          : (nanos + MILLI - 1) / MILLI * MILLI;
+          : (nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI;
     }
 
     @Override
     public boolean canBlock() {
-      return of.canBlock();
+      return delegate.canBlock();
     }
 
     @Override
     public long delayNanos(long now) {
-      long delay = up(of.delayNanos(now));
-      readinessClock.waits(new Span(Math.max(0, Math.min(delay, LONGEST_WAIT)) / MICRO));
+      long delay = roundUpToMillis(delegate.delayNanos(now));
+      readinessClock.onSelectWait(
+          new Span(Math.max(0, Math.min(delay, MAX_WAIT_NANOS)) / NANOS_PER_MICRO));
       return delay;
     }
 
     @Override
     public long deadlineNanos() {
-      return of.deadlineNanos();
+      return delegate.deadlineNanos();
     }
 
     @Override
     public void reportActiveIoTime(long nanos) {
-      of.reportActiveIoTime(nanos);
+      delegate.reportActiveIoTime(nanos);
     }
 
     @Override
     public boolean shouldReportActiveIoTime() {
-      return of.shouldReportActiveIoTime();
+      return delegate.shouldReportActiveIoTime();
     }
   }
 
   @Override
   public int run(IoHandlerContext context) {
-    rounded.of = context;
-    readinessClock.begins();
-    int handled = sockets.run(rounded);
-    readinessClock.ends();
+    roundingContext.delegate = context;
+    readinessClock.onSelectStart();
+    int handled = ioHandler.run(roundingContext);
+    readinessClock.onIterationEnd();
     return handled;
   }
 
   @Override
   public void initialize() {
-    sockets.initialize();
+    ioHandler.initialize();
   }
 
   @Override
   public void prepareToDestroy() {
-    sockets.prepareToDestroy();
+    ioHandler.prepareToDestroy();
   }
 
   @Override
   public void destroy() {
-    sockets.destroy();
+    ioHandler.destroy();
   }
 
   @Override
   public IoRegistration register(IoHandle handle) throws Exception {
-    return sockets.register(handle);
+    return ioHandler.register(handle);
   }
 
   @Override
   public void wakeup() {
-    sockets.wakeup();
+    ioHandler.wakeup();
   }
 
   @Override
   public boolean isCompatible(Class<? extends IoHandle> type) {
-    return sockets.isCompatible(type);
+    return ioHandler.isCompatible(type);
   }
 }
--- a/router/src/main/java/basaltlever/net/ReadinessClock.java
+++ b/router/src/main/java/basaltlever/net/ReadinessClock.java
@@ -14,79 +14,81 @@
   /**
    * A look that found something sooner did not wait for it: it may have come since the look before.
    */
-  private static final Span AT_ONCE = Span.ofMillis(5);
+  private static final Span MIN_WAIT = Span.ofMillis(5);
 
   /** A look that lasts this much longer than it was to wait was held up. */
-  private static final Span HELD_UP = Span.ofMillis(10);
+  private static final Span STALL_THRESHOLD = Span.ofMillis(10);
 
   private final Supplier<Moment> clock;
-  private Moment began;
-  private Moment waitsUntil;
+  private Moment selectStartedAt;
+  private Moment selectDueAt;
 
   /** Whether something has been handled since this look began, and when that began. */
   private boolean handling;
 
-  private Moment handledAt;
+  private Moment handlingStartedAt;
 
   /** At the last look that proves it, all sockets were empty that it did not find readable. */
-  private Moment provenAt;
+  private Moment provenEmptyAt;
 
-  private Moment bound;
-  private Span heldUp = Span.NONE;
+  private Moment earliestArrival;
+  private Span stalledTime = Span.NONE;
 
   ReadinessClock(Supplier<Moment> clock) {
     this.clock = clock;
-    began = clock.get();
-    waitsUntil = began;
-    handledAt = began;
-    provenAt = began;
-    bound = began;
+    selectStartedAt = clock.get();
+    selectDueAt = selectStartedAt;
+    handlingStartedAt = selectStartedAt;
+    provenEmptyAt = selectStartedAt;
+    earliestArrival = selectStartedAt;
   }
 
   /** A look at the sockets begins, and the former one with all behind it is over. */
-  void begins() {
-    began = clock.get();
-    Span handledFor = began.since(handledAt);
-    heldUp = handledFor.isLongerThan(HELD_UP) ? heldUp.plus(handledFor) : heldUp;
-    waitsUntil = began;
+  void onSelectStart() {
+    selectStartedAt = clock.get();
+    Span handlingTime = selectStartedAt.since(handlingStartedAt);
+    stalledTime =
+        handlingTime.isLongerThan(STALL_THRESHOLD) ? stalledTime.plus(handlingTime) : stalledTime;
+    selectDueAt = selectStartedAt;
     handling = false;
   }
 
   /** The look that has begun waits for something to come, but for no longer than this. */
-  void waits(Span longest) {
-    waitsUntil = began.plus(longest);
+  void onSelectWait(Span maxWait) {
+    selectDueAt = selectStartedAt.plus(maxWait);
   }
 
   /** The look is over and what it found was handled. */
-  void ends() {
+  void onIterationEnd() {
     if (!handling) {
-      found();
+      onSelectReturn();
     }
   }
 
   /** What is read from here on, up to the next look, came no earlier than this. */
-  Moment cameSince() {
+  Moment earliestArrival() {
     if (!handling) {
-      found();
+      onSelectReturn();
     }
-    return bound;
+    return earliestArrival;
   }
 
   /**
    * For how long, in all, the loop was not there for its sockets: what it handled between two looks
    * took long, or a look lasted longer than it was to wait.
    */
-  Span heldUp() {
-    return heldUp;
+  Span stalledTime() {
+    return stalledTime;
   }
 
-  private void found() {
+  private void onSelectReturn() {
     handling = true;
-    handledAt = clock.get();
-    boolean isHeldUp = handledAt.isAfter(waitsUntil.plus(HELD_UP));
-    heldUp = isHeldUp ? heldUp.plus(handledAt.since(waitsUntil)) : heldUp;
-    boolean waited = !isHeldUp && handledAt.since(began).isLongerThan(AT_ONCE);
-    bound = waited ? handledAt : provenAt;
-    provenAt = isHeldUp ? provenAt : handledAt;
+    handlingStartedAt = clock.get();
+    boolean isStalled = handlingStartedAt.isAfter(selectDueAt.plus(STALL_THRESHOLD));
+    stalledTime = isStalled ? stalledTime.plus(handlingStartedAt.since(selectDueAt)) : stalledTime;
+    boolean hasWaited =
+        !isStalled && handlingStartedAt.since(selectStartedAt).isLongerThan(MIN_WAIT);
+    earliestArrival = hasWaited ? handlingStartedAt : provenEmptyAt;
+    provenEmptyAt = isStalled ? provenEmptyAt : handlingStartedAt;
   }
 }
--- a/router/src/main/java/basaltlever/net/Router.java
+++ b/router/src/main/java/basaltlever/net/Router.java
@@ -64,62 +64,62 @@
   private static final Logger LOG = LoggerFactory.getLogger(Router.class);
 
   /** After the signal to end, new connections keep coming for up to 0.4 s. */
-  private static final Span STILL_LISTENS = Span.ofMillis(500);
+  private static final Span MIN_LISTEN_TIME = Span.ofMillis(500);
 
   /**
    * Not before this long after the signal and the longest statement timeout is a process killed.
    */
-  private static final Span SPARED = Span.ofMillis(700);
+  private static final Span KILL_GRACE = Span.ofMillis(700);
 
   /** A longest statement timeout of more counts as this much there. */
-  private static final Span LONGEST_SPARED = Span.ofMillis(3_000);
+  private static final Span MAX_GRACE_TIMEOUT = Span.ofMillis(3_000);
 
   /**
    * By so much sooner all is answered, and by the other it ends though clients keep their side
    * open.
    */
-  private static final Span ANSWERS_BEFORE = Span.ofMillis(120);
+  private static final Span ANSWER_MARGIN = Span.ofMillis(120);
 
-  private static final Span ENDS_BEFORE = Span.ofMillis(40);
-  private static final Span SWEEPS = Span.ofMillis(200);
-  private static final Span READS = Span.ofMillis(1_000);
-  private static final int READ_IN = 3;
-  private static final Span REPORTS = Span.ofMillis(5_000);
-  private static final Span LONGEST_LOOK = Span.ofMillis(1_000);
+  private static final Span EXIT_MARGIN = Span.ofMillis(40);
+  private static final Span SWEEP_INTERVAL = Span.ofMillis(200);
+  private static final Span TABLE_READ_INTERVAL = Span.ofMillis(1_000);
+  private static final int TABLE_READ_ROUNDS = 3;
+  private static final Span REPORT_INTERVAL = Span.ofMillis(5_000);
+  private static final Span MAX_FIRST_POLL_WAIT = Span.ofMillis(1_000);
 
   /** For the first list to come; a process is held to what discovery knows before it has asked. */
-  private static final Span LONGEST_CALL = Span.ofMillis(2_000);
+  private static final Span MAX_FIRST_LIST_WAIT = Span.ofMillis(2_000);
 
-  private static final int NODES_A_TURN = 32;
-  private static final Span LONGEST_EXPORT = Span.ofMillis(1_000);
-  private static final Span LOOK_AGAIN = Span.ofMillis(10);
+  private static final int ENDPOINTS_PER_EXPORT_STEP = 32;
+  private static final Span EXPORT_TIMEOUT = Span.ofMillis(1_000);
+  private static final Span RECHECK_INTERVAL = Span.ofMillis(10);
 
   /**
    * Sockets of the loop, the listener and discovery, and files that the runtime opens late. Clients
    * are accepted only where there is room for them.
    */
-  private static final int RESERVED = 24;
+  private static final int RESERVED_DESCRIPTORS = 24;
 
-  private static final int PAGE = 8_192;
-  private static final int CHUNK_ORDER = 6;
+  private static final int BUFFER_PAGE_BYTES = 8_192;
+  private static final int BUFFER_CHUNK_ORDER = 6;
 
   /**
    * Connections that may wait to be accepted; the system may allow fewer. Where it overflows Linux
    * answers by SYN cookies, and resets connections that their clients take to be established.
    */
-  private static final int LISTEN_QUEUE = 4_096;
+  private static final int LISTEN_QUEUE_LENGTH = 4_096;
 
-  private static final Span JOINS = Span.ofMillis(4_000);
+  private static final Span MIN_JOIN_TIMEOUT = Span.ofMillis(4_000);
 
-  private final SystemListenQueue listenQueue = new SystemListenQueue(LISTEN_QUEUE);
+  private final SystemListenQueue listenQueue = new SystemListenQueue(LISTEN_QUEUE_LENGTH);
   private final CountDownLatch stopped = new CountDownLatch(1);
-  private final Map<String, ConnectionPool> links = new LinkedHashMap<>();
+  private final Map<String, ConnectionPool> pools = new LinkedHashMap<>();
   private RouterPhase phase = RouterPhase.READING;
   private Path file;
   private StartFile start;
 
   /** The file whose settings hold. */
-  private StartFile inForce;
+  private StartFile fileInForce;
 
   private volatile OperatorFile operator;
 
@@ -131,64 +131,65 @@
   private EndpointList list;
   private DiscoveryWatch watch;
   private Descriptors descriptors;
-  private Bootstrap outwards;
-  private int reserved;
-  private int reads;
+  private Bootstrap outboundBootstrap;
+  private int reservedDescriptors;
+  private int tableReadRound;
   private MultiThreadIoEventLoopGroup group;
 
   /** Read by the thread that hears the signal to end. */
   private volatile SingleThreadEventLoop loop;
 
   private volatile Channel listener;
-  private AcceptHandler accepting;
+  private AcceptHandler acceptHandler;
   private Clock clock;
   private ReadinessClock readinessClock;
   private ClientSessions clients;
   private WorkloadSlots slots;
-  private RateLimitedLog badClients;
+  private RateLimitedLog badClientLog;
   private AttemptExecutor executor;
-  private HoldBudget holds;
+  private HoldBudget holdBudget;
   private Span longestTimeout;
 
   /** Statements that take longer are followed in the log; null for none. */
-  private Span follows;
+  private Span traceThreshold;
 
   private StatementTrace trace;
-  private Moment swept;
+  private Moment lastSweepAt;
   private volatile FleetMember fleet;
   private LeaseGuard leaseGuard;
   private MembershipView membership;
   private PooledByteBufAllocator buffers;
 
   /** To be said before it starts: the life of each statement that takes longer goes to the log. */
-  public void follow(Span over) {
-    follows = over;
+  public void traceStatementsSlowerThan(Span threshold) {
+    traceThreshold = threshold;
   }
 
   /**
    * Reads, listens, and returns once it serves. The operator's file is null where there is none.
    */
-  public void start(Path from, OperatorFile with)
+  public void start(Path startFilePath, OperatorFile operatorFile)
       throws InvalidSettingsException, InterruptedException {
-    file = from;
-    start = StartFile.read(from);
-    inForce = start;
-    operator = with;
-    snapshotWriter = keeper();
+    file = startFilePath;
+    start = StartFile.read(startFilePath);
+    fileInForce = start;
+    operator = operatorFile;
+    snapshotWriter = createSnapshotWriter();
     Span longest = start.startValues().longestTimeout();
-    if (with != null
-        && with.fleet() != null
-        && with.fleet()
+    if (operatorFile != null
+        && operatorFile.fleet() != null
+        && operatorFile
+            .fleet()
             .assignmentLifetime()
-            .isShorterThan(longest.plus(with.fleet().fencingTime()))) {
+            .isShorterThan(longest.plus(operatorFile.fleet().fencingTime()))) {
       throw new InvalidSettingsException(
           List.of(
               "fleet.assigned_ms is "
-                  + with.fleet().assignmentLifetime().micros() / 1_000
+                  + operatorFile.fleet().assignmentLifetime().micros() / 1_000
                   + ", less than fleet.stated_ms and the longest HardLimit together: what is out at a member then"
                   + " would not be over"));
     }
-    enter(RouterPhase.DISCOVERING);
+    enterPhase(RouterPhase.DISCOVERING);
     clock = new Clock();
     readinessClock = new ReadinessClock(clock::now);
     group = new MultiThreadIoEventLoopGroup(1, PreciseSelectStrategy.newFactory(readinessClock));
@@ -197,16 +198,16 @@
     // Read meanwhile, on the keeper's thread: what it loads first would else be added to the start.
     StateRestore restore =
         snapshotWriter == null ? StateRestore.NOTHING : snapshotWriter.awaitRestore();
-    loop.submit(() -> begin(restore)).sync();
+    loop.submit(() -> restore(restore)).sync();
     joinFleet();
-    Promise<Void> looked = loop.newPromise();
-    loop.execute(() -> lookAround(looked, System.nanoTime()));
+    Promise<Void> firstPolls = loop.newPromise();
+    loop.execute(() -> awaitFirstPolls(firstPolls, System.nanoTime()));
     // The loop waits for the first look: what is loaded meanwhile delays the start least.
     ListenerSocket.load();
-    looked.sync();
+    firstPolls.sync();
     ChannelFuture bound = loop.submit(this::listen).sync().getNow();
     if (!bound.await().isSuccess()) {
-      endUnserved();
+      shutDownUnserved();
       if (snapshotWriter != null) {
         snapshotWriter.close(null);
       }
@@ -214,11 +215,11 @@
           List.of("listen: " + start.listen() + " can't be bound: " + bound.cause().getMessage()));
     }
     listener = bound.channel();
-    beginDeferral();
+    enableAcceptDeferral();
     loop.submit(
             () -> {
-              executor.serves();
-              enter(RouterPhase.SERVING);
+              executor.onServing();
+              enterPhase(RouterPhase.SERVING);
             })
         .sync();
     Event.SERVES.log(LOG, Level.INFO, "", start.name(), address());
@@ -227,10 +228,10 @@
     }
   }
 
-  private void beginDeferral() throws InterruptedException {
+  private void enableAcceptDeferral() throws InterruptedException {
     try {
       ListenerSocket socket = ListenerSocket.find(address());
-      loop.submit(() -> accepting.beginDeferral(socket)).sync();
+      loop.submit(() -> acceptHandler.beginDeferral(socket)).sync();
     } catch (IOException fault) {
       Event.ACCEPT_DEFERRED.log(LOG, Level.WARN, "", "UNAVAILABLE", fault);
     }
@@ -241,28 +242,28 @@
    * both are left.
    */
   public void reload() throws InterruptedException {
-    StartFile next;
-    OperatorFile nextOperator;
+    StartFile newFile;
+    OperatorFile newOperatorFile;
     try {
-      next = StartFile.read(file);
-      next.takeStoredEndpointList();
-      nextOperator = operator == null ? null : OperatorFile.read(operator.path());
+      newFile = StartFile.read(file);
+      newFile.takeStoredEndpointList();
+      newOperatorFile = operator == null ? null : OperatorFile.read(operator.path());
     } catch (InvalidSettingsException fault) {
       Event.RELOAD_REFUSED.log(LOG, Level.ERROR, "all stays as it was", fault.getMessage());
       return;
     }
     loop.execute(
         () -> {
-          Event.RELOADED.log(LOG, Level.INFO, "", next.discovery());
-          next.changesNeedingRestart(start).forEach(this::needsRestart);
-          descriptors.most(next.maxDescriptors() - reserved);
-          watch.moveTo(next.discovery());
-          agree(next);
-          heed(nextOperator);
+          Event.RELOADED.log(LOG, Level.INFO, "", newFile.discovery());
+          newFile.changesNeedingRestart(start).forEach(this::logNeedsRestart);
+          descriptors.most(newFile.maxDescriptors() - reservedDescriptors);
+          watch.setDiscoveryAddress(newFile.discovery());
+          applySettings(newFile);
+          applyOperatorFile(newOperatorFile);
         });
-    if (nextOperator != null) {
-      nextOperator.changesNeedingRestart(operator).forEach(this::needsRestart);
-      keepBy(nextOperator);
+    if (newOperatorFile != null) {
+      newOperatorFile.changesNeedingRestart(operator).forEach(this::logNeedsRestart);
+      updateSnapshotWriter(newOperatorFile);
     }
   }
 
@@ -271,8 +272,8 @@
    * executions and who owes what, and see to it that the new rules hold for all that is sent from
    * here on.
    */
-  private void agree(StartFile next) {
-    if (next.hasSettingsOf(fleet == null ? inForce : start)) {
+  private void applySettings(StartFile newFile) {
+    if (newFile.hasSettingsOf(fleet == null ? fileInForce : start)) {
       return;
     }
     if (fleet != null) {
@@ -280,17 +281,17 @@
           LOG, Level.ERROR, "this fleet agrees on its settings: propose a version", "settings");
       return;
     }
-    List<String> fixed = next.changesOfFixedSettings(inForce);
-    if (!fixed.isEmpty()) {
+    List<String> keysNeedingRestart = newFile.changesOfFixedSettings(fileInForce);
+    if (!keysNeedingRestart.isEmpty()) {
       Event.SETTINGS_LEFT.log(
           LOG,
           Level.ERROR,
           "these need a restart; all settings stay as they were",
-          String.join(",", fixed));
+          String.join(",", keysNeedingRestart));
       return;
     }
-    WorkloadSlots room = slots.with(next.startValues().workloadNames());
-    if (room.size() > WorkloadSlots.MAX_SLOTS) {
+    WorkloadSlots newSlots = slots.with(newFile.startValues().workloadNames());
+    if (newSlots.size() > WorkloadSlots.MAX_SLOTS) {
       Event.SETTINGS_LEFT.log(
           LOG,
           Level.ERROR,
@@ -299,45 +300,47 @@
           "settings.Classes[].Name");
       return;
     }
-    adopt(next);
+    applyStartValues(newFile);
     // In one step: what was read before this is heard before it, what is read from here on goes by
     // both.
-    slots = room;
-    clients.goBy(room);
-    iteration.hear(
+    slots = newSlots;
+    clients.goBy(newSlots);
+    iteration.enqueue(
         now ->
             core.applySettings(
                 now,
                 balancer ->
                     balancer.applySettings(
                         now,
-                        room.arrange(
-                            next.startValues().settings(), next.startValues().workloadNames()))));
-    Event.SETTINGS_TAKEN.log(LOG, Level.INFO, "", executor.open());
+                        newSlots.arrange(
+                            newFile.startValues().settings(),
+                            newFile.startValues().workloadNames()))));
+    Event.SETTINGS_TAKEN.log(LOG, Level.INFO, "", executor.openStatements());
   }
 
   /** What of the settings is not the decisions'. */
-  private void adopt(StartFile next) {
-    inForce = next;
-    StartValues values = next.startValues();
+  private void applyStartValues(StartFile newFile) {
+    fileInForce = newFile;
+    StartValues values = newFile.startValues();
     longestTimeout = longestTimeout.longer(values.longestTimeout());
-    executor.reads(values.loadReportFormat(0), values.connectTimeout());
+    executor.configurePolls(values.loadReportFormat(0), values.connectTimeout());
     clients.comeBackWithin(values.settings().attemptLimits().maxRetryAfter());
-    connectWithin(values.connectTimeout());
-    links.values().forEach(pool -> pool.within(values.connectTimeout(), values.idleClose()));
+    setConnectTimeout(values.connectTimeout());
+    pools.values().forEach(pool -> pool.setTimeouts(values.connectTimeout(), values.idleClose()));
   }
 
-  private void connectWithin(Span timeout) {
-    outwards.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (timeout.micros() / 1_000));
+  private void setConnectTimeout(Span timeout) {
+    outboundBootstrap.option(
+        ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (timeout.micros() / 1_000));
   }
 
-  private void needsRestart(String key) {
+  private void logNeedsRestart(String key) {
     Event.NEEDS_RESTART.log(LOG, Level.WARN, "takes effect at the next start", key);
   }
 
   // ---- What outlives the process.
 
-  private SnapshotWriter keeper() {
+  private SnapshotWriter createSnapshotWriter() {
     return operator == null || operator.folder() == null
         ? null
         : new SnapshotWriter(
@@ -347,20 +350,21 @@
             operator.snapshotPeriod(),
             operator.maxSnapshotBytes(),
             new SplittableRandom(start.seed()).split(),
-            this::learnedOffLoop);
-  }
-
-  private void keepBy(OperatorFile next) throws InterruptedException {
-    boolean same = Objects.equals(next.folder(), operator.folder());
-    operator = next;
-    if (same && snapshotWriter != null) {
-      snapshotWriter.reconfigure(next.snapshotPeriod(), next.maxSnapshotBytes());
-    } else if (!same) {
-      SnapshotWriter former = snapshotWriter;
-      snapshotWriter = keeper();
-      if (former != null) {
-        former.close(null);
-        former.awaitClosed();
+            this::exportStateOffLoop);
+  }
+
+  private void updateSnapshotWriter(OperatorFile newOperatorFile) throws InterruptedException {
+    boolean isSameFolder = Objects.equals(newOperatorFile.folder(), operator.folder());
+    operator = newOperatorFile;
+    if (isSameFolder && snapshotWriter != null) {
+      snapshotWriter.reconfigure(
+          newOperatorFile.snapshotPeriod(), newOperatorFile.maxSnapshotBytes());
+    } else if (!isSameFolder) {
+      SnapshotWriter previousWriter = snapshotWriter;
+      snapshotWriter = createSnapshotWriter();
+      if (previousWriter != null) {
+        previousWriter.close(null);
+        previousWriter.awaitClosed();
       }
       if (snapshotWriter != null) {
         // For the folder's lock and number: what this router has learned itself is newer than its
@@ -371,41 +375,45 @@
     }
   }
 
-  private LearnedState learnedOffLoop() throws InterruptedException {
-    Promise<LearnedState> told = loop.newPromise();
-    List<KnownEndpoint> nodes = new ArrayList<>();
-    loop.execute(() -> iteration.hear(now -> learnedOfSome(now, 0, nodes, told)));
-    return told.await(LONGEST_EXPORT.micros(), TimeUnit.MICROSECONDS) ? told.getNow() : null;
+  private LearnedState exportStateOffLoop() throws InterruptedException {
+    Promise<LearnedState> exported = loop.newPromise();
+    List<KnownEndpoint> endpoints = new ArrayList<>();
+    loop.execute(() -> iteration.enqueue(now -> exportStep(now, 0, endpoints, exported)));
+    return exported.await(EXPORT_TIMEOUT.micros(), TimeUnit.MICROSECONDS)
+        ? exported.getNow()
+        : null;
   }
 
   /**
    * A few a turn: between them statements go on. Ages are told to the turn of each node, some ms
    * apart.
    */
-  private void learnedOfSome(
-      Moment now, int from, List<KnownEndpoint> nodes, Promise<LearnedState> told) {
-    if (learnedFrom(now, from, NODES_A_TURN, nodes)) {
+  private void exportStep(
+      Moment now, int from, List<KnownEndpoint> endpoints, Promise<LearnedState> exported) {
+    if (exportEndpoints(now, from, ENDPOINTS_PER_EXPORT_STEP, endpoints)) {
       loop.execute(
-          () -> iteration.hear(next -> learnedOfSome(next, from + NODES_A_TURN, nodes, told)));
+          () ->
+              iteration.enqueue(
+                  next -> exportStep(next, from + ENDPOINTS_PER_EXPORT_STEP, endpoints, exported)));
     } else {
-      told.trySuccess(learned(now, nodes));
+      exported.trySuccess(learnedState(now, endpoints));
     }
   }
 
-  private boolean learnedFrom(Moment now, int from, int places, List<KnownEndpoint> nodes) {
+  private boolean exportEndpoints(Moment now, int from, int count, List<KnownEndpoint> endpoints) {
     return core.learned(
         now,
         from,
-        places,
-        (node, view) -> {
-          ConnectionPool pool = links.get(node);
+        count,
+        (endpoint, view) -> {
+          ConnectionPool pool = pools.get(endpoint);
           if (pool != null && pool.address() != null) {
-            nodes.add(new KnownEndpoint(node, Addresses.text(pool.address()), view));
+            endpoints.add(new KnownEndpoint(endpoint, Addresses.text(pool.address()), view));
           }
         });
   }
 
-  private LearnedState learned(Moment now, List<KnownEndpoint> nodes) {
+  private LearnedState learnedState(Moment now, List<KnownEndpoint> endpoints) {
     return new LearnedState(
         operator.deployment(),
         start.name(),
@@ -414,7 +422,7 @@
         SystemClocks.monotonicMicros(),
         SystemClocks.bootId(),
         list.generation(),
-        nodes,
+        endpoints,
         core.learnedOfGroups(now));
   }
 
@@ -424,13 +432,17 @@
    * member that drains. One look at each: a second one comes when a poll is due, which in a router
    * without traffic is in half a minute, so that each start waited for its longest.
    */
-  private void lookAround(Promise<Void> looked, long since) {
-    long took = (System.nanoTime() - since) / 1_000;
-    boolean seen = executor.hasLookedAround() || took > LONGEST_LOOK.micros();
-    if ((seen && !watch.isFirst()) || took > LONGEST_CALL.micros()) {
-      looked.setSuccess(null);
+  private void awaitFirstPolls(Promise<Void> firstPolls, long startNanos) {
+    long elapsedMicros = (System.nanoTime() - startNanos) / 1_000;
+    boolean isPolled =
+        executor.hasCompletedFirstPolls() || elapsedMicros > MAX_FIRST_POLL_WAIT.micros();
+    if ((isPolled && !watch.isFirstCallPending()) || elapsedMicros > MAX_FIRST_LIST_WAIT.micros()) {
+      firstPolls.setSuccess(null);
     } else {
-      loop.schedule(() -> lookAround(looked, since), LOOK_AGAIN.micros(), TimeUnit.MICROSECONDS);
+      loop.schedule(
+          () -> awaitFirstPolls(firstPolls, startNanos),
+          RECHECK_INTERVAL.micros(),
+          TimeUnit.MICROSECONDS);
     }
   }
 
@@ -440,7 +452,7 @@
     if (fleetSettings == null) {
       return;
     }
-    Promise<Void> granted = loop.newPromise();
+    Promise<Void> firstGrant = loop.newPromise();
     loop.submit(
             () -> {
               leaseGuard =
@@ -453,16 +465,16 @@
                         list.requestFullList();
                         watch.start();
                       },
-                      (file, holds) -> {
-                        if (file != inForce) {
-                          adopt(file);
+                      (newFile, effective) -> {
+                        if (newFile != fileInForce) {
+                          applyStartValues(newFile);
                         }
                         core.applySettings(
                             iteration.clock().now(),
-                            balancer -> balancer.applySettings(iteration.clock().now(), holds));
+                            balancer -> balancer.applySettings(iteration.clock().now(), effective));
                       });
-              iteration.first(leaseGuard::look);
-              executor.keepsTo(leaseGuard::stance);
+              iteration.setFirstStep(leaseGuard::checkLease);
+              executor.setFencingTokenSource(leaseGuard::fencingToken);
             })
         .sync();
     try {
@@ -470,7 +482,7 @@
           VoterStore.read(fleetSettings.voterDirectory(), fleetSettings.name(), start.name());
       loop.submit(
               () -> {
-                leaseGuard.follower().restoreEpoch(voterStore.latestEpoch());
+                leaseGuard.leaseHolder().restoreEpoch(voterStore.latestEpoch());
                 leaseGuard.begin(voterStore.inForce());
               })
           .sync();
@@ -480,20 +492,20 @@
               start.name(),
               voterStore,
               new SplittableRandom(start.seed()).split(),
-              () -> loop.execute(this::beat),
+              () -> loop.execute(this::sendHeartbeat),
               (grant, update) ->
                   loop.execute(
                       () ->
-                          iteration.hear(
+                          iteration.enqueue(
                               now -> {
-                                leaseGuard.granted(now, grant, update);
-                                if (!leaseGuard.follower().isRestricted()
+                                leaseGuard.onGrant(now, grant, update);
+                                if (!leaseGuard.leaseHolder().isRestricted()
                                     && membership.isSettled()) {
-                                  granted.trySuccess(null);
+                                  firstGrant.trySuccess(null);
                                 }
                               })));
     } catch (Exception fault) {
-      endUnserved();
+      shutDownUnserved();
       Throwable cause = fault;
       while (cause.getCause() != null) {
         cause = cause.getCause();
@@ -501,96 +513,101 @@
       throw new InvalidSettingsException(
           List.of("fleet: " + start.name() + " can't take part: " + cause));
     }
-    granted.await(JOINS.longer(fleetSettings.lease().times(4)).micros(), TimeUnit.MICROSECONDS);
+    firstGrant.await(
+        MIN_JOIN_TIMEOUT.longer(fleetSettings.lease().times(4)).micros(), TimeUnit.MICROSECONDS);
   }
 
-  private void beat() {
-    LeaseHolder leaseHolder = leaseGuard.follower();
+  private void sendHeartbeat() {
+    LeaseHolder leaseHolder = leaseGuard.leaseHolder();
     Moment now = iteration.clock().now();
-    boolean holds = !leaseHolder.isRestricted() && !leaseHolder.isExpired(now);
+    boolean holdsLease = !leaseHolder.isRestricted() && !leaseHolder.isExpired(now);
     fleet.sendHeartbeat(
         leaseHolder.registerHeartbeat(now),
         leaseHolder.epoch(),
         leaseHolder.inForce() == null ? 0 : leaseHolder.inForce().number(),
-        holds ? leaseHolder.acknowledgedVersion() : 0,
-        leaseGuard.refused(),
-        leaseGuard.refusal(),
-        holds,
+        holdsLease ? leaseHolder.acknowledgedVersion() : 0,
+        leaseGuard.refusedVersion(),
+        leaseGuard.refusalReason(),
+        holdsLease,
         membership.report(now, core::isIdle));
   }
 
   private void build() {
     StartValues values = start.startValues();
     iteration = new LoopIteration(loop, clock, readinessClock);
-    trace = new StatementTrace(follows, clock::now);
-    swept = clock.now();
+    trace = new StatementTrace(traceThreshold, clock::now);
+    lastSweepAt = clock.now();
     buffers =
         new PooledByteBufAllocator(
             true,
             0,
             1,
-            PAGE,
-            CHUNK_ORDER,
+            BUFFER_PAGE_BYTES,
+            BUFFER_CHUNK_ORDER,
             PooledByteBufAllocator.defaultSmallCacheSize(),
             PooledByteBufAllocator.defaultNormalCacheSize(),
             true);
     // Half of what buffers may take: the other half is for what is being read and written right
     // now.
     MemoryBudget budget = new MemoryBudget(PlatformDependent.maxDirectMemory() / 2);
-    reserved = inUse() + RESERVED;
-    descriptors = new Descriptors(start.maxDescriptors() - reserved, this::afterNextLook);
-    outwards =
+    reservedDescriptors = countOpenDescriptors() + RESERVED_DESCRIPTORS;
+    descriptors =
+        new Descriptors(start.maxDescriptors() - reservedDescriptors, this::runAfterNextSelect);
+    outboundBootstrap =
         new Bootstrap()
             .group(loop)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.ALLOCATOR, buffers);
-    connectWithin(values.connectTimeout());
-    RateLimitedLog badNodes =
+    setConnectTimeout(values.connectTimeout());
+    RateLimitedLog badEndpointLog =
         new RateLimitedLog(
             LoggerFactory.getLogger(ConnectionPool.class), Event.NODE_BAD, clock::now);
-    Function<String, ConnectionPool> linkTo =
-        node ->
-            links.computeIfAbsent(
-                node,
+    Function<String, ConnectionPool> poolOf =
+        endpoint ->
+            pools.computeIfAbsent(
+                endpoint,
                 name ->
                     new ConnectionPool(
                         name,
-                        outwards,
+                        outboundBootstrap,
                         loop,
                         iteration,
                         descriptors,
                         budget,
-                        inForce.startValues().connectTimeout(),
-                        inForce.startValues().idleClose(),
-                        badNodes));
+                        fileInForce.startValues().connectTimeout(),
+                        fileInForce.startValues().idleClose(),
+                        badEndpointLog));
     executor =
         new AttemptExecutor(
             iteration,
             loop,
-            linkTo,
-            this::forget,
+            poolOf,
+            this::removePool,
             values.loadReportFormat(0),
             values.connectTimeout(),
             budget,
             trace);
-    badClients =
+    badClientLog =
         new RateLimitedLog(
             LoggerFactory.getLogger(ClientSessions.class), Event.CLIENT_BAD, clock::now);
     slots = WorkloadSlots.of(values.workloadNames());
     clients =
         new ClientSessions(
-            iteration, descriptors, slots, values.maxOpenStatements(), budget, badClients, trace);
+            iteration, descriptors, slots, values.maxOpenStatements(), budget, badClientLog, trace);
     clients.comeBackWithin(values.settings().attemptLimits().maxRetryAfter());
-    iteration.last(descriptors::endLongestIdle);
+    iteration.setLastStep(descriptors::endLongestIdle);
     longestTimeout = values.longestTimeout();
-    holds = values.defaultHoldBudget();
+    holdBudget = values.defaultHoldBudget();
     core =
         new StatementRouter<>(
-            executor, values.loadBalancerFactory(start.seed(), iteration.now(), holds));
-    heed(operator);
+            executor, values.loadBalancerFactory(start.seed(), iteration.now(), holdBudget));
+    applyOperatorFile(operator);
     list =
-        new EndpointList(core, values.zones(), (node, address) -> linkTo.apply(node).at(address));
+        new EndpointList(
+            core,
+            values.zones(),
+            (endpoint, address) -> poolOf.apply(endpoint).setAddress(address));
     if (operator != null && operator.fleet() != null) {
       // What was begun before it lets go of a member is over when others may use it in another
       // group.
@@ -600,29 +617,29 @@
               operator.fleet().assignmentLifetime().minus(values.longestTimeout()));
       list.setMembershipView(membership, clock::now);
     }
-    watch = new DiscoveryWatch(outwards, start.discovery(), iteration, list, core);
+    watch = new DiscoveryWatch(outboundBootstrap, start.discovery(), iteration, list, core);
     list.setClockOffset(iteration.clockOffset());
-    executor.onClockMoved(list::publishStartTimes);
+    executor.onClockOffsetChanged(list::publishStartTimes);
     clients.serve(core, executor);
-    executor.serve(core, watch::start);
-    every(SWEEPS, "sweeping", this::sweep);
-    every(READS, "reading tables", this::readTables);
-    every(REPORTS, "reporting counters", this::report);
+    executor.setCore(core, watch::start);
+    scheduleRepeatedly(SWEEP_INTERVAL, "sweeping", this::sweep);
+    scheduleRepeatedly(TABLE_READ_INTERVAL, "reading tables", this::querySwitchoverTables);
+    scheduleRepeatedly(REPORT_INTERVAL, "reporting counters", this::report);
   }
 
   /** By way of a task: what is put behind this iteration from behind it would run in it. */
-  private void afterNextLook(Runnable task) {
+  private void runAfterNextSelect(Runnable task) {
     loop.executeAfterEventLoopIteration(() -> loop.execute(task));
   }
 
   /** A task that is repeated would never run again after one fault. */
-  private void every(Span period, String what, Runnable step) {
+  private void scheduleRepeatedly(Span period, String description, Runnable step) {
     loop.scheduleWithFixedDelay(
         () -> {
           try {
             step.run();
           } catch (RuntimeException fault) {
-            Event.FAULT.fault(LOG, "", fault, what);
+            Event.FAULT.fault(LOG, "", fault, description);
           }
         },
         period.micros(),
@@ -632,11 +649,11 @@
 
   private void sweep() {
     Moment now = iteration.clock().now();
-    trace.loopWas(now.since(swept).minus(SWEEPS));
-    swept = now;
+    trace.loopWas(now.since(lastSweepAt).minus(SWEEP_INTERVAL));
+    lastSweepAt = now;
     clients.sweep();
-    if (accepting != null) {
-      accepting.sweep(now);
+    if (acceptHandler != null) {
+      acceptHandler.sweep(now);
     }
   }
 
@@ -651,31 +668,31 @@
    * The table of each member in use every third time: all tell the same, so a group is asked about
    * once a second.
    */
-  private void readTables() {
-    reads++;
-    int place = 0;
-    for (String node : List.copyOf(executor.polledLately())) {
-      if ((place++ + reads) % READ_IN == 0) {
-        executor.readTable(node);
+  private void querySwitchoverTables() {
+    tableReadRound++;
+    int position = 0;
+    for (String endpoint : List.copyOf(executor.recentlyPolled())) {
+      if ((position++ + tableReadRound) % TABLE_READ_ROUNDS == 0) {
+        executor.querySwitchoverTable(endpoint);
       }
     }
   }
 
   /** What the operator says of holds and planned changes; nothing where there is no file. */
-  private void heed(OperatorFile by) {
-    if (by != null) {
-      executor.asksFor(by.switchoverTable());
-      holds.limit(
-          by.maxHeldStatements() > 0
-              ? by.maxHeldStatements()
+  private void applyOperatorFile(OperatorFile operatorFile) {
+    if (operatorFile != null) {
+      executor.setSwitchoverTable(operatorFile.switchoverTable());
+      holdBudget.limit(
+          operatorFile.maxHeldStatements() > 0
+              ? operatorFile.maxHeldStatements()
               : Math.max(1, start.startValues().maxOpenStatements() / 2),
-          by.maxHeldBytes());
+          operatorFile.maxHeldBytes());
     }
   }
 
-  private void begin(StateRestore restore) {
-    list.restoreFrom(restore, executor::isAbsent);
-    iteration.hear(
+  private void restore(StateRestore restoredState) {
+    list.restoreFrom(restoredState, executor::excludeFromStartup);
+    iteration.enqueue(
         now -> {
           try {
             if (start.hasStoredEndpointList()) {
@@ -690,9 +707,9 @@
   }
 
   private ChannelFuture listen() {
-    enter(RouterPhase.LISTENING);
+    enterPhase(RouterPhase.LISTENING);
     int queueLength = listenQueue.length();
-    accepting =
+    acceptHandler =
         new AcceptHandler(
             iteration,
             descriptors,
@@ -704,11 +721,11 @@
         .channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_BACKLOG, queueLength)
         .option(ChannelOption.SO_REUSEADDR, true)
-        .option(ChannelOption.RECVBUF_ALLOCATOR, accepting.limitedReads())
+        .option(ChannelOption.RECVBUF_ALLOCATOR, acceptHandler.limitedReads())
         .childOption(ChannelOption.TCP_NODELAY, true)
         .childOption(ChannelOption.ALLOCATOR, buffers)
         .childOption(ChannelOption.RECVBUF_ALLOCATOR, new ClientReads())
-        .handler(accepting)
+        .handler(acceptHandler)
         .childHandler(
             new ChannelInitializer<Channel>() {
               @Override
@@ -717,26 +734,27 @@
                     .pipeline()
                     .addLast(
                         new ClientChannel(
-                            clients.admit(accepting.queuedSince(), accepting.silentSince())));
+                            clients.admit(
+                                acceptHandler.queuedSince(), acceptHandler.silentSince())));
               }
             })
         .bind(start.listen());
   }
 
-  private void forget(String node) {
-    ConnectionPool pool = links.remove(node);
+  private void removePool(String endpoint) {
+    ConnectionPool pool = pools.remove(endpoint);
     if (pool != null) {
-      pool.letGo();
+      pool.closeIdle();
     }
   }
 
   /** Open descriptors now; where that can't be seen, as many as a runtime commonly holds. */
-  private static int inUse() {
+  private static int countOpenDescriptors() {
     String[] open = new File("/proc/self/fd").list();
-    return open == null ? RESERVED : open.length;
+    return open == null ? RESERVED_DESCRIPTORS : open.length;
   }
 
-  private void enter(RouterPhase next) {
+  private void enterPhase(RouterPhase next) {
     if (next.ordinal() > phase.ordinal()) {
       Event.PHASE.log(LOG, Level.INFO, "", next, phase);
       phase = next;
@@ -760,22 +778,26 @@
 
   private void beginDrain() {
     if (phase == RouterPhase.SERVING || phase == RouterPhase.LISTENING) {
-      enter(RouterPhase.DRAINING);
-      Span left = SPARED.plus(longestTimeout.shorter(LONGEST_SPARED)).minus(ANSWERS_BEFORE);
-      clients.endBy(iteration.clock().now().plus(left));
+      enterPhase(RouterPhase.DRAINING);
+      Span remaining =
+          KILL_GRACE.plus(longestTimeout.shorter(MAX_GRACE_TIMEOUT)).minus(ANSWER_MARGIN);
+      clients.endBy(iteration.clock().now().plus(remaining));
       // What the system keeps back is accepted before the listener closes, where time allows.
-      Span listens =
-          accepting.endDeferral().shorter(left.minus(STILL_LISTENS)).longer(STILL_LISTENS);
+      Span listenTime =
+          acceptHandler
+              .endDeferral()
+              .shorter(remaining.minus(MIN_LISTEN_TIME))
+              .longer(MIN_LISTEN_TIME);
       loop.schedule(
           () ->
-              accepting.closeOnceQuiet(
+              acceptHandler.closeOnceQuiet(
                   () -> {
                     clients.closeIdle();
                     stopOnceAnswered();
                   }),
-          listens.micros(),
+          listenTime.micros(),
           TimeUnit.MICROSECONDS);
-      loop.schedule(this::stop, left.micros(), TimeUnit.MICROSECONDS);
+      loop.schedule(this::stop, remaining.micros(), TimeUnit.MICROSECONDS);
     } else if (phase != RouterPhase.DRAINING) {
       stop();
     }
@@ -785,16 +807,16 @@
    * It could not be set up: nothing is owed, and a signal to end that comes just then waits for
    * nothing.
    */
-  private void endUnserved() {
+  private void shutDownUnserved() {
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     stopped.countDown();
   }
 
   private void stopOnceAnswered() {
-    if (clients.areGone() && executor.open() == 0) {
+    if (clients.areGone() && executor.openStatements() == 0) {
       stop();
     } else if (phase == RouterPhase.DRAINING) {
-      loop.schedule(this::stopOnceAnswered, LOOK_AGAIN.micros(), TimeUnit.MICROSECONDS);
+      loop.schedule(this::stopOnceAnswered, RECHECK_INTERVAL.micros(), TimeUnit.MICROSECONDS);
     }
   }
 
@@ -802,17 +824,17 @@
     if (phase == RouterPhase.STOPPED) {
       return;
     }
-    enter(RouterPhase.STOPPED);
+    enterPhase(RouterPhase.STOPPED);
     if (iteration == null) {
-      end();
+      shutDown();
       return;
     }
     report();
     clients.refuseAll();
-    iteration.hear(executor::answerAll);
-    iteration.hear(
+    iteration.enqueue(executor::answerAll);
+    iteration.enqueue(
         now ->
-            iteration.act(
+            iteration.addEffect(
                 () -> {
                   if (listener != null) {
                     listener.close();
@@ -820,36 +842,37 @@
                   clients.endAll();
                 }));
     if (snapshotWriter != null && core != null) {
-      iteration.hear(
+      iteration.enqueue(
           now -> {
-            List<KnownEndpoint> nodes = new ArrayList<>();
-            learnedFrom(now, 0, Integer.MAX_VALUE / 2, nodes);
-            snapshotWriter.close(learned(now, nodes));
-            iteration.act(() -> endOnceLeft(Moment.NEVER));
+            List<KnownEndpoint> endpoints = new ArrayList<>();
+            exportEndpoints(now, 0, Integer.MAX_VALUE / 2, endpoints);
+            snapshotWriter.close(learnedState(now, endpoints));
+            iteration.addEffect(() -> endOnceClientsLeft(Moment.NEVER));
           });
     } else {
-      iteration.hear(now -> iteration.act(() -> endOnceLeft(Moment.NEVER)));
+      iteration.enqueue(now -> iteration.addEffect(() -> endOnceClientsLeft(Moment.NEVER)));
     }
   }
 
   /**
    * Its last answers are on their way: a process that ends over unread bytes would take them back.
    */
-  private void endOnceLeft(Moment by) {
+  private void endOnceClientsLeft(Moment deadline) {
     Moment now = iteration.clock().now();
-    Moment latest = by.earlier(now.plus(ANSWERS_BEFORE.minus(ENDS_BEFORE)));
-    if (clients.areGone() || !now.isBefore(latest)) {
-      end();
+    Moment latestEnd = deadline.earlier(now.plus(ANSWER_MARGIN.minus(EXIT_MARGIN)));
+    if (clients.areGone() || !now.isBefore(latestEnd)) {
+      shutDown();
     } else {
-      loop.schedule(() -> endOnceLeft(latest), LOOK_AGAIN.micros(), TimeUnit.MICROSECONDS);
+      loop.schedule(
+          () -> endOnceClientsLeft(latestEnd), RECHECK_INTERVAL.micros(), TimeUnit.MICROSECONDS);
     }
   }
 
-  private void end() {
+  private void shutDown() {
     if (fleet != null) {
-      Thread leaves = new Thread(fleet::close, "leaves");
-      leaves.setDaemon(true);
-      leaves.start();
+      Thread leaveThread = new Thread(fleet::close, "leaves");
+      leaveThread.setDaemon(true);
+      leaveThread.start();
     }
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     stopped.countDown();
@@ -861,7 +884,7 @@
   }
 
   /** Buffers that a stopped router has not released; none where every owner did its part. */
-  public long buffersHeld() throws InterruptedException {
+  public long activeBuffers() throws InterruptedException {
     group.terminationFuture().await();
     return buffers.metric().directArenas().stream()
         .mapToLong(arena -> arena.numActiveAllocations())
--- a/router/src/main/java/basaltlever/net/ServerQuery.java
+++ b/router/src/main/java/basaltlever/net/ServerQuery.java
@@ -12,13 +12,13 @@
  */
 abstract class ServerQuery {
   private PooledConnection connection;
-  private Future<?> limit;
+  private Future<?> timer;
   private PeerTimeout peerTimeout;
 
   /** Whether its last byte was written: before, it is proven that nothing ran. */
   private boolean written;
 
-  private boolean over;
+  private boolean finished;
 
   abstract void write(ByteBuf out);
 
@@ -26,46 +26,46 @@
   abstract Descriptors.Use use();
 
   /** Whether it must no longer be sent. */
-  boolean isTooLate(Moment now) {
+  boolean isObsolete(Moment now) {
     return false;
   }
 
   /** The answer is the job's to release. */
-  abstract void answered(QueryResponse response);
+  abstract void onResponse(QueryResponse response);
 
-  abstract void lost(AttemptOutcome outcome);
+  abstract void onFailure(AttemptOutcome outcome);
 
-  final void on(PooledConnection connection) {
+  final void attachTo(PooledConnection connection) {
     this.connection = connection;
   }
 
-  final void endsBy(Future<?> limit) {
-    this.limit = limit;
+  final void setTimeout(Future<?> timer) {
+    this.timer = timer;
   }
 
-  final void endsBy(PeerTimeout timeout) {
+  final void setTimeout(PeerTimeout timeout) {
     peerTimeout = timeout;
   }
 
-  final void wasWritten() {
+  final void markWritten() {
     written = true;
   }
 
-  final boolean isOver() {
-    return over;
+  final boolean isFinished() {
+    return finished;
   }
 
-  final void endAnswered(QueryResponse response) {
-    if (end()) {
-      answered(response);
+  final void complete(QueryResponse response) {
+    if (finish()) {
+      onResponse(response);
     } else {
       response.release();
     }
   }
 
-  final void endLost(AttemptOutcome before, AttemptOutcome after) {
-    if (end()) {
-      lost(written ? after : before);
+  final void fail(AttemptOutcome outcomeIfUnwritten, AttemptOutcome outcomeIfWritten) {
+    if (finish()) {
+      onFailure(written ? outcomeIfWritten : outcomeIfUnwritten);
     }
   }
 
@@ -73,33 +73,33 @@
    * Its time is over. A loop that was held up may come to this before it reads an answer that has
    * come in time.
    */
-  final void timeIsOver() {
+  final void onTimeout() {
     if (connection != null) {
       connection.readReceived();
     }
-    giveUp(AttemptOutcome.TIMED_OUT);
+    cancel(AttemptOutcome.TIMED_OUT);
   }
 
   /**
    * Stops waiting: a connection that carries it can't be used again, since the answer may still
    * come.
    */
-  final void giveUp(AttemptOutcome after) {
-    PooledConnection in = connection;
-    endLost(AttemptOutcome.NEVER_SENT, after);
-    if (in != null) {
-      in.abandon();
+  final void cancel(AttemptOutcome outcomeIfWritten) {
+    PooledConnection carrier = connection;
+    fail(AttemptOutcome.NEVER_SENT, outcomeIfWritten);
+    if (carrier != null) {
+      carrier.abandon();
     }
   }
 
-  private boolean end() {
-    if (over) {
+  private boolean finish() {
+    if (finished) {
       return false;
     }
-    over = true;
+    finished = true;
     connection = null;
-    if (limit != null) {
-      limit.cancel(false);
+    if (timer != null) {
+      timer.cancel(false);
     }
     if (peerTimeout != null) {
       peerTimeout.cancel();
--- a/router/src/main/java/basaltlever/net/TimedReads.java
+++ b/router/src/main/java/basaltlever/net/TimeLimitedReadAllocator.java
@@ -9,15 +9,15 @@
  * socket may say that a server drains, and what takes long to read must not keep everybody else
  * waiting.
  */
-final class TimedReads extends FixedRecvByteBufAllocator {
-  private static final int MOST_READS = 64;
-  private final long nanos;
+final class TimeLimitedReadAllocator extends FixedRecvByteBufAllocator {
+  private static final int MAX_READS = 64;
+  private final long limitNanos;
 
   /** So many bytes a read, and the first read behind that time is the last one of its turn. */
-  TimedReads(int bytes, Span limit) {
+  TimeLimitedReadAllocator(int bytes, Span limit) {
     super(bytes);
-    nanos = limit.micros() * 1_000;
-    maxMessagesPerRead(MOST_READS);
+    limitNanos = limit.micros() * 1_000;
+    maxMessagesPerRead(MAX_READS);
   }
 
   @Override
@@ -34,7 +34,7 @@
 
       @Override
       public boolean continueReading() {
-        return super.continueReading() && System.nanoTime() - since < nanos;
+        return super.continueReading() && System.nanoTime() - since < limitNanos;
       }
     };
   }
--- a/router/src/test/java/basaltlever/SocketWorld.java
+++ b/router/src/test/java/basaltlever/SocketWorld.java
@@ -635,7 +635,7 @@
     router.drain();
     try {
       router.awaitStop();
-      check(!serves || router.buffersHeld() == 0, "a buffer was not released");
+      check(!serves || router.activeBuffers() == 0, "a buffer was not released");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/router/src/test/java/basaltlever/net/FinalAnswerTest.java
+++ b/router/src/test/java/basaltlever/net/AnswerDeadlineTest.java
@@ -31,23 +31,24 @@
  * never say a word of any statement, which is the worst that they could forget, and the loop is
  * held up.
  */
-class FinalAnswerTest {
+class AnswerDeadlineTest {
   /** Of a machine that runs other tests beside this. */
   private static final long SLACK_MILLIS = 90;
 
   /** Long enough that the decisions queue the statement; they are not woken after that. */
-  private static final int WAITS_MILLIS = 2_000;
+  private static final int STATEMENT_TIMEOUT_MILLIS = 2_000;
 
   private static long millisSince(long nanos) {
     return (System.nanoTime() - nanos) / 1_000_000;
   }
 
-  private static void isAnsweredInItsTime(BiConsumer<HeldUpRouter, Long> heldUp) throws Exception {
-    try (HeldUpRouter router = new HeldUpRouter();
+  private static void checkAnsweredInTime(BiConsumer<StallableRouter, Long> stall)
+      throws Exception {
+    try (StallableRouter router = new StallableRouter();
         Client client = new Client(router.port)) {
       client.start().answer();
       for (int i = 0; i < 3; i++) {
-        heldUp.accept(router, 400L);
+        stall.accept(router, 400L);
         Thread.sleep(40);
         long sent = System.nanoTime();
         String answer = client.ask(statement("a" + i, "list", 600)).answer();
@@ -58,20 +59,20 @@
   }
 
   @Example
-  void whatComesWhileTheLoopIsBusyCountsFromThenOn() throws Exception {
-    isAnsweredInItsTime(HeldUpRouter::stall);
+  void statementReceivedWhileLoopIsBusyIsTimedFromItsArrival() throws Exception {
+    checkAnsweredInTime(StallableRouter::stallInIteration);
   }
 
   @Example
-  void whatComesWhileTheProcessStandsStillCountsFromThenOn() throws Exception {
-    isAnsweredInItsTime(HeldUpRouter::standsStill);
+  void statementReceivedWhileProcessIsStalledIsTimedFromItsArrival() throws Exception {
+    checkAnsweredInTime(StallableRouter::stallOutsideIteration);
   }
 
   /** Whatever is read first, and though it comes only while the loop is held up behind its look. */
   @Example
-  void newsOfDiscoveryIsHeardBeforeStatements() throws Exception {
+  void discoveryInputIsProcessedBeforeStatements() throws Exception {
     List<String> order = Collections.synchronizedList(new ArrayList<>());
-    try (HeldUpRouter router = new HeldUpRouter();
+    try (StallableRouter router = new StallableRouter();
         ServerSocket discovery = new ServerSocket(0)) {
       ChannelFuture watch =
           new Bootstrap()
@@ -82,7 +83,7 @@
                     @Override
                     public void channelRead(ChannelHandlerContext context, Object read) {
                       ((ByteBuf) read).release();
-                      router.iteration.hearNews(now -> order.add("news"));
+                      router.iteration.enqueueDiscovery(now -> order.add("news"));
                     }
                   })
               .connect(discovery.getLocalSocketAddress())
@@ -92,7 +93,7 @@
             .loop
             .submit(
                 () -> {
-                  router.iteration.hear(now -> order.add("statement"));
+                  router.iteration.enqueue(now -> order.add("statement"));
                   try {
                     socket.getOutputStream().write(1);
                     Thread.sleep(120);
@@ -115,39 +116,43 @@
    * decisions had a rejection to give and nobody had woken them.
    */
   @Example
-  void theGuardAsksTheDecisionsBeforeItAborts() throws Exception {
-    try (HeldUpRouter router = new HeldUpRouter();
+  void deadlineGuardConsultsCoreBeforeItAborts() throws Exception {
+    try (StallableRouter router = new StallableRouter();
         Client client = new Client(router.port)) {
       client.start().answer();
-      router.answers = true;
+      router.forwardsRejections = true;
       long sent = System.nanoTime();
-      String answer = client.ask(statement("g1", "list", WAITS_MILLIS)).answer();
+      String answer = client.ask(statement("g1", "list", STATEMENT_TIMEOUT_MILLIS)).answer();
       check(answer.startsWith("error:53300"), "nothing was sent, so it is rejected: " + answer);
       // Its time counts from when it may have come, which a slow start of the loop puts earlier.
-      check(millisSince(sent) >= WAITS_MILLIS / 2, "not at its arrival: " + millisSince(sent));
+      check(
+          millisSince(sent) >= STATEMENT_TIMEOUT_MILLIS / 2,
+          "not at its arrival: " + millisSince(sent));
     }
   }
 
   /** Nothing is proven of it, so it is aborted; at once, and it is out of the books. */
   @Example
-  void aFaultInTheDecisionsAbortsTheStatementAtOnce() throws Exception {
-    try (HeldUpRouter router = new HeldUpRouter();
+  void faultInCoreAbortsStatementImmediately() throws Exception {
+    try (StallableRouter router = new StallableRouter();
         Client client = new Client(router.port)) {
       client.start().answer();
-      router.throwsUp = true;
+      router.throwsFaults = true;
       long sent = System.nanoTime();
       String answer = client.ask(statement("f1", "list", 5_000)).answer();
       check(
           answer.startsWith("error:58000") && millisSince(sent) < 2_500,
           answer + millisSince(sent));
-      check(router.loop.submit(router.executor::open).sync().getNow().equals(0), "none is open");
+      check(
+          router.loop.submit(router.executor::openStatements).sync().getNow().equals(0),
+          "none is open");
       check(client.ask("").answer().equals("I"), "and its connection goes on");
     }
   }
 
   @Example
-  void aFaultOfTheListenerKeepsNobodyWaiting() throws Exception {
-    try (HeldUpRouter router = new HeldUpRouter()) {
+  void listenerFaultDoesNotDelayAccepting() throws Exception {
+    try (StallableRouter router = new StallableRouter()) {
       router
           .listener
           .pipeline()
@@ -167,28 +172,28 @@
    * Those that the machine has accepted while the loop was busy are owed an answer like all others.
    */
   @Example
-  void aListenerIsClosedOverNoConnectionThatWaitsInIt() throws Exception {
+  void listenerIsNotClosedWhileConnectionsWaitInItsQueue() throws Exception {
     List<Client> waiting = new ArrayList<>();
-    try (HeldUpRouter router = new HeldUpRouter()) {
+    try (StallableRouter router = new StallableRouter()) {
       try (Client first = new Client(router.port)) {
         first.start().answer();
       }
-      CountDownLatch closes = new CountDownLatch(1);
-      CountDownLatch goesOn = new CountDownLatch(1);
+      CountDownLatch closed = new CountDownLatch(1);
+      CountDownLatch stallEnds = new CountDownLatch(1);
       router.loop.execute(
           () -> {
             try {
-              goesOn.await();
+              stallEnds.await();
             } catch (InterruptedException e) {
               Thread.currentThread().interrupt();
             }
-            router.accepting.closeOnceQuiet(closes::countDown);
+            router.acceptHandler.closeOnceQuiet(closed::countDown);
           });
       for (int i = 0; i < 60; i++) {
         waiting.add(new Client(router.port).start());
       }
-      goesOn.countDown();
-      check(closes.await(2, TimeUnit.SECONDS), "it is closed");
+      stallEnds.countDown();
+      check(closed.await(2, TimeUnit.SECONDS), "it is closed");
       for (Client client : waiting) {
         check(client.answer().isEmpty(), "each is welcomed");
       }
@@ -211,58 +216,59 @@
    * listener.
    */
   @Example
-  void nobodyIsToldToGoWhileTheMachineStillTakesConnections() throws Exception {
-    try (HeldUpRouter router = new HeldUpRouter(140);
+  void clientsAreNotDisconnectedWhileSystemStillAcceptsConnections() throws Exception {
+    try (StallableRouter router = new StallableRouter(140);
         Client client = new Client(router.port)) {
       check(client.start().answer().isEmpty(), "it serves");
-      java.util.concurrent.CompletableFuture<String> comesBack =
+      java.util.concurrent.CompletableFuture<String> reconnectResult =
           new java.util.concurrent.CompletableFuture<>();
       router.loop.execute(
           () ->
-              router.accepting.closeOnceQuiet(
+              router.acceptHandler.closeOnceQuiet(
                   () -> {
-                    try (Socket again = new Socket()) {
-                      again.connect(new InetSocketAddress("127.0.0.1", router.port), 500);
-                      comesBack.complete("connected, and will be reset");
+                    try (Socket reconnect = new Socket()) {
+                      reconnect.connect(new InetSocketAddress("127.0.0.1", router.port), 500);
+                      reconnectResult.complete("connected, and will be reset");
                     } catch (IOException refused) {
-                      comesBack.complete("refused");
+                      reconnectResult.complete("refused");
                     }
                   }));
-      check(comesBack.get(2, TimeUnit.SECONDS).equals("refused"), comesBack.get());
+      check(reconnectResult.get(2, TimeUnit.SECONDS).equals("refused"), reconnectResult.get());
     }
   }
 
   @Example
-  void whoSentHalfOfAFirstStatementMakesRoom() throws Exception {
-    List<Client> halves = new ArrayList<>();
-    try (HeldUpRouter router = new HeldUpRouter(8)) {
+  void clientWithIncompleteFirstStatementIsEvictedForNewClient() throws Exception {
+    List<Client> incompleteClients = new ArrayList<>();
+    try (StallableRouter router = new StallableRouter(8)) {
       for (int i = 0; i < 6; i++) {
-        halves.add(new Client(router.port).start());
-        halves.get(i).answer();
-        halves.get(i).sendBytes(new byte[] {'Q', 0, 0, 0, 90, '/'});
+        incompleteClients.add(new Client(router.port).start());
+        incompleteClients.get(i).answer();
+        incompleteClients.get(i).sendBytes(new byte[] {'Q', 0, 0, 0, 90, '/'});
       }
       Thread.sleep(50);
       long since = System.nanoTime();
-      try (Client whole = new Client(router.port)) {
-        check(whole.start().answer().isEmpty(), "admitted");
+      try (Client newClient = new Client(router.port)) {
+        check(newClient.start().answer().isEmpty(), "admitted");
         check(
-            halves.get(0).answer().equals("error:53300:closed") && millisSince(since) < 1_000,
+            incompleteClients.get(0).answer().equals("error:53300:closed")
+                && millisSince(since) < 1_000,
             "in its place");
       }
     } finally {
-      for (Client half : halves) {
-        half.close();
+      for (Client incompleteClient : incompleteClients) {
+        incompleteClient.close();
       }
     }
   }
 
   /** Clients that send the next ones early, on a loop that is held up again and again. */
   @Property(tries = 4, seed = "281", shrinking = ShrinkingMode.OFF)
-  void eachIsAnsweredOnceAndInItsTimeThoughTheDecisionsForgetIt(@ForAll long seed)
+  void eachStatementIsAnsweredOnceAndInTimeWhenCoreNeverAnswers(@ForAll long seed)
       throws Exception {
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     List<String> faults = Collections.synchronizedList(new ArrayList<>());
-    try (HeldUpRouter router = new HeldUpRouter()) {
+    try (StallableRouter router = new StallableRouter()) {
       try (Client first = new Client(router.port)) {
         // Loading classes holds up the loop for longer than any stall here.
         first.start().ask(statement("w", "list", 100)).ask(statement("x", "list", 100));
@@ -272,24 +278,33 @@
       }
       List<Thread> threads = new ArrayList<>();
       for (int c = 0; c < 8; c++) {
-        SplittableRandom own = chance.split();
+        SplittableRandom clientRandom = random.split();
         Thread thread =
             new Thread(
                 () -> {
                   try (Client client = new Client(router.port)) {
                     client.start().answer();
                     for (int i = 0; i < 3; i++) {
-                      int wait = 200 + own.nextInt(300);
-                      int many = 1 + own.nextInt(3);
+                      int timeoutMillis = 200 + clientRandom.nextInt(300);
+                      int statements = 1 + clientRandom.nextInt(3);
                       long sent = System.nanoTime();
-                      for (int k = 0; k < many; k++) {
-                        client.ask(statement("s" + own.nextLong(), "list", wait));
+                      for (int k = 0; k < statements; k++) {
+                        client.ask(statement("s" + clientRandom.nextLong(), "list", timeoutMillis));
                       }
-                      for (int k = 0; k < many; k++) {
+                      for (int k = 0; k < statements; k++) {
                         String answer = client.answer();
                         long took = millisSince(sent);
-                        if (!answer.startsWith("error:58000") || took > wait + 120 + SLACK_MILLIS) {
-                          faults.add(k + " of " + many + " took " + took + " of " + wait + answer);
+                        if (!answer.startsWith("error:58000")
+                            || took > timeoutMillis + 120 + SLACK_MILLIS) {
+                          faults.add(
+                              k
+                                  + " of "
+                                  + statements
+                                  + " took "
+                                  + took
+                                  + " of "
+                                  + timeoutMillis
+                                  + answer);
                         }
                       }
                     }
@@ -301,7 +316,7 @@
         threads.add(thread);
       }
       for (int i = 0; i < 8; i++) {
-        router.stall(20 + chance.nextInt(100));
+        router.stallInIteration(20 + random.nextInt(100));
         Thread.sleep(150);
       }
       for (Thread thread : threads) {
--- a/router/src/test/java/basaltlever/net/ClientEndTest.java
+++ b/router/src/test/java/basaltlever/net/ClientEndTest.java
@@ -21,14 +21,14 @@
   @Example
   void anIdleConnectionIsNotEndedOverAStatementThatWasReceived() throws Exception {
     List<Client> idle = new ArrayList<>();
-    try (HeldUpRouter router = new HeldUpRouter(40)) {
+    try (StallableRouter router = new StallableRouter(40)) {
       for (int i = 0; i < 10; i++) {
         idle.add(new Client(router.port).start().ask(""));
         check(idle.get(i).answer().isEmpty() && idle.get(i).answer().equals("I"), "it rests");
       }
       try (Client another = new Client(router.port)) {
         check(another.start().answer().isEmpty(), "it has asked nothing yet");
-        router.standsStill(100);
+        router.stallOutsideIteration(100);
         Thread.sleep(20);
         another.ask("");
         idle.get(0).ask(statement("r1", "list", WAIT_MILLIS));
@@ -51,17 +51,17 @@
    */
   @Example
   void timeInTheListenQueueCounts() throws Exception {
-    try (HeldUpRouter router = new HeldUpRouter(100)) {
+    try (StallableRouter router = new StallableRouter(100)) {
       try (Client first = new Client(router.port)) {
         first.start().ask(statement("q0", "list", 100));
         check(first.answer().isEmpty() && first.answer().startsWith("error:58000"), "a first one");
       }
-      router.acceptFails = true;
+      router.failsAccept = true;
       long sent = System.nanoTime();
       try (Client client = new Client(router.port)) {
         client.start().ask(statement("q1", "list", WAIT_MILLIS));
         Thread.sleep(WAIT_MILLIS / 2);
-        router.acceptFails = false;
+        router.failsAccept = false;
         check(
             client.answer().isEmpty() && client.answer().startsWith("error:58000"),
             "the guard's answer");
--- a/router/src/test/java/basaltlever/net/ComesUpTest.java
+++ b/router/src/test/java/basaltlever/net/ConnectionStartupTest.java
@@ -34,12 +34,12 @@
  * A connection to a node comes up in the very look at the sockets that finds its statement's client
  * gone.
  */
-class ComesUpTest {
+class ConnectionStartupTest {
   /** Over once its client has gone, as the decisions make it. */
-  private static final class Waits extends ServerQuery {
-    final CompletableFuture<String> became = new CompletableFuture<>();
+  private static final class RecordingQuery extends ServerQuery {
+    final CompletableFuture<String> result = new CompletableFuture<>();
     final CompletableFuture<Boolean> answered = new CompletableFuture<>();
-    boolean hasLeft;
+    boolean clientDisconnected;
 
     @Override
     Descriptors.Use use() {
@@ -48,24 +48,24 @@
 
     @Override
     void write(ByteBuf out) {
-      became.complete("written");
+      result.complete("written");
       MessageEncoder.query(out, "SELECT 1");
     }
 
     @Override
-    boolean isTooLate(Moment now) {
-      return hasLeft;
+    boolean isObsolete(Moment now) {
+      return clientDisconnected;
     }
 
     @Override
-    void answered(QueryResponse response) {
+    void onResponse(QueryResponse response) {
       answered.complete(true);
       response.release();
     }
 
     @Override
-    void lost(AttemptOutcome outcome) {
-      became.complete("" + outcome);
+    void onFailure(AttemptOutcome outcome) {
+      result.complete("" + outcome);
       answered.complete(false);
     }
   }
@@ -75,40 +75,40 @@
    * sockets.
    */
   @Example
-  void anAnswerThatHasComeInTimeIsHeardThoughItsTimeIsOverByThen() throws Exception {
+  void responseReceivedBeforeTimeoutIsReadAfterTimeoutWhenLoopStalled() throws Exception {
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(
             1, PreciseSelectStrategy.newFactory(new ReadinessClock(new Clock()::now)));
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-    try (ServerSocket node = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-      Waits job = new Waits();
-      LoopIteration iteration = HeldUpRouter.turn(loop);
+    try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+      RecordingQuery query = new RecordingQuery();
+      LoopIteration iteration = StallableRouter.newIteration(loop);
       Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class);
-      loop.submit(() -> link(bootstrap, loop, iteration, node).start(job)).sync();
-      try (Socket opened = node.accept()) {
-        opened.getInputStream().read(new byte[200]);
-        ByteBuf welcome = Unpooled.buffer();
-        MessageEncoder.startupResponse(welcome);
-        opened.getOutputStream().write(ByteBufUtil.getBytes(welcome));
-        check(job.became.get(2, TimeUnit.SECONDS).equals("written"), "it is out");
-        opened.getInputStream().read(new byte[200]);
-        CountDownLatch goesOn = new CountDownLatch(1);
+      loop.submit(() -> pool(bootstrap, loop, iteration, server).start(query)).sync();
+      try (Socket serverSide = server.accept()) {
+        serverSide.getInputStream().read(new byte[200]);
+        ByteBuf startupResponse = Unpooled.buffer();
+        MessageEncoder.startupResponse(startupResponse);
+        serverSide.getOutputStream().write(ByteBufUtil.getBytes(startupResponse));
+        check(query.result.get(2, TimeUnit.SECONDS).equals("written"), "it is out");
+        serverSide.getInputStream().read(new byte[200]);
+        CountDownLatch stallEnds = new CountDownLatch(1);
         loop.execute(
             () -> {
               try {
-                goesOn.await();
+                stallEnds.await();
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
-              job.timeIsOver();
+              query.onTimeout();
             });
-        ByteBuf answer = Unpooled.buffer();
-        MessageEncoder.errorResponse(answer, "ERROR", "XX000", "as asked", null);
-        MessageEncoder.readyForQuery(answer);
-        opened.getOutputStream().write(ByteBufUtil.getBytes(answer));
+        ByteBuf response = Unpooled.buffer();
+        MessageEncoder.errorResponse(response, "ERROR", "XX000", "as asked", null);
+        MessageEncoder.readyForQuery(response);
+        serverSide.getOutputStream().write(ByteBufUtil.getBytes(response));
         Thread.sleep(20);
-        goesOn.countDown();
-        check(job.answered.get(2, TimeUnit.SECONDS), "the answer that had come");
+        stallEnds.countDown();
+        check(query.answered.get(2, TimeUnit.SECONDS), "the answer that had come");
       }
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -120,30 +120,30 @@
    * its time for a connection passed while it was held up itself.
    */
   @Example
-  void aServerIsGivenItsTimeThoughTheLoopWasHeldUpForLonger() throws Exception {
+  void connectTimeoutExcludesTimeInWhichLoopWasStalled() throws Exception {
     Clock clock = new Clock();
     ReadinessClock readinessClock = new ReadinessClock(clock::now);
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, PreciseSelectStrategy.newFactory(readinessClock));
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-    try (ServerSocket node = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-      Waits job = new Waits();
+    try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+      RecordingQuery query = new RecordingQuery();
       LoopIteration iteration =
           loop.submit(() -> new LoopIteration(loop, clock, readinessClock)).sync().getNow();
       Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class);
       loop.submit(
               () -> {
-                link(bootstrap, loop, iteration, node, Span.ofMillis(300)).start(job);
-                HeldUpRouter.sleep(600);
+                pool(bootstrap, loop, iteration, server, Span.ofMillis(300)).start(query);
+                StallableRouter.sleep(600);
               })
           .sync();
-      try (Socket opened = node.accept()) {
-        opened.getInputStream().read(new byte[200]);
+      try (Socket serverSide = server.accept()) {
+        serverSide.getInputStream().read(new byte[200]);
         Thread.sleep(50);
-        ByteBuf welcome = Unpooled.buffer();
-        MessageEncoder.startupResponse(welcome);
-        opened.getOutputStream().write(ByteBufUtil.getBytes(welcome));
-        check(job.became.get(2, TimeUnit.SECONDS).equals("written"), "it is out");
+        ByteBuf startupResponse = Unpooled.buffer();
+        MessageEncoder.startupResponse(startupResponse);
+        serverSide.getOutputStream().write(ByteBufUtil.getBytes(startupResponse));
+        check(query.result.get(2, TimeUnit.SECONDS).equals("written"), "it is out");
       }
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -152,33 +152,36 @@
 
   /** A server that never welcomes is given up in its time where the loop runs. */
   @Example
-  void aServerThatNeverWelcomesIsGivenUp() throws Exception {
+  void connectionWithoutStartupResponseTimesOut() throws Exception {
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(
             1, PreciseSelectStrategy.newFactory(new ReadinessClock(new Clock()::now)));
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-    try (ServerSocket node = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-      Waits job = new Waits();
-      LoopIteration iteration = HeldUpRouter.turn(loop);
+    try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+      RecordingQuery query = new RecordingQuery();
+      LoopIteration iteration = StallableRouter.newIteration(loop);
       Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class);
-      loop.submit(() -> link(bootstrap, loop, iteration, node, Span.ofMillis(100)).start(job))
+      loop.submit(() -> pool(bootstrap, loop, iteration, server, Span.ofMillis(100)).start(query))
           .sync();
-      check(job.became.get(2, TimeUnit.SECONDS).equals("NO_CONNECTION"), "given up");
+      check(query.result.get(2, TimeUnit.SECONDS).equals("NO_CONNECTION"), "given up");
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
   }
 
-  private static ConnectionPool link(
-      Bootstrap bootstrap, SingleThreadEventLoop loop, LoopIteration iteration, ServerSocket node) {
-    return link(bootstrap, loop, iteration, node, Span.ofMillis(5_000));
+  private static ConnectionPool pool(
+      Bootstrap bootstrap,
+      SingleThreadEventLoop loop,
+      LoopIteration iteration,
+      ServerSocket server) {
+    return pool(bootstrap, loop, iteration, server, Span.ofMillis(5_000));
   }
 
-  private static ConnectionPool link(
+  private static ConnectionPool pool(
       Bootstrap bootstrap,
       SingleThreadEventLoop loop,
       LoopIteration iteration,
-      ServerSocket node,
+      ServerSocket server,
       Span connectTimeout) {
     ConnectionPool pool =
         new ConnectionPool(
@@ -191,61 +194,62 @@
             connectTimeout,
             Span.ofMillis(9_000),
             new RateLimitedLog(
-                LoggerFactory.getLogger(ComesUpTest.class),
+                LoggerFactory.getLogger(ConnectionStartupTest.class),
                 Event.NODE_BAD,
                 iteration.clock()::now));
-    pool.at((InetSocketAddress) node.getLocalSocketAddress());
+    pool.setAddress((InetSocketAddress) server.getLocalSocketAddress());
     return pool;
   }
 
   @Example
-  void nothingIsSentForAClientWhoseEndIsReadInTheSameLook() throws Exception {
+  void queryIsNotSentWhenClientDisconnectIsReadInSameIteration() throws Exception {
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(
             1, PreciseSelectStrategy.newFactory(new ReadinessClock(new Clock()::now)));
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-    InetAddress here = InetAddress.getLoopbackAddress();
-    try (ServerSocket node = new ServerSocket(0, 5, here);
-        ServerSocket front = new ServerSocket(0, 5, here)) {
+    InetAddress loopback = InetAddress.getLoopbackAddress();
+    try (ServerSocket server = new ServerSocket(0, 5, loopback);
+        ServerSocket clientListener = new ServerSocket(0, 5, loopback)) {
       Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class);
-      Waits job = new Waits();
-      LoopIteration iteration = HeldUpRouter.turn(loop);
+      RecordingQuery query = new RecordingQuery();
+      LoopIteration iteration = StallableRouter.newIteration(loop);
       bootstrap
           .clone()
           .handler(
               new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelInactive(ChannelHandlerContext context) {
-                  iteration.hear(now -> job.hasLeft = true);
+                  iteration.enqueue(now -> query.clientDisconnected = true);
                 }
               })
-          .connect(front.getLocalSocketAddress())
+          .connect(clientListener.getLocalSocketAddress())
           .sync();
-      loop.submit(() -> link(bootstrap, loop, iteration, node).start(job)).sync();
-      try (Socket client = front.accept();
-          Socket opened = node.accept()) {
-        opened.getInputStream().read(new byte[200]);
-        CountDownLatch stands = new CountDownLatch(1);
-        CountDownLatch goesOn = new CountDownLatch(1);
+      loop.submit(() -> pool(bootstrap, loop, iteration, server).start(query)).sync();
+      try (Socket client = clientListener.accept();
+          Socket serverSide = server.accept()) {
+        serverSide.getInputStream().read(new byte[200]);
+        CountDownLatch stallStarted = new CountDownLatch(1);
+        CountDownLatch stallEnds = new CountDownLatch(1);
         loop.execute(
             () -> {
-              stands.countDown();
+              stallStarted.countDown();
               try {
-                goesOn.await();
+                stallEnds.await();
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
             });
-        stands.await();
-        ByteBuf welcome = Unpooled.buffer();
-        MessageEncoder.startupResponse(welcome);
-        opened.getOutputStream().write(ByteBufUtil.getBytes(welcome));
+        stallStarted.await();
+        ByteBuf startupResponse = Unpooled.buffer();
+        MessageEncoder.startupResponse(startupResponse);
+        serverSide.getOutputStream().write(ByteBufUtil.getBytes(startupResponse));
         client.close();
         // For both to lie ready; the node's is first in line.
         Thread.sleep(20);
-        goesOn.countDown();
+        stallEnds.countDown();
         check(
-            List.of("NEVER_SENT").contains(job.became.get(2, TimeUnit.SECONDS)), job.became.get());
+            List.of("NEVER_SENT").contains(query.result.get(2, TimeUnit.SECONDS)),
+            query.result.get());
       }
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
--- a/router/src/test/java/basaltlever/net/WatchReadsTest.java
+++ b/router/src/test/java/basaltlever/net/DiscoveryWatchReadTest.java
@@ -26,11 +26,11 @@
  * A loop that was held up finds a long change of the list waiting: statements that it reads then
  * must not overtake it.
  */
-class WatchReadsTest {
+class DiscoveryWatchReadTest {
   private static final int ENTRIES = 400;
   private static final int WARM_UP = 40;
 
-  private static byte[] change(int generation) {
+  private static byte[] listChange(int generation) {
     StringBuilder text =
         new StringBuilder("{\"generation\":" + generation + ",\"reset\":true,\"instances\":[");
     for (int i = 0; i < ENTRIES; i++) {
@@ -47,12 +47,12 @@
   }
 
   @Example
-  void aLongChangeThatWaitsIsReadInOneLook() throws Exception {
+  void longBufferedListChangeIsReadInOneIteration() throws Exception {
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
     try (ServerSocket discovery = SocketWorld.listen(0)) {
-      LoopIteration iteration = HeldUpRouter.turn(loop);
+      LoopIteration iteration = StallableRouter.newIteration(loop);
       StatementRouter<String> core = SocketWorld.core();
       EndpointList list = new EndpointList(core, List.of("a"), (node, address) -> {});
       DiscoveryWatch watch =
@@ -67,7 +67,7 @@
         SocketWorld.send(
             call, Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\n\r\n", StandardCharsets.US_ASCII));
         for (int i = 1; i <= WARM_UP; i++) {
-          call.getOutputStream().write(change(i));
+          call.getOutputStream().write(listChange(i));
         }
         long read = 0;
         for (int i = 0; i < 200 && read < (long) ENTRIES * WARM_UP; i++) {
@@ -78,12 +78,12 @@
                   .getNow();
         }
         check(read == (long) ENTRIES * WARM_UP, "all before: " + read);
-        CountDownLatch goesOn = new CountDownLatch(1);
-        CompletableFuture<Long> afterOneLook = new CompletableFuture<>();
+        CountDownLatch stallEnds = new CountDownLatch(1);
+        CompletableFuture<Long> readAfterOneIteration = new CompletableFuture<>();
         loop.execute(
             () -> {
               try {
-                goesOn.await();
+                stallEnds.await();
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
@@ -91,14 +91,14 @@
                   () ->
                       loop.execute(
                           () ->
-                              afterOneLook.complete(
+                              readAfterOneIteration.complete(
                                   iteration.counters().get(Counter.LIST_ENTRIES_READ))));
             });
-        call.getOutputStream().write(change(WARM_UP + 1));
+        call.getOutputStream().write(listChange(WARM_UP + 1));
         Thread.sleep(50);
-        goesOn.countDown();
-        long then = afterOneLook.get(2, TimeUnit.SECONDS) - read;
-        check(then == ENTRIES, "read in one look: " + then);
+        stallEnds.countDown();
+        long readInIteration = readAfterOneIteration.get(2, TimeUnit.SECONDS) - read;
+        check(readInIteration == ENTRIES, "read in one look: " + readInIteration);
       }
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
--- a/router/src/test/java/basaltlever/net/LeaseGuardTest.java
+++ b/router/src/test/java/basaltlever/net/LeaseGuardTest.java
@@ -27,7 +27,7 @@
    * fleet.
    */
   @Example
-  void grantsThatLastNothingDoNotKeepMembersAssigned() throws Exception {
+  void grantsOfZeroDurationDoNotExtendAssignments() throws Exception {
     Path example =
         Files.exists(Path.of("deploy"))
             ? Path.of("deploy/example.json")
@@ -53,27 +53,29 @@
             List.of());
     Moment now = new Moment(1_000_000);
     for (int i = 0; i < 60; i++) {
-      Span lasts = i < 3 ? Span.ofMillis(400) : Span.NONE;
-      leaseGuard.granted(
+      Span duration = i < 3 ? Span.ofMillis(400) : Span.NONE;
+      leaseGuard.onGrant(
           now,
           new LeaseGrant(
-              leaseGuard.follower().registerHeartbeat(now),
-              lasts,
+              leaseGuard.leaseHolder().registerHeartbeat(now),
+              duration,
               new SettingsVersion(0, "", 1, "", "", 0),
               null,
               0),
           update);
       check(i >= 3 || !membership.isOutOfContact(now), "under a lease");
       now = now.plus(Span.ofMillis(100));
-      leaseGuard.look(now);
+      leaseGuard.checkLease(now);
     }
     check(
         membership.isOutOfContact(now),
         "5.7 s after the last grant that lasted, whatever was answered since");
-    check(leaseGuard.stance(now) >= 0, "and it knows: what is decided now may go out, to nobody");
+    check(
+        leaseGuard.fencingToken(now) >= 0,
+        "and it knows: what is decided now may go out, to nobody");
   }
 
-  private static Settings begins(SettingsVersion told) throws Exception {
+  private static Settings settingsAfterBegin(SettingsVersion lastReceived) throws Exception {
     Path example =
         Files.exists(Path.of("deploy"))
             ? Path.of("deploy/example.json")
@@ -81,7 +83,7 @@
     MembershipView membership = new MembershipView(Span.ofMillis(1_000), ASSIGNED);
     EndpointList list = new EndpointList(null, List.of(), null);
     list.setMembershipView(membership, () -> new Moment(0));
-    List<Settings> kept = new ArrayList<>();
+    List<Settings> applied = new ArrayList<>();
     StartFile own = StartFile.read(example);
     LeaseGuard leaseGuard =
         new LeaseGuard(
@@ -92,41 +94,43 @@
             () -> {},
             (file, holds) -> {
               check(file == own, "the file in force is its own until a grant comes");
-              kept.add(holds);
+              applied.add(holds);
             });
-    leaseGuard.begin(told);
+    leaseGuard.begin(lastReceived);
     check(
-        leaseGuard.follower().isRestricted() && leaseGuard.follower().inForce() == null,
+        leaseGuard.leaseHolder().isRestricted() && leaseGuard.leaseHolder().inForce() == null,
         "told is not in force");
-    return kept.get(0);
+    return applied.get(0);
   }
 
   /**
    * Its start file says how many routers there were when somebody wrote it; the fleet knows by now.
    */
   @Example
-  void aProcessThatStartsWithoutAWordKeepsToNothingLooserThanWhatItsLastOneWasTold()
-      throws Exception {
-    Settings own = begins(null);
-    Settings more =
-        begins(new SettingsVersion(7, "", own.identity().routers() + 40, "ops", "grown", 1));
+  void startWithoutGrantAppliesNothingLooserThanLastReceivedVersion() throws Exception {
+    Settings withoutVersion = settingsAfterBegin(null);
+    Settings moreRouters =
+        settingsAfterBegin(
+            new SettingsVersion(
+                7, "", withoutVersion.identity().routers() + 40, "ops", "grown", 1));
     check(
-        more.identity().routers() == own.identity().routers() + 40,
+        moreRouters.identity().routers() == withoutVersion.identity().routers() + 40,
         "a smaller share of each cold node");
-    Settings fewer = begins(new SettingsVersion(8, "", 1, "ops", "shrunk", 1));
+    Settings fewerRouters = settingsAfterBegin(new SettingsVersion(8, "", 1, "ops", "shrunk", 1));
     check(
-        fewer.identity().routers() == own.identity().routers(),
+        fewerRouters.identity().routers() == withoutVersion.identity().routers(),
         "never a larger one than its file says");
-    for (Settings holds : List.of(own, more, fewer)) {
+    for (Settings holds : List.of(withoutVersion, moreRouters, fewerRouters)) {
       check(
           holds.attemptLimits().maxAttempts() == 1 && !holds.attemptLimits().hedgedRequests(),
           "with care in any case");
     }
-    Settings unread =
-        begins(
+    Settings unreadable =
+        settingsAfterBegin(
             new SettingsVersion(9, "{\"Balancers\":\"many\"}", 90, "ops", "of a later release", 1));
     check(
-        unread.identity().routers() == own.identity().routers(), "what can't be read is left out");
+        unreadable.identity().routers() == withoutVersion.identity().routers(),
+        "what can't be read is left out");
   }
 
   /** The example's settings, but for one thing. */
@@ -143,25 +147,32 @@
   }
 
   @Example
-  void whatItWasToldIsStricterKeyByKeyAndLeftOutWhereItIsOfOtherWorkloads() throws Exception {
-    Settings own = begins(null);
-    Settings colder = begins(changed("\"Cold\": 9000000", "\"Cold\": 19000000"));
-    check(colder.slowStart().warmAfter().equals(Span.ofMillis(19_000)), "nodes warm for longer");
-    Settings warmer = begins(changed("\"Cold\": 9000000", "\"Cold\": 1000000"));
+  void lastReceivedVersionTightensEachKeyAndIsIgnoredForOtherWorkloads() throws Exception {
+    Settings withoutVersion = settingsAfterBegin(null);
+    Settings slowerWarmUp = settingsAfterBegin(changed("\"Cold\": 9000000", "\"Cold\": 19000000"));
+    check(
+        slowerWarmUp.slowStart().warmAfter().equals(Span.ofMillis(19_000)),
+        "nodes warm for longer");
+    Settings fasterWarmUp = settingsAfterBegin(changed("\"Cold\": 9000000", "\"Cold\": 1000000"));
     check(
-        warmer.slowStart().warmAfter().equals(own.slowStart().warmAfter()),
+        fasterWarmUp.slowStart().warmAfter().equals(withoutVersion.slowStart().warmAfter()),
         "and never for less than its file says");
-    Settings renamed =
-        begins(
+    Settings renamedWorkload =
+        settingsAfterBegin(
             changed(
                 "\"list\", \"Repeat\": \"idempotent\", \"Slo\": 400000",
                 "\"catalogue\", \"Repeat\": \"idempotent\", \"Slo\": 100000"));
     check(
-        renamed.workloads()[0].latencyObjective().equals(own.workloads()[0].latencyObjective()),
+        renamedWorkload
+            .workloads()[0]
+            .latencyObjective()
+            .equals(withoutVersion.workloads()[0].latencyObjective()),
         "not the time of another workload");
-    Settings flipped = begins(changed("[\"bounded\", \"write\"]", "[\"write\", \"bounded\"]"));
+    Settings reorderedConsistency =
+        settingsAfterBegin(changed("[\"bounded\", \"write\"]", "[\"write\", \"bounded\"]"));
     check(
-        flipped.workloads()[0].consistency() == own.workloads()[0].consistency(),
+        reorderedConsistency.workloads()[0].consistency()
+            == withoutVersion.workloads()[0].consistency(),
         "no write for a read");
   }
 }
--- a/router/src/test/java/basaltlever/net/PreciseSelectStrategyTest.java
+++ b/router/src/test/java/basaltlever/net/PreciseSelectStrategyTest.java
@@ -19,48 +19,49 @@
   private static final int TIMERS = 100;
 
   /** Counts the looks at the sockets. */
-  private record Counted(IoHandler of, AtomicLong looks) implements IoHandler {
+  private record CountingIoHandler(IoHandler delegate, AtomicLong selects) implements IoHandler {
     @Override
     public int run(IoHandlerContext context) {
-      looks.incrementAndGet();
-      return of.run(context);
+      selects.incrementAndGet();
+      return delegate.run(context);
     }
 
     @Override
     public void initialize() {
-      of.initialize();
+      delegate.initialize();
     }
 
     @Override
     public void prepareToDestroy() {
-      of.prepareToDestroy();
+      delegate.prepareToDestroy();
     }
 
     @Override
     public void destroy() {
-      of.destroy();
+      delegate.destroy();
     }
 
     @Override
     public IoRegistration register(IoHandle handle) throws Exception {
-      return of.register(handle);
+      return delegate.register(handle);
     }
 
     @Override
     public void wakeup() {
-      of.wakeup();
+      delegate.wakeup();
     }
 
     @Override
     public boolean isCompatible(Class<? extends IoHandle> type) {
-      return of.isCompatible(type);
+      return delegate.isCompatible(type);
     }
   }
 
   /** One timer after the other, none a whole millisecond away. */
-  private static void chain(EventExecutor loop, int left, AtomicLong early, CountDownLatch over) {
+  private static void scheduleChain(
+      EventExecutor loop, int left, AtomicLong early, CountDownLatch done) {
     if (left == 0) {
-      over.countDown();
+      done.countDown();
       return;
     }
     long micros = 2_050L + left * 37 % 900;
@@ -68,28 +69,30 @@
     loop.schedule(
         () -> {
           early.addAndGet(System.nanoTime() < due ? 1 : 0);
-          chain(loop, left - 1, early, over);
+          scheduleChain(loop, left - 1, early, done);
         },
         micros,
         TimeUnit.MICROSECONDS);
   }
 
   @Example
-  void aTimerCostsOneLookAtTheSocketsAndNotOneAfterTheOther() throws Exception {
-    AtomicLong looks = new AtomicLong();
+  void timerCostsOneSelectRatherThanRepeatedSelects() throws Exception {
+    AtomicLong selects = new AtomicLong();
     AtomicLong early = new AtomicLong();
     IoHandlerFactory sockets =
         PreciseSelectStrategy.newFactory(new ReadinessClock(new Clock()::now));
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(
-            1, executor -> new Counted(sockets.newHandler(executor), looks));
+            1, executor -> new CountingIoHandler(sockets.newHandler(executor), selects));
     try {
-      CountDownLatch over = new CountDownLatch(1);
+      CountDownLatch done = new CountDownLatch(1);
       EventExecutor loop = group.next();
-      loop.execute(() -> chain(loop, TIMERS, early, over));
-      check(over.await(20, TimeUnit.SECONDS), "each comes");
+      loop.execute(() -> scheduleChain(loop, TIMERS, early, done));
+      check(done.await(20, TimeUnit.SECONDS), "each comes");
       check(early.get() == 0, "none too early");
-      check(looks.get() <= 4 * TIMERS, "looks at the sockets for " + TIMERS + " timers: " + looks);
+      check(
+          selects.get() <= 4 * TIMERS,
+          "looks at the sockets for " + TIMERS + " timers: " + selects);
     } finally {
       group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
--- a/router/src/test/java/basaltlever/net/HeldUpRouter.java
+++ b/router/src/test/java/basaltlever/net/StallableRouter.java
@@ -26,8 +26,8 @@
 import org.slf4j.LoggerFactory;
 
 /** A router whose decisions never say a word of any statement, on a loop that tests hold up. */
-final class HeldUpRouter implements AutoCloseable {
-  private static final int QUEUE = 100;
+final class StallableRouter implements AutoCloseable {
+  private static final int LISTEN_QUEUE_LENGTH = 100;
   private final Clock clock = new Clock();
   private final ReadinessClock readinessClock = new ReadinessClock(clock::now);
   final MultiThreadIoEventLoopGroup group =
@@ -38,39 +38,39 @@
   LoopIteration iteration;
 
   /** Whether the final answers of the decisions are given; nothing else that they want is done. */
-  volatile boolean answers;
+  volatile boolean forwardsRejections;
 
   /** Whether what the decisions want done is a fault from here on. */
-  volatile boolean throwsUp;
+  volatile boolean throwsFaults;
 
-  volatile boolean acceptFails;
+  volatile boolean failsAccept;
   final int sockets;
   final Channel listener;
-  final AcceptHandler accepting;
+  final AcceptHandler acceptHandler;
   Descriptors descriptors;
   final int port;
 
-  HeldUpRouter() throws Exception {
+  StallableRouter() throws Exception {
     this(200);
   }
 
-  HeldUpRouter(int sockets) throws Exception {
+  StallableRouter(int sockets) throws Exception {
     this.sockets = sockets;
     loop.submit(this::build).sync();
-    accepting =
+    acceptHandler =
         new AcceptHandler(
             iteration,
             descriptors,
-            QUEUE,
+            LISTEN_QUEUE_LENGTH,
             new RateLimitedLog(
-                LoggerFactory.getLogger(HeldUpRouter.class), Event.ACCEPT_PAUSED, clock::now));
+                LoggerFactory.getLogger(StallableRouter.class), Event.ACCEPT_PAUSED, clock::now));
     listener =
         new ServerBootstrap()
             .group(loop, loop)
             .channelFactory(FailingListener::new)
-            .option(ChannelOption.SO_BACKLOG, QUEUE)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, accepting.limitedReads())
-            .handler(accepting)
+            .option(ChannelOption.SO_BACKLOG, LISTEN_QUEUE_LENGTH)
+            .option(ChannelOption.RECVBUF_ALLOCATOR, acceptHandler.limitedReads())
+            .handler(acceptHandler)
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
@@ -79,7 +79,8 @@
                         .pipeline()
                         .addLast(
                             new ClientChannel(
-                                clients.admit(accepting.queuedSince(), accepting.silentSince())));
+                                clients.admit(
+                                    acceptHandler.queuedSince(), acceptHandler.silentSince())));
                   }
                 })
             .bind(new InetSocketAddress("127.0.0.1", 0))
@@ -93,7 +94,7 @@
     var values = StartFile.read(Path.of("deploy/example.json")).startValues();
     iteration = new LoopIteration(loop, clock, readinessClock);
     descriptors = new Descriptors(sockets);
-    iteration.last(descriptors::endLongestIdle);
+    iteration.setLastStep(descriptors::endLongestIdle);
     MemoryBudget budget = new MemoryBudget(1 << 24);
     StatementTrace trace = new StatementTrace(null, clock::now);
     executor =
@@ -112,10 +113,10 @@
                 getClass().getClassLoader(),
                 new Class<?>[] {Effects.class},
                 (proxy, method, arguments) -> {
-                  if (throwsUp) {
+                  if (throwsFaults) {
                     throw new IllegalStateException("planted");
                   }
-                  if (answers && List.of("reject", "abort").contains(method.getName())) {
+                  if (forwardsRejections && List.of("reject", "abort").contains(method.getName())) {
                     return method.invoke(executor, arguments);
                   }
                   return null;
@@ -128,13 +129,13 @@
             500,
             budget,
             new RateLimitedLog(
-                LoggerFactory.getLogger(HeldUpRouter.class), Event.CLIENT_BAD, clock::now),
+                LoggerFactory.getLogger(StallableRouter.class), Event.CLIENT_BAD, clock::now),
             trace);
     StatementRouter<String> core =
         new StatementRouter<>(
             silent, values.loadBalancerFactory(1, clock.now(), values.defaultHoldBudget()));
     clients.serve(core, executor);
-    executor.serve(core, () -> {});
+    executor.setCore(core, () -> {});
     return null;
   }
 
@@ -142,7 +143,7 @@
   private final class FailingListener extends NioServerSocketChannel {
     @Override
     protected int doReadMessages(List<Object> into) throws Exception {
-      if (acceptFails) {
+      if (failsAccept) {
         throw new IOException("Too many open files in system");
       }
       return super.doReadMessages(into);
@@ -150,19 +151,19 @@
   }
 
   /** A turn whose loop tells nobody when it looks. */
-  static LoopIteration turn(SingleThreadEventLoop loop) throws InterruptedException {
+  static LoopIteration newIteration(SingleThreadEventLoop loop) throws InterruptedException {
     Clock clock = new Clock();
     return loop.submit(() -> new LoopIteration(loop, clock, new ReadinessClock(clock::now)))
         .sync()
         .getNow();
   }
 
-  void stall(long millis) {
-    loop.execute(() -> iteration.hear(now -> sleep(millis)));
+  void stallInIteration(long millis) {
+    loop.execute(() -> iteration.enqueue(now -> sleep(millis)));
   }
 
   /** Not in a turn: as a process that was stopped while it waited, or another thread's doing. */
-  void standsStill(long millis) {
+  void stallOutsideIteration(long millis) {
     loop.execute(() -> sleep(millis));
   }
 
--- a/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
+++ b/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
@@ -37,11 +37,11 @@
 class SystemCallFaultsTest {
   /** Where it ended, and on which thread. */
   private static final class Query extends ServerQuery {
-    final CompletableFuture<String> became = new CompletableFuture<>();
+    final CompletableFuture<String> result = new CompletableFuture<>();
 
     @Override
     void write(ByteBuf out) {
-      became.complete("written");
+      result.complete("written");
       MessageEncoder.query(out, "SELECT 1");
     }
 
@@ -51,18 +51,18 @@
     }
 
     @Override
-    void answered(QueryResponse response) {
+    void onResponse(QueryResponse response) {
       response.release();
     }
 
     @Override
-    void lost(AttemptOutcome outcome) {
-      became.complete(outcome + " on " + Thread.currentThread().getName());
+    void onFailure(AttemptOutcome outcome) {
+      result.complete(outcome + " on " + Thread.currentThread().getName());
     }
   }
 
   /** So many sockets fail, then the system has some again. */
-  private static Bootstrap failing(SingleThreadEventLoop loop, AtomicInteger failures) {
+  private static Bootstrap bootstrapFailing(SingleThreadEventLoop loop, AtomicInteger failures) {
     return new Bootstrap()
         .group(loop)
         .channelFactory(
@@ -75,13 +75,13 @@
   }
 
   @Example
-  void anExecutionThatGetsNoSocketEndsAtOnceAndTheNextOneIsSent() throws Exception {
+  void executionWithoutSocketFailsImmediatelyAndNextOneIsSent() throws Exception {
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-    try (ServerSocket node = SocketWorld.listen(0)) {
-      Bootstrap bootstrap = failing(loop, new AtomicInteger(3));
-      LoopIteration iteration = HeldUpRouter.turn(loop);
+    try (ServerSocket server = SocketWorld.listen(0)) {
+      Bootstrap bootstrap = bootstrapFailing(loop, new AtomicInteger(3));
+      LoopIteration iteration = StallableRouter.newIteration(loop);
       Descriptors descriptors = new Descriptors(64);
       ConnectionPool pool =
           loop.submit(
@@ -106,21 +106,21 @@
         Query query = new Query();
         loop.submit(
                 () -> {
-                  pool.at((InetSocketAddress) node.getLocalSocketAddress());
+                  pool.setAddress((InetSocketAddress) server.getLocalSocketAddress());
                   pool.start(query);
                 })
             .sync();
-        String became = query.became.get(1, TimeUnit.SECONDS);
-        check(became.equals("NO_CONNECTION on " + thread), became);
+        String result = query.result.get(1, TimeUnit.SECONDS);
+        check(result.equals("NO_CONNECTION on " + thread), result);
       }
       Query next = new Query();
       loop.submit(() -> pool.start(next)).sync();
-      try (Socket opened = node.accept()) {
-        opened.getInputStream().read(new byte[200]);
-        ByteBuf welcome = io.netty.buffer.Unpooled.buffer();
-        MessageEncoder.startupResponse(welcome);
-        SocketWorld.send(opened, welcome);
-        check(next.became.get(1, TimeUnit.SECONDS).equals("written"), next.became.get());
+      try (Socket serverSide = server.accept()) {
+        serverSide.getInputStream().read(new byte[200]);
+        ByteBuf startupResponse = io.netty.buffer.Unpooled.buffer();
+        MessageEncoder.startupResponse(startupResponse);
+        SocketWorld.send(serverSide, startupResponse);
+        check(next.result.get(1, TimeUnit.SECONDS).equals("written"), next.result.get());
       }
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -128,34 +128,34 @@
   }
 
   @Example
-  void aCallOfDiscoveryThatGetsNoSocketIsFollowedByAnother() throws Exception {
+  void discoveryCallWithoutSocketIsRetried() throws Exception {
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
     try (ServerSocket discovery = SocketWorld.listen(0)) {
-      SocketWorld.Silent outside = new SocketWorld.Silent();
-      LoopIteration iteration = HeldUpRouter.turn(loop);
+      SocketWorld.Silent effects = new SocketWorld.Silent();
+      LoopIteration iteration = StallableRouter.newIteration(loop);
       Moment now = iteration.clock().now();
       StatementRouter<String> core =
           new StatementRouter<>(
-              outside,
+              effects,
               SocketWorld.values()
                   .loadBalancerFactory(1, now, SocketWorld.values().defaultHoldBudget()));
       EndpointList list = new EndpointList(core, List.of(), (node, address) -> {});
       DiscoveryWatch watch =
           new DiscoveryWatch(
-              failing(loop, new AtomicInteger(1)),
+              bootstrapFailing(loop, new AtomicInteger(1)),
               (InetSocketAddress) discovery.getLocalSocketAddress(),
               iteration,
               list,
               core);
       loop.submit(watch::start).sync();
       // The decisions hear that it failed, and ask again within a second and a half.
-      for (int i = 0; i < 40 && !outside.told.contains("watch"); i++) {
+      for (int i = 0; i < 40 && !effects.told.contains("watch"); i++) {
         Thread.sleep(50);
         loop.submit(() -> core.timerFired(iteration.clock().now())).sync();
       }
-      check(outside.told.contains("watch"), "nobody asks any more");
+      check(effects.told.contains("watch"), "nobody asks any more");
       loop.submit(watch::start).sync();
       discovery.setSoTimeout(1_000);
       try (Socket call = discovery.accept()) {
