--- a/router/src/main/java/basaltlever/net/AttemptExecutor.java
+++ b/router/src/main/java/basaltlever/net/AttemptExecutor.java
@@ -36,14 +36,17 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.event.Level;
 
-/** Carries out on sockets what the decisions want, and brings them what became of it. */
+/** Carries out the core's effects on sockets and timers, and reports their outcomes to the core. */
 final class AttemptExecutor implements Effects<String> {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptExecutor.class);
 
-  /** The decisions' own timers, and executions cut to the same moment, come first. */
+  /**
+   * Delay after a statement's deadline, so that the core's own timers and the timeouts of attempts
+   * cut to the same moment run first.
+   */
   private static final Span DEADLINE_GUARD_DELAY = Span.ofMillis(10);
 
-  /** Members that are asked for planned changes. */
+  /** Limit of the recently polled endpoints, which are queried for announced switchovers. */
   private static final int MAX_RECENTLY_POLLED = 128;
 
   private final LoopIteration iteration;
@@ -57,15 +60,15 @@
   private final Counters counters;
   private final ClockOffset clockOffset;
 
-  /** What was told in the servers' time is to be taken in again. */
+  /** Publishes times given by the servers' clocks again after the clock offset has changed. */
   private Consumer<Moment> clockOffsetListener = now -> {};
 
-  /** What is kept to, by number: what was decided under another is not sent. */
+  /** Returns the current fencing token. An attempt decided under another token is not sent. */
   private ToIntFunction<Moment> fencingTokenSource = now -> 0;
 
   private final LongObjectHashMap<PendingStatement> statements = new LongObjectHashMap<>();
 
-  /** All that are unanswered, by the time at which they are owed an answer. */
+  /** Unanswered statements, ordered by answer deadline. */
   private final TreeSet<PendingStatement> unansweredByDeadline =
       new TreeSet<>(
           Comparator.comparingLong(
@@ -75,10 +78,13 @@
   private Future<?> deadlineTimer;
   private Moment deadlineTimerAt = Moment.NEVER;
 
-  /** Empty where members are not asked for planned changes. */
+  /** Empty if endpoints are not queried for announced switchovers. */
   private String switchoverTable = "";
 
-  /** Members that are being polled, and those that a start does not wait for. */
+  /**
+   * Endpoints whose first poll has not ended. Startup waits for these, but not for unreachable
+   * ones.
+   */
   private final Set<String> pendingFirstPolls = new HashSet<>();
 
   private final Set<String> unreachableEndpoints = new HashSet<>();
@@ -113,23 +119,25 @@
     startWatch = watchStarter;
   }
 
-  /** An earlier process had no answer from it: a start does not wait for one. */
+  /**
+   * Excludes an endpoint that did not answer the previous process from the polls startup waits for.
+   */
   void excludeFromStartup(String endpoint) {
     unreachableEndpoints.add(endpoint);
     pendingFirstPolls.remove(endpoint);
   }
 
-  /** Whether members were polled, and each of them has answered or failed. */
+  /** Returns whether endpoints were polled and each poll has been answered or has failed. */
   boolean hasCompletedFirstPolls() {
     return hasPolled && pendingFirstPolls.isEmpty();
   }
 
-  /** The start is over: nobody waits for a first look any more. */
+  /** Ends startup: nothing waits for first polls any more. */
   void onServing() {
     unreachableEndpoints.clear();
   }
 
-  /** What members' reports hold from now on, and how long one may take. */
+  /** Sets the format of load reports and the poll timeout. */
   void configurePolls(LoadReportFormat format, Span timeout) {
     loadReport = format;
     pollTimeout = timeout;
@@ -147,14 +155,17 @@
     switchoverTable = table;
   }
 
-  /** Members polled lately, the latest last: those that are asked for planned changes. */
+  /**
+   * Returns recently polled endpoints, the latest last. These are queried for announced
+   * switchovers.
+   */
   Set<String> recentlyPolled() {
     return recentlyPolled;
   }
 
   /**
-   * Apart from polls, which a router with little traffic sends too rarely to hear of a change in
-   * time.
+   * Queries the switchover table. Polls do not do this, since a router with little traffic sends
+   * them too rarely to learn of a switchover in time.
    */
   void querySwitchoverTable(String endpoint) {
     if (!switchoverTable.isEmpty()) {
@@ -190,10 +201,11 @@
   }
 
   /**
-   * The decisions answer everything in time by their own rules, unless nobody wakes them: a loop
-   * that was held up may come to this before their own timer, and before the ends of executions
-   * that wait to be heard. So they are asked for their last word on each statement whose time is
-   * over. What they forget even so is aborted: nothing is proven of it here.
+   * Ends statements whose deadline has passed. The core normally answers each in time, but only if
+   * it is woken: after a stall of the loop this check may run before the core's own timer and
+   * before queued outcomes of attempts. It therefore calls the core once more for each such
+   * statement. A statement that the core still leaves unanswered is aborted, since nothing proves
+   * here that it had no effect.
    */
   private void expireStatements(Moment now, Moment latestCheck) {
     deadlineTimerAt = Moment.NEVER;
@@ -218,7 +230,7 @@
       Event.OVERDUE.log(
           LOG,
           Level.WARN,
-          "aborted by the guard",
+          "the core gave no answer by the deadline; aborting the statement",
           pendingStatement.query.id,
           pendingStatement.attempts.size(),
           pendingStatement.openAttempts);
@@ -227,12 +239,14 @@
     }
   }
 
-  /** A router that stops leaves nobody without an answer. */
+  /** Answers all open statements, as the router stops. */
   void answerAll(Moment now) {
     expireStatements(now, Moment.NEVER);
   }
 
-  /** Beyond what the settings allow to be open, before the decisions hear of it. */
+  /**
+   * Rejects a statement above the configured limit of open statements before it reaches the core.
+   */
   void rejectTooManyOpen(PendingStatement pendingStatement) {
     counters.add(Counter.REFUSED_TOO_MANY_OPEN);
     iteration.addEffect(
@@ -254,12 +268,12 @@
         });
   }
 
-  /** A fault in the decisions must not cost the statement its answer. */
+  /** Runs a step of the core. If the step throws, the statement is still answered. */
   void runGuarded(PendingStatement pendingStatement, Runnable step) {
     try {
       step.run();
     } catch (RuntimeException fault) {
-      Event.FAULT.fault(LOG, "", fault, "deciding on statement " + pendingStatement.ticket);
+      Event.FAULT.fault(LOG, "", fault, "core step for statement " + pendingStatement.ticket);
       if (!pendingStatement.answered) {
         iteration.addEffect(
             () ->
@@ -294,10 +308,11 @@
     }
   }
 
-  // ---- What the decisions want.
+  // ---- Effects requested by the core.
 
   /**
-   * Counted as out from the decision on, so that the core hears of its end whatever comes between.
+   * Counts the attempt as open from the decision on, so that its end is reported to the core
+   * whatever happens in between.
    */
   @Override
   public void startAttempt(
@@ -317,8 +332,8 @@
     pendingStatement.openAttempts++;
     iteration.addEffect(
         () -> {
-          // From when it was decided: counted anew from here, its end comes behind that of the
-          // statement.
+          // The timeout counts from the decision. Counted from here, it would end after the
+          // statement's own deadline.
           Span remainingNow = attempt.deadline.since(iteration.clock().now());
           if (pendingStatement.answered || remainingNow.micros() <= 0) {
             attempt.fail(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
@@ -335,7 +350,10 @@
     pools.apply(endpoint).start(attempt);
   }
 
-  /** What is no client's has no deadline, only the time that the server may take. */
+  /**
+   * Starts a query that belongs to no client. It has no deadline, only the time allowed to the
+   * server.
+   */
   private void startQuery(ServerQuery query, String endpoint) {
     query.setTimeout(PeerTimeout.start(iteration, loop, pollTimeout, query::onTimeout));
     pools.apply(endpoint).start(query);
@@ -423,11 +441,12 @@
   }
 
   /**
-   * Woken too early, the decisions would wait for a timer that is gone, and look at nothing until
-   * spoken to.
+   * Schedules the core's timer. A call before the due time would leave the core without a timer,
+   * and inactive until the next input.
    */
   private void scheduleCoreTimer(Moment dueAt) {
-    // From when it was decided: a loop that was held up since would come to it that much late.
+    // The delay counts from the decision. After a stall of the loop, a delay counted from here
+    // would fire late by the length of the stall.
     long delayMicros = dueAt.since(iteration.clock().now()).micros();
     loop.schedule(
         () ->
@@ -444,7 +463,8 @@
   }
 
   /**
-   * Each is opened by a poll of its own: a connection that has answered one is known to be good.
+   * Opens each connection by a query of its own: a connection that has answered one is known to
+   * work.
    */
   @Override
   public void openConnections(String endpoint, int connections) {
@@ -474,7 +494,7 @@
         .log(LOG, Level.INFO, "", group, pools.apply(endpoint));
   }
 
-  // ---- What became of it.
+  // ---- Outcomes reported to the core.
 
   private Role toRole(QueryResponse response) {
     return response.role().equals("master")
@@ -507,9 +527,8 @@
       this.pendingStatement = pendingStatement;
       this.attemptNumber = attemptNumber;
       this.deadline = deadline;
-      // No later than a connection may take: its own timer comes late where this process was held
-      // up, and the
-      // member may have been told to drain meanwhile.
+      // No later than a connection attempt may take: the connect timer fires late if this process
+      // was stalled, and the endpoint may have started to drain meanwhile.
       this.sendBy = sendBy.earlier(iteration.now().plus(pollTimeout).plus(DEADLINE_GUARD_DELAY));
     }
 
@@ -520,9 +539,8 @@
 
     @Override
     boolean isObsolete(Moment now) {
-      // Its client's end may lie unread; and where executions may not be called off, one that waits
-      // for its
-      // connection outlives its statement.
+      // The client's disconnect may be unread. Where attempts must not be cancelled, one that waits
+      // for its connection can outlive its statement.
       pendingStatement.client.readAgain();
       return pendingStatement.answered
           || !pendingStatement.client.waitsFor(pendingStatement)
@@ -556,7 +574,8 @@
 
     private void onEnded(Moment now, AttemptOutcome outcome, QueryResponse response) {
       pendingStatement.openAttempts--;
-      // Text put together for nobody costs a process that has just started most.
+      // Builds the text only if the statement is traced: string concatenation is costly in a
+      // freshly started JVM.
       if (pendingStatement.trace != null) {
         trace.step(pendingStatement.trace, attemptNumber + "=" + outcome);
       }
@@ -652,7 +671,7 @@
     }
   }
 
-  /** What a member's table says of a planned change of its group's primary. */
+  /** Queries an endpoint's table for an announced switchover of its group's primary. */
   private final class AnnouncementQuery extends ServerQuery {
     private final String endpoint;
 
@@ -689,11 +708,11 @@
 
     @Override
     void onFailure(AttemptOutcome outcome) {
-      // Polls tell what there is to tell.
+      // Polls report the state of the endpoint.
     }
   }
 
-  /** Opens a connection, and has it answer something. */
+  /** Opens a connection and checks that it answers a query. */
   private static final class ConnectionWarmUp extends ServerQuery {
     @Override
     Descriptors.Use use() {
@@ -712,7 +731,7 @@
 
     @Override
     void onFailure(AttemptOutcome outcome) {
-      // One more or less.
+      // Nothing depends on a single warm-up connection.
     }
   }
 }
--- a/router/src/main/java/basaltlever/net/Clock.java
+++ b/router/src/main/java/basaltlever/net/Clock.java
@@ -5,10 +5,14 @@
 import java.time.temporal.ChronoUnit;
 
 /**
- * Unix time that never runs backwards: read once from the system, from then on by the steady clock.
+ * Unix time that never runs backwards: read once from the system clock, then advanced by the
+ * monotonic clock.
  */
 final class Clock {
-  /** Whole milliseconds would make a position that a node has just told lie in the future. */
+  /**
+   * In microseconds: with whole milliseconds, a position just reported by a server would lie in the
+   * future.
+   */
   private final long startMicros = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
 
   private final long startNanos = System.nanoTime();
--- a/router/src/main/java/basaltlever/net/ConnectionPool.java
+++ b/router/src/main/java/basaltlever/net/ConnectionPool.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The connections to one node: those idle are used again, the longest idle first, and closed in
- * time.
+ * The connections to one endpoint. Reuses the connection that has been idle longest, and closes
+ * idle connections after a timeout.
  */
 final class ConnectionPool {
   private final String name;
@@ -34,7 +34,8 @@
   private boolean sweepScheduled;
 
   /**
-   * An idle connection is closed a connect time-out before the node may: a path can take that long.
+   * Closes an idle connection one connect timeout before the server may do so, since a path can
+   * take that long.
    */
   ConnectionPool(
       String name,
@@ -61,7 +62,7 @@
     idleTimeout = idleClose.minus(newConnectTimeout).longer(Span.NONE);
   }
 
-  /** Null where the list has not named one. */
+  /** Returns null if the endpoint list has not named an address. */
   InetSocketAddress address() {
     return address;
   }
@@ -78,7 +79,7 @@
     return iteration.clock().now();
   }
 
-  /** For a connection that begins to be opened now. */
+  /** Starts the timeout of a connection that is being opened. */
   PeerTimeout connectTimeout(Runnable onTimeout) {
     return PeerTimeout.start(iteration, loop, connectTimeout, onTimeout);
   }
@@ -91,9 +92,9 @@
   }
 
   void start(ServerQuery query) {
-    // What a node sends unasked right behind an answer, or that it closes then, has shown by now on
-    // the
-    // longest idle; on the latest it would meet the next query.
+    // Unrequested bytes that a server sends right after a response, or a close at that point, have
+    // been read by now on the connection that has been idle longest. On the one used last they
+    // would disturb the next query.
     closeStale();
     PooledConnection connection = idle.peekLast();
     if (connection == null) {
@@ -105,7 +106,7 @@
     }
   }
 
-  /** How many more connections it takes until so many stand idle. */
+  /** Returns how many connections must be opened to reach the given number of idle ones. */
   int missingIdle(int target) {
     closeStale();
     return target - idle.size() - connectionsOpening;
@@ -139,7 +140,10 @@
     }
   }
 
-  /** While it waited for a descriptor its time may have passed, or a connection become free. */
+  /**
+   * Rechecks the query: while it waited for a descriptor, it may have become obsolete or a
+   * connection may have become idle.
+   */
   private void openIfStillNeeded(ServerQuery query) {
     if (query.isFinished() || query.isObsolete(now())) {
       query.fail(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
@@ -152,7 +156,8 @@
     PooledConnection connection = new PooledConnection(this, address, budget, query);
     ChannelFuture connecting = bootstrap.clone().handler(connection).connect(address);
     if (connecting.isDone() && !connecting.isSuccess()) {
-      // No socket was to be had, or no way leads there: such a channel may belong to no loop.
+      // No socket was available or there is no route. Such a channel may not be registered with a
+      // loop.
       connection.onClosed();
       return;
     }
@@ -169,9 +174,9 @@
   }
 
   /**
-   * Not at once: what else is read in this look at the sockets may be that the client has gone.
-   * After a turn that took long both have waited, and a statement went out for a client that had
-   * left long before.
+   * Sends the first query only once all input of this iteration is processed, since the client's
+   * disconnect may be among it. After a slow iteration both were waiting, and a statement was sent
+   * for a client that had disconnected long before.
    */
   void onStartupCompleted(PooledConnection connection) {
     iteration.enqueue(
@@ -185,7 +190,7 @@
                 }));
   }
 
-  /** Its job may have ended while the connection came up. */
+  /** Sends the query, unless it ended or became obsolete while the connection was opened. */
   void sendIfStillNeeded(PooledConnection connection, ServerQuery query) {
     if (query.isFinished() || query.isObsolete(now())) {
       query.fail(AttemptOutcome.NEVER_SENT, AttemptOutcome.NEVER_SENT);
--- a/router/src/main/java/basaltlever/net/DiscoveryWatch.java
+++ b/router/src/main/java/basaltlever/net/DiscoveryWatch.java
@@ -29,29 +29,31 @@
 import org.slf4j.event.Level;
 
 /**
- * Follows the list of members for as long as a connection lasts; when to ask again is not its
- * matter. A watch that has fallen silent stands until another one has answered: it may only be
- * late, and calls may fail.
+ * Follows the endpoint list over one discovery call for as long as its connection lasts; when to
+ * call again is decided by the core. A silent call stays in use until another one is answered: it
+ * may only be late, and the new call may fail.
  */
 final class DiscoveryWatch {
   private static final Logger LOG = LoggerFactory.getLogger(DiscoveryWatch.class);
 
   /**
-   * An empty line comes every 2 s; half of the 6 s in which silence must be made up for are left
-   * then.
+   * Discovery sends an empty line every 2 s. At this timeout, half of the 6 s within which a silent
+   * watch has to be replaced is left.
    */
   private static final Span SILENCE_TIMEOUT = Span.ofMillis(3_000);
 
-  /** Bytes that never make a line are a sign of life for no longer than this. */
+  /** Bytes that do not complete a line count as a sign of life for no longer than this. */
   private static final Span LINE_TIMEOUT = Span.ofMillis(4_000);
 
-  /** A call to which nothing is said is given up by then. */
+  /** Timeout of a call that has received no bytes. */
   private static final Span RESPONSE_TIMEOUT = Span.ofMillis(2_500);
 
-  /** One whose answer has begun goes on for as long as entries come, at most for this long. */
+  /**
+   * Longest time for the first response. Within it, a call continues for as long as entries arrive.
+   */
   private static final Span FULL_RESPONSE_TIMEOUT = Span.ofMillis(20_000);
 
-  /** So much of an answer is read at once, some tens of entries, and for so long in one turn. */
+  /** Size of a read, some tens of list entries. The time limits the reads of one loop iteration. */
   private static final int READ_BYTES = 8_192;
 
   private static final Span MAX_READ_TIME = Span.ofMillis(15);
@@ -62,10 +64,10 @@
   private final StatementRouter<String> core;
   private InetSocketAddress discovery;
 
-  /** The one whose news is taken; null while none has answered. */
+  /** The call whose updates are applied; null until one is answered. */
   private DiscoveryCall establishedCall;
 
-  /** The latest call while it has not answered. */
+  /** The latest call, until it is answered. */
   private DiscoveryCall pendingCall;
 
   private int calls;
@@ -84,8 +86,8 @@
   }
 
   /**
-   * Versions mean nothing to another service: it is asked for the whole list, and ours holds till
-   * then.
+   * Calls another discovery service. Its versions are unrelated, so the full list is requested; the
+   * current list is used until then.
    */
   void setDiscoveryAddress(InetSocketAddress newAddress) {
     if (!newAddress.equals(discovery)) {
@@ -102,14 +104,15 @@
   }
 
   /**
-   * Whether the first call is still under way; once it has failed, nothing is to be had for now.
+   * Returns whether the first call is still in progress. Once it has failed, no list can be
+   * expected for now.
    */
   boolean isFirstCallPending() {
     return calls == 1 && pendingCall != null;
   }
 
   /**
-   * Takes the place of an earlier call that is not answered yet, and of the watch once it is
+   * Starts a call. It replaces an earlier unanswered call now, and the established one once it is
    * answered.
    */
   void start() {
@@ -128,8 +131,9 @@
                 new TimeLimitedReadAllocator(READ_BYTES, MAX_READ_TIME))
             .connect(discovery);
     if (connecting.isDone() && !connecting.isSuccess()) {
-      // No socket was to be had, or no way leads there: such a channel may belong to no loop.
-      call.fail("no connection to discovery: " + connecting.cause().getMessage());
+      // No socket was available or there is no route. Such a channel may not be registered with a
+      // loop.
+      call.fail("cannot connect to discovery: " + connecting.cause().getMessage());
       return;
     }
     call.channel = connecting.channel();
@@ -137,7 +141,7 @@
     connecting.addListener(
         done -> {
           if (!done.isSuccess()) {
-            call.fail("no connection to discovery");
+            call.fail("cannot connect to discovery");
           }
         });
   }
@@ -146,25 +150,30 @@
       implements EndpointListReader.Listener {
     private final EndpointListReader reader = new EndpointListReader(this);
 
-    /** Entries of a message under way that bind before it has come whole. */
+    /** Entries of an incomplete message that take effect before it is complete. */
     private List<EndpointEntry> earlyEntries = new ArrayList<>();
 
     private Channel channel;
     private Future<?> timer;
     private final long startedAt = System.nanoTime();
 
-    /** Any byte, and any line or object that was whole. */
+    /** Time of the last byte. */
     private long lastByteAt;
 
+    /** Time of the last complete line or object. */
     private long lastCompleteAt = startedAt;
+
     private boolean responseStarted;
 
     /**
-     * Its news is no longer that of the list held here. What it said before it broke off still is.
+     * Whether the updates of this call no longer apply to the list held here. Updates that arrived
+     * before the connection broke off still apply.
      */
     private boolean outdated;
 
-    /** The timer is set anew at most once a silence, not at each byte. */
+    /**
+     * Checks the timeouts. The timer is rescheduled at most once per timeout, not for each byte.
+     */
     private void checkTimeouts() {
       if (this != pendingCall && this != establishedCall) {
         return;
@@ -182,9 +191,9 @@
       if (remaining > 0) {
         timer = channel.eventLoop().schedule(this::checkTimeouts, remaining, TimeUnit.MICROSECONDS);
       } else if (this == pendingCall) {
-        fail("a call was not answered");
+        fail("discovery did not answer the call in time");
       } else {
-        reportFailure("discovery has been silent");
+        reportFailure("discovery sent no complete line in time; a new call follows");
       }
     }
 
@@ -211,14 +220,14 @@
     public void channelRead(ChannelHandlerContext context, Object in)
         throws InvalidEndpointListException {
       lastByteAt = System.nanoTime();
-      // The head of an answer is a sign of life too.
+      // The response head counts as a sign of life too.
       lastCompleteAt = responseStarted ? lastCompleteAt : lastByteAt;
       responseStarted = true;
       ByteBuf bytes = (ByteBuf) in;
       try {
         reader.read(bytes);
         if (reader.isComplete()) {
-          fail("the watch ended");
+          fail("discovery ended its response");
         }
       } finally {
         bytes.release();
@@ -231,8 +240,8 @@
     }
 
     /**
-     * Nothing goes to a member that drains from the moment its entry has come, whatever becomes of
-     * the rest.
+     * Applies the entry of a draining endpoint as soon as it arrives, whatever becomes of the rest
+     * of the message: nothing may be sent to that endpoint from then on.
      */
     @Override
     public void entry(EndpointEntry entry) {
@@ -284,7 +293,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      fail("the watch broke off");
+      fail("the connection to discovery was closed");
     }
 
     @Override
@@ -294,7 +303,7 @@
 
     private void fail(String reason) {
       if (this == pendingCall || this == establishedCall) {
-        // Where another call is under way, that one's end is told.
+        // Where another call is pending, the outcome of that one is reported.
         boolean isReplacementPending = this == establishedCall && pendingCall != null;
         close();
         if (!isReplacementPending) {
--- a/router/src/main/java/basaltlever/net/IterationLoad.java
+++ b/router/src/main/java/basaltlever/net/IterationLoad.java
@@ -1,6 +1,6 @@
 package basaltlever.net;
 
-/** What one turn of the loop had to do, for the log line of a slow one. */
+/** Work done in one loop iteration, for the log line of a slow one. */
 final class IterationLoad {
   private static final long BYTES_PER_KB = 1 << 10;
   private int accepted;
@@ -37,7 +37,7 @@
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
 
-  /** A heap that holds less than at the start of the turn has been collected in it. */
+  /** Reports a heap smaller than at the start of the iteration as collected. */
   @Override
   public String toString() {
     long grown = (heapUsed() - heapAtStart) / BYTES_PER_KB;
--- a/router/src/main/java/basaltlever/net/LeaseGuard.java
+++ b/router/src/main/java/basaltlever/net/LeaseGuard.java
@@ -21,9 +21,10 @@
 import org.slf4j.event.Level;
 
 /**
- * What this router keeps to by its fleet's word, on the router's loop. Looked at before every turn
- * and before every write to a node: a process that was stopped finds its lease over before it does
- * anything else, and what was decided under another stance is not sent any more but decided anew.
+ * Applies the settings and the lease that the router fleet grants, on the router's loop. Checked at
+ * the start of every iteration and before every write to a server: a process that was stopped finds
+ * its lease expired before it does anything else, and what was decided under another fencing token
+ * is not sent but decided again.
  */
 final class LeaseGuard {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseGuard.class);
@@ -37,7 +38,7 @@
   private final EndpointList list;
   private final BiConsumer<StartFile, Settings> settingsListener;
 
-  /** Asks discovery for the whole list. */
+  /** Requests the full list from discovery. */
   private final Runnable fullListRequest;
 
   private boolean outOfContact = true;
@@ -48,8 +49,9 @@
   private String refusalReason = "";
 
   /**
-   * Own is the start file as installed; roll and list are this router's; keepTo is given the file
-   * in force and what holds for now.
+   * Creates a guard for the start file as installed and for this router's endpoint list and
+   * membership view. The settings listener receives the file in force and the settings effective
+   * for now.
    */
   LeaseGuard(
       StartFile installedFile,
@@ -80,14 +82,16 @@
   }
 
   /**
-   * Before the first grant nothing is known to hold. The stricter of the start file and of what an
-   * earlier process of this router was told last bounds what no care can: how many share a cold
-   * node's budget, how long it takes to warm, how long a list may be kept.
+   * Applies settings until the first grant, before which no version is known to be in force. These
+   * are the stricter of the start file and of the last version an earlier process of this router
+   * received. They bound what the strictest settings cannot: how many routers share a cold
+   * endpoint's budget, how long it takes to warm up, and how long a list may be used.
    */
   void begin(SettingsVersion lastReceived) {
     Settings effective = installedFile.startValues().settings();
     if (lastReceived != null) {
-      // As any version: by place, other names would give one workload the times of another.
+      // Checked like any version: workloads are matched by position, so other names would give one
+      // workload the timeouts of another.
       String fault = findFault(lastReceived);
       if (fault.isEmpty()) {
         effective = StricterSettings.of(effective, settingsOf(lastReceived));
@@ -95,7 +99,7 @@
         Event.FLEET_TURNED_DOWN.log(
             LOG,
             Level.WARN,
-            "left out: the start file is kept to, with care",
+            "ignoring this version; applying the strictest values of the start file",
             lastReceived.number(),
             fault);
       }
@@ -103,7 +107,7 @@
     Event.FLEET_KEEPS.log(
         LOG,
         Level.INFO,
-        "until its fleet is heard",
+        "applies until the first lease grant",
         lastReceived == null ? "none" : lastReceived.number(),
         "none",
         true);
@@ -111,7 +115,8 @@
   }
 
   /**
-   * Counts up with every other thing that is kept to; none where what is kept to is over by now.
+   * Returns a number that increases with each change of the lease, the settings or the contact, or
+   * {@link #NO_TOKEN} if the state it stands for is outdated by now.
    */
   int fencingToken(Moment now) {
     return leaseHolder.isExpired(now) || membership.isOutOfContact(now) != outOfContact
@@ -119,7 +124,7 @@
         : fencingToken;
   }
 
-  /** At the beginning of a turn. */
+  /** Checks the lease and the contact at the start of an iteration. */
   void checkLease(Moment now) {
     if (leaseHolder.noteExpiry(now)) {
       applySettings();
@@ -130,8 +135,8 @@
   }
 
   /**
-   * Without a word for so long that any member may serve another group: none is used until one
-   * comes.
+   * Stops the use of all endpoints after so long without contact that any of them may serve another
+   * group, and resumes it on contact.
    */
   private void updateContact(Moment now) {
     outOfContact = membership.isOutOfContact(now);
@@ -139,12 +144,14 @@
     Event.ADRIFT.log(
         LOG,
         Level.WARN,
-        outOfContact ? "no member is used" : "members are used again",
+        outOfContact
+            ? "no contact with the fleet; endpoints are not used"
+            : "contact with the fleet restored; endpoints are used again",
         now.since(leaseHolder.leaseEnds()).micros() / 1_000);
     list.publishMembershipChanges(now);
   }
 
-  /** With what the fleet makes of lists; null where its leader says nothing of them. */
+  /** Applies a grant and the fleet's agreement on endpoint lists, which is null if the leader sent none. */
   void onGrant(Moment now, LeaseGrant grant, MembershipUpdate update) {
     if (update != null) {
       membership.receiveUpdate(now, update);
@@ -157,7 +164,7 @@
         Event.FLEET_TURNED_DOWN.log(LOG, Level.WARN, "", refusedVersion, refusalReason);
       }
     }
-    // A version that this router can't hold is not kept to either; the leader withdraws it for all.
+    // A version that this router cannot apply is not acknowledged; the leader withdraws it.
     boolean isAcceptable = grant.prepared() == null || grant.prepared().number() != refusedVersion;
     if (leaseHolder.acceptGrant(
         now,
@@ -172,7 +179,7 @@
       applySettings();
     }
     if (grant.duration().micros() > 0) {
-      // One that was replaced without knowing it goes on answering, with nothing to give.
+      // A replaced leader that is unaware of it continues to answer, with grants of zero duration.
       membership.extendLease(leaseHolder.leaseEnds());
     }
     if (membership.isOutOfContact(now) != outOfContact) {
@@ -204,7 +211,7 @@
     }
   }
 
-  /** Of one that is free of faults. */
+  /** Returns the settings of a version that was found free of faults. */
   private Settings settingsOf(SettingsVersion version) {
     try {
       return fileWith(version).startValues().settings();
@@ -232,11 +239,14 @@
             StricterSettings.of(effective, fileWith(preparedVersion).startValues().settings());
       }
     } catch (InvalidSettingsException unreadable) {
-      // It was checked before it came into force, by this build or by another: whoever can't read
-      // what
-      // all others act on acts on nothing that could contradict it.
+      // The version was checked before it came into force, by this build or by another. A router
+      // that cannot read what all others apply uses only settings that cannot contradict it.
       Event.FLEET_TURNED_DOWN.log(
-          LOG, Level.ERROR, "kept to with care", versionInForce.number(), unreadable.getMessage());
+          LOG,
+          Level.ERROR,
+          "cannot read the version in force; applying the strictest values of the start file",
+          versionInForce.number(),
+          unreadable.getMessage());
       effective = StricterSettings.strictest(installedFile.startValues().settings());
     }
     Event.FLEET_KEEPS.log(
--- a/router/src/main/java/basaltlever/net/LoopIteration.java
+++ b/router/src/main/java/basaltlever/net/LoopIteration.java
@@ -15,10 +15,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One turn of the loop: what the handlers heard is handed to the decisions in one go, after all I/O
- * of the turn and with one reading of the clock; only then is carried out what came back, in order.
- * What comes while a turn goes on is read late: {@link ReadinessClock} knows since when what is
- * read may have waited.
+ * One iteration of the event loop. Passes the input of all handlers to the core in one batch, after
+ * all I/O of the iteration and with one clock reading, then carries out the resulting effects in
+ * order. What arrives during an iteration is read late; {@link ReadinessClock} tracks since when it
+ * may have waited.
  */
 final class LoopIteration {
   private static final Logger LOG = LoggerFactory.getLogger(LoopIteration.class);
@@ -27,17 +27,20 @@
   private final Counters counters = new Counters();
   private final ClockOffset clockOffset = new ClockOffset();
 
-  /** A turn that takes longer than this is counted, and named in the log. */
+  /** A longer iteration is counted and logged. */
   private static final Span SLOW_THRESHOLD = Span.ofMillis(20);
 
   private final RateLimitedLog slowIterationLog;
 
-  /** A turn that comes this much after its reading does not know any more what has come since. */
+  /**
+   * If the batch runs this long after the iteration started, newer input may be waiting at the
+   * sockets.
+   */
   private static final Span STALL_THRESHOLD = Span.ofMillis(50);
 
   /**
-   * This loop is never without something to do for longer, or a standstill of the process would not
-   * show.
+   * Longest time without a task on this loop. Without one, a stall of the process would not be
+   * detected.
    */
   private static final Span TICK_INTERVAL = Span.ofMillis(50);
 
@@ -45,7 +48,7 @@
   private final ArrayDeque<Consumer<Moment>> inputs = new ArrayDeque<>();
   private final ArrayDeque<Runnable> effects = new ArrayDeque<>();
 
-  /** Null for nothing. */
+  /** Null if there is none. */
   private Consumer<Moment> firstStep;
 
   private boolean runScheduled;
@@ -55,7 +58,7 @@
   private final ReadinessClock readinessClock;
   private final IterationLoad load = new IterationLoad();
 
-  /** What is to be done behind each turn. */
+  /** Runs at the end of each iteration. */
   private Runnable lastStep = () -> {};
 
   LoopIteration(SingleThreadEventLoop loop, Clock clock, ReadinessClock readinessClock) {
@@ -72,46 +75,43 @@
     loop.schedule(this::tick, TICK_INTERVAL.micros(), TimeUnit.MICROSECONDS);
   }
 
-  /** For handlers and timers; on the loop's thread only. */
+  /** Queues input of a handler or timer for the core. Called on the loop's thread only. */
   void enqueue(Consumer<Moment> input) {
     inputs.add(input);
     scheduleRun();
   }
 
   /**
-   * For what discovery tells. In a turn it is heard before anything else: a process that was held
-   * up finds all of the meantime ready to be read at once, statements and the drain of the member
-   * that they would go to.
+   * Queues input from discovery, which is processed before all other input of the iteration. After
+   * a stall, everything that arrived meanwhile is readable together: statements, and the drain of
+   * the endpoint that they would be sent to.
    */
   void enqueueDiscovery(Consumer<Moment> input) {
     discoveryInputs.add(input);
     scheduleRun();
   }
 
-  /**
-   * For handlers that read: no earlier than this can the bytes have come that are read in this
-   * turn.
-   */
+  /** Returns the earliest time at which bytes read in this iteration can have arrived. */
   Moment earliestArrival() {
     scheduleRun();
     return readinessClock.earliestArrival();
   }
 
   /**
-   * Runs the task behind the loop's next look at its sockets: by way of a task, since what is put
-   * behind an iteration from behind it would run in it.
+   * Runs the task after the loop's next select. It is scheduled through a task, because what is
+   * added while after-iteration tasks run would run in the same iteration.
    */
   void runAfterNextSelect(Runnable task) {
     loop.executeAfterEventLoopIteration(
         () -> loop.execute(() -> loop.executeAfterEventLoopIteration(task)));
   }
 
-  /** For how long this loop has been held up since it began, in all. */
+  /** Returns the total time for which this loop has been stalled since its start. */
   Span stalledTime() {
     return readinessClock.stalledTime();
   }
 
-  /** What the turn under way has had to do. */
+  /** Returns the work of the current iteration. */
   IterationLoad load() {
     return load;
   }
@@ -125,22 +125,22 @@
     }
   }
 
-  /** To be done behind all else of each turn. */
+  /** Sets the step that runs at the end of each iteration. */
   void setLastStep(Runnable step) {
     lastStep = step;
   }
 
-  /** To be done in every turn before anything else is heard. */
+  /** Sets the step that runs in each iteration before any input is processed. */
   void setFirstStep(Consumer<Moment> step) {
     firstStep = step;
   }
 
-  /** For what the decisions want done. */
+  /** Queues an effect requested by the core. */
   void addEffect(Runnable effect) {
     effects.add(effect);
   }
 
-  /** The clock of the batch in hand, or of the last one. */
+  /** Returns the clock reading of the current batch, or of the last one. */
   Moment now() {
     return now;
   }
@@ -152,23 +152,23 @@
   private void run() {
     now = clock.now();
     if (!selectingAgain && now.since(startedAt).isLongerThan(STALL_THRESHOLD)) {
-      // Held up since it looked at its connections: news may wait there by now.
+      // The loop was stalled since its select, so input from discovery may be waiting.
       selectingAgain = true;
-      // By way of a task: what is put behind this iteration from here would run in it.
+      // Scheduled through a task, because what is added from here would run in the same iteration.
       loop.execute(() -> loop.executeAfterEventLoopIteration(this::run));
       return;
     }
     runScheduled = false;
     selectingAgain = false;
     if (firstStep != null) {
-      runGuarded("looking at the lease", () -> firstStep.accept(now));
+      runGuarded("checking the lease", () -> firstStep.accept(now));
     }
     processInputs(discoveryInputs);
     processInputs(inputs);
     for (Runnable effect = effects.poll(); effect != null; effect = effects.poll()) {
-      runGuarded("carrying out", effect);
+      runGuarded("carrying out an effect", effect);
     }
-    runGuarded("ending the turn", lastStep);
+    runGuarded("running the last step of the iteration", lastStep);
     Moment endedAt = clock.now();
     if (endedAt.since(startedAt).isLongerThan(SLOW_THRESHOLD)) {
       counters.add(Counter.TURN_SLOW);
@@ -179,21 +179,21 @@
     load.reset();
   }
 
-  /** How this process's clock stands to the servers'. */
+  /** Returns the offset between this process's clock and the servers' clocks. */
   ClockOffset clockOffset() {
     return clockOffset;
   }
 
-  /** What this router counts. */
+  /** Returns this router's counters. */
   Counters counters() {
     return counters;
   }
 
   private void processInputs(ArrayDeque<Consumer<Moment>> inputs) {
-    // What is heard while this goes on belongs to the next turn.
+    // Input queued meanwhile belongs to the next iteration.
     for (int remaining = inputs.size(); remaining > 0; remaining--) {
       Consumer<Moment> input = inputs.poll();
-      runGuarded("deciding", () -> input.accept(now));
+      runGuarded("processing input", () -> input.accept(now));
     }
   }
 
--- a/router/src/main/java/basaltlever/net/PeerTimeout.java
+++ b/router/src/main/java/basaltlever/net/PeerTimeout.java
@@ -6,13 +6,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The time that a server has for something. Time in which this loop was held up, and could neither
- * send nor read, is none that the server took: without this a router that is short of processor
- * time takes servers that answer at once for silent ones. What has come by the end is read before
- * the time is said to be over.
+ * Timeout of a server. Time in which this loop was stalled, and could neither send nor read, is not
+ * counted; otherwise a router short of processor time treats servers that answer promptly as
+ * silent. Bytes received by the end are read before the timeout fires.
  */
 final class PeerTimeout {
-  /** All extensions together are no longer than so many times the limit. */
+  /** Limits the sum of all extensions, as a multiple of the timeout. */
   private static final int MAX_EXTENSION_FACTOR = 4;
 
   private final LoopIteration iteration;
@@ -30,7 +29,7 @@
     extensionLeft = limit.times(MAX_EXTENSION_FACTOR);
   }
 
-  /** Runs the task when the limit is over, unless it is cancelled before. */
+  /** Runs the task when the time is over, unless it is cancelled before. */
   static PeerTimeout start(
       LoopIteration iteration, EventLoop loop, Span limit, Runnable onTimeout) {
     PeerTimeout timeout = new PeerTimeout(iteration, loop, limit, onTimeout);
--- a/router/src/main/java/basaltlever/net/PendingStatement.java
+++ b/router/src/main/java/basaltlever/net/PendingStatement.java
@@ -7,28 +7,32 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A statement taken from a client, with its text until nothing needs that any more. */
+/** A statement received from a client, with its text for as long as that is needed. */
 final class PendingStatement {
   final long ticket;
   final ClientConnection client;
   final ByteBuf text;
   final Query query;
 
-  /** Null where nobody follows it. */
+  /** Null if the statement is not traced. */
   final StatementTrace.Life trace;
 
-  /** By the count that the decisions give them. */
+  /** Attempts in the order of the numbers given by the core. */
   final List<ServerQuery> attempts = new ArrayList<>(2);
 
-  /** Its last byte had come by then at the latest, and its answer goes out by then. */
+  /**
+   * Latest time at which the statement's last byte can have arrived.
+   */
   final Moment arrivedAt;
 
+  /** Time by which the answer must be sent. */
   Moment answerDeadline;
+
   int openAttempts;
   boolean answered;
   boolean released;
 
-  /** Takes the text over. */
+  /** Creates a statement that takes ownership of the text. */
   PendingStatement(
       long ticket,
       ClientConnection client,
--- a/router/src/main/java/basaltlever/net/PooledConnection.java
+++ b/router/src/main/java/basaltlever/net/PooledConnection.java
@@ -19,14 +19,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One connection to a node, with one query on it at a time. */
+/** One connection to an endpoint, with one query at a time. */
 final class PooledConnection extends ChannelInboundHandlerAdapter implements Descriptors.Idle {
   private static final Logger LOG = LoggerFactory.getLogger(PooledConnection.class);
 
-  /**
-   * Values of up to 400 KB were met, though 64 KiB are agreed: a bound on memory, not on what is
-   * right.
-   */
+  /** Bounds memory. Servers have sent values of up to 400 KB, although 64 KiB are specified. */
   private static final int MAX_MESSAGE_BYTES = 1 << 20;
 
   private enum State {
@@ -46,13 +43,15 @@
   private PeerTimeout connectTimeout;
   private Moment idleSince;
 
-  /** Whether what came could not be read: the node lives and the statement may have run. */
+  /**
+   * Whether received bytes could not be decoded: the server is up and the statement may have run.
+   */
   private boolean protocolViolated;
 
-  /** Whether it could carry its job by now. */
+  /** Whether the server has completed the startup, so that the connection can carry its query. */
   private boolean startupCompleted;
 
-  /** Opens it for the job, which is its own until the job is over. */
+  /** Opens a connection for the query, and is attached to it until the query ends. */
   PooledConnection(
       ConnectionPool pool, InetSocketAddress address, MemoryBudget budget, ServerQuery query) {
     this.pool = pool;
@@ -79,7 +78,10 @@
     return idleSince;
   }
 
-  /** The job that it was opened for, which may be over by now; null where this connection is. */
+  /**
+   * Returns the query that the connection was opened for, which may have ended by now, or null if
+   * the connection has ended.
+   */
   ServerQuery takeFirstQuery() {
     if (state != State.OPENING) {
       return null;
@@ -127,9 +129,9 @@
     }
     if ((state == State.IDLE || (state == State.OPENING && startupCompleted))
         && decoder.bufferedBytes() > 0) {
-      // Its rest would be taken for the beginning of the next query's answer.
+      // The rest of the message would be taken for the start of the next response.
       throw new ProtocolException(
-          ProtocolCodes.PROTOCOL_VIOLATION, "half a message that nobody asked for");
+          ProtocolCodes.PROTOCOL_VIOLATION, "an incomplete message that was not requested");
     }
   }
 
@@ -140,19 +142,20 @@
         onResponseComplete();
       } else if (response.isUnusable()) {
         throw new ProtocolException(
-            ProtocolCodes.PROTOCOL_VIOLATION, "an answer is no row, or goes on without end");
+            ProtocolCodes.PROTOCOL_VIOLATION, "a response is malformed or exceeds its size limit");
       }
     } else if (type == ProtocolCodes.READY_FOR_QUERY
         && state == State.OPENING
         && !startupCompleted) {
       if (decoder.bufferedBytes() > 0) {
-        throw new ProtocolException(ProtocolCodes.PROTOCOL_VIOLATION, "more than a welcome");
+        throw new ProtocolException(
+            ProtocolCodes.PROTOCOL_VIOLATION, "unrequested bytes after the startup response");
       }
       connectTimeout.cancel();
       startupCompleted = true;
       pool.onStartupCompleted(this);
     } else if (type == ProtocolCodes.ERROR_RESPONSE && state == State.OPENING) {
-      LOG.debug("{} turned a connection away: {}", pool, QueryResponse.errorField(message, 'C'));
+      LOG.debug("{} rejected a connection: {}", pool, QueryResponse.errorField(message, 'C'));
       close();
     } else if (type == ProtocolCodes.ERROR_RESPONSE && state == State.IDLE) {
       close();
@@ -163,7 +166,8 @@
             && state == State.OPENING
             && isAuthenticationOk(message))) {
       throw new ProtocolException(
-          ProtocolCodes.PROTOCOL_VIOLATION, "a message of type " + type + " that nobody asked for");
+          ProtocolCodes.PROTOCOL_VIOLATION,
+          "a message of type " + type + " that was not requested");
     }
   }
 
@@ -182,8 +186,10 @@
       finishedQuery.complete(completeResponse);
       pool.returnIdle(this);
     } else {
-      // A good answer stands, but what follows it unasked would be taken for the next one's.
-      pool.logProtocolViolation("an answer to a query is none, or more than one");
+      // A valid response is used, but unrequested bytes after it would be taken for the next
+      // response.
+      pool.logProtocolViolation(
+          "a response holds neither one row nor an error, or is followed by unrequested bytes");
       finishedQuery.complete(completeResponse);
       close();
     }
@@ -199,14 +205,20 @@
     return address;
   }
 
-  /** Reads at once what the machine has received; never from within a read of the same socket. */
+  /**
+   * Reads what the system has received by now. Must not be called from within a read of the
+   * same socket.
+   */
   void readReceived() {
     if (state == State.BUSY && channel.isActive()) {
       ((AbstractNioChannel) channel).unsafe().read();
     }
   }
 
-  /** One that is still being opened may serve another query. */
+  /**
+   * Closes the connection. One that is still being opened is left open, since it may serve another
+   * query.
+   */
   void abandon() {
     if (state != State.OPENING) {
       pool.count(Counter.NODE_CONNECTION_ABANDONED);
@@ -242,12 +254,12 @@
       protocolViolated = true;
       pool.logProtocolViolation(cause.getMessage());
     } else if (!(cause instanceof java.io.IOException)) {
-      Event.FAULT.fault(LOG, "", cause, "talking to node " + pool);
+      Event.FAULT.fault(LOG, "", cause, "handling a connection to endpoint " + pool);
     }
     close();
   }
 
-  /** Once, however the connection ended. */
+  /** Releases everything, once, however the connection ended. */
   void onClosed() {
     if (state == State.CLOSED) {
       return;
@@ -266,7 +278,8 @@
         && partialResponse != null
         && partialResponse.sqlState() != null
         && !protocolViolated) {
-      // A fatal error needs no ReadyForQuery: what it says was proven before the end.
+      // A fatal error is not followed by ReadyForQuery. Its code arrived in full before the
+      // connection ended.
       openQuery.complete(partialResponse);
       return;
     }
--- a/router/src/main/java/basaltlever/net/PreciseSelectStrategy.java
+++ b/router/src/main/java/basaltlever/net/PreciseSelectStrategy.java
@@ -10,16 +10,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The sockets of a loop, waited for until the next timer and no less. The runtime waits in whole
- * milliseconds; Netty rounds what is left to the nearest one, and where that is none it looks at
- * the sockets over and over until the timer is due: up to half a millisecond of a core for each
- * timer, far more than all that a turn does. Here what is left is rounded up, so that a timer comes
- * up to a millisecond late and costs one look.
+ * Waits for the sockets of a loop until the next timer, and no less. The runtime waits in whole
+ * milliseconds. Netty rounds the remaining time to the nearest one, and where that is zero it
+ * selects repeatedly until the timer is due: up to half a millisecond of a core per timer, far more
+ * than the work of an iteration. This handler rounds up, so that a timer fires up to a millisecond
+ * late and costs one select.
  */
 final class PreciseSelectStrategy implements IoHandler {
   private static final long NANOS_PER_MICRO = TimeUnit.MICROSECONDS.toNanos(1);
 
-  /** No loop waits for longer: a timer of the turn is always due sooner. */
+  /** Longest wait of a loop. A timer of {@link LoopIteration} is always due sooner. */
   private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
@@ -33,7 +33,7 @@
     this.readinessClock = readinessClock;
   }
 
-  /** For one loop, whose looks at its sockets the clock is told of. */
+  /** Returns the factory for one loop, whose selects are reported to the clock. */
   static IoHandlerFactory newFactory(ReadinessClock readinessClock) {
     IoHandlerFactory ioHandlerFactory = NioIoHandler.newFactory();
     return executor ->
--- a/router/src/main/java/basaltlever/net/ReadinessClock.java
+++ b/router/src/main/java/basaltlever/net/ReadinessClock.java
@@ -5,30 +5,38 @@
 import java.util.function.Supplier;
 
 /**
- * Tells how long what a loop reads may have waited unread. A loop looks at all its sockets, then
- * handles what it found; a socket that is found readable was empty at the look before. Where the
- * loop waited in a look, what it found came while it waited; where the process stood still in one,
- * nobody knows when in that time it came, and the look proves nothing.
+ * Bounds how long bytes read by a loop may have waited unread. A loop selects over all its sockets,
+ * then handles the ready ones; a socket found readable was empty at the previous select. If the
+ * loop waited in a select, its input arrived during the wait. If the process was stalled in a
+ * select, the time of arrival is unknown, and that select proves nothing.
  */
 final class ReadinessClock {
   /**
-   * A look that found something sooner did not wait for it: it may have come since the look before.
+   * A select that returned sooner did not wait for its input, which may have arrived since the
+   * previous select.
    */
   private static final Span MIN_WAIT = Span.ofMillis(5);
 
-  /** A look that lasts this much longer than it was to wait was held up. */
+  /**
+   * A select that overruns its wait by more than this was stalled, and so was a loop that handled
+   * input for longer.
+   */
   private static final Span STALL_THRESHOLD = Span.ofMillis(10);
 
   private final Supplier<Moment> clock;
   private Moment selectStartedAt;
   private Moment selectDueAt;
 
-  /** Whether something has been handled since this look began, and when that began. */
+  /** Whether input has been handled since this select started. */
   private boolean handling;
 
+  /** When handling began after the last select that has returned. */
   private Moment handlingStartedAt;
 
-  /** At the last look that proves it, all sockets were empty that it did not find readable. */
+  /**
+   * Time of the last select that proves it: all sockets were empty then, except those found
+   * readable.
+   */
   private Moment provenEmptyAt;
 
   private Moment earliestArrival;
@@ -43,7 +51,7 @@
     earliestArrival = selectStartedAt;
   }
 
-  /** A look at the sockets begins, and the former one with all behind it is over. */
+  /** Records that a select starts, which ends the previous iteration. */
   void onSelectStart() {
     selectStartedAt = clock.get();
     Span handlingTime = selectStartedAt.since(handlingStartedAt);
@@ -53,19 +61,19 @@
     handling = false;
   }
 
-  /** The look that has begun waits for something to come, but for no longer than this. */
+  /** Records the longest time that the current select may wait. */
   void onSelectWait(Span maxWait) {
     selectDueAt = selectStartedAt.plus(maxWait);
   }
 
-  /** The look is over and what it found was handled. */
+  /** Records that the select has returned and its input was handled. */
   void onIterationEnd() {
     if (!handling) {
       onSelectReturn();
     }
   }
 
-  /** What is read from here on, up to the next look, came no earlier than this. */
+  /** Returns the earliest time at which input read before the next select can have arrived. */
   Moment earliestArrival() {
     if (!handling) {
       onSelectReturn();
@@ -74,8 +82,8 @@
   }
 
   /**
-   * For how long, in all, the loop was not there for its sockets: what it handled between two looks
-   * took long, or a look lasted longer than it was to wait.
+   * Returns the total time for which the loop did not serve its sockets: it handled input between
+   * two selects for long, or a select overran its wait.
    */
   Span stalledTime() {
     return stalledTime;
--- a/router/src/main/java/basaltlever/net/Router.java
+++ b/router/src/main/java/basaltlever/net/Router.java
@@ -59,24 +59,25 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.event.Level;
 
-/** One router from its start file to its exit; its phase says how far it is. */
+/** One router, from its start file to its exit. Its phase shows its progress. */
 public final class Router {
   private static final Logger LOG = LoggerFactory.getLogger(Router.class);
 
-  /** After the signal to end, new connections keep coming for up to 0.4 s. */
+  /** New connections arrive for up to 0.4 s after the termination signal. */
   private static final Span MIN_LISTEN_TIME = Span.ofMillis(500);
 
   /**
-   * Not before this long after the signal and the longest statement timeout is a process killed.
+   * A process is not killed until this long, plus the longest statement timeout, after the
+   * termination signal.
    */
   private static final Span KILL_GRACE = Span.ofMillis(700);
 
-  /** A longest statement timeout of more counts as this much there. */
+  /** Upper limit of the longest statement timeout in that period. */
   private static final Span MAX_GRACE_TIMEOUT = Span.ofMillis(3_000);
 
   /**
-   * By so much sooner all is answered, and by the other it ends though clients keep their side
-   * open.
+   * Margins before the kill. All statements are answered by the first; the process ends by the
+   * second, even if clients keep their connections open.
    */
   private static final Span ANSWER_MARGIN = Span.ofMillis(120);
 
@@ -87,7 +88,10 @@
   private static final Span REPORT_INTERVAL = Span.ofMillis(5_000);
   private static final Span MAX_FIRST_POLL_WAIT = Span.ofMillis(1_000);
 
-  /** For the first list to come; a process is held to what discovery knows before it has asked. */
+  /**
+   * Limits the wait for the first list at startup. A router is expected to follow the list that
+   * discovery has, even before its first call.
+   */
   private static final Span MAX_FIRST_LIST_WAIT = Span.ofMillis(2_000);
 
   private static final int ENDPOINTS_PER_EXPORT_STEP = 32;
@@ -95,8 +99,8 @@
   private static final Span RECHECK_INTERVAL = Span.ofMillis(10);
 
   /**
-   * Sockets of the loop, the listener and discovery, and files that the runtime opens late. Clients
-   * are accepted only where there is room for them.
+   * Descriptors for the sockets of the loop, the listener and discovery, and for files that the
+   * runtime opens late. Clients are accepted only while descriptors are left for them.
    */
   private static final int RESERVED_DESCRIPTORS = 24;
 
@@ -104,8 +108,8 @@
   private static final int BUFFER_CHUNK_ORDER = 6;
 
   /**
-   * Connections that may wait to be accepted; the system may allow fewer. Where it overflows Linux
-   * answers by SYN cookies, and resets connections that their clients take to be established.
+   * Connections that may wait to be accepted; the system may allow fewer. On overflow Linux answers
+   * with SYN cookies, and resets connections that clients consider established.
    */
   private static final int LISTEN_QUEUE_LENGTH = 4_096;
 
@@ -118,12 +122,12 @@
   private Path file;
   private StartFile start;
 
-  /** The file whose settings hold. */
+  /** The file whose settings are in force. */
   private StartFile fileInForce;
 
   private volatile OperatorFile operator;
 
-  /** Set by the thread that starts and reloads, ended by the loop. */
+  /** Set by the thread that starts and reloads, closed by the loop. */
   private volatile SnapshotWriter snapshotWriter;
 
   private LoopIteration iteration;
@@ -136,7 +140,7 @@
   private int tableReadRound;
   private MultiThreadIoEventLoopGroup group;
 
-  /** Read by the thread that hears the signal to end. */
+  /** Read by the thread that handles the termination signal. */
   private volatile SingleThreadEventLoop loop;
 
   private volatile Channel listener;
@@ -150,7 +154,7 @@
   private HoldBudget holdBudget;
   private Span longestTimeout;
 
-  /** Statements that take longer are followed in the log; null for none. */
+  /** Statements that take longer are traced in the log; null for none. */
   private Span traceThreshold;
 
   private StatementTrace trace;
@@ -160,13 +164,13 @@
   private MembershipView membership;
   private PooledByteBufAllocator buffers;
 
-  /** To be said before it starts: the life of each statement that takes longer goes to the log. */
+  /** Traces each statement that takes longer in the log. To be called before the start. */
   public void traceStatementsSlowerThan(Span threshold) {
     traceThreshold = threshold;
   }
 
   /**
-   * Reads, listens, and returns once it serves. The operator's file is null where there is none.
+   * Reads the files, listens, and returns once the router serves. The operator's file may be null.
    */
   public void start(Path startFilePath, OperatorFile operatorFile)
       throws InvalidSettingsException, InterruptedException {
@@ -195,14 +199,15 @@
     group = new MultiThreadIoEventLoopGroup(1, PreciseSelectStrategy.newFactory(readinessClock));
     loop = (SingleThreadEventLoop) group.next();
     loop.submit(this::build).sync();
-    // Read meanwhile, on the keeper's thread: what it loads first would else be added to the start.
+    // Read on the snapshot writer's thread, in parallel: the classes that this loads would
+    // otherwise delay the start.
     StateRestore restore =
         snapshotWriter == null ? StateRestore.NOTHING : snapshotWriter.awaitRestore();
     loop.submit(() -> restore(restore)).sync();
     joinFleet();
     Promise<Void> firstPolls = loop.newPromise();
     loop.execute(() -> awaitFirstPolls(firstPolls, System.nanoTime()));
-    // The loop waits for the first look: what is loaded meanwhile delays the start least.
+    // The loop is waiting for the first polls, so loading these classes now delays the start least.
     ListenerSocket.load();
     firstPolls.sync();
     ChannelFuture bound = loop.submit(this::listen).sync().getNow();
@@ -238,8 +243,8 @@
   }
 
   /**
-   * Reads both files again, off the loop, so that a slow disk holds nobody; where one is faulty
-   * both are left.
+   * Reads both files again, off the loop, so that a slow disk does not stall it. If one is faulty,
+   * neither is applied.
    */
   public void reload() throws InterruptedException {
     StartFile newFile;
@@ -249,7 +254,8 @@
       newFile.takeStoredEndpointList();
       newOperatorFile = operator == null ? null : OperatorFile.read(operator.path());
     } catch (InvalidSettingsException fault) {
-      Event.RELOAD_REFUSED.log(LOG, Level.ERROR, "all stays as it was", fault.getMessage());
+      Event.RELOAD_REFUSED.log(
+          LOG, Level.ERROR, "cannot read a file; keeping all settings", fault.getMessage());
       return;
     }
     loop.execute(
@@ -268,9 +274,8 @@
   }
 
   /**
-   * All of the settings or none. What was taken goes on: the decisions keep its terms, its
-   * executions and who owes what, and see to it that the new rules hold for all that is sent from
-   * here on.
+   * Applies all of the settings or none. Statements that were accepted continue: the core keeps
+   * their terms and attempts, and applies the new rules to everything sent from now on.
    */
   private void applySettings(StartFile newFile) {
     if (newFile.hasSettingsOf(fleet == null ? fileInForce : start)) {
@@ -278,7 +283,10 @@
     }
     if (fleet != null) {
       Event.SETTINGS_LEFT.log(
-          LOG, Level.ERROR, "this fleet agrees on its settings: propose a version", "settings");
+          LOG,
+          Level.ERROR,
+          "this fleet agrees on its settings; propose a version instead of a reload",
+          "settings");
       return;
     }
     List<String> keysNeedingRestart = newFile.changesOfFixedSettings(fileInForce);
@@ -286,7 +294,7 @@
       Event.SETTINGS_LEFT.log(
           LOG,
           Level.ERROR,
-          "these need a restart; all settings stay as they were",
+          "these keys need a restart; keeping all settings",
           String.join(",", keysNeedingRestart));
       return;
     }
@@ -295,14 +303,14 @@
       Event.SETTINGS_LEFT.log(
           LOG,
           Level.ERROR,
-          "more names than one run has room for: this needs a restart; all "
-              + "settings stay as they were",
+          "more workload names than a process can track; needs a restart; "
+              + "keeping all settings",
           "settings.Classes[].Name");
       return;
     }
     applyStartValues(newFile);
-    // In one step: what was read before this is heard before it, what is read from here on goes by
-    // both.
+    // In one step: input read before this is processed before it, and input read later is handled
+    // by the new names and settings.
     slots = newSlots;
     clients.goBy(newSlots);
     iteration.enqueue(
@@ -318,7 +326,7 @@
     Event.SETTINGS_TAKEN.log(LOG, Level.INFO, "", executor.openStatements());
   }
 
-  /** What of the settings is not the decisions'. */
+  /** Applies the settings that are not handled by the core. */
   private void applyStartValues(StartFile newFile) {
     fileInForce = newFile;
     StartValues values = newFile.startValues();
@@ -338,7 +346,7 @@
     Event.NEEDS_RESTART.log(LOG, Level.WARN, "takes effect at the next start", key);
   }
 
-  // ---- What outlives the process.
+  // ---- State that outlives the process.
 
   private SnapshotWriter createSnapshotWriter() {
     return operator == null || operator.folder() == null
@@ -367,8 +375,8 @@
         previousWriter.awaitClosed();
       }
       if (snapshotWriter != null) {
-        // For the folder's lock and number: what this router has learned itself is newer than its
-        // view.
+        // Needed for the folder's lock and version number. The restored state is ignored, since
+        // this router's own is newer.
         snapshotWriter.awaitRestore();
         snapshotWriter.startWriting();
       }
@@ -385,8 +393,8 @@
   }
 
   /**
-   * A few a turn: between them statements go on. Ages are told to the turn of each node, some ms
-   * apart.
+   * Exports a few endpoints per iteration, so that statements are served in between. The ages of an
+   * endpoint refer to the iteration that exported it; iterations are some milliseconds apart.
    */
   private void exportStep(
       Moment now, int from, List<KnownEndpoint> endpoints, Promise<LearnedState> exported) {
@@ -427,10 +435,11 @@
   }
 
   /**
-   * Clients come once it listens: without a first look at the members their first statements would
-   * wait for connections and for a primary; without a list that was asked for they might go to a
-   * member that drains. One look at each: a second one comes when a poll is due, which in a router
-   * without traffic is in half a minute, so that each start waited for its longest.
+   * Waits for the first poll of each endpoint and for the first list before the router listens.
+   * Without the polls, the first statements would wait for connections and for a primary; without
+   * the list, they might be sent to a draining endpoint. Only one poll of each is awaited: the
+   * second one is due after half a minute in a router without traffic, and waiting for it made each
+   * start take the maximum time.
    */
   private void awaitFirstPolls(Promise<Void> firstPolls, long startNanos) {
     long elapsedMicros = (System.nanoTime() - startNanos) / 1_000;
@@ -446,7 +455,10 @@
     }
   }
 
-  /** Waits for its first grant, for as long as an election takes; then it serves with care. */
+  /**
+   * Joins the fleet and waits for the first grant, for as long as an election takes. Without a
+   * grant the router serves with the strictest settings.
+   */
   private void joinFleet() throws InvalidSettingsException, InterruptedException {
     FleetSettings fleetSettings = operator == null ? null : operator.fleet();
     if (fleetSettings == null) {
@@ -547,8 +559,7 @@
             PooledByteBufAllocator.defaultSmallCacheSize(),
             PooledByteBufAllocator.defaultNormalCacheSize(),
             true);
-    // Half of what buffers may take: the other half is for what is being read and written right
-    // now.
+    // Half of the memory allowed for buffers. The other half is for data being read and written.
     MemoryBudget budget = new MemoryBudget(PlatformDependent.maxDirectMemory() / 2);
     reservedDescriptors = countOpenDescriptors() + RESERVED_DESCRIPTORS;
     descriptors =
@@ -609,8 +620,8 @@
             values.zones(),
             (endpoint, address) -> poolOf.apply(endpoint).setAddress(address));
     if (operator != null && operator.fleet() != null) {
-      // What was begun before it lets go of a member is over when others may use it in another
-      // group.
+      // Attempts started before a router gives up an endpoint have ended when others may use it in
+      // another group.
       membership =
           new MembershipView(
               operator.fleet().fencingTime(),
@@ -622,17 +633,21 @@
     executor.onClockOffsetChanged(list::publishStartTimes);
     clients.serve(core, executor);
     executor.setCore(core, watch::start);
-    scheduleRepeatedly(SWEEP_INTERVAL, "sweeping", this::sweep);
-    scheduleRepeatedly(TABLE_READ_INTERVAL, "reading tables", this::querySwitchoverTables);
+    scheduleRepeatedly(SWEEP_INTERVAL, "sweeping clients", this::sweep);
+    scheduleRepeatedly(
+        TABLE_READ_INTERVAL, "querying switchover tables", this::querySwitchoverTables);
     scheduleRepeatedly(REPORT_INTERVAL, "reporting counters", this::report);
   }
 
-  /** By way of a task: what is put behind this iteration from behind it would run in it. */
+  /**
+   * Scheduled through a task, because what is added while after-iteration tasks run would run in
+   * the same iteration.
+   */
   private void runAfterNextSelect(Runnable task) {
     loop.executeAfterEventLoopIteration(() -> loop.execute(task));
   }
 
-  /** A task that is repeated would never run again after one fault. */
+  /** Catches faults: a scheduled task that throws would not run again. */
   private void scheduleRepeatedly(Span period, String description, Runnable step) {
     loop.scheduleWithFixedDelay(
         () -> {
@@ -665,8 +680,8 @@
   }
 
   /**
-   * The table of each member in use every third time: all tell the same, so a group is asked about
-   * once a second.
+   * Queries the table of each endpoint in use in every third round. All endpoints of a group report
+   * the same, so a group is queried about once per second.
    */
   private void querySwitchoverTables() {
     tableReadRound++;
@@ -678,7 +693,10 @@
     }
   }
 
-  /** What the operator says of holds and planned changes; nothing where there is no file. */
+  /**
+   * Applies the operator's limits of held writes and the switchover table; null if there is no
+   * file.
+   */
   private void applyOperatorFile(OperatorFile operatorFile) {
     if (operatorFile != null) {
       executor.setSwitchoverTable(operatorFile.switchoverTable());
@@ -748,7 +766,9 @@
     }
   }
 
-  /** Open descriptors now; where that can't be seen, as many as a runtime commonly holds. */
+  /**
+   * Returns the number of open descriptors, or an estimate for a Java runtime if it cannot be read.
+   */
   private static int countOpenDescriptors() {
     String[] open = new File("/proc/self/fd").list();
     return open == null ? RESERVED_DESCRIPTORS : open.length;
@@ -761,7 +781,10 @@
     }
   }
 
-  /** Goes on serving while clients may still come, then answers what it took and stops. */
+  /**
+   * Continues to serve while clients may still connect, then answers the accepted statements and
+   * stops.
+   */
   public void drain() {
     if (loop == null) {
       stopped.countDown();
@@ -782,7 +805,8 @@
       Span remaining =
           KILL_GRACE.plus(longestTimeout.shorter(MAX_GRACE_TIMEOUT)).minus(ANSWER_MARGIN);
       clients.endBy(iteration.clock().now().plus(remaining));
-      // What the system keeps back is accepted before the listener closes, where time allows.
+      // Connections that the system defers are accepted before the listener closes, where time
+      // allows.
       Span listenTime =
           acceptHandler
               .endDeferral()
@@ -804,8 +828,8 @@
   }
 
   /**
-   * It could not be set up: nothing is owed, and a signal to end that comes just then waits for
-   * nothing.
+   * Shuts down after a failed start. No statement is open, and a termination signal at this point
+   * has nothing to wait for.
    */
   private void shutDownUnserved() {
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
@@ -855,7 +879,8 @@
   }
 
   /**
-   * Its last answers are on their way: a process that ends over unread bytes would take them back.
+   * Waits until clients have received their last answers: a process that ends with unread bytes
+   * resets its connections, which discards answers in transit.
    */
   private void endOnceClientsLeft(Moment deadline) {
     Moment now = iteration.clock().now();
@@ -870,7 +895,7 @@
 
   private void shutDown() {
     if (fleet != null) {
-      Thread leaveThread = new Thread(fleet::close, "leaves");
+      Thread leaveThread = new Thread(fleet::close, "fleet-leave");
       leaveThread.setDaemon(true);
       leaveThread.start();
     }
@@ -878,12 +903,17 @@
     stopped.countDown();
   }
 
-  /** Where it listens; the port is its own choice where the start file gives 0. */
+  /**
+   * Returns the listening address, with the port chosen by the system if the start file gives 0.
+   */
   public InetSocketAddress address() {
     return (InetSocketAddress) listener.localAddress();
   }
 
-  /** Buffers that a stopped router has not released; none where every owner did its part. */
+  /**
+   * Returns the number of buffers that a stopped router has not released; zero unless there is a
+   * leak.
+   */
   public long activeBuffers() throws InterruptedException {
     group.terminationFuture().await();
     return buffers.metric().directArenas().stream()
--- a/router/src/main/java/basaltlever/net/RouterPhase.java
+++ b/router/src/main/java/basaltlever/net/RouterPhase.java
@@ -1,6 +1,6 @@
 package basaltlever.net;
 
-/** The phases of a router's life, in their order; none is entered twice. */
+/** The phases of a router, in order. None is entered twice. */
 public enum RouterPhase {
   READING,
   DISCOVERING,
--- a/router/src/main/java/basaltlever/net/ServerQuery.java
+++ b/router/src/main/java/basaltlever/net/ServerQuery.java
@@ -7,30 +7,30 @@
 import io.netty.util.concurrent.Future;
 
 /**
- * One query to one node: an execution or a poll. It ends once, with an answer or with the loss of
- * it.
+ * One query to one endpoint: an attempt of a statement, a poll or another check. Ends once, with a
+ * response or a failure.
  */
 abstract class ServerQuery {
   private PooledConnection connection;
   private Future<?> timer;
   private PeerTimeout peerTimeout;
 
-  /** Whether its last byte was written: before, it is proven that nothing ran. */
+  /** Whether the last byte was written. Before that, it is proven that the query did not run. */
   private boolean written;
 
   private boolean finished;
 
   abstract void write(ByteBuf out);
 
-  /** What a connection opened for it is used for. */
+  /** Returns the use that a connection opened for this query is counted as. */
   abstract Descriptors.Use use();
 
-  /** Whether it must no longer be sent. */
+  /** Returns whether the query must no longer be sent. */
   boolean isObsolete(Moment now) {
     return false;
   }
 
-  /** The answer is the job's to release. */
+  /** Handles the response, which this query must release. */
   abstract void onResponse(QueryResponse response);
 
   abstract void onFailure(AttemptOutcome outcome);
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Its time is over. A loop that was held up may come to this before it reads an answer that has
-   * come in time.
+   * Ends the query at its timeout. After a stall of the loop this may run before a response that
+   * arrived in time is read, so that is read first.
    */
   final void onTimeout() {
     if (connection != null) {
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Stops waiting: a connection that carries it can't be used again, since the answer may still
-   * come.
+   * Ends the query. The connection that carries it cannot be reused, since the response may still
+   * arrive.
    */
   final void cancel(AttemptOutcome outcomeIfWritten) {
     PooledConnection carrier = connection;
--- a/router/src/main/java/basaltlever/net/TimeLimitedReadAllocator.java
+++ b/router/src/main/java/basaltlever/net/TimeLimitedReadAllocator.java
@@ -5,15 +5,17 @@
 import io.netty.channel.FixedRecvByteBufAllocator;
 
 /**
- * Reads all that has come, for a limited time in each turn of the loop: what waits unread in the
- * socket may say that a server drains, and what takes long to read must not keep everybody else
- * waiting.
+ * Lets a socket read everything it has received, for a limited time in each loop iteration: unread
+ * bytes may announce that an endpoint drains, but a long read must not delay other connections.
  */
 final class TimeLimitedReadAllocator extends FixedRecvByteBufAllocator {
   private static final int MAX_READS = 64;
   private final long limitNanos;
 
-  /** So many bytes a read, and the first read behind that time is the last one of its turn. */
+  /**
+   * Creates an allocator for reads of the given size. The first read after the limit is the last
+   * one of its iteration.
+   */
   TimeLimitedReadAllocator(int bytes, Span limit) {
     super(bytes);
     limitNanos = limit.micros() * 1_000;
--- a/router/src/test/java/basaltlever/net/AnswerDeadlineTest.java
+++ b/router/src/test/java/basaltlever/net/AnswerDeadlineTest.java
@@ -27,15 +27,14 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * From its last byte on a statement owns a time by which its answer goes out. Here the decisions
- * never say a word of any statement, which is the worst that they could forget, and the loop is
- * held up.
+ * From its last byte on, a statement has a deadline for its answer. In these tests the core never
+ * answers, which is the worst it could do, and the loop is stalled.
  */
 class AnswerDeadlineTest {
-  /** Of a machine that runs other tests beside this. */
+  /** Tolerance for a machine that runs other tests at the same time. */
   private static final long SLACK_MILLIS = 90;
 
-  /** Long enough that the decisions queue the statement; they are not woken after that. */
+  /** Long enough for the core to queue the statement; nothing wakes the core after that. */
   private static final int STATEMENT_TIMEOUT_MILLIS = 2_000;
 
   private static long millisSince(long nanos) {
@@ -68,7 +67,10 @@
     checkAnsweredInTime(StallableRouter::stallOutsideIteration);
   }
 
-  /** Whatever is read first, and though it comes only while the loop is held up behind its look. */
+  /**
+   * Holds whichever is read first, and also if the discovery input arrives while the loop is
+   * stalled after its select.
+   */
   @Example
   void discoveryInputIsProcessedBeforeStatements() throws Exception {
     List<String> order = Collections.synchronizedList(new ArrayList<>());
@@ -112,8 +114,8 @@
   }
 
   /**
-   * Guards against: a read of which nothing was out was aborted at the end of its time, where the
-   * decisions had a rejection to give and nobody had woken them.
+   * Guards against aborting a read of which no attempt was sent: at its deadline the core would
+   * have rejected it, but nothing had woken the core.
    */
   @Example
   void deadlineGuardConsultsCoreBeforeItAborts() throws Exception {
@@ -123,15 +125,21 @@
       router.forwardsRejections = true;
       long sent = System.nanoTime();
       String answer = client.ask(statement("g1", "list", STATEMENT_TIMEOUT_MILLIS)).answer();
-      check(answer.startsWith("error:53300"), "nothing was sent, so it is rejected: " + answer);
-      // Its time counts from when it may have come, which a slow start of the loop puts earlier.
+      check(
+          answer.startsWith("error:53300"),
+          "no attempt was sent, so the statement is rejected: " + answer);
+      // The deadline counts from the earliest arrival, which a slow start of the loop moves
+      // forward.
       check(
           millisSince(sent) >= STATEMENT_TIMEOUT_MILLIS / 2,
-          "not at its arrival: " + millisSince(sent));
+          "the answer is not sent on arrival: " + millisSince(sent));
     }
   }
 
-  /** Nothing is proven of it, so it is aborted; at once, and it is out of the books. */
+  /**
+   * Nothing proves that the statement had no effect, so it is aborted, immediately, and no longer
+   * counted as open.
+   */
   @Example
   void faultInCoreAbortsStatementImmediately() throws Exception {
     try (StallableRouter router = new StallableRouter();
@@ -145,8 +153,8 @@
           answer + millisSince(sent));
       check(
           router.loop.submit(router.executor::openStatements).sync().getNow().equals(0),
-          "none is open");
-      check(client.ask("").answer().equals("I"), "and its connection goes on");
+          "no statement is open");
+      check(client.ask("").answer().equals("I"), "the connection stays usable");
     }
   }
 
@@ -163,13 +171,15 @@
           .sync();
       long since = System.nanoTime();
       try (Client client = new Client(router.port)) {
-        check(client.start().answer().isEmpty() && millisSince(since) < 400, "accepted at once");
+        check(
+            client.start().answer().isEmpty() && millisSince(since) < 400,
+            "a new client is accepted without delay");
       }
     }
   }
 
   /**
-   * Those that the machine has accepted while the loop was busy are owed an answer like all others.
+   * Connections that the system has accepted while the loop was busy are served like all others.
    */
   @Example
   void listenerIsNotClosedWhileConnectionsWaitInItsQueue() throws Exception {
@@ -193,14 +203,14 @@
         waiting.add(new Client(router.port).start());
       }
       stallEnds.countDown();
-      check(closed.await(2, TimeUnit.SECONDS), "it is closed");
+      check(closed.await(2, TimeUnit.SECONDS), "the listener is closed");
       for (Client client : waiting) {
-        check(client.answer().isEmpty(), "each is welcomed");
+        check(client.answer().isEmpty(), "each waiting client completes its startup");
       }
-      // The runtime closes the socket itself in the loop's next look; a timer runs behind one.
+      // The runtime closes the socket in the loop's next select; a timer runs after one.
       router.loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).sync();
       try (Client late = new Client(router.port)) {
-        check(false, "nobody listens any more");
+        check(false, "a connection was accepted after the listener closed");
       } catch (IOException refused) {
         check(refused instanceof java.net.ConnectException, "" + refused);
       }
@@ -212,14 +222,14 @@
   }
 
   /**
-   * Found by a soak: who is told to go comes back at once on a new connection, which must find no
+   * Found by a soak run: a client that is disconnected reconnects immediately, and must find no
    * listener.
    */
   @Example
   void clientsAreNotDisconnectedWhileSystemStillAcceptsConnections() throws Exception {
     try (StallableRouter router = new StallableRouter(140);
         Client client = new Client(router.port)) {
-      check(client.start().answer().isEmpty(), "it serves");
+      check(client.start().answer().isEmpty(), "the router serves a client");
       java.util.concurrent.CompletableFuture<String> reconnectResult =
           new java.util.concurrent.CompletableFuture<>();
       router.loop.execute(
@@ -228,7 +238,7 @@
                   () -> {
                     try (Socket reconnect = new Socket()) {
                       reconnect.connect(new InetSocketAddress("127.0.0.1", router.port), 500);
-                      reconnectResult.complete("connected, and will be reset");
+                      reconnectResult.complete("connected");
                     } catch (IOException refused) {
                       reconnectResult.complete("refused");
                     }
@@ -249,11 +259,11 @@
       Thread.sleep(50);
       long since = System.nanoTime();
       try (Client newClient = new Client(router.port)) {
-        check(newClient.start().answer().isEmpty(), "admitted");
+        check(newClient.start().answer().isEmpty(), "the new client is admitted");
         check(
             incompleteClients.get(0).answer().equals("error:53300:closed")
                 && millisSince(since) < 1_000,
-            "in its place");
+            "an incomplete client is closed in its place");
       }
     } finally {
       for (Client incompleteClient : incompleteClients) {
@@ -262,7 +272,7 @@
     }
   }
 
-  /** Clients that send the next ones early, on a loop that is held up again and again. */
+  /** Clients pipeline statements on a loop that is stalled repeatedly. */
   @Property(tries = 4, seed = "281", shrinking = ShrinkingMode.OFF)
   void eachStatementIsAnsweredOnceAndInTimeWhenCoreNeverAnswers(@ForAll long seed)
       throws Exception {
@@ -270,7 +280,7 @@
     List<String> faults = Collections.synchronizedList(new ArrayList<>());
     try (StallableRouter router = new StallableRouter()) {
       try (Client first = new Client(router.port)) {
-        // Loading classes holds up the loop for longer than any stall here.
+        // Loading classes stalls the loop for longer than any stall in this test.
         first.start().ask(statement("w", "list", 100)).ask(statement("x", "list", 100));
         first.answer();
         first.answer();
--- a/router/src/test/java/basaltlever/net/ConnectionStartupTest.java
+++ b/router/src/test/java/basaltlever/net/ConnectionStartupTest.java
@@ -31,11 +31,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A connection to a node comes up in the very look at the sockets that finds its statement's client
- * gone.
+ * Tests connections to an endpoint from their opening to the first response, on a loop that is
+ * stalled or reads several events in one iteration.
  */
 class ConnectionStartupTest {
-  /** Over once its client has gone, as the decisions make it. */
+  /** Becomes obsolete once its client has disconnected, as a query of the core does. */
   private static final class RecordingQuery extends ServerQuery {
     final CompletableFuture<String> result = new CompletableFuture<>();
     final CompletableFuture<Boolean> answered = new CompletableFuture<>();
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Its time ends while the loop is held up, which then runs its timers before it looks at its
-   * sockets.
+   * The timeout expires while the loop is stalled; the loop then runs its timers before its next
+   * select.
    */
   @Example
   void responseReceivedBeforeTimeoutIsReadAfterTimeoutWhenLoopStalled() throws Exception {
@@ -90,7 +90,7 @@
         ByteBuf startupResponse = Unpooled.buffer();
         MessageEncoder.startupResponse(startupResponse);
         serverSide.getOutputStream().write(ByteBufUtil.getBytes(startupResponse));
-        check(query.result.get(2, TimeUnit.SECONDS).equals("written"), "it is out");
+        check(query.result.get(2, TimeUnit.SECONDS).equals("written"), "the query was written");
         serverSide.getInputStream().read(new byte[200]);
         CountDownLatch stallEnds = new CountDownLatch(1);
         loop.execute(
@@ -108,7 +108,9 @@
         serverSide.getOutputStream().write(ByteBufUtil.getBytes(response));
         Thread.sleep(20);
         stallEnds.countDown();
-        check(query.answered.get(2, TimeUnit.SECONDS), "the answer that had come");
+        check(
+            query.answered.get(2, TimeUnit.SECONDS),
+            "the response received before the timeout is used");
       }
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -116,8 +118,8 @@
   }
 
   /**
-   * Guards against: beside load a router took servers that answer at once for silent ones, since
-   * its time for a connection passed while it was held up itself.
+   * Guards against treating servers that answer promptly as silent: on a machine under load, the
+   * connect timeout of a router expired while its own loop was stalled.
    */
   @Example
   void connectTimeoutExcludesTimeInWhichLoopWasStalled() throws Exception {
@@ -143,14 +145,17 @@
         ByteBuf startupResponse = Unpooled.buffer();
         MessageEncoder.startupResponse(startupResponse);
         serverSide.getOutputStream().write(ByteBufUtil.getBytes(startupResponse));
-        check(query.result.get(2, TimeUnit.SECONDS).equals("written"), "it is out");
+        check(query.result.get(2, TimeUnit.SECONDS).equals("written"), "the query was written");
       }
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
   }
 
-  /** A server that never welcomes is given up in its time where the loop runs. */
+  /**
+   * A server that sends no startup response is given up after the connect timeout if the loop is
+   * not stalled.
+   */
   @Example
   void connectionWithoutStartupResponseTimesOut() throws Exception {
     MultiThreadIoEventLoopGroup group =
@@ -163,7 +168,9 @@
       Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class);
       loop.submit(() -> pool(bootstrap, loop, iteration, server, Span.ofMillis(100)).start(query))
           .sync();
-      check(query.result.get(2, TimeUnit.SECONDS).equals("NO_CONNECTION"), "given up");
+      check(
+          query.result.get(2, TimeUnit.SECONDS).equals("NO_CONNECTION"),
+          "the query ends without a connection");
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
@@ -244,7 +251,7 @@
         MessageEncoder.startupResponse(startupResponse);
         serverSide.getOutputStream().write(ByteBufUtil.getBytes(startupResponse));
         client.close();
-        // For both to lie ready; the node's is first in line.
+        // Lets both sockets become readable; the one to the server is handled first.
         Thread.sleep(20);
         stallEnds.countDown();
         check(
--- a/router/src/test/java/basaltlever/net/DiscoveryWatchReadTest.java
+++ b/router/src/test/java/basaltlever/net/DiscoveryWatchReadTest.java
@@ -23,8 +23,8 @@
 import net.jqwik.api.Example;
 
 /**
- * A loop that was held up finds a long change of the list waiting: statements that it reads then
- * must not overtake it.
+ * After a stall of the loop a long change of the list is buffered. Statements read in the same
+ * iteration must not be processed before it.
  */
 class DiscoveryWatchReadTest {
   private static final int ENTRIES = 400;
@@ -77,7 +77,7 @@
                   .sync()
                   .getNow();
         }
-        check(read == (long) ENTRIES * WARM_UP, "all before: " + read);
+        check(read == (long) ENTRIES * WARM_UP, "entries read before the stall: " + read);
         CountDownLatch stallEnds = new CountDownLatch(1);
         CompletableFuture<Long> readAfterOneIteration = new CompletableFuture<>();
         loop.execute(
@@ -98,7 +98,7 @@
         Thread.sleep(50);
         stallEnds.countDown();
         long readInIteration = readAfterOneIteration.get(2, TimeUnit.SECONDS) - read;
-        check(readInIteration == ENTRIES, "read in one look: " + readInIteration);
+        check(readInIteration == ENTRIES, "entries read in one iteration: " + readInIteration);
       }
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
--- a/router/src/test/java/basaltlever/net/LeaseGuardTest.java
+++ b/router/src/test/java/basaltlever/net/LeaseGuardTest.java
@@ -23,8 +23,8 @@
   private static final Span ASSIGNED = Span.ofMillis(3_000);
 
   /**
-   * A leader that was replaced goes on answering with nothing to give: that is no word of the
-   * fleet.
+   * A replaced leader continues to answer with grants of zero duration, which do not count as
+   * contact with the fleet.
    */
   @Example
   void grantsOfZeroDurationDoNotExtendAssignments() throws Exception {
@@ -63,16 +63,18 @@
               null,
               0),
           update);
-      check(i >= 3 || !membership.isOutOfContact(now), "under a lease");
+      check(
+          i >= 3 || !membership.isOutOfContact(now),
+          "the router is in contact while its lease lasts");
       now = now.plus(Span.ofMillis(100));
       leaseGuard.checkLease(now);
     }
     check(
         membership.isOutOfContact(now),
-        "5.7 s after the last grant that lasted, whatever was answered since");
+        "out of contact 5.7 s after the last grant of a duration, despite later answers");
     check(
         leaseGuard.fencingToken(now) >= 0,
-        "and it knows: what is decided now may go out, to nobody");
+        "the loss of contact is noted, so the fencing token is valid");
   }
 
   private static Settings settingsAfterBegin(SettingsVersion lastReceived) throws Exception {
@@ -93,18 +95,19 @@
             list,
             () -> {},
             (file, holds) -> {
-              check(file == own, "the file in force is its own until a grant comes");
+              check(file == own, "the installed file is in force until the first grant");
               applied.add(holds);
             });
     leaseGuard.begin(lastReceived);
     check(
         leaseGuard.leaseHolder().isRestricted() && leaseGuard.leaseHolder().inForce() == null,
-        "told is not in force");
+        "the last received version is not in force");
     return applied.get(0);
   }
 
   /**
-   * Its start file says how many routers there were when somebody wrote it; the fleet knows by now.
+   * The start file holds the number of routers at the time it was written; the fleet has a newer
+   * one.
    */
   @Example
   void startWithoutGrantAppliesNothingLooserThanLastReceivedVersion() throws Exception {
@@ -115,25 +118,25 @@
                 7, "", withoutVersion.identity().routers() + 40, "ops", "grown", 1));
     check(
         moreRouters.identity().routers() == withoutVersion.identity().routers() + 40,
-        "a smaller share of each cold node");
+        "more routers mean a smaller share of each cold endpoint");
     Settings fewerRouters = settingsAfterBegin(new SettingsVersion(8, "", 1, "ops", "shrunk", 1));
     check(
         fewerRouters.identity().routers() == withoutVersion.identity().routers(),
-        "never a larger one than its file says");
+        "the share is never larger than by the start file");
     for (Settings holds : List.of(withoutVersion, moreRouters, fewerRouters)) {
       check(
           holds.attemptLimits().maxAttempts() == 1 && !holds.attemptLimits().hedgedRequests(),
-          "with care in any case");
+          "one attempt and no hedging in any case");
     }
     Settings unreadable =
         settingsAfterBegin(
             new SettingsVersion(9, "{\"Balancers\":\"many\"}", 90, "ops", "of a later release", 1));
     check(
         unreadable.identity().routers() == withoutVersion.identity().routers(),
-        "what can't be read is left out");
+        "a version that can't be read is ignored");
   }
 
-  /** The example's settings, but for one thing. */
+  /** Returns the example's settings with one change. */
   private static SettingsVersion changed(String from, String to) throws Exception {
     Path example =
         Files.exists(Path.of("deploy"))
@@ -152,11 +155,11 @@
     Settings slowerWarmUp = settingsAfterBegin(changed("\"Cold\": 9000000", "\"Cold\": 19000000"));
     check(
         slowerWarmUp.slowStart().warmAfter().equals(Span.ofMillis(19_000)),
-        "nodes warm for longer");
+        "endpoints warm up for longer");
     Settings fasterWarmUp = settingsAfterBegin(changed("\"Cold\": 9000000", "\"Cold\": 1000000"));
     check(
         fasterWarmUp.slowStart().warmAfter().equals(withoutVersion.slowStart().warmAfter()),
-        "and never for less than its file says");
+        "endpoints never warm up for less than by the start file");
     Settings renamedWorkload =
         settingsAfterBegin(
             changed(
@@ -167,12 +170,12 @@
             .workloads()[0]
             .latencyObjective()
             .equals(withoutVersion.workloads()[0].latencyObjective()),
-        "not the time of another workload");
+        "the latency objective of another workload is not used");
     Settings reorderedConsistency =
         settingsAfterBegin(changed("[\"bounded\", \"write\"]", "[\"write\", \"bounded\"]"));
     check(
         reorderedConsistency.workloads()[0].consistency()
             == withoutVersion.workloads()[0].consistency(),
-        "no write for a read");
+        "a write workload does not replace a read workload");
   }
 }
--- a/router/src/test/java/basaltlever/net/PreciseSelectStrategyTest.java
+++ b/router/src/test/java/basaltlever/net/PreciseSelectStrategyTest.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 import net.jqwik.api.Example;
 
-/** A loop that has nothing to do but to wait for its next timer waits. */
+/** A loop whose only work is its next timer waits in one select. */
 class PreciseSelectStrategyTest {
   private static final int TIMERS = 100;
 
-  /** Counts the looks at the sockets. */
+  /** Counts selects. */
   private record CountingIoHandler(IoHandler delegate, AtomicLong selects) implements IoHandler {
     @Override
     public int run(IoHandlerContext context) {
@@ -57,7 +57,7 @@
     }
   }
 
-  /** One timer after the other, none a whole millisecond away. */
+  /** Schedules timers one after the other, with delays that are not whole milliseconds. */
   private static void scheduleChain(
       EventExecutor loop, int left, AtomicLong early, CountDownLatch done) {
     if (left == 0) {
@@ -88,11 +88,9 @@
       CountDownLatch done = new CountDownLatch(1);
       EventExecutor loop = group.next();
       loop.execute(() -> scheduleChain(loop, TIMERS, early, done));
-      check(done.await(20, TimeUnit.SECONDS), "each comes");
-      check(early.get() == 0, "none too early");
-      check(
-          selects.get() <= 4 * TIMERS,
-          "looks at the sockets for " + TIMERS + " timers: " + selects);
+      check(done.await(20, TimeUnit.SECONDS), "every timer fires");
+      check(early.get() == 0, "no timer fires early");
+      check(selects.get() <= 4 * TIMERS, "selects for " + TIMERS + " timers: " + selects);
     } finally {
       group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
--- a/router/src/test/java/basaltlever/net/StallableRouter.java
+++ b/router/src/test/java/basaltlever/net/StallableRouter.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.LoggerFactory;
 
-/** A router whose decisions never say a word of any statement, on a loop that tests hold up. */
+/** A router whose core never answers a statement, on a loop that tests stall. */
 final class StallableRouter implements AutoCloseable {
   private static final int LISTEN_QUEUE_LENGTH = 100;
   private final Clock clock = new Clock();
@@ -37,10 +37,10 @@
   AttemptExecutor executor;
   LoopIteration iteration;
 
-  /** Whether the final answers of the decisions are given; nothing else that they want is done. */
+  /** Whether rejections and aborts of the core are carried out; no other effect is. */
   volatile boolean forwardsRejections;
 
-  /** Whether what the decisions want done is a fault from here on. */
+  /** Whether every effect of the core throws from now on. */
   volatile boolean throwsFaults;
 
   volatile boolean failsAccept;
@@ -139,7 +139,7 @@
     return null;
   }
 
-  /** Accepting fails for as long as it is told to, as where the system has no descriptor left. */
+  /** Fails to accept while {@link #failsAccept} is set, as if the system had no descriptor left. */
   private final class FailingListener extends NioServerSocketChannel {
     @Override
     protected int doReadMessages(List<Object> into) throws Exception {
@@ -150,7 +150,7 @@
     }
   }
 
-  /** A turn whose loop tells nobody when it looks. */
+  /** Returns an iteration whose clock is not informed of the loop's selects. */
   static LoopIteration newIteration(SingleThreadEventLoop loop) throws InterruptedException {
     Clock clock = new Clock();
     return loop.submit(() -> new LoopIteration(loop, clock, new ReadinessClock(clock::now)))
@@ -162,7 +162,10 @@
     loop.execute(() -> iteration.enqueue(now -> sleep(millis)));
   }
 
-  /** Not in a turn: as a process that was stopped while it waited, or another thread's doing. */
+  /**
+   * Stalls the loop outside an iteration, as if the process was stopped during a select or by
+   * another thread.
+   */
   void stallOutsideIteration(long millis) {
     loop.execute(() -> sleep(millis));
   }
--- a/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
+++ b/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
@@ -31,11 +31,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The system gives no socket for a moment (ENFILE, ENOBUFS): what wanted one ends at once, on the
- * loop, and the next goes on.
+ * The system temporarily provides no socket (ENFILE, ENOBUFS): the query or call that needs one
+ * fails immediately, on the loop, and the next one succeeds.
  */
 class SystemCallFaultsTest {
-  /** Where it ended, and on which thread. */
+  /** Records the outcome and the thread that reported it. */
   private static final class Query extends ServerQuery {
     final CompletableFuture<String> result = new CompletableFuture<>();
 
@@ -61,7 +61,7 @@
     }
   }
 
-  /** So many sockets fail, then the system has some again. */
+  /** Returns a bootstrap whose first sockets fail, as many as given. */
   private static Bootstrap bootstrapFailing(SingleThreadEventLoop loop, AtomicInteger failures) {
     return new Bootstrap()
         .group(loop)
@@ -150,17 +150,17 @@
               list,
               core);
       loop.submit(watch::start).sync();
-      // The decisions hear that it failed, and ask again within a second and a half.
+      // The core is informed of the failure and requests another call within 1.5 s.
       for (int i = 0; i < 40 && !effects.told.contains("watch"); i++) {
         Thread.sleep(50);
         loop.submit(() -> core.timerFired(iteration.clock().now())).sync();
       }
-      check(effects.told.contains("watch"), "nobody asks any more");
+      check(effects.told.contains("watch"), "the core requests another discovery call");
       loop.submit(watch::start).sync();
       discovery.setSoTimeout(1_000);
       try (Socket call = discovery.accept()) {
         byte[] request = new byte[100];
-        check(call.getInputStream().read(request) > 0, "it asks");
+        check(call.getInputStream().read(request) > 0, "the second call reaches discovery");
       }
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
