--- a/router/src/main/java/basaltlever/net/AttemptExecutor.java
+++ b/router/src/main/java/basaltlever/net/AttemptExecutor.java
@@ -258,7 +258,7 @@
                 null));
   }
 
-  void clientDisconnected(PendingStatement pendingStatement) {
+  void onClientDisconnected(PendingStatement pendingStatement) {
     iteration.enqueue(
         now -> {
           trace.ends(pendingStatement.trace, "left");
@@ -279,7 +279,7 @@
             () ->
                 answerError(
                     pendingStatement, ProtocolCodes.SYSTEM_ERROR, "the router failed", null));
-        clientDisconnected(pendingStatement);
+        onClientDisconnected(pendingStatement);
       }
     }
   }
@@ -484,8 +484,8 @@
   }
 
   @Override
-  public void polledGroupsChanged(int groups, int members, int listed) {
-    Event.WATCHED.log(LOG, Level.INFO, "", groups, members, listed);
+  public void polledGroupsChanged(int groups, int endpoints, int listedEndpoints) {
+    Event.WATCHED.log(LOG, Level.INFO, "", groups, endpoints, listedEndpoints);
   }
 
   @Override
@@ -708,7 +708,7 @@
 
     @Override
     void onFailure(AttemptOutcome outcome) {
-      // Polls report the state of the endpoint.
+      // Ignored: polls report the state of the endpoint.
     }
   }
 
--- a/router/src/main/java/basaltlever/net/ClientSessions.java
+++ b/router/src/main/java/basaltlever/net/ClientSessions.java
@@ -235,7 +235,7 @@
   public void left(ClientConnection connection, PendingStatement pendingStatement) {
     descriptors.busy(connection);
     if (pendingStatement != null) {
-      executor.clientDisconnected(pendingStatement);
+      executor.onClientDisconnected(pendingStatement);
     }
   }
 
--- a/router/src/main/java/basaltlever/net/LeaseGuard.java
+++ b/router/src/main/java/basaltlever/net/LeaseGuard.java
@@ -151,7 +151,10 @@
     list.publishMembershipChanges(now);
   }
 
-  /** Applies a grant and the fleet's agreement on endpoint lists, which is null if the leader sent none. */
+  /**
+   * Applies a grant and the fleet's agreement on endpoint lists, which is null if the leader sent
+   * none.
+   */
   void onGrant(Moment now, LeaseGrant grant, MembershipUpdate update) {
     if (update != null) {
       membership.receiveUpdate(now, update);
--- a/router/src/main/java/basaltlever/net/PendingStatement.java
+++ b/router/src/main/java/basaltlever/net/PendingStatement.java
@@ -20,9 +20,7 @@
   /** Attempts in the order of the numbers given by the core. */
   final List<ServerQuery> attempts = new ArrayList<>(2);
 
-  /**
-   * Latest time at which the statement's last byte can have arrived.
-   */
+  /** Latest time at which the statement's last byte can have arrived. */
   final Moment arrivedAt;
 
   /** Time by which the answer must be sent. */
--- a/router/src/main/java/basaltlever/net/PooledConnection.java
+++ b/router/src/main/java/basaltlever/net/PooledConnection.java
@@ -206,8 +206,8 @@
   }
 
   /**
-   * Reads what the system has received by now. Must not be called from within a read of the
-   * same socket.
+   * Reads what the system has received by now. Must not be called from within a read of the same
+   * socket.
    */
   void readReceived() {
     if (state == State.BUSY && channel.isActive()) {
--- a/router/src/main/java/basaltlever/net/Router.java
+++ b/router/src/main/java/basaltlever/net/Router.java
@@ -119,8 +119,8 @@
   private final CountDownLatch stopped = new CountDownLatch(1);
   private final Map<String, ConnectionPool> pools = new LinkedHashMap<>();
   private RouterPhase phase = RouterPhase.READING;
-  private Path file;
-  private StartFile start;
+  private Path startFilePath;
+  private StartFile startFile;
 
   /** The file whose settings are in force. */
   private StartFile fileInForce;
@@ -132,8 +132,8 @@
 
   private LoopIteration iteration;
   private StatementRouter<String> core;
-  private EndpointList list;
-  private DiscoveryWatch watch;
+  private EndpointList endpointList;
+  private DiscoveryWatch discoveryWatch;
   private Descriptors descriptors;
   private Bootstrap outboundBootstrap;
   private int reservedDescriptors;
@@ -147,7 +147,7 @@
   private AcceptHandler acceptHandler;
   private Clock clock;
   private ReadinessClock readinessClock;
-  private ClientSessions clients;
+  private ClientSessions clientSessions;
   private WorkloadSlots slots;
   private RateLimitedLog badClientLog;
   private AttemptExecutor executor;
@@ -172,14 +172,14 @@
   /**
    * Reads the files, listens, and returns once the router serves. The operator's file may be null.
    */
-  public void start(Path startFilePath, OperatorFile operatorFile)
+  public void start(Path path, OperatorFile operatorFile)
       throws InvalidSettingsException, InterruptedException {
-    file = startFilePath;
-    start = StartFile.read(startFilePath);
-    fileInForce = start;
+    startFilePath = path;
+    startFile = StartFile.read(path);
+    fileInForce = startFile;
     operator = operatorFile;
     snapshotWriter = createSnapshotWriter();
-    Span longest = start.startValues().longestTimeout();
+    Span longest = startFile.startValues().longestTimeout();
     if (operatorFile != null
         && operatorFile.fleet() != null
         && operatorFile
@@ -217,7 +217,8 @@
         snapshotWriter.close(null);
       }
       throw new InvalidSettingsException(
-          List.of("listen: " + start.listen() + " can't be bound: " + bound.cause().getMessage()));
+          List.of(
+              "listen: " + startFile.listen() + " can't be bound: " + bound.cause().getMessage()));
     }
     listener = bound.channel();
     enableAcceptDeferral();
@@ -227,7 +228,7 @@
               enterPhase(RouterPhase.SERVING);
             })
         .sync();
-    Event.SERVES.log(LOG, Level.INFO, "", start.name(), address());
+    Event.SERVES.log(LOG, Level.INFO, "", startFile.name(), address());
     if (snapshotWriter != null) {
       snapshotWriter.startWriting();
     }
@@ -250,7 +251,7 @@
     StartFile newFile;
     OperatorFile newOperatorFile;
     try {
-      newFile = StartFile.read(file);
+      newFile = StartFile.read(startFilePath);
       newFile.takeStoredEndpointList();
       newOperatorFile = operator == null ? null : OperatorFile.read(operator.path());
     } catch (InvalidSettingsException fault) {
@@ -261,9 +262,9 @@
     loop.execute(
         () -> {
           Event.RELOADED.log(LOG, Level.INFO, "", newFile.discovery());
-          newFile.changesNeedingRestart(start).forEach(this::logNeedsRestart);
+          newFile.changesNeedingRestart(startFile).forEach(this::logNeedsRestart);
           descriptors.most(newFile.maxDescriptors() - reservedDescriptors);
-          watch.setDiscoveryAddress(newFile.discovery());
+          discoveryWatch.setDiscoveryAddress(newFile.discovery());
           applySettings(newFile);
           applyOperatorFile(newOperatorFile);
         });
@@ -278,7 +279,7 @@
    * their terms and attempts, and applies the new rules to everything sent from now on.
    */
   private void applySettings(StartFile newFile) {
-    if (newFile.hasSettingsOf(fleet == null ? fileInForce : start)) {
+    if (newFile.hasSettingsOf(fleet == null ? fileInForce : startFile)) {
       return;
     }
     if (fleet != null) {
@@ -312,7 +313,7 @@
     // In one step: input read before this is processed before it, and input read later is handled
     // by the new names and settings.
     slots = newSlots;
-    clients.goBy(newSlots);
+    clientSessions.goBy(newSlots);
     iteration.enqueue(
         now ->
             core.applySettings(
@@ -332,7 +333,7 @@
     StartValues values = newFile.startValues();
     longestTimeout = longestTimeout.longer(values.longestTimeout());
     executor.configurePolls(values.loadReportFormat(0), values.connectTimeout());
-    clients.comeBackWithin(values.settings().attemptLimits().maxRetryAfter());
+    clientSessions.comeBackWithin(values.settings().attemptLimits().maxRetryAfter());
     setConnectTimeout(values.connectTimeout());
     pools.values().forEach(pool -> pool.setTimeouts(values.connectTimeout(), values.idleClose()));
   }
@@ -354,10 +355,10 @@
         : new SnapshotWriter(
             operator.folder(),
             operator.deployment(),
-            start.name(),
+            startFile.name(),
             operator.snapshotPeriod(),
             operator.maxSnapshotBytes(),
-            new SplittableRandom(start.seed()).split(),
+            new SplittableRandom(startFile.seed()).split(),
             this::exportStateOffLoop);
   }
 
@@ -424,12 +425,12 @@
   private LearnedState learnedState(Moment now, List<KnownEndpoint> endpoints) {
     return new LearnedState(
         operator.deployment(),
-        start.name(),
+        startFile.name(),
         0,
         SystemClocks.unixMicros(),
         SystemClocks.monotonicMicros(),
         SystemClocks.bootId(),
-        list.generation(),
+        endpointList.generation(),
         endpoints,
         core.learnedOfGroups(now));
   }
@@ -445,7 +446,8 @@
     long elapsedMicros = (System.nanoTime() - startNanos) / 1_000;
     boolean isPolled =
         executor.hasCompletedFirstPolls() || elapsedMicros > MAX_FIRST_POLL_WAIT.micros();
-    if ((isPolled && !watch.isFirstCallPending()) || elapsedMicros > MAX_FIRST_LIST_WAIT.micros()) {
+    if ((isPolled && !discoveryWatch.isFirstCallPending())
+        || elapsedMicros > MAX_FIRST_LIST_WAIT.micros()) {
       firstPolls.setSuccess(null);
     } else {
       loop.schedule(
@@ -469,13 +471,13 @@
             () -> {
               leaseGuard =
                   new LeaseGuard(
-                      start,
+                      startFile,
                       operator.maxStalenessBound(),
                       membership,
-                      list,
+                      endpointList,
                       () -> {
-                        list.requestFullList();
-                        watch.start();
+                        endpointList.requestFullList();
+                        discoveryWatch.start();
                       },
                       (newFile, effective) -> {
                         if (newFile != fileInForce) {
@@ -491,7 +493,7 @@
         .sync();
     try {
       VoterStore voterStore =
-          VoterStore.read(fleetSettings.voterDirectory(), fleetSettings.name(), start.name());
+          VoterStore.read(fleetSettings.voterDirectory(), fleetSettings.name(), startFile.name());
       loop.submit(
               () -> {
                 leaseGuard.leaseHolder().restoreEpoch(voterStore.latestEpoch());
@@ -501,9 +503,9 @@
       fleet =
           new FleetMember(
               fleetSettings,
-              start.name(),
+              startFile.name(),
               voterStore,
-              new SplittableRandom(start.seed()).split(),
+              new SplittableRandom(startFile.seed()).split(),
               () -> loop.execute(this::sendHeartbeat),
               (grant, update) ->
                   loop.execute(
@@ -523,7 +525,7 @@
         cause = cause.getCause();
       }
       throw new InvalidSettingsException(
-          List.of("fleet: " + start.name() + " can't take part: " + cause));
+          List.of("fleet: " + startFile.name() + " can't take part: " + cause));
     }
     firstGrant.await(
         MIN_JOIN_TIMEOUT.longer(fleetSettings.lease().times(4)).micros(), TimeUnit.MICROSECONDS);
@@ -545,7 +547,7 @@
   }
 
   private void build() {
-    StartValues values = start.startValues();
+    StartValues values = startFile.startValues();
     iteration = new LoopIteration(loop, clock, readinessClock);
     trace = new StatementTrace(traceThreshold, clock::now);
     lastSweepAt = clock.now();
@@ -563,7 +565,7 @@
     MemoryBudget budget = new MemoryBudget(PlatformDependent.maxDirectMemory() / 2);
     reservedDescriptors = countOpenDescriptors() + RESERVED_DESCRIPTORS;
     descriptors =
-        new Descriptors(start.maxDescriptors() - reservedDescriptors, this::runAfterNextSelect);
+        new Descriptors(startFile.maxDescriptors() - reservedDescriptors, this::runAfterNextSelect);
     outboundBootstrap =
         new Bootstrap()
             .group(loop)
@@ -603,18 +605,18 @@
         new RateLimitedLog(
             LoggerFactory.getLogger(ClientSessions.class), Event.CLIENT_BAD, clock::now);
     slots = WorkloadSlots.of(values.workloadNames());
-    clients =
+    clientSessions =
         new ClientSessions(
             iteration, descriptors, slots, values.maxOpenStatements(), budget, badClientLog, trace);
-    clients.comeBackWithin(values.settings().attemptLimits().maxRetryAfter());
+    clientSessions.comeBackWithin(values.settings().attemptLimits().maxRetryAfter());
     iteration.setLastStep(descriptors::endLongestIdle);
     longestTimeout = values.longestTimeout();
     holdBudget = values.defaultHoldBudget();
     core =
         new StatementRouter<>(
-            executor, values.loadBalancerFactory(start.seed(), iteration.now(), holdBudget));
+            executor, values.loadBalancerFactory(startFile.seed(), iteration.now(), holdBudget));
     applyOperatorFile(operator);
-    list =
+    endpointList =
         new EndpointList(
             core,
             values.zones(),
@@ -626,13 +628,14 @@
           new MembershipView(
               operator.fleet().fencingTime(),
               operator.fleet().assignmentLifetime().minus(values.longestTimeout()));
-      list.setMembershipView(membership, clock::now);
-    }
-    watch = new DiscoveryWatch(outboundBootstrap, start.discovery(), iteration, list, core);
-    list.setClockOffset(iteration.clockOffset());
-    executor.onClockOffsetChanged(list::publishStartTimes);
-    clients.serve(core, executor);
-    executor.setCore(core, watch::start);
+      endpointList.setMembershipView(membership, clock::now);
+    }
+    discoveryWatch =
+        new DiscoveryWatch(outboundBootstrap, startFile.discovery(), iteration, endpointList, core);
+    endpointList.setClockOffset(iteration.clockOffset());
+    executor.onClockOffsetChanged(endpointList::publishStartTimes);
+    clientSessions.serve(core, executor);
+    executor.setCore(core, discoveryWatch::start);
     scheduleRepeatedly(SWEEP_INTERVAL, "sweeping clients", this::sweep);
     scheduleRepeatedly(
         TABLE_READ_INTERVAL, "querying switchover tables", this::querySwitchoverTables);
@@ -666,7 +669,7 @@
     Moment now = iteration.clock().now();
     trace.loopWas(now.since(lastSweepAt).minus(SWEEP_INTERVAL));
     lastSweepAt = now;
-    clients.sweep();
+    clientSessions.sweep();
     if (acceptHandler != null) {
       acceptHandler.sweep(now);
     }
@@ -703,24 +706,25 @@
       holdBudget.limit(
           operatorFile.maxHeldStatements() > 0
               ? operatorFile.maxHeldStatements()
-              : Math.max(1, start.startValues().maxOpenStatements() / 2),
+              : Math.max(1, startFile.startValues().maxOpenStatements() / 2),
           operatorFile.maxHeldBytes());
     }
   }
 
   private void restore(StateRestore restoredState) {
-    list.restoreFrom(restoredState, executor::excludeFromStartup);
+    endpointList.restoreFrom(restoredState, executor::excludeFromStartup);
     iteration.enqueue(
         now -> {
           try {
-            if (start.hasStoredEndpointList()) {
-              list.takeUpdate(now, EndpointUpdate.of(start.takeStoredEndpointList()), false);
+            if (startFile.hasStoredEndpointList()) {
+              endpointList.takeUpdate(
+                  now, EndpointUpdate.of(startFile.takeStoredEndpointList()), false);
               return;
             }
           } catch (InvalidEndpointListException fault) {
             Event.KNOWN_LEFT_OUT.log(LOG, Level.WARN, "", fault.getMessage());
           }
-          list.publishRestored(now);
+          endpointList.publishRestored(now);
         });
   }
 
@@ -752,11 +756,11 @@
                     .pipeline()
                     .addLast(
                         new ClientChannel(
-                            clients.admit(
+                            clientSessions.admit(
                                 acceptHandler.queuedSince(), acceptHandler.silentSince())));
               }
             })
-        .bind(start.listen());
+        .bind(startFile.listen());
   }
 
   private void removePool(String endpoint) {
@@ -804,7 +808,7 @@
       enterPhase(RouterPhase.DRAINING);
       Span remaining =
           KILL_GRACE.plus(longestTimeout.shorter(MAX_GRACE_TIMEOUT)).minus(ANSWER_MARGIN);
-      clients.endBy(iteration.clock().now().plus(remaining));
+      clientSessions.endBy(iteration.clock().now().plus(remaining));
       // Connections that the system defers are accepted before the listener closes, where time
       // allows.
       Span listenTime =
@@ -816,7 +820,7 @@
           () ->
               acceptHandler.closeOnceQuiet(
                   () -> {
-                    clients.closeIdle();
+                    clientSessions.closeIdle();
                     stopOnceAnswered();
                   }),
           listenTime.micros(),
@@ -837,7 +841,7 @@
   }
 
   private void stopOnceAnswered() {
-    if (clients.areGone() && executor.openStatements() == 0) {
+    if (clientSessions.areGone() && executor.openStatements() == 0) {
       stop();
     } else if (phase == RouterPhase.DRAINING) {
       loop.schedule(this::stopOnceAnswered, RECHECK_INTERVAL.micros(), TimeUnit.MICROSECONDS);
@@ -854,7 +858,7 @@
       return;
     }
     report();
-    clients.refuseAll();
+    clientSessions.refuseAll();
     iteration.enqueue(executor::answerAll);
     iteration.enqueue(
         now ->
@@ -863,7 +867,7 @@
                   if (listener != null) {
                     listener.close();
                   }
-                  clients.endAll();
+                  clientSessions.endAll();
                 }));
     if (snapshotWriter != null && core != null) {
       iteration.enqueue(
@@ -885,7 +889,7 @@
   private void endOnceClientsLeft(Moment deadline) {
     Moment now = iteration.clock().now();
     Moment latestEnd = deadline.earlier(now.plus(ANSWER_MARGIN.minus(EXIT_MARGIN)));
-    if (clients.areGone() || !now.isBefore(latestEnd)) {
+    if (clientSessions.areGone() || !now.isBefore(latestEnd)) {
       shutDown();
     } else {
       loop.schedule(
--- a/router/src/test/java/basaltlever/net/DiscoveryWatchReadTest.java
+++ b/router/src/test/java/basaltlever/net/DiscoveryWatchReadTest.java
@@ -54,7 +54,7 @@
     try (ServerSocket discovery = SocketWorld.listen(0)) {
       LoopIteration iteration = StallableRouter.newIteration(loop);
       StatementRouter<String> core = SocketWorld.core();
-      EndpointList list = new EndpointList(core, List.of("a"), (node, address) -> {});
+      EndpointList list = new EndpointList(core, List.of("a"), (endpoint, address) -> {});
       DiscoveryWatch watch =
           new DiscoveryWatch(
               new Bootstrap().group(loop).channel(NioSocketChannel.class),
--- a/router/src/test/java/basaltlever/net/LeaseGuardTest.java
+++ b/router/src/test/java/basaltlever/net/LeaseGuardTest.java
@@ -38,7 +38,7 @@
     LeaseGuard leaseGuard =
         new LeaseGuard(
             StartFile.read(example), Span.NONE, membership, list, () -> {}, (file, holds) -> {});
-    HeartbeatReport report = membership.report(new Moment(0), member -> true);
+    HeartbeatReport report = membership.report(new Moment(0), endpoint -> true);
     MembershipUpdate update =
         new MembershipUpdate(
             1,
--- a/router/src/test/java/basaltlever/net/StallableRouter.java
+++ b/router/src/test/java/basaltlever/net/StallableRouter.java
@@ -101,8 +101,8 @@
         new AttemptExecutor(
             iteration,
             loop,
-            node -> null,
-            node -> {},
+            endpoint -> null,
+            endpoint -> {},
             new LoadReportFormat(List.of(), 0),
             Span.ofMillis(100),
             budget,
--- a/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
+++ b/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
@@ -141,7 +141,7 @@
               effects,
               SocketWorld.values()
                   .loadBalancerFactory(1, now, SocketWorld.values().defaultHoldBudget()));
-      EndpointList list = new EndpointList(core, List.of(), (node, address) -> {});
+      EndpointList list = new EndpointList(core, List.of(), (endpoint, address) -> {});
       DiscoveryWatch watch =
           new DiscoveryWatch(
               bootstrapFailing(loop, new AtomicInteger(1)),
