--- a/router/src/main/java/basaltlever/net/PooledConnection.java
+++ b/router/src/main/java/basaltlever/net/PooledConnection.java
@@ -215,10 +215,7 @@
     }
   }
 
-  /**
-   * Closes the connection. One that is still being opened is left open, since it may serve another
-   * query.
-   */
+  /** Closes the connection, unless it is still being opened and may serve another query. */
   void abandon() {
     if (state != State.OPENING) {
       pool.count(Counter.NODE_CONNECTION_ABANDONED);
--- a/router/src/test/java/basaltlever/net/AnswerDeadlineTest.java
+++ b/router/src/test/java/basaltlever/net/AnswerDeadlineTest.java
@@ -128,8 +128,8 @@
       check(
           answer.startsWith("error:53300"),
           "no attempt was sent, so the statement is rejected: " + answer);
-      // The deadline counts from the earliest arrival, which a slow start of the loop moves
-      // forward.
+      // The deadline counts from the earliest possible arrival, which is earlier after a slow start
+      // of the loop.
       check(
           millisSince(sent) >= STATEMENT_TIMEOUT_MILLIS / 2,
           "the answer is not sent on arrival: " + millisSince(sent));
--- a/router/src/test/java/basaltlever/net/ConnectionStartupTest.java
+++ b/router/src/test/java/basaltlever/net/ConnectionStartupTest.java
@@ -35,7 +35,7 @@
  * stalled or reads several events in one iteration.
  */
 class ConnectionStartupTest {
-  /** Becomes obsolete once its client has disconnected, as a query of the core does. */
+  /** Becomes obsolete once its client has disconnected, as an attempt does. */
   private static final class RecordingQuery extends ServerQuery {
     final CompletableFuture<String> result = new CompletableFuture<>();
     final CompletableFuture<Boolean> answered = new CompletableFuture<>();
