--- a/router/src/main/java/basaltlever/net/AcceptBatch.java
+++ b/router/src/main/java/basaltlever/net/AcceptBatch.java
@@ -29,12 +29,12 @@
   /**
    * So many were accepted in one look, which took so long with all that their first bytes asked.
    */
-  void accepted(int connections, Span took) {
+  void recordAccepted(int connections, Span elapsed) {
     if (connections == 0) {
       return;
     }
-    long fitting = connections * TARGET.micros() / Math.max(1, took.micros());
-    long most = Math.min(MAX_CONNECTIONS, (long) MAX_GROWTH_FACTOR * size);
-    size = (int) Math.max(1, Math.min(most, fitting));
+    long affordable = connections * TARGET.micros() / Math.max(1, elapsed.micros());
+    long maxSize = Math.min(MAX_CONNECTIONS, (long) MAX_GROWTH_FACTOR * size);
+    size = (int) Math.max(1, Math.min(maxSize, affordable));
   }
 }
--- a/router/src/main/java/basaltlever/net/AcceptHandler.java
+++ b/router/src/main/java/basaltlever/net/AcceptHandler.java
@@ -25,88 +25,88 @@
  */
 final class AcceptHandler extends ChannelInboundHandlerAdapter {
   /** Without a pause a listener for which there is no descriptor would take the whole loop. */
-  private static final Span PAUSE = Span.ofMillis(10);
+  private static final Span ACCEPT_PAUSE = Span.ofMillis(10);
 
   /** More clients than this that have connected and not asked are the sign of a crowd. */
-  private static final int MANY_UNASKED = 32;
+  private static final int MAX_NEW_CLIENTS_WITHOUT_DEFERRAL = 32;
 
   /**
    * Room is made for so many at a time, and in the mean for so many a second: a crowd must not take
    * the loop.
    */
-  private static final int ROOM_AT_ONCE = 8;
+  private static final int TARGET_ROOM = 8;
 
-  private static final int MOST_ROOM_AT_ONCE = 64;
-  private static final double ROOM_A_SECOND = 6_400;
+  private static final int MAX_EVICTION_BURST = 64;
+  private static final double EVICTIONS_PER_SECOND = 6_400;
 
   /** Until room is looked for again, where none could be made. */
-  private static final Span LOOKS_FOR_ROOM = Span.ofMillis(3);
+  private static final Span EVICTION_RETRY_DELAY = Span.ofMillis(3);
 
-  private static final Span SECOND = Span.ofMillis(1_000);
+  private static final Span ONE_SECOND = Span.ofMillis(1_000);
 
   private final LoopIteration iteration;
   private final Descriptors descriptors;
   private final ListenQueue queue;
   private final AcceptBatch batch = new AcceptBatch();
-  private final RateLimitedLog pauses;
+  private final RateLimitedLog pauseLog;
   private final DeferredAccept deferral;
   private Channel listener;
   private int accepted;
-  private int acceptedBefore;
-  private Moment lookedAt = Moment.LONG_AGO;
+  private int acceptedBeforeRead;
+  private Moment readStartedAt = Moment.LONG_AGO;
 
   /** How many may be accepted and told that there is no room, where none can be made. */
-  private int turnsAway;
+  private int rejectionsAllowed;
 
   private boolean paused;
-  private boolean resumes;
-  private boolean retries;
+  private boolean resumeQueued;
+  private boolean retryScheduled;
   private boolean stoppedByLimit;
-  private Moment roomMadeAt = Moment.LONG_AGO;
+  private Moment tokensRefilledAt = Moment.LONG_AGO;
 
   /** For how many more room may be made by now. */
-  private double allowance = MOST_ROOM_AT_ONCE;
+  private double evictionTokens = MAX_EVICTION_BURST;
 
   AcceptHandler(
-      LoopIteration iteration, Descriptors descriptors, int queueLength, RateLimitedLog pauses) {
+      LoopIteration iteration, Descriptors descriptors, int queueLength, RateLimitedLog pauseLog) {
     this.iteration = iteration;
     this.descriptors = descriptors;
-    this.pauses = pauses;
+    this.pauseLog = pauseLog;
     queue = new ListenQueue(queueLength);
     deferral = new DeferredAccept(iteration);
-    descriptors.onFreed(this::resumeSoon);
+    descriptors.setOnFreed(this::resumeAfterReads);
   }
 
   /** Since when the connection that is being accepted may have waited. */
   Moment queuedSince() {
-    return queue.accepts(iteration.arrival(), iteration.clock().now());
+    return queue.onAccept(iteration.arrival(), iteration.clock().now());
   }
 
   /** For the listener, so that no more are accepted at once than there is room for. */
-  RecvByteBufAllocator limitedReads() {
+  RecvByteBufAllocator newAcceptAllocator() {
     return new DefaultMaxMessagesRecvByteBufAllocator(AcceptBatch.MAX_CONNECTIONS) {
       @Override
       public RecvByteBufAllocator.ExtendedHandle newHandle() {
-        return new LimitedReads();
+        return new AcceptLimitHandle();
       }
     };
   }
 
   /** Counts connections where Netty's handles count bytes. */
-  private final class LimitedReads implements RecvByteBufAllocator.ExtendedHandle {
-    private int read;
+  private final class AcceptLimitHandle implements RecvByteBufAllocator.ExtendedHandle {
+    private int connectionsRead;
 
     @Override
     public void reset(ChannelConfig config) {
-      read = 0;
-      acceptedBefore = accepted;
-      lookedAt = iteration.clock().now();
+      connectionsRead = 0;
+      acceptedBeforeRead = accepted;
+      readStartedAt = iteration.clock().now();
       stoppedByLimit = false;
     }
 
     @Override
     public boolean continueReading() {
-      stoppedByLimit = read >= Math.min(batch.size(), limit());
+      stoppedByLimit = connectionsRead >= Math.min(batch.size(), acceptLimit());
       return !stoppedByLimit;
     }
 
@@ -117,7 +117,7 @@
 
     @Override
     public void incMessagesRead(int connections) {
-      read += connections;
+      connectionsRead += connections;
     }
 
     @Override
@@ -156,9 +156,9 @@
     }
   }
 
-  private int limit() {
+  private int acceptLimit() {
     int room = descriptors.roomForClients();
-    return room > 0 ? room : turnsAway;
+    return room > 0 ? room : rejectionsAllowed;
   }
 
   @Override
@@ -194,51 +194,52 @@
   public void channelRead(ChannelHandlerContext context, Object connection) {
     accepted++;
     iteration.load().accepts();
-    turnsAway = Math.max(0, turnsAway - 1);
+    rejectionsAllowed = Math.max(0, rejectionsAllowed - 1);
     context.fireChannelRead(connection);
   }
 
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    batch.accepted(accepted - acceptedBefore, iteration.clock().now().since(lookedAt));
-    queue.looked(!stoppedByLimit, iteration.arrival());
-    if (limit() == 0 || descriptors.unaskedClients() > MANY_UNASKED) {
+    batch.recordAccepted(
+        accepted - acceptedBeforeRead, iteration.clock().now().since(readStartedAt));
+    queue.onReadComplete(!stoppedByLimit, iteration.arrival());
+    if (acceptLimit() == 0 || descriptors.newClientCount() > MAX_NEW_CLIENTS_WITHOUT_DEFERRAL) {
       deferral.request();
     }
-    if (limit() == 0) {
+    if (acceptLimit() == 0) {
       pause("no descriptor is free");
-      resumeSoon();
+      resumeAfterReads();
     }
     context.fireChannelReadComplete();
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    queue.lookFailed(iteration.arrival());
+    queue.onReadFailed(iteration.arrival());
     pause(cause.toString());
-    resumeLater(PAUSE);
+    resumeAfter(ACCEPT_PAUSE);
   }
 
-  private void pause(String why) {
+  private void pause(String cause) {
     if (!paused) {
       paused = true;
       iteration.counters().add(Counter.ACCEPT_PAUSED);
-      pauses.note("listener", why);
+      pauseLog.note("listener", cause);
     }
     // From here on nobody looks.
-    queue.looked(false, iteration.arrival());
+    queue.onReadComplete(false, iteration.arrival());
     listener.config().setAutoRead(false);
   }
 
   /** Behind all that this turn has read: who makes room may turn out to be in use. */
-  private void resumeSoon() {
-    if (paused && !resumes) {
-      resumes = true;
+  private void resumeAfterReads() {
+    if (paused && !resumeQueued) {
+      resumeQueued = true;
       iteration.hear(
           now ->
               iteration.act(
                   () -> {
-                    resumes = false;
+                    resumeQueued = false;
                     resume();
                   }));
     }
@@ -249,47 +250,50 @@
       return;
     }
     if (descriptors.roomForClients() == 0) {
-      makeRoom();
+      makeRoomForClients();
     }
-    if (limit() > 0) {
+    if (acceptLimit() > 0) {
       paused = false;
       listener.config().setAutoRead(true);
     } else {
-      resumeLater(LOOKS_FOR_ROOM);
+      resumeAfter(EVICTION_RETRY_DELAY);
     }
   }
 
-  private void resumeLater(Span after) {
-    if (!retries) {
-      retries = true;
+  private void resumeAfter(Span delay) {
+    if (!retryScheduled) {
+      retryScheduled = true;
       listener
           .eventLoop()
           .schedule(
               () -> {
-                retries = false;
+                retryScheduled = false;
                 resume();
               },
-              after.micros(),
+              delay.micros(),
               TimeUnit.MICROSECONDS);
     }
   }
 
-  private void makeRoom() {
+  private void makeRoomForClients() {
     Moment now = iteration.clock().now();
-    allowance =
-        Math.min(MOST_ROOM_AT_ONCE, allowance + ROOM_A_SECOND * now.since(roomMadeAt).over(SECOND));
-    roomMadeAt = now;
-    boolean made = true;
-    int before = -1;
-    while (made
-        && allowance >= 1
-        && descriptors.roomForClients() < ROOM_AT_ONCE
-        && descriptors.roomForClients() > before) {
-      before = descriptors.roomForClients();
-      made = descriptors.makeRoomForClient(now);
-      allowance -= made ? 1 : 0;
+    evictionTokens =
+        Math.min(
+            MAX_EVICTION_BURST,
+            evictionTokens + EVICTIONS_PER_SECOND * now.since(tokensRefilledAt).over(ONE_SECOND));
+    tokensRefilledAt = now;
+    boolean evicted = true;
+    int roomBefore = -1;
+    while (evicted
+        && evictionTokens >= 1
+        && descriptors.roomForClients() < TARGET_ROOM
+        && descriptors.roomForClients() > roomBefore) {
+      roomBefore = descriptors.roomForClients();
+      evicted = descriptors.makeRoomForClient(now);
+      evictionTokens -= evicted ? 1 : 0;
     }
-    turnsAway = made || descriptors.roomForClients() > 0 ? 0 : descriptors.roomToTurnAway();
+    rejectionsAllowed =
+        evicted || descriptors.roomForClients() > 0 ? 0 : descriptors.roomForRejections();
   }
 
   /**
@@ -297,9 +301,9 @@
    * it. So it is closed behind a look at all sockets that has found none, however many came at
    * once.
    */
-  void closeOnceQuiet(Runnable then) {
+  void closeWhenQueueIsEmpty(Runnable onClosed) {
     SingleThreadEventLoop loop = (SingleThreadEventLoop) listener.eventLoop();
-    int before = accepted;
+    int acceptedBeforeSelect = accepted;
     // By way of a task: what is put behind an iteration from behind it would run in it.
     loop.executeAfterEventLoopIteration(
         () ->
@@ -309,14 +313,16 @@
                         () -> {
                           if (paused) {
                             loop.schedule(
-                                () -> closeOnceQuiet(then), PAUSE.micros(), TimeUnit.MICROSECONDS);
-                          } else if (accepted != before) {
-                            closeOnceQuiet(then);
+                                () -> closeWhenQueueIsEmpty(onClosed),
+                                ACCEPT_PAUSE.micros(),
+                                TimeUnit.MICROSECONDS);
+                          } else if (accepted != acceptedBeforeSelect) {
+                            closeWhenQueueIsEmpty(onClosed);
                           } else {
                             listener.close();
                             // Its socket is closed in the loop's next look: whoever is told to go
                             // before comes back to be reset.
-                            loop.execute(then);
+                            loop.execute(onClosed);
                           }
                         })));
   }
--- a/router/src/main/java/basaltlever/net/AttemptExecutor.java
+++ b/router/src/main/java/basaltlever/net/AttemptExecutor.java
@@ -265,7 +265,7 @@
     if (!pendingStatement.answered) {
       trace.step(pendingStatement.life, code);
       pendingStatement.answered = true;
-      pendingStatement.client.answerError(code, message, detail);
+      pendingStatement.client.sendError(code, message, detail);
     }
     forget(pendingStatement);
   }
@@ -507,9 +507,9 @@
       // Its client's end may lie unread; and where executions may not be called off, one that waits
       // for its
       // connection outlives its statement.
-      pendingStatement.client.readAgain();
+      pendingStatement.client.readIfStale();
       return pendingStatement.answered
-          || !pendingStatement.client.waitsFor(pendingStatement)
+          || !pendingStatement.client.isWaitingFor(pendingStatement)
           || now.isAfter(sendBy)
           || stance.applyAsInt(now) != decidedUnder;
     }
@@ -557,7 +557,7 @@
                 false)) {
               pendingStatement.answered = true;
               var row = response.takeRow();
-              iteration.act(() -> pendingStatement.client.answer(row));
+              iteration.act(() -> pendingStatement.client.sendRow(row));
             }
           });
       response.release();
--- a/router/src/main/java/basaltlever/net/ClientChannel.java
+++ b/router/src/main/java/basaltlever/net/ClientChannel.java
@@ -25,38 +25,38 @@
   }
 
   @Override
-  public void handlerAdded(ChannelHandlerContext added) {
-    context = added;
-    connection.on(this);
+  public void handlerAdded(ChannelHandlerContext channelContext) {
+    context = channelContext;
+    connection.attachSocket(this);
   }
 
   @Override
-  public void channelActive(ChannelHandlerContext active) {
-    connection.accepted();
-    active.fireChannelActive();
+  public void channelActive(ChannelHandlerContext channelContext) {
+    connection.onAccepted();
+    channelContext.fireChannelActive();
   }
 
   @Override
-  public void channelRead(ChannelHandlerContext in, Object read) {
-    connection.received((ByteBuf) read);
+  public void channelRead(ChannelHandlerContext channelContext, Object buffer) {
+    connection.onBytesReceived((ByteBuf) buffer);
   }
 
   @Override
-  public void channelWritabilityChanged(ChannelHandlerContext in) {
-    connection.writabilityChanged();
+  public void channelWritabilityChanged(ChannelHandlerContext channelContext) {
+    connection.onWritabilityChanged();
   }
 
   @Override
-  public void channelInactive(ChannelHandlerContext in) {
-    connection.closed();
+  public void channelInactive(ChannelHandlerContext channelContext) {
+    connection.onClosed();
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext in, Throwable cause) {
+  public void exceptionCaught(ChannelHandlerContext channelContext, Throwable cause) {
     if (cause instanceof IOException) {
-      connection.broken();
+      connection.onConnectionLost();
     } else {
-      connection.failed(cause);
+      connection.onFailure(cause);
     }
   }
 
@@ -71,8 +71,8 @@
   }
 
   @Override
-  public void writeAndFlush(ByteBuf out, Consumer<Boolean> written) {
-    context.writeAndFlush(out).addListener(done -> written.accept(done.isSuccess()));
+  public void writeAndFlush(ByteBuf out, Consumer<Boolean> onWritten) {
+    context.writeAndFlush(out).addListener(future -> onWritten.accept(future.isSuccess()));
   }
 
   @Override
@@ -92,23 +92,23 @@
   }
 
   @Override
-  public void readReceived() {
+  public void readAvailable() {
     if (context.channel().isActive()) {
       ((AbstractNioChannel) context.channel()).unsafe().read();
       if (!context.channel().isActive()) {
         // It has read its client's end; the pipeline hears of that only in a later task.
-        connection.left();
+        connection.onPeerClosed();
       }
     }
   }
 
   @Override
-  public void setReading(boolean reads) {
-    context.channel().config().setAutoRead(reads);
+  public void setAutoRead(boolean autoRead) {
+    context.channel().config().setAutoRead(autoRead);
   }
 
   @Override
-  public void endSending() {
+  public void shutdownOutput() {
     ((SocketChannel) context.channel()).shutdownOutput();
   }
 
@@ -118,12 +118,12 @@
   }
 
   @Override
-  public void schedule(Span after, Runnable task) {
-    context.channel().eventLoop().schedule(task, after.micros(), TimeUnit.MICROSECONDS);
+  public void schedule(Span delay, Runnable task) {
+    context.channel().eventLoop().schedule(task, delay.micros(), TimeUnit.MICROSECONDS);
   }
 
   @Override
-  public Object peer() {
+  public Object remoteAddress() {
     return context.channel().remoteAddress();
   }
 }
--- a/router/src/main/java/basaltlever/net/ClientConnection.java
+++ b/router/src/main/java/basaltlever/net/ClientConnection.java
@@ -26,42 +26,42 @@
   private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
 
   /** A value of 64 KiB in hexadecimal, with its statement. */
-  private static final int LARGEST = 1 << 18;
+  private static final int MAX_MESSAGE_BYTES = 1 << 18;
 
-  private static final int LARGEST_START = 1 << 13;
+  private static final int MAX_STARTUP_MESSAGE_BYTES = 1 << 13;
 
   /**
    * More than this sent ahead is thrown away: left unread, it would hide that its client has gone.
    */
-  private static final int AHEAD = 1 << 20;
+  private static final int MAX_PIPELINED_BYTES = 1 << 20;
 
   /**
    * For a start, a first query, or the rest of a message: what takes longer is owed an end within 3
    * s.
    */
-  private static final Span PATIENCE = Span.ofMillis(2_300);
+  private static final Span CLIENT_TIMEOUT = Span.ofMillis(2_300);
 
   /** Once its sending has ended, a client that takes note of it is gone much sooner. */
-  private static final Span TAKES_NOTE = Span.ofMillis(1_000);
+  private static final Span HALF_CLOSED_TIMEOUT = Span.ofMillis(1_000);
 
   /**
    * Where others wait for its descriptor it has less: this long, or longer where its first
    * statement may yet come.
    */
-  private static final Span LEAST_NOTE = Span.ofMillis(10);
+  private static final Span MIN_HALF_CLOSED_TIME = Span.ofMillis(10);
 
-  private static final Span LEAST_NOTE_UNSENT = Span.ofMillis(150);
+  private static final Span MIN_HALF_CLOSED_TIME_BEFORE_STATEMENT = Span.ofMillis(150);
 
   /** A socket that was read longer ago may hold its client's end by now. */
-  private static final Span READ_LATELY = Span.ofMillis(10);
+  private static final Span MAX_READ_AGE = Span.ofMillis(10);
 
   /** So many messages of one client, then the others have their turn. */
-  private static final int AT_ONCE = 16;
+  private static final int MAX_MESSAGES_PER_BATCH = 16;
 
   /** A small row in one piece costs less than four pieces gathered (docs/performance.md). */
-  private static final int COPIED = 512;
+  private static final int MAX_COPIED_ROW_BYTES = 512;
 
-  private final ClientHost clients;
+  private final ClientHost host;
   private final MemoryBudget budget;
   private final MessageDecoder decoder;
   private final ClientLifecycle lifecycle = new ClientLifecycle(this);
@@ -69,29 +69,29 @@
   private final ArrivalTimes arrivals = new ArrivalTimes();
 
   /** Of the message in hand. */
-  private Moment arrived = Moment.LONG_AGO;
+  private Moment messageArrivedAt = Moment.LONG_AGO;
 
   /**
    * What ends this connection once all that came whole before it is answered; what comes now is no
    * use.
    */
-  private ProtocolException after;
+  private ProtocolException deferredError;
 
   private PendingStatement pendingStatement;
 
   /** After an error in the extended protocol all is skipped up to the next Sync. */
-  private boolean skipping;
+  private boolean skippingToSync;
 
-  private boolean asked;
+  private boolean messageReceived;
   private final boolean admitted;
 
   /** Whether the rest of what was read has its turn yet to come. */
-  private boolean goesOn;
+  private boolean continuationScheduled;
 
   private final long number;
 
   /** Since when it has been owed an end if it says nothing. */
-  private Moment since;
+  private Moment silenceStart;
 
   private final Moment silentSince;
 
@@ -99,122 +99,131 @@
   private Moment queuedSince;
 
   private Moment idleSince;
-  private Moment readAt;
+  private Moment lastReadAt;
 
   /** Bytes that it has sent, and those of its startup message; 0 where that is not known yet. */
-  private long sentBytes;
+  private long receivedBytes;
 
-  private int startBytes;
+  private int startupMessageBytes;
 
   /** When it was told to go. */
-  private Moment toldAt = Moment.NEVER;
+  private Moment endBegunAt = Moment.NEVER;
 
   /** Since when a message has been under way; never where none is. */
-  private Moment partSince = Moment.NEVER;
+  private Moment partialMessageSince = Moment.NEVER;
 
   /** The number tells connections apart in the log. One that is not admitted is told so at once. */
   ClientConnection(
-      ClientHost clients,
+      ClientHost host,
       MemoryBudget budget,
       boolean admitted,
       long number,
       Moment queuedSince,
       Moment silentSince) {
     this.admitted = admitted;
-    this.clients = clients;
+    this.host = host;
     this.budget = budget;
     this.number = number;
     this.queuedSince = queuedSince;
-    decoder = new MessageDecoder(LARGEST_START, budget);
-    readAt = clients.now();
-    since = readAt;
+    decoder = new MessageDecoder(MAX_STARTUP_MESSAGE_BYTES, budget);
+    lastReadAt = host.now();
+    silenceStart = lastReadAt;
     this.silentSince = silentSince;
-    idleSince = readAt;
+    idleSince = lastReadAt;
   }
 
-  void on(ClientSocket with) {
-    socket = with;
+  void attachSocket(ClientSocket clientSocket) {
+    socket = clientSocket;
     if (admitted) {
-      clients.descriptors().unasked(this);
+      host.descriptors().addNewClient(this);
     }
   }
 
   /**
    * The machine may hold its first statement by now, which has waited in the listen queue with it.
    */
-  void accepted() {
+  void onAccepted() {
     if (!admitted) {
-      turnAway();
+      rejectForCapacity();
       return;
     }
-    socket.readReceived();
+    socket.readAvailable();
     queuedSince = null;
-    if (sentBytes == 0) {
-      since = silentSince;
+    if (receivedBytes == 0) {
+      silenceStart = silentSince;
       idleSince = silentSince;
     }
   }
 
   /** The buffer is taken over. */
-  void received(ByteBuf read) {
-    readAt = clients.now();
-    if (startBytes == 0 && read.readableBytes() >= Integer.BYTES) {
-      startBytes = read.getInt(read.readerIndex());
+  void onBytesReceived(ByteBuf bytes) {
+    lastReadAt = host.now();
+    if (startupMessageBytes == 0 && bytes.readableBytes() >= Integer.BYTES) {
+      startupMessageBytes = bytes.getInt(bytes.readerIndex());
     }
-    sentBytes += read.readableBytes();
-    if (!lifecycle.isOpen() || after != null) {
+    receivedBytes += bytes.readableBytes();
+    if (!lifecycle.isOpen() || deferredError != null) {
       // Read to hear when its client goes, and so that no unread byte resets the connection at its
       // end.
-      read.release();
+      bytes.release();
       return;
     }
     arrivals.recordRead(
-        read.readableBytes(), queuedSince == null ? clients.arrival() : queuedSince);
+        bytes.readableBytes(), queuedSince == null ? host.earliestArrival() : queuedSince);
     try {
-      decoder.add(read);
-      if (lifecycle.isBusy() && decoder.bufferedBytes() > AHEAD) {
+      decoder.add(bytes);
+      if (lifecycle.isBusy() && decoder.bufferedBytes() > MAX_PIPELINED_BYTES) {
         throw new ProtocolException(
-            ProtocolCodes.TOO_MANY_CONNECTIONS, "more than " + AHEAD + " bytes were sent ahead");
+            ProtocolCodes.TOO_MANY_CONNECTIONS,
+            "more than " + MAX_PIPELINED_BYTES + " bytes were sent ahead");
       }
-    } catch (ProtocolException fault) {
+    } catch (ProtocolException exception) {
       // What came whole is owed its own answers first: this one would say nothing was done.
-      after = fault;
+      deferredError = exception;
     }
-    pump();
+    processMessages();
   }
 
   /** Goes on while no statement is under way and the client takes its answers. */
-  private void pump() {
+  private void processMessages() {
     if (!lifecycle.isOpen()) {
       return;
     }
     try {
-      boolean all = cutMessages(goesOn ? 0 : AT_ONCE);
+      boolean bufferDrained = processBatch(continuationScheduled ? 0 : MAX_MESSAGES_PER_BATCH);
       // Once for all of them: each is a few bytes, and a write of its own costs more than all else
       // about it.
       socket.flush();
-      partSince = decoder.bufferedBytes() == 0 ? Moment.NEVER : partSince.earlier(clients.now());
-      if (lifecycle.state() == ClientLifecycle.State.IDLE && asked) {
-        rests();
+      partialMessageSince =
+          decoder.bufferedBytes() == 0 ? Moment.NEVER : partialMessageSince.earlier(host.now());
+      if (lifecycle.state() == ClientLifecycle.State.IDLE && messageReceived) {
+        onIdleAfterMessage();
       }
-      if (lifecycle.takesMessages() && after != null && socket.isWritable() && all) {
-        refuse(after, CloseReason.PROTOCOL_ERROR);
+      if (lifecycle.canTakeMessage()
+          && deferredError != null
+          && socket.isWritable()
+          && bufferDrained) {
+        endWithError(deferredError, CloseReason.PROTOCOL_ERROR);
       } else if (lifecycle.isOpen()) {
         // A client may send more ahead, but not without end; one that waits for an answer may
         // leave.
-        socket.setReading(
-            lifecycle.isBusy() || after != null || decoder.bufferedBytes() <= LARGEST);
+        socket.setAutoRead(
+            lifecycle.isBusy()
+                || deferredError != null
+                || decoder.bufferedBytes() <= MAX_MESSAGE_BYTES);
       }
-    } catch (ProtocolException fault) {
-      refuse(fault, CloseReason.PROTOCOL_ERROR);
+    } catch (ProtocolException exception) {
+      endWithError(exception, CloseReason.PROTOCOL_ERROR);
     }
   }
 
   /** False where more messages have come whole, whose turn comes later. */
-  private boolean cutMessages(int most) throws ProtocolException {
-    for (int left = most; lifecycle.takesMessages() && socket.isWritable(); left--) {
-      if (left == 0) {
-        goesOn();
+  private boolean processBatch(int maxMessages) throws ProtocolException {
+    for (int remaining = maxMessages;
+        lifecycle.canTakeMessage() && socket.isWritable();
+        remaining--) {
+      if (remaining == 0) {
+        scheduleContinuation();
         return false;
       }
       boolean starting = lifecycle.state() == ClientLifecycle.State.STARTING;
@@ -222,26 +231,26 @@
       if (message == null) {
         return true;
       }
-      arrived = arrivals.consumeMessage(message.readableBytes());
-      clients.messageRead();
+      messageArrivedAt = arrivals.consumeMessage(message.readableBytes());
+      host.onMessageRead();
       if (starting) {
-        start(message);
+        handleStartupMessage(message);
       } else {
-        message(message);
+        handleMessage(message);
       }
     }
     return true;
   }
 
-  private void rests() {
+  private void onIdleAfterMessage() {
     if (decoder.bufferedBytes() > 0) {
       // What has been read of a statement must not be lost with an idle connection.
-      clients.descriptors().busy(this);
-    } else if (clients.closesIdle()) {
+      host.descriptors().markBusy(this);
+    } else if (host.isClosingIdle()) {
       // Not from within a read: what has come behind it is taken, also by a router that ends.
-      clients.later(() -> endIdle(CloseReason.SHUTDOWN));
+      host.runAfterReads(() -> endIfIdle(CloseReason.SHUTDOWN));
     } else {
-      clients.descriptors().idleClient(this);
+      host.descriptors().addIdleClient(this);
     }
   }
 
@@ -250,14 +259,14 @@
    * others, and every timer's answer, waiting. Once at a time, or each read of such a client would
    * add a share of its own.
    */
-  private void goesOn() {
-    if (!goesOn) {
-      goesOn = true;
+  private void scheduleContinuation() {
+    if (!continuationScheduled) {
+      continuationScheduled = true;
       socket.schedule(
           Span.NONE,
           () -> {
-            goesOn = false;
-            pump();
+            continuationScheduled = false;
+            processMessages();
           });
     }
   }
@@ -266,32 +275,34 @@
    * A client that says nothing, or half of something, or takes no note of its end, holds a
    * descriptor for no use.
    */
-  void endOverdue(Moment now) {
+  void endIfTimedOut(Moment now) {
     if (lifecycle.isOpen()) {
-      endSilent(now);
-    } else if (now.since(toldAt)
+      endIfSilent(now);
+    } else if (now.since(endBegunAt)
         .isLongerThan(
-            lifecycle.state() == ClientLifecycle.State.FLUSHING ? PATIENCE : TAKES_NOTE)) {
+            lifecycle.state() == ClientLifecycle.State.FLUSHING
+                ? CLIENT_TIMEOUT
+                : HALF_CLOSED_TIMEOUT)) {
       // Bytes that lie there unread would make the close a reset.
-      socket.readReceived();
+      socket.readAvailable();
       socket.close();
     }
   }
 
-  private void endSilent(Moment now) {
+  private void endIfSilent(Moment now) {
     if (!isSilent(now)) {
       return;
     }
     // Its patience may have passed while this process was held up, and the rest have come
     // meanwhile.
-    socket.readReceived();
+    socket.readAvailable();
     if (!isSilent(now)) {
       return;
     }
     if (lifecycle.state() == ClientLifecycle.State.IDLE && decoder.bufferedBytes() == 0) {
-      endIdle(CloseReason.SILENT);
+      endIfIdle(CloseReason.SILENT);
     } else {
-      refuse(
+      endWithError(
           new ProtocolException(
               ProtocolCodes.PROTOCOL_VIOLATION, "a message did not come whole in time"),
           CloseReason.SILENT);
@@ -299,27 +310,29 @@
   }
 
   private boolean isSilent(Moment now) {
-    return lifecycle.takesMessages() && now.since(asked ? partSince : since).isLongerThan(PATIENCE);
+    return lifecycle.canTakeMessage()
+        && now.since(messageReceived ? partialMessageSince : silenceStart)
+            .isLongerThan(CLIENT_TIMEOUT);
   }
 
-  void writabilityChanged() {
-    pump();
+  void onWritabilityChanged() {
+    processMessages();
   }
 
-  private boolean refuse(ProtocolException fault, CloseReason closeReason) {
-    if (lifecycle.beginsToEndWithError(closeReason)) {
+  private boolean endWithError(ProtocolException exception, CloseReason closeReason) {
+    if (lifecycle.beginEndWithError(closeReason)) {
       if (closeReason != CloseReason.SHUTDOWN) {
-        clients.spoilt(socket.peer(), fault.getMessage());
+        host.onInvalidInput(socket.remoteAddress(), exception.getMessage());
       }
       ByteBuf out = socket.alloc().buffer();
-      MessageEncoder.errorResponse(out, "FATAL", fault.sqlState, fault.getMessage(), null);
-      ends(out);
+      MessageEncoder.errorResponse(out, "FATAL", exception.sqlState, exception.getMessage(), null);
+      beginLingeringClose(out);
       return true;
     }
     return false;
   }
 
-  private void start(ByteBuf message) throws ProtocolException {
+  private void handleStartupMessage(ByteBuf message) throws ProtocolException {
     if (message.readableBytes() < 8) {
       throw new ProtocolException(
           ProtocolCodes.PROTOCOL_VIOLATION, "a startup message is too short");
@@ -341,31 +354,31 @@
       }
       MessageEncoder.startupResponse(out);
       socket.write(out);
-      decoder.setMaxMessageBytes(LARGEST);
-      lifecycle.started();
-      idles();
+      decoder.setMaxMessageBytes(MAX_MESSAGE_BYTES);
+      lifecycle.onStarted();
+      markIdle();
     }
   }
 
-  private void message(ByteBuf message) throws ProtocolException {
+  private void handleMessage(ByteBuf message) throws ProtocolException {
     byte type = message.readByte();
     message.skipBytes(4);
-    if (!asked) {
-      asked = true;
-      clients.descriptors().asks(this);
+    if (!messageReceived) {
+      messageReceived = true;
+      host.descriptors().onFirstMessage(this);
     }
-    partSince = Moment.NEVER;
+    partialMessageSince = Moment.NEVER;
     if (type == ProtocolCodes.TERMINATE) {
       close(CloseReason.PEER_CLOSED);
     } else if (type == ProtocolCodes.SYNC) {
-      skipping = false;
-      reply(out -> {});
+      skippingToSync = false;
+      writeReply(out -> {});
     } else if (type == ProtocolCodes.QUERY) {
-      skipping = false;
-      query(message);
+      skippingToSync = false;
+      handleQuery(message);
     } else if ("PBEDCHF".indexOf(type) >= 0) {
-      if (!skipping) {
-        skipping = type != 'F';
+      if (!skippingToSync) {
+        skippingToSync = type != 'F';
         ByteBuf out = socket.alloc().buffer();
         MessageEncoder.errorResponse(
             out,
@@ -384,69 +397,70 @@
     }
   }
 
-  private void query(ByteBuf message) throws ProtocolException {
-    int last = message.writerIndex() - 1;
-    if (!message.isReadable() || message.getByte(last) != 0) {
+  private void handleQuery(ByteBuf message) throws ProtocolException {
+    int lastIndex = message.writerIndex() - 1;
+    if (!message.isReadable() || message.getByte(lastIndex) != 0) {
       throw new ProtocolException(
           ProtocolCodes.PROTOCOL_VIOLATION, "a query does not end in a zero byte");
     }
     ByteBuf text = message.slice(message.readerIndex(), message.readableBytes() - 1);
-    String idle = Query.sessionCommand(text);
+    String commandTag = Query.sessionCommand(text);
     if (Query.isBlank(text)) {
-      reply(MessageEncoder::emptyQueryResponse);
-    } else if (idle != null) {
-      reply(out -> MessageEncoder.commandComplete(out, idle));
+      writeReply(MessageEncoder::emptyQueryResponse);
+    } else if (commandTag != null) {
+      writeReply(out -> MessageEncoder.commandComplete(out, commandTag));
     } else {
-      take(text);
+      submitStatement(text);
     }
   }
 
-  private void take(ByteBuf text) {
+  private void submitStatement(ByteBuf text) {
     try {
       Query query = Query.parse(text);
-      int workload = clients.workload(query);
-      if (clients.refusesAll()) {
-        clients.counters().add(Counter.REFUSED_SHUTDOWN);
+      int workload = host.workloadIndex(query);
+      if (host.isRefusingAll()) {
+        host.counters().add(Counter.REFUSED_SHUTDOWN);
         throw new ProtocolException(
             ProtocolCodes.TOO_MANY_CONNECTIONS, "this router ends, and nothing was done");
       }
       // It outlives the buffer that it was read into: later executions send it again.
-      ByteBuf kept = socket.alloc().buffer(text.readableBytes()).writeBytes(text);
-      pendingStatement = clients.take(this, kept, query, workload, arrived);
-      lifecycle.takes();
-      clients.descriptors().busy(this);
-    } catch (ProtocolException fault) {
-      clients.spoilt(socket.peer(), fault.getMessage());
-      reply(
+      ByteBuf statementText = socket.alloc().buffer(text.readableBytes()).writeBytes(text);
+      pendingStatement = host.submit(this, statementText, query, workload, messageArrivedAt);
+      lifecycle.onStatementSubmitted();
+      host.descriptors().markBusy(this);
+    } catch (ProtocolException exception) {
+      host.onInvalidInput(socket.remoteAddress(), exception.getMessage());
+      writeReply(
           out ->
-              MessageEncoder.errorResponse(out, "ERROR", fault.sqlState, fault.getMessage(), null));
+              MessageEncoder.errorResponse(
+                  out, "ERROR", exception.sqlState, exception.getMessage(), null));
     }
   }
 
   /** Goes out with the others of its turn in pump. */
-  private void reply(Consumer<ByteBuf> what) {
+  private void writeReply(Consumer<ByteBuf> bodyWriter) {
     ByteBuf out = socket.alloc().buffer();
-    what.accept(out);
+    bodyWriter.accept(out);
     MessageEncoder.readyForQuery(out);
     socket.write(out);
   }
 
   /** The final answer as a node gave it; the slices are taken over. */
-  void answer(List<ByteBuf> row) {
+  void sendRow(List<ByteBuf> rowSlices) {
     if (!lifecycle.isBusy()) {
-      row.forEach(ByteBuf::release);
+      rowSlices.forEach(ByteBuf::release);
       return;
     }
-    long size = row.stream().mapToLong(ByteBuf::readableBytes).sum();
+    long size = rowSlices.stream().mapToLong(ByteBuf::readableBytes).sum();
     if (!budget.reserve(size)) {
       budget.release(size);
-      row.forEach(ByteBuf::release);
-      answerError(ProtocolCodes.SYSTEM_ERROR, "there is no memory for the answer", null);
+      rowSlices.forEach(ByteBuf::release);
+      sendError(ProtocolCodes.SYSTEM_ERROR, "there is no memory for the answer", null);
       return;
     }
     ByteBuf end = socket.alloc().buffer();
-    for (ByteBuf slice : row) {
-      if (size <= COPIED) {
+    for (ByteBuf slice : rowSlices) {
+      if (size <= MAX_COPIED_ROW_BYTES) {
         end.writeBytes(slice);
         slice.release();
       } else {
@@ -459,42 +473,42 @@
         end,
         written -> {
           budget.release(size);
-          clients.lives().ends(life, written ? "row_out" : "row_lost");
+          host.trace().ends(life, written ? "row_out" : "row_lost");
         });
-    answered();
+    onAnswered();
   }
 
-  void answerError(String code, String message, String detail) {
+  void sendError(String code, String message, String detail) {
     if (lifecycle.isBusy()) {
       StatementTrace.Life life = pendingStatement.life;
       ByteBuf out = socket.alloc().buffer();
       MessageEncoder.errorResponse(out, "ERROR", code, message, detail);
       MessageEncoder.readyForQuery(out);
-      socket.writeAndFlush(out, written -> clients.lives().ends(life, written ? "out" : "lost"));
-      answered();
+      socket.writeAndFlush(out, written -> host.trace().ends(life, written ? "out" : "lost"));
+      onAnswered();
     }
   }
 
-  private void answered() {
+  private void onAnswered() {
     pendingStatement = null;
-    lifecycle.answered();
-    idles();
-    pump();
+    lifecycle.onAnswered();
+    markIdle();
+    processMessages();
   }
 
-  private void idles() {
-    idleSince = clients.now();
-    partSince = decoder.bufferedBytes() == 0 ? Moment.NEVER : idleSince;
+  private void markIdle() {
+    idleSince = host.now();
+    partialMessageSince = decoder.bufferedBytes() == 0 ? Moment.NEVER : idleSince;
   }
 
   /**
    * Where its client may have gone since its socket was read last, that is read again and its end
    * heard.
    */
-  void readAgain() {
-    if (lifecycle.isBusy() && clients.now().since(readAt).isLongerThan(READ_LATELY)) {
-      readAt = clients.now();
-      socket.readReceived();
+  void readIfStale() {
+    if (lifecycle.isBusy() && host.now().since(lastReadAt).isLongerThan(MAX_READ_AGE)) {
+      lastReadAt = host.now();
+      socket.readAvailable();
     }
   }
 
@@ -502,22 +516,22 @@
    * Its statement has waited unread: its client may have gone meanwhile, which lies unread behind
    * it.
    */
-  void readBehind(Moment came) {
-    if (lifecycle.isBusy() && clients.now().since(came).isLongerThan(READ_LATELY)) {
-      readAt = clients.now();
-      socket.readReceived();
+  void readIfStatementWaited(Moment arrivedAt) {
+    if (lifecycle.isBusy() && host.now().since(arrivedAt).isLongerThan(MAX_READ_AGE)) {
+      lastReadAt = host.now();
+      socket.readAvailable();
     }
   }
 
   // ---- Ends.
 
   @Override
-  public void takeInReceived() {
-    socket.readReceived();
+  public void readAvailable() {
+    socket.readAvailable();
   }
 
   @Override
-  public boolean hasPartOfMessage() {
+  public boolean hasPartialMessage() {
     return decoder.bufferedBytes() > 0;
   }
 
@@ -527,8 +541,8 @@
   }
 
   @Override
-  public void endSending() {
-    socket.endSending();
+  public void shutdownOutput() {
+    socket.shutdownOutput();
   }
 
   /**
@@ -536,45 +550,47 @@
    * again.
    */
   @Override
-  public boolean endIdle(CloseReason closeReason) {
-    if (!asked && closeReason != CloseReason.SILENT) {
+  public boolean endIfIdle(CloseReason closeReason) {
+    if (!messageReceived && closeReason != CloseReason.SILENT) {
       // Its first statement may cross this, and no client sends that again as one on an idle
       // connection.
-      return closeReason == CloseReason.SHUTDOWN ? refuse(routerEnds(), closeReason) : turnAway();
+      return closeReason == CloseReason.SHUTDOWN
+          ? endWithError(shutdownError(), closeReason)
+          : rejectForCapacity();
     }
-    if (!lifecycle.endsIdle(closeReason)) {
-      clients.counters().add(Counter.CLIENT_END_DECLINED);
+    if (!lifecycle.endIfIdle(closeReason)) {
+      host.counters().add(Counter.CLIENT_END_DECLINED);
       return false;
     }
-    ended();
+    onEndBegun();
     return true;
   }
 
   /** Its statement, if one is on its way, is refused before it is read. */
-  private boolean turnAway() {
-    if (!lifecycle.beginsToEndWithError(CloseReason.TURNED_AWAY)) {
+  private boolean rejectForCapacity() {
+    if (!lifecycle.beginEndWithError(CloseReason.TURNED_AWAY)) {
       return false;
     }
     ByteBuf out = socket.alloc().buffer();
-    long millis = clients.comeBackMillis();
+    long retryAfterMillis = host.retryAfterMillis();
     MessageEncoder.errorResponse(
         out,
         "FATAL",
         ProtocolCodes.TOO_MANY_CONNECTIONS,
         "too many connections are open",
-        millis > 0 ? "" + millis : null);
-    ends(out);
+        retryAfterMillis > 0 ? "" + retryAfterMillis : null);
+    beginLingeringClose(out);
     return true;
   }
 
   /** The router ends now: whatever was answered is on its way, and nothing more is taken. */
-  void endAtOnce() {
-    if (!endIdle(CloseReason.SHUTDOWN)) {
-      refuse(routerEnds(), CloseReason.SHUTDOWN);
+  void endImmediately() {
+    if (!endIfIdle(CloseReason.SHUTDOWN)) {
+      endWithError(shutdownError(), CloseReason.SHUTDOWN);
     }
   }
 
-  private static ProtocolException routerEnds() {
+  private static ProtocolException shutdownError() {
     return new ProtocolException(
         ProtocolCodes.CANNOT_CONNECT_NOW, "this router ends, and nothing was done");
   }
@@ -585,40 +601,43 @@
    * still comes is read and thrown away until the client has closed its side, or for a while. Who
    * does not read what is left for it keeps its descriptor for no longer than anybody silent.
    */
-  private void ends(ByteBuf error) {
-    ended();
+  private void beginLingeringClose(ByteBuf error) {
+    onEndBegun();
     socket.writeAndFlush(
         error,
         written -> {
           if (written && lifecycle.state() == ClientLifecycle.State.FLUSHING) {
-            socket.endSending();
-            lifecycle.sendingEnded();
+            socket.shutdownOutput();
+            lifecycle.onOutputShutdown();
           } else {
             socket.close();
           }
         });
   }
 
-  private void ended() {
-    toldAt = clients.now();
-    int bytes = decoder.bufferedBytes();
-    released();
-    clients.ends(number, socket.peer(), lifecycle.reason(), bytes);
-    clients.descriptors().lingers(this);
-    socket.setReading(true);
+  private void onEndBegun() {
+    endBegunAt = host.now();
+    int partialBytes = decoder.bufferedBytes();
+    releaseStatement();
+    host.onEndBegun(number, socket.remoteAddress(), lifecycle.reason(), partialBytes);
+    host.descriptors().addLingeringClient(this);
+    socket.setAutoRead(true);
   }
 
   /**
    * Its socket is read once more, since bytes that lie there unread would make the close a reset.
    */
   @Override
-  public boolean closeIfNoted() {
-    Span least = startBytes > 0 && sentBytes > startBytes ? LEAST_NOTE : LEAST_NOTE_UNSENT;
+  public boolean closeIfLingered() {
+    Span minLingerTime =
+        startupMessageBytes > 0 && receivedBytes > startupMessageBytes
+            ? MIN_HALF_CLOSED_TIME
+            : MIN_HALF_CLOSED_TIME_BEFORE_STATEMENT;
     if (lifecycle.state() != ClientLifecycle.State.HALF_CLOSED
-        || clients.now().since(toldAt).isShorterThan(least)) {
+        || host.now().since(endBegunAt).isShorterThan(minLingerTime)) {
       return false;
     }
-    socket.readReceived();
+    socket.readAvailable();
     socket.close();
     return true;
   }
@@ -637,64 +656,64 @@
   }
 
   /** Whether its client is there and has had no answer to the statement. */
-  boolean waitsFor(PendingStatement statement) {
+  boolean isWaitingFor(PendingStatement statement) {
     return lifecycle.isBusy() && pendingStatement == statement;
   }
 
-  boolean hasAsked() {
-    return asked;
+  boolean hasReceivedMessage() {
+    return messageReceived;
   }
 
   private void close(CloseReason closeReason) {
-    gone(closeReason);
+    markClosed(closeReason);
     socket.close();
   }
 
   /** Its client has closed it, which was read; the system closes it in a moment. */
-  void left() {
-    gone(CloseReason.PEER_CLOSED);
+  void onPeerClosed() {
+    markClosed(CloseReason.PEER_CLOSED);
   }
 
   /** The system has closed it. */
-  void closed() {
-    gone(CloseReason.PEER_CLOSED);
-    clients.closed(this);
+  void onClosed() {
+    markClosed(CloseReason.PEER_CLOSED);
+    host.onClosed(this);
   }
 
   /** Its client has reset it, or the network has. */
-  void broken() {
+  void onConnectionLost() {
     close(CloseReason.PEER_CLOSED);
   }
 
   /** This program failed at what it read: what is owed is answered, then the connection ends. */
-  void failed(Throwable cause) {
-    Event.FAULT.fault(LOG, "", cause, "talking to client " + socket.peer());
+  void onFailure(Throwable cause) {
+    Event.FAULT.fault(LOG, "", cause, "talking to client " + socket.remoteAddress());
     if (lifecycle.isOpen()) {
-      after =
+      deferredError =
           new ProtocolException(
               ProtocolCodes.TOO_MANY_CONNECTIONS, "the router could not read what was sent");
-      if (lifecycle.takesMessages()) {
-        refuse(after, CloseReason.FAULT);
+      if (lifecycle.canTakeMessage()) {
+        endWithError(deferredError, CloseReason.FAULT);
       }
     }
   }
 
-  private void gone(CloseReason closeReason) {
+  private void markClosed(CloseReason closeReason) {
     boolean wasOpen = lifecycle.isOpen();
-    if (lifecycle.closed(closeReason) && wasOpen) {
-      clients.counters().add(closeReason.counter);
-      clients.lives().connectionEnds(socket.peer(), closeReason, decoder.bufferedBytes());
-      released();
+    if (lifecycle.markClosed(closeReason) && wasOpen) {
+      host.counters().add(closeReason.counter);
+      host.trace().connectionEnds(socket.remoteAddress(), closeReason, decoder.bufferedBytes());
+      releaseStatement();
     }
   }
 
   /** Nothing more is taken from it. */
-  private void released() {
+  private void releaseStatement() {
     decoder.release();
-    if (asked) {
-      clients.descriptors().asksNoMore();
+    if (messageReceived) {
+      host.descriptors().onActiveClientEnded();
     }
-    clients.left(this, pendingStatement);
+    host.onClientLeft(this, pendingStatement);
     pendingStatement = null;
   }
 }
--- a/router/src/main/java/basaltlever/net/ClientLifecycle.java
+++ b/router/src/main/java/basaltlever/net/ClientLifecycle.java
@@ -38,16 +38,16 @@
   /** The connection whose states these are. */
   interface Connection {
     /** Reads what the machine has received and takes it in, which may change the state. */
-    void takeInReceived();
+    void readAvailable();
 
     /** Whether a part of a message was taken in that has not come whole. */
-    boolean hasPartOfMessage();
+    boolean hasPartialMessage();
 
     /** Whether the system has taken all that was written. */
     boolean isAllWritten();
 
     /** Ends this side's sending at once. */
-    void endSending();
+    void shutdownOutput();
   }
 
   private static final Map<State, Set<State>> TRANSITIONS = transitions();
@@ -87,7 +87,7 @@
   }
 
   /** Whether the next message may be taken. */
-  boolean takesMessages() {
+  boolean canTakeMessage() {
     return state == State.STARTING || state == State.IDLE;
   }
 
@@ -95,23 +95,23 @@
     return state == State.BUSY;
   }
 
-  private void enter(State next) {
+  private void transitionTo(State next) {
     if (!TRANSITIONS.get(state).contains(next)) {
       throw new IllegalStateException("a client's connection goes from " + state + " to " + next);
     }
     state = next;
   }
 
-  void started() {
-    enter(State.IDLE);
+  void onStarted() {
+    transitionTo(State.IDLE);
   }
 
-  void takes() {
-    enter(State.BUSY);
+  void onStatementSubmitted() {
+    transitionTo(State.BUSY);
   }
 
-  void answered() {
-    enter(State.IDLE);
+  void onAnswered() {
+    transitionTo(State.IDLE);
   }
 
   /**
@@ -120,22 +120,22 @@
    * sends meanwhile is closed over. False where the connection goes on, since its client has sent
    * something by now or has not taken its last answer.
    */
-  boolean endsIdle(CloseReason closeReason) {
+  boolean endIfIdle(CloseReason closeReason) {
     if (!isIdle() || !connection.isAllWritten()) {
       return false;
     }
-    connection.takeInReceived();
+    connection.readAvailable();
     if (!isIdle()) {
       return false;
     }
-    connection.endSending();
+    connection.shutdownOutput();
     reason = closeReason;
-    enter(State.HALF_CLOSED);
+    transitionTo(State.HALF_CLOSED);
     return true;
   }
 
   private boolean isIdle() {
-    return state == State.IDLE && !connection.hasPartOfMessage();
+    return state == State.IDLE && !connection.hasPartialMessage();
   }
 
   /**
@@ -143,34 +143,34 @@
    * not taken. False where a statement is in hand, which is owed its own answer, or where the
    * connection ends already.
    */
-  boolean beginsToEndWithError(CloseReason closeReason) {
-    if (!takesMessages()) {
+  boolean beginEndWithError(CloseReason closeReason) {
+    if (!canTakeMessage()) {
       return false;
     }
-    ends(closeReason);
+    beginFlushing(closeReason);
     return true;
   }
 
-  private void ends(CloseReason closeReason) {
+  private void beginFlushing(CloseReason closeReason) {
     reason = closeReason;
-    enter(State.FLUSHING);
+    transitionTo(State.FLUSHING);
   }
 
   /** Its last words were written whole and this side's sending has ended. */
-  void sendingEnded() {
-    enter(State.HALF_CLOSED);
+  void onOutputShutdown() {
+    transitionTo(State.HALF_CLOSED);
   }
 
   /**
    * The client has gone, could not be written to, or has had its time. False where it was closed
    * before.
    */
-  boolean closed(CloseReason closeReason) {
+  boolean markClosed(CloseReason closeReason) {
     if (state == State.CLOSED) {
       return false;
     }
     reason = reason == null ? closeReason : reason;
-    enter(State.CLOSED);
+    transitionTo(State.CLOSED);
     return true;
   }
 }
--- a/router/src/main/java/basaltlever/net/ClientReads.java
+++ b/router/src/main/java/basaltlever/net/ClientReceiveAllocator.java
@@ -10,8 +10,8 @@
  * the connection, and what is owed on it would be lost. With little memory each read is short, and
  * the budget of messages refuses what is too much.
  */
-final class ClientReads extends AdaptiveRecvByteBufAllocator {
-  private static final int LEAST = 512;
+final class ClientReceiveAllocator extends AdaptiveRecvByteBufAllocator {
+  private static final int FALLBACK_BUFFER_BYTES = 512;
 
   @Override
   @SuppressWarnings("deprecation")
@@ -22,7 +22,7 @@
         try {
           return super.allocate(allocator);
         } catch (OutOfMemoryError full) {
-          return Unpooled.buffer(LEAST, LEAST);
+          return Unpooled.buffer(FALLBACK_BUFFER_BYTES, FALLBACK_BUFFER_BYTES);
         }
       }
     };
--- a/router/src/main/java/basaltlever/net/ClientSessions.java
+++ b/router/src/main/java/basaltlever/net/ClientSessions.java
@@ -20,60 +20,60 @@
 /** The clients' connections, and the way of their statements to the decisions. */
 final class ClientSessions implements ClientHost {
   /** A client may rely on an idle connection for this long. */
-  private static final Span KEPT = Span.ofMillis(2_000);
+  private static final Span MIN_IDLE_TIME = Span.ofMillis(2_000);
 
   /**
    * Of the longest time after which a client may be told to come back; descriptors are free again
    * much sooner.
    */
-  private static final double COMES_BACK = 0.25;
+  private static final double RETRY_AFTER_FRACTION = 0.25;
 
   private final LoopIteration iteration;
   private final Descriptors descriptors;
   private WorkloadSlots slots;
-  private final int mostOpen;
+  private final int maxOpenStatements;
   private final MemoryBudget budget;
-  private final RateLimitedLog bad;
+  private final RateLimitedLog invalidInputLog;
   private final StatementTrace trace;
   private final LinkedHashSet<ClientConnection> connections = new LinkedHashSet<>();
-  private StatementRouter<String> core;
+  private StatementRouter<String> statementRouter;
   private AttemptExecutor executor;
-  private long tickets;
-  private long accepted;
-  private Span comeBack = Span.NONE;
-  private final EndedConnections ended;
-  private boolean closesIdle;
-  private boolean refusesAll;
+  private long lastTicket;
+  private long lastConnectionNumber;
+  private Span retryAfter = Span.NONE;
+  private final EndedConnectionLog endedConnectionLog;
+  private boolean closingIdle;
+  private boolean refusingAll;
 
   /** When this router ends, if it is known: no statement's time is longer than its own. */
-  private Moment ends = Moment.NEVER;
+  private Moment shutdownDeadline = Moment.NEVER;
 
   ClientSessions(
       LoopIteration iteration,
       Descriptors descriptors,
       WorkloadSlots slots,
-      int mostOpen,
+      int maxOpenStatements,
       MemoryBudget budget,
-      RateLimitedLog bad,
+      RateLimitedLog invalidInputLog,
       StatementTrace trace) {
     this.iteration = iteration;
     this.descriptors = descriptors;
     this.slots = slots;
-    this.mostOpen = mostOpen;
+    this.maxOpenStatements = maxOpenStatements;
     this.budget = budget;
-    this.bad = bad;
+    this.invalidInputLog = invalidInputLog;
     this.trace = trace;
-    ended = new EndedConnections(iteration.clock()::now);
+    endedConnectionLog = new EndedConnectionLog(iteration.clock()::now);
   }
 
-  void serve(StatementRouter<String> with, AttemptExecutor by) {
-    core = with;
-    executor = by;
+  void start(StatementRouter<String> router, AttemptExecutor attemptExecutor) {
+    statementRouter = router;
+    executor = attemptExecutor;
   }
 
   @Override
-  public void spoilt(Object client, String what) {
-    bad.note(client, what);
+  public void onInvalidInput(Object client, String problem) {
+    invalidInputLog.note(client, problem);
   }
 
   @Override
@@ -94,7 +94,12 @@
     counters().add(Counter.CLIENT_ACCEPTED);
     ClientConnection connection =
         new ClientConnection(
-            this, budget, descriptors.admitsClient(), ++accepted, queuedSince, silentSince);
+            this,
+            budget,
+            descriptors.admitClient(),
+            ++lastConnectionNumber,
+            queuedSince,
+            silentSince);
     connections.add(connection);
     return connection;
   }
@@ -104,21 +109,22 @@
    * come whole.
    */
   @Override
-  public void ends(long connection, Object client, CloseReason closeReason, int bytes) {
+  public void onEndBegun(
+      long connectionNumber, Object client, CloseReason closeReason, int partialBytes) {
     counters().add(closeReason.counter);
     if (closeReason != CloseReason.SHUTDOWN) {
-      ended.note(connection, client, closeReason, bytes);
+      endedConnectionLog.log(connectionNumber, client, closeReason, partialBytes);
     }
   }
 
   @Override
-  public void messageRead() {
+  public void onMessageRead() {
     iteration.load().reads();
   }
 
   /** In the turn behind all reads of this look at the sockets. */
   @Override
-  public void later(Runnable step) {
+  public void runAfterReads(Runnable step) {
     iteration.hear(now -> step.run());
   }
 
@@ -126,21 +132,21 @@
    * When a client that is turned away may come back; 0 where the settings do not let it be told.
    */
   @Override
-  public long comeBackMillis() {
-    return comeBack.micros() / 1_000;
+  public long retryAfterMillis() {
+    return retryAfter.micros() / 1_000;
   }
 
-  void comeBackWithin(Span longest) {
-    comeBack = longest.times(COMES_BACK);
+  void setMaxRetryAfter(Span maxRetryAfter) {
+    retryAfter = maxRetryAfter.times(RETRY_AFTER_FRACTION);
   }
 
   /** For what is read from here on. */
-  void goBy(WorkloadSlots now) {
-    slots = now;
+  void setWorkloadSlots(WorkloadSlots newSlots) {
+    slots = newSlots;
   }
 
   @Override
-  public int workload(Query query) throws ProtocolException {
+  public int workloadIndex(Query query) throws ProtocolException {
     int workload = slots.of(query.workload);
     if (workload < 0) {
       throw new ProtocolException(
@@ -151,32 +157,34 @@
 
   /** Takes the text over. */
   @Override
-  public PendingStatement take(
-      ClientConnection client, ByteBuf text, Query query, int workload, Moment arrived) {
+  public PendingStatement submit(
+      ClientConnection client, ByteBuf text, Query query, int workload, Moment arrivedAt) {
     PendingStatement pendingStatement =
         new PendingStatement(
-            ++tickets,
+            ++lastTicket,
             client,
             text,
             query,
-            arrived,
+            arrivedAt,
             trace.areFollowed()
                 ? trace.begins(
-                    query.id, arrived, arrived.plus(Span.ofMillis((double) query.timeoutMillis)))
+                    query.id,
+                    arrivedAt,
+                    arrivedAt.plus(Span.ofMillis((double) query.timeoutMillis)))
                 : null);
     boolean fits = budget.reserve(text.capacity());
     iteration.hear(
         now -> {
           // Its client waits since it sent, not since this loop came to read.
           pendingStatement.owedBy =
-              arrived.plus(Span.ofMillis((double) query.timeoutMillis)).earlier(ends);
+              arrivedAt.plus(Span.ofMillis((double) query.timeoutMillis)).earlier(shutdownDeadline);
           // Where this loop was held up its client may have gone behind its statement, which nobody
           // has read yet.
-          client.readBehind(arrived);
-          if (!client.waitsFor(pendingStatement)) {
+          client.readIfStatementWaited(arrivedAt);
+          if (!client.isWaitingFor(pendingStatement)) {
             return;
           }
-          if (executor.open() >= mostOpen || !fits) {
+          if (executor.open() >= maxOpenStatements || !fits) {
             executor.turnAway(pendingStatement);
             return;
           }
@@ -185,7 +193,7 @@
           executor.guarded(
               pendingStatement,
               () ->
-                  core.statementReceived(
+                  statementRouter.statementReceived(
                       now,
                       pendingStatement.ticket,
                       new StatementRequest(
@@ -209,19 +217,19 @@
    */
   void sweep() {
     Moment now = now();
-    new ArrayList<>(connections).forEach(connection -> connection.endOverdue(now));
-    descriptors.shed(now, KEPT);
+    new ArrayList<>(connections).forEach(connection -> connection.endIfTimedOut(now));
+    descriptors.shedIdleClients(now, MIN_IDLE_TIME);
     trace.sweep();
   }
 
   @Override
-  public StatementTrace lives() {
+  public StatementTrace trace() {
     return trace;
   }
 
   /** When the bytes that are read now have come, at the latest. */
   @Override
-  public Moment arrival() {
+  public Moment earliestArrival() {
     return iteration.arrival();
   }
 
@@ -232,23 +240,23 @@
 
   /** Its client has gone away, or must go. */
   @Override
-  public void left(ClientConnection connection, PendingStatement pendingStatement) {
-    descriptors.busy(connection);
+  public void onClientLeft(ClientConnection connection, PendingStatement pendingStatement) {
+    descriptors.markBusy(connection);
     if (pendingStatement != null) {
       executor.left(pendingStatement);
     }
   }
 
   @Override
-  public void closed(ClientConnection connection) {
+  public void onClosed(ClientConnection connection) {
     if (connections.remove(connection)) {
-      descriptors.clientClosed(connection);
+      descriptors.onClientClosed(connection);
     }
   }
 
   /** What is taken from here on is answered by then. */
-  void endBy(Moment end) {
-    ends = end;
+  void setShutdownDeadline(Moment deadline) {
+    shutdownDeadline = deadline;
   }
 
   /**
@@ -256,40 +264,40 @@
    * statement on the way, and closed unread it would be lost: it is taken, or the time for it runs
    * out.
    */
-  void closeIdle() {
-    closesIdle = true;
+  void closeIdleClients() {
+    closingIdle = true;
     for (ClientConnection connection : new ArrayList<>(connections)) {
-      if (!connection.isBusy() && connection.hasAsked()) {
-        connection.endIdle(CloseReason.SHUTDOWN);
+      if (!connection.isBusy() && connection.hasReceivedMessage()) {
+        connection.endIfIdle(CloseReason.SHUTDOWN);
       }
     }
   }
 
   /** Nothing is read any more but to be thrown away. */
-  void endAll() {
-    closesIdle = true;
-    new ArrayList<>(connections).forEach(ClientConnection::endAtOnce);
+  void endAllImmediately() {
+    closingIdle = true;
+    new ArrayList<>(connections).forEach(ClientConnection::endImmediately);
   }
 
   @Override
-  public boolean closesIdle() {
-    return closesIdle;
+  public boolean isClosingIdle() {
+    return closingIdle;
   }
 
   /**
    * The decisions have answered for the last time: what is read from here on is rejected where it
    * is.
    */
-  void refuseAll() {
-    refusesAll = true;
+  void refuseAllStatements() {
+    refusingAll = true;
   }
 
   @Override
-  public boolean refusesAll() {
-    return refusesAll;
+  public boolean isRefusingAll() {
+    return refusingAll;
   }
 
-  boolean areGone() {
+  boolean isEmpty() {
     return connections.isEmpty();
   }
 }
--- a/router/src/main/java/basaltlever/net/ClientSocket.java
+++ b/router/src/main/java/basaltlever/net/ClientSocket.java
@@ -6,7 +6,7 @@
 
 /**
  * What a client's connection asks of its socket. What is read is told to {@link
- * ClientConnection#received}.
+ * ClientConnection#onBytesReceived}.
  */
 interface ClientSocket {
   ByteBufAllocator alloc();
@@ -15,7 +15,7 @@
   void write(ByteBuf out);
 
   /** As write and flush; the callback is told whether the system has taken all of it. */
-  void writeAndFlush(ByteBuf out, java.util.function.Consumer<Boolean> written);
+  void writeAndFlush(ByteBuf out, java.util.function.Consumer<Boolean> onWritten);
 
   void flush();
 
@@ -29,19 +29,19 @@
    * Reads at once all that the machine has received by now; never from within a read of the same
    * socket.
    */
-  void readReceived();
+  void readAvailable();
 
   /** Whether it is read as something comes. */
-  void setReading(boolean reads);
+  void setAutoRead(boolean autoRead);
 
   /** Ends this side's sending behind all that was written. */
-  void endSending();
+  void shutdownOutput();
 
   void close();
 
   /** Runs a task later, and not before the sockets have been looked at again. */
-  void schedule(Span after, Runnable task);
+  void schedule(Span delay, Runnable task);
 
   /** The peer's address, for the log. */
-  Object peer();
+  Object remoteAddress();
 }
--- a/router/src/main/java/basaltlever/net/ConnectionPool.java
+++ b/router/src/main/java/basaltlever/net/ConnectionPool.java
@@ -100,7 +100,7 @@
       open(query);
     } else {
       idle.removeLast();
-      descriptors.busy(next);
+      descriptors.markBusy(next);
       run(next, query);
     }
   }
@@ -123,9 +123,9 @@
       query.endLost(AttemptOutcome.NO_CONNECTION, AttemptOutcome.RESET);
       return;
     }
-    switch (descriptors.admitsNode(query.use())) {
+    switch (descriptors.admitEndpointConnection(query.use())) {
       case OPEN -> connect(query);
-      case WAIT -> descriptors.await(() -> openIfWanted(query));
+      case WAIT -> descriptors.awaitFree(() -> openIfWanted(query));
       default -> {
         iteration
             .counters()
@@ -200,14 +200,14 @@
       return;
     }
     idle.addFirst(connection);
-    descriptors.idleNode(connection);
+    descriptors.addIdleEndpointConnection(connection);
     sweepLater();
   }
 
   void closed(PooledConnection connection) {
     idle.remove(connection);
-    descriptors.busy(connection);
-    descriptors.nodeClosed();
+    descriptors.markBusy(connection);
+    descriptors.onEndpointConnectionClosed();
   }
 
   void letGo() {
--- a/router/src/main/java/basaltlever/net/DeferredAccept.java
+++ b/router/src/main/java/basaltlever/net/DeferredAccept.java
@@ -26,7 +26,7 @@
   private static final Span TIMER_SLACK = Span.ofMillis(100);
 
   /** It ends when it has not been requested for so long. */
-  private static final Span ENDS_AFTER = Span.ofMillis(5_000);
+  private static final Span OFF_DELAY = Span.ofMillis(5_000);
 
   private static final Logger LOG = LoggerFactory.getLogger(DeferredAccept.class);
 
@@ -53,7 +53,7 @@
     if (state != State.ENDED) {
       socket = listener;
       requestedAt = iteration.clock().now();
-      set(DEFERRAL_SECONDS, State.ON);
+      applyDeferral(DEFERRAL_SECONDS, State.ON);
     }
   }
 
@@ -66,11 +66,11 @@
   void request() {
     requestedAt = iteration.clock().now();
     if (state == State.OFF) {
-      set(DEFERRAL_SECONDS, State.ON);
+      applyDeferral(DEFERRAL_SECONDS, State.ON);
     }
   }
 
-  private void set(int seconds, State next) {
+  private void applyDeferral(int seconds, State next) {
     try {
       socket.deferAccept(seconds);
       state = next;
@@ -78,16 +78,16 @@
         iteration.counters().add(Counter.ACCEPT_DEFERRED);
       }
       Event.ACCEPT_DEFERRED.log(LOG, Level.INFO, "", next, "");
-    } catch (IOException fault) {
+    } catch (IOException exception) {
       state = State.UNAVAILABLE;
-      Event.ACCEPT_DEFERRED.log(LOG, Level.WARN, "", state, fault);
+      Event.ACCEPT_DEFERRED.log(LOG, Level.WARN, "", state, exception);
     }
   }
 
   /** Called every so often: ends the deferral where it has not been requested for a while. */
   void sweep(Moment now) {
-    if (state == State.ON && now.since(requestedAt).isLongerThan(ENDS_AFTER)) {
-      set(0, State.OFF);
+    if (state == State.ON && now.since(requestedAt).isLongerThan(OFF_DELAY)) {
+      applyDeferral(0, State.OFF);
     }
   }
 
@@ -98,7 +98,7 @@
   Span end() {
     boolean wasOn = state == State.ON;
     if (wasOn) {
-      set(0, State.ENDED);
+      applyDeferral(0, State.ENDED);
     }
     state = State.ENDED;
     return wasOn ? DEFERRAL.plus(TIMER_SLACK) : Span.NONE;
--- a/router/src/main/java/basaltlever/net/Descriptors.java
+++ b/router/src/main/java/basaltlever/net/Descriptors.java
@@ -21,9 +21,9 @@
  */
 final class Descriptors {
   /** A connection that can be ended between two uses of it. */
-  interface Idle {
+  interface IdleConnection {
     /** False where it is in use after all: its peer has sent something that was not read yet. */
-    boolean endIdle(CloseReason closeReason);
+    boolean endIfIdle(CloseReason closeReason);
 
     Moment idleSince();
   }
@@ -32,9 +32,9 @@
    * A client's connection that was told to go and keeps a descriptor until its client has taken
    * note.
    */
-  interface EvictableClient extends Idle {
+  interface EvictableClient extends IdleConnection {
     /** True where it has had the time that is always left to it, and was closed. */
-    boolean closeIfNoted();
+    boolean closeIfLingered();
   }
 
   /** What a connection to a node is opened for, the most important first. */
@@ -55,50 +55,50 @@
   }
 
   /** Below this share of the descriptors idle clients are left alone, however long. */
-  private static final int FEW = 8;
+  private static final int SHED_THRESHOLD_DIVISOR = 8;
 
   /** This share of the descriptors is kept for connections to nodes. */
-  private static final int FOR_NODES = 4;
+  private static final int ENDPOINT_RESERVE_DIVISOR = 4;
 
   /**
    * And so much of them may clients that have asked hold, busy or idle, before the idle are closed.
    */
-  private static final int FOR_CLIENTS = 4;
+  private static final int ACTIVE_CLIENTS_DIVISOR = 4;
 
   /** A share that connections opened ahead of need leave free. */
-  private static final int FREE_FOR_NEED = 8;
+  private static final int WARM_UP_RESERVE_DIVISOR = 8;
 
   /**
    * With fewer no client could be served; what the runtime holds itself is counted with a margin
    * larger than this.
    */
-  private static final int LEAST = 8;
+  private static final int MIN_LIMIT = 8;
 
   /**
    * So many, or a small share, are kept for clients that were told to go and have not closed their
    * side yet.
    */
-  private static final int MOST_KEPT = 32;
+  private static final int MAX_LINGERING = 32;
 
-  private static final int LEAST_KEPT = 2;
-  private static final int KEPT_SHARE = 8;
+  private static final int MIN_LINGERING = 2;
+  private static final int LINGERING_DIVISOR = 8;
 
   /** Who has just connected commonly asks within this time. */
-  private static final Span MAY_ASK = Span.ofMillis(50);
+  private static final Span FIRST_MESSAGE_GRACE = Span.ofMillis(50);
 
   /** So many idle connections are looked at for one that can be ended. */
-  private static final int MOST_CANDIDATES = 4;
+  private static final int MAX_EVICTION_CANDIDATES = 4;
 
-  private static final Span SECOND = Span.ofMillis(1_000);
+  private static final Span ONE_SECOND = Span.ofMillis(1_000);
 
   /** Idle connections to nodes that are kept however little traffic there is. */
-  private static final int IDLE_NODES = 64;
+  private static final int MIN_IDLE_ENDPOINT_LIMIT = 64;
 
   /** Of more traffic, as many as are used in this time. */
-  private static final double IDLE_SECONDS = 8;
+  private static final double IDLE_ENDPOINT_LIMIT_SECONDS = 8;
 
   /** How fast the measure of the traffic follows it, from one sweep to the next. */
-  private static final double FOLLOWS = 0.02;
+  private static final double USE_RATE_SMOOTHING = 0.02;
 
   private static final Logger LOG = LoggerFactory.getLogger(Descriptors.class);
 
@@ -106,118 +106,126 @@
    * Runs a task behind the loop's next look at its sockets, in which the system's sockets are
    * closed.
    */
-  private final Consumer<Runnable> afterNextLook;
+  private final Consumer<Runnable> afterNextSelect;
 
-  private String reported = "";
-  private int most;
-  private int open;
-  private int closing;
-  private int clients;
-  private int asking;
+  private String lastReport = "";
+  private int limit;
+  private int openConnections;
+  private int closingConnections;
+  private int clientConnections;
+  private int activeClients;
 
   /** Uses of connections to nodes: in the sweep under way, and for each second lately. */
-  private int uses;
+  private int usesSinceSweep;
 
   private double usesPerSecond;
   private Moment sweptAt;
-  private final LinkedHashSet<Idle> idleNodes = new LinkedHashSet<>();
-  private final LinkedHashSet<Idle> idleClients = new LinkedHashSet<>();
+  private final LinkedHashSet<IdleConnection> idleEndpointConnections = new LinkedHashSet<>();
+  private final LinkedHashSet<IdleConnection> idleClients = new LinkedHashSet<>();
 
   /** Of clients that have not sent a whole message yet, the oldest first. */
-  private final LinkedHashSet<Idle> unasked = new LinkedHashSet<>();
+  private final LinkedHashSet<IdleConnection> newClients = new LinkedHashSet<>();
 
-  private final LinkedHashSet<EvictableClient> lingering = new LinkedHashSet<>();
+  private final LinkedHashSet<EvictableClient> lingeringClients = new LinkedHashSet<>();
 
   /** Told of each descriptor that has become free. */
-  private Runnable freed = () -> {};
+  private Runnable onFreed = () -> {};
 
-  private boolean tooManyAsk;
-  private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
+  private boolean activeClientsOverLimit;
+  private final ArrayDeque<Runnable> waitingTasks = new ArrayDeque<>();
 
   /** What is closed is free at once. */
-  Descriptors(int most) {
-    this(most, Runnable::run);
+  Descriptors(int limit) {
+    this(limit, Runnable::run);
   }
 
-  Descriptors(int most, Consumer<Runnable> afterNextLook) {
-    most(most);
-    this.afterNextLook = afterNextLook;
+  Descriptors(int limit, Consumer<Runnable> afterNextSelect) {
+    setLimit(limit);
+    this.afterNextSelect = afterNextSelect;
   }
 
   /** Logs how many are open by use, where that has changed since the last time. */
   void report() {
-    String by =
-        most
+    String report =
+        limit
             + " "
-            + open
+            + openConnections
             + " "
-            + clients
+            + clientConnections
             + " "
             + idleClients.size()
             + " "
-            + lingering.size()
+            + lingeringClients.size()
             + " "
-            + idleNodes.size();
-    if (!by.equals(reported)) {
-      reported = by;
+            + idleEndpointConnections.size();
+    if (!report.equals(lastReport)) {
+      lastReport = report;
       Event.DESCRIPTORS.log(
           LOG,
           Level.INFO,
           "",
-          most,
-          open + closing,
-          clients,
+          limit,
+          openConnections + closingConnections,
+          clientConnections,
           idleClients.size(),
-          lingering.size(),
-          nodes(),
-          idleNodes.size());
+          lingeringClients.size(),
+          endpointConnections(),
+          idleEndpointConnections.size());
     }
   }
 
   /** Where fewer are allowed than are open, newcomers take the place of the idle until it fits. */
-  void most(int now) {
-    most = Math.max(LEAST, now);
+  void setLimit(int newLimit) {
+    limit = Math.max(MIN_LIMIT, newLimit);
   }
 
-  private int nodes() {
-    return open - clients - lingering.size();
+  private int endpointConnections() {
+    return openConnections - clientConnections - lingeringClients.size();
   }
 
   /** All but those that are kept for connections that linger. */
   private boolean isFull() {
-    return open - lingering.size() >= most - kept();
+    return openConnections - lingeringClients.size() >= limit - lingeringLimit();
   }
 
-  private int kept() {
-    return Math.max(LEAST_KEPT, Math.min(MOST_KEPT, most / KEPT_SHARE));
+  private int lingeringLimit() {
+    return Math.max(MIN_LINGERING, Math.min(MAX_LINGERING, limit / LINGERING_DIVISOR));
   }
 
-  void onFreed(Runnable then) {
-    freed = then;
+  void setOnFreed(Runnable callback) {
+    onFreed = callback;
   }
 
   /** How many new clients may be admitted now; all but a share that is kept for nodes. */
   int roomForClients() {
-    int share = most - most / FOR_NODES;
+    int share = limit - limit / ENDPOINT_RESERVE_DIVISOR;
     // Of those who have asked fewer: they may all have to be told to go, and stay for a while.
-    int inShare = Math.min(share - clients, share - kept() - (clients - unasked.size()));
-    int regular = most - kept() - (open - lingering.size());
-    return Math.max(0, Math.min(Math.min(inShare, regular), most - open - closing));
+    int inShare =
+        Math.min(
+            share - clientConnections,
+            share - lingeringLimit() - (clientConnections - newClients.size()));
+    int regular = limit - lingeringLimit() - (openConnections - lingeringClients.size());
+    return Math.max(
+        0, Math.min(Math.min(inShare, regular), limit - openConnections - closingConnections));
   }
 
   /**
    * How many more may be told at once that there is no room for them, and kept until they have
    * taken note.
    */
-  int roomToTurnAway() {
-    return Math.max(0, Math.min(kept() - lingering.size(), most - open - closing));
+  int roomForRejections() {
+    return Math.max(
+        0,
+        Math.min(
+            lingeringLimit() - lingeringClients.size(),
+            limit - openConnections - closingConnections));
   }
 
   /** False where it may only be told that there is no room for it. */
-  boolean admitsClient() {
+  boolean admitClient() {
     boolean admitted = roomForClients() > 0;
-    clients++;
-    open++;
+    clientConnections++;
+    openConnections++;
     return admitted;
   }
 
@@ -227,115 +235,121 @@
    * all other idle clients.
    */
   boolean makeRoomForClient(Moment now) {
-    if (lingering.size() >= kept()) {
-      closeNoted();
+    if (lingeringClients.size() >= lingeringLimit()) {
+      closeLingered();
     }
-    boolean told = lingering.size() < kept();
-    if (told
-        && !unasked.isEmpty()
-        && now.since(unasked.iterator().next().idleSince()).isLongerThan(MAY_ASK)
-        && evict(unasked, CloseReason.TURNED_AWAY)) {
+    boolean canLinger = lingeringClients.size() < lingeringLimit();
+    if (canLinger
+        && !newClients.isEmpty()
+        && now.since(newClients.iterator().next().idleSince()).isLongerThan(FIRST_MESSAGE_GRACE)
+        && evict(newClients, CloseReason.TURNED_AWAY)) {
       return true;
     }
-    return (isFull() && evictIdleNode())
-        || (told
-            && (evict(unasked, CloseReason.TURNED_AWAY)
+    return (isFull() && evictIdleEndpointConnection())
+        || (canLinger
+            && (evict(newClients, CloseReason.TURNED_AWAY)
                 || evict(idleClients, CloseReason.DESCRIPTOR_NEEDED)));
   }
 
   /**
-   * A connection to a node; where the answer is to wait, {@link #await} tells when to ask again.
+   * A connection to a node; where the answer is to wait, {@link #awaitFree} tells when to ask
+   * again.
    */
-  Admission admitsNode(Use use) {
-    if (use == Use.WARM_UP && open + closing >= most - kept() - most / FREE_FOR_NEED) {
+  Admission admitEndpointConnection(Use use) {
+    if (use == Use.WARM_UP
+        && openConnections + closingConnections
+            >= limit - lingeringLimit() - limit / WARM_UP_RESERVE_DIVISOR) {
       return Admission.REFUSE;
     }
-    boolean full = isFull();
-    if (!full && open + closing < most) {
-      open++;
-      uses++;
+    boolean isFull = isFull();
+    if (!isFull && openConnections + closingConnections < limit) {
+      openConnections++;
+      usesSinceSweep++;
       return Admission.OPEN;
     }
     // Each that is being closed has one waiting for it; one more has to be closed for one more.
-    boolean isComing = !full && closing > waiting.size();
-    boolean made =
-        isComing
-            || evictIdleNode()
+    boolean isBeingFreed = !isFull && closingConnections > waitingTasks.size();
+    boolean roomMade =
+        isBeingFreed
+            || evictIdleEndpointConnection()
             || (use == Use.EXECUTION
-                && lingering.size() < kept()
+                && lingeringClients.size() < lingeringLimit()
                 && evict(idleClients, CloseReason.DESCRIPTOR_NEEDED));
-    return made ? Admission.WAIT : Admission.REFUSE;
+    return roomMade ? Admission.WAIT : Admission.REFUSE;
   }
 
   /** The task is run once a descriptor has become free, or at once where one is. */
-  void await(Runnable task) {
-    waiting.add(task);
-    afterNextLook.accept(this::runWaiting);
+  void awaitFree(Runnable task) {
+    waitingTasks.add(task);
+    afterNextSelect.accept(this::runWaiting);
   }
 
   private void runWaiting() {
-    for (int left = waiting.size(); left > 0 && !isFull() && open + closing < most; left--) {
-      waiting.poll().run();
+    for (int left = waitingTasks.size();
+        left > 0 && !isFull() && openConnections + closingConnections < limit;
+        left--) {
+      waitingTasks.poll().run();
     }
   }
 
-  private void closed() {
-    open--;
-    closing++;
-    afterNextLook.accept(
+  private void onClosed() {
+    openConnections--;
+    closingConnections++;
+    afterNextSelect.accept(
         () -> {
-          closing--;
+          closingConnections--;
           runWaiting();
-          freed.run();
+          onFreed.run();
         });
   }
 
   /** It has been told to go; where a place is kept for it, its own is free for another client. */
-  void lingers(EvictableClient connection) {
-    if (lingering.size() < kept()) {
-      clients--;
-      lingering.add(connection);
+  void addLingeringClient(EvictableClient connection) {
+    if (lingeringClients.size() < lingeringLimit()) {
+      clientConnections--;
+      lingeringClients.add(connection);
     }
   }
 
-  void clientClosed(Idle connection) {
-    clients -= lingering.remove(connection) ? 0 : 1;
-    closed();
+  void onClientClosed(IdleConnection connection) {
+    clientConnections -= lingeringClients.remove(connection) ? 0 : 1;
+    onClosed();
   }
 
-  void nodeClosed() {
-    closed();
+  void onEndpointConnectionClosed() {
+    onClosed();
   }
 
-  void idleNode(Idle connection) {
-    idleNodes.add(connection);
-    if (idleNodes.size() > Math.max(IDLE_NODES, IDLE_SECONDS * usesPerSecond)) {
-      evictIdleNode();
+  void addIdleEndpointConnection(IdleConnection connection) {
+    idleEndpointConnections.add(connection);
+    if (idleEndpointConnections.size()
+        > Math.max(MIN_IDLE_ENDPOINT_LIMIT, IDLE_ENDPOINT_LIMIT_SECONDS * usesPerSecond)) {
+      evictIdleEndpointConnection();
     }
   }
 
   /** Clients that have connected and asked nothing yet. */
-  int unaskedClients() {
-    return unasked.size();
+  int newClientCount() {
+    return newClients.size();
   }
 
   /** One that has asked nothing yet. */
-  void unasked(Idle connection) {
-    unasked.add(connection);
+  void addNewClient(IdleConnection connection) {
+    newClients.add(connection);
   }
 
-  void asks(Idle connection) {
-    unasked.remove(connection);
-    asking++;
+  void onFirstMessage(IdleConnection connection) {
+    newClients.remove(connection);
+    activeClients++;
   }
 
-  void asksNoMore() {
-    asking--;
+  void onActiveClientEnded() {
+    activeClients--;
   }
 
-  void idleClient(Idle connection) {
+  void addIdleClient(IdleConnection connection) {
     idleClients.add(connection);
-    tooManyAsk |= asking > most / FOR_CLIENTS;
+    activeClientsOverLimit |= activeClients > limit / ACTIVE_CLIENTS_DIVISOR;
   }
 
   /**
@@ -343,18 +357,19 @@
    * of more than a share the longest idle are told to go. Not while another connection is being
    * read, which looks at no other.
    */
-  void endLongestIdle() {
-    for (int i = 0; tooManyAsk && i < MOST_KEPT; i++) {
-      tooManyAsk = asking > most / FOR_CLIENTS && evict(idleClients, CloseReason.IDLE);
+  void endLongestIdleClients() {
+    for (int i = 0; activeClientsOverLimit && i < MAX_LINGERING; i++) {
+      activeClientsOverLimit =
+          activeClients > limit / ACTIVE_CLIENTS_DIVISOR && evict(idleClients, CloseReason.IDLE);
     }
-    tooManyAsk = false;
+    activeClientsOverLimit = false;
   }
 
-  void busy(Idle connection) {
-    if (idleNodes.remove(connection)) {
-      uses++;
+  void markBusy(IdleConnection connection) {
+    if (idleEndpointConnections.remove(connection)) {
+      usesSinceSweep++;
     } else if (!idleClients.remove(connection)) {
-      unasked.remove(connection);
+      newClients.remove(connection);
     }
   }
 
@@ -362,55 +377,55 @@
    * Clients that asked once and stay would keep others out. They are sent away before descriptors
    * run out: clients may well be held to fewer connections than this router could admit.
    */
-  void shed(Moment now, Span idleFor) {
-    measure(now);
-    for (int over = clients - most / FEW;
-        over > 0
+  void shedIdleClients(Moment now, Span minIdleTime) {
+    updateUseRate(now);
+    for (int excess = clientConnections - limit / SHED_THRESHOLD_DIVISOR;
+        excess > 0
             && !idleClients.isEmpty()
-            && now.since(idleClients.iterator().next().idleSince()).isLongerThan(idleFor);
-        over--) {
+            && now.since(idleClients.iterator().next().idleSince()).isLongerThan(minIdleTime);
+        excess--) {
       evict(idleClients, CloseReason.IDLE);
     }
   }
 
-  private void measure(Moment now) {
+  private void updateUseRate(Moment now) {
     if (sweptAt != null && now.isAfter(sweptAt)) {
-      double latest = uses / now.since(sweptAt).over(SECOND);
-      usesPerSecond += FOLLOWS * (latest - usesPerSecond);
+      double currentRate = usesSinceSweep / now.since(sweptAt).over(ONE_SECOND);
+      usesPerSecond += USE_RATE_SMOOTHING * (currentRate - usesPerSecond);
     }
     sweptAt = now;
-    uses = 0;
+    usesSinceSweep = 0;
   }
 
   /**
    * Others wait: of those that were told to go the longest ago, who has had the time that is always
    * left to it.
    */
-  private void closeNoted() {
-    int looked = 0;
-    for (EvictableClient told : new ArrayList<>(lingering)) {
-      if (!told.closeIfNoted() || ++looked == MOST_CANDIDATES) {
+  private void closeLingered() {
+    int closedCount = 0;
+    for (EvictableClient client : new ArrayList<>(lingeringClients)) {
+      if (!client.closeIfLingered() || ++closedCount == MAX_EVICTION_CANDIDATES) {
         return;
       }
     }
   }
 
-  private boolean evictIdleNode() {
-    return evict(idleNodes, CloseReason.DESCRIPTOR_NEEDED);
+  private boolean evictIdleEndpointConnection() {
+    return evict(idleEndpointConnections, CloseReason.DESCRIPTOR_NEEDED);
   }
 
   /** The longest idle that can be ended; one that turns out to be in use is passed over. */
-  private static boolean evict(Set<Idle> from, CloseReason closeReason) {
-    for (int i = 0; i < MOST_CANDIDATES && !from.isEmpty(); i++) {
-      Idle longest = from.iterator().next();
-      if (longest.endIdle(closeReason)) {
-        from.remove(longest);
+  private static boolean evict(Set<IdleConnection> candidates, CloseReason closeReason) {
+    for (int i = 0; i < MAX_EVICTION_CANDIDATES && !candidates.isEmpty(); i++) {
+      IdleConnection longest = candidates.iterator().next();
+      if (longest.endIfIdle(closeReason)) {
+        candidates.remove(longest);
         return true;
       }
-      if (from.remove(longest)) {
+      if (candidates.remove(longest)) {
         // Still idle by its own account, as with half a statement read: the next time others come
         // first.
-        from.add(longest);
+        candidates.add(longest);
       }
     }
     return false;
--- a/router/src/main/java/basaltlever/net/ListenQueue.java
+++ b/router/src/main/java/basaltlever/net/ListenQueue.java
@@ -10,57 +10,57 @@
  * accepted behind more than it holds came after those.
  */
 final class ListenQueue {
-  private static final Span APART = Span.ofMillis(5);
-  private static final int MOST_SAMPLES = 256;
+  private static final Span SAMPLE_INTERVAL = Span.ofMillis(5);
+  private static final int MAX_SAMPLES = 256;
 
   private record Sample(Moment at, long accepted) {}
 
-  private final int length;
+  private final int capacity;
   private final ArrayDeque<Sample> samples = new ArrayDeque<>();
 
   /** By the latest sample that is more than a whole queue behind. */
-  private Moment outnumberedAt = Moment.LONG_AGO;
+  private Moment fullQueueBound = Moment.LONG_AGO;
 
   /** Never where the last look found the queue empty. */
-  private Moment waitingSince = Moment.NEVER;
+  private Moment nonEmptySince = Moment.NEVER;
 
-  private Moment waitingBefore = Moment.NEVER;
+  private Moment nonEmptySinceBefore = Moment.NEVER;
   private long accepted;
 
   /** The system holds one more than the length. */
   ListenQueue(int length) {
-    this.length = length + 1;
+    this.capacity = length + 1;
   }
 
   /**
    * The next connection is accepted, in a look that finds what came after this moment; since when
    * it may have waited.
    */
-  Moment accepts(Moment cameSince, Moment now) {
-    if (samples.isEmpty() || now.since(samples.peekLast().at()).isLongerThan(APART)) {
-      if (samples.size() == MOST_SAMPLES) {
+  Moment onAccept(Moment earliestArrival, Moment now) {
+    if (samples.isEmpty() || now.since(samples.peekLast().at()).isLongerThan(SAMPLE_INTERVAL)) {
+      if (samples.size() == MAX_SAMPLES) {
         samples.removeFirst();
       }
       samples.addLast(new Sample(now, accepted));
     }
     accepted++;
-    while (!samples.isEmpty() && accepted - samples.peekFirst().accepted() > length) {
-      outnumberedAt = samples.removeFirst().at();
+    while (!samples.isEmpty() && accepted - samples.peekFirst().accepted() > capacity) {
+      fullQueueBound = samples.removeFirst().at();
     }
-    return waitingSince.earlier(cameSince).later(outnumberedAt);
+    return nonEmptySince.earlier(earliestArrival).later(fullQueueBound);
   }
 
   /** A look at the queue has ended, and whether nothing was left in it. */
-  void looked(boolean foundEmpty, Moment cameSince) {
-    waitingBefore = waitingSince;
-    waitingSince = foundEmpty ? Moment.NEVER : waitingSince.earlier(cameSince);
+  void onReadComplete(boolean foundEmpty, Moment earliestArrival) {
+    nonEmptySinceBefore = nonEmptySince;
+    nonEmptySince = foundEmpty ? Moment.NEVER : nonEmptySince.earlier(earliestArrival);
   }
 
   /**
    * The look that has just ended was broken off by a fault: what was left in the queue is not
    * known.
    */
-  void lookFailed(Moment cameSince) {
-    waitingSince = waitingBefore.earlier(cameSince);
+  void onReadFailed(Moment earliestArrival) {
+    nonEmptySince = nonEmptySinceBefore.earlier(earliestArrival);
   }
 }
--- a/router/src/main/java/basaltlever/net/ListenerSocket.java
+++ b/router/src/main/java/basaltlever/net/ListenerSocket.java
@@ -20,7 +20,7 @@
   private static final int SO_ACCEPTCONN = 30;
   private static final int IPPROTO_TCP = 6;
   private static final int TCP_DEFER_ACCEPT = 9;
-  private static final Path DESCRIPTORS = Path.of("/proc/self/fd");
+  private static final Path DESCRIPTOR_DIRECTORY = Path.of("/proc/self/fd");
 
   private final Socket socket;
 
@@ -44,9 +44,9 @@
     if (!Epoll.isAvailable()) {
       throw new IOException("no native transport: " + Epoll.unavailabilityCause());
     }
-    String[] descriptors = DESCRIPTORS.toFile().list();
+    String[] descriptors = DESCRIPTOR_DIRECTORY.toFile().list();
     if (descriptors == null) {
-      throw new IOException(DESCRIPTORS + " can't be listed");
+      throw new IOException(DESCRIPTOR_DIRECTORY + " can't be listed");
     }
     for (String descriptor : descriptors) {
       if (isSocket(descriptor)) {
@@ -62,7 +62,8 @@
   private static boolean isSocket(String descriptor) {
     try {
       String target =
-          Files.readSymbolicLink(new File(DESCRIPTORS.toFile(), descriptor).toPath()).toString();
+          Files.readSymbolicLink(new File(DESCRIPTOR_DIRECTORY.toFile(), descriptor).toPath())
+              .toString();
       return target.startsWith("socket:");
     } catch (IOException closedMeanwhile) {
       return false;
--- a/router/src/main/java/basaltlever/net/PooledConnection.java
+++ b/router/src/main/java/basaltlever/net/PooledConnection.java
@@ -20,7 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /** One connection to a node, with one query on it at a time. */
-final class PooledConnection extends ChannelInboundHandlerAdapter implements Descriptors.Idle {
+final class PooledConnection extends ChannelInboundHandlerAdapter
+    implements Descriptors.IdleConnection {
   private static final Logger LOG = LoggerFactory.getLogger(PooledConnection.class);
 
   /**
@@ -212,7 +213,7 @@
   }
 
   @Override
-  public boolean endIdle(CloseReason closeReason) {
+  public boolean endIfIdle(CloseReason closeReason) {
     pool.count(Counter.NODE_CONNECTION_EVICTED);
     close();
     return true;
--- a/router/src/main/java/basaltlever/net/Router.java
+++ b/router/src/main/java/basaltlever/net/Router.java
@@ -255,7 +255,7 @@
         () -> {
           Event.RELOADED.log(LOG, Level.INFO, "", next.discovery());
           next.changesNeedingRestart(start).forEach(this::needsRestart);
-          descriptors.most(next.maxDescriptors() - reserved);
+          descriptors.setLimit(next.maxDescriptors() - reserved);
           watch.moveTo(next.discovery());
           agree(next);
           heed(nextOperator);
@@ -303,7 +303,7 @@
     // In one step: what was read before this is heard before it, what is read from here on goes by
     // both.
     slots = room;
-    clients.goBy(room);
+    clients.setWorkloadSlots(room);
     iteration.hear(
         now ->
             core.applySettings(
@@ -322,7 +322,7 @@
     StartValues values = next.startValues();
     longestTimeout = longestTimeout.longer(values.longestTimeout());
     executor.reads(values.loadReportFormat(0), values.connectTimeout());
-    clients.comeBackWithin(values.settings().attemptLimits().maxRetryAfter());
+    clients.setMaxRetryAfter(values.settings().attemptLimits().maxRetryAfter());
     connectWithin(values.connectTimeout());
     links.values().forEach(pool -> pool.within(values.connectTimeout(), values.idleClose()));
   }
@@ -581,8 +581,8 @@
     clients =
         new ClientSessions(
             iteration, descriptors, slots, values.maxOpenStatements(), budget, badClients, trace);
-    clients.comeBackWithin(values.settings().attemptLimits().maxRetryAfter());
-    iteration.last(descriptors::endLongestIdle);
+    clients.setMaxRetryAfter(values.settings().attemptLimits().maxRetryAfter());
+    iteration.last(descriptors::endLongestIdleClients);
     longestTimeout = values.longestTimeout();
     holds = values.defaultHoldBudget();
     core =
@@ -603,7 +603,7 @@
     watch = new DiscoveryWatch(outwards, start.discovery(), iteration, list, core);
     list.setClockOffset(iteration.clockOffset());
     executor.onClockMoved(list::publishStartTimes);
-    clients.serve(core, executor);
+    clients.start(core, executor);
     executor.serve(core, watch::start);
     every(SWEEPS, "sweeping", this::sweep);
     every(READS, "reading tables", this::readTables);
@@ -704,10 +704,10 @@
         .channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_BACKLOG, queueLength)
         .option(ChannelOption.SO_REUSEADDR, true)
-        .option(ChannelOption.RECVBUF_ALLOCATOR, accepting.limitedReads())
+        .option(ChannelOption.RECVBUF_ALLOCATOR, accepting.newAcceptAllocator())
         .childOption(ChannelOption.TCP_NODELAY, true)
         .childOption(ChannelOption.ALLOCATOR, buffers)
-        .childOption(ChannelOption.RECVBUF_ALLOCATOR, new ClientReads())
+        .childOption(ChannelOption.RECVBUF_ALLOCATOR, new ClientReceiveAllocator())
         .handler(accepting)
         .childHandler(
             new ChannelInitializer<Channel>() {
@@ -762,15 +762,15 @@
     if (phase == RouterPhase.SERVING || phase == RouterPhase.LISTENING) {
       enter(RouterPhase.DRAINING);
       Span left = SPARED.plus(longestTimeout.shorter(LONGEST_SPARED)).minus(ANSWERS_BEFORE);
-      clients.endBy(iteration.clock().now().plus(left));
+      clients.setShutdownDeadline(iteration.clock().now().plus(left));
       // What the system keeps back is accepted before the listener closes, where time allows.
       Span listens =
           accepting.endDeferral().shorter(left.minus(STILL_LISTENS)).longer(STILL_LISTENS);
       loop.schedule(
           () ->
-              accepting.closeOnceQuiet(
+              accepting.closeWhenQueueIsEmpty(
                   () -> {
-                    clients.closeIdle();
+                    clients.closeIdleClients();
                     stopOnceAnswered();
                   }),
           listens.micros(),
@@ -791,7 +791,7 @@
   }
 
   private void stopOnceAnswered() {
-    if (clients.areGone() && executor.open() == 0) {
+    if (clients.isEmpty() && executor.open() == 0) {
       stop();
     } else if (phase == RouterPhase.DRAINING) {
       loop.schedule(this::stopOnceAnswered, LOOK_AGAIN.micros(), TimeUnit.MICROSECONDS);
@@ -808,7 +808,7 @@
       return;
     }
     report();
-    clients.refuseAll();
+    clients.refuseAllStatements();
     iteration.hear(executor::answerAll);
     iteration.hear(
         now ->
@@ -817,7 +817,7 @@
                   if (listener != null) {
                     listener.close();
                   }
-                  clients.endAll();
+                  clients.endAllImmediately();
                 }));
     if (snapshotWriter != null && core != null) {
       iteration.hear(
@@ -838,7 +838,7 @@
   private void endOnceLeft(Moment by) {
     Moment now = iteration.clock().now();
     Moment latest = by.earlier(now.plus(ANSWERS_BEFORE.minus(ENDS_BEFORE)));
-    if (clients.areGone() || !now.isBefore(latest)) {
+    if (clients.isEmpty() || !now.isBefore(latest)) {
       end();
     } else {
       loop.schedule(() -> endOnceLeft(latest), LOOK_AGAIN.micros(), TimeUnit.MICROSECONDS);
--- a/router/src/main/java/basaltlever/net/SystemListenQueue.java
+++ b/router/src/main/java/basaltlever/net/SystemListenQueue.java
@@ -17,58 +17,60 @@
  */
 final class SystemListenQueue {
   private static final Logger LOG = LoggerFactory.getLogger(SystemListenQueue.class);
-  private static final Path LONGEST = Path.of("/proc/sys/net/core/somaxconn");
-  private static final Path STATISTICS = Path.of("/proc/net/netstat");
+  private static final Path MAX_LENGTH_FILE = Path.of("/proc/sys/net/core/somaxconn");
+  private static final Path STATISTICS_FILE = Path.of("/proc/net/netstat");
   private static final String SECTION = "TcpExt:";
   private static final String OVERFLOWS = "ListenOverflows";
-  private static final int MOST_DIGITS = 32;
-  private final int wanted;
-  private long overflows = overflows();
+  private static final int MAX_FILE_BYTES = 32;
+  private final int requestedLength;
+  private long overflows = readOverflows();
 
-  SystemListenQueue(int wanted) {
-    this.wanted = wanted;
+  SystemListenQueue(int requestedLength) {
+    this.requestedLength = requestedLength;
   }
 
   /** As many as are wanted, or what the system allows, which is logged where it is less. */
   int length() {
-    int longest = wanted;
-    try (FileInputStream in = new FileInputStream(LONGEST.toFile())) {
+    int maxLength = requestedLength;
+    try (FileInputStream in = new FileInputStream(MAX_LENGTH_FILE.toFile())) {
       // In one piece: the system gives nothing of such a file to a second read.
-      byte[] text = new byte[MOST_DIGITS];
+      byte[] text = new byte[MAX_FILE_BYTES];
       int read = in.read(text);
-      longest =
+      maxLength =
           Integer.parseInt(
               new String(text, 0, Math.max(0, read), StandardCharsets.US_ASCII).strip());
-    } catch (IOException | NumberFormatException untold) {
+    } catch (IOException | NumberFormatException unreadable) {
       // Then the system cuts it by itself, and what waits is taken to have waited longer than it
       // has.
     }
-    if (longest < wanted) {
+    if (maxLength < requestedLength) {
       Event.LISTEN_QUEUE.log(
           LOG,
           Level.WARN,
           "bursts of new clients beyond this are not accepted at once",
-          longest,
-          wanted);
+          maxLength,
+          requestedLength);
     }
-    return Math.max(1, Math.min(wanted, longest));
+    return Math.max(1, Math.min(requestedLength, maxLength));
   }
 
   /** Since the last time this was asked; of all listeners on this machine. */
   long newOverflows() {
     long before = overflows;
-    overflows = overflows();
+    overflows = readOverflows();
     return Math.max(0, overflows - before);
   }
 
   /** The file has a line of names and a line of values for each section. */
-  private static long overflows() {
+  private static long readOverflows() {
     try {
       List<String> lines =
-          Files.readAllLines(STATISTICS).stream().filter(line -> line.startsWith(SECTION)).toList();
+          Files.readAllLines(STATISTICS_FILE).stream()
+              .filter(line -> line.startsWith(SECTION))
+              .toList();
       int column = lines.isEmpty() ? -1 : List.of(lines.get(0).split(" ")).indexOf(OVERFLOWS);
       return column < 0 ? 0 : Long.parseLong(lines.get(1).split(" ")[column]);
-    } catch (IOException | RuntimeException untold) {
+    } catch (IOException | RuntimeException unreadable) {
       return 0;
     }
   }
--- a/router/src/test/java/basaltlever/DeferredAcceptTest.java
+++ b/router/src/test/java/basaltlever/DeferredAcceptTest.java
@@ -12,7 +12,7 @@
  * Connections that the system keeps out of a router's listen queue until they have sent something.
  */
 class DeferredAcceptTest {
-  private static final int CROWD = 1_000;
+  private static final int SILENT_CONNECTIONS = 1_000;
   private static final long SHORTER_THAN_DEFERRAL_MILLIS = 700;
 
   /**
@@ -20,30 +20,30 @@
    * which was accepted and rejected before it.
    */
   @Example
-  void aCrowdThatSaysNothingIsNotAcceptedBeforeAClientThatAsks() throws Exception {
+  void silentConnectionsDoNotDelayAClientWithAStatement() throws Exception {
     List<Client> silent = new ArrayList<>();
     try (SocketWorld world = new SocketWorld()) {
-      long connectsSince = System.nanoTime();
-      for (int i = 0; i < CROWD; i++) {
+      long connectingSince = System.nanoTime();
+      for (int i = 0; i < SILENT_CONNECTIONS; i++) {
         silent.add(new Client(world.port));
       }
-      try (Client asks = new Client(world.port).start()) {
-        asks.answer();
-        check(asks.ask(statement("a1", "view", 900)).answer().equals("row:a1"), "served");
+      try (Client client = new Client(world.port).start()) {
+        client.answer();
+        check(client.ask(statement("a1", "view", 900)).answer().equals("row:a1"), "served");
       }
       boolean deferred =
-          System.nanoTime() - connectsSince < SHORTER_THAN_DEFERRAL_MILLIS * 1_000_000;
+          System.nanoTime() - connectingSince < SHORTER_THAN_DEFERRAL_MILLIS * 1_000_000;
       check(!deferred || silent.get(0).in.available() == 0, "nobody was rejected for it");
     } finally {
-      for (Client client : silent) {
-        client.close();
+      for (Client silentClient : silent) {
+        silentClient.close();
       }
     }
   }
 
   /** Guards against: a listener that ends resets who has connected and is kept back. */
   @Example
-  void whoIsKeptBackWhenTheRouterIsToldToEndIsServed() throws Exception {
+  void aDeferredConnectionIsServedWhenTheRouterShutsDown() throws Exception {
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       world.router.drain();
--- a/router/src/test/java/basaltlever/net/AcceptBatchTest.java
+++ b/router/src/test/java/basaltlever/net/AcceptBatchTest.java
@@ -7,11 +7,11 @@
 
 /** How many connections one look at the sockets accepts. */
 class AcceptBatchTest {
-  private static final Span COLD = Span.ofMillis(6);
-  private static final Span WARM = Span.ofMillis(0.08);
+  private static final Span COLD_ACCEPT_TIME = Span.ofMillis(6);
+  private static final Span WARM_ACCEPT_TIME = Span.ofMillis(0.08);
 
-  private static void look(AcceptBatch batch, Span eachTakes) {
-    batch.accepted(batch.size(), eachTakes.times(batch.size()));
+  private static void acceptFullBatch(AcceptBatch batch, Span timePerConnection) {
+    batch.recordAccepted(batch.size(), timePerConnection.times(batch.size()));
   }
 
   /**
@@ -19,29 +19,29 @@
    * made all statements late that were in hand, and a third of the burst was rejected.
    */
   @Example
-  void whereAConnectionTakesLongOneIsAcceptedAtATime() {
+  void slowAcceptsShrinkTheBatchToOne() {
     AcceptBatch batch = new AcceptBatch();
-    look(batch, COLD);
+    acceptFullBatch(batch, COLD_ACCEPT_TIME);
     check(batch.size() == 1, "one: " + batch.size());
-    look(batch, COLD);
+    acceptFullBatch(batch, COLD_ACCEPT_TIME);
     check(batch.size() == 1, "never none: " + batch.size());
   }
 
   @Example
-  void whereItGoesFastAsManyAreAcceptedAsBefore() {
+  void fastAcceptsGrowTheBatchToItsMaximum() {
     AcceptBatch batch = new AcceptBatch();
-    look(batch, COLD);
+    acceptFullBatch(batch, COLD_ACCEPT_TIME);
     for (int i = 0; i < 5; i++) {
-      look(batch, WARM);
+      acceptFullBatch(batch, WARM_ACCEPT_TIME);
     }
     check(batch.size() == AcceptBatch.MAX_CONNECTIONS, "all: " + batch.size());
   }
 
   @Example
-  void aLookThatFoundNobodyTellsNothing() {
+  void aReadWithoutConnectionsLeavesTheBatchUnchanged() {
     AcceptBatch batch = new AcceptBatch();
     int before = batch.size();
-    batch.accepted(0, Span.ofMillis(50));
+    batch.recordAccepted(0, Span.ofMillis(50));
     check(batch.size() == before, "as it was");
   }
 }
--- a/router/src/test/java/basaltlever/net/ClientEndTest.java
+++ b/router/src/test/java/basaltlever/net/ClientEndTest.java
@@ -19,27 +19,29 @@
   private static final int SLACK_MILLIS = 120;
 
   @Example
-  void anIdleConnectionIsNotEndedOverAStatementThatWasReceived() throws Exception {
-    List<Client> idle = new ArrayList<>();
+  void anIdleConnectionWithAReceivedStatementIsNotEnded() throws Exception {
+    List<Client> idleClients = new ArrayList<>();
     try (HeldUpRouter router = new HeldUpRouter(40)) {
       for (int i = 0; i < 10; i++) {
-        idle.add(new Client(router.port).start().ask(""));
-        check(idle.get(i).answer().isEmpty() && idle.get(i).answer().equals("I"), "it rests");
+        idleClients.add(new Client(router.port).start().ask(""));
+        check(
+            idleClients.get(i).answer().isEmpty() && idleClients.get(i).answer().equals("I"),
+            "it rests");
       }
       try (Client another = new Client(router.port)) {
         check(another.start().answer().isEmpty(), "it has asked nothing yet");
         router.standsStill(100);
         Thread.sleep(20);
         another.ask("");
-        idle.get(0).ask(statement("r1", "list", WAIT_MILLIS));
+        idleClients.get(0).ask(statement("r1", "list", WAIT_MILLIS));
         check(another.answer().equals("I"), "one more asks, and one has to go for it");
-        String answer = idle.get(0).answer();
+        String answer = idleClients.get(0).answer();
         check(
             answer.startsWith("error:58000"),
             "the longest idle had sent a statement by then: " + answer);
       }
     } finally {
-      for (Client client : idle) {
+      for (Client client : idleClients) {
         client.close();
       }
     }
@@ -50,14 +52,14 @@
    * from when it is read.
    */
   @Example
-  void timeInTheListenQueueCounts() throws Exception {
+  void timeInTheListenQueueCountsTowardsTheTimeout() throws Exception {
     try (HeldUpRouter router = new HeldUpRouter(100)) {
       try (Client first = new Client(router.port)) {
         first.start().ask(statement("q0", "list", 100));
         check(first.answer().isEmpty() && first.answer().startsWith("error:58000"), "a first one");
       }
       router.acceptFails = true;
-      long sent = System.nanoTime();
+      long sentAt = System.nanoTime();
       try (Client client = new Client(router.port)) {
         client.start().ask(statement("q1", "list", WAIT_MILLIS));
         Thread.sleep(WAIT_MILLIS / 2);
@@ -65,8 +67,8 @@
         check(
             client.answer().isEmpty() && client.answer().startsWith("error:58000"),
             "the guard's answer");
-        long took = (System.nanoTime() - sent) / 1_000_000;
-        check(took <= WAIT_MILLIS + SLACK_MILLIS, "in its time: " + took);
+        long elapsedMillis = (System.nanoTime() - sentAt) / 1_000_000;
+        check(elapsedMillis <= WAIT_MILLIS + SLACK_MILLIS, "in its time: " + elapsedMillis);
       }
     }
   }
--- a/router/src/test/java/basaltlever/net/ClientModel.java
+++ b/router/src/test/java/basaltlever/net/ClientModel.java
@@ -35,83 +35,83 @@
     ANSWER(2),
     END_IDLE(2),
     SHUT_DOWN(1),
-    END_AT_ONCE(1),
+    END_IMMEDIATELY(1),
     CLIENT_CLOSES(1),
     CLIENT_RESETS(1),
-    STOP_TAKING(1),
-    TAKE_AGAIN(1),
+    CLIENT_STOPS_READING(1),
+    CLIENT_READS_AGAIN(1),
     WRITES_FAIL(1),
     READ_FAULT(1),
-    SILENCE(1),
-    OTHERS_WAIT(1);
+    CLIENT_TIMEOUT(1),
+    DESCRIPTOR_NEEDED(1);
 
-    final int most;
+    final int maxUses;
 
-    Step(int most) {
-      this.most = most;
+    Step(int maxUses) {
+      this.maxUses = maxUses;
     }
   }
 
   /** Faults of the kinds that were found, planted at the socket. */
-  enum Planted {
+  enum InjectedFault {
     NONE,
-    NO_LOOK_BEFORE_THE_END,
-    CLOSED_UNREAD,
-    WORDS_LOST,
-    CUT_OFF_AFTER_THE_END,
-    CLOSED_ON_A_FAULT
+    NO_READ_BEFORE_THE_END,
+    CLOSED_OVER_UNREAD_BYTES,
+    FATAL_ERROR_LOST,
+    CLOSED_AFTER_OUTPUT_SHUTDOWN,
+    CLOSED_ON_READ_FAILURE
   }
 
-  private static final Span SILENCE = Span.ofMillis(2_500);
-  private static final Span NOTED = Span.ofMillis(200);
-  private static final int SETTLES = 12;
+  private static final Span LONGER_THAN_CLIENT_TIMEOUT = Span.ofMillis(2_500);
+  private static final Span LONGER_THAN_MIN_HALF_CLOSED_TIME = Span.ofMillis(200);
+  private static final int SETTLE_ROUNDS = 12;
 
-  private final Planted planted;
-  private final Map<Step, Integer> used = new EnumMap<>(Step.class);
+  private final InjectedFault injectedFault;
+  private final Map<Step, Integer> stepUses = new EnumMap<>(Step.class);
   private final Counters counters = new Counters();
   private final Descriptors descriptors = new Descriptors(64);
   private final WorkloadSlots slots = WorkloadSlots.of(List.of("view"));
   private final StatementTrace trace = new StatementTrace(null, this::now);
-  private final ArrayDeque<Runnable> later = new ArrayDeque<>();
+  private final ArrayDeque<Runnable> laterTasks = new ArrayDeque<>();
   private final ClientConnection connection;
-  private final ArrayDeque<byte[]> unsent = new ArrayDeque<>();
+  private final ArrayDeque<byte[]> unsentUnits = new ArrayDeque<>();
   private Moment now = new Moment(1_000_000_000);
-  private boolean closesIdle;
-  private boolean refusesAll;
+  private boolean closingIdle;
+  private boolean refusingAll;
   private PendingStatement pendingStatement;
 
-  private ByteBuf received = Unpooled.buffer();
-  private boolean clientGone;
-  private boolean reset;
-  private boolean takes = true;
+  private ByteBuf receiveQueue = Unpooled.buffer();
+  private boolean clientClosed;
+  private boolean resetByClient;
+  private boolean clientReads = true;
   private boolean writesFail;
   private boolean active = true;
   private boolean closed;
-  private boolean sendingEnded;
-  private final List<Consumer<Boolean>> pending = new ArrayList<>();
+  private boolean outputShutdown;
+  private final List<Consumer<Boolean>> pendingWriteCallbacks = new ArrayList<>();
   private final ByteBuf unwritten = Unpooled.buffer();
-  private final ByteBuf atClient = Unpooled.buffer();
-  private int statementsOwed;
-  private int sent;
-  private String broken = "";
+  private final ByteBuf receivedByClient = Unpooled.buffer();
+  private int expectedAnswers;
+  private int unitsSent;
+  private String violation = "";
 
-  ClientModel(Planted planted) {
-    this.planted = planted;
+  ClientModel(InjectedFault injectedFault) {
+    this.injectedFault = injectedFault;
     ByteBuf out = Unpooled.buffer();
     MessageEncoder.startupMessage(out, "app", "shop");
-    unsent.add(bytes(out));
+    unsentUnits.add(bytes(out));
     MessageEncoder.query(out, "/* id=s1,c=view,d=900,cluster=1 */ SELECT 1");
     byte[] first = bytes(out);
-    unsent.add(java.util.Arrays.copyOf(first, 9));
-    unsent.add(java.util.Arrays.copyOfRange(first, 9, first.length));
+    unsentUnits.add(java.util.Arrays.copyOf(first, 9));
+    unsentUnits.add(java.util.Arrays.copyOfRange(first, 9, first.length));
     MessageEncoder.query(out, "/* id=s2,c=view,d=900,cluster=1 */ SELECT 1");
-    unsent.add(bytes(out));
-    descriptors.admitsClient();
+    unsentUnits.add(bytes(out));
+    descriptors.admitClient();
     connection = new ClientConnection(this, new MemoryBudget(1 << 20), true, 1, now, now);
-    connection.on(this);
-    connection.accepted();
-    if (planted == Planted.CLOSED_UNREAD) {
-      unsent.stream().limit(3).forEach(this::arrives);
+    connection.attachSocket(this);
+    connection.onAccepted();
+    if (injectedFault == InjectedFault.CLOSED_OVER_UNREAD_BYTES) {
+      unsentUnits.stream().limit(3).forEach(this::receiveUnit);
       close();
     }
   }
@@ -123,72 +123,72 @@
     return bytes;
   }
 
-  private void arrives(byte[] unit) {
-    sent++;
-    received.writeBytes(unit);
-    if (sent >= 3 && !sendingEnded && !closed) {
-      statementsOwed++;
+  private void receiveUnit(byte[] unit) {
+    unitsSent++;
+    receiveQueue.writeBytes(unit);
+    if (unitsSent >= 3 && !outputShutdown && !closed) {
+      expectedAnswers++;
     }
   }
 
   // ---- Steps.
 
-  boolean may(Step step) {
-    return used.getOrDefault(step, 0) < step.most
+  boolean isEnabled(Step step) {
+    return stepUses.getOrDefault(step, 0) < step.maxUses
         && switch (step) {
-          case SEND -> !unsent.isEmpty() && !clientGone && !closed;
-          case READ -> received.isReadable() || clientGone;
-          case RUN_LATER -> !later.isEmpty();
+          case SEND -> !unsentUnits.isEmpty() && !clientClosed && !closed;
+          case READ -> receiveQueue.isReadable() || clientClosed;
+          case RUN_LATER -> !laterTasks.isEmpty();
           case ANSWER -> pendingStatement != null;
-          case CLIENT_CLOSES, CLIENT_RESETS -> !clientGone;
-          case TAKE_AGAIN -> !takes;
-          case STOP_TAKING, WRITES_FAIL -> takes;
-          case END_AT_ONCE -> closesIdle;
+          case CLIENT_CLOSES, CLIENT_RESETS -> !clientClosed;
+          case CLIENT_READS_AGAIN -> !clientReads;
+          case CLIENT_STOPS_READING, WRITES_FAIL -> clientReads;
+          case END_IMMEDIATELY -> closingIdle;
           default -> true;
         };
   }
 
-  void take(Step step) {
-    used.merge(step, 1, Integer::sum);
+  void perform(Step step) {
+    stepUses.merge(step, 1, Integer::sum);
     switch (step) {
-      case SEND -> arrives(unsent.poll());
+      case SEND -> receiveUnit(unsentUnits.poll());
       case READ -> read();
       case RUN_LATER -> runLater();
       case ANSWER -> answer();
-      case END_IDLE -> connection.endIdle(CloseReason.IDLE);
+      case END_IDLE -> connection.endIfIdle(CloseReason.IDLE);
       case SHUT_DOWN -> {
-        closesIdle = true;
-        if (connection.hasAsked()) {
-          connection.endIdle(CloseReason.SHUTDOWN);
+        closingIdle = true;
+        if (connection.hasReceivedMessage()) {
+          connection.endIfIdle(CloseReason.SHUTDOWN);
         }
       }
-      case END_AT_ONCE -> {
-        refusesAll = true;
+      case END_IMMEDIATELY -> {
+        refusingAll = true;
         answer();
-        connection.endAtOnce();
+        connection.endImmediately();
       }
-      case CLIENT_CLOSES -> clientGone = true;
+      case CLIENT_CLOSES -> clientClosed = true;
       case CLIENT_RESETS -> {
-        clientGone = true;
-        reset = true;
+        clientClosed = true;
+        resetByClient = true;
       }
-      case STOP_TAKING -> takes = false;
-      case TAKE_AGAIN -> takeAgain();
+      case CLIENT_STOPS_READING -> clientReads = false;
+      case CLIENT_READS_AGAIN -> resumeClientReads();
       case WRITES_FAIL -> writesFail = true;
       case READ_FAULT -> {
-        if (planted == Planted.CLOSED_ON_A_FAULT) {
+        if (injectedFault == InjectedFault.CLOSED_ON_READ_FAILURE) {
           close();
         } else {
-          connection.failed(new IllegalStateException("planted"));
+          connection.onFailure(new IllegalStateException("planted"));
         }
       }
-      case SILENCE -> {
-        now = now.plus(SILENCE);
-        connection.endOverdue(now);
+      case CLIENT_TIMEOUT -> {
+        now = now.plus(LONGER_THAN_CLIENT_TIMEOUT);
+        connection.endIfTimedOut(now);
       }
-      case OTHERS_WAIT -> {
-        now = now.plus(NOTED);
-        connection.closeIfNoted();
+      case DESCRIPTOR_NEEDED -> {
+        now = now.plus(LONGER_THAN_MIN_HALF_CLOSED_TIME);
+        connection.closeIfLingered();
       }
       default -> throw new AssertionError(step);
     }
@@ -198,131 +198,131 @@
     if (!active) {
       return;
     }
-    if (reset) {
+    if (resetByClient) {
       active = false;
-      connection.broken();
+      connection.onConnectionLost();
       return;
     }
-    if (received.isReadable()) {
-      ByteBuf all = received;
-      received = Unpooled.buffer();
-      connection.received(all);
+    if (receiveQueue.isReadable()) {
+      ByteBuf all = receiveQueue;
+      receiveQueue = Unpooled.buffer();
+      connection.onBytesReceived(all);
     }
-    if (clientGone && active) {
+    if (clientClosed && active) {
       active = false;
-      connection.left();
-      later.add(connection::closed);
+      connection.onPeerClosed();
+      laterTasks.add(connection::onClosed);
     }
   }
 
   private void runLater() {
-    for (int left = later.size(); left > 0; left--) {
-      later.poll().run();
+    for (int left = laterTasks.size(); left > 0; left--) {
+      laterTasks.poll().run();
     }
   }
 
   private void answer() {
     if (pendingStatement != null) {
       pendingStatement = null;
-      connection.answerError(ProtocolCodes.SYSTEM_ERROR, "as planned", null);
+      connection.sendError(ProtocolCodes.SYSTEM_ERROR, "as planned", null);
     }
   }
 
-  private void takeAgain() {
-    takes = true;
-    atClient.writeBytes(unwritten);
+  private void resumeClientReads() {
+    clientReads = true;
+    receivedByClient.writeBytes(unwritten);
     unwritten.clear();
-    List<Consumer<Boolean>> done = new ArrayList<>(pending);
-    pending.clear();
+    List<Consumer<Boolean>> done = new ArrayList<>(pendingWriteCallbacks);
+    pendingWriteCallbacks.clear();
     done.forEach(each -> each.accept(true));
-    connection.writabilityChanged();
+    connection.onWritabilityChanged();
   }
 
   // ---- The verdict.
 
   /** What is owed and was not paid once all has settled; empty where nothing is. */
   String settle() {
-    boolean failed = writesFail;
-    if (!takes) {
-      takeAgain();
+    boolean writesFailed = writesFail;
+    if (!clientReads) {
+      resumeClientReads();
     }
-    for (int i = 0; i < SETTLES; i++) {
+    for (int i = 0; i < SETTLE_ROUNDS; i++) {
       read();
       runLater();
       answer();
     }
     for (int i = 0; i < 3; i++) {
-      now = now.plus(SILENCE);
-      connection.endOverdue(now);
+      now = now.plus(LONGER_THAN_CLIENT_TIMEOUT);
+      connection.endIfTimedOut(now);
       read();
       runLater();
       answer();
     }
-    if (broken.isEmpty() && !clientGone && !failed) {
-      int answers = answersAtClient();
-      if (answers < statementsOwed) {
-        broken = statementsOwed + " owed, " + answers + " answered";
-      } else if (answers != Integer.MAX_VALUE && answers > sent - 2 && answers > 0) {
-        broken = answers + " answers to " + (sent - 2) + " statements";
+    if (violation.isEmpty() && !clientClosed && !writesFailed) {
+      int answers = countAnswersAtClient();
+      if (answers < expectedAnswers) {
+        violation = expectedAnswers + " owed, " + answers + " answered";
+      } else if (answers != Integer.MAX_VALUE && answers > unitsSent - 2 && answers > 0) {
+        violation = answers + " answers to " + (unitsSent - 2) + " statements";
       }
     }
-    return broken;
+    return violation;
   }
 
   /**
    * All that were asked where the last word is fatal: it answers what is in hand and refuses the
    * rest.
    */
-  private int answersAtClient() {
-    ByteBuf in = atClient.duplicate();
-    int ready = 0;
+  private int countAnswersAtClient() {
+    ByteBuf in = receivedByClient.duplicate();
+    int readyMessages = 0;
     while (in.readableBytes() > 5) {
       byte type = in.readByte();
       int length = in.readInt() - 4;
       String body = in.toString(in.readerIndex(), length, java.nio.charset.StandardCharsets.UTF_8);
       in.skipBytes(length);
-      ready += type == ProtocolCodes.READY_FOR_QUERY ? 1 : 0;
+      readyMessages += type == ProtocolCodes.READY_FOR_QUERY ? 1 : 0;
       if (type == ProtocolCodes.ERROR_RESPONSE && body.contains("FATAL")) {
         return Integer.MAX_VALUE;
       }
     }
-    return Math.max(0, ready - 1);
+    return Math.max(0, readyMessages - 1);
   }
 
   /** Equal where nothing that comes can tell two models apart. */
   String fingerprint() {
     return connection.state()
         + "/"
-        + connection.hasAsked()
-        + connection.hasPartOfMessage()
+        + connection.hasReceivedMessage()
+        + connection.hasPartialMessage()
         + "/"
-        + unsent.size()
+        + unsentUnits.size()
         + "/"
-        + received.readableBytes()
+        + receiveQueue.readableBytes()
         + "/"
-        + later.size()
+        + laterTasks.size()
         + "/"
         + (pendingStatement != null)
-        + closesIdle
-        + refusesAll
-        + clientGone
-        + reset
-        + takes
+        + closingIdle
+        + refusingAll
+        + clientClosed
+        + resetByClient
+        + clientReads
         + writesFail
         + active
         + closed
-        + sendingEnded
+        + outputShutdown
         + "/"
-        + pending.size()
+        + pendingWriteCallbacks.size()
         + "/"
         + unwritten.readableBytes()
         + "/"
-        + atClient.readableBytes()
+        + receivedByClient.readableBytes()
         + "/"
-        + statementsOwed
-        + broken
+        + expectedAnswers
+        + violation
         + "/"
-        + used;
+        + stepUses;
   }
 
   // ---- The socket.
@@ -334,8 +334,8 @@
 
   @Override
   public void write(ByteBuf out) {
-    ByteBuf to = takes ? atClient : unwritten;
-    boolean lost = writesFail || closed || sendingEnded;
+    ByteBuf to = clientReads ? receivedByClient : unwritten;
+    boolean lost = writesFail || closed || outputShutdown;
     if (!lost) {
       to.writeBytes(out);
     }
@@ -343,23 +343,23 @@
   }
 
   @Override
-  public void writeAndFlush(ByteBuf out, Consumer<Boolean> written) {
+  public void writeAndFlush(ByteBuf out, Consumer<Boolean> onWritten) {
     boolean fatal =
         out.readableBytes() > 0
             && out.getByte(out.readerIndex()) == ProtocolCodes.ERROR_RESPONSE
             && out.toString(java.nio.charset.StandardCharsets.UTF_8).contains("FATAL");
-    if (planted == Planted.WORDS_LOST && fatal) {
+    if (injectedFault == InjectedFault.FATAL_ERROR_LOST && fatal) {
       out.release();
-      written.accept(true);
+      onWritten.accept(true);
       return;
     }
     write(out);
     if (writesFail) {
-      written.accept(false);
-    } else if (takes) {
-      written.accept(true);
+      onWritten.accept(false);
+    } else if (clientReads) {
+      onWritten.accept(true);
     } else {
-      pending.add(written);
+      pendingWriteCallbacks.add(onWritten);
     }
   }
 
@@ -370,31 +370,31 @@
 
   @Override
   public boolean isWritable() {
-    return takes;
+    return clientReads;
   }
 
   @Override
   public boolean isAllWritten() {
-    return unwritten.readableBytes() == 0 && pending.isEmpty();
+    return unwritten.readableBytes() == 0 && pendingWriteCallbacks.isEmpty();
   }
 
   @Override
-  public void readReceived() {
-    if (planted != Planted.NO_LOOK_BEFORE_THE_END && !closed) {
+  public void readAvailable() {
+    if (injectedFault != InjectedFault.NO_READ_BEFORE_THE_END && !closed) {
       read();
     }
   }
 
   @Override
-  public void setReading(boolean reads) {
+  public void setAutoRead(boolean autoRead) {
     // Every order of reads is played anyway.
   }
 
   @Override
-  public void endSending() {
-    sendingEnded = true;
-    if (planted == Planted.CUT_OFF_AFTER_THE_END) {
-      received.writeByte(0);
+  public void shutdownOutput() {
+    outputShutdown = true;
+    if (injectedFault == InjectedFault.CLOSED_AFTER_OUTPUT_SHUTDOWN) {
+      receiveQueue.writeByte(0);
       close();
     }
   }
@@ -403,21 +403,21 @@
   public void close() {
     if (!closed) {
       closed = true;
-      if (received.isReadable() && !clientGone && !writesFail) {
-        broken = "closed over " + received.readableBytes() + " unread bytes";
+      if (receiveQueue.isReadable() && !clientClosed && !writesFail) {
+        violation = "closed over " + receiveQueue.readableBytes() + " unread bytes";
       }
       active = false;
-      later.add(connection == null ? () -> {} : connection::closed);
+      laterTasks.add(connection == null ? () -> {} : connection::onClosed);
     }
   }
 
   @Override
-  public void schedule(Span after, Runnable task) {
-    later.add(task);
+  public void schedule(Span delay, Runnable task) {
+    laterTasks.add(task);
   }
 
   @Override
-  public Object peer() {
+  public Object remoteAddress() {
     return "client";
   }
 
@@ -429,7 +429,7 @@
   }
 
   @Override
-  public Moment arrival() {
+  public Moment earliestArrival() {
     return now;
   }
 
@@ -444,67 +444,67 @@
   }
 
   @Override
-  public StatementTrace lives() {
+  public StatementTrace trace() {
     return trace;
   }
 
   @Override
-  public int workload(Query query) throws ProtocolException {
+  public int workloadIndex(Query query) throws ProtocolException {
     return slots.of(query.workload);
   }
 
   @Override
-  public PendingStatement take(
-      ClientConnection client, ByteBuf text, Query query, int workload, Moment arrived) {
-    if (sendingEnded || closed) {
-      broken = "a statement was taken behind the end";
+  public PendingStatement submit(
+      ClientConnection client, ByteBuf text, Query query, int workload, Moment arrivedAt) {
+    if (outputShutdown || closed) {
+      violation = "a statement was taken behind the end";
     }
-    pendingStatement = new PendingStatement(1, client, text, query, arrived, null);
+    pendingStatement = new PendingStatement(1, client, text, query, arrivedAt, null);
     return pendingStatement;
   }
 
   @Override
-  public void left(ClientConnection left, PendingStatement statement) {
+  public void onClientLeft(ClientConnection client, PendingStatement statement) {
     pendingStatement = null;
   }
 
   @Override
-  public void closed(ClientConnection gone) {
+  public void onClosed(ClientConnection client) {
     // Its descriptor is nobody's concern here.
   }
 
   @Override
-  public void ends(long number, Object client, CloseReason closeReason, int bytes) {
+  public void onEndBegun(long number, Object client, CloseReason closeReason, int partialBytes) {
     counters.add(closeReason.counter);
   }
 
   @Override
-  public void spoilt(Object client, String what) {
+  public void onInvalidInput(Object client, String problem) {
     // For the log.
   }
 
   @Override
-  public void messageRead() {
+  public void onMessageRead() {
     // For the log.
   }
 
   @Override
-  public void later(Runnable step) {
-    later.add(step);
+  public void runAfterReads(Runnable step) {
+    laterTasks.add(step);
   }
 
   @Override
-  public boolean closesIdle() {
-    return closesIdle;
+  public boolean isClosingIdle() {
+    return closingIdle;
   }
 
   @Override
-  public boolean refusesAll() {
-    return refusesAll;
+  public boolean isRefusingAll() {
+    return refusingAll;
   }
 
   @Override
-  public long comeBackMillis() {
+  public long retryAfterMillis() {
     return 250;
   }
 }
--- a/router/src/test/java/basaltlever/net/ClientModelTest.java
+++ b/router/src/test/java/basaltlever/net/ClientModelTest.java
@@ -2,7 +2,7 @@
 
 import static basaltlever.StandIn.check;
 
-import basaltlever.net.ClientModel.Planted;
+import basaltlever.net.ClientModel.InjectedFault;
 import basaltlever.net.ClientModel.Step;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -23,54 +23,57 @@
   }
 
   private static final int DEPTH = 7;
-  private static final int DEPTH_PLANTED = 6;
+  private static final int DEPTH_WITH_FAULT = 6;
 
-  private record Found(String broken, List<Step> steps, int states) {}
+  private record Exploration(String violation, List<Step> steps, int states) {}
 
-  private static ClientModel played(Planted planted, List<Step> steps) {
-    ClientModel model = new ClientModel(planted);
-    steps.forEach(model::take);
+  private static ClientModel replay(InjectedFault injectedFault, List<Step> steps) {
+    ClientModel model = new ClientModel(injectedFault);
+    steps.forEach(model::perform);
     return model;
   }
 
-  private static Found explore(Planted planted, int depth) {
+  private static Exploration explore(InjectedFault injectedFault, int depth) {
     Set<String> seen = new HashSet<>();
-    ArrayDeque<List<Step>> open = new ArrayDeque<>();
-    open.add(List.of());
-    while (!open.isEmpty()) {
-      List<Step> steps = open.poll();
-      String broken = played(planted, steps).settle();
-      if (!broken.isEmpty()) {
-        return new Found(broken, steps, seen.size());
+    ArrayDeque<List<Step>> unexplored = new ArrayDeque<>();
+    unexplored.add(List.of());
+    while (!unexplored.isEmpty()) {
+      List<Step> steps = unexplored.poll();
+      String violation = replay(injectedFault, steps).settle();
+      if (!violation.isEmpty()) {
+        return new Exploration(violation, steps, seen.size());
       }
-      ClientModel here = played(planted, steps);
+      ClientModel current = replay(injectedFault, steps);
       for (Step step : Step.values()) {
-        if (steps.size() < depth && here.may(step)) {
+        if (steps.size() < depth && current.isEnabled(step)) {
           List<Step> next = new ArrayList<>(steps);
           next.add(step);
-          if (seen.add(played(planted, next).fingerprint())) {
-            open.add(next);
+          if (seen.add(replay(injectedFault, next).fingerprint())) {
+            unexplored.add(next);
           }
         }
       }
     }
-    return new Found("", List.of(), seen.size());
+    return new Exploration("", List.of(), seen.size());
   }
 
   @Example
-  void whatWasReceivedIsAnsweredInEveryOrder() {
-    Found found = explore(Planted.NONE, DEPTH);
-    check(found.broken().isEmpty(), found.broken() + " by " + found.steps());
-    check(found.states() > 10_000, "orders were played: " + found.states());
+  void receivedStatementsAreAnsweredInEveryOrder() {
+    Exploration exploration = explore(InjectedFault.NONE, DEPTH);
+    check(
+        exploration.violation().isEmpty(), exploration.violation() + " by " + exploration.steps());
+    check(exploration.states() > 10_000, "orders were played: " + exploration.states());
     System.out.println(
-        "states of a client's connection: " + found.states() + ", to a depth of " + DEPTH);
+        "states of a client's connection: " + exploration.states() + ", to a depth of " + DEPTH);
   }
 
   @Example
-  void eachPlantedFaultIsFound() {
-    for (Planted planted : Planted.values()) {
-      if (planted != Planted.NONE) {
-        check(!explore(planted, DEPTH_PLANTED).broken().isEmpty(), "not found: " + planted);
+  void eachInjectedFaultIsDetected() {
+    for (InjectedFault injectedFault : InjectedFault.values()) {
+      if (injectedFault != InjectedFault.NONE) {
+        check(
+            !explore(injectedFault, DEPTH_WITH_FAULT).violation().isEmpty(),
+            "not found: " + injectedFault);
       }
     }
   }
--- a/router/src/test/java/basaltlever/net/DescriptorsTest.java
+++ b/router/src/test/java/basaltlever/net/DescriptorsTest.java
@@ -16,43 +16,43 @@
  * for ever.
  */
 class DescriptorsTest {
-  private static final int MOST = 64;
-  private static final int OVER = 8;
+  private static final int LIMIT = 64;
+  private static final int LINGERING_LIMIT = 8;
 
   /**
    * A connection as its owner tells of it; one of a client that has asked lingers when it is told
    * to go.
    */
-  private static final class Party implements Descriptors.EvictableClient {
-    final Descriptors in;
-    final boolean node;
-    boolean asked;
-    boolean lingers;
+  private static final class FakeConnection implements Descriptors.EvictableClient {
+    final Descriptors descriptors;
+    final boolean isEndpoint;
+    boolean active;
+    boolean lingering;
     boolean closed;
 
-    Party(Descriptors in, boolean node) {
-      this.in = in;
-      this.node = node;
+    FakeConnection(Descriptors descriptors, boolean isEndpoint) {
+      this.descriptors = descriptors;
+      this.isEndpoint = isEndpoint;
     }
 
     @Override
-    public boolean endIdle(CloseReason closeReason) {
-      check(!lingers && !closed, "who was told to go is never ended for another one");
-      if (node) {
+    public boolean endIfIdle(CloseReason closeReason) {
+      check(!lingering && !closed, "who was told to go is never ended for another one");
+      if (isEndpoint) {
         close();
         return true;
       }
-      lingers = true;
-      if (asked) {
-        in.asksNoMore();
+      lingering = true;
+      if (active) {
+        descriptors.onActiveClientEnded();
       }
-      in.busy(this);
-      in.lingers(this);
+      descriptors.markBusy(this);
+      descriptors.addLingeringClient(this);
       return true;
     }
 
     @Override
-    public boolean closeIfNoted() {
+    public boolean closeIfLingered() {
       return false;
     }
 
@@ -61,14 +61,14 @@
         return;
       }
       closed = true;
-      in.busy(this);
-      if (node) {
-        in.nodeClosed();
+      descriptors.markBusy(this);
+      if (isEndpoint) {
+        descriptors.onEndpointConnectionClosed();
       } else {
-        if (asked && !lingers) {
-          in.asksNoMore();
+        if (active && !lingering) {
+          descriptors.onActiveClientEnded();
         }
-        in.clientClosed(this);
+        descriptors.onClientClosed(this);
       }
     }
 
@@ -78,30 +78,32 @@
     }
   }
 
-  private static Party client(Descriptors in, List<Party> all, boolean asks) {
-    if (in.roomForClients() == 0) {
-      in.makeRoomForClient(new Moment(0));
+  private static FakeConnection openClient(
+      Descriptors descriptors, List<FakeConnection> connections, boolean active) {
+    if (descriptors.roomForClients() == 0) {
+      descriptors.makeRoomForClient(new Moment(0));
     }
-    if (in.roomForClients() == 0) {
+    if (descriptors.roomForClients() == 0) {
       return null;
     }
-    check(in.admitsClient(), "there was room");
-    Party client = new Party(in, false);
-    all.add(client);
-    in.unasked(client);
-    if (asks) {
-      client.asked = true;
-      in.asks(client);
-      in.idleClient(client);
-      in.endLongestIdle();
+    check(descriptors.admitClient(), "there was room");
+    FakeConnection client = new FakeConnection(descriptors, false);
+    connections.add(client);
+    descriptors.addNewClient(client);
+    if (active) {
+      client.active = true;
+      descriptors.onFirstMessage(client);
+      descriptors.addIdleClient(client);
+      descriptors.endLongestIdleClients();
     }
     return client;
   }
 
   /** Asked as long as room is being made for it. */
-  private static boolean admits(Descriptors descriptors) {
-    for (int i = 0; i < MOST; i++) {
-      Descriptors.Admission admission = descriptors.admitsNode(Descriptors.Use.EXECUTION);
+  private static boolean admitEndpoint(Descriptors descriptors) {
+    for (int i = 0; i < LIMIT; i++) {
+      Descriptors.Admission admission =
+          descriptors.admitEndpointConnection(Descriptors.Use.EXECUTION);
       if (admission != Descriptors.Admission.WAIT) {
         return admission == Descriptors.Admission.OPEN;
       }
@@ -110,97 +112,116 @@
   }
 
   @Example
-  void aClientThatHasJustConnectedIsNeverClosedForANode() {
-    Descriptors descriptors = new Descriptors(MOST);
-    List<Party> all = new ArrayList<>();
-    for (int i = 0; i < MOST - MOST / 4; i++) {
-      check(client(descriptors, all, false) != null, "clients have their share: " + i);
-    }
-    int nodes = 0;
-    while (nodes < MOST && admits(descriptors)) {
-      nodes++;
-    }
-    check(nodes == MOST - OVER - all.size(), "nodes get what is left: " + nodes);
-    check(all.stream().noneMatch(party -> party.closed), "whoever has connected is owed an answer");
+  void aNewClientIsNeverClosedForAnEndpointConnection() {
+    Descriptors descriptors = new Descriptors(LIMIT);
+    List<FakeConnection> connections = new ArrayList<>();
+    for (int i = 0; i < LIMIT - LIMIT / 4; i++) {
+      check(openClient(descriptors, connections, false) != null, "clients have their share: " + i);
+    }
+    int endpointConnections = 0;
+    while (endpointConnections < LIMIT && admitEndpoint(descriptors)) {
+      endpointConnections++;
+    }
+    check(
+        endpointConnections == LIMIT - LINGERING_LIMIT - connections.size(),
+        "nodes get what is left: " + endpointConnections);
+    check(
+        connections.stream().noneMatch(connection -> connection.closed),
+        "whoever has connected is owed an answer");
     for (Descriptors.Use use : Descriptors.Use.values()) {
-      check(descriptors.admitsNode(use) == Descriptors.Admission.REFUSE, "no more for " + use);
+      check(
+          descriptors.admitEndpointConnection(use) == Descriptors.Admission.REFUSE,
+          "no more for " + use);
     }
   }
 
   @Example
-  void whatIsClosedCountsUntilTheSystemHasClosedIt() {
-    List<Runnable> looks = new ArrayList<>();
-    Descriptors descriptors = new Descriptors(MOST, looks::add);
-    List<Party> nodes = new ArrayList<>();
-    for (int i = 0; i < MOST - OVER; i++) {
+  void aClosingConnectionCountsUntilItsSocketIsClosed() {
+    List<Runnable> afterSelectTasks = new ArrayList<>();
+    Descriptors descriptors = new Descriptors(LIMIT, afterSelectTasks::add);
+    List<FakeConnection> endpointConnections = new ArrayList<>();
+    for (int i = 0; i < LIMIT - LINGERING_LIMIT; i++) {
       check(
-          descriptors.admitsNode(Descriptors.Use.EXECUTION) == Descriptors.Admission.OPEN,
+          descriptors.admitEndpointConnection(Descriptors.Use.EXECUTION)
+              == Descriptors.Admission.OPEN,
           "room at first");
-      nodes.add(new Party(descriptors, true));
-      descriptors.idleNode(nodes.get(i));
+      endpointConnections.add(new FakeConnection(descriptors, true));
+      descriptors.addIdleEndpointConnection(endpointConnections.get(i));
     }
     check(
-        descriptors.admitsNode(Descriptors.Use.WARM_UP) == Descriptors.Admission.REFUSE,
+        descriptors.admitEndpointConnection(Descriptors.Use.WARM_UP)
+            == Descriptors.Admission.REFUSE,
         "not ahead of need");
     check(
-        descriptors.admitsNode(Descriptors.Use.EXECUTION) == Descriptors.Admission.WAIT,
+        descriptors.admitEndpointConnection(Descriptors.Use.EXECUTION)
+            == Descriptors.Admission.WAIT,
         "one is closed for it");
-    check(nodes.get(0).closed, "the one that was idle for the longest");
-    List<String> opened = new ArrayList<>();
-    descriptors.await(() -> opened.add(descriptors.admitsNode(Descriptors.Use.EXECUTION).name()));
-    check(opened.isEmpty(), "it is still open in the system");
-    List.copyOf(looks).forEach(Runnable::run);
-    check(opened.equals(List.of("OPEN")), "after the next look: " + opened);
+    check(endpointConnections.get(0).closed, "the one that was idle for the longest");
+    List<String> admissions = new ArrayList<>();
+    descriptors.awaitFree(
+        () ->
+            admissions.add(descriptors.admitEndpointConnection(Descriptors.Use.EXECUTION).name()));
+    check(admissions.isEmpty(), "it is still open in the system");
+    List.copyOf(afterSelectTasks).forEach(Runnable::run);
+    check(admissions.equals(List.of("OPEN")), "after the next look: " + admissions);
   }
 
   @Example
-  void idleClientsThatNeverCloseTheirSideLeaveRoomForNodes() {
-    Descriptors descriptors = new Descriptors(MOST);
-    List<Party> all = new ArrayList<>();
-    for (int i = 0; i < 10 * MOST; i++) {
-      client(descriptors, all, true);
+  void lingeringClientsLeaveRoomForEndpointConnections() {
+    Descriptors descriptors = new Descriptors(LIMIT);
+    List<FakeConnection> connections = new ArrayList<>();
+    for (int i = 0; i < 10 * LIMIT; i++) {
+      openClient(descriptors, connections, true);
     }
-    for (int i = 0; i < MOST / 4; i++) {
-      check(admits(descriptors), "a connection to a node, or to discovery, has its place: " + i);
+    for (int i = 0; i < LIMIT / 4; i++) {
+      check(
+          admitEndpoint(descriptors),
+          "a connection to a node, or to discovery, has its place: " + i);
     }
     check(
-        all.stream().filter(party -> party.lingers && !party.closed).count() >= OVER,
+        connections.stream()
+                .filter(connection -> connection.lingering && !connection.closed)
+                .count()
+            >= LINGERING_LIMIT,
         "the latest to be sent away have time to read on");
   }
 
   @Property(tries = 60, seed = "341", shrinking = ShrinkingMode.OFF)
-  void neverMoreThanMayBeOpenAndAllCountsComeBack(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    Descriptors descriptors = new Descriptors(MOST);
-    List<Party> all = new ArrayList<>();
+  void openConnectionsStayWithinTheLimitAndCountsReturnToZero(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    Descriptors descriptors = new Descriptors(LIMIT);
+    List<FakeConnection> connections = new ArrayList<>();
     for (int step = 0; step < 600; step++) {
-      switch (chance.nextInt(4)) {
-        case 0 -> client(descriptors, all, chance.nextBoolean());
+      switch (random.nextInt(4)) {
+        case 0 -> openClient(descriptors, connections, random.nextBoolean());
         case 1 -> {
-          if (admits(descriptors)) {
-            Party node = new Party(descriptors, true);
-            all.add(node);
-            descriptors.idleNode(node);
+          if (admitEndpoint(descriptors)) {
+            FakeConnection endpointConnection = new FakeConnection(descriptors, true);
+            connections.add(endpointConnection);
+            descriptors.addIdleEndpointConnection(endpointConnection);
           }
         }
         case 2 -> {
-          if (!all.isEmpty() && chance.nextInt(3) == 0) {
-            all.get(chance.nextInt(all.size())).close();
+          if (!connections.isEmpty() && random.nextInt(3) == 0) {
+            connections.get(random.nextInt(connections.size())).close();
           }
         }
-        default -> descriptors.shed(new Moment(9_000_000), basaltlever.time.Span.ofMillis(2_000));
+        default ->
+            descriptors.shedIdleClients(
+                new Moment(9_000_000), basaltlever.time.Span.ofMillis(2_000));
       }
-      long open = all.stream().filter(party -> !party.closed).count();
-      check(open <= MOST, "too many: " + open);
+      long open = connections.stream().filter(connection -> !connection.closed).count();
+      check(open <= LIMIT, "too many: " + open);
     }
-    new ArrayList<>(all).forEach(Party::close);
-    int again = 0;
-    List<Party> fresh = new ArrayList<>();
-    while (again < MOST - MOST / 4 && client(descriptors, fresh, false) != null) {
-      again++;
+    new ArrayList<>(connections).forEach(FakeConnection::close);
+    int admitted = 0;
+    List<FakeConnection> newClients = new ArrayList<>();
+    while (admitted < LIMIT - LIMIT / 4 && openClient(descriptors, newClients, false) != null) {
+      admitted++;
     }
     check(
-        again == MOST - MOST / 4 && fresh.stream().noneMatch(party -> party.closed),
-        "all came back: " + again);
+        admitted == LIMIT - LIMIT / 4
+            && newClients.stream().noneMatch(connection -> connection.closed),
+        "all came back: " + admitted);
   }
 }
--- a/router/src/test/java/basaltlever/net/FinalAnswerTest.java
+++ b/router/src/test/java/basaltlever/net/FinalAnswerTest.java
@@ -182,7 +182,7 @@
             } catch (InterruptedException e) {
               Thread.currentThread().interrupt();
             }
-            router.accepting.closeOnceQuiet(closes::countDown);
+            router.accepting.closeWhenQueueIsEmpty(closes::countDown);
           });
       for (int i = 0; i < 60; i++) {
         waiting.add(new Client(router.port).start());
@@ -219,7 +219,7 @@
           new java.util.concurrent.CompletableFuture<>();
       router.loop.execute(
           () ->
-              router.accepting.closeOnceQuiet(
+              router.accepting.closeWhenQueueIsEmpty(
                   () -> {
                     try (Socket again = new Socket()) {
                       again.connect(new InetSocketAddress("127.0.0.1", router.port), 500);
--- a/router/src/test/java/basaltlever/net/FloodTest.java
+++ b/router/src/test/java/basaltlever/net/FloodTest.java
@@ -34,29 +34,29 @@
  * One client that sends much at once has its share of each of the loop's iterations, and no more.
  */
 class FloodTest {
-  private static final int FLOOD = 60_000;
+  private static final int QUERIES = 60_000;
 
   /**
    * What it may have answered in an iteration: a share when it is read, and one when it goes on.
    */
-  private static final int SHARES = 2 * 16;
+  private static final int MAX_ANSWERS_PER_ITERATION = 2 * 16;
 
-  private static final byte[] EMPTY = {'Q', 0, 0, 0, 5, 0};
+  private static final byte[] EMPTY_QUERY = {'Q', 0, 0, 0, 5, 0};
 
   @Example
-  void eachReadOfAFloodAddsNoShareOfItsOwn() throws Exception {
+  void answersPerIterationStayBoundedUnderAFlood() throws Exception {
     Clock clock = new Clock();
     ReadinessClock readinessClock = new ReadinessClock(clock::now);
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, PreciseSelectStrategy.newFactory(readinessClock));
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
     AtomicInteger answered = new AtomicInteger();
-    AtomicInteger most = new AtomicInteger();
+    AtomicInteger maxAnswered = new AtomicInteger();
     try {
       ClientSessions clients =
           loop.submit(
                   () -> {
-                    ClientSessions made =
+                    ClientSessions sessions =
                         new ClientSessions(
                             new LoopIteration(loop, clock, readinessClock),
                             new Descriptors(50),
@@ -68,7 +68,7 @@
                                 Event.CLIENT_BAD,
                                 clock::now),
                             new StatementTrace(null, clock::now));
-                    return made;
+                    return sessions;
                   })
               .sync()
               .getNow();
@@ -105,10 +105,10 @@
               ((InetSocketAddress) listener.localAddress()).getPort())) {
         ByteBuf out = Unpooled.buffer();
         MessageEncoder.startupMessage(out, "app", "shop");
-        for (int i = 0; i < FLOOD; i++) {
-          out.writeBytes(EMPTY);
+        for (int i = 0; i < QUERIES; i++) {
+          out.writeBytes(EMPTY_QUERY);
         }
-        Thread sends =
+        Thread sender =
             new Thread(
                 () -> {
                   try {
@@ -117,15 +117,17 @@
                     // Seen by who reads.
                   }
                 });
-        loop.execute(() -> look(loop, answered, most));
-        sends.start();
+        loop.execute(() -> recordIteration(loop, answered, maxAnswered));
+        sender.start();
         DataInputStream in =
             new DataInputStream(new java.io.BufferedInputStream(client.getInputStream()));
-        for (int ready = 0; ready <= FLOOD; ) {
-          ready += in.readByte() == 'Z' ? 1 : 0;
+        for (int readyMessages = 0; readyMessages <= QUERIES; ) {
+          readyMessages += in.readByte() == 'Z' ? 1 : 0;
           in.skipNBytes(in.readInt() - 4);
         }
-        check(most.get() > 1 && most.get() <= SHARES, "answered in one iteration: " + most);
+        check(
+            maxAnswered.get() > 1 && maxAnswered.get() <= MAX_ANSWERS_PER_ITERATION,
+            "answered in one iteration: " + maxAnswered);
       }
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -133,10 +135,11 @@
   }
 
   /** Each iteration, by way of a timer: a task that adds a task would go on in the same one. */
-  private static void look(SingleThreadEventLoop loop, AtomicInteger answered, AtomicInteger most) {
-    most.accumulateAndGet(answered.getAndSet(0), Math::max);
+  private static void recordIteration(
+      SingleThreadEventLoop loop, AtomicInteger answered, AtomicInteger maxAnswered) {
+    maxAnswered.accumulateAndGet(answered.getAndSet(0), Math::max);
     if (!loop.isShuttingDown()) {
-      loop.schedule(() -> look(loop, answered, most), 0, TimeUnit.NANOSECONDS);
+      loop.schedule(() -> recordIteration(loop, answered, maxAnswered), 0, TimeUnit.NANOSECONDS);
     }
   }
 }
--- a/router/src/test/java/basaltlever/net/HeldUpRouter.java
+++ b/router/src/test/java/basaltlever/net/HeldUpRouter.java
@@ -69,7 +69,7 @@
             .group(loop, loop)
             .channelFactory(FailingListener::new)
             .option(ChannelOption.SO_BACKLOG, QUEUE)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, accepting.limitedReads())
+            .option(ChannelOption.RECVBUF_ALLOCATOR, accepting.newAcceptAllocator())
             .handler(accepting)
             .childHandler(
                 new ChannelInitializer<Channel>() {
@@ -93,7 +93,7 @@
     var values = StartFile.read(Path.of("deploy/example.json")).startValues();
     iteration = new LoopIteration(loop, clock, readinessClock);
     descriptors = new Descriptors(sockets);
-    iteration.last(descriptors::endLongestIdle);
+    iteration.last(descriptors::endLongestIdleClients);
     MemoryBudget budget = new MemoryBudget(1 << 24);
     StatementTrace trace = new StatementTrace(null, clock::now);
     executor =
@@ -133,7 +133,7 @@
     StatementRouter<String> core =
         new StatementRouter<>(
             silent, values.loadBalancerFactory(1, clock.now(), values.defaultHoldBudget()));
-    clients.serve(core, executor);
+    clients.start(core, executor);
     executor.serve(core, () -> {});
     return null;
   }
--- a/router/src/test/java/basaltlever/net/ListenerSocketTest.java
+++ b/router/src/test/java/basaltlever/net/ListenerSocketTest.java
@@ -12,7 +12,7 @@
 /** What the system does with connections that have sent nothing; Linux only. */
 class ListenerSocketTest {
   private static final int DEFERRAL_SECONDS = 1;
-  private static final long LONGEST_WAIT_MILLIS = 3_000;
+  private static final long MAX_WAIT_MILLIS = 3_000;
 
   private static SocketChannel acceptWithin(ServerSocketChannel listener, long millis)
       throws Exception {
@@ -30,7 +30,7 @@
    * connections that said nothing.
    */
   @Example
-  void aConnectionThatHasSentNothingIsKeptOutOfTheListenQueue() throws Exception {
+  void aSilentConnectionIsKeptOutOfTheListenQueue() throws Exception {
     check(ListenerSocket.load(), "the native library is there on the machines of the tests");
     try (ServerSocketChannel listener = ServerSocketChannel.open()) {
       listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -39,14 +39,14 @@
       ListenerSocket socket = ListenerSocket.find(address);
       socket.deferAccept(DEFERRAL_SECONDS);
       try (Socket silent = new Socket(address.getAddress(), address.getPort());
-          Socket asking = new Socket(address.getAddress(), address.getPort())) {
-        asking.getOutputStream().write(1);
-        try (SocketChannel first = acceptWithin(listener, LONGEST_WAIT_MILLIS)) {
+          Socket sending = new Socket(address.getAddress(), address.getPort())) {
+        sending.getOutputStream().write(1);
+        try (SocketChannel first = acceptWithin(listener, MAX_WAIT_MILLIS)) {
           check(
-              ((InetSocketAddress) first.getRemoteAddress()).getPort() == asking.getLocalPort(),
+              ((InetSocketAddress) first.getRemoteAddress()).getPort() == sending.getLocalPort(),
               "who has sent something comes first");
         }
-        try (SocketChannel second = acceptWithin(listener, LONGEST_WAIT_MILLIS)) {
+        try (SocketChannel second = acceptWithin(listener, MAX_WAIT_MILLIS)) {
           check(
               ((InetSocketAddress) second.getRemoteAddress()).getPort() == silent.getLocalPort(),
               "who says nothing is accepted in the end");
@@ -57,7 +57,7 @@
 
   /** The listener of a router that ends would reset whom the system still keeps back. */
   @Example
-  void withoutDeferralASilentConnectionIsAcceptedAtOnce() throws Exception {
+  void withoutDeferralASilentConnectionIsAcceptedImmediately() throws Exception {
     try (ServerSocketChannel listener = ServerSocketChannel.open()) {
       listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       InetSocketAddress address = (InetSocketAddress) listener.getLocalAddress();
@@ -72,13 +72,13 @@
   }
 
   @Example
-  void anAddressThatNobodyListensAtIsNamed() throws Exception {
-    InetSocketAddress nobody = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+  void findFailsForAnAddressWithoutAListener() throws Exception {
+    InetSocketAddress unusedAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     try {
-      ListenerSocket.find(nobody);
+      ListenerSocket.find(unusedAddress);
       check(false, "found");
-    } catch (java.io.IOException fault) {
-      check(fault.getMessage().contains("no socket listens at"), fault.getMessage());
+    } catch (java.io.IOException exception) {
+      check(exception.getMessage().contains("no socket listens at"), exception.getMessage());
     }
   }
 }
