--- a/router/src/main/java/basaltlever/net/AcceptBatch.java
+++ b/router/src/main/java/basaltlever/net/AcceptBatch.java
@@ -3,31 +3,32 @@
 import basaltlever.time.Span;
 
 /**
- * How many connections are accepted in one look at the sockets: as many as fit into a time that
- * those who are served already can wait. In a process that has just started, or gets little
- * processor time, one connection takes a hundred times as long as later; without this the newcomers
- * would make all late whose statements are in hand.
+ * Limits how many connections are accepted in one read of the listener to as many as fit into a
+ * short time. In a process that has just started, or that gets little processor time, accepting
+ * takes a hundred times as long as later; without this limit, new connections would delay the
+ * statements in progress beyond their deadlines.
  */
 final class AcceptBatch {
-  /** However fast it goes: then what they and others sent has its turn. */
+  /** Bound of the batch regardless of speed, so that reads of other sockets get their turn. */
   static final int MAX_CONNECTIONS = 16;
 
   private static final int INITIAL_CONNECTIONS = 4;
 
-  /** It grows by no more than this factor from one look to the next. */
+  /** Factor by which the size may grow from one read to the next. */
   private static final int MAX_GROWTH_FACTOR = 2;
 
   private static final Span TARGET = Span.ofMillis(5);
 
   private int size = INITIAL_CONNECTIONS;
 
-  /** For the next look. */
+  /** Returns the size of the next batch. */
   int size() {
     return size;
   }
 
   /**
-   * So many were accepted in one look, which took so long with all that their first bytes asked.
+   * Adjusts the size to the time that this many connections took, including the processing of their
+   * first messages.
    */
   void recordAccepted(int connections, Span elapsed) {
     if (connections == 0) {
--- a/router/src/main/java/basaltlever/net/AcceptHandler.java
+++ b/router/src/main/java/basaltlever/net/AcceptHandler.java
@@ -17,29 +17,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Accepts clients' connections, no more in one look than there is room for: the others stay in the
- * listen queue, where nothing of theirs is lost. Where there is none, idle connections make room;
- * where none is idle, new ones are told so, as many at a time as can be kept until they have taken
- * note. A fault of the system pauses accepting for some milliseconds (Netty's own acceptor, behind
- * this, would stop for a second).
+ * Accepts client connections, at most as many per read as there is room for; the others wait in the
+ * listen queue, where nothing of theirs is lost. Without room, idle connections are evicted. If
+ * none is idle, new connections are rejected with an error, as many at a time as can linger until
+ * their clients have read it. A system error pauses accepting for some milliseconds; Netty's own
+ * acceptor, which runs behind this handler, would stop for a second.
  */
 final class AcceptHandler extends ChannelInboundHandlerAdapter {
-  /** Without a pause a listener for which there is no descriptor would take the whole loop. */
+  /**
+   * Without this pause, a listener that fails for lack of a descriptor would occupy the whole event
+   * loop.
+   */
   private static final Span ACCEPT_PAUSE = Span.ofMillis(10);
 
-  /** More clients than this that have connected and not asked are the sign of a crowd. */
+  /** More new clients than this without a statement indicate a crowd of silent connections. */
   private static final int MAX_NEW_CLIENTS_WITHOUT_DEFERRAL = 32;
 
   /**
-   * Room is made for so many at a time, and in the mean for so many a second: a crowd must not take
-   * the loop.
+   * Eviction stops at this much room and is rate limited, so that a crowd does not occupy the event
+   * loop.
    */
   private static final int TARGET_ROOM = 8;
 
   private static final int MAX_EVICTION_BURST = 64;
   private static final double EVICTIONS_PER_SECOND = 6_400;
 
-  /** Until room is looked for again, where none could be made. */
+  /** Delay until eviction is retried after none was possible. */
   private static final Span EVICTION_RETRY_DELAY = Span.ofMillis(3);
 
   private static final Span ONE_SECOND = Span.ofMillis(1_000);
@@ -55,7 +58,7 @@
   private int acceptedBeforeRead;
   private Moment readStartedAt = Moment.LONG_AGO;
 
-  /** How many may be accepted and told that there is no room, where none can be made. */
+  /** How many connections may be accepted for rejection while no room can be made. */
   private int rejectionsAllowed;
 
   private boolean paused;
@@ -64,7 +67,7 @@
   private boolean stoppedByLimit;
   private Moment tokensRefilledAt = Moment.LONG_AGO;
 
-  /** For how many more room may be made by now. */
+  /** Token bucket of the eviction rate limit. */
   private double evictionTokens = MAX_EVICTION_BURST;
 
   AcceptHandler(
@@ -77,12 +80,15 @@
     descriptors.setOnFreed(this::resumeAfterReads);
   }
 
-  /** Since when the connection that is being accepted may have waited. */
+  /**
+   * Returns the earliest time at which the connection that is being accepted may have entered the
+   * listen queue.
+   */
   Moment queuedSince() {
     return queue.onAccept(iteration.arrival(), iteration.clock().now());
   }
 
-  /** For the listener, so that no more are accepted at once than there is room for. */
+  /** Returns a receive allocator for the listener that limits the connections accepted per read. */
   RecvByteBufAllocator newAcceptAllocator() {
     return new DefaultMaxMessagesRecvByteBufAllocator(AcceptBatch.MAX_CONNECTIONS) {
       @Override
@@ -122,7 +128,7 @@
 
     @Override
     public ByteBuf allocate(ByteBufAllocator allocator) {
-      throw new UnsupportedOperationException("a listener reads no bytes");
+      throw new UnsupportedOperationException("a listener reads connections, not bytes");
     }
 
     @Override
@@ -152,7 +158,7 @@
 
     @Override
     public void readComplete() {
-      // What is to be done is done where the pipeline hears of it.
+      // {@link #channelReadComplete} does the work.
     }
   }
 
@@ -166,25 +172,27 @@
     listener = context.channel();
   }
 
-  /** Connections that have sent nothing can be kept out of the listen queue by this socket. */
+  /**
+   * Defers accepting connections that have sent nothing on this socket, if the system supports it.
+   */
   void beginDeferral(ListenerSocket socket) {
     deferral.begin(socket);
   }
 
-  /** Since when a connection that is accepted now, and has sent nothing, has been silent. */
+  /** Returns since when a connection that is accepted now and has sent nothing has been silent. */
   Moment silentSince() {
     Moment now = iteration.clock().now();
     return deferral.isOn() ? now.minus(DeferredAccept.DEFERRAL) : now;
   }
 
-  /** Called every so often. */
+  /** Updates the deferral; called periodically. */
   void sweep(Moment now) {
     deferral.sweep(now);
   }
 
   /**
-   * The router ends: what has connected by now is accepted while the listener is open. Returns how
-   * long that may take.
+   * Ends the deferral at shutdown, so that connections established by now are accepted before the
+   * listener closes. Returns how long that may take.
    */
   Span endDeferral() {
     return deferral.end();
@@ -226,12 +234,14 @@
       iteration.counters().add(Counter.ACCEPT_PAUSED);
       pauseLog.note("listener", cause);
     }
-    // From here on nobody looks.
+    // While accepting is paused, the queue is not read and may fill.
     queue.onReadComplete(false, iteration.arrival());
     listener.config().setAutoRead(false);
   }
 
-  /** Behind all that this turn has read: who makes room may turn out to be in use. */
+  /**
+   * Runs after all reads of this iteration, since an eviction candidate may turn out to be in use.
+   */
   private void resumeAfterReads() {
     if (paused && !resumeQueued) {
       resumeQueued = true;
@@ -297,14 +307,13 @@
   }
 
   /**
-   * Closed over a connection that the machine has accepted and this loop has not, a listener resets
-   * it. So it is closed behind a look at all sockets that has found none, however many came at
-   * once.
+   * Closes the listener once a full select has found no new connection. Closing a listener resets
+   * connections that the system has established and this loop has not accepted.
    */
   void closeWhenQueueIsEmpty(Runnable onClosed) {
     SingleThreadEventLoop loop = (SingleThreadEventLoop) listener.eventLoop();
     int acceptedBeforeSelect = accepted;
-    // By way of a task: what is put behind an iteration from behind it would run in it.
+    // By way of a task: a task queued from behind an iteration would run in the same iteration.
     loop.executeAfterEventLoopIteration(
         () ->
             loop.execute(
@@ -320,8 +329,8 @@
                             closeWhenQueueIsEmpty(onClosed);
                           } else {
                             listener.close();
-                            // Its socket is closed in the loop's next look: whoever is told to go
-                            // before comes back to be reset.
+                            // The socket is closed in the loop's next select. A client that is
+                            // disconnected before would reconnect and be reset.
                             loop.execute(onClosed);
                           }
                         })));
--- a/router/src/main/java/basaltlever/net/ClientChannel.java
+++ b/router/src/main/java/basaltlever/net/ClientChannel.java
@@ -13,8 +13,8 @@
 import java.util.function.Consumer;
 
 /**
- * The socket of one client's connection, on Netty's channel. Only here is a client's channel
- * closed.
+ * Implements the socket of a client connection on a Netty channel. Client channels are closed only
+ * here.
  */
 final class ClientChannel extends ChannelInboundHandlerAdapter implements ClientSocket {
   private final ClientConnection connection;
@@ -96,7 +96,7 @@
     if (context.channel().isActive()) {
       ((AbstractNioChannel) context.channel()).unsafe().read();
       if (!context.channel().isActive()) {
-        // It has read its client's end; the pipeline hears of that only in a later task.
+        // The read found the client's end of stream; the pipeline is notified only in a later task.
         connection.onPeerClosed();
       }
     }
--- a/router/src/main/java/basaltlever/net/ClientConnection.java
+++ b/router/src/main/java/basaltlever/net/ClientConnection.java
@@ -19,46 +19,53 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One client: its statements are taken one after the other, in the order in which they came. {@link
- * ClientLifecycle} says when its connection may be ended, {@link ClientSocket} moves the bytes.
+ * One client connection. Its statements are processed one at a time, in the order of their arrival.
+ * {@link ClientLifecycle} decides when the connection may be ended, {@link ClientSocket} does the
+ * I/O.
  */
 final class ClientConnection implements Descriptors.EvictableClient, ClientLifecycle.Connection {
   private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
 
-  /** A value of 64 KiB in hexadecimal, with its statement. */
+  /** Fits a value of 64 KiB in hexadecimal, with its statement. */
   private static final int MAX_MESSAGE_BYTES = 1 << 18;
 
   private static final int MAX_STARTUP_MESSAGE_BYTES = 1 << 13;
 
   /**
-   * More than this sent ahead is thrown away: left unread, it would hide that its client has gone.
+   * Most bytes that are buffered behind a statement in progress. Input beyond this is discarded
+   * rather than left unread, since unread input would hide that the client has disconnected.
    */
   private static final int MAX_PIPELINED_BYTES = 1 << 20;
 
   /**
-   * For a start, a first query, or the rest of a message: what takes longer is owed an end within 3
-   * s.
+   * Timeout for the startup message, the first statement, the rest of a message and the writing of
+   * a final error. Such a connection has to be ended within 3 s.
    */
   private static final Span CLIENT_TIMEOUT = Span.ofMillis(2_300);
 
-  /** Once its sending has ended, a client that takes note of it is gone much sooner. */
+  /**
+   * Time for the client to close a half-closed connection. A client that reads the end of the
+   * stream closes its side much sooner.
+   */
   private static final Span HALF_CLOSED_TIMEOUT = Span.ofMillis(1_000);
 
   /**
-   * Where others wait for its descriptor it has less: this long, or longer where its first
-   * statement may yet come.
+   * Time that a half-closed connection always gets, even where another client needs its descriptor.
+   * It is longer where the client's first statement may still arrive.
    */
   private static final Span MIN_HALF_CLOSED_TIME = Span.ofMillis(10);
 
   private static final Span MIN_HALF_CLOSED_TIME_BEFORE_STATEMENT = Span.ofMillis(150);
 
-  /** A socket that was read longer ago may hold its client's end by now. */
+  /** After this time without a read, the socket may hold an unread end of stream. */
   private static final Span MAX_READ_AGE = Span.ofMillis(10);
 
-  /** So many messages of one client, then the others have their turn. */
+  /** Messages of one client that are processed before other clients get their turn. */
   private static final int MAX_MESSAGES_PER_BATCH = 16;
 
-  /** A small row in one piece costs less than four pieces gathered (docs/performance.md). */
+  /**
+   * Copying a small row into one buffer costs less than writing four slices (docs/performance.md).
+   */
   private static final int MAX_COPIED_ROW_BYTES = 512;
 
   private final ClientHost host;
@@ -68,51 +75,59 @@
   private ClientSocket socket;
   private final ArrivalTimes arrivals = new ArrivalTimes();
 
-  /** Of the message in hand. */
+  /** When the message that is being processed arrived. */
   private Moment messageArrivedAt = Moment.LONG_AGO;
 
   /**
-   * What ends this connection once all that came whole before it is answered; what comes now is no
-   * use.
+   * The error that ends this connection once all complete messages before it are answered; null for
+   * none. Input that arrives after it is discarded.
    */
   private ProtocolException deferredError;
 
   private PendingStatement pendingStatement;
 
-  /** After an error in the extended protocol all is skipped up to the next Sync. */
+  /** After an error in the extended query protocol, messages are skipped up to the next Sync. */
   private boolean skippingToSync;
 
   private boolean messageReceived;
   private final boolean admitted;
 
-  /** Whether the rest of what was read has its turn yet to come. */
+  /** Whether the remaining buffered messages are scheduled for a later batch. */
   private boolean continuationScheduled;
 
   private final long number;
 
-  /** Since when it has been owed an end if it says nothing. */
+  /** Start of the timeout for the startup message and the first statement. */
   private Moment silenceStart;
 
   private final Moment silentSince;
 
-  /** When it may have come to the listen queue; until its socket has been read once. */
+  /**
+   * Earliest time at which the connection may have entered the listen queue; null once the socket
+   * has been read.
+   */
   private Moment queuedSince;
 
   private Moment idleSince;
   private Moment lastReadAt;
 
-  /** Bytes that it has sent, and those of its startup message; 0 where that is not known yet. */
+  /**
+   * Bytes received from the client, and the length of its startup message; 0 while that is unknown.
+   */
   private long receivedBytes;
 
   private int startupMessageBytes;
 
-  /** When it was told to go. */
+  /** When this router began to end the connection. */
   private Moment endBegunAt = Moment.NEVER;
 
-  /** Since when a message has been under way; never where none is. */
+  /** Since when an incomplete message has been buffered; never if there is none. */
   private Moment partialMessageSince = Moment.NEVER;
 
-  /** The number tells connections apart in the log. One that is not admitted is told so at once. */
+  /**
+   * Creates a connection with a number that identifies it in the log. A connection that is not
+   * admitted is rejected as soon as it is accepted.
+   */
   ClientConnection(
       ClientHost host,
       MemoryBudget budget,
@@ -140,7 +155,8 @@
   }
 
   /**
-   * The machine may hold its first statement by now, which has waited in the listen queue with it.
+   * Reads the socket: the first statement may have been received while the connection waited in the
+   * listen queue.
    */
   void onAccepted() {
     if (!admitted) {
@@ -155,7 +171,7 @@
     }
   }
 
-  /** The buffer is taken over. */
+  /** Takes ownership of the buffer. */
   void onBytesReceived(ByteBuf bytes) {
     lastReadAt = host.now();
     if (startupMessageBytes == 0 && bytes.readableBytes() >= Integer.BYTES) {
@@ -163,8 +179,8 @@
     }
     receivedBytes += bytes.readableBytes();
     if (!lifecycle.isOpen() || deferredError != null) {
-      // Read to hear when its client goes, and so that no unread byte resets the connection at its
-      // end.
+      // The input is read so that the client's end of stream is seen, and so that closing the
+      // socket over unread bytes does not reset the connection.
       bytes.release();
       return;
     }
@@ -178,21 +194,21 @@
             "more than " + MAX_PIPELINED_BYTES + " bytes were sent ahead");
       }
     } catch (ProtocolException exception) {
-      // What came whole is owed its own answers first: this one would say nothing was done.
+      // Complete messages are answered before the error, which states that nothing was done.
       deferredError = exception;
     }
     processMessages();
   }
 
-  /** Goes on while no statement is under way and the client takes its answers. */
+  /** Processes buffered messages while no statement is in progress and the socket is writable. */
   private void processMessages() {
     if (!lifecycle.isOpen()) {
       return;
     }
     try {
       boolean bufferDrained = processBatch(continuationScheduled ? 0 : MAX_MESSAGES_PER_BATCH);
-      // Once for all of them: each is a few bytes, and a write of its own costs more than all else
-      // about it.
+      // One flush for the whole batch: each answer is a few bytes, and a system call for each would
+      // cost more than all other work on it.
       socket.flush();
       partialMessageSince =
           decoder.bufferedBytes() == 0 ? Moment.NEVER : partialMessageSince.earlier(host.now());
@@ -205,8 +221,8 @@
           && bufferDrained) {
         endWithError(deferredError, CloseReason.PROTOCOL_ERROR);
       } else if (lifecycle.isOpen()) {
-        // A client may send more ahead, but not without end; one that waits for an answer may
-        // leave.
+        // The buffer of pipelined messages is bounded. While the client waits for an answer,
+        // reading continues, so that its end of stream is seen.
         socket.setAutoRead(
             lifecycle.isBusy()
                 || deferredError != null
@@ -217,7 +233,7 @@
     }
   }
 
-  /** False where more messages have come whole, whose turn comes later. */
+  /** Returns false if complete messages remain for a later batch. */
   private boolean processBatch(int maxMessages) throws ProtocolException {
     for (int remaining = maxMessages;
         lifecycle.canTakeMessage() && socket.isWritable();
@@ -244,10 +260,12 @@
 
   private void onIdleAfterMessage() {
     if (decoder.bufferedBytes() > 0) {
-      // What has been read of a statement must not be lost with an idle connection.
+      // A connection with part of a statement buffered is not idle: evicting it would lose those
+      // bytes.
       host.descriptors().markBusy(this);
     } else if (host.isClosingIdle()) {
-      // Not from within a read: what has come behind it is taken, also by a router that ends.
+      // Deferred until the reads of this iteration are done: messages behind this one are still
+      // processed, also by a router that shuts down.
       host.runAfterReads(() -> endIfIdle(CloseReason.SHUTDOWN));
     } else {
       host.descriptors().addIdleClient(this);
@@ -255,9 +273,10 @@
   }
 
   /**
-   * A task would run before the loop reads again: one client that sends much at once kept all
-   * others, and every timer's answer, waiting. Once at a time, or each read of such a client would
-   * add a share of its own.
+   * Schedules the next batch by a timer, since the event loop runs plain tasks before it reads
+   * again: with a task, one client with many pipelined messages delayed all others and every timer.
+   * At most one continuation is pending, or each read from such a client would add a batch of its
+   * own.
    */
   private void scheduleContinuation() {
     if (!continuationScheduled) {
@@ -272,8 +291,8 @@
   }
 
   /**
-   * A client that says nothing, or half of something, or takes no note of its end, holds a
-   * descriptor for no use.
+   * Ends or closes the connection if its client has timed out: one that sends nothing or only part
+   * of a message, or does not close its side, occupies a descriptor to no use.
    */
   void endIfTimedOut(Moment now) {
     if (lifecycle.isOpen()) {
@@ -283,7 +302,7 @@
             lifecycle.state() == ClientLifecycle.State.FLUSHING
                 ? CLIENT_TIMEOUT
                 : HALF_CLOSED_TIMEOUT)) {
-      // Bytes that lie there unread would make the close a reset.
+      // Closing the socket over unread bytes would reset the connection.
       socket.readAvailable();
       socket.close();
     }
@@ -293,8 +312,8 @@
     if (!isSilent(now)) {
       return;
     }
-    // Its patience may have passed while this process was held up, and the rest have come
-    // meanwhile.
+    // The timeout may have passed while this process was stalled, with the rest of the message
+    // received meanwhile.
     socket.readAvailable();
     if (!isSilent(now)) {
       return;
@@ -341,7 +360,7 @@
     if (version == ProtocolCodes.SSL_REQUEST || version == ProtocolCodes.GSS_ENCRYPTION_REQUEST) {
       socket.write(socket.alloc().buffer(1).writeByte('N'));
     } else if (version == ProtocolCodes.CANCEL_REQUEST) {
-      // Nobody was given a key to cancel with, and no answer is owed.
+      // No client has received a cancel key, and the protocol defines no answer.
       close(CloseReason.PEER_CLOSED);
     } else if (version >>> 16 != ProtocolCodes.PROTOCOL_VERSION >>> 16) {
       throw new ProtocolException(
@@ -423,7 +442,7 @@
         throw new ProtocolException(
             ProtocolCodes.TOO_MANY_CONNECTIONS, "this router ends, and nothing was done");
       }
-      // It outlives the buffer that it was read into: later executions send it again.
+      // The copy outlives the read buffer, since later executions send the text again.
       ByteBuf statementText = socket.alloc().buffer(text.readableBytes()).writeBytes(text);
       pendingStatement = host.submit(this, statementText, query, workload, messageArrivedAt);
       lifecycle.onStatementSubmitted();
@@ -437,7 +456,7 @@
     }
   }
 
-  /** Goes out with the others of its turn in pump. */
+  /** Writes an answer without a flush; {@link #processMessages} flushes once for the batch. */
   private void writeReply(Consumer<ByteBuf> bodyWriter) {
     ByteBuf out = socket.alloc().buffer();
     bodyWriter.accept(out);
@@ -445,7 +464,7 @@
     socket.write(out);
   }
 
-  /** The final answer as a node gave it; the slices are taken over. */
+  /** Sends the final answer as received from the endpoint and takes ownership of the slices. */
   void sendRow(List<ByteBuf> rowSlices) {
     if (!lifecycle.isBusy()) {
       rowSlices.forEach(ByteBuf::release);
@@ -502,8 +521,7 @@
   }
 
   /**
-   * Where its client may have gone since its socket was read last, that is read again and its end
-   * heard.
+   * Reads the socket if it was not read lately, since the client may have disconnected meanwhile.
    */
   void readIfStale() {
     if (lifecycle.isBusy() && host.now().since(lastReadAt).isLongerThan(MAX_READ_AGE)) {
@@ -513,8 +531,8 @@
   }
 
   /**
-   * Its statement has waited unread: its client may have gone meanwhile, which lies unread behind
-   * it.
+   * Reads the socket if the statement waited unread, since the client's end of stream may be unread
+   * behind it.
    */
   void readIfStatementWaited(Moment arrivedAt) {
     if (lifecycle.isBusy() && host.now().since(arrivedAt).isLongerThan(MAX_READ_AGE)) {
@@ -523,8 +541,6 @@
     }
   }
 
-  // ---- Ends.
-
   @Override
   public void readAvailable() {
     socket.readAvailable();
@@ -546,14 +562,14 @@
   }
 
   /**
-   * Between statements a client's connection may be ended; what crosses that, the client sends
+   * Ends the connection between statements. A client whose statement crosses the end sends it
    * again.
    */
   @Override
   public boolean endIfIdle(CloseReason closeReason) {
     if (!messageReceived && closeReason != CloseReason.SILENT) {
-      // Its first statement may cross this, and no client sends that again as one on an idle
-      // connection.
+      // The first statement may cross the end. Clients send a statement again if it was lost on an
+      // idle connection, but not on a new one, so a new connection ends with an error.
       return closeReason == CloseReason.SHUTDOWN
           ? endWithError(shutdownError(), closeReason)
           : rejectForCapacity();
@@ -566,7 +582,10 @@
     return true;
   }
 
-  /** Its statement, if one is on its way, is refused before it is read. */
+  /**
+   * Ends the connection with an error, which also answers a statement that has been sent and is not
+   * read yet.
+   */
   private boolean rejectForCapacity() {
     if (!lifecycle.beginEndWithError(CloseReason.TURNED_AWAY)) {
       return false;
@@ -583,7 +602,9 @@
     return true;
   }
 
-  /** The router ends now: whatever was answered is on its way, and nothing more is taken. */
+  /**
+   * Ends the connection without further processing; answers that were written are still delivered.
+   */
   void endImmediately() {
     if (!endIfIdle(CloseReason.SHUTDOWN)) {
       endWithError(shutdownError(), CloseReason.SHUTDOWN);
@@ -596,10 +617,10 @@
   }
 
   /**
-   * A lingering close: closed over bytes that it has not read, a connection is reset, and with it
-   * goes the last answer, where its client has not read that yet. So the sending ends, and what
-   * still comes is read and thrown away until the client has closed its side, or for a while. Who
-   * does not read what is left for it keeps its descriptor for no longer than anybody silent.
+   * Begins a lingering close. Closing over unread bytes resets the connection, and the client then
+   * loses the last answer if it has not read it yet. So this side shuts down its output, and input
+   * is read and discarded until the client closes its side or a timeout expires. A client that does
+   * not read the error loses its descriptor after the same timeout as a silent one.
    */
   private void beginLingeringClose(ByteBuf error) {
     onEndBegun();
@@ -625,7 +646,8 @@
   }
 
   /**
-   * Its socket is read once more, since bytes that lie there unread would make the close a reset.
+   * Reads the socket once more before the close, since closing over unread bytes would reset the
+   * connection.
    */
   @Override
   public boolean closeIfLingered() {
@@ -655,7 +677,7 @@
     return lifecycle.isBusy();
   }
 
-  /** Whether its client is there and has had no answer to the statement. */
+  /** Whether the client is connected and the statement is unanswered. */
   boolean isWaitingFor(PendingStatement statement) {
     return lifecycle.isBusy() && pendingStatement == statement;
   }
@@ -669,25 +691,31 @@
     socket.close();
   }
 
-  /** Its client has closed it, which was read; the system closes it in a moment. */
+  /**
+   * The client's end of stream was read; {@link #onClosed} follows once the system has closed the
+   * socket.
+   */
   void onPeerClosed() {
     markClosed(CloseReason.PEER_CLOSED);
   }
 
-  /** The system has closed it. */
+  /** The system has closed the socket. */
   void onClosed() {
     markClosed(CloseReason.PEER_CLOSED);
     host.onClosed(this);
   }
 
-  /** Its client has reset it, or the network has. */
+  /** The client or the network has reset the connection. */
   void onConnectionLost() {
     close(CloseReason.PEER_CLOSED);
   }
 
-  /** This program failed at what it read: what is owed is answered, then the connection ends. */
+  /**
+   * This program failed while processing input: a statement in progress is answered, then the
+   * connection ends.
+   */
   void onFailure(Throwable cause) {
-    Event.FAULT.fault(LOG, "", cause, "talking to client " + socket.remoteAddress());
+    Event.FAULT.fault(LOG, "", cause, "processing input of client " + socket.remoteAddress());
     if (lifecycle.isOpen()) {
       deferredError =
           new ProtocolException(
@@ -707,7 +735,7 @@
     }
   }
 
-  /** Nothing more is taken from it. */
+  /** Releases the buffered input and the pending statement; nothing more is processed. */
   private void releaseStatement() {
     decoder.release();
     if (messageReceived) {
--- a/router/src/main/java/basaltlever/net/ClientHost.java
+++ b/router/src/main/java/basaltlever/net/ClientHost.java
@@ -7,11 +7,11 @@
 import basaltlever.time.Moment;
 import io.netty.buffer.ByteBuf;
 
-/** What a client's connection needs of the router that it is connected to. */
+/** The services of the router that a client connection uses. */
 interface ClientHost {
   Moment now();
 
-  /** No earlier than this can the bytes have come that are read now. */
+  /** Returns the earliest time at which the bytes that are read now may have arrived. */
   Moment earliestArrival();
 
   Counters counters();
@@ -20,43 +20,45 @@
 
   StatementTrace trace();
 
-  /** The place of the query's class among the workloads; a fault where none has that name. */
+  /** Returns the index of the query's workload, or throws if no workload has that name. */
   int workloadIndex(Query query) throws ProtocolException;
 
   /**
-   * Takes a statement over, with its text, which came whole at that moment; the answer comes later.
+   * Submits a statement whose last byte arrived at that time, and takes ownership of its text. The
+   * answer follows later.
    */
   PendingStatement submit(
       ClientConnection client, ByteBuf text, Query query, int workload, Moment arrivedAt);
 
-  /** The client waits for nothing any more, if it did for this statement; null for none. */
+  /** Notifies that the client no longer waits for the statement; null if none was pending. */
   void onClientLeft(ClientConnection connection, PendingStatement pendingStatement);
 
-  /** The system has closed the connection. */
+  /** Notifies that the system has closed the connection. */
   void onClosed(ClientConnection connection);
 
   /**
-   * This router ends the connection, for this reason, with so many bytes of a message that had not
-   * come whole.
+   * Notifies that this router begins to end the connection, with this many bytes of an incomplete
+   * message buffered.
    */
   void onEndBegun(long connectionNumber, Object client, CloseReason closeReason, int partialBytes);
 
-  /** The client sent what can't be used. */
+  /** Notifies that the client sent input that cannot be processed. */
   void onInvalidInput(Object client, String problem);
 
   void onMessageRead();
 
-  /** Runs the step in the turn behind all reads of this look at the sockets. */
+  /** Runs the step after all reads of this event loop iteration. */
   void runAfterReads(Runnable step);
 
-  /** Whether idle connections end, since the router does. */
+  /** Whether idle connections are ended because the router shuts down. */
   boolean isClosingIdle();
 
-  /** Whether the decisions have answered for the last time. */
+  /** Whether statements are refused because the router core has given its last answers. */
   boolean isRefusingAll();
 
   /**
-   * When a client that is turned away may come back; 0 where the settings do not let it be told.
+   * Returns the time after which a rejected client may reconnect; 0 if the settings allow no such
+   * hint.
    */
   long retryAfterMillis();
 }
--- a/router/src/main/java/basaltlever/net/ClientLifecycle.java
+++ b/router/src/main/java/basaltlever/net/ClientLifecycle.java
@@ -6,47 +6,47 @@
 import java.util.Set;
 
 /**
- * The states of one client's connection, without I/O. Every end of a connection by this router goes
- * through here: it is allowed only where nothing is owed on the connection, and what the machine
- * has received is owed an answer like what was read.
+ * The state machine of one client connection, without I/O. It decides every end of a connection by
+ * this router: an end is allowed only if no answer is pending, and input that the system has
+ * received counts like input that was read.
  *
  * <pre>
- * STARTING -> IDLE -> BUSY -> IDLE ...       startup message; a statement in hand
- * IDLE -> HALF_CLOSED                        ended between statements: this side's sending has ended
- * STARTING, IDLE -> FLUSHING                 told why it ends: the error is on its way
- * FLUSHING -> HALF_CLOSED                    it was written, and this side's sending has ended
- * any -> CLOSED                              the client has gone, or its time to take note is over
+ * STARTING -> IDLE -> BUSY -> IDLE ...       startup message; statement in progress
+ * IDLE -> HALF_CLOSED                        ended between statements; the output is shut down
+ * STARTING, IDLE -> FLUSHING                 ended with an error, which is being written
+ * FLUSHING -> HALF_CLOSED                    the error is written and the output is shut down
+ * any -> CLOSED                              the client disconnected, or a timeout expired
  * </pre>
  */
 final class ClientLifecycle {
-  /** Where a connection stands. */
+  /** The state of a connection. */
   enum State {
-    /** Accepted; its startup message has not come whole. */
+    /** Accepted; the startup message is incomplete. */
     STARTING,
     /** Between statements. */
     IDLE,
-    /** A statement is taken and not answered. */
+    /** A statement is in progress. */
     BUSY,
-    /** This router ends it; what it was told last is not written whole. */
+    /** This router ends the connection and is writing the final error. */
     FLUSHING,
-    /** This router's sending has ended; what still comes is read and thrown away. */
+    /** This router has shut down its output; input is read and discarded. */
     HALF_CLOSED,
-    /** Nothing is owed and nothing is read any more. */
+    /** Closed: nothing is answered or read any more. */
     CLOSED
   }
 
-  /** The connection whose states these are. */
+  /** The operations of the connection that this lifecycle needs. */
   interface Connection {
-    /** Reads what the machine has received and takes it in, which may change the state. */
+    /** Reads and processes what the system has received, which may change the state. */
     void readAvailable();
 
-    /** Whether a part of a message was taken in that has not come whole. */
+    /** Whether an incomplete message is buffered. */
     boolean hasPartialMessage();
 
-    /** Whether the system has taken all that was written. */
+    /** Whether the system has accepted all that was written. */
     boolean isAllWritten();
 
-    /** Ends this side's sending at once. */
+    /** Shuts down the output immediately. */
     void shutdownOutput();
   }
 
@@ -76,17 +76,17 @@
     return state;
   }
 
-  /** Why it ends; null while it does not. */
+  /** Returns why the connection ends; null while it does not. */
   CloseReason reason() {
     return reason;
   }
 
-  /** Whether messages are still taken from it. */
+  /** Whether messages of this connection are processed. */
   boolean isOpen() {
     return state == State.STARTING || state == State.IDLE || state == State.BUSY;
   }
 
-  /** Whether the next message may be taken. */
+  /** Whether the next message may be processed. */
   boolean canTakeMessage() {
     return state == State.STARTING || state == State.IDLE;
   }
@@ -97,7 +97,8 @@
 
   private void transitionTo(State next) {
     if (!TRANSITIONS.get(state).contains(next)) {
-      throw new IllegalStateException("a client's connection goes from " + state + " to " + next);
+      throw new IllegalStateException(
+          "invalid transition of a client connection from " + state + " to " + next);
     }
     state = next;
   }
@@ -115,10 +116,11 @@
   }
 
   /**
-   * Ends it silently: only between statements, with nothing of a next one read or received. Nothing
-   * comes between the look at its socket and the end, neither a clock nor the log: what a client
-   * sends meanwhile is closed over. False where the connection goes on, since its client has sent
-   * something by now or has not taken its last answer.
+   * Ends the connection without an error, only between statements and with nothing of a next
+   * message read or received. Nothing runs between the last read of the socket and the shutdown of
+   * the output, neither a clock nor the log, since input that arrives in between is discarded.
+   * Returns false and leaves the connection open if its client has sent something or has not read
+   * its last answer.
    */
   boolean endIfIdle(CloseReason closeReason) {
     if (!isIdle() || !connection.isAllWritten()) {
@@ -139,9 +141,9 @@
   }
 
   /**
-   * Begins to end it with an error that answers whatever its client has sent and this router has
-   * not taken. False where a statement is in hand, which is owed its own answer, or where the
-   * connection ends already.
+   * Begins to end the connection with an error, which answers all input that this router has not
+   * processed. Returns false if a statement is in progress, which gets its own answer first, or if
+   * the connection is already ending.
    */
   boolean beginEndWithError(CloseReason closeReason) {
     if (!canTakeMessage()) {
@@ -156,14 +158,14 @@
     transitionTo(State.FLUSHING);
   }
 
-  /** Its last words were written whole and this side's sending has ended. */
+  /** The final error is written and the output is shut down. */
   void onOutputShutdown() {
     transitionTo(State.HALF_CLOSED);
   }
 
   /**
-   * The client has gone, could not be written to, or has had its time. False where it was closed
-   * before.
+   * Marks the connection closed because the client disconnected, a write failed or a timeout
+   * expired. Returns false if it was closed already.
    */
   boolean markClosed(CloseReason closeReason) {
     if (state == State.CLOSED) {
--- a/router/src/main/java/basaltlever/net/ClientReceiveAllocator.java
+++ b/router/src/main/java/basaltlever/net/ClientReceiveAllocator.java
@@ -6,9 +6,9 @@
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 
 /**
- * Reads of clients' sockets, which go on where no memory is left for a buffer: Netty would close
- * the connection, and what is owed on it would be lost. With little memory each read is short, and
- * the budget of messages refuses what is too much.
+ * Allocates receive buffers for client sockets, and falls back to a small heap buffer when memory
+ * is exhausted. Netty would close the connection instead, and pending answers would be lost. With
+ * small buffers each read is short, and the message memory budget rejects what does not fit.
  */
 final class ClientReceiveAllocator extends AdaptiveRecvByteBufAllocator {
   private static final int FALLBACK_BUFFER_BYTES = 512;
@@ -21,7 +21,7 @@
       public ByteBuf allocate(ByteBufAllocator allocator) {
         try {
           return super.allocate(allocator);
-        } catch (OutOfMemoryError full) {
+        } catch (OutOfMemoryError outOfMemory) {
           return Unpooled.buffer(FALLBACK_BUFFER_BYTES, FALLBACK_BUFFER_BYTES);
         }
       }
--- a/router/src/main/java/basaltlever/net/ClientSessions.java
+++ b/router/src/main/java/basaltlever/net/ClientSessions.java
@@ -17,14 +17,14 @@
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 
-/** The clients' connections, and the way of their statements to the decisions. */
+/** Manages the client connections and submits their statements to the router core. */
 final class ClientSessions implements ClientHost {
-  /** A client may rely on an idle connection for this long. */
+  /** Time for which an idle connection is not shed. */
   private static final Span MIN_IDLE_TIME = Span.ofMillis(2_000);
 
   /**
-   * Of the longest time after which a client may be told to come back; descriptors are free again
-   * much sooner.
+   * Fraction of the maximum retry-after time that is sent to rejected clients; descriptors are free
+   * again much sooner than the maximum.
    */
   private static final double RETRY_AFTER_FRACTION = 0.25;
 
@@ -45,7 +45,7 @@
   private boolean closingIdle;
   private boolean refusingAll;
 
-  /** When this router ends, if it is known: no statement's time is longer than its own. */
+  /** When this router shuts down, if known; no statement's deadline is later. */
   private Moment shutdownDeadline = Moment.NEVER;
 
   ClientSessions(
@@ -87,8 +87,8 @@
   }
 
   /**
-   * A new connection, which may have waited in the listen queue since then, and has been silent
-   * since the other moment if it has sent nothing; where there is no room it is told so.
+   * Creates a connection that may have been in the listen queue since {@code queuedSince}, and
+   * silent since {@code silentSince} if it has sent nothing. Without room it will be rejected.
    */
   ClientConnection admit(Moment queuedSince, Moment silentSince) {
     counters().add(Counter.CLIENT_ACCEPTED);
@@ -104,10 +104,7 @@
     return connection;
   }
 
-  /**
-   * This router ends the connection, for this reason, with so many bytes of a message that had not
-   * come whole.
-   */
+  /** Counts and logs the end of a connection; ends at shutdown are only counted. */
   @Override
   public void onEndBegun(
       long connectionNumber, Object client, CloseReason closeReason, int partialBytes) {
@@ -122,15 +119,11 @@
     iteration.load().reads();
   }
 
-  /** In the turn behind all reads of this look at the sockets. */
   @Override
   public void runAfterReads(Runnable step) {
     iteration.hear(now -> step.run());
   }
 
-  /**
-   * When a client that is turned away may come back; 0 where the settings do not let it be told.
-   */
   @Override
   public long retryAfterMillis() {
     return retryAfter.micros() / 1_000;
@@ -140,7 +133,7 @@
     retryAfter = maxRetryAfter.times(RETRY_AFTER_FRACTION);
   }
 
-  /** For what is read from here on. */
+  /** Sets the workloads for statements that are read from now on. */
   void setWorkloadSlots(WorkloadSlots newSlots) {
     slots = newSlots;
   }
@@ -155,7 +148,6 @@
     return workload;
   }
 
-  /** Takes the text over. */
   @Override
   public PendingStatement submit(
       ClientConnection client, ByteBuf text, Query query, int workload, Moment arrivedAt) {
@@ -175,11 +167,11 @@
     boolean fits = budget.reserve(text.capacity());
     iteration.hear(
         now -> {
-          // Its client waits since it sent, not since this loop came to read.
+          // The deadline counts from the arrival of the statement, not from when it was read.
           pendingStatement.owedBy =
               arrivedAt.plus(Span.ofMillis((double) query.timeoutMillis)).earlier(shutdownDeadline);
-          // Where this loop was held up its client may have gone behind its statement, which nobody
-          // has read yet.
+          // If the event loop was stalled, the client may have disconnected, with its end of stream
+          // still unread.
           client.readIfStatementWaited(arrivedAt);
           if (!client.isWaitingFor(pendingStatement)) {
             return;
@@ -211,10 +203,7 @@
     return pendingStatement;
   }
 
-  /**
-   * Called every so often: ends what keeps this router waiting, and what it no longer needs to
-   * keep.
-   */
+  /** Ends connections that have timed out and sheds idle ones; called periodically. */
   void sweep() {
     Moment now = now();
     new ArrayList<>(connections).forEach(connection -> connection.endIfTimedOut(now));
@@ -227,7 +216,6 @@
     return trace;
   }
 
-  /** When the bytes that are read now have come, at the latest. */
   @Override
   public Moment earliestArrival() {
     return iteration.arrival();
@@ -238,7 +226,7 @@
     return iteration.clock().now();
   }
 
-  /** Its client has gone away, or must go. */
+  /** The client has disconnected or its connection is being ended. */
   @Override
   public void onClientLeft(ClientConnection connection, PendingStatement pendingStatement) {
     descriptors.markBusy(connection);
@@ -254,15 +242,15 @@
     }
   }
 
-  /** What is taken from here on is answered by then. */
+  /** Bounds the deadlines of statements that are submitted from now on. */
   void setShutdownDeadline(Moment deadline) {
     shutdownDeadline = deadline;
   }
 
   /**
-   * From here on connections end with their statements. One that has just come has its first
-   * statement on the way, and closed unread it would be lost: it is taken, or the time for it runs
-   * out.
+   * Ends idle connections, and from now on each connection after its statement. A new connection
+   * stays open until its first statement is answered or times out: that statement may be under way,
+   * and a close would lose it.
    */
   void closeIdleClients() {
     closingIdle = true;
@@ -273,7 +261,7 @@
     }
   }
 
-  /** Nothing is read any more but to be thrown away. */
+  /** Ends all connections; further input is read and discarded. */
   void endAllImmediately() {
     closingIdle = true;
     new ArrayList<>(connections).forEach(ClientConnection::endImmediately);
@@ -285,8 +273,7 @@
   }
 
   /**
-   * The decisions have answered for the last time: what is read from here on is rejected where it
-   * is.
+   * Refuses statements that are read from now on, since the router core has given its last answers.
    */
   void refuseAllStatements() {
     refusingAll = true;
--- a/router/src/main/java/basaltlever/net/ClientSocket.java
+++ b/router/src/main/java/basaltlever/net/ClientSocket.java
@@ -5,43 +5,43 @@
 import io.netty.buffer.ByteBufAllocator;
 
 /**
- * What a client's connection asks of its socket. What is read is told to {@link
+ * The socket operations that a client connection uses. Input is passed to {@link
  * ClientConnection#onBytesReceived}.
  */
 interface ClientSocket {
   ByteBufAllocator alloc();
 
-  /** Hands bytes over to be written with the next flush. */
+  /** Queues bytes for the next flush. */
   void write(ByteBuf out);
 
-  /** As write and flush; the callback is told whether the system has taken all of it. */
+  /** Writes and flushes; the callback receives whether the system has accepted all of it. */
   void writeAndFlush(ByteBuf out, java.util.function.Consumer<Boolean> onWritten);
 
   void flush();
 
-  /** False while its peer does not take what was written. */
+  /** Returns false while the client does not read what was written. */
   boolean isWritable();
 
-  /** Whether the system has taken all that was written. */
+  /** Whether the system has accepted all that was written. */
   boolean isAllWritten();
 
   /**
-   * Reads at once all that the machine has received by now; never from within a read of the same
-   * socket.
+   * Reads all input that the system has received by now; never called from within a read of the
+   * same socket.
    */
   void readAvailable();
 
-  /** Whether it is read as something comes. */
+  /** Whether input is read as it arrives. */
   void setAutoRead(boolean autoRead);
 
-  /** Ends this side's sending behind all that was written. */
+  /** Shuts down the output after all that was written. */
   void shutdownOutput();
 
   void close();
 
-  /** Runs a task later, and not before the sockets have been looked at again. */
+  /** Runs a task later, after at least one more select of the event loop. */
   void schedule(Span delay, Runnable task);
 
-  /** The peer's address, for the log. */
+  /** Returns the address of the client, for the log. */
   Object remoteAddress();
 }
--- a/router/src/main/java/basaltlever/net/CloseReason.java
+++ b/router/src/main/java/basaltlever/net/CloseReason.java
@@ -2,23 +2,23 @@
 
 import basaltlever.log.Counter;
 
-/** Why a connection of a client, or an idle one to a node, ends. */
+/** Why a client connection, or an idle connection to an endpoint, is closed. */
 enum CloseReason {
-  /** The client closed or reset it, or said that it ends. */
+  /** The client closed or reset the connection, or sent Terminate. */
   PEER_CLOSED(Counter.CLIENT_CLOSED_BY_PEER),
-  /** A fault of the protocol, or more sent ahead than may wait. */
+  /** A protocol error, or more pipelined input than is allowed. */
   PROTOCOL_ERROR(Counter.CLIENT_CLOSED_PROTOCOL_ERROR),
-  /** No start, no first statement or half a message for too long. */
+  /** The startup message, the first statement or the rest of a message timed out. */
   SILENT(Counter.CLIENT_CLOSED_SILENT),
-  /** It was idle where idle clients are many. */
+  /** The connection was idle while idle clients were many. */
   IDLE(Counter.CLIENT_CLOSED_IDLE),
-  /** It was idle, and its descriptor was needed. */
+  /** The connection was idle, and its descriptor was needed. */
   DESCRIPTOR_NEEDED(Counter.CLIENT_CLOSED_FOR_DESCRIPTOR),
-  /** It had asked nothing yet, or had just come, and there was no descriptor for it. */
+  /** The client was new or had sent no statement, and no descriptor was free for it. */
   TURNED_AWAY(Counter.CLIENT_TURNED_AWAY),
-  /** This router ends. */
+  /** The router shuts down. */
   SHUTDOWN(Counter.CLIENT_CLOSED_SHUTDOWN),
-  /** Reading or writing failed on this side, or there was no memory for it. */
+  /** Reading or writing failed in this program, or memory was exhausted. */
   FAULT(Counter.CLIENT_CLOSED_FAULT);
 
   final Counter counter;
--- a/router/src/main/java/basaltlever/net/DeferredAccept.java
+++ b/router/src/main/java/basaltlever/net/DeferredAccept.java
@@ -10,32 +10,36 @@
 import org.slf4j.event.Level;
 
 /**
- * Keeps connections that have sent nothing out of the listen queue while a crowd of them may be
- * there: in the first seconds of a process, when all clients of a former one come back, and while
- * many have connected and said nothing. The queue is first in, first out: without this a client
- * with a statement waits until all silent ones before it have been accepted and rejected, and those
- * come back behind it at once. Where the system does not offer it, all are accepted as they come.
+ * Keeps connections that have sent nothing out of the listen queue while a crowd of them is likely:
+ * in the first seconds of a process, when all clients of its predecessor reconnect, and while many
+ * connected clients have sent no statement. The queue is first in, first out: without the deferral,
+ * a client with a statement waits until all silent connections before it are accepted and rejected,
+ * and those reconnect behind it immediately. Where the system does not support it, connections are
+ * accepted in the order of their arrival.
  */
 final class DeferredAccept {
-  /** The least that the system takes; a silent connection is accepted after this time. */
+  /**
+   * The shortest deferral that the system supports; a silent connection is accepted after this
+   * time.
+   */
   static final Span DEFERRAL = Span.ofMillis(1_000);
 
   private static final int DEFERRAL_SECONDS = 1;
 
-  /** The system's own timer for a deferral may be this much late. */
+  /** Maximum delay of the system's deferral timer. */
   private static final Span TIMER_SLACK = Span.ofMillis(100);
 
-  /** It ends when it has not been requested for so long. */
+  /** Time without a request after which the deferral is turned off. */
   private static final Span OFF_DELAY = Span.ofMillis(5_000);
 
   private static final Logger LOG = LoggerFactory.getLogger(DeferredAccept.class);
 
   private enum State {
-    /** Not to be had here, or the listener is not set up. */
+    /** Not supported by the system, or the listener is not set up. */
     UNAVAILABLE,
     OFF,
     ON,
-    /** The router ends. */
+    /** The router shuts down. */
     ENDED
   }
 
@@ -48,7 +52,7 @@
     this.iteration = iteration;
   }
 
-  /** The listener begins to listen, with the deferral on; unless the router ends by now. */
+  /** Turns the deferral on for a new listener, unless the router already shuts down. */
   void begin(ListenerSocket listener) {
     if (state != State.ENDED) {
       socket = listener;
@@ -57,12 +61,15 @@
     }
   }
 
-  /** Whether a connection that is accepted with nothing sent has waited for the deferral. */
+  /** Whether a connection that is accepted without input has waited for the deferral. */
   boolean isOn() {
     return state == State.ON;
   }
 
-  /** Many clients have connected and said nothing, or there is no room for the next one. */
+  /**
+   * Requests the deferral, because many clients have sent no statement or there is no room for
+   * another one.
+   */
   void request() {
     requestedAt = iteration.clock().now();
     if (state == State.OFF) {
@@ -84,7 +91,7 @@
     }
   }
 
-  /** Called every so often: ends the deferral where it has not been requested for a while. */
+  /** Turns the deferral off if it has not been requested for a while; called periodically. */
   void sweep(Moment now) {
     if (state == State.ON && now.since(requestedAt).isLongerThan(OFF_DELAY)) {
       applyDeferral(0, State.OFF);
@@ -92,8 +99,8 @@
   }
 
   /**
-   * The router ends, and its listener with it, which would reset connections that the system still
-   * keeps back. Returns how long it takes until the last of them is in the listen queue.
+   * Turns the deferral off at shutdown, since closing the listener would reset the connections that
+   * the system still defers. Returns the time until the last of them is in the listen queue.
    */
   Span end() {
     boolean wasOn = state == State.ON;
--- a/router/src/main/java/basaltlever/net/Descriptors.java
+++ b/router/src/main/java/basaltlever/net/Descriptors.java
@@ -13,31 +13,36 @@
 import org.slf4j.event.Level;
 
 /**
- * Shares the file descriptors between clients and nodes. What is counted is what is open: a socket
- * that was closed stays open up to the loop's next look at its sockets, and counts up to then.
- * Where descriptors run out, idle connections to nodes are closed and idle clients are told to go.
- * A client that was told keeps its descriptor until it has closed its side or its time is over, in
- * one of a few places that are kept for that; it is never cut off for another one.
+ * Divides the file descriptors between connections of clients and connections to endpoints. A
+ * closed socket stays open until the event loop's next select, and is counted until then. When
+ * descriptors run out, idle connections to endpoints are closed and idle clients are ended. A
+ * client that is being ended keeps its descriptor, in one of a few reserved places, until it closes
+ * its side or times out; it is never closed abruptly to make room for another client.
  */
 final class Descriptors {
-  /** A connection that can be ended between two uses of it. */
+  /** A connection that can be ended between two uses. */
   interface IdleConnection {
-    /** False where it is in use after all: its peer has sent something that was not read yet. */
+    /**
+     * Ends the connection, or returns false if it is in use because its peer has sent something
+     * that was not read yet.
+     */
     boolean endIfIdle(CloseReason closeReason);
 
     Moment idleSince();
   }
 
   /**
-   * A client's connection that was told to go and keeps a descriptor until its client has taken
-   * note.
+   * A client connection that can be ended and then keeps its descriptor until the client closes its
+   * side.
    */
   interface EvictableClient extends IdleConnection {
-    /** True where it has had the time that is always left to it, and was closed. */
+    /**
+     * Closes the connection and returns true if it has lingered for the guaranteed minimum time.
+     */
     boolean closeIfLingered();
   }
 
-  /** What a connection to a node is opened for, the most important first. */
+  /** The purpose of a connection to an endpoint, the most important first. */
   enum Use {
     EXECUTION,
     POLL,
@@ -54,57 +59,58 @@
     REFUSE
   }
 
-  /** Below this share of the descriptors idle clients are left alone, however long. */
+  /** Idle clients are not shed while clients hold less than this share of the limit. */
   private static final int SHED_THRESHOLD_DIVISOR = 8;
 
-  /** This share of the descriptors is kept for connections to nodes. */
+  /** Share of the limit that is reserved for connections to endpoints. */
   private static final int ENDPOINT_RESERVE_DIVISOR = 4;
 
   /**
-   * And so much of them may clients that have asked hold, busy or idle, before the idle are closed.
+   * Share of the limit that clients with at least one statement, busy or idle, may hold before the
+   * longest idle ones are ended.
    */
   private static final int ACTIVE_CLIENTS_DIVISOR = 4;
 
-  /** A share that connections opened ahead of need leave free. */
+  /** Share of the limit that warm-up connections leave free for connections that are needed now. */
   private static final int WARM_UP_RESERVE_DIVISOR = 8;
 
   /**
-   * With fewer no client could be served; what the runtime holds itself is counted with a margin
-   * larger than this.
+   * With fewer descriptors no client could be served. The estimate of the descriptors that the
+   * runtime itself holds has a larger margin than this.
    */
   private static final int MIN_LIMIT = 8;
 
   /**
-   * So many, or a small share, are kept for clients that were told to go and have not closed their
-   * side yet.
+   * The number of places reserved for clients that were ended and have not closed their side: a
+   * share of the limit between these bounds.
    */
   private static final int MAX_LINGERING = 32;
 
   private static final int MIN_LINGERING = 2;
   private static final int LINGERING_DIVISOR = 8;
 
-  /** Who has just connected commonly asks within this time. */
+  /** A client commonly sends its first statement within this time after it connects. */
   private static final Span FIRST_MESSAGE_GRACE = Span.ofMillis(50);
 
-  /** So many idle connections are looked at for one that can be ended. */
+  /** Number of idle connections that are tried in search of one that can be ended. */
   private static final int MAX_EVICTION_CANDIDATES = 4;
 
   private static final Span ONE_SECOND = Span.ofMillis(1_000);
 
-  /** Idle connections to nodes that are kept however little traffic there is. */
+  /** Lower bound of the limit on idle connections to endpoints. */
   private static final int MIN_IDLE_ENDPOINT_LIMIT = 64;
 
-  /** Of more traffic, as many as are used in this time. */
+  /** With more traffic, the limit is the number of connections used within this time. */
   private static final double IDLE_ENDPOINT_LIMIT_SECONDS = 8;
 
-  /** How fast the measure of the traffic follows it, from one sweep to the next. */
+  /** Weight of the latest sweep in the moving average of the use rate. */
   private static final double USE_RATE_SMOOTHING = 0.02;
 
   private static final Logger LOG = LoggerFactory.getLogger(Descriptors.class);
 
   /**
-   * Runs a task behind the loop's next look at its sockets, in which the system's sockets are
-   * closed.
+   * Runs a task after the event loop's next select, in which closed sockets release their
+   * descriptors.
    */
   private final Consumer<Runnable> afterNextSelect;
 
@@ -115,7 +121,9 @@
   private int clientConnections;
   private int activeClients;
 
-  /** Uses of connections to nodes: in the sweep under way, and for each second lately. */
+  /**
+   * Uses of connections to endpoints: since the last sweep, and their moving average per second.
+   */
   private int usesSinceSweep;
 
   private double usesPerSecond;
@@ -123,18 +131,18 @@
   private final LinkedHashSet<IdleConnection> idleEndpointConnections = new LinkedHashSet<>();
   private final LinkedHashSet<IdleConnection> idleClients = new LinkedHashSet<>();
 
-  /** Of clients that have not sent a whole message yet, the oldest first. */
+  /** Clients that have not sent a complete message yet, the oldest first. */
   private final LinkedHashSet<IdleConnection> newClients = new LinkedHashSet<>();
 
   private final LinkedHashSet<EvictableClient> lingeringClients = new LinkedHashSet<>();
 
-  /** Told of each descriptor that has become free. */
+  /** Runs for each descriptor that becomes free. */
   private Runnable onFreed = () -> {};
 
   private boolean activeClientsOverLimit;
   private final ArrayDeque<Runnable> waitingTasks = new ArrayDeque<>();
 
-  /** What is closed is free at once. */
+  /** Creates an instance for which a closed connection releases its descriptor immediately. */
   Descriptors(int limit) {
     this(limit, Runnable::run);
   }
@@ -144,7 +152,7 @@
     this.afterNextSelect = afterNextSelect;
   }
 
-  /** Logs how many are open by use, where that has changed since the last time. */
+  /** Logs the descriptors in use by purpose, if they have changed since the last report. */
   void report() {
     String report =
         limit
@@ -174,7 +182,10 @@
     }
   }
 
-  /** Where fewer are allowed than are open, newcomers take the place of the idle until it fits. */
+  /**
+   * Sets the limit. If more descriptors are open, new connections replace idle ones until the limit
+   * holds again.
+   */
   void setLimit(int newLimit) {
     limit = Math.max(MIN_LIMIT, newLimit);
   }
@@ -183,7 +194,7 @@
     return openConnections - clientConnections - lingeringClients.size();
   }
 
-  /** All but those that are kept for connections that linger. */
+  /** Whether all descriptors are in use except the places reserved for lingering clients. */
   private boolean isFull() {
     return openConnections - lingeringClients.size() >= limit - lingeringLimit();
   }
@@ -196,10 +207,13 @@
     onFreed = callback;
   }
 
-  /** How many new clients may be admitted now; all but a share that is kept for nodes. */
+  /**
+   * Returns how many new clients may be admitted now, given the share that is reserved for
+   * endpoints.
+   */
   int roomForClients() {
     int share = limit - limit / ENDPOINT_RESERVE_DIVISOR;
-    // Of those who have asked fewer: they may all have to be told to go, and stay for a while.
+    // Fewer active clients, since all of them may have to be ended and linger for a while.
     int inShare =
         Math.min(
             share - clientConnections,
@@ -210,8 +224,8 @@
   }
 
   /**
-   * How many more may be told at once that there is no room for them, and kept until they have
-   * taken note.
+   * Returns how many more connections may be accepted for rejection now and linger until their
+   * clients have read the error.
    */
   int roomForRejections() {
     return Math.max(
@@ -221,7 +235,7 @@
             limit - openConnections - closingConnections));
   }
 
-  /** False where it may only be told that there is no room for it. */
+  /** Counts a new client and returns whether it is admitted; if not, it may only be rejected. */
   boolean admitClient() {
     boolean admitted = roomForClients() > 0;
     clientConnections++;
@@ -230,9 +244,9 @@
   }
 
   /**
-   * For a new client: true where there is room now, or will be once a connection to a node has been
-   * closed. Clients that have said nothing for a while go first, then connections to nodes, then
-   * all other idle clients.
+   * Makes room for a new client. Clients that have been silent for a while are ended first, then
+   * connections to endpoints, then all other idle clients. Returns true if there is room now, or
+   * will be once a connection to an endpoint has closed.
    */
   boolean makeRoomForClient(Moment now) {
     if (lingeringClients.size() >= lingeringLimit()) {
@@ -252,8 +266,8 @@
   }
 
   /**
-   * A connection to a node; where the answer is to wait, {@link #awaitFree} tells when to ask
-   * again.
+   * Admits a connection to an endpoint. If the result is to wait, {@link #awaitFree} notifies the
+   * caller when to try again.
    */
   Admission admitEndpointConnection(Use use) {
     if (use == Use.WARM_UP
@@ -267,7 +281,7 @@
       usesSinceSweep++;
       return Admission.OPEN;
     }
-    // Each that is being closed has one waiting for it; one more has to be closed for one more.
+    // Each closing connection already serves one waiting task, so one more has to be closed.
     boolean isBeingFreed = !isFull && closingConnections > waitingTasks.size();
     boolean roomMade =
         isBeingFreed
@@ -278,7 +292,7 @@
     return roomMade ? Admission.WAIT : Admission.REFUSE;
   }
 
-  /** The task is run once a descriptor has become free, or at once where one is. */
+  /** Runs the task once a descriptor is free, or after the next select if one is free now. */
   void awaitFree(Runnable task) {
     waitingTasks.add(task);
     afterNextSelect.accept(this::runWaiting);
@@ -303,7 +317,10 @@
         });
   }
 
-  /** It has been told to go; where a place is kept for it, its own is free for another client. */
+  /**
+   * Registers a client that is being ended. If a reserved place is free, the client's own place is
+   * free for another client.
+   */
   void addLingeringClient(EvictableClient connection) {
     if (lingeringClients.size() < lingeringLimit()) {
       clientConnections--;
@@ -328,12 +345,12 @@
     }
   }
 
-  /** Clients that have connected and asked nothing yet. */
+  /** Returns the number of clients that have sent no message yet. */
   int newClientCount() {
     return newClients.size();
   }
 
-  /** One that has asked nothing yet. */
+  /** Adds a client that has sent no message yet. */
   void addNewClient(IdleConnection connection) {
     newClients.add(connection);
   }
@@ -353,9 +370,9 @@
   }
 
   /**
-   * Where clients open a connection for each statement and keep it, those keep the next ones out:
-   * of more than a share the longest idle are told to go. Not while another connection is being
-   * read, which looks at no other.
+   * Ends the longest idle clients while active clients hold more than their share: clients that
+   * open a connection for each statement and keep it open would exclude new ones. Never called
+   * while another connection is being read, since ending a client reads its socket.
    */
   void endLongestIdleClients() {
     for (int i = 0; activeClientsOverLimit && i < MAX_LINGERING; i++) {
@@ -374,8 +391,8 @@
   }
 
   /**
-   * Clients that asked once and stay would keep others out. They are sent away before descriptors
-   * run out: clients may well be held to fewer connections than this router could admit.
+   * Ends clients that have been idle for long before descriptors run out, since they would exclude
+   * others: clients may be limited to fewer connections than this router could admit.
    */
   void shedIdleClients(Moment now, Span minIdleTime) {
     updateUseRate(now);
@@ -398,8 +415,8 @@
   }
 
   /**
-   * Others wait: of those that were told to go the longest ago, who has had the time that is always
-   * left to it.
+   * Makes room for others: closes the clients that have lingered longest, if each has had the
+   * guaranteed minimum time.
    */
   private void closeLingered() {
     int closedCount = 0;
@@ -414,7 +431,9 @@
     return evict(idleEndpointConnections, CloseReason.DESCRIPTOR_NEEDED);
   }
 
-  /** The longest idle that can be ended; one that turns out to be in use is passed over. */
+  /**
+   * Ends the longest idle connection that can be ended and skips those that turn out to be in use.
+   */
   private static boolean evict(Set<IdleConnection> candidates, CloseReason closeReason) {
     for (int i = 0; i < MAX_EVICTION_CANDIDATES && !candidates.isEmpty(); i++) {
       IdleConnection longest = candidates.iterator().next();
@@ -423,8 +442,8 @@
         return true;
       }
       if (candidates.remove(longest)) {
-        // Still idle by its own account, as with half a statement read: the next time others come
-        // first.
+        // The connection still counts as idle, for example with half a statement read. It moves to
+        // the end so that others are tried first.
         candidates.add(longest);
       }
     }
--- a/router/src/main/java/basaltlever/net/EndedConnectionLog.java
+++ b/router/src/main/java/basaltlever/net/EndedConnectionLog.java
@@ -9,8 +9,8 @@
 import org.slf4j.event.Level;
 
 /**
- * Names in the log which connections this router ended and why; so many lines a second, all of them
- * are counted.
+ * Logs which connections this router ended and why, with a bounded number of lines per second;
+ * counters cover all of them.
  */
 final class EndedConnectionLog {
   private static final Logger LOG = LoggerFactory.getLogger(EndedConnectionLog.class);
--- a/router/src/main/java/basaltlever/net/ListenQueue.java
+++ b/router/src/main/java/basaltlever/net/ListenQueue.java
@@ -5,9 +5,10 @@
 import java.util.ArrayDeque;
 
 /**
- * Since when a connection may have waited in the listen queue: since the last look that found the
- * queue empty. Where a crowd never lets it be empty, the queue's length bounds it too: who is
- * accepted behind more than it holds came after those.
+ * Estimates since when a connection may have waited in the listen queue: since the last read that
+ * emptied the queue. If a crowd never lets it become empty, the capacity is a second bound: if more
+ * connections than the capacity have been accepted since some moment, the latest of them arrived
+ * after that moment.
  */
 final class ListenQueue {
   private static final Span SAMPLE_INTERVAL = Span.ofMillis(5);
@@ -18,23 +19,25 @@
   private final int capacity;
   private final ArrayDeque<Sample> samples = new ArrayDeque<>();
 
-  /** By the latest sample that is more than a whole queue behind. */
+  /**
+   * The time of the latest sample that lies more than a full queue of accepted connections back.
+   */
   private Moment fullQueueBound = Moment.LONG_AGO;
 
-  /** Never where the last look found the queue empty. */
+  /** Never if the last read emptied the queue. */
   private Moment nonEmptySince = Moment.NEVER;
 
   private Moment nonEmptySinceBefore = Moment.NEVER;
   private long accepted;
 
-  /** The system holds one more than the length. */
+  /** Creates an estimate for this backlog; Linux holds one connection more than the backlog. */
   ListenQueue(int length) {
     this.capacity = length + 1;
   }
 
   /**
-   * The next connection is accepted, in a look that finds what came after this moment; since when
-   * it may have waited.
+   * Records an accepted connection, in a read that finds what arrived after {@code
+   * earliestArrival}. Returns the earliest time at which the connection may have entered the queue.
    */
   Moment onAccept(Moment earliestArrival, Moment now) {
     if (samples.isEmpty() || now.since(samples.peekLast().at()).isLongerThan(SAMPLE_INTERVAL)) {
@@ -50,15 +53,15 @@
     return nonEmptySince.earlier(earliestArrival).later(fullQueueBound);
   }
 
-  /** A look at the queue has ended, and whether nothing was left in it. */
+  /** Records the end of a read, and whether it emptied the queue. */
   void onReadComplete(boolean foundEmpty, Moment earliestArrival) {
     nonEmptySinceBefore = nonEmptySince;
     nonEmptySince = foundEmpty ? Moment.NEVER : nonEmptySince.earlier(earliestArrival);
   }
 
   /**
-   * The look that has just ended was broken off by a fault: what was left in the queue is not
-   * known.
+   * Records that the read that has just ended failed, so that the remaining queue length is
+   * unknown.
    */
   void onReadFailed(Moment earliestArrival) {
     nonEmptySince = nonEmptySinceBefore.earlier(earliestArrival);
--- a/router/src/main/java/basaltlever/net/ListenerSocket.java
+++ b/router/src/main/java/basaltlever/net/ListenerSocket.java
@@ -9,12 +9,12 @@
 import java.nio.file.Path;
 
 /**
- * A listener's socket by its descriptor, for TCP_DEFER_ACCEPT, which the JDK does not offer: with
- * it Linux puts a connection into the listen queue once its client has sent something, or when the
- * time is over.
+ * Accesses a listener's socket by its descriptor to set TCP_DEFER_ACCEPT, which the JDK does not
+ * support. With it, Linux puts a connection into the listen queue once its client has sent
+ * something or the timeout has expired.
  */
 final class ListenerSocket {
-  /** Names and numbers are those of Linux. */
+  /** Names and numbers of socket options on Linux. */
   private static final int SOL_SOCKET = 1;
 
   private static final int SO_ACCEPTCONN = 30;
@@ -29,24 +29,24 @@
   }
 
   /**
-   * Loads the native library, so that {@link #find} need not; false where there is none for this
-   * system. Not for an event loop's thread.
+   * Loads the native library, so that {@link #find} does not have to. Returns false if there is
+   * none for this system. Not for event loop threads.
    */
   static boolean load() {
     return Epoll.isAvailable();
   }
 
   /**
-   * Finds the socket of this process that listens at the address. Reads files: not for an event
-   * loop's thread.
+   * Finds the socket of this process that listens at the address. Reads files, so it is not for
+   * event loop threads.
    */
   static ListenerSocket find(InetSocketAddress address) throws IOException {
     if (!Epoll.isAvailable()) {
-      throw new IOException("no native transport: " + Epoll.unavailabilityCause());
+      throw new IOException("native transport is unavailable: " + Epoll.unavailabilityCause());
     }
     String[] descriptors = DESCRIPTOR_DIRECTORY.toFile().list();
     if (descriptors == null) {
-      throw new IOException(DESCRIPTOR_DIRECTORY + " can't be listed");
+      throw new IOException(DESCRIPTOR_DIRECTORY + " cannot be listed");
     }
     for (String descriptor : descriptors) {
       if (isSocket(descriptor)) {
@@ -82,7 +82,7 @@
     }
   }
 
-  /** How long Linux defers a connection that sends nothing; 0 for not at all. */
+  /** Sets how long Linux defers a connection that sends nothing; 0 turns the deferral off. */
   void deferAccept(int seconds) throws IOException {
     socket.setIntOpt(IPPROTO_TCP, TCP_DEFER_ACCEPT, seconds);
   }
--- a/router/src/main/java/basaltlever/net/SystemListenQueue.java
+++ b/router/src/main/java/basaltlever/net/SystemListenQueue.java
@@ -12,8 +12,8 @@
 import org.slf4j.event.Level;
 
 /**
- * What the system allows a listen queue to hold, and how often one was full; on Linux, elsewhere
- * nothing is known.
+ * Reads the system's limit on the length of listen queues, and how often one overflowed. Other
+ * systems than Linux provide neither.
  */
 final class SystemListenQueue {
   private static final Logger LOG = LoggerFactory.getLogger(SystemListenQueue.class);
@@ -29,39 +29,44 @@
     this.requestedLength = requestedLength;
   }
 
-  /** As many as are wanted, or what the system allows, which is logged where it is less. */
+  /**
+   * Returns the requested length or the system's limit, whichever is less; a limit below the
+   * request is logged.
+   */
   int length() {
     int maxLength = requestedLength;
     try (FileInputStream in = new FileInputStream(MAX_LENGTH_FILE.toFile())) {
-      // In one piece: the system gives nothing of such a file to a second read.
+      // A single read: the system returns nothing for a second read of such a file.
       byte[] text = new byte[MAX_FILE_BYTES];
       int read = in.read(text);
       maxLength =
           Integer.parseInt(
               new String(text, 0, Math.max(0, read), StandardCharsets.US_ASCII).strip());
     } catch (IOException | NumberFormatException unreadable) {
-      // Then the system cuts it by itself, and what waits is taken to have waited longer than it
-      // has.
+      // The system then truncates the queue by itself, and the estimate of the waiting time in the
+      // queue is too long rather than too short.
     }
     if (maxLength < requestedLength) {
       Event.LISTEN_QUEUE.log(
           LOG,
           Level.WARN,
-          "bursts of new clients beyond this are not accepted at once",
+          "the system limits the listen queue; larger bursts of new connections overflow it",
           maxLength,
           requestedLength);
     }
     return Math.max(1, Math.min(requestedLength, maxLength));
   }
 
-  /** Since the last time this was asked; of all listeners on this machine. */
+  /** Returns the overflows of all listeners on this machine since the last call. */
   long newOverflows() {
     long before = overflows;
     overflows = readOverflows();
     return Math.max(0, overflows - before);
   }
 
-  /** The file has a line of names and a line of values for each section. */
+  /**
+   * Reads the overflow counter. The file has a line of names and a line of values for each section.
+   */
   private static long readOverflows() {
     try {
       List<String> lines =
--- a/router/src/test/java/basaltlever/DeferredAcceptTest.java
+++ b/router/src/test/java/basaltlever/DeferredAcceptTest.java
@@ -8,16 +8,14 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/**
- * Connections that the system keeps out of a router's listen queue until they have sent something.
- */
+/** Tests a router whose listener defers connections that have sent nothing. */
 class DeferredAcceptTest {
   private static final int SILENT_CONNECTIONS = 1_000;
   private static final long SHORTER_THAN_DEFERRAL_MILLIS = 700;
 
   /**
-   * Guards against: a client with a statement waited behind a crowd that said nothing, each of
-   * which was accepted and rejected before it.
+   * Guards against a client with a statement that waits behind a crowd of silent connections, each
+   * of which is accepted and rejected first.
    */
   @Example
   void silentConnectionsDoNotDelayAClientWithAStatement() throws Exception {
@@ -29,11 +27,13 @@
       }
       try (Client client = new Client(world.port).start()) {
         client.answer();
-        check(client.ask(statement("a1", "view", 900)).answer().equals("row:a1"), "served");
+        check(
+            client.ask(statement("a1", "view", 900)).answer().equals("row:a1"),
+            "the statement is answered with a row");
       }
       boolean deferred =
           System.nanoTime() - connectingSince < SHORTER_THAN_DEFERRAL_MILLIS * 1_000_000;
-      check(!deferred || silent.get(0).in.available() == 0, "nobody was rejected for it");
+      check(!deferred || silent.get(0).in.available() == 0, "no silent connection was rejected");
     } finally {
       for (Client silentClient : silent) {
         silentClient.close();
@@ -41,15 +41,17 @@
     }
   }
 
-  /** Guards against: a listener that ends resets who has connected and is kept back. */
+  /** Guards against a listener that resets deferred connections when it closes at shutdown. */
   @Example
   void aDeferredConnectionIsServedWhenTheRouterShutsDown() throws Exception {
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       world.router.drain();
       Thread.sleep(SHORTER_THAN_DEFERRAL_MILLIS);
-      check(client.start().answer().isEmpty(), "welcomed");
-      check(client.ask(statement("a1", "view", 900)).answer().equals("row:a1"), "served");
+      check(client.start().answer().isEmpty(), "the deferred connection starts up");
+      check(
+          client.ask(statement("a1", "view", 900)).answer().equals("row:a1"),
+          "the statement is answered with a row");
     }
   }
 }
--- a/router/src/test/java/basaltlever/net/AcceptBatchTest.java
+++ b/router/src/test/java/basaltlever/net/AcceptBatchTest.java
@@ -5,7 +5,7 @@
 import basaltlever.time.Span;
 import net.jqwik.api.Example;
 
-/** How many connections one look at the sockets accepts. */
+/** Tests how the size of an accept batch follows the time that accepting takes. */
 class AcceptBatchTest {
   private static final Span COLD_ACCEPT_TIME = Span.ofMillis(6);
   private static final Span WARM_ACCEPT_TIME = Span.ofMillis(0.08);
@@ -15,16 +15,17 @@
   }
 
   /**
-   * Guards against: beside load the newcomers of a burst, accepted 16 in a look of 100 ms and more,
-   * made all statements late that were in hand, and a third of the burst was rejected.
+   * Guards against batches that delay the statements in progress: under load, a burst of new
+   * connections was accepted 16 per read, which took 100 ms and more. All statements in progress
+   * missed their deadlines, and a third of the burst was rejected.
    */
   @Example
   void slowAcceptsShrinkTheBatchToOne() {
     AcceptBatch batch = new AcceptBatch();
     acceptFullBatch(batch, COLD_ACCEPT_TIME);
-    check(batch.size() == 1, "one: " + batch.size());
+    check(batch.size() == 1, "batch size after slow accepts, expected 1: " + batch.size());
     acceptFullBatch(batch, COLD_ACCEPT_TIME);
-    check(batch.size() == 1, "never none: " + batch.size());
+    check(batch.size() == 1, "batch size after more slow accepts, expected 1: " + batch.size());
   }
 
   @Example
@@ -34,7 +35,9 @@
     for (int i = 0; i < 5; i++) {
       acceptFullBatch(batch, WARM_ACCEPT_TIME);
     }
-    check(batch.size() == AcceptBatch.MAX_CONNECTIONS, "all: " + batch.size());
+    check(
+        batch.size() == AcceptBatch.MAX_CONNECTIONS,
+        "batch size after fast accepts, expected the maximum: " + batch.size());
   }
 
   @Example
@@ -42,6 +45,6 @@
     AcceptBatch batch = new AcceptBatch();
     int before = batch.size();
     batch.recordAccepted(0, Span.ofMillis(50));
-    check(batch.size() == before, "as it was");
+    check(batch.size() == before, "a read without connections changed the batch size");
   }
 }
--- a/router/src/test/java/basaltlever/net/ClientEndTest.java
+++ b/router/src/test/java/basaltlever/net/ClientEndTest.java
@@ -9,10 +9,11 @@
 import net.jqwik.api.Example;
 
 /**
- * Seen: connections of several clients were ended in one moment, each 50 to 90 ms after its
- * statement had been sent. How: a turn of the loop took that long, and in the next one an idle
- * connection was ended for another client before its own socket was read. Cause: what was received
- * and not yet read did not count. Proof: below, in that order, on a loop that is held up.
+ * Guards against ending an idle connection over a statement that was received and not yet read.
+ * Connections of several clients were ended together, each 50 to 90 ms after its statement had been
+ * sent: an event loop iteration took that long, and the next one ended an idle connection to make
+ * room for another client before it read its socket. The test repeats that order on a stalled event
+ * loop.
  */
 class ClientEndTest {
   private static final int WAIT_MILLIS = 600;
@@ -26,19 +27,21 @@
         idleClients.add(new Client(router.port).start().ask(""));
         check(
             idleClients.get(i).answer().isEmpty() && idleClients.get(i).answer().equals("I"),
-            "it rests");
+            "the client starts up and its empty query is answered");
       }
       try (Client another = new Client(router.port)) {
-        check(another.start().answer().isEmpty(), "it has asked nothing yet");
+        check(another.start().answer().isEmpty(), "another client starts up");
         router.standsStill(100);
         Thread.sleep(20);
         another.ask("");
         idleClients.get(0).ask(statement("r1", "list", WAIT_MILLIS));
-        check(another.answer().equals("I"), "one more asks, and one has to go for it");
+        check(
+            another.answer().equals("I"),
+            "the new client's empty query is answered while an idle one is evicted");
         String answer = idleClients.get(0).answer();
         check(
             answer.startsWith("error:58000"),
-            "the longest idle had sent a statement by then: " + answer);
+            "the longest idle client had sent a statement and gets its answer: " + answer);
       }
     } finally {
       for (Client client : idleClients) {
@@ -48,15 +51,17 @@
   }
 
   /**
-   * What was sent while nothing could be accepted has waited since then: its time is not counted
-   * from when it is read.
+   * Guards against a deadline that counts from when a statement is read: while accepting fails, the
+   * statement waits in the listen queue.
    */
   @Example
   void timeInTheListenQueueCountsTowardsTheTimeout() throws Exception {
     try (HeldUpRouter router = new HeldUpRouter(100)) {
       try (Client first = new Client(router.port)) {
         first.start().ask(statement("q0", "list", 100));
-        check(first.answer().isEmpty() && first.answer().startsWith("error:58000"), "a first one");
+        check(
+            first.answer().isEmpty() && first.answer().startsWith("error:58000"),
+            "the first statement times out");
       }
       router.acceptFails = true;
       long sentAt = System.nanoTime();
@@ -66,9 +71,11 @@
         router.acceptFails = false;
         check(
             client.answer().isEmpty() && client.answer().startsWith("error:58000"),
-            "the guard's answer");
+            "the queued statement times out");
         long elapsedMillis = (System.nanoTime() - sentAt) / 1_000_000;
-        check(elapsedMillis <= WAIT_MILLIS + SLACK_MILLIS, "in its time: " + elapsedMillis);
+        check(
+            elapsedMillis <= WAIT_MILLIS + SLACK_MILLIS,
+            "milliseconds until the timeout answer: " + elapsedMillis);
       }
     }
   }
--- a/router/src/test/java/basaltlever/net/ClientModel.java
+++ b/router/src/test/java/basaltlever/net/ClientModel.java
@@ -22,12 +22,12 @@
 import java.util.function.Consumer;
 
 /**
- * One connection of a client, its socket with a receive queue and its router, in steps that a test
- * puts in any order. The connection is the program's own; the socket keeps what the machine has
- * received until it is read.
+ * Models one client connection with the receive queue of its socket and its router, for tests that
+ * perform steps in any order. The {@link ClientConnection} is the real one; the simulated socket
+ * holds what the system has received until it is read.
  */
 final class ClientModel implements ClientHost, ClientSocket {
-  /** What may happen next, and how often at most. */
+  /** The steps that a test performs, with the number of times each may occur. */
   enum Step {
     SEND(4),
     READ(3),
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Faults of the kinds that were found, planted at the socket. */
+  /** Faults like those found earlier, injected at the socket. */
   enum InjectedFault {
     NONE,
     NO_READ_BEFORE_THE_END,
@@ -131,8 +131,6 @@
     }
   }
 
-  // ---- Steps.
-
   boolean isEnabled(Step step) {
     return stepUses.getOrDefault(step, 0) < step.maxUses
         && switch (step) {
@@ -179,7 +177,7 @@
         if (injectedFault == InjectedFault.CLOSED_ON_READ_FAILURE) {
           close();
         } else {
-          connection.onFailure(new IllegalStateException("planted"));
+          connection.onFailure(new IllegalStateException("injected"));
         }
       }
       case CLIENT_TIMEOUT -> {
@@ -224,7 +222,7 @@
   private void answer() {
     if (pendingStatement != null) {
       pendingStatement = null;
-      connection.sendError(ProtocolCodes.SYSTEM_ERROR, "as planned", null);
+      connection.sendError(ProtocolCodes.SYSTEM_ERROR, "answer of the model", null);
     }
   }
 
@@ -238,9 +236,10 @@
     connection.onWritabilityChanged();
   }
 
-  // ---- The verdict.
-
-  /** What is owed and was not paid once all has settled; empty where nothing is. */
+  /**
+   * Lets all pending work finish and returns how an expected answer was missed or duplicated; empty
+   * if none was.
+   */
   String settle() {
     boolean writesFailed = writesFail;
     if (!clientReads) {
@@ -261,7 +260,7 @@
     if (violation.isEmpty() && !clientClosed && !writesFailed) {
       int answers = countAnswersAtClient();
       if (answers < expectedAnswers) {
-        violation = expectedAnswers + " owed, " + answers + " answered";
+        violation = expectedAnswers + " answers expected, " + answers + " received";
       } else if (answers != Integer.MAX_VALUE && answers > unitsSent - 2 && answers > 0) {
         violation = answers + " answers to " + (unitsSent - 2) + " statements";
       }
@@ -270,8 +269,8 @@
   }
 
   /**
-   * All that were asked where the last word is fatal: it answers what is in hand and refuses the
-   * rest.
+   * Counts the answers, or returns the maximum if the last one is a fatal error: that answers the
+   * statement in progress and refuses the rest.
    */
   private int countAnswersAtClient() {
     ByteBuf in = receivedByClient.duplicate();
@@ -289,7 +288,10 @@
     return Math.max(0, readyMessages - 1);
   }
 
-  /** Equal where nothing that comes can tell two models apart. */
+  /**
+   * Returns a description of the state; models with equal fingerprints behave the same from here
+   * on.
+   */
   String fingerprint() {
     return connection.state()
         + "/"
@@ -325,8 +327,6 @@
         + stepUses;
   }
 
-  // ---- The socket.
-
   @Override
   public ByteBufAllocator alloc() {
     return UnpooledByteBufAllocator.DEFAULT;
@@ -365,7 +365,7 @@
 
   @Override
   public void flush() {
-    // Taken as it is written.
+    // {@link #write} delivers immediately.
   }
 
   @Override
@@ -387,7 +387,7 @@
 
   @Override
   public void setAutoRead(boolean autoRead) {
-    // Every order of reads is played anyway.
+    // The exploration covers every order of reads anyway.
   }
 
   @Override
@@ -421,8 +421,6 @@
     return "client";
   }
 
-  // ---- The router.
-
   @Override
   public Moment now() {
     return now;
@@ -457,7 +455,7 @@
   public PendingStatement submit(
       ClientConnection client, ByteBuf text, Query query, int workload, Moment arrivedAt) {
     if (outputShutdown || closed) {
-      violation = "a statement was taken behind the end";
+      violation = "a statement was submitted after the end of the connection";
     }
     pendingStatement = new PendingStatement(1, client, text, query, arrivedAt, null);
     return pendingStatement;
@@ -470,7 +468,7 @@
 
   @Override
   public void onClosed(ClientConnection client) {
-    // Its descriptor is nobody's concern here.
+    // This model does not track descriptors after the close.
   }
 
   @Override
@@ -480,12 +478,12 @@
 
   @Override
   public void onInvalidInput(Object client, String problem) {
-    // For the log.
+    // Affects only the log.
   }
 
   @Override
   public void onMessageRead() {
-    // For the log.
+    // Affects only the load report.
   }
 
   @Override
--- a/router/src/test/java/basaltlever/net/ClientModelTest.java
+++ b/router/src/test/java/basaltlever/net/ClientModelTest.java
@@ -12,13 +12,13 @@
 import net.jqwik.api.Example;
 
 /**
- * Whatever comes in whatever order, what the machine has received whole before the end is answered,
- * once, or its client has gone. Every order of so many steps is played on the program's own
- * connection; orders that lead to the same state once.
+ * Explores every order of a limited number of steps on a {@link ClientConnection}, and each state
+ * once. In all of them, every statement that was received completely before the end of the
+ * connection is answered exactly once, unless its client has disconnected.
  */
 class ClientModelTest {
   static {
-    // The planted faults of reads are in the log by the hundred thousand else.
+    // The injected read failures would otherwise produce hundreds of thousands of log lines.
     System.setProperty("org.slf4j.simpleLogger.log.basaltlever.net.ClientConnection", "off");
   }
 
@@ -61,10 +61,13 @@
   void receivedStatementsAreAnsweredInEveryOrder() {
     Exploration exploration = explore(InjectedFault.NONE, DEPTH);
     check(
-        exploration.violation().isEmpty(), exploration.violation() + " by " + exploration.steps());
-    check(exploration.states() > 10_000, "orders were played: " + exploration.states());
+        exploration.violation().isEmpty(),
+        exploration.violation() + " after " + exploration.steps());
+    check(
+        exploration.states() > 10_000,
+        "explored states, expected more than 10000: " + exploration.states());
     System.out.println(
-        "states of a client's connection: " + exploration.states() + ", to a depth of " + DEPTH);
+        "explored states of a client connection: " + exploration.states() + ", depth " + DEPTH);
   }
 
   @Example
@@ -73,7 +76,7 @@
       if (injectedFault != InjectedFault.NONE) {
         check(
             !explore(injectedFault, DEPTH_WITH_FAULT).violation().isEmpty(),
-            "not found: " + injectedFault);
+            "fault not detected: " + injectedFault);
       }
     }
   }
--- a/router/src/test/java/basaltlever/net/DescriptorsTest.java
+++ b/router/src/test/java/basaltlever/net/DescriptorsTest.java
@@ -12,17 +12,14 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Who makes room where descriptors run out, and that those that linger are not counted as in use
- * for ever.
+ * Tests which connections make room when descriptors run out, and that the counts include each
+ * connection exactly as long as it is open.
  */
 class DescriptorsTest {
   private static final int LIMIT = 64;
   private static final int LINGERING_LIMIT = 8;
 
-  /**
-   * A connection as its owner tells of it; one of a client that has asked lingers when it is told
-   * to go.
-   */
+  /** A connection as its owner reports it; that of a client lingers after it is ended. */
   private static final class FakeConnection implements Descriptors.EvictableClient {
     final Descriptors descriptors;
     final boolean isEndpoint;
@@ -37,7 +34,7 @@
 
     @Override
     public boolean endIfIdle(CloseReason closeReason) {
-      check(!lingering && !closed, "who was told to go is never ended for another one");
+      check(!lingering && !closed, "a connection that was ended is not ended again");
       if (isEndpoint) {
         close();
         return true;
@@ -86,7 +83,7 @@
     if (descriptors.roomForClients() == 0) {
       return null;
     }
-    check(descriptors.admitClient(), "there was room");
+    check(descriptors.admitClient(), "a client is admitted while there is room");
     FakeConnection client = new FakeConnection(descriptors, false);
     connections.add(client);
     descriptors.addNewClient(client);
@@ -99,7 +96,7 @@
     return client;
   }
 
-  /** Asked as long as room is being made for it. */
+  /** Retries while room is being made. */
   private static boolean admitEndpoint(Descriptors descriptors) {
     for (int i = 0; i < LIMIT; i++) {
       Descriptors.Admission admission =
@@ -116,7 +113,9 @@
     Descriptors descriptors = new Descriptors(LIMIT);
     List<FakeConnection> connections = new ArrayList<>();
     for (int i = 0; i < LIMIT - LIMIT / 4; i++) {
-      check(openClient(descriptors, connections, false) != null, "clients have their share: " + i);
+      check(
+          openClient(descriptors, connections, false) != null,
+          "clients are admitted up to their share: " + i);
     }
     int endpointConnections = 0;
     while (endpointConnections < LIMIT && admitEndpoint(descriptors)) {
@@ -124,14 +123,14 @@
     }
     check(
         endpointConnections == LIMIT - LINGERING_LIMIT - connections.size(),
-        "nodes get what is left: " + endpointConnections);
+        "connections to endpoints get the remaining descriptors: " + endpointConnections);
     check(
         connections.stream().noneMatch(connection -> connection.closed),
-        "whoever has connected is owed an answer");
+        "no new client was closed");
     for (Descriptors.Use use : Descriptors.Use.values()) {
       check(
           descriptors.admitEndpointConnection(use) == Descriptors.Admission.REFUSE,
-          "no more for " + use);
+          "at the limit, a connection is refused for " + use);
     }
   }
 
@@ -144,26 +143,28 @@
       check(
           descriptors.admitEndpointConnection(Descriptors.Use.EXECUTION)
               == Descriptors.Admission.OPEN,
-          "room at first");
+          "connections to endpoints are admitted below the limit");
       endpointConnections.add(new FakeConnection(descriptors, true));
       descriptors.addIdleEndpointConnection(endpointConnections.get(i));
     }
     check(
         descriptors.admitEndpointConnection(Descriptors.Use.WARM_UP)
             == Descriptors.Admission.REFUSE,
-        "not ahead of need");
+        "warm-up is refused at the limit");
     check(
         descriptors.admitEndpointConnection(Descriptors.Use.EXECUTION)
             == Descriptors.Admission.WAIT,
-        "one is closed for it");
-    check(endpointConnections.get(0).closed, "the one that was idle for the longest");
+        "an execution waits while an idle connection closes");
+    check(endpointConnections.get(0).closed, "the longest idle connection is closed");
     List<String> admissions = new ArrayList<>();
     descriptors.awaitFree(
         () ->
             admissions.add(descriptors.admitEndpointConnection(Descriptors.Use.EXECUTION).name()));
-    check(admissions.isEmpty(), "it is still open in the system");
+    check(admissions.isEmpty(), "the task waits until the socket is closed");
     List.copyOf(afterSelectTasks).forEach(Runnable::run);
-    check(admissions.equals(List.of("OPEN")), "after the next look: " + admissions);
+    check(
+        admissions.equals(List.of("OPEN")),
+        "admission after the next select, expected OPEN: " + admissions);
   }
 
   @Example
@@ -176,14 +177,14 @@
     for (int i = 0; i < LIMIT / 4; i++) {
       check(
           admitEndpoint(descriptors),
-          "a connection to a node, or to discovery, has its place: " + i);
+          "connections to endpoints are admitted up to their share: " + i);
     }
     check(
         connections.stream()
                 .filter(connection -> connection.lingering && !connection.closed)
                 .count()
             >= LINGERING_LIMIT,
-        "the latest to be sent away have time to read on");
+        "the clients ended last may linger");
   }
 
   @Property(tries = 60, seed = "341", shrinking = ShrinkingMode.OFF)
@@ -211,7 +212,7 @@
                 new Moment(9_000_000), basaltlever.time.Span.ofMillis(2_000));
       }
       long open = connections.stream().filter(connection -> !connection.closed).count();
-      check(open <= LIMIT, "too many: " + open);
+      check(open <= LIMIT, "open connections exceed the limit: " + open);
     }
     new ArrayList<>(connections).forEach(FakeConnection::close);
     int admitted = 0;
@@ -222,6 +223,6 @@
     check(
         admitted == LIMIT - LIMIT / 4
             && newClients.stream().noneMatch(connection -> connection.closed),
-        "all came back: " + admitted);
+        "new clients admitted after all connections closed: " + admitted);
   }
 }
--- a/router/src/test/java/basaltlever/net/FloodTest.java
+++ b/router/src/test/java/basaltlever/net/FloodTest.java
@@ -31,14 +31,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One client that sends much at once has its share of each of the loop's iterations, and no more.
+ * Tests that a client with many pipelined messages gets a bounded share of each event loop
+ * iteration.
  */
 class FloodTest {
   private static final int QUERIES = 60_000;
 
-  /**
-   * What it may have answered in an iteration: a share when it is read, and one when it goes on.
-   */
+  /** One batch when the socket is read, and one for the scheduled continuation. */
   private static final int MAX_ANSWERS_PER_ITERATION = 2 * 16;
 
   private static final byte[] EMPTY_QUERY = {'Q', 0, 0, 0, 5, 0};
@@ -114,7 +113,7 @@
                   try {
                     client.getOutputStream().write(ByteBufUtil.getBytes(out));
                   } catch (java.io.IOException closed) {
-                    // Seen by who reads.
+                    // The reader detects the closed connection.
                   }
                 });
         loop.execute(() -> recordIteration(loop, answered, maxAnswered));
@@ -127,14 +126,14 @@
         }
         check(
             maxAnswered.get() > 1 && maxAnswered.get() <= MAX_ANSWERS_PER_ITERATION,
-            "answered in one iteration: " + maxAnswered);
+            "most answers in one iteration: " + maxAnswered);
       }
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
   }
 
-  /** Each iteration, by way of a timer: a task that adds a task would go on in the same one. */
+  /** Records each iteration by a timer: a task that adds a task would run in the same iteration. */
   private static void recordIteration(
       SingleThreadEventLoop loop, AtomicInteger answered, AtomicInteger maxAnswered) {
     maxAnswered.accumulateAndGet(answered.getAndSet(0), Math::max);
--- a/router/src/test/java/basaltlever/net/ListenerSocketTest.java
+++ b/router/src/test/java/basaltlever/net/ListenerSocketTest.java
@@ -9,7 +9,7 @@
 import java.nio.channels.SocketChannel;
 import net.jqwik.api.Example;
 
-/** What the system does with connections that have sent nothing; Linux only. */
+/** Tests how the system treats connections that have sent nothing; Linux only. */
 class ListenerSocketTest {
   private static final int DEFERRAL_SECONDS = 1;
   private static final long MAX_WAIT_MILLIS = 3_000;
@@ -26,12 +26,12 @@
   }
 
   /**
-   * Guards against: a client with a statement waited in the listen queue behind a crowd of
-   * connections that said nothing.
+   * Guards against a client with a statement that waits in the listen queue behind a crowd of
+   * silent connections.
    */
   @Example
   void aSilentConnectionIsKeptOutOfTheListenQueue() throws Exception {
-    check(ListenerSocket.load(), "the native library is there on the machines of the tests");
+    check(ListenerSocket.load(), "the native library is available on test machines");
     try (ServerSocketChannel listener = ServerSocketChannel.open()) {
       listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       listener.configureBlocking(false);
@@ -44,18 +44,21 @@
         try (SocketChannel first = acceptWithin(listener, MAX_WAIT_MILLIS)) {
           check(
               ((InetSocketAddress) first.getRemoteAddress()).getPort() == sending.getLocalPort(),
-              "who has sent something comes first");
+              "the connection that has sent something is accepted first");
         }
         try (SocketChannel second = acceptWithin(listener, MAX_WAIT_MILLIS)) {
           check(
               ((InetSocketAddress) second.getRemoteAddress()).getPort() == silent.getLocalPort(),
-              "who says nothing is accepted in the end");
+              "the silent connection is accepted after the deferral");
         }
       }
     }
   }
 
-  /** The listener of a router that ends would reset whom the system still keeps back. */
+  /**
+   * Guards against silent connections that are still deferred when the listener of a router closes
+   * at shutdown, which would reset them.
+   */
   @Example
   void withoutDeferralASilentConnectionIsAcceptedImmediately() throws Exception {
     try (ServerSocketChannel listener = ServerSocketChannel.open()) {
@@ -66,7 +69,7 @@
       socket.deferAccept(0);
       try (Socket silent = new Socket(address.getAddress(), address.getPort());
           SocketChannel accepted = listener.accept()) {
-        check(accepted != null, "accepted with nothing sent: " + silent);
+        check(accepted != null, "a silent connection is accepted: " + silent);
       }
     }
   }
@@ -76,7 +79,7 @@
     InetSocketAddress unusedAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     try {
       ListenerSocket.find(unusedAddress);
-      check(false, "found");
+      check(false, "found a listener at an unused address");
     } catch (java.io.IOException exception) {
       check(exception.getMessage().contains("no socket listens at"), exception.getMessage());
     }
