--- a/router/src/main/java/basaltlever/net/AcceptHandler.java
+++ b/router/src/main/java/basaltlever/net/AcceptHandler.java
@@ -158,7 +158,7 @@
 
     @Override
     public void readComplete() {
-      // {@link #channelReadComplete} does the work.
+      // channelReadComplete does the work.
     }
   }
 
--- a/router/src/main/java/basaltlever/net/ClientConnection.java
+++ b/router/src/main/java/basaltlever/net/ClientConnection.java
@@ -32,7 +32,7 @@
   private static final int MAX_STARTUP_MESSAGE_BYTES = 1 << 13;
 
   /**
-   * Most bytes that are buffered behind a statement in progress. Input beyond this is discarded
+   * Maximum number of bytes buffered behind a statement in progress. Input beyond this is discarded
    * rather than left unread, since unread input would hide that the client has disconnected.
    */
   private static final int MAX_PIPELINED_BYTES = 1 << 20;
@@ -60,7 +60,7 @@
   /** After this time without a read, the socket may hold an unread end of stream. */
   private static final Span MAX_READ_AGE = Span.ofMillis(10);
 
-  /** Messages of one client that are processed before other clients get their turn. */
+  /** Messages of one client processed per batch, before other clients get their turn. */
   private static final int MAX_MESSAGES_PER_BATCH = 16;
 
   /**
@@ -487,23 +487,23 @@
       }
     }
     MessageEncoder.readyForQuery(end);
-    StatementTrace.Life life = pendingStatement.life;
+    StatementTrace.Life traceEntry = pendingStatement.life;
     socket.writeAndFlush(
         end,
         written -> {
           budget.release(size);
-          host.trace().ends(life, written ? "row_out" : "row_lost");
+          host.trace().ends(traceEntry, written ? "row_out" : "row_lost");
         });
     onAnswered();
   }
 
   void sendError(String code, String message, String detail) {
     if (lifecycle.isBusy()) {
-      StatementTrace.Life life = pendingStatement.life;
+      StatementTrace.Life traceEntry = pendingStatement.life;
       ByteBuf out = socket.alloc().buffer();
       MessageEncoder.errorResponse(out, "ERROR", code, message, detail);
       MessageEncoder.readyForQuery(out);
-      socket.writeAndFlush(out, written -> host.trace().ends(life, written ? "out" : "lost"));
+      socket.writeAndFlush(out, written -> host.trace().ends(traceEntry, written ? "out" : "lost"));
       onAnswered();
     }
   }
--- a/router/src/main/java/basaltlever/net/Descriptors.java
+++ b/router/src/main/java/basaltlever/net/Descriptors.java
@@ -59,19 +59,21 @@
     REFUSE
   }
 
-  /** Idle clients are not shed while clients hold less than this share of the limit. */
+  /** Idle clients are not shed while clients hold at most the limit divided by this. */
   private static final int SHED_THRESHOLD_DIVISOR = 8;
 
-  /** Share of the limit that is reserved for connections to endpoints. */
+  /** The limit divided by this is reserved for connections to endpoints. */
   private static final int ENDPOINT_RESERVE_DIVISOR = 4;
 
   /**
-   * Share of the limit that clients with at least one statement, busy or idle, may hold before the
+   * Clients that have sent a statement, busy or idle, may hold the limit divided by this before the
    * longest idle ones are ended.
    */
   private static final int ACTIVE_CLIENTS_DIVISOR = 4;
 
-  /** Share of the limit that warm-up connections leave free for connections that are needed now. */
+  /**
+   * Warm-up connections leave the limit divided by this free for connections that are needed now.
+   */
   private static final int WARM_UP_RESERVE_DIVISOR = 8;
 
   /**
@@ -92,7 +94,7 @@
   /** A client commonly sends its first statement within this time after it connects. */
   private static final Span FIRST_MESSAGE_GRACE = Span.ofMillis(50);
 
-  /** Number of idle connections that are tried in search of one that can be ended. */
+  /** How many idle connections are tried to find one that can be ended. */
   private static final int MAX_EVICTION_CANDIDATES = 4;
 
   private static final Span ONE_SECOND = Span.ofMillis(1_000);
@@ -415,8 +417,8 @@
   }
 
   /**
-   * Makes room for others: closes the clients that have lingered longest, if each has had the
-   * guaranteed minimum time.
+   * Makes room for others: closes a few of the clients that have lingered longest, up to the first
+   * one that has not had the guaranteed minimum time.
    */
   private void closeLingered() {
     int closedCount = 0;
--- a/router/src/main/java/basaltlever/net/ListenerSocket.java
+++ b/router/src/main/java/basaltlever/net/ListenerSocket.java
@@ -72,11 +72,11 @@
 
   private static boolean listensAt(Socket candidate, InetSocketAddress address) {
     try {
-      InetSocketAddress own = candidate.localAddress();
+      InetSocketAddress localAddress = candidate.localAddress();
       return candidate.getIntOpt(SOL_SOCKET, SO_ACCEPTCONN) != 0
-          && own != null
-          && own.getPort() == address.getPort()
-          && own.getAddress().equals(address.getAddress());
+          && localAddress != null
+          && localAddress.getPort() == address.getPort()
+          && localAddress.getAddress().equals(address.getAddress());
     } catch (IOException closedMeanwhile) {
       return false;
     }
--- a/router/src/test/java/basaltlever/net/ClientModel.java
+++ b/router/src/test/java/basaltlever/net/ClientModel.java
@@ -365,7 +365,7 @@
 
   @Override
   public void flush() {
-    // {@link #write} delivers immediately.
+    // write delivers immediately.
   }
 
   @Override
