--- a/router/src/main/java/basaltlever/cli/FleetClient.java
+++ b/router/src/main/java/basaltlever/cli/FleetClient.java
@@ -32,8 +32,8 @@
     }
 
     /** Which voter reported it, as the last line of a text. */
-    String source() {
-      return "\ntold by " + voter + ", " + status.standing();
+    String sourceLine() {
+      return "\ntold by " + voter + ", " + status.raftStatus();
     }
   }
 
@@ -45,11 +45,11 @@
    */
   record VoterAnswer(StatusReport status, String problem) {
     boolean leads() {
-      return status != null && status.leads();
+      return status != null && status.isLeader();
     }
 
     List<String> members() {
-      return status == null ? List.of() : status.members();
+      return status == null ? List.of() : status.voters();
     }
 
     long epoch() {
@@ -88,7 +88,7 @@
     if (reply instanceof FleetReply.Accepted) {
       return;
     }
-    if (reply instanceof FleetReply.Refused refused) {
+    if (reply instanceof FleetReply.Rejected refused) {
       throw new CommandRefusedException("refused: " + refused.reason());
     }
     if (reply instanceof FleetReply.Undecided undecided) {
@@ -100,7 +100,7 @@
             : "not an answer to a command: " + reply);
   }
 
-  private FleetReply askStatus(String voter) throws IOException {
+  private FleetReply requestStatus(String voter) throws IOException {
     return send(voter, new FleetRequest.Status(settings.name(), ""));
   }
 
@@ -109,13 +109,13 @@
     VoterStatus any = null;
     for (String voter : settings.voters().keySet()) {
       try {
-        FleetReply reply = askStatus(voter);
-        if (reply instanceof FleetReply.Refused refused) {
+        FleetReply reply = requestStatus(voter);
+        if (reply instanceof FleetReply.Rejected refused) {
           throw new CommandRefusedException(voter + ": " + refused.reason());
         }
         if (reply instanceof StatusReport status) {
           any = new VoterStatus(voter, status);
-          if (status.leads()) {
+          if (status.isLeader()) {
             return any;
           }
         }
@@ -130,11 +130,11 @@
   }
 
   /** The answers of all voters of the operator's file, and of those that they name. */
-  Map<String, VoterAnswer> askAllVoters() {
+  Map<String, VoterAnswer> queryAllVoters() {
     Map<String, VoterAnswer> answers = new LinkedHashMap<>();
     List<String> voters = new ArrayList<>(settings.voters().keySet());
     for (int i = 0; i < voters.size(); i++) {
-      VoterAnswer answer = answer(voters.get(i));
+      VoterAnswer answer = queryVoter(voters.get(i));
       answers.put(voters.get(i), answer);
       answer.members().stream()
           .filter(member -> settings.peers().containsKey(member) && !voters.contains(member))
@@ -143,13 +143,13 @@
     return answers;
   }
 
-  private VoterAnswer answer(String voter) {
+  private VoterAnswer queryVoter(String voter) {
     try {
-      FleetReply reply = askStatus(voter);
+      FleetReply reply = requestStatus(voter);
       if (reply instanceof StatusReport status) {
         return new VoterAnswer(status, "");
       }
-      String reason = reply instanceof FleetReply.Refused refused ? refused.reason() : "";
+      String reason = reply instanceof FleetReply.Rejected refused ? refused.reason() : "";
       return new VoterAnswer(null, reason);
     } catch (IOException noAnswer) {
       return new VoterAnswer(null, "does not answer: " + noAnswer.getMessage());
@@ -158,8 +158,8 @@
 
   /** Whether the voter leads in the epoch by now. */
   boolean leads(String voter, long epoch) throws IOException {
-    return askStatus(voter) instanceof StatusReport status
-        && status.leads()
+    return requestStatus(voter) instanceof StatusReport status
+        && status.isLeader()
         && status.epoch() == epoch;
   }
 
@@ -167,12 +167,12 @@
   static String mostUpToDate(Map<String, VoterAnswer> answers) {
     return answers.keySet().stream()
         .filter(voter -> !answers.get(voter).members().isEmpty())
-        .max(Comparator.comparingLong(voter -> answers.get(voter).status().changes()))
+        .max(Comparator.comparingLong(voter -> answers.get(voter).status().changeCount()))
         .orElse(null);
   }
 
   /** The settings text of a version; empty for the start files' own. */
-  static String text(StatusReport status, long number) throws CommandRefusedException {
+  static String settingsText(StatusReport status, long number) throws CommandRefusedException {
     if (number == 0) {
       return "";
     }
@@ -180,7 +180,7 @@
     if (inForce != null && inForce.number() == number) {
       return inForce.settingsJson();
     }
-    for (StatusReport.HistoryLine line : status.history()) {
+    for (StatusReport.VersionStatus line : status.history()) {
       SettingsVersion version = line.version().version();
       if (version.number() == number
           && line.outcome().equals("IN_FORCE")
--- a/router/src/main/java/basaltlever/discovery/EndpointUpdate.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointUpdate.java
@@ -15,7 +15,7 @@
  */
 public record EndpointUpdate(long generation, boolean full, List<EndpointEntry> entries) {
   /** Converts a parsed message; throws if any part of it is invalid. */
-  public static EndpointUpdate of(Map<?, ?> message) throws InvalidEndpointListException {
+  public static EndpointUpdate parse(Map<?, ?> message) throws InvalidEndpointListException {
     if (!(message.get("instances") instanceof List<?> instances)) {
       throw new InvalidEndpointListException("a list has no instances");
     }
@@ -24,10 +24,10 @@
       if (!(instance instanceof Map<?, ?> fields)) {
         throw new InvalidEndpointListException("an entry of the list has no instanceId");
       }
-      entries.add(EndpointEntry.of(fields));
+      entries.add(EndpointEntry.parse(fields));
     }
     return new EndpointUpdate(
-        (long) EndpointEntry.number(message, "generation", 0),
+        (long) EndpointEntry.parseNumber(message, "generation", 0),
         Boolean.TRUE.equals(message.get("reset")),
         entries);
   }
@@ -38,16 +38,16 @@
    * @param message the text without these entries
    * @param entries is taken over
    */
-  static EndpointUpdate of(String message, List<EndpointEntry> entries)
+  static EndpointUpdate parse(String message, List<EndpointEntry> entries)
       throws InvalidEndpointListException {
-    EndpointUpdate rest = of(parseObject(message));
+    EndpointUpdate rest = parse(parseObject(message));
     entries.addAll(rest.entries);
     return new EndpointUpdate(rest.generation, rest.full, entries);
   }
 
   static Map<?, ?> parseObject(String text) throws InvalidEndpointListException {
     try {
-      if (Json.read(text) instanceof Map<?, ?> object) {
+      if (Json.parse(text) instanceof Map<?, ?> object) {
         return object;
       }
     } catch (InvalidJsonException fault) {
--- a/router/src/main/java/basaltlever/fleet/FleetReply.java
+++ b/router/src/main/java/basaltlever/fleet/FleetReply.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /** A voter's answer to a {@link FleetRequest}. */
-public sealed interface FleetReply permits FleetReply.CommandReply, FleetReply.LeaderReply {
+public sealed interface FleetReply permits FleetReply.CommandReply, FleetReply.StateReply {
   /** What became of a request that changes something, or that was rejected. */
   sealed interface CommandReply extends FleetReply {}
 
   /** What only a voter tells of itself or as the leader. */
-  sealed interface LeaderReply extends FleetReply
+  sealed interface StateReply extends FleetReply
       permits LeaseGranted, NotLeader, Retiring, StatusReport {}
 
   /**
@@ -18,37 +18,38 @@
    *
    * @param heartbeat number of the heartbeat
    * @param duration of the lease from the sending of the heartbeat on; none where it is not granted
-   * @param changes of the register, by which a router tells an outdated leader
-   * @param members the voters
+   * @param changeCount of the register, by which a router tells an outdated leader
+   * @param voters the voters
    * @param inForce the version in force
    * @param prepared the version that is being brought into force; null where there is none
-   * @param lists what the fleet agreed on about endpoints; null from a leader that says nothing
+   * @param membershipUpdate what the fleet agreed on about endpoints; null from a leader that says
+   *     nothing
    */
   record LeaseGranted(
       long heartbeat,
       Span duration,
-      long changes,
-      List<String> members,
+      long changeCount,
+      List<String> voters,
       SentVersion inForce,
       SentVersion prepared,
-      MembershipUpdate lists)
-      implements LeaderReply {}
+      MembershipUpdate membershipUpdate)
+      implements StateReply {}
 
   /**
    * The voter doesn't lead.
    *
    * @param leader name of the voter that leads; empty where it is not known
    */
-  record NotLeader(String leader) implements LeaderReply {}
+  record NotLeader(String leader) implements StateReply {}
 
   /** The voter has just learned of a newer epoch; read as {@link NotLeader}. */
-  record Retiring() implements LeaderReply {}
+  record Retiring() implements StateReply {}
 
   /** The request was carried out. */
   record Accepted() implements CommandReply {}
 
   /** The request was rejected. */
-  record Refused(String reason) implements CommandReply {}
+  record Rejected(String reason) implements CommandReply {}
 
   /** No majority answered in time, so the outcome is not known. */
   record Undecided(String reason) implements CommandReply {}
--- a/router/src/main/java/basaltlever/fleet/PeerPoller.java
+++ b/router/src/main/java/basaltlever/fleet/PeerPoller.java
@@ -29,32 +29,32 @@
     others.retainAll(settings.peers().keySet());
     others.remove(name);
     List<PeerStatus> statuses = new ArrayList<>();
-    for (String other : others) {
-      StatusReport status = poll(other);
+    for (String voter : others) {
+      StatusReport status = poll(voter);
       if (status != null) {
         statuses.add(
             new PeerStatus(
-                other,
+                voter,
                 status.epoch(),
-                status.members(),
-                status.folderOfAsker(),
-                status.emptyFolder(),
-                status.leads()));
+                status.voters(),
+                status.requesterFolderId(),
+                status.hasUnusedFolder(),
+                status.isLeader()));
       }
     }
     return statuses;
   }
 
   /** Null where it doesn't answer in time. */
-  StatusReport poll(String other) {
+  StatusReport poll(String voter) {
     try {
       FleetReply reply =
           AdminClient.send(
-              settings.peers().get(other),
+              settings.peers().get(voter),
               new FleetRequest.Status(settings.name(), name),
               REPLY_TIMEOUT_MILLIS);
       return reply instanceof StatusReport status ? status : null;
-    } catch (IOException noAnswer) {
+    } catch (IOException unreachable) {
       return null;
     }
   }
--- a/router/src/main/java/basaltlever/net/AcceptHandler.java
+++ b/router/src/main/java/basaltlever/net/AcceptHandler.java
@@ -231,8 +231,8 @@
   private void pause(String cause) {
     if (!paused) {
       paused = true;
-      iteration.counters().add(Counter.ACCEPT_PAUSED);
-      pauseLog.note("listener", cause);
+      iteration.counters().increment(Counter.ACCEPT_PAUSED);
+      pauseLog.log("listener", cause);
     }
     // While accepting is paused, the queue is not read and may fill.
     queue.onReadComplete(false, iteration.earliestArrival());
@@ -290,7 +290,8 @@
     evictionTokens =
         Math.min(
             MAX_EVICTION_BURST,
-            evictionTokens + EVICTIONS_PER_SECOND * now.since(tokensRefilledAt).over(ONE_SECOND));
+            evictionTokens
+                + EVICTIONS_PER_SECOND * now.since(tokensRefilledAt).ratioTo(ONE_SECOND));
     tokensRefilledAt = now;
     boolean evicted = true;
     int roomBefore = -1;
--- a/router/src/main/java/basaltlever/net/AttemptExecutor.java
+++ b/router/src/main/java/basaltlever/net/AttemptExecutor.java
@@ -9,7 +9,7 @@
 import basaltlever.log.Counter;
 import basaltlever.log.Counters;
 import basaltlever.log.Event;
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.pg.MessageEncoder;
 import basaltlever.pg.ProtocolCodes;
@@ -56,7 +56,7 @@
   private LoadReportFormat loadReport;
   private Span pollTimeout;
   private final MemoryBudget budget;
-  private final StatementTrace trace;
+  private final StatementTracer trace;
   private final Counters counters;
   private final ClockOffset clockOffset;
 
@@ -101,7 +101,7 @@
       LoadReportFormat loadReport,
       Span pollTimeout,
       MemoryBudget budget,
-      StatementTrace trace) {
+      StatementTracer trace) {
     this.iteration = iteration;
     this.loop = loop;
     this.pools = pools;
@@ -226,7 +226,7 @@
 
   private void abortUnanswered(PendingStatement pendingStatement) {
     if (!pendingStatement.answered) {
-      counters.add(Counter.STATEMENT_OVERDUE);
+      counters.increment(Counter.STATEMENT_OVERDUE);
       Event.OVERDUE.log(
           LOG,
           Level.WARN,
@@ -248,7 +248,7 @@
    * Rejects a statement above the configured limit of open statements before it reaches the core.
    */
   void rejectTooManyOpen(PendingStatement pendingStatement) {
-    counters.add(Counter.REFUSED_TOO_MANY_OPEN);
+    counters.increment(Counter.REFUSED_TOO_MANY_OPEN);
     iteration.addEffect(
         () ->
             answerError(
@@ -261,7 +261,7 @@
   void onClientDisconnected(PendingStatement pendingStatement) {
     iteration.enqueue(
         now -> {
-          trace.ends(pendingStatement.trace, "left");
+          trace.end(pendingStatement.trace, "left");
           pendingStatement.answered = true;
           runGuarded(
               pendingStatement, () -> core.onClientDisconnected(now, pendingStatement.ticket));
@@ -274,7 +274,7 @@
     try {
       step.run();
     } catch (RuntimeException fault) {
-      Event.FAULT.fault(LOG, "", fault, "core step for statement " + pendingStatement.ticket);
+      Event.FAULT.logError(LOG, "", fault, "core step for statement " + pendingStatement.ticket);
       if (!pendingStatement.answered) {
         iteration.addEffect(
             () ->
@@ -288,7 +288,7 @@
   private void answerError(
       PendingStatement pendingStatement, String code, String message, String detail) {
     if (!pendingStatement.answered) {
-      trace.step(pendingStatement.trace, code);
+      trace.recordStep(pendingStatement.trace, code);
       pendingStatement.answered = true;
       pendingStatement.client.sendError(code, message, detail);
     }
@@ -323,12 +323,12 @@
     Span limit = timeout.micros() == 0 ? remaining : timeout.shorter(remaining);
     Attempt attempt = new Attempt(pendingStatement, execution, iteration.now().plus(limit), sendBy);
     pendingStatement.attempts.add(attempt);
-    counters.add(Counter.EXECUTION_SENT);
+    counters.increment(Counter.EXECUTION_SENT);
     if (execution > 0) {
-      counters.add(Counter.EXECUTION_RETRIED);
+      counters.increment(Counter.EXECUTION_RETRIED);
     }
     if (pendingStatement.trace != null) {
-      trace.step(pendingStatement.trace, execution + ">" + endpoint);
+      trace.recordStep(pendingStatement.trace, execution + ">" + endpoint);
     }
     pendingStatement.openAttempts++;
     iteration.addEffect(
@@ -370,7 +370,7 @@
   @Override
   public void reject(long ticket, Span retryAfter, RejectReason reason) {
     PendingStatement pendingStatement = statements.get(ticket);
-    counters.add(
+    counters.increment(
         switch (reason) {
           case OVERDUE -> Counter.REFUSED_OVERDUE;
           case SHED -> Counter.REFUSED_SHED;
@@ -378,7 +378,7 @@
           case NO_ATTEMPT_LEFT -> Counter.REFUSED_NO_ATTEMPT_LEFT;
         });
     if (pendingStatement.trace != null) {
-      trace.step(pendingStatement.trace, reason.name());
+      trace.recordStep(pendingStatement.trace, reason.name());
     }
     long retryAfterMillis = retryAfter.micros() / 1_000;
     iteration.addEffect(
@@ -393,7 +393,7 @@
   @Override
   public void abort(long ticket) {
     PendingStatement pendingStatement = statements.get(ticket);
-    counters.add(Counter.FAILED_EFFECT_UNKNOWN);
+    counters.increment(Counter.FAILED_EFFECT_UNKNOWN);
     iteration.addEffect(
         () ->
             answerError(
@@ -405,7 +405,7 @@
 
   @Override
   public void poll(String endpoint) {
-    counters.add(Counter.POLL_SENT);
+    counters.increment(Counter.POLL_SENT);
     if (!switchoverTable.isEmpty()) {
       recentlyPolled.remove(endpoint);
       recentlyPolled.add(endpoint);
@@ -552,10 +552,10 @@
     @Override
     void write(ByteBuf out) {
       if (pendingStatement.trace != null) {
-        trace.step(pendingStatement.trace, attemptNumber + "w");
+        trace.recordStep(pendingStatement.trace, attemptNumber + "w");
       }
       long remainingMicros = Math.max(1, deadline.since(iteration.clock().now()).micros());
-      MessageEncoder.query(
+      MessageEncoder.writeQuery(
           out,
           pendingStatement.text,
           pendingStatement.query.timeoutStart,
@@ -578,7 +578,7 @@
       // Builds the text only if the statement is traced: string concatenation is costly in a
       // freshly started JVM.
       if (pendingStatement.trace != null) {
-        trace.step(pendingStatement.trace, attemptNumber + "=" + outcome);
+        trace.recordStep(pendingStatement.trace, attemptNumber + "=" + outcome);
       }
       runGuarded(
           pendingStatement,
@@ -589,7 +589,7 @@
                 attemptNumber,
                 outcome,
                 toRole(response),
-                clockOffset.position(loadReport.momentAtMillis(response.positionMillis())),
+                clockOffset.correctPosition(loadReport.momentAtMillis(response.positionMillis())),
                 false)) {
               pendingStatement.answered = true;
               var row = response.takeRow();
@@ -615,7 +615,7 @@
 
     @Override
     void write(ByteBuf out) {
-      MessageEncoder.query(out, loadReport.fieldNames.isEmpty() ? "SELECT 1" : "SHOW gauges");
+      MessageEncoder.writeQuery(out, loadReport.fieldNames.isEmpty() ? "SELECT 1" : "SHOW gauges");
     }
 
     @Override
@@ -642,7 +642,7 @@
                 endpoint,
                 outcome,
                 claimedRole,
-                clockOffset.position(position),
+                clockOffset.correctPosition(position),
                 loadReport.valueAt(values, loadReport.utilizationIndex),
                 loadReport.valueAt(values, loadReport.queueIndex));
           });
@@ -651,7 +651,7 @@
     private void updateClockOffset(Moment now, Role claimedRole, Moment position) {
       if (claimedRole == Role.PRIMARY
           && position.isAfter(Moment.LONG_AGO)
-          && clockOffset.primaryAt(now, position)) {
+          && clockOffset.onPrimaryPosition(now, position)) {
         Event.CLOCK_OFF.log(
             LOG,
             Level.WARN,
@@ -688,7 +688,7 @@
 
     @Override
     void write(ByteBuf out) {
-      MessageEncoder.query(out, SwitchoverAnnouncement.latestQuery(switchoverTable));
+      MessageEncoder.writeQuery(out, SwitchoverAnnouncement.latestQuery(switchoverTable));
     }
 
     @Override
@@ -723,7 +723,7 @@
 
     @Override
     void write(ByteBuf out) {
-      MessageEncoder.query(out, "SELECT 1");
+      MessageEncoder.writeQuery(out, "SELECT 1");
     }
 
     @Override
--- a/router/src/main/java/basaltlever/net/ClientConnection.java
+++ b/router/src/main/java/basaltlever/net/ClientConnection.java
@@ -2,7 +2,7 @@
 
 import basaltlever.log.Counter;
 import basaltlever.log.Event;
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.pg.ArrivalTimes;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.pg.MessageDecoder;
@@ -344,7 +344,8 @@
         host.onInvalidInput(socket.remoteAddress(), exception.getMessage());
       }
       ByteBuf out = socket.alloc().buffer();
-      MessageEncoder.errorResponse(out, "FATAL", exception.sqlState, exception.getMessage(), null);
+      MessageEncoder.writeErrorResponse(
+          out, "FATAL", exception.sqlState, exception.getMessage(), null);
       beginLingeringClose(out);
       return true;
     }
@@ -369,9 +370,9 @@
     } else {
       ByteBuf out = socket.alloc().buffer();
       if (version != ProtocolCodes.PROTOCOL_VERSION) {
-        MessageEncoder.negotiateProtocolVersion(out);
+        MessageEncoder.writeNegotiateProtocolVersion(out);
       }
-      MessageEncoder.startupResponse(out);
+      MessageEncoder.writeStartupResponse(out);
       socket.write(out);
       decoder.setMaxMessageBytes(MAX_MESSAGE_BYTES);
       lifecycle.onStarted();
@@ -399,14 +400,14 @@
       if (!skippingToSync) {
         skippingToSync = type != 'F';
         ByteBuf out = socket.alloc().buffer();
-        MessageEncoder.errorResponse(
+        MessageEncoder.writeErrorResponse(
             out,
             "ERROR",
             ProtocolCodes.FEATURE_NOT_SUPPORTED,
             "only simple queries are taken here",
             null);
         if (type == 'F') {
-          MessageEncoder.readyForQuery(out);
+          MessageEncoder.writeReadyForQuery(out);
         }
         socket.write(out);
       }
@@ -423,11 +424,11 @@
           ProtocolCodes.PROTOCOL_VIOLATION, "a query does not end in a zero byte");
     }
     ByteBuf text = message.slice(message.readerIndex(), message.readableBytes() - 1);
-    String commandTag = Query.sessionCommand(text);
+    String commandTag = Query.findSessionCommand(text);
     if (Query.isBlank(text)) {
-      writeReply(MessageEncoder::emptyQueryResponse);
+      writeReply(MessageEncoder::writeEmptyQueryResponse);
     } else if (commandTag != null) {
-      writeReply(out -> MessageEncoder.commandComplete(out, commandTag));
+      writeReply(out -> MessageEncoder.writeCommandComplete(out, commandTag));
     } else {
       submitStatement(text);
     }
@@ -438,7 +439,7 @@
       Query query = Query.parse(text);
       int workload = host.workloadIndex(query);
       if (host.isRefusingAll()) {
-        host.counters().add(Counter.REFUSED_SHUTDOWN);
+        host.counters().increment(Counter.REFUSED_SHUTDOWN);
         throw new ProtocolException(
             ProtocolCodes.TOO_MANY_CONNECTIONS, "this router ends, and nothing was done");
       }
@@ -451,7 +452,7 @@
       host.onInvalidInput(socket.remoteAddress(), exception.getMessage());
       writeReply(
           out ->
-              MessageEncoder.errorResponse(
+              MessageEncoder.writeErrorResponse(
                   out, "ERROR", exception.sqlState, exception.getMessage(), null));
     }
   }
@@ -460,7 +461,7 @@
   private void writeReply(Consumer<ByteBuf> bodyWriter) {
     ByteBuf out = socket.alloc().buffer();
     bodyWriter.accept(out);
-    MessageEncoder.readyForQuery(out);
+    MessageEncoder.writeReadyForQuery(out);
     socket.write(out);
   }
 
@@ -486,24 +487,24 @@
         socket.write(slice);
       }
     }
-    MessageEncoder.readyForQuery(end);
-    StatementTrace.Life traceEntry = pendingStatement.trace;
+    MessageEncoder.writeReadyForQuery(end);
+    StatementTracer.Trace traceEntry = pendingStatement.trace;
     socket.writeAndFlush(
         end,
         written -> {
           budget.release(size);
-          host.trace().ends(traceEntry, written ? "row_out" : "row_lost");
+          host.trace().end(traceEntry, written ? "row_out" : "row_lost");
         });
     onAnswered();
   }
 
   void sendError(String code, String message, String detail) {
     if (lifecycle.isBusy()) {
-      StatementTrace.Life traceEntry = pendingStatement.trace;
+      StatementTracer.Trace traceEntry = pendingStatement.trace;
       ByteBuf out = socket.alloc().buffer();
-      MessageEncoder.errorResponse(out, "ERROR", code, message, detail);
-      MessageEncoder.readyForQuery(out);
-      socket.writeAndFlush(out, written -> host.trace().ends(traceEntry, written ? "out" : "lost"));
+      MessageEncoder.writeErrorResponse(out, "ERROR", code, message, detail);
+      MessageEncoder.writeReadyForQuery(out);
+      socket.writeAndFlush(out, written -> host.trace().end(traceEntry, written ? "out" : "lost"));
       onAnswered();
     }
   }
@@ -575,7 +576,7 @@
           : rejectForCapacity();
     }
     if (!lifecycle.endIfIdle(closeReason)) {
-      host.counters().add(Counter.CLIENT_END_DECLINED);
+      host.counters().increment(Counter.CLIENT_END_DECLINED);
       return false;
     }
     onEndBegun();
@@ -592,7 +593,7 @@
     }
     ByteBuf out = socket.alloc().buffer();
     long retryAfterMillis = host.retryAfterMillis();
-    MessageEncoder.errorResponse(
+    MessageEncoder.writeErrorResponse(
         out,
         "FATAL",
         ProtocolCodes.TOO_MANY_CONNECTIONS,
@@ -715,7 +716,7 @@
    * connection ends.
    */
   void onFailure(Throwable cause) {
-    Event.FAULT.fault(LOG, "", cause, "processing input of client " + socket.remoteAddress());
+    Event.FAULT.logError(LOG, "", cause, "processing input of client " + socket.remoteAddress());
     if (lifecycle.isOpen()) {
       deferredError =
           new ProtocolException(
@@ -729,8 +730,9 @@
   private void markClosed(CloseReason closeReason) {
     boolean wasOpen = lifecycle.isOpen();
     if (lifecycle.markClosed(closeReason) && wasOpen) {
-      host.counters().add(closeReason.counter);
-      host.trace().connectionEnds(socket.remoteAddress(), closeReason, decoder.bufferedBytes());
+      host.counters().increment(closeReason.counter);
+      host.trace()
+          .logClientDisconnect(socket.remoteAddress(), closeReason, decoder.bufferedBytes());
       releaseStatement();
     }
   }
--- a/router/src/main/java/basaltlever/net/ClientHost.java
+++ b/router/src/main/java/basaltlever/net/ClientHost.java
@@ -1,7 +1,7 @@
 package basaltlever.net;
 
 import basaltlever.log.Counters;
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.pg.ProtocolException;
 import basaltlever.pg.Query;
 import basaltlever.time.Moment;
@@ -18,7 +18,7 @@
 
   Descriptors descriptors();
 
-  StatementTrace trace();
+  StatementTracer trace();
 
   /** Returns the index of the query's workload, or throws if no workload has that name. */
   int workloadIndex(Query query) throws ProtocolException;
--- a/router/src/main/java/basaltlever/net/ConnectionPool.java
+++ b/router/src/main/java/basaltlever/net/ConnectionPool.java
@@ -68,11 +68,11 @@
   }
 
   void logProtocolViolation(String description) {
-    badEndpointLog.note(this, description);
+    badEndpointLog.log(this, description);
   }
 
   void count(Counter counter) {
-    iteration.counters().add(counter);
+    iteration.counters().increment(counter);
   }
 
   Moment now() {
@@ -115,7 +115,7 @@
   private void closeStale() {
     while (!idle.isEmpty()
         && !now().since(idle.peekLast().idleSince()).isShorterThan(idleTimeout)) {
-      iteration.counters().add(Counter.NODE_CONNECTION_EXPIRED);
+      iteration.counters().increment(Counter.NODE_CONNECTION_EXPIRED);
       idle.peekLast().close();
     }
   }
@@ -131,7 +131,7 @@
       default -> {
         iteration
             .counters()
-            .add(
+            .increment(
                 query.use() == Descriptors.Use.EXECUTION
                     ? Counter.EXECUTION_WITHOUT_DESCRIPTOR
                     : Counter.POLL_WITHOUT_DESCRIPTOR);
@@ -163,7 +163,7 @@
     }
     connection.onConnecting(connecting.channel());
     connectionsOpening++;
-    iteration.counters().add(Counter.NODE_CONNECTION_OPENED);
+    iteration.counters().increment(Counter.NODE_CONNECTION_OPENED);
     connecting.addListener(
         done -> {
           connectionsOpening--;
--- a/router/src/main/java/basaltlever/net/DiscoveryWatch.java
+++ b/router/src/main/java/basaltlever/net/DiscoveryWatch.java
@@ -235,7 +235,7 @@
     }
 
     @Override
-    public void keepAlive() {
+    public void onKeepAlive() {
       lastCompleteAt = lastByteAt;
     }
 
@@ -244,9 +244,9 @@
      * of the message: nothing may be sent to that endpoint from then on.
      */
     @Override
-    public void entry(EndpointEntry entry) {
+    public void onEntry(EndpointEntry entry) {
       lastCompleteAt = lastByteAt;
-      iteration.counters().add(Counter.LIST_ENTRIES_READ);
+      iteration.counters().increment(Counter.LIST_ENTRIES_READ);
       if (entry.lifecycle() != EndpointLifecycle.READY && !outdated) {
         if (earlyEntries.isEmpty()) {
           iteration.enqueueDiscovery(this::applyEarlyEntries);
@@ -259,12 +259,12 @@
       List<EndpointEntry> entries = earlyEntries;
       earlyEntries = new ArrayList<>();
       if (!outdated) {
-        list.takeEarly(now, entries);
+        list.applyIncompleteList(now, entries);
       }
     }
 
     @Override
-    public void update(EndpointUpdate update) {
+    public void onUpdate(EndpointUpdate update) {
       lastCompleteAt = lastByteAt;
       if (outdated) {
         return;
@@ -282,7 +282,7 @@
     private void applyUpdate(Moment now, EndpointUpdate update) {
       try {
         if (!outdated) {
-          list.takeUpdate(now, update, true);
+          list.applyUpdate(now, update, true);
         }
       } catch (InvalidEndpointListException broken) {
         list.requestFullList();
@@ -313,7 +313,7 @@
     }
 
     private void reportFailure(String reason) {
-      iteration.counters().add(Counter.LIST_CALL_FAILED);
+      iteration.counters().increment(Counter.LIST_CALL_FAILED);
       Event.WATCH_FAILED.log(LOG, Level.INFO, "", reason);
       iteration.enqueue(core::onListCallFailed);
     }
--- a/router/src/main/java/basaltlever/net/PendingStatement.java
+++ b/router/src/main/java/basaltlever/net/PendingStatement.java
@@ -1,6 +1,6 @@
 package basaltlever.net;
 
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.pg.Query;
 import basaltlever.time.Moment;
 import io.netty.buffer.ByteBuf;
@@ -15,7 +15,7 @@
   final Query query;
 
   /** Null if the statement is not traced. */
-  final StatementTrace.Life trace;
+  final StatementTracer.Trace trace;
 
   /** Attempts in the order of the numbers given by the core. */
   final List<ServerQuery> attempts = new ArrayList<>(2);
@@ -37,7 +37,7 @@
       ByteBuf text,
       Query query,
       Moment arrivedAt,
-      StatementTrace.Life trace) {
+      StatementTracer.Trace trace) {
     this.ticket = ticket;
     this.client = client;
     this.text = text;
--- a/router/src/main/java/basaltlever/net/PooledConnection.java
+++ b/router/src/main/java/basaltlever/net/PooledConnection.java
@@ -112,7 +112,7 @@
   @Override
   public void channelActive(ChannelHandlerContext context) {
     ByteBuf out = context.alloc().buffer();
-    MessageEncoder.startupMessage(out, "app", "shop");
+    MessageEncoder.writeStartupMessage(out, "app", "shop");
     context.writeAndFlush(out);
   }
 
@@ -252,7 +252,7 @@
       protocolViolated = true;
       pool.logProtocolViolation(cause.getMessage());
     } else if (!(cause instanceof java.io.IOException)) {
-      Event.FAULT.fault(LOG, "", cause, "handling a connection to endpoint " + pool);
+      Event.FAULT.logError(LOG, "", cause, "handling a connection to endpoint " + pool);
     }
     close();
   }
--- a/router/src/main/java/basaltlever/net/Router.java
+++ b/router/src/main/java/basaltlever/net/Router.java
@@ -17,13 +17,13 @@
 import basaltlever.log.Counter;
 import basaltlever.log.Event;
 import basaltlever.log.RateLimitedLog;
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.membership.MembershipView;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.settings.LeaseHolder;
-import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.LearnedState;
 import basaltlever.snapshot.StateRestore;
+import basaltlever.snapshot.StoredEndpoint;
 import basaltlever.storage.SnapshotWriter;
 import basaltlever.storage.SystemClocks;
 import basaltlever.time.Moment;
@@ -157,7 +157,7 @@
   /** Statements that take longer are traced in the log; null for none. */
   private Span traceThreshold;
 
-  private StatementTrace trace;
+  private StatementTracer trace;
   private Moment lastSweepAt;
   private volatile FleetMember fleet;
   private LeaseGuard leaseGuard;
@@ -202,7 +202,7 @@
     // Read on the snapshot writer's thread, in parallel: the classes that this loads would
     // otherwise delay the start.
     StateRestore restore =
-        snapshotWriter == null ? StateRestore.NOTHING : snapshotWriter.awaitRestore();
+        snapshotWriter == null ? StateRestore.EMPTY : snapshotWriter.awaitRestore();
     loop.submit(() -> restore(restore)).sync();
     joinFleet();
     Promise<Void> firstPolls = loop.newPromise();
@@ -279,7 +279,7 @@
    * their terms and attempts, and applies the new rules to everything sent from now on.
    */
   private void applySettings(StartFile newFile) {
-    if (newFile.hasSettingsOf(fleet == null ? fileInForce : startFile)) {
+    if (newFile.hasSameSettings(fleet == null ? fileInForce : startFile)) {
       return;
     }
     if (fleet != null) {
@@ -335,7 +335,9 @@
     executor.configurePolls(values.loadReportFormat(0), values.connectTimeout());
     clientSessions.setMaxRetryAfter(values.settings().attemptLimits().maxRetryAfter());
     setConnectTimeout(values.connectTimeout());
-    pools.values().forEach(pool -> pool.setTimeouts(values.connectTimeout(), values.idleClose()));
+    pools
+        .values()
+        .forEach(pool -> pool.setTimeouts(values.connectTimeout(), values.connectionIdleTimeout()));
   }
 
   private void setConnectTimeout(Span timeout) {
@@ -350,10 +352,10 @@
   // ---- State that outlives the process.
 
   private SnapshotWriter createSnapshotWriter() {
-    return operator == null || operator.folder() == null
+    return operator == null || operator.snapshotDirectory() == null
         ? null
         : new SnapshotWriter(
-            operator.folder(),
+            operator.snapshotDirectory(),
             operator.deployment(),
             startFile.name(),
             operator.snapshotPeriod(),
@@ -363,7 +365,8 @@
   }
 
   private void updateSnapshotWriter(OperatorFile newOperatorFile) throws InterruptedException {
-    boolean isSameFolder = Objects.equals(newOperatorFile.folder(), operator.folder());
+    boolean isSameFolder =
+        Objects.equals(newOperatorFile.snapshotDirectory(), operator.snapshotDirectory());
     operator = newOperatorFile;
     if (isSameFolder && snapshotWriter != null) {
       snapshotWriter.reconfigure(
@@ -386,7 +389,7 @@
 
   private LearnedState exportStateOffLoop() throws InterruptedException {
     Promise<LearnedState> exported = loop.newPromise();
-    List<KnownEndpoint> endpoints = new ArrayList<>();
+    List<StoredEndpoint> endpoints = new ArrayList<>();
     loop.execute(() -> iteration.enqueue(now -> exportStep(now, 0, endpoints, exported)));
     return exported.await(EXPORT_TIMEOUT.micros(), TimeUnit.MICROSECONDS)
         ? exported.getNow()
@@ -398,7 +401,7 @@
    * endpoint refer to the iteration that exported it; iterations are some milliseconds apart.
    */
   private void exportStep(
-      Moment now, int from, List<KnownEndpoint> endpoints, Promise<LearnedState> exported) {
+      Moment now, int from, List<StoredEndpoint> endpoints, Promise<LearnedState> exported) {
     if (exportEndpoints(now, from, ENDPOINTS_PER_EXPORT_STEP, endpoints)) {
       loop.execute(
           () ->
@@ -409,7 +412,7 @@
     }
   }
 
-  private boolean exportEndpoints(Moment now, int from, int count, List<KnownEndpoint> endpoints) {
+  private boolean exportEndpoints(Moment now, int from, int count, List<StoredEndpoint> endpoints) {
     return core.collectEndpointStates(
         now,
         from,
@@ -417,12 +420,12 @@
         (endpoint, view) -> {
           ConnectionPool pool = pools.get(endpoint);
           if (pool != null && pool.address() != null) {
-            endpoints.add(new KnownEndpoint(endpoint, Addresses.text(pool.address()), view));
+            endpoints.add(new StoredEndpoint(endpoint, Addresses.text(pool.address()), view));
           }
         });
   }
 
-  private LearnedState learnedState(Moment now, List<KnownEndpoint> endpoints) {
+  private LearnedState learnedState(Moment now, List<StoredEndpoint> endpoints) {
     return new LearnedState(
         operator.deployment(),
         startFile.name(),
@@ -493,7 +496,7 @@
         .sync();
     try {
       VoterStore voterStore =
-          VoterStore.read(fleetSettings.voterDirectory(), fleetSettings.name(), startFile.name());
+          VoterStore.open(fleetSettings.voterDirectory(), fleetSettings.name(), startFile.name());
       loop.submit(
               () -> {
                 leaseGuard.leaseHolder().restoreEpoch(voterStore.latestEpoch());
@@ -549,7 +552,7 @@
   private void build() {
     StartValues values = startFile.startValues();
     iteration = new LoopIteration(loop, clock, readinessClock);
-    trace = new StatementTrace(traceThreshold, clock::now);
+    trace = new StatementTracer(traceThreshold, clock::now);
     lastSweepAt = clock.now();
     buffers =
         new PooledByteBufAllocator(
@@ -589,7 +592,7 @@
                         descriptors,
                         budget,
                         fileInForce.startValues().connectTimeout(),
-                        fileInForce.startValues().idleClose(),
+                        fileInForce.startValues().connectionIdleTimeout(),
                         badEndpointLog));
     executor =
         new AttemptExecutor(
@@ -657,7 +660,7 @@
           try {
             step.run();
           } catch (RuntimeException fault) {
-            Event.FAULT.fault(LOG, "", fault, description);
+            Event.FAULT.logError(LOG, "", fault, description);
           }
         },
         period.micros(),
@@ -667,7 +670,7 @@
 
   private void sweep() {
     Moment now = iteration.clock().now();
-    trace.loopWas(now.since(lastSweepAt).minus(SWEEP_INTERVAL));
+    trace.logLoopDelay(now.since(lastSweepAt).minus(SWEEP_INTERVAL));
     lastSweepAt = now;
     clientSessions.sweep();
     if (acceptHandler != null) {
@@ -677,7 +680,7 @@
 
   private void report() {
     iteration.counters().add(Counter.LISTEN_OVERFLOWS, listenQueue.newOverflows());
-    iteration.counters().report();
+    iteration.counters().logChanges();
     descriptors.report();
     core.reportPolledGroups();
   }
@@ -717,8 +720,8 @@
         now -> {
           try {
             if (startFile.hasStoredEndpointList()) {
-              endpointList.takeUpdate(
-                  now, EndpointUpdate.of(startFile.takeStoredEndpointList()), false);
+              endpointList.applyUpdate(
+                  now, EndpointUpdate.parse(startFile.takeStoredEndpointList()), false);
               return;
             }
           } catch (InvalidEndpointListException fault) {
@@ -872,7 +875,7 @@
     if (snapshotWriter != null && core != null) {
       iteration.enqueue(
           now -> {
-            List<KnownEndpoint> endpoints = new ArrayList<>();
+            List<StoredEndpoint> endpoints = new ArrayList<>();
             exportEndpoints(now, 0, Integer.MAX_VALUE / 2, endpoints);
             snapshotWriter.close(learnedState(now, endpoints));
             iteration.addEffect(() -> endOnceClientsLeft(Moment.NEVER));
--- a/router/src/main/java/basaltlever/snapshot/StateRestore.java
+++ b/router/src/main/java/basaltlever/snapshot/StateRestore.java
@@ -13,7 +13,7 @@
  */
 public final class StateRestore {
   /** For a router without a stored state. */
-  public static final StateRestore NOTHING = rejected("there is none");
+  public static final StateRestore EMPTY = rejected("there is none");
 
   /** How far the system clock may differ from the monotonic one before neither is trusted. */
   private static final Span CLOCK_TOLERANCE = Span.ofMillis(2_000);
@@ -24,20 +24,20 @@
   private final String rejection;
   private final Span age;
   private final long listVersion;
-  private final Map<String, KnownEndpoint> pending = new LinkedHashMap<>();
-  private List<GroupState> takeGroups;
+  private final Map<String, StoredEndpoint> pending = new LinkedHashMap<>();
+  private List<GroupState> pendingGroups;
 
   private StateRestore(
       String rejection,
       Span age,
       long listVersion,
-      List<KnownEndpoint> endpoints,
+      List<StoredEndpoint> endpoints,
       List<GroupState> groups) {
     this.rejection = rejection;
     this.age = age;
     this.listVersion = listVersion;
-    this.takeGroups = groups;
-    endpoints.forEach(known -> pending.put(known.id(), known));
+    this.pendingGroups = groups;
+    endpoints.forEach(endpoint -> pending.put(endpoint.id(), endpoint));
   }
 
   /**
@@ -45,43 +45,49 @@
    *
    * @param deployment the deployment of the restarted router
    * @param router its name
-   * @param now microseconds of Unix time by the system clock
-   * @param steady microseconds of the machine's monotonic clock
-   * @param boot the current boot of the machine; empty where unknown
+   * @param unixMicros microseconds of Unix time by the system clock
+   * @param monotonicMicros microseconds of the machine's monotonic clock
+   * @param bootId the current boot of the machine; empty where unknown
    */
-  public static StateRestore of(
-      LearnedState stored, String deployment, String router, long now, long steady, String boot) {
+  public static StateRestore evaluate(
+      LearnedState stored,
+      String deployment,
+      String router,
+      long unixMicros,
+      long monotonicMicros,
+      String bootId) {
     if (!stored.deployment().equals(deployment) || !stored.router().equals(router)) {
       return rejected(
           "it is of deployment '" + stored.deployment() + "', router '" + stored.router() + "'");
     }
-    Span systemAge = new Span(now - stored.writtenAtMicros());
+    Span systemAge = new Span(unixMicros - stored.writtenAtMicros());
     if (systemAge.micros() < 0) {
       return rejected("it was written in the future, by this machine's clock");
     }
-    if (boot.isEmpty() || !boot.equals(stored.bootId())) {
+    if (bootId.isEmpty() || !bootId.equals(stored.bootId())) {
       return aged(stored, systemAge);
     }
-    Span monotonicAge = new Span(steady - stored.monotonicMicros());
-    return agree(systemAge, monotonicAge)
+    Span monotonicAge = new Span(monotonicMicros - stored.monotonicMicros());
+    return clocksAgree(systemAge, monotonicAge)
         ? aged(stored, monotonicAge)
         : rejected("the clock was set since it was written");
   }
 
-  private static boolean agree(Span systemAge, Span monotonicAge) {
+  private static boolean clocksAgree(Span systemAge, Span monotonicAge) {
     Span difference = new Span(Math.abs(monotonicAge.minus(systemAge).micros()));
     Span tolerance = CLOCK_TOLERANCE.plus(monotonicAge.times(CLOCK_TOLERANCE_RATIO));
     return monotonicAge.micros() >= 0 && !difference.isLongerThan(tolerance);
   }
 
   private static StateRestore aged(LearnedState stored, Span age) {
-    List<KnownEndpoint> endpoints = new ArrayList<>(stored.endpoints().size());
-    for (KnownEndpoint known : stored.endpoints()) {
+    List<StoredEndpoint> endpoints = new ArrayList<>(stored.endpoints().size());
+    for (StoredEndpoint endpoint : stored.endpoints()) {
       endpoints.add(
-          new KnownEndpoint(known.id(), known.address(), StateDecay.aged(known.state(), age)));
+          new StoredEndpoint(
+              endpoint.id(), endpoint.address(), StateDecay.decay(endpoint.state(), age)));
     }
     List<GroupState> groups =
-        stored.groups().stream().map(group -> StateDecay.aged(group, age)).toList();
+        stored.groups().stream().map(group -> StateDecay.decay(group, age)).toList();
     return new StateRestore("", age, stored.listVersion(), endpoints, groups);
   }
 
@@ -100,12 +106,12 @@
   }
 
   /** The number of endpoints that have not been listed yet. */
-  public int pendingCount() {
+  public int pendingEndpointCount() {
     return pending.size();
   }
 
   /** The endpoints that have not been listed yet, in stored order: whom to poll first. */
-  public List<KnownEndpoint> pendingEndpoints() {
+  public List<StoredEndpoint> pendingEndpoints() {
     return List.copyOf(pending.values());
   }
 
@@ -114,19 +120,24 @@
    * that the router did not request itself may be older than the stored state: then the stored
    * start and draining are the later word.
    *
-   * @param version the version of the list
-   * @param live whether the router requested the list itself
+   * @param currentListVersion the version of the list
+   * @param requestedList whether the router requested the list itself
    */
-  public EndpointState of(String id, String address, long listedStart, long version, boolean live) {
-    KnownEndpoint known = pending.get(id);
-    boolean olderList = !live && version < listVersion;
-    if (known == null
-        || !known.address().equals(address)
-        || !isSameStart(known.state().listedStartMicros(), listedStart, olderList)) {
+  public EndpointState takeEndpoint(
+      String id,
+      String address,
+      long listedStartMicros,
+      long currentListVersion,
+      boolean requestedList) {
+    StoredEndpoint endpoint = pending.get(id);
+    boolean olderList = !requestedList && currentListVersion < listVersion;
+    if (endpoint == null
+        || !endpoint.address().equals(address)
+        || !isSameStart(endpoint.state().listedStartMicros(), listedStartMicros, olderList)) {
       return null;
     }
     pending.remove(id);
-    EndpointState state = known.state();
+    EndpointState state = endpoint.state();
     return state.draining() && !olderList ? state.toBuilder().draining(false).build() : state;
   }
 
@@ -136,8 +147,8 @@
 
   /** Hands out, once, what is known of the replica groups. */
   public List<GroupState> takeGroups() {
-    List<GroupState> handedOut = takeGroups;
-    takeGroups = List.of();
-    return handedOut;
+    List<GroupState> groups = pendingGroups;
+    pendingGroups = List.of();
+    return groups;
   }
 }
--- a/router/src/main/java/basaltlever/storage/SnapshotFormat.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotFormat.java
@@ -10,7 +10,7 @@
  */
 final class SnapshotFormat {
   static final int MAGIC = 0x424C5657;
-  static final int FORMAT = 1;
+  static final int FORMAT_VERSION = 1;
   static final int HEADER_BYTES = 8;
   static final int FRAME_HEADER_BYTES = 8;
   static final int DIGEST_BYTES = 32;
@@ -34,8 +34,8 @@
 
   static final String ROUTER = "router";
   static final String SEQUENCE = "number";
-  static final String WRITTEN_AT = "written";
-  static final String MONOTONIC = "steady";
+  static final String WRITTEN_AT_MICROS = "written";
+  static final String MONOTONIC_MICROS = "steady";
   static final String BOOT_ID = "boot";
   static final String LIST_VERSION = "listed";
   static final String RECORD_COUNT = "records";
--- a/router/src/test/java/basaltlever/DeferredAcceptTest.java
+++ b/router/src/test/java/basaltlever/DeferredAcceptTest.java
@@ -1,9 +1,9 @@
 package basaltlever;
 
-import static basaltlever.SocketWorld.statement;
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
+import static basaltlever.LoopbackCluster.statement;
 
-import basaltlever.SocketWorld.Client;
+import basaltlever.LoopbackCluster.Client;
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.Example;
@@ -20,15 +20,15 @@
   @Example
   void silentConnectionsDoNotDelayAClientWithAStatement() throws Exception {
     List<Client> silent = new ArrayList<>();
-    try (SocketWorld world = new SocketWorld()) {
+    try (LoopbackCluster world = new LoopbackCluster()) {
       long connectingSince = System.nanoTime();
       for (int i = 0; i < SILENT_CONNECTIONS; i++) {
         silent.add(new Client(world.port));
       }
-      try (Client client = new Client(world.port).start()) {
-        client.answer();
+      try (Client client = new Client(world.port).sendStartup()) {
+        client.readResponse();
         check(
-            client.ask(statement("a1", "view", 900)).answer().equals("row:a1"),
+            client.sendQuery(statement("a1", "view", 900)).readResponse().equals("row:a1"),
             "the statement is answered with a row");
       }
       boolean deferred =
@@ -44,13 +44,13 @@
   /** Guards against a listener that resets deferred connections when it closes at shutdown. */
   @Example
   void aDeferredConnectionIsServedWhenTheRouterShutsDown() throws Exception {
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Client client = new Client(world.port)) {
       world.router.drain();
       Thread.sleep(SHORTER_THAN_DEFERRAL_MILLIS);
-      check(client.start().answer().isEmpty(), "the deferred connection starts up");
+      check(client.sendStartup().readResponse().isEmpty(), "the deferred connection starts up");
       check(
-          client.ask(statement("a1", "view", 900)).answer().equals("row:a1"),
+          client.sendQuery(statement("a1", "view", 900)).readResponse().equals("row:a1"),
           "the statement is answered with a row");
     }
   }
--- a/router/src/test/java/basaltlever/HoldTest.java
+++ b/router/src/test/java/basaltlever/HoldTest.java
@@ -1,14 +1,14 @@
 package basaltlever;
 
-import static basaltlever.StandIn.ANY;
-import static basaltlever.StandIn.BOUNDED;
-import static basaltlever.StandIn.FRESH;
-import static basaltlever.StandIn.KEYED;
-import static basaltlever.StandIn.LATE;
-import static basaltlever.StandIn.Sent;
-import static basaltlever.StandIn.WRITE;
-import static basaltlever.StandIn.check;
-import static basaltlever.StandIn.ms;
+import static basaltlever.LoadBalancerHarness.ANY;
+import static basaltlever.LoadBalancerHarness.BOUNDED;
+import static basaltlever.LoadBalancerHarness.DEDUPLICATED;
+import static basaltlever.LoadBalancerHarness.FRESH;
+import static basaltlever.LoadBalancerHarness.LATE_TOLERANT;
+import static basaltlever.LoadBalancerHarness.SentAttempt;
+import static basaltlever.LoadBalancerHarness.WRITE;
+import static basaltlever.LoadBalancerHarness.check;
+import static basaltlever.LoadBalancerHarness.ms;
 
 import basaltlever.gateway.AttemptOutcome;
 import basaltlever.gateway.EndpointLifecycle;
@@ -23,58 +23,59 @@
  * Plain cases: transitions of the hold, where statements go, and one case for each failure found.
  */
 class HoldTest {
-  private static List<Integer> statements(StandIn world) {
-    return world.sent.stream().map(StandIn.Sent::statement).toList();
+  private static List<Integer> sentStatements(LoadBalancerHarness world) {
+    return world.sentAttempts.stream().map(LoadBalancerHarness.SentAttempt::statement).toList();
   }
 
   @Example
-  void aFreshRouterPollsAllAndHoldsUntilOneAnswersAsPrimary() {
-    StandIn world = StandIn.plain().list(3);
-    int first = world.take(WRITE);
-    int second = world.take(FRESH);
+  void newRouterHoldsStatementsUntilPrimaryIsFound() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().listEndpoints(3);
+    int first = world.receiveStatement(WRITE);
+    int second = world.receiveStatement(FRESH);
     check(
-        world.polled.containsAll(List.of(0, 1, 2)) && world.sent.isEmpty(),
+        world.polledEndpoints.containsAll(List.of(0, 1, 2)) && world.sentAttempts.isEmpty(),
         "polls all, sends nothing");
-    world.poll(1, Role.REPLICA, world.now);
-    check(world.sent.isEmpty(), "a replica releases nothing");
-    world.poll(2, Role.PRIMARY, world.now);
+    world.completePoll(1, Role.REPLICA, world.now);
+    check(world.sentAttempts.isEmpty(), "a replica releases nothing");
+    world.completePoll(2, Role.PRIMARY, world.now);
     check(
-        statements(world).equals(List.of(first, second)) && world.last().node() == 2,
+        sentStatements(world).equals(List.of(first, second)) && world.lastAttempt().endpoint() == 2,
         "released in order");
   }
 
   @Example
-  void aMissStartsTheHoldAndTheNewPrimaryGetsTheHeldInOrder() {
-    StandIn world = StandIn.plain().steady(20);
-    int first = world.take(WRITE);
-    world.later(10).end(world.last(), AttemptOutcome.MISS, Role.REPLICA);
-    int second = world.take(WRITE);
-    check(world.sent.size() == 1, "nothing new goes to the old primary");
-    world.later(20).poll(1, Role.PRIMARY, world.now);
+  void missStartsHoldAndNewPrimaryReceivesHeldStatementsInOrder() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    int first = world.receiveStatement(WRITE);
+    world.advance(10).endAttempt(world.lastAttempt(), AttemptOutcome.MISS, Role.REPLICA);
+    int second = world.receiveStatement(WRITE);
+    check(world.sentAttempts.size() == 1, "nothing new goes to the old primary");
+    world.advance(20).completePoll(1, Role.PRIMARY, world.now);
     check(
-        statements(world).equals(List.of(first, first, second)) && world.last().node() == 1,
+        sentStatements(world).equals(List.of(first, first, second))
+            && world.lastAttempt().endpoint() == 1,
         "in order");
   }
 
   @Example
-  void aFailedConnectionStartsTheHoldAndAnOldClaimDoesNotEndIt() {
-    StandIn world = StandIn.plain().steady(20);
-    world.take(WRITE);
+  void failedConnectionStartsHoldThatOlderReportDoesNotEnd() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    world.receiveStatement(WRITE);
     Moment before = world.now;
-    world.later(10).end(world.last(), AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
-    world.later(10).poll(0, Role.PRIMARY, before);
-    check(world.sent.size() == 1, "the report is older than the loss");
-    world.later(50).poll(0, Role.PRIMARY, world.now);
-    check(world.sent.size() == 2, "a newer one proves that it lives");
+    world.advance(10).endAttempt(world.lastAttempt(), AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
+    world.advance(10).completePoll(0, Role.PRIMARY, before);
+    check(world.sentAttempts.size() == 1, "the report is older than the loss");
+    world.advance(50).completePoll(0, Role.PRIMARY, world.now);
+    check(world.sentAttempts.size() == 2, "a newer one proves that it lives");
   }
 
   @Example
-  void aPrimaryThatAnswersAsReplicaStartsTheHold() {
-    StandIn world = StandIn.plain().steady(20);
-    world.take(FRESH);
-    world.later(10).end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA);
-    world.take(WRITE);
-    check(world.sent.size() == 1, "held");
+  void primaryRespondingAsReplicaStartsHold() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    world.receiveStatement(FRESH);
+    world.advance(10).endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA);
+    world.receiveStatement(WRITE);
+    check(world.sentAttempts.size() == 1, "held");
   }
 
   /**
@@ -82,62 +83,64 @@
    * 100 ms.
    */
   @Example
-  void whoIsToBePolledAgainWhileAPollIsOutIsPolledOnceItEnds() {
-    StandIn world = StandIn.plain().list(3);
-    world.later(20).list(3).later(200);
-    check(world.polled.size() == 3, "one at a time");
-    world.poll(1, Role.REPLICA, world.now);
-    check(world.polled.equals(List.of(0, 1, 2, 1)), "at once: " + world.polled);
+  void pollRequestedDuringPollIsSentWhenItEnds() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().listEndpoints(3);
+    world.advance(20).listEndpoints(3).advance(200);
+    check(world.polledEndpoints.size() == 3, "one at a time");
+    world.completePoll(1, Role.REPLICA, world.now);
+    check(world.polledEndpoints.equals(List.of(0, 1, 2, 1)), "at once: " + world.polledEndpoints);
   }
 
   @Example
-  void aLoneTimeOutOnlyPollsAtOnce() {
-    StandIn world = StandIn.plain().steady(20);
-    world.take(FRESH);
-    world.later(150).polled.clear();
-    world.end(world.last(), AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
-    check(world.polled.contains(0), "polled at once");
-    int next = world.take(WRITE);
-    check(world.last().statement() == next, "no hold");
+  void singleTimeoutTriggersPollWithoutHold() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    world.receiveStatement(FRESH);
+    world.advance(150).polledEndpoints.clear();
+    world.endAttempt(world.lastAttempt(), AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
+    check(world.polledEndpoints.contains(0), "polled at once");
+    int next = world.receiveStatement(WRITE);
+    check(world.lastAttempt().statement() == next, "no hold");
   }
 
   @Example
-  void aPrimaryThatAnswersNothingIsHeldThoughItsPollsLookWell() {
-    StandIn world = StandIn.plain().steady(20);
-    world.take(WRITE, 9, Moment.LONG_AGO, 3_000);
+  void unresponsivePrimaryStartsHoldDespiteSuccessfulPolls() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    world.receiveStatement(WRITE, 9, Moment.LONG_AGO, 3_000);
     for (int i = 0; i < 60; i++) {
-      world.later(20).poll(0, Role.PRIMARY, world.now);
+      world.advance(20).completePoll(0, Role.PRIMARY, world.now);
     }
-    int next = world.take(WRITE);
-    check(world.last().statement() != next, "held");
-    world.end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
-    world.poll(0, Role.PRIMARY, world.now);
-    check(world.last().statement() == next, "an answer makes it primary again");
+    int next = world.receiveStatement(WRITE);
+    check(world.lastAttempt().statement() != next, "held");
+    world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
+    world.completePoll(0, Role.PRIMARY, world.now);
+    check(world.lastAttempt().statement() == next, "an answer makes it primary again");
   }
 
   @Example
-  void aHoldThatOutlastsAStatementRejectsWhatNeverRanAndAbortsWhatMayHave() {
-    StandIn world = StandIn.plain().steady(20);
-    int maybe = world.take(WRITE);
-    world.end(world.last(), AttemptOutcome.RESET, Role.UNKNOWN);
-    check(world.aborted.equals(List.of(maybe)), "aborted at once, since it can't be sent again");
-    int never = world.take(WRITE);
-    world.later(1_100);
-    check(world.rejected.equals(List.of(never)), "rejected before the client leaves");
+  void holdRejectsUnsentStatementAndAbortsPossiblyExecutedOne() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    int maybe = world.receiveStatement(WRITE);
+    world.endAttempt(world.lastAttempt(), AttemptOutcome.RESET, Role.UNKNOWN);
+    check(
+        world.abortedStatements.equals(List.of(maybe)),
+        "aborted at once, since it can't be sent again");
+    int never = world.receiveStatement(WRITE);
+    world.advance(1_100);
+    check(world.rejectedStatements.equals(List.of(never)), "rejected before the client leaves");
   }
 
   /** Found on sockets: a primary that steps down says so to writes long before its reports do. */
   @Example
-  void aMemberThatMissedAWriteIsNotBelievedAtOnceToBePrimary() {
-    StandIn world = StandIn.plain().steady(20);
-    world.take(WRITE, 9, Moment.LONG_AGO, 4_000);
-    world.later(10).end(world.last(), AttemptOutcome.MISS, Role.REPLICA);
+  void primaryClaimAfterMissedWriteIsIgnoredForSomeTime() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    world.receiveStatement(WRITE, 9, Moment.LONG_AGO, 4_000);
+    world.advance(10).endAttempt(world.lastAttempt(), AttemptOutcome.MISS, Role.REPLICA);
     for (int i = 0; i < 5; i++) {
-      world.later(100).poll(0, Role.PRIMARY, world.now);
+      world.advance(100).completePoll(0, Role.PRIMARY, world.now);
     }
-    check(world.sent.size() == 1, "each claim would cost one more execution");
-    world.later(600).poll(0, Role.PRIMARY, world.now);
-    check(world.sent.size() == 2, "but not for good");
+    check(world.sentAttempts.size() == 1, "each claim would cost one more execution");
+    world.advance(600).completePoll(0, Role.PRIMARY, world.now);
+    check(world.sentAttempts.size() == 2, "but not for good");
   }
 
   /**
@@ -145,21 +148,27 @@
    * idle.
    */
   @Example
-  void aReadGoesToThePrimaryWhereAllReplicasAreFarBehindOrMissedIt() {
-    StandIn world = new StandIn(true, true, true, false, true).steady(1_500);
-    int far = world.take(BOUNDED);
+  void readIsSentToPrimaryWhenReplicasLagOrMissedIt() {
+    LoadBalancerHarness world =
+        new LoadBalancerHarness(true, true, true, false, true).discoverGroup(1_500);
+    int far = world.receiveStatement(BOUNDED);
     check(
-        world.last().statement() == far && world.last().node() == 0, "no use in asking a replica");
-    world = new StandIn(true, true, true, false, true).steady(20);
-    int missed = world.take(BOUNDED);
-    Sent kept = world.last();
+        world.lastAttempt().statement() == far && world.lastAttempt().endpoint() == 0,
+        "no use in asking a replica");
+    world = new LoadBalancerHarness(true, true, true, false, true).discoverGroup(20);
+    int missed = world.receiveStatement(BOUNDED);
+    SentAttempt kept = world.lastAttempt();
     world.balancer.onPollEnded(
         world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, 1, Double.NaN);
-    world.relist(3 - kept.node(), EndpointLifecycle.DRAINING, Moment.LONG_AGO);
-    world.later(45).end(kept, AttemptOutcome.MISS, Role.REPLICA);
-    check(world.sent.size() == 1 && world.rejected.isEmpty(), "the primary is busy for now");
-    world.later(25).poll(0, Role.PRIMARY, world.now);
-    check(world.last().statement() == missed && world.last().node() == 0, "its turn after all");
+    world.listEndpoint(3 - kept.endpoint(), EndpointLifecycle.DRAINING, Moment.LONG_AGO);
+    world.advance(45).endAttempt(kept, AttemptOutcome.MISS, Role.REPLICA);
+    check(
+        world.sentAttempts.size() == 1 && world.rejectedStatements.isEmpty(),
+        "the primary is busy for now");
+    world.advance(25).completePoll(0, Role.PRIMARY, world.now);
+    check(
+        world.lastAttempt().statement() == missed && world.lastAttempt().endpoint() == 0,
+        "its turn after all");
   }
 
   /**
@@ -167,30 +176,31 @@
    * again.
    */
   @Example
-  void whatWaitsForRoomGetsItWhenAnExecutionEndsAndIsNotRejectedBeforeTheSecondLook() {
-    StandIn world = new StandIn(false, false, false, false, true, 2, 7, 80).steady(20);
+  void waitingReadIsSentWhenAttemptEndsUnderShortSlo() {
+    LoadBalancerHarness world =
+        new LoadBalancerHarness(false, false, false, false, true, 2, 7, 80).discoverGroup(20);
     int last = -1;
-    while (last < 0 || statements(world).contains(last)) {
-      last = world.take(ANY);
+    while (last < 0 || sentStatements(world).contains(last)) {
+      last = world.receiveStatement(ANY);
     }
-    world.later(22);
-    check(world.rejected.isEmpty(), "it waits");
-    world.end(world.sent.get(0), AttemptOutcome.COMPLETED, Role.UNKNOWN);
-    check(world.last().statement() == last, "placed at once");
+    world.advance(22);
+    check(world.rejectedStatements.isEmpty(), "it waits");
+    world.endAttempt(world.sentAttempts.get(0), AttemptOutcome.COMPLETED, Role.UNKNOWN);
+    check(world.lastAttempt().statement() == last, "placed at once");
   }
 
   /** Found on sockets: on a long day members are replaced all the time. */
   @Example
-  void aMemberThatIsGoneIsForgottenOnceNoRuleAsksForItAndComesBackAsNew() {
-    StandIn world = StandIn.plain().steady(20);
-    world.relist(2, EndpointLifecycle.GONE, Moment.LONG_AGO);
-    world.later(8_000).relist(1, EndpointLifecycle.READY, Moment.LONG_AGO);
-    check(world.forgotten.isEmpty(), "its drain is still known");
-    world.later(16_000).relist(1, EndpointLifecycle.READY, Moment.LONG_AGO);
-    check(world.forgotten.equals(List.of(2)), "forgotten");
-    world.polled.clear();
-    world.relist(2, EndpointLifecycle.READY, Moment.LONG_AGO);
-    check(world.polled.contains(2), "and there again");
+  void goneEndpointIsRemovedAfterDrainExpiresAndCanReturn() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    world.listEndpoint(2, EndpointLifecycle.GONE, Moment.LONG_AGO);
+    world.advance(8_000).listEndpoint(1, EndpointLifecycle.READY, Moment.LONG_AGO);
+    check(world.removedEndpoints.isEmpty(), "its drain is still known");
+    world.advance(16_000).listEndpoint(1, EndpointLifecycle.READY, Moment.LONG_AGO);
+    check(world.removedEndpoints.equals(List.of(2)), "forgotten");
+    world.polledEndpoints.clear();
+    world.listEndpoint(2, EndpointLifecycle.READY, Moment.LONG_AGO);
+    check(world.polledEndpoints.contains(2), "and there again");
   }
 
   /**
@@ -198,73 +208,77 @@
    * silent.
    */
   @Example
-  void aPrimaryThatWasSilentIsTriedByAWriteWhereThereAreNoReads() {
-    StandIn world = StandIn.plain().steady(20);
-    world.take(WRITE);
-    world.later(1_000).timeOutWhoseClientLeft();
-    int held = world.take(WRITE);
-    world.later(100).poll(0, Role.PRIMARY, world.now);
+  void unresponsivePrimaryIsProbedByWriteWithoutReads() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    world.receiveStatement(WRITE);
+    world.advance(1_000).timeOutAttemptsPastDeadline();
+    int held = world.receiveStatement(WRITE);
+    world.advance(100).completePoll(0, Role.PRIMARY, world.now);
     check(
-        world.sent.size() == 1 && world.last().statement() != held,
+        world.sentAttempts.size() == 1 && world.lastAttempt().statement() != held,
         "silent: its polls are not enough");
-    world.later(5_000).poll(0, Role.PRIMARY, world.now);
-    int trial = world.take(WRITE);
-    int next = world.take(WRITE);
-    check(world.last().statement() == trial, "one trial");
-    world.end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY);
-    world.later(20);
-    check(world.last().statement() == next, "its answer ends the hold");
+    world.advance(5_000).completePoll(0, Role.PRIMARY, world.now);
+    int trial = world.receiveStatement(WRITE);
+    int next = world.receiveStatement(WRITE);
+    check(world.lastAttempt().statement() == trial, "one trial");
+    world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.PRIMARY);
+    world.advance(20);
+    check(world.lastAttempt().statement() == next, "its answer ends the hold");
   }
 
   /**
    * Found on sockets: writes held to their end cost more than those whose clients could try again.
    */
   @Example
-  void aHoldKeepsAStatementForHalfOfItsTimeUnlessALateAnswerIsWorthMost() {
-    StandIn world = StandIn.plain().list(3);
-    world.take(WRITE, 9, Moment.LONG_AGO, 2_000);
-    int late = world.take(LATE, 9, Moment.LONG_AGO, 2_000);
-    world.later(900);
-    check(world.rejected.isEmpty(), "held for nearly half of its time");
-    world.later(100);
+  void holdLastsHalfOfRemainingTimeUnlessLateAnswerHasHighValue() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().listEndpoints(3);
+    world.receiveStatement(WRITE, 9, Moment.LONG_AGO, 2_000);
+    int late = world.receiveStatement(LATE_TOLERANT, 9, Moment.LONG_AGO, 2_000);
+    world.advance(900);
+    check(world.rejectedStatements.isEmpty(), "held for nearly half of its time");
+    world.advance(100);
     check(
-        world.rejected.equals(List.of(0)) && world.advice.equals(Span.NONE),
+        world.rejectedStatements.equals(List.of(0)) && world.lastRetryAfter.equals(Span.NONE),
         "it may try elsewhere");
-    world.later(700).poll(0, Role.PRIMARY, world.now);
-    check(statements(world).equals(List.of(late)), "held on for what late is worth");
+    world.advance(700).completePoll(0, Role.PRIMARY, world.now);
+    check(sentStatements(world).equals(List.of(late)), "held on for what late is worth");
   }
 
   @Example
-  void aDeduplicatedStatementIsSentAgainOnlyWithinItsWindow() {
-    StandIn world = StandIn.plain().steady(20);
-    int keyed = world.take(KEYED, 9, Moment.LONG_AGO, 5_000);
-    world.end(world.last(), AttemptOutcome.RESET, Role.UNKNOWN);
-    world.later(100).poll(1, Role.PRIMARY, world.now);
-    check(world.sent.size() == 2 && world.last().statement() == keyed, "sent to the new primary");
+  void deduplicatedStatementIsRetriedOnlyWithinItsWindow() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    int keyed = world.receiveStatement(DEDUPLICATED, 9, Moment.LONG_AGO, 5_000);
+    world.endAttempt(world.lastAttempt(), AttemptOutcome.RESET, Role.UNKNOWN);
+    world.advance(100).completePoll(1, Role.PRIMARY, world.now);
     check(
-        world.last().sendBy().equals(world.sent.get(0).at().plus(ms(600))),
+        world.sentAttempts.size() == 2 && world.lastAttempt().statement() == keyed,
+        "sent to the new primary");
+    check(
+        world.lastAttempt().sendBy().equals(world.sentAttempts.get(0).sentAt().plus(ms(600))),
         "and not once its window is over, however late a connection stands");
-    check(!world.sent.get(0).sendBy().isBefore(Moment.NEVER), "the first has no window");
+    check(!world.sentAttempts.get(0).sendBy().isBefore(Moment.NEVER), "the first has no window");
   }
 
   @Example
-  void readsGoToReplicasProvenNewEnoughElseToThePrimary() {
-    StandIn world = StandIn.plain().steady(299);
-    world.take(BOUNDED);
-    check(world.last().node() != 0, "inside the bound");
+  void boundedReadsUseFreshReplicasElsePrimary() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(299);
+    world.receiveStatement(BOUNDED);
+    check(world.lastAttempt().endpoint() != 0, "inside the bound");
     check(
-        world.last().sendBy().equals(world.now.plus(ms(1))), "not sent once the proof is too old");
-    world.later(5);
-    world.take(BOUNDED);
-    check(world.last().node() == 0, "outside of it, and replicas do not check");
-    StandIn checking = new StandIn(true, false, true, false, true).steady(20);
+        world.lastAttempt().sendBy().equals(world.now.plus(ms(1))),
+        "not sent once the proof is too old");
+    world.advance(5);
+    world.receiveStatement(BOUNDED);
+    check(world.lastAttempt().endpoint() == 0, "outside of it, and replicas do not check");
+    LoadBalancerHarness checking =
+        new LoadBalancerHarness(true, false, true, false, true).discoverGroup(20);
     for (int i = 0; i < 20; i++) {
-      checking.poll(0, Role.PRIMARY, checking.now);
+      checking.completePoll(0, Role.PRIMARY, checking.now);
     }
-    checking.later(400).poll(1, Role.REPLICA, checking.now.minus(ms(500)));
-    checking.poll(2, Role.REPLICA, checking.now.minus(ms(450)));
-    checking.take(BOUNDED);
-    check(checking.last().node() == 2, "the most advanced where replicas check");
+    checking.advance(400).completePoll(1, Role.REPLICA, checking.now.minus(ms(500)));
+    checking.completePoll(2, Role.REPLICA, checking.now.minus(ms(450)));
+    checking.receiveStatement(BOUNDED);
+    check(checking.lastAttempt().endpoint() == 2, "the most advanced where replicas check");
   }
 
   /**
@@ -272,11 +286,11 @@
    * nodes.
    */
   @Example
-  void aNodeThatOnlyMissesPollsIsStillUsed() {
-    StandIn world = StandIn.plain().steady(20);
-    world.take(ANY);
-    int node = world.last().node();
-    world.later(300).end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA);
+  void endpointThatOnlyMissesPollsIsStillUsed() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    world.receiveStatement(ANY);
+    int node = world.lastAttempt().endpoint();
+    world.advance(300).endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA);
     for (int i = 0; i < 3; i++) {
       world.balancer.onPollEnded(
           world.now,
@@ -289,23 +303,23 @@
       world.balancer.onPollEnded(
           world.now, node, AttemptOutcome.TIMED_OUT, Role.UNKNOWN, Moment.LONG_AGO, 0, Double.NaN);
     }
-    world.take(ANY);
-    check(world.last().node() == node, "it answered just before");
+    world.receiveStatement(ANY);
+    check(world.lastAttempt().endpoint() == node, "it answered just before");
   }
 
   /** Found on kigali-cards: idle connections of 699 routers shut each other out of nodes. */
   @Example
-  void idleConnectionsAreLetGoOnceANodeThatAnswersRefusesNewOnes() {
-    StandIn world = StandIn.plain().steady(20);
+  void idleConnectionsAreClosedWhenResponsiveEndpointRefusesNewOnes() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     for (int i = 0; i < 2; i++) {
-      world.take(ANY);
-      int full = world.last().node();
-      world.later(5).end(world.last(), AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
-      check(world.letGo.isEmpty(), "it may be gone, or the path broke once");
-      world.later(5).poll(full, Role.REPLICA, world.now);
+      world.receiveStatement(ANY);
+      int full = world.lastAttempt().endpoint();
+      world.advance(5).endAttempt(world.lastAttempt(), AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
+      check(world.endpointsWithIdleClosed.isEmpty(), "it may be gone, or the path broke once");
+      world.advance(5).completePoll(full, Role.REPLICA, world.now);
     }
-    world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA);
-    check(!world.letGo.isEmpty(), "at its limit");
+    world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA);
+    check(!world.endpointsWithIdleClosed.isEmpty(), "at its limit");
   }
 
   /**
@@ -313,36 +327,37 @@
    * one.
    */
   @Example
-  void oneRefusedConnectionAmongManyThatStoodIsNoSignOfALimit() {
-    StandIn world = StandIn.plain().steady(20);
+  void singleRefusedConnectionDoesNotCloseIdleConnections() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     for (int i = 0; i < 40; i++) {
       // Three at once, so that some need a connection of their own each time.
-      int first = world.take(ANY);
-      world.take(ANY);
-      world.take(ANY);
-      world.later(5);
-      Sent broken =
-          world.sent.stream().filter(s -> s.statement() == first).findFirst().orElseThrow();
-      if (i == 30 && world.ended.add(broken)) {
-        world.end(broken, AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
-        world.later(5).poll(broken.node(), Role.UNKNOWN, world.now);
+      int first = world.receiveStatement(ANY);
+      world.receiveStatement(ANY);
+      world.receiveStatement(ANY);
+      world.advance(5);
+      SentAttempt broken =
+          world.sentAttempts.stream().filter(s -> s.statement() == first).findFirst().orElseThrow();
+      if (i == 30 && world.endedAttempts.add(broken)) {
+        world.endAttempt(broken, AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
+        world.advance(5).completePoll(broken.endpoint(), Role.UNKNOWN, world.now);
       }
-      world.later(30).endThose(s -> true, AttemptOutcome.COMPLETED, Role.UNKNOWN);
+      world.advance(30).endAttempts(s -> true, AttemptOutcome.COMPLETED, Role.UNKNOWN);
     }
-    check(world.letGo.isEmpty(), "kept");
+    check(world.endpointsWithIdleClosed.isEmpty(), "kept");
   }
 
   /**
    * Found on ho-karachi: statements that err anywhere got five executions, and all nodes the blame.
    */
   @Example
-  void whatErrsAtASecondNodeIsGivenUpAndNoNodeBlamed() {
-    StandIn world = StandIn.plain().steady(20);
-    int id = world.take(ANY);
-    world.end(world.last(), AttemptOutcome.ERROR, Role.UNKNOWN);
-    world.end(world.last(), AttemptOutcome.ERROR, Role.UNKNOWN);
+  void readFailingOnTwoEndpointsIsRejected() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    int id = world.receiveStatement(ANY);
+    world.endAttempt(world.lastAttempt(), AttemptOutcome.ERROR, Role.UNKNOWN);
+    world.endAttempt(world.lastAttempt(), AttemptOutcome.ERROR, Role.UNKNOWN);
     check(
-        world.sent.size() == 2 && world.rejected.equals(List.of(id)), "two executions, one answer");
+        world.sentAttempts.size() == 2 && world.rejectedStatements.equals(List.of(id)),
+        "two executions, one answer");
   }
 
   /**
@@ -350,16 +365,16 @@
    * pass.
    */
   @Example
-  void aNodeThatLosesWhatItIsGivenComesLastThoughItsPollsPass() {
-    StandIn world = StandIn.plain().steady(20);
-    world.take(ANY);
-    int lossy = world.last().node();
-    world.later(300).end(world.last(), AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
+  void endpointThatLosesResponsesIsAvoidedDespiteSuccessfulPolls() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    world.receiveStatement(ANY);
+    int lossy = world.lastAttempt().endpoint();
+    world.advance(300).endAttempt(world.lastAttempt(), AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
     for (int i = 0; i < 10; i++) {
-      world.later(300).poll(lossy, Role.REPLICA, world.now);
-      world.take(ANY);
-      check(world.last().node() != lossy, "the other replica serves it");
-      world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA);
+      world.advance(300).completePoll(lossy, Role.REPLICA, world.now);
+      world.receiveStatement(ANY);
+      check(world.lastAttempt().endpoint() != lossy, "the other replica serves it");
+      world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA);
     }
   }
 
@@ -368,12 +383,12 @@
    * seconds.
    */
   @Example
-  void aGroupThatAnswersLateWithBusyCoresIsSentLittleUntilItRecovers() {
-    StandIn world = StandIn.plain().steady(20);
+  void overloadedGroupReceivesFewerStatementsUntilItRecovers() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     long[] admitted = new long[3];
     for (int i = 0; i < 300; i++) {
       boolean jammed = i >= 100 && i < 200;
-      world.later(100);
+      world.advance(100);
       for (int node = 0; node < 3; node++) {
         Role role = node == 0 ? Role.PRIMARY : Role.REPLICA;
         world.balancer.onPollEnded(
@@ -385,34 +400,38 @@
             jammed ? 1.1 : 0.5,
             Double.NaN);
       }
-      int before = world.sent.size();
-      world.take(ANY);
-      admitted[i / 100] += i % 100 > 50 ? world.sent.size() - before : 0;
+      int before = world.sentAttempts.size();
+      world.receiveStatement(ANY);
+      admitted[i / 100] += i % 100 > 50 ? world.sentAttempts.size() - before : 0;
       AttemptOutcome outcome = jammed ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMPLETED;
-      world.endThose(s -> !jammed || world.isOlder(s, 290), outcome, Role.REPLICA);
+      world.endAttempts(s -> !jammed || world.isOlder(s, 290), outcome, Role.REPLICA);
     }
     check(admitted[0] == 49 && admitted[1] < 35 && admitted[2] == 49, Arrays.toString(admitted));
   }
 
   @Example
-  void aFailedWatchIsAskedForAgainWellBeforeTheRouterCountsAsInformed() {
-    StandIn world = new StandIn(false, false, false, true, true).list(2);
-    int asked = world.watches;
+  void failedWatchIsRequestedAgainWithinShortPause() {
+    LoadBalancerHarness world =
+        new LoadBalancerHarness(false, false, false, true, true).listEndpoints(2);
+    int asked = world.watchRequests;
     world.balancer.onListRequestFailed(world.now);
-    world.later(2_500);
-    check(world.watches > asked, "asked again");
+    world.advance(2_500);
+    check(world.watchRequests > asked, "asked again");
   }
 
   /** Found on ho-karachi: executions timed out for good while all reports told of free cores. */
   @Example
-  void roomShrinksUnderHopelessStrainWhateverReportsSay() {
-    StandIn world = StandIn.plain().steady(20);
+  void capacityShrinksOnTimeoutsDespiteLowReportedUtilization() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     for (int i = 0; i < 200; i++) {
-      world.later(5).poll(1 + i % 2, Role.REPLICA, world.now);
-      world.take(ANY);
-      world.endThose(s -> world.isOlder(s, 290), AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
+      world.advance(5).completePoll(1 + i % 2, Role.REPLICA, world.now);
+      world.receiveStatement(ANY);
+      world.endAttempts(s -> world.isOlder(s, 290), AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
     }
-    long out = world.sent.stream().filter(s -> s.node() != 0 && !world.ended.contains(s)).count();
+    long out =
+        world.sentAttempts.stream()
+            .filter(s -> s.endpoint() != 0 && !world.endedAttempts.contains(s))
+            .count();
     check(out <= 6, "still out: " + out);
   }
 
@@ -421,46 +440,48 @@
    * statement.
    */
   @Example
-  void aNodeThatTurnsWorkAwayRests() {
-    StandIn world = StandIn.plain().list(1);
-    world.poll(0, Role.PRIMARY, world.now);
-    int id = world.take(WRITE);
-    world.end(world.last(), AttemptOutcome.FULL, Role.UNKNOWN);
-    check(world.sent.size() == 1, "not sent back at once");
-    world.later(400);
-    check(world.sent.size() == 2 && world.last().statement() == id, "sent again later");
+  void endpointAtCapacityIsRetriedAfterBackoff() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().listEndpoints(1);
+    world.completePoll(0, Role.PRIMARY, world.now);
+    int id = world.receiveStatement(WRITE);
+    world.endAttempt(world.lastAttempt(), AttemptOutcome.FULL, Role.UNKNOWN);
+    check(world.sentAttempts.size() == 1, "not sent back at once");
+    world.advance(400);
+    check(
+        world.sentAttempts.size() == 2 && world.lastAttempt().statement() == id,
+        "sent again later");
   }
 
   /** Found on kigali-cards: retries made warm nodes seem strong, and cold ones got too much. */
   @Example
-  void aColdNodeGetsItsShareOfWhatWarmOnesAnswered() {
-    StandIn world = StandIn.plain().steady(20);
+  void restartedEndpointReceivesSlowStartShare() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     for (int i = 0; i < 400; i++) {
-      world.later(10);
-      world.take(ANY);
-      world.endThose(s -> world.isOlder(s, 90), AttemptOutcome.COMPLETED, Role.REPLICA);
+      world.advance(10);
+      world.receiveStatement(ANY);
+      world.endAttempts(s -> world.isOlder(s, 90), AttemptOutcome.COMPLETED, Role.REPLICA);
       if (i == 200) {
-        world.relist(1, EndpointLifecycle.READY, world.now);
+        world.listEndpoint(1, EndpointLifecycle.READY, world.now);
       }
     }
-    long cold = world.sent.stream().skip(200).filter(s -> s.node() == 1).count();
+    long cold = world.sentAttempts.stream().skip(200).filter(s -> s.endpoint() == 1).count();
     check(cold > 2 && cold < 70, "cold node got " + cold);
   }
 
   @Example
-  void readsOnANodeThatAnswersNobodyAreCopiedElsewhere() {
-    StandIn world = StandIn.plain().steady(20);
-    int id = world.take(BOUNDED);
-    int stuck = world.last().node();
+  void readOnUnresponsiveEndpointIsHedged() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    int id = world.receiveStatement(BOUNDED);
+    int stuck = world.lastAttempt().endpoint();
     for (int i = 0; i < 60; i++) {
-      world.later(10);
-      world.poll(1, Role.REPLICA, world.now);
-      world.poll(2, Role.REPLICA, world.now);
+      world.advance(10);
+      world.completePoll(1, Role.REPLICA, world.now);
+      world.completePoll(2, Role.REPLICA, world.now);
     }
     check(
-        world.sent.size() > 1
-            && world.sent.get(1).statement() == id
-            && world.sent.get(1).node() != stuck,
+        world.sentAttempts.size() > 1
+            && world.sentAttempts.get(1).statement() == id
+            && world.sentAttempts.get(1).endpoint() != stuck,
         "a copy elsewhere");
   }
 
@@ -468,52 +489,54 @@
    * Found on kochi-hire: a long queue in order sent each write when its client was about to leave.
    */
   @Example
-  void aWriteIsNotStartedWithTooLittleTimeLeft() {
-    StandIn world = StandIn.plain().steady(20);
-    world.later(10).relist(0, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
-    int id = world.take(WRITE, 9, Moment.LONG_AGO, 500);
-    world.later(440).poll(1, Role.PRIMARY, world.now);
+  void writeWithTooLittleTimeLeftIsRejectedUnsent() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    world.advance(10).listEndpoint(0, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
+    int id = world.receiveStatement(WRITE, 9, Moment.LONG_AGO, 500);
+    world.advance(440).completePoll(1, Role.PRIMARY, world.now);
     check(
-        world.sent.isEmpty() && world.rejected.equals(List.of(id)), "rejected, since nothing ran");
+        world.sentAttempts.isEmpty() && world.rejectedStatements.equals(List.of(id)),
+        "rejected, since nothing ran");
   }
 
   /** Found on ho-karachi: with slow answers remembered, nothing was admitted to correct it. */
   @Example
-  void slowAnswersRememberedDoNotShutTheDoorForGood() {
-    StandIn world = StandIn.plain().steady(20);
+  void readsAreAdmittedAgainAfterSlowResponses() {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     for (int i = 0; i < 120; i++) {
-      world.later(10);
+      world.advance(10);
       for (int node = 0; node < 3; node++) {
-        world.poll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
+        world.completePoll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
       }
-      world.take(ANY);
-      world.endThose(s -> world.isOlder(s, 285), AttemptOutcome.COMPLETED, Role.REPLICA);
+      world.receiveStatement(ANY);
+      world.endAttempts(s -> world.isOlder(s, 285), AttemptOutcome.COMPLETED, Role.REPLICA);
     }
-    world.endThose(s -> true, AttemptOutcome.COMPLETED, Role.REPLICA);
+    world.endAttempts(s -> true, AttemptOutcome.COMPLETED, Role.REPLICA);
     for (int i = 0; i < 40; i++) {
-      world.later(50).poll(i % 3, i % 3 == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
+      world.advance(50).completePoll(i % 3, i % 3 == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
     }
-    int before = world.sent.size();
-    world.take(ANY);
-    world.poll(0, Role.PRIMARY, world.now);
-    check(world.sent.size() > before, "admitted");
+    int before = world.sentAttempts.size();
+    world.receiveStatement(ANY);
+    world.completePoll(0, Role.PRIMARY, world.now);
+    check(world.sentAttempts.size() > before, "admitted");
   }
 
   /**
    * Found on kochi-hire: with frozen reports one replica, called the most advanced, got all reads.
    */
   @Example
-  void reportsTooOldToTellDoNotSendEveryReadToOneReplica() {
-    StandIn world = new StandIn(true, false, true, false, true).list(3);
-    world.poll(0, Role.PRIMARY, world.now.minus(ms(900)));
-    world.poll(1, Role.REPLICA, world.now.minus(ms(900)));
-    world.poll(2, Role.REPLICA, world.now.minus(ms(950)));
+  void staleReportsSpreadReadsOverReplicas() {
+    LoadBalancerHarness world =
+        new LoadBalancerHarness(true, false, true, false, true).listEndpoints(3);
+    world.completePoll(0, Role.PRIMARY, world.now.minus(ms(900)));
+    world.completePoll(1, Role.REPLICA, world.now.minus(ms(900)));
+    world.completePoll(2, Role.REPLICA, world.now.minus(ms(950)));
     for (int i = 0; i < 8; i++) {
-      world.take(BOUNDED);
+      world.receiveStatement(BOUNDED);
     }
-    long first = world.sent.stream().filter(s -> s.node() == 1).count();
+    long first = world.sentAttempts.stream().filter(s -> s.endpoint() == 1).count();
     check(
-        first >= 2 && first <= 6 && world.sent.size() == 8,
+        first >= 2 && first <= 6 && world.sentAttempts.size() == 8,
         "spread, not all on the seemingly newest");
   }
 }
--- a/router/src/test/java/basaltlever/ProcessTest.java
+++ b/router/src/test/java/basaltlever/ProcessTest.java
@@ -1,9 +1,9 @@
 package basaltlever;
 
-import static basaltlever.SocketWorld.statement;
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
+import static basaltlever.LoopbackCluster.statement;
 
-import basaltlever.SocketWorld.Client;
+import basaltlever.LoopbackCluster.Client;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -19,11 +19,11 @@
  * classes.
  */
 class ProcessTest {
-  private static Process start(Path file, String... arguments) throws IOException {
-    return start(List.of(), file, arguments);
+  private static Process start(Path startFile, String... arguments) throws IOException {
+    return start(List.of(), startFile, arguments);
   }
 
-  private static Process start(List<String> flags, Path file, String... arguments)
+  private static Process start(List<String> flags, Path startFile, String... arguments)
       throws IOException {
     String jar = System.getProperty("basaltlever.jar");
     List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java"));
@@ -34,14 +34,14 @@
             : List.of("-cp", System.getProperty("java.class.path"), "basaltlever.cli.Main"));
     command.addAll(List.of(arguments));
     ProcessBuilder builder = new ProcessBuilder(command).inheritIO();
-    builder.environment().put("GW_CONFIG", file.toString());
+    builder.environment().put("GW_CONFIG", startFile.toString());
     return builder.start();
   }
 
   /** Until a line of the file says so. */
-  private static void awaitLine(Path file, String what, Process process) throws Exception {
+  private static void awaitLine(Path file, String text, Process process) throws Exception {
     while (process.isAlive()
-        && Files.readAllLines(file).stream().noneMatch(line -> line.contains(what))) {
+        && Files.readAllLines(file).stream().noneMatch(line -> line.contains(text))) {
       Thread.sleep(1);
     }
   }
@@ -62,21 +62,22 @@
    * first time.
    */
   @Example
-  void aRouterMakesHardlyAnyClassesOfItsOwnWhileItServes() throws Exception {
+  void servingStatementsLoadsFewGeneratedClasses() throws Exception {
     Path log = Files.createTempFile("classes", ".log");
-    try (SocketWorld world = new SocketWorld(false)) {
-      Process process = start(List.of("-Xlog:class+load:file=" + log), world.file, "serve");
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
+      Process process =
+          start(List.of("-Xlog:class+load:file=" + log), world.startFilePath, "serve");
       try (Client client = connect(world.port, process)) {
-        client.start().answer();
-        for (SocketWorld.Mode mode :
+        client.sendStartup().readResponse();
+        for (LoopbackCluster.ResponseMode mode :
             List.of(
-                SocketWorld.Mode.ROW,
-                SocketWorld.Mode.ERROR,
-                SocketWorld.Mode.GARBAGE,
-                SocketWorld.Mode.BREAKS)) {
-          world.nodes.forEach(node -> node.mode = mode);
-          client.ask(statement("c" + mode, "view", 900)).answer();
-          client.ask(statement("d" + mode, "post", 900)).answer();
+                LoopbackCluster.ResponseMode.ROW,
+                LoopbackCluster.ResponseMode.ERROR,
+                LoopbackCluster.ResponseMode.GARBAGE,
+                LoopbackCluster.ResponseMode.DISCONNECT)) {
+          world.servers.forEach(server -> server.responseMode = mode);
+          client.sendQuery(statement("c" + mode, "view", 900)).readResponse();
+          client.sendQuery(statement("d" + mode, "post", 900)).readResponse();
         }
         process.destroy();
         check(process.waitFor(10, TimeUnit.SECONDS), "it ends");
@@ -86,34 +87,37 @@
       List<String> loaded = Files.readAllLines(log);
       check(loaded.size() > 500, "what it loads is told");
       check(
-          count(loaded, "LambdaForm$MH") <= 20,
-          "texts and the like: " + count(loaded, "LambdaForm$MH"));
+          countLinesContaining(loaded, "LambdaForm$MH") <= 20,
+          "texts and the like: " + countLinesContaining(loaded, "LambdaForm$MH"));
       check(
-          count(loaded, "jdk.jfr.internal.handlers") == 0,
+          countLinesContaining(loaded, "jdk.jfr.internal.handlers") == 0,
           "events for recordings that nobody makes");
-      check(count(loaded, "jcommander.JCommander") == 0, "a command line that says nothing");
+      check(
+          countLinesContaining(loaded, "jcommander.JCommander") == 0,
+          "a command line that says nothing");
     } finally {
       Files.delete(log);
     }
   }
 
-  private static long count(List<String> loaded, String what) {
-    return loaded.stream().filter(line -> line.contains(what)).count();
+  private static long countLinesContaining(List<String> lines, String text) {
+    return lines.stream().filter(line -> line.contains(text)).count();
   }
 
   @Example
-  void itServesAStatementAndEndsOnASignalWithZero() throws Exception {
-    try (SocketWorld world = new SocketWorld(false)) {
+  void routerServesStatementsAndExitsWithZeroOnSigterm() throws Exception {
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
       for (int i = 0; i < 2; i++) {
-        Process process = start(world.file, "serve");
+        Process process = start(world.startFilePath, "serve");
         try (Client client = connect(world.port, process)) {
           check(
-              client.start().ask("").answer().isEmpty() && client.answer().equals("I"),
+              client.sendStartup().sendQuery("").readResponse().isEmpty()
+                  && client.readResponse().equals("I"),
               "it serves");
-          String answer = client.ask(statement("a" + i, "view", 1_800)).answer();
+          String answer = client.sendQuery(statement("a" + i, "view", 1_800)).readResponse();
           check(answer.equals("row:a" + i), "a statement: " + answer);
           process.destroy();
-          check(client.answer().equals("closed"), "closed once idle");
+          check(client.readResponse().equals("closed"), "closed once idle");
           check(
               process.waitFor(10, TimeUnit.SECONDS) && process.exitValue() == 0,
               "exit 0, and the next start works at once");
@@ -125,17 +129,23 @@
   }
 
   @Example
-  void theSignalToReadTheStartFileAgainEndsNothing() throws Exception {
-    try (SocketWorld world = new SocketWorld(false)) {
-      Process process = start(world.file, "serve");
+  void sighupReloadsTheStartFileWithoutInterruption() throws Exception {
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
+      Process process = start(world.startFilePath, "serve");
       try (Client client = connect(world.port, process)) {
-        client.start().answer();
-        check(client.ask(statement("b1", "view", 1_800)).answer().equals("row:b1"), "at first");
+        client.sendStartup().readResponse();
+        check(
+            client.sendQuery(statement("b1", "view", 1_800)).readResponse().equals("row:b1"),
+            "at first");
         world.moveDiscovery();
         new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor();
         Thread.sleep(700);
-        check(process.isAlive() && world.calls.get() == 2, "it lives, and asks at the new address");
-        check(client.ask(statement("b2", "view", 1_800)).answer().equals("row:b2"), "it serves on");
+        check(
+            process.isAlive() && world.discoveryCalls.get() == 2,
+            "it lives, and asks at the new address");
+        check(
+            client.sendQuery(statement("b2", "view", 1_800)).readResponse().equals("row:b2"),
+            "it serves on");
       } finally {
         process.destroyForcibly();
       }
@@ -147,16 +157,19 @@
    * to it.
    */
   @Example
-  void theSignalToReadAgainIsHeardBeforeAnythingIsSetUp() throws Exception {
+  void sighupDuringStartupDoesNotEndTheProcess() throws Exception {
     Path log = Files.createTempFile("classes", ".log");
-    try (SocketWorld world = new SocketWorld(false)) {
-      Process process = start(List.of("-Xlog:class+load:file=" + log), world.file, "serve");
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
+      Process process =
+          start(List.of("-Xlog:class+load:file=" + log), world.startFilePath, "serve");
       try {
         awaitLine(log, "basaltlever.net.Router ", process);
-        signal(process, "HUP");
+        sendSignals(process, "HUP");
         try (Client client = connect(world.port, process)) {
-          client.start().answer();
-          check(client.ask(statement("e1", "view", 1_800)).answer().equals("row:e1"), "it serves");
+          client.sendStartup().readResponse();
+          check(
+              client.sendQuery(statement("e1", "view", 1_800)).readResponse().equals("row:e1"),
+              "it serves");
         }
       } finally {
         process.destroyForcibly();
@@ -167,25 +180,25 @@
   }
 
   @Example
-  void aRouterThatCanHearNoReloadSaysSo() throws Exception {
+  void ignoredSighupIsLogged() throws Exception {
     Path log = Files.createTempFile("router", ".log");
-    try (SocketWorld world = new SocketWorld(false)) {
-      for (boolean deaf : new boolean[] {true, false}) {
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
+      for (boolean sighupIgnored : new boolean[] {true, false}) {
         ProcessBuilder builder =
             new ProcessBuilder(
                     "sh",
                     "-c",
-                    (deaf ? "trap '' HUP; " : "")
+                    (sighupIgnored ? "trap '' HUP; " : "")
                         + "exec \"$0\" -cp \"$1\" basaltlever.cli.Main serve",
                     System.getProperty("java.home") + "/bin/java",
                     System.getProperty("java.class.path"))
                 .redirectError(log.toFile());
-        builder.environment().put("GW_CONFIG", world.file.toString());
+        builder.environment().put("GW_CONFIG", world.startFilePath.toString());
         Process process = builder.start();
         try (Client client = connect(world.port, process)) {
-          client.start().answer();
-          boolean said = Files.readString(log).contains("event=signal_ignored signal=HUP");
-          check(said == deaf, "deaf " + deaf + ", said " + said);
+          client.sendStartup().readResponse();
+          boolean logged = Files.readString(log).contains("event=signal_ignored signal=HUP");
+          check(logged == sighupIgnored, "deaf " + sighupIgnored + ", said " + logged);
         } finally {
           process.destroyForcibly().waitFor();
         }
@@ -195,28 +208,30 @@
     }
   }
 
-  private static void signal(Process process, String... names) throws Exception {
+  private static void sendSignals(Process process, String... names) throws Exception {
     for (String name : names) {
       new ProcessBuilder("kill", "-" + name, "" + process.pid()).start().waitFor();
     }
   }
 
   @Example
-  void aSignalToEndInTheMiddleOfAReloadLosesNothing() throws Exception {
-    try (SocketWorld world = new SocketWorld(false)) {
-      Process process = start(world.file, "serve");
+  void sigtermDuringReloadAnswersOpenStatementsAndExitsWithZero() throws Exception {
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
+      Process process = start(world.startFilePath, "serve");
       try (Client client = connect(world.port, process)) {
-        client.start().answer();
-        check(client.ask(statement("c1", "view", 1_800)).answer().equals("row:c1"), "at first");
-        world.nodes.get(0).mode = SocketWorld.Mode.SILENT;
-        client.ask(statement("c2", "post", 900));
-        for (int i = 0; i < 100 && !world.ran.containsKey("c2"); i++) {
+        client.sendStartup().readResponse();
+        check(
+            client.sendQuery(statement("c1", "view", 1_800)).readResponse().equals("row:c1"),
+            "at first");
+        world.servers.get(0).responseMode = LoopbackCluster.ResponseMode.NO_RESPONSE;
+        client.sendQuery(statement("c2", "post", 900));
+        for (int i = 0; i < 100 && !world.modesByStatement.containsKey("c2"); i++) {
           Thread.sleep(10);
         }
         world.moveDiscovery();
-        signal(process, "HUP", "HUP", "TERM", "HUP", "TERM");
-        check(client.answer().startsWith("error:58000"), "what may have run is told as that");
-        check(client.answer().equals("closed"), "then its connection ends");
+        sendSignals(process, "HUP", "HUP", "TERM", "HUP", "TERM");
+        check(client.readResponse().startsWith("error:58000"), "what may have run is told as that");
+        check(client.readResponse().equals("closed"), "then its connection ends");
         check(process.waitFor(10, TimeUnit.SECONDS) && process.exitValue() == 0, "exit 0");
       } finally {
         process.destroyForcibly();
@@ -225,21 +240,21 @@
   }
 
   @Example
-  void aSignalToEndDuringStartIsHeardAtOnce() throws Exception {
-    try (SocketWorld world = new SocketWorld(false);
-        ServerSocket mute = SocketWorld.listen(0)) {
-      world.writeStart(
+  void sigtermDuringStartupExitsWithoutDelay() throws Exception {
+    try (LoopbackCluster world = new LoopbackCluster(false);
+        ServerSocket unresponsive = LoopbackCluster.listen(0)) {
+      world.writeStartFile(
           text ->
               text.replaceAll(
                   "\"discovery\":\"[^\"]*\"",
-                  "\"discovery\":\"127.0.0.1:" + mute.getLocalPort() + "\""));
-      Process process = start(world.file, "serve");
-      try (Socket call = mute.accept()) {
+                  "\"discovery\":\"127.0.0.1:" + unresponsive.getLocalPort() + "\""));
+      Process process = start(world.startFilePath, "serve");
+      try (Socket discoveryRequest = unresponsive.accept()) {
         // It waits for its first list now, and listens for nobody yet.
-        long since = System.nanoTime();
-        signal(process, "TERM");
+        long signalledAt = System.nanoTime();
+        sendSignals(process, "TERM");
         check(process.waitFor(10, TimeUnit.SECONDS) && process.exitValue() == 0, "exit 0");
-        check(System.nanoTime() - since < 1_500_000_000L, "nothing is owed to anybody");
+        check(System.nanoTime() - signalledAt < 1_500_000_000L, "nothing is owed to anybody");
       } finally {
         process.destroyForcibly();
       }
@@ -247,7 +262,7 @@
   }
 
   @Example
-  void mistakesOfTheUserEndWithTwo() throws Exception {
+  void invalidCommandLineExitsWithStatusTwo() throws Exception {
     for (String[] arguments :
         new String[][] {{}, {"nonsense"}, {"serve"}, {"check"}, {"version", "x"}}) {
       Process process = start(Path.of("target/nowhere"), arguments);
--- a/router/src/test/java/basaltlever/net/ClientModel.java
+++ b/router/src/test/java/basaltlever/net/ClientModel.java
@@ -2,7 +2,7 @@
 
 import basaltlever.config.WorkloadSlots;
 import basaltlever.log.Counters;
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.pg.MessageEncoder;
 import basaltlever.pg.ProtocolCodes;
@@ -71,7 +71,7 @@
   private final Counters counters = new Counters();
   private final Descriptors descriptors = new Descriptors(64);
   private final WorkloadSlots slots = WorkloadSlots.of(List.of("view"));
-  private final StatementTrace trace = new StatementTrace(null, this::now);
+  private final StatementTracer trace = new StatementTracer(null, this::now);
   private final ArrayDeque<Runnable> laterTasks = new ArrayDeque<>();
   private final ClientConnection connection;
   private final ArrayDeque<byte[]> unsentUnits = new ArrayDeque<>();
@@ -98,13 +98,13 @@
   ClientModel(InjectedFault injectedFault) {
     this.injectedFault = injectedFault;
     ByteBuf out = Unpooled.buffer();
-    MessageEncoder.startupMessage(out, "app", "shop");
+    MessageEncoder.writeStartupMessage(out, "app", "shop");
     unsentUnits.add(bytes(out));
-    MessageEncoder.query(out, "/* id=s1,c=view,d=900,cluster=1 */ SELECT 1");
+    MessageEncoder.writeQuery(out, "/* id=s1,c=view,d=900,cluster=1 */ SELECT 1");
     byte[] first = bytes(out);
     unsentUnits.add(java.util.Arrays.copyOf(first, 9));
     unsentUnits.add(java.util.Arrays.copyOfRange(first, 9, first.length));
-    MessageEncoder.query(out, "/* id=s2,c=view,d=900,cluster=1 */ SELECT 1");
+    MessageEncoder.writeQuery(out, "/* id=s2,c=view,d=900,cluster=1 */ SELECT 1");
     unsentUnits.add(bytes(out));
     descriptors.admitClient();
     connection = new ClientConnection(this, new MemoryBudget(1 << 20), true, 1, now, now);
@@ -442,7 +442,7 @@
   }
 
   @Override
-  public StatementTrace trace() {
+  public StatementTracer trace() {
     return trace;
   }
 
@@ -473,7 +473,7 @@
 
   @Override
   public void onEndBegun(long number, Object client, CloseReason closeReason, int partialBytes) {
-    counters.add(closeReason.counter);
+    counters.increment(closeReason.counter);
   }
 
   @Override
--- a/router/src/test/java/basaltlever/net/ConnectionStartupTest.java
+++ b/router/src/test/java/basaltlever/net/ConnectionStartupTest.java
@@ -1,6 +1,6 @@
 package basaltlever.net;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.gateway.AttemptOutcome;
 import basaltlever.log.Event;
@@ -49,7 +49,7 @@
     @Override
     void write(ByteBuf out) {
       result.complete("written");
-      MessageEncoder.query(out, "SELECT 1");
+      MessageEncoder.writeQuery(out, "SELECT 1");
     }
 
     @Override
@@ -88,7 +88,7 @@
       try (Socket serverSide = server.accept()) {
         serverSide.getInputStream().read(new byte[200]);
         ByteBuf startupResponse = Unpooled.buffer();
-        MessageEncoder.startupResponse(startupResponse);
+        MessageEncoder.writeStartupResponse(startupResponse);
         serverSide.getOutputStream().write(ByteBufUtil.getBytes(startupResponse));
         check(query.result.get(2, TimeUnit.SECONDS).equals("written"), "the query was written");
         serverSide.getInputStream().read(new byte[200]);
@@ -103,8 +103,8 @@
               query.onTimeout();
             });
         ByteBuf response = Unpooled.buffer();
-        MessageEncoder.errorResponse(response, "ERROR", "XX000", "as asked", null);
-        MessageEncoder.readyForQuery(response);
+        MessageEncoder.writeErrorResponse(response, "ERROR", "XX000", "as asked", null);
+        MessageEncoder.writeReadyForQuery(response);
         serverSide.getOutputStream().write(ByteBufUtil.getBytes(response));
         Thread.sleep(20);
         stallEnds.countDown();
@@ -143,7 +143,7 @@
         serverSide.getInputStream().read(new byte[200]);
         Thread.sleep(50);
         ByteBuf startupResponse = Unpooled.buffer();
-        MessageEncoder.startupResponse(startupResponse);
+        MessageEncoder.writeStartupResponse(startupResponse);
         serverSide.getOutputStream().write(ByteBufUtil.getBytes(startupResponse));
         check(query.result.get(2, TimeUnit.SECONDS).equals("written"), "the query was written");
       }
@@ -248,7 +248,7 @@
             });
         stallStarted.await();
         ByteBuf startupResponse = Unpooled.buffer();
-        MessageEncoder.startupResponse(startupResponse);
+        MessageEncoder.writeStartupResponse(startupResponse);
         serverSide.getOutputStream().write(ByteBufUtil.getBytes(startupResponse));
         client.close();
         // Lets both sockets become readable; the one to the server is handled first.
--- a/router/src/test/java/basaltlever/net/FloodTest.java
+++ b/router/src/test/java/basaltlever/net/FloodTest.java
@@ -1,11 +1,11 @@
 package basaltlever.net;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.config.WorkloadSlots;
 import basaltlever.log.Event;
 import basaltlever.log.RateLimitedLog;
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.pg.MessageEncoder;
 import io.netty.bootstrap.ServerBootstrap;
@@ -66,7 +66,7 @@
                                 LoggerFactory.getLogger(FloodTest.class),
                                 Event.CLIENT_BAD,
                                 clock::now),
-                            new StatementTrace(null, clock::now));
+                            new StatementTracer(null, clock::now));
                     return sessions;
                   })
               .sync()
@@ -103,7 +103,7 @@
               InetAddress.getLoopbackAddress(),
               ((InetSocketAddress) listener.localAddress()).getPort())) {
         ByteBuf out = Unpooled.buffer();
-        MessageEncoder.startupMessage(out, "app", "shop");
+        MessageEncoder.writeStartupMessage(out, "app", "shop");
         for (int i = 0; i < QUERIES; i++) {
           out.writeBytes(EMPTY_QUERY);
         }
