--- a/lab/src/main/java/basaltlever/lab/Compare.java
+++ b/lab/src/main/java/basaltlever/lab/Compare.java
@@ -69,7 +69,7 @@
 
   private static Map<Long, Map<?, ?>> runs(String file) throws IOException, InvalidJsonException {
     Map<Long, Map<?, ?>> runs = new TreeMap<>();
-    if (Json.read(Files.readString(Path.of(file))) instanceof Map<?, ?> whole) {
+    if (Json.parse(Files.readString(Path.of(file))) instanceof Map<?, ?> whole) {
       for (Object run : whole.get("runs") instanceof List<?> all ? all : List.of(whole)) {
         if (run instanceof Map<?, ?> one && one.get("seed") instanceof BigDecimal seed) {
           runs.put(seed.longValue(), one);
--- a/lab/src/main/java/basaltlever/lab/PairedPlays.java
+++ b/lab/src/main/java/basaltlever/lab/PairedPlays.java
@@ -155,7 +155,7 @@
         throw new Unplayed(what + " took longer than " + limitSeconds + " s");
       }
       if (Files.size(row) > 0
-          && Json.read(Files.readString(row)) instanceof Map<?, ?> whole
+          && Json.parse(Files.readString(row)) instanceof Map<?, ?> whole
           && whole.get("row") instanceof Map<?, ?> told) {
         return told;
       }
--- a/lab/src/main/java/basaltlever/lab/virtual/VirtualRun.java
+++ b/lab/src/main/java/basaltlever/lab/virtual/VirtualRun.java
@@ -64,7 +64,7 @@
   }
 
   private StartValues values(boolean another) throws InvalidSettingsException {
-    return StartFile.of(
+    return StartFile.parse(
             "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":"
                 + scenario.settings(another)
                 + "}")
--- a/lab/src/main/java/basaltlever/lab/world/Server.java
+++ b/lab/src/main/java/basaltlever/lab/world/Server.java
@@ -250,7 +250,7 @@
       while (now.since(coldWork.peek()).isLongerThan(world.fallWindow)) {
         coldWork.remove();
       }
-      double able = cores * warmth(now) * world.fallWindow.over(ask.kind.work());
+      double able = cores * warmth(now) * world.fallWindow.ratioTo(ask.kind.work());
       if (coldWork.size() > Math.max(3, FALL_MULTIPLE * able)) {
         world.ledger.toppled(this);
         die(FALLS_FOR);
@@ -275,7 +275,7 @@
   private double warmth(Moment now) {
     Span age = now.since(startedAt);
     return age.isShorterThan(world.warmAfter)
-        ? COLD_FROM + (1 - COLD_FROM) * Math.max(0, age.over(world.warmAfter))
+        ? COLD_FROM + (1 - COLD_FROM) * Math.max(0, age.ratioTo(world.warmAfter))
         : 1;
   }
 
--- a/router/src/main/java/basaltlever/balancer/EndpointHealth.java
+++ b/router/src/main/java/basaltlever/balancer/EndpointHealth.java
@@ -214,7 +214,7 @@
   private void recordLatency(Endpoint endpoint, Statement statement, Span duration) {
     DecayingValue excessStrain = endpoint.load().excessLatencyRatio();
     double latestStrain =
-        Math.min(MAX_STRAIN_SAMPLE, duration.over(statement.workload().latencyObjective()));
+        Math.min(MAX_STRAIN_SAMPLE, duration.ratioTo(statement.workload().latencyObjective()));
     double strain =
         latencyStrain(endpoint)
             + context.eventWeight(excessStrain.updatedAt())
--- a/router/src/main/java/basaltlever/balancer/GroupPolling.java
+++ b/router/src/main/java/basaltlever/balancer/GroupPolling.java
@@ -21,7 +21,7 @@
    * rate estimate.
    */
   private static final double REGULAR_STATEMENTS_PER_SECOND =
-      1.5 / Timing.LONG_DECAY.over(Timing.ONE_SECOND);
+      1.5 / Timing.LONG_DECAY.ratioTo(Timing.ONE_SECOND);
 
   private final DecisionContext context;
   private final EndpointTable table;
@@ -103,7 +103,7 @@
   void onStatementArrived(ReplicaGroup group) {
     group
         .statementRate()
-        .add(context.now(), Timing.LONG_DECAY, 1 / Timing.LONG_DECAY.over(Timing.ONE_SECOND));
+        .add(context.now(), Timing.LONG_DECAY, 1 / Timing.LONG_DECAY.ratioTo(Timing.ONE_SECOND));
     if (!group.isPolledRegularly() && hasRegularTraffic(group)) {
       admitByTraffic(group);
     }
--- a/router/src/main/java/basaltlever/balancer/PollScheduler.java
+++ b/router/src/main/java/basaltlever/balancer/PollScheduler.java
@@ -195,6 +195,6 @@
                 / price
                 * statementsPerSecond
                 / Math.max(1, subsets.endpointsInUse(group).size());
-    return pollsPerSecond * MAX_INTERVAL.over(Timing.ONE_SECOND) >= 1;
+    return pollsPerSecond * MAX_INTERVAL.ratioTo(Timing.ONE_SECOND) >= 1;
   }
 }
--- a/router/src/main/java/basaltlever/balancer/SlowStart.java
+++ b/router/src/main/java/basaltlever/balancer/SlowStart.java
@@ -76,7 +76,7 @@
     double refilled =
         allowedWorkPerSecond(endpoint)
             * (1 - BURST_SHARE)
-            * context.now().since(chargedAt).over(Timing.ONE_SECOND);
+            * context.now().since(chargedAt).ratioTo(Timing.ONE_SECOND);
     double total =
         Math.max(
             remainingCharge(endpoint), chargedStatements * serviceTimes.overallMicros() - refilled);
@@ -94,7 +94,7 @@
     double burst =
         allowedWorkPerSecond(endpoint)
             * BURST_SHARE
-            * context.settings().slowStart().overloadTime().over(Timing.ONE_SECOND);
+            * context.settings().slowStart().overloadTime().ratioTo(Timing.ONE_SECOND);
     return remainingCharge(endpoint) <= 0 || remainingCharge(endpoint) + workMicros <= burst;
   }
 
@@ -125,7 +125,7 @@
     double refilled =
         allowedWorkPerSecond(endpoint)
             * (1 - BURST_SHARE)
-            * context.now().since(warmUp.chargedAt()).over(Timing.ONE_SECOND);
+            * context.now().since(warmUp.chargedAt()).ratioTo(Timing.ONE_SECOND);
     return Math.max(0, warmUp.chargedMicros() - refilled);
   }
 
@@ -148,7 +148,7 @@
             * warmUpShare(endpoint)
             * answered,
         serviceTimes.overallMicros()
-            / context.settings().slowStart().overloadTime().over(Timing.ONE_SECOND)
+            / context.settings().slowStart().overloadTime().ratioTo(Timing.ONE_SECOND)
             / context.settings().identity().routerCount());
   }
 
@@ -173,7 +173,7 @@
   private double answeredWorkPerSecond(Endpoint endpoint) {
     Span window = Timing.SHORT_DECAY;
     return endpoint.load().completedWork().valueAt(context.now(), window)
-        / window.over(Timing.ONE_SECOND);
+        / window.ratioTo(Timing.ONE_SECOND);
   }
 
   /**
--- a/router/src/main/java/basaltlever/cli/CommandLine.java
+++ b/router/src/main/java/basaltlever/cli/CommandLine.java
@@ -40,8 +40,8 @@
     add("fleet", new FleetGroup(fleet));
     add("version", new VersionCommand());
     add("help", new HelpCommand(parser));
-    state.joins(parser);
-    switchover.joins(parser);
+    state.addTo(parser);
+    switchover.addTo(parser);
     fleet.addTo(parser);
   }
 
--- a/router/src/main/java/basaltlever/cli/CommandOutput.java
+++ b/router/src/main/java/basaltlever/cli/CommandOutput.java
@@ -14,10 +14,10 @@
 
   static void print(PrintStream out, FleetOptions.Common options, Map<?, ?> json, String text)
       throws IOException {
-    out.println(options.json ? json(json) : text);
+    out.println(options.json ? toJson(json) : text);
   }
 
-  static String json(Object value) throws IOException {
+  static String toJson(Object value) throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
       MessageCodec.value(out, value);
--- a/router/src/main/java/basaltlever/cli/DiffCommand.java
+++ b/router/src/main/java/basaltlever/cli/DiffCommand.java
@@ -51,10 +51,10 @@
   /** The settings of a version by their paths. */
   private static Map<String, String> leaves(StatusReport status, String number)
       throws CommandException {
-    String text = FleetClient.text(status, FleetClient.versionNumber("diff", number));
+    String text = FleetClient.settingsText(status, FleetClient.versionNumber("diff", number));
     Map<String, String> leaves = new TreeMap<>();
     try {
-      flatten("", text.isEmpty() ? Map.of() : Json.read(text), leaves);
+      flatten("", text.isEmpty() ? Map.of() : Json.parse(text), leaves);
     } catch (InvalidJsonException fault) {
       throw new CommandRefusedException("version " + number + " is no JSON: " + fault.getMessage());
     }
--- a/router/src/main/java/basaltlever/cli/FleetClient.java
+++ b/router/src/main/java/basaltlever/cli/FleetClient.java
@@ -32,7 +32,7 @@
     }
 
     /** Which voter reported it, as the last line of a text. */
-    String source() {
+    String sourceLine() {
       return "\ntold by " + voter + ", " + status.standing();
     }
   }
@@ -100,7 +100,7 @@
             : "not an answer to a command: " + reply);
   }
 
-  private FleetReply askStatus(String voter) throws IOException {
+  private FleetReply requestStatus(String voter) throws IOException {
     return send(voter, new FleetRequest.Status(settings.name(), ""));
   }
 
@@ -109,7 +109,7 @@
     VoterStatus any = null;
     for (String voter : settings.voters().keySet()) {
       try {
-        FleetReply reply = askStatus(voter);
+        FleetReply reply = requestStatus(voter);
         if (reply instanceof FleetReply.Refused refused) {
           throw new CommandRefusedException(voter + ": " + refused.reason());
         }
@@ -130,11 +130,11 @@
   }
 
   /** The answers of all voters of the operator's file, and of those that they name. */
-  Map<String, VoterAnswer> askAllVoters() {
+  Map<String, VoterAnswer> queryAllVoters() {
     Map<String, VoterAnswer> answers = new LinkedHashMap<>();
     List<String> voters = new ArrayList<>(settings.voters().keySet());
     for (int i = 0; i < voters.size(); i++) {
-      VoterAnswer answer = answer(voters.get(i));
+      VoterAnswer answer = queryVoter(voters.get(i));
       answers.put(voters.get(i), answer);
       answer.members().stream()
           .filter(member -> settings.peers().containsKey(member) && !voters.contains(member))
@@ -143,9 +143,9 @@
     return answers;
   }
 
-  private VoterAnswer answer(String voter) {
+  private VoterAnswer queryVoter(String voter) {
     try {
-      FleetReply reply = askStatus(voter);
+      FleetReply reply = requestStatus(voter);
       if (reply instanceof StatusReport status) {
         return new VoterAnswer(status, "");
       }
@@ -158,7 +158,7 @@
 
   /** Whether the voter leads in the epoch by now. */
   boolean leads(String voter, long epoch) throws IOException {
-    return askStatus(voter) instanceof StatusReport status
+    return requestStatus(voter) instanceof StatusReport status
         && status.leads()
         && status.epoch() == epoch;
   }
@@ -172,7 +172,7 @@
   }
 
   /** The settings text of a version; empty for the start files' own. */
-  static String text(StatusReport status, long number) throws CommandRefusedException {
+  static String settingsText(StatusReport status, long number) throws CommandRefusedException {
     if (number == 0) {
       return "";
     }
--- a/router/src/main/java/basaltlever/cli/FleetOptions.java
+++ b/router/src/main/java/basaltlever/cli/FleetOptions.java
@@ -34,10 +34,10 @@
     List<String> files = new ArrayList<>();
 
     @Parameter(names = "--who", description = "who proposes it")
-    String who = System.getProperty("user.name");
+    String proposer = System.getProperty("user.name");
 
     @Parameter(names = "--why", description = "one sentence for the history", required = true)
-    String why;
+    String reason;
 
     @Parameter(names = "--basis", description = "the version in force that it was made from")
     long basis = -1;
@@ -88,18 +88,18 @@
         names = "--charter",
         description = "the number of the charter that begins: one more than now",
         required = true)
-    long charter;
+    long epoch;
 
     @Parameter(
         names = "--ended",
         description = "the voters whose processes have been ended, with commas",
         required = true)
-    List<String> ended = new ArrayList<>();
+    List<String> endedVoters = new ArrayList<>();
 
     @Parameter(names = "--who", description = "who decides it")
-    String who = System.getProperty("user.name");
+    String requester = System.getProperty("user.name");
 
     @Parameter(names = "--why", description = "one sentence for the history", required = true)
-    String why;
+    String reason;
   }
 }
--- a/router/src/main/java/basaltlever/cli/FleetStatusCommand.java
+++ b/router/src/main/java/basaltlever/cli/FleetStatusCommand.java
@@ -35,16 +35,16 @@
         out,
         options,
         leader.json(List.of("leads", "standing", "peers", "forks", "moving", "era")),
-        text(leader.status(), client.settings().peers().keySet()) + leader.source());
+        text(leader.status(), client.settings().peers().keySet()) + leader.sourceLine());
     return ExitCode.OK;
   }
 
   private static String text(StatusReport status, Collection<String> routers) {
-    Map<String, PeerLine> heard = new TreeMap<>();
-    status.peers().forEach(peer -> heard.put(peer.name(), peer));
+    Map<String, PeerLine> reports = new TreeMap<>();
+    status.peers().forEach(peer -> reports.put(peer.name(), peer));
     StringBuilder text = new StringBuilder(HEADER);
     for (String router : routers) {
-      PeerLine peer = heard.get(router);
+      PeerLine peer = reports.get(router);
       text.append("\n")
           .append(peer == null ? "%-16s is not there".formatted(router) : describe(peer));
     }
--- a/router/src/main/java/basaltlever/cli/ProposeCommand.java
+++ b/router/src/main/java/basaltlever/cli/ProposeCommand.java
@@ -43,17 +43,18 @@
       throw new CommandMisusedException("revert takes the number of one version");
     }
     StatusReport status = FleetClient.of(options).leaderStatus().status();
-    return propose(FleetClient.text(status, FleetClient.versionNumber("revert", numbers.get(0))));
+    return propose(
+        FleetClient.settingsText(status, FleetClient.versionNumber("revert", numbers.get(0))));
   }
 
   private static String readSettings(String file) throws CommandMisusedException, IOException {
     try {
       String text = Files.readString(Path.of(file));
-      if (!(Json.read(text) instanceof Map<?, ?> tree)) {
+      if (!(Json.parse(text) instanceof Map<?, ?> tree)) {
         throw new CommandMisusedException(file + " is no JSON object");
       }
       // A whole start file is taken for its settings.
-      return CommandOutput.json(
+      return CommandOutput.toJson(
           tree.get("settings") instanceof Map<?, ?> settings ? settings : tree);
     } catch (InvalidJsonException fault) {
       throw new CommandMisusedException(file + " is no JSON: " + fault.getMessage());
@@ -69,7 +70,8 @@
     long basis = options.basis >= 0 ? options.basis : before.status().inForce().number();
     client.execute(
         before.voter(),
-        new FleetRequest.Propose(client.settings().name(), basis, text, options.who, options.why));
+        new FleetRequest.Propose(
+            client.settings().name(), basis, text, options.proposer, options.reason));
     Deadline deadline = Deadline.inMillis(options.waitMillis);
     while (!deadline.isOver()) {
       if (isInForce(client.leaderStatus().status(), basis)) {
@@ -89,8 +91,8 @@
     for (StatusReport.HistoryLine line : status.history()) {
       SettingsVersion version = line.version().version();
       boolean own =
-          version.proposer().equals(options.who)
-              && version.reason().equals(options.why)
+          version.proposer().equals(options.proposer)
+              && version.reason().equals(options.reason)
               && version.number() > basis;
       if (own && line.outcome().equals("IN_FORCE")) {
         CommandOutput.print(
--- a/router/src/main/java/basaltlever/cli/RecoverCommand.java
+++ b/router/src/main/java/basaltlever/cli/RecoverCommand.java
@@ -21,28 +21,29 @@
   /** Of the voters that are left, the one whose register is the newest starts the epoch. */
   int run() throws CommandException, InvalidSettingsException, IOException, InterruptedException {
     FleetClient client = FleetClient.of(options);
-    for (String voter : options.ended) {
+    for (String voter : options.endedVoters) {
       if (!client.settings().peers().containsKey(voter)) {
         throw new CommandMisusedException(
             "--ended names " + voter + ", which fleet.peers does not");
       }
     }
     String fleet = client.settings().name();
-    String remaining = FleetClient.mostUpToDate(client.askAllVoters());
+    String remaining = FleetClient.mostUpToDate(client.queryAllVoters());
     if (remaining == null) {
       throw new CommandRefusedException(
           "no voter of fleet " + fleet + " answers: one has to be left, with its folder");
     }
     client.execute(
         remaining,
-        new FleetRequest.Recover(fleet, options.charter, options.ended, options.who, options.why));
+        new FleetRequest.Recover(
+            fleet, options.epoch, options.endedVoters, options.requester, options.reason));
     awaitLeader(client, remaining);
     CommandOutput.print(
         out,
         options,
-        Map.of("charter", options.charter, "voter", remaining),
+        Map.of("charter", options.epoch, "voter", remaining),
         "charter "
-            + options.charter
+            + options.epoch
             + " has begun: "
             + remaining
             + " leads, and votes alone: take others in with fleet voters --add NAME");
@@ -53,14 +54,14 @@
       throws CommandRefusedException, IOException, InterruptedException {
     Deadline deadline = Deadline.inMillis(START_TIMEOUT_MILLIS);
     while (!deadline.isOver()) {
-      if (client.leads(voter, options.charter)) {
+      if (client.leads(voter, options.epoch)) {
         return;
       }
       Thread.sleep(Deadline.POLL_INTERVAL_MILLIS);
     }
     throw new CommandRefusedException(
         "charter "
-            + options.charter
+            + options.epoch
             + " is "
             + voter
             + "'s, which does not lead yet: see fleet voters");
--- a/router/src/main/java/basaltlever/cli/RehearseCommand.java
+++ b/router/src/main/java/basaltlever/cli/RehearseCommand.java
@@ -34,7 +34,7 @@
   public int run(PrintStream out, PrintStream err) throws InterruptedException {
     RouterProcess.configureRuntime();
     try {
-      out.println("answered: " + responseOfRouter());
+      out.println("answered: " + queryRouter());
       return ExitCode.OK;
     } catch (InvalidSettingsException | IOException fault) {
       err.println("basaltlever: " + fault.getMessage());
@@ -43,8 +43,7 @@
   }
 
   /** The error, or the type of the last message, that a statement is answered with. */
-  private String responseOfRouter()
-      throws InvalidSettingsException, IOException, InterruptedException {
+  private String queryRouter() throws InvalidSettingsException, IOException, InterruptedException {
     Router router = new Router();
     router.start(Path.of(file), null);
     try (Socket socket = new Socket(router.address().getAddress(), router.address().getPort())) {
--- a/router/src/main/java/basaltlever/cli/RouterProcess.java
+++ b/router/src/main/java/basaltlever/cli/RouterProcess.java
@@ -29,19 +29,19 @@
 
   private final String file;
   private final String operator;
-  private final Integer follow;
+  private final Integer traceMillis;
 
   /**
    * Prepares a router.
    *
    * @param file the start file; null where none is given
    * @param operator the operator's file; null where none is given
-   * @param follow traces statements that take this many milliseconds; null for none
+   * @param traceMillis traces statements that take this many milliseconds; null for none
    */
-  RouterProcess(String file, String operator, Integer follow) {
+  RouterProcess(String file, String operator, Integer traceMillis) {
     this.file = file;
     this.operator = operator;
-    this.follow = follow;
+    this.traceMillis = traceMillis;
   }
 
   /** Runs until the router has ended; returns the exit code. */
@@ -50,8 +50,8 @@
     // One that arrives during the start is handled after it.
     Semaphore reloads = new Semaphore(0);
     boolean hangupIgnored = HangupSignal.handle(reloads::release);
-    if (follow != null && follow < 0) {
-      err.println("basaltlever: --follow takes milliseconds, 0 or more, not " + follow);
+    if (traceMillis != null && traceMillis < 0) {
+      err.println("basaltlever: --follow takes milliseconds, 0 or more, not " + traceMillis);
       return ExitCode.MISUSED;
     }
     if (file == null) {
@@ -63,7 +63,7 @@
       try {
         operatorFile = OperatorFile.read(Path.of(operator));
       } catch (InvalidSettingsException fault) {
-        return refuse(fault, err);
+        return reportFault(fault, err);
       }
     }
     return serve(operatorFile, reloads, hangupIgnored, err);
@@ -91,7 +91,7 @@
       } catch (IllegalStateException ending) {
         // Told to end at this very moment: why it did not start is told all the same.
       }
-      return refuse(fault, err);
+      return reportFault(fault, err);
     }
     Thread reload = new Thread(() -> reloadOnRequest(router, reloads), "reload");
     reload.setDaemon(true);
@@ -101,10 +101,10 @@
   }
 
   private Router createRouter(OperatorFile operatorFile) {
-    logBy(operatorFile != null && operatorFile.logsJson() ? JSON_LOG : PLAIN_LOG);
+    setLogProvider(operatorFile != null && operatorFile.logsJson() ? JSON_LOG : PLAIN_LOG);
     configureNetty();
     Router router = new Router();
-    router.traceStatementsSlowerThan(follow == null ? null : Span.ofMillis(follow));
+    router.traceStatementsSlowerThan(traceMillis == null ? null : Span.ofMillis(traceMillis));
     return router;
   }
 
@@ -131,7 +131,7 @@
     }
   }
 
-  private static int refuse(Exception fault, PrintStream err) {
+  private static int reportFault(Exception fault, PrintStream err) {
     err.println(
         "basaltlever: " + String.valueOf(fault.getMessage()).replace("\n", "\nbasaltlever: "));
     return ExitCode.MISUSED;
@@ -139,12 +139,12 @@
 
   /** Sets the system properties of a process with a router, where the command line sets none. */
   static void configureRuntime() {
-    logBy(PLAIN_LOG);
+    setLogProvider(PLAIN_LOG);
     configureNetty();
   }
 
   /** Chooses the form of log lines; to be called before the first one. */
-  private static void logBy(String provider) {
+  private static void setLogProvider(String provider) {
     if (System.getProperty(LOG_PROVIDER) == null) {
       System.setProperty(LOG_PROVIDER, provider);
       System.setProperty(LOG_VERBOSITY, "WARN");
--- a/router/src/main/java/basaltlever/cli/ServeCommand.java
+++ b/router/src/main/java/basaltlever/cli/ServeCommand.java
@@ -18,7 +18,7 @@
   @Parameter(
       names = "--follow",
       description = "logs the life of each statement that takes so many milliseconds or more")
-  private Integer follow;
+  private Integer traceMillis;
 
   @Override
   public boolean needsOperatorLibraries() {
@@ -27,6 +27,6 @@
 
   @Override
   public int run(PrintStream out, PrintStream err) throws InterruptedException {
-    return new RouterProcess(file, operator, follow).run(err);
+    return new RouterProcess(file, operator, traceMillis).run(err);
   }
 }
--- a/router/src/main/java/basaltlever/cli/ServerQueryClient.java
+++ b/router/src/main/java/basaltlever/cli/ServerQueryClient.java
@@ -14,20 +14,20 @@
 
 /** A connection of a command to one node: one query after the other, each waited for. */
 final class ServerQueryClient implements AutoCloseable {
-  private static final int PATIENCE_MILLIS = 3_000;
-  private static final int LARGEST = 1 << 16;
+  private static final int TIMEOUT_MILLIS = 3_000;
+  private static final int MAX_MESSAGE_BYTES = 1 << 16;
   private final Socket socket = new Socket();
   private final DataInputStream in;
 
   ServerQueryClient(InetSocketAddress address) throws IOException {
     try {
-      socket.connect(address, PATIENCE_MILLIS);
-      socket.setSoTimeout(PATIENCE_MILLIS);
+      socket.connect(address, TIMEOUT_MILLIS);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       in = new DataInputStream(socket.getInputStream());
       ByteBuf out = Unpooled.buffer();
       MessageEncoder.startupMessage(out, "app", "shop");
       send(out);
-      while (message().getByte(0) != ProtocolCodes.READY_FOR_QUERY) {
+      while (readMessage().getByte(0) != ProtocolCodes.READY_FOR_QUERY) {
         // Parameters and keys mean nothing here.
       }
     } catch (IOException fault) {
@@ -36,13 +36,13 @@
     }
   }
 
-  QueryResponse ask(String query) throws IOException {
+  QueryResponse query(String query) throws IOException {
     ByteBuf out = Unpooled.buffer();
     MessageEncoder.query(out, query);
     send(out);
     try {
       QueryResponse response = new QueryResponse();
-      while (!response.add(message())) {
+      while (!response.add(readMessage())) {
         // Until it is whole.
       }
       return response;
@@ -55,10 +55,10 @@
     socket.getOutputStream().write(ByteBufUtil.getBytes(out));
   }
 
-  private ByteBuf message() throws IOException {
+  private ByteBuf readMessage() throws IOException {
     byte type = in.readByte();
     int length = in.readInt();
-    if (length < 4 || length > LARGEST) {
+    if (length < 4 || length > MAX_MESSAGE_BYTES) {
       throw new IOException("a message states a length of " + length);
     }
     byte[] body = new byte[length - 4];
--- a/router/src/main/java/basaltlever/cli/SettingsStatusCommand.java
+++ b/router/src/main/java/basaltlever/cli/SettingsStatusCommand.java
@@ -26,7 +26,7 @@
             + FleetClient.describe(leader.status().inForce())
             + "\non its way: "
             + FleetClient.describe(leader.status().prepared())
-            + leader.source());
+            + leader.sourceLine());
     return ExitCode.OK;
   }
 }
--- a/router/src/main/java/basaltlever/cli/StateCommand.java
+++ b/router/src/main/java/basaltlever/cli/StateCommand.java
@@ -31,7 +31,7 @@
   @Parameters(commandDescription = "Shows the newest whole view of a folder, aged to now")
   private static final class Show {
     @Parameter(description = "DIR", required = true)
-    private String folder;
+    private String directory;
 
     @Parameter(names = "--json", description = "one JSON object instead of a table")
     private boolean json;
@@ -55,7 +55,7 @@
   private JCommander parser;
 
   /** Adds the sub-commands. */
-  void joins(JCommander main) {
+  void addTo(JCommander main) {
     parser = main.getCommands().get("state");
     parser.addCommand("show", show);
     parser.addCommand("verify", verify);
@@ -101,55 +101,55 @@
 
   private int show(PrintStream out, PrintStream err) throws IOException {
     SnapshotStore.Found found;
-    try (LockedDirectory directory = new LockedDirectory(Path.of(show.folder))) {
+    try (LockedDirectory directory = new LockedDirectory(Path.of(show.directory))) {
       found = new SnapshotStore(directory).newest();
     } catch (IOException | InvalidPathException fault) {
-      err.println("basaltlever: " + show.folder + " can't be read: " + fault);
+      err.println("basaltlever: " + show.directory + " can't be read: " + fault);
       return ExitCode.MISUSED;
     }
     found.rejected().forEach(fault -> err.println("basaltlever: " + fault));
-    LearnedState view = found.state();
-    if (view == null) {
-      err.println("basaltlever: " + show.folder + " holds no whole view");
+    LearnedState state = found.state();
+    if (state == null) {
+      err.println("basaltlever: " + show.directory + " holds no whole view");
       return ExitCode.MISUSED;
     }
-    StateRestore now =
+    StateRestore restore =
         StateRestore.of(
-            view,
-            view.deployment(),
-            view.router(),
+            state,
+            state.deployment(),
+            state.router(),
             SystemClocks.unixMicros(),
             SystemClocks.monotonicMicros(),
             SystemClocks.bootId());
-    double weight = now.rejection().isEmpty() ? StateDecay.weight(now.age()) : 0;
+    double weight = restore.rejection().isEmpty() ? StateDecay.weight(restore.age()) : 0;
     if (show.json) {
-      json(out, found.name(), view, now, weight);
+      writeJson(out, found.name(), state, restore, weight);
       return ExitCode.OK;
     }
-    table(out, found.name(), view, now, weight);
+    printTable(out, found.name(), state, restore, weight);
     return ExitCode.OK;
   }
 
-  private static void table(
-      PrintStream out, String fileName, LearnedState view, StateRestore now, double weight) {
+  private static void printTable(
+      PrintStream out, String fileName, LearnedState state, StateRestore restore, double weight) {
     out.printf(
         "%s, router '%s' of deployment '%s', list version %d%n",
-        fileName, view.router(), view.deployment(), view.listVersion());
+        fileName, state.router(), state.deployment(), state.listVersion());
     out.println(
-        now.rejection().isEmpty()
-            ? String.format("%.1f s old, weight %.4f", seconds(now.age()), weight)
-            : "counts for nothing: " + now.rejection());
+        restore.rejection().isEmpty()
+            ? String.format("%.1f s old, weight %.4f", seconds(restore.age()), weight)
+            : "counts for nothing: " + restore.rejection());
     out.printf(
         "%-24s %-24s %6s %9s %7s  %s%n", "node", "address", "group", "age_s", "weight", "learned");
-    for (KnownEndpoint known : view.endpoints()) {
+    for (KnownEndpoint endpoint : state.endpoints()) {
       out.printf(
           "%-24s %-24s %6d %9.1f %7.4f  %s%n",
-          printable(known.id()),
-          printable(known.address()),
-          known.state().group(),
-          seconds(now.age()),
+          printable(endpoint.id()),
+          printable(endpoint.address()),
+          endpoint.state().group(),
+          seconds(restore.age()),
           weight,
-          printable("" + learned(known.state())));
+          printable("" + learned(endpoint.state())));
     }
   }
 
@@ -163,23 +163,23 @@
   }
 
   /** What was learned of an endpoint beyond what is usual, by the keys of docs/restart.md. */
-  private static Map<String, Object> learned(EndpointState view) {
+  private static Map<String, Object> learned(EndpointState state) {
     Map<String, Object> learned = new LinkedHashMap<>();
-    put(learned, "drains", view.draining(), true);
-    put(learned, "primary", view.primary(), true);
-    put(learned, "silent", view.unresponsive(), true);
-    put(learned, "down_ms", view.downFor().micros() / 1_000, view.isDown());
-    put(learned, "failing", rounded(view.failureRate()), view.failureRate() >= 0.001);
-    put(learned, "strained", rounded(view.latencyStrain()), view.latencyStrain() >= 0.001);
-    put(learned, "room", rounded(view.capacity()), true);
-    put(learned, "turned_away", view.consecutiveRejections(), view.consecutiveRejections() > 0);
+    put(learned, "drains", state.draining(), true);
+    put(learned, "primary", state.primary(), true);
+    put(learned, "silent", state.unresponsive(), true);
+    put(learned, "down_ms", state.downFor().micros() / 1_000, state.isDown());
+    put(learned, "failing", rounded(state.failureRate()), state.failureRate() >= 0.001);
+    put(learned, "strained", rounded(state.latencyStrain()), state.latencyStrain() >= 0.001);
+    put(learned, "room", rounded(state.capacity()), true);
+    put(learned, "turned_away", state.consecutiveRejections(), state.consecutiveRejections() > 0);
     put(
         learned,
         "rests_ms",
-        view.remainingBackoff().micros() / 1_000,
-        view.remainingBackoff().micros() > 0);
-    put(learned, "lag_ms", view.lag().micros() / 1_000, view.lag().micros() >= 1_000);
-    put(learned, "cold_spent", rounded(view.slowStartSpent()), view.slowStartSpent() > 0);
+        state.remainingBackoff().micros() / 1_000,
+        state.remainingBackoff().micros() > 0);
+    put(learned, "lag_ms", state.lag().micros() / 1_000, state.lag().micros() >= 1_000);
+    put(learned, "cold_spent", rounded(state.slowStartSpent()), state.slowStartSpent() > 0);
     return learned;
   }
 
@@ -187,29 +187,29 @@
     return Math.round(value * 1_000) / 1_000.0;
   }
 
-  private static void put(Map<String, Object> map, String name, Object value, boolean told) {
-    if (told && !Boolean.FALSE.equals(value)) {
+  private static void put(Map<String, Object> map, String name, Object value, boolean isShown) {
+    if (isShown && !Boolean.FALSE.equals(value)) {
       map.put(name, value);
     }
   }
 
-  private static void json(
-      PrintStream to, String name, LearnedState view, StateRestore now, double weight)
+  private static void writeJson(
+      PrintStream to, String name, LearnedState state, StateRestore restore, double weight)
       throws IOException {
     JsonFactory factory = new JsonFactory().disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
     try (JsonGenerator out = factory.createGenerator(to)) {
       out.writeStartObject();
       out.writeStringField("file", name);
-      out.writeNumberField("number", view.sequence());
-      out.writeStringField("deployment", view.deployment());
-      out.writeStringField("router", view.router());
-      out.writeNumberField("listed", view.listVersion());
-      out.writeStringField("worthless", now.rejection());
-      out.writeNumberField("age_ms", now.age().micros() / 1_000);
+      out.writeNumberField("number", state.sequence());
+      out.writeStringField("deployment", state.deployment());
+      out.writeStringField("router", state.router());
+      out.writeNumberField("listed", state.listVersion());
+      out.writeStringField("worthless", restore.rejection());
+      out.writeNumberField("age_ms", restore.age().micros() / 1_000);
       out.writeNumberField("weight", weight);
       out.writeArrayFieldStart("nodes");
-      for (KnownEndpoint known : view.endpoints()) {
-        endpoint(out, known, now, weight);
+      for (KnownEndpoint endpoint : state.endpoints()) {
+        writeEndpoint(out, endpoint, restore, weight);
       }
       out.writeEndArray();
       out.writeEndObject();
@@ -217,15 +217,16 @@
     to.println();
   }
 
-  private static void endpoint(
-      JsonGenerator out, KnownEndpoint known, StateRestore now, double weight) throws IOException {
+  private static void writeEndpoint(
+      JsonGenerator out, KnownEndpoint endpoint, StateRestore restore, double weight)
+      throws IOException {
     out.writeStartObject();
-    out.writeStringField("id", known.id());
-    out.writeStringField("address", known.address());
-    out.writeNumberField("group", known.state().group());
-    out.writeNumberField("age_ms", now.age().micros() / 1_000);
+    out.writeStringField("id", endpoint.id());
+    out.writeStringField("address", endpoint.address());
+    out.writeNumberField("group", endpoint.state().group());
+    out.writeNumberField("age_ms", restore.age().micros() / 1_000);
     out.writeNumberField("weight", weight);
-    for (Map.Entry<String, Object> entry : learned(known.state()).entrySet()) {
+    for (Map.Entry<String, Object> entry : learned(endpoint.state()).entrySet()) {
       out.writeFieldName(entry.getKey());
       if (entry.getValue() instanceof Boolean flag) {
         out.writeBoolean(flag);
@@ -255,21 +256,23 @@
         new Span(b.writtenAtMicros() - a.writtenAtMicros()).micros() / 1e6);
     Map<String, KnownEndpoint> before = byId(a);
     Map<String, KnownEndpoint> after = byId(b);
-    before.values().forEach(known -> difference(out, known, after.get(known.id())));
+    before.values().forEach(endpoint -> printDifference(out, endpoint, after.get(endpoint.id())));
     after.values().stream()
-        .filter(known -> !before.containsKey(known.id()))
-        .forEach(known -> out.println("+ " + printable(known.id()) + " " + learned(known.state())));
+        .filter(endpoint -> !before.containsKey(endpoint.id()))
+        .forEach(
+            endpoint ->
+                out.println("+ " + printable(endpoint.id()) + " " + learned(endpoint.state())));
     return ExitCode.OK;
   }
 
   private static Map<String, KnownEndpoint> byId(LearnedState state) {
     Map<String, KnownEndpoint> endpoints = new TreeMap<>();
-    state.endpoints().forEach(known -> endpoints.put(known.id(), known));
+    state.endpoints().forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
     return endpoints;
   }
 
   /** Prints in what an endpoint differs; the later one is null where it is gone. */
-  private static void difference(PrintStream out, KnownEndpoint before, KnownEndpoint after) {
+  private static void printDifference(PrintStream out, KnownEndpoint before, KnownEndpoint after) {
     Map<String, Object> learnedBefore = learned(before.state());
     if (after == null) {
       out.println("- " + printable(before.id()) + " " + learnedBefore);
--- a/router/src/main/java/basaltlever/cli/SwitchCommand.java
+++ b/router/src/main/java/basaltlever/cli/SwitchCommand.java
@@ -28,13 +28,13 @@
  * command was told.
  */
 final class SwitchCommand {
-  private static final int PATIENCE_MILLIS = 3_000;
-  private static final int LARGEST = 1 << 24;
+  private static final int TIMEOUT_MILLIS = 3_000;
+  private static final int MAX_LIST_BYTES = 1 << 24;
 
   /** An announcement is open until this long after its time. */
   private static final long OPEN_MILLIS = 10_000;
 
-  private static class Where {
+  private static class GroupOptions {
     @Parameter(
         names = "--file",
         description = "start file of a router; $GW_CONFIG where it is not given")
@@ -50,7 +50,7 @@
   }
 
   @Parameters(commandDescription = "Announces a change of primary")
-  private static final class Announce extends Where {
+  private static final class Announce extends GroupOptions {
     @Parameter(
         names = "--target",
         description = "the member that is to be primary",
@@ -62,118 +62,128 @@
   }
 
   @Parameters(commandDescription = "Shows what each member of a group tells")
-  private static final class Status extends Where {}
+  private static final class Status extends GroupOptions {}
 
   @Parameters(commandDescription = "Takes the latest announcement back")
-  private static final class Cancel extends Where {}
+  private static final class Cancel extends GroupOptions {}
 
-  private record Member(String id, InetSocketAddress address, String lifecycle) {}
+  private record ListedEndpoint(String id, InetSocketAddress address, String lifecycle) {}
 
-  private record Told(Member member, String role, SwitchoverAnnouncement note) {}
+  private record EndpointReport(
+      ListedEndpoint endpoint, String role, SwitchoverAnnouncement announcement) {}
 
   /** Refused for a reason that the user can do something about. */
-  private static final class Refusal extends Exception {
+  private static final class SwitchRefusedException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Refusal(String why) {
-      super(why);
+    SwitchRefusedException(String message) {
+      super(message);
     }
   }
 
   private final Announce announce = new Announce();
   private final Status status = new Status();
   private final Cancel cancel = new Cancel();
-  private JCommander line;
+  private JCommander parser;
 
-  void joins(JCommander main) {
-    line = main.getCommands().get("switch");
-    line.addCommand("announce", announce);
-    line.addCommand("status", status);
-    line.addCommand("cancel", cancel);
+  void addTo(JCommander main) {
+    parser = main.getCommands().get("switch");
+    parser.addCommand("announce", announce);
+    parser.addCommand("status", status);
+    parser.addCommand("cancel", cancel);
   }
 
   /** Runs the sub-command that was named; returns the exit code. */
   int run(PrintStream out, PrintStream err) {
-    String command = line.getParsedCommand();
-    Where where =
+    String command = parser.getParsedCommand();
+    GroupOptions options =
         "announce".equals(command) ? announce : "status".equals(command) ? status : cancel;
-    if (command == null || where.file == null) {
+    if (command == null || options.file == null) {
       err.println("basaltlever: switch takes announce, status or cancel, and a start file");
       return ExitCode.MISUSED;
     }
     try {
-      List<Told> told = ask(where);
-      if (where == announce) {
-        out.println(write(where, told, announced(told), announce.inMillis));
-      } else if (where == cancel) {
-        SwitchoverAnnouncement open = open(told);
+      List<EndpointReport> reports = queryEndpoints(options);
+      if (options == announce) {
+        out.println(
+            writeAnnouncement(options, reports, newAnnouncement(reports), announce.inMillis));
+      } else if (options == cancel) {
+        SwitchoverAnnouncement open = openAnnouncement(reports);
         if (open == null) {
-          throw new Refusal("no announcement of group " + where.group + " is open");
+          throw new SwitchRefusedException(
+              "no announcement of group " + options.group + " is open");
         }
         out.println(
-            write(
-                where,
-                told,
+            writeAnnouncement(
+                options,
+                reports,
                 new SwitchoverAnnouncement(open.number(), open.target(), open.atMillis(), true),
                 0));
       } else {
-        told.forEach(
-            one ->
+        reports.forEach(
+            report ->
                 out.printf(
                     "%-20s %-21s %-11s %-8s %s%n",
-                    one.member.id,
-                    Addresses.text(one.member.address),
-                    one.member.lifecycle,
-                    one.role,
-                    one.note == null ? "-" : one.note.toText()));
+                    report.endpoint.id,
+                    Addresses.text(report.endpoint.address),
+                    report.endpoint.lifecycle,
+                    report.role,
+                    report.announcement == null ? "-" : report.announcement.toText()));
       }
       return ExitCode.OK;
-    } catch (InvalidSettingsException | Refusal fault) {
+    } catch (InvalidSettingsException | SwitchRefusedException fault) {
       err.println("basaltlever: " + fault.getMessage());
-      return fault instanceof Refusal ? ExitCode.REFUSED : ExitCode.MISUSED;
+      return fault instanceof SwitchRefusedException ? ExitCode.REFUSED : ExitCode.MISUSED;
     } catch (IOException fault) {
       err.println("basaltlever: " + fault);
       return ExitCode.REFUSED;
     }
   }
 
-  private SwitchoverAnnouncement announced(List<Told> told) throws Refusal {
+  private SwitchoverAnnouncement newAnnouncement(List<EndpointReport> reports)
+      throws SwitchRefusedException {
     if (announce.inMillis < 4_000 || announce.inMillis > 86_400_000) {
-      throw new Refusal("--in-ms takes 4000 to 86400000: routers read each table every 3 s");
+      throw new SwitchRefusedException(
+          "--in-ms takes 4000 to 86400000: routers read each table every 3 s");
     }
-    SwitchoverAnnouncement open = open(told);
+    SwitchoverAnnouncement open = openAnnouncement(reports);
     if (open != null) {
-      throw new Refusal("an announcement of this group is open already: " + open.toText());
+      throw new SwitchRefusedException(
+          "an announcement of this group is open already: " + open.toText());
     }
-    Told target =
-        told.stream().filter(one -> one.member.id.equals(announce.target)).findAny().orElse(null);
-    if (target == null || !target.member.lifecycle.equals("in_service")) {
-      throw new Refusal(
+    EndpointReport target =
+        reports.stream()
+            .filter(report -> report.endpoint.id.equals(announce.target))
+            .findAny()
+            .orElse(null);
+    if (target == null || !target.endpoint.lifecycle.equals("in_service")) {
+      throw new SwitchRefusedException(
           announce.target + " is no member of group " + announce.group + " that is in service");
     }
     if (!target.role.equals("replica")) {
-      throw new Refusal(
+      throw new SwitchRefusedException(
           announce.target
               + (target.role.equals("master") ? " is the primary already" : " does not answer"));
     }
     long last =
-        told.stream()
-            .filter(one -> one.note != null)
-            .mapToLong(one -> one.note.number())
+        reports.stream()
+            .filter(report -> report.announcement != null)
+            .mapToLong(report -> report.announcement.number())
             .max()
             .orElse(0);
     return new SwitchoverAnnouncement(
         last + 1, announce.target, System.currentTimeMillis() + announce.inMillis, false);
   }
 
-  private static SwitchoverAnnouncement open(List<Told> told) {
+  private static SwitchoverAnnouncement openAnnouncement(List<EndpointReport> reports) {
     SwitchoverAnnouncement latest = null;
-    for (Told one : told) {
-      if (one.note != null
+    for (EndpointReport report : reports) {
+      if (report.announcement != null
           && (latest == null
-              || one.note.number() > latest.number()
-              || (one.note.number() == latest.number() && one.note.cancelled()))) {
-        latest = one.note;
+              || report.announcement.number() > latest.number()
+              || (report.announcement.number() == latest.number()
+                  && report.announcement.cancelled()))) {
+        latest = report.announcement;
       }
     }
     return latest == null
@@ -183,54 +193,65 @@
         : latest;
   }
 
-  private String write(
-      Where where, List<Told> told, SwitchoverAnnouncement announcement, long ahead)
-      throws Refusal, IOException {
-    Told primary = told.stream().filter(one -> one.role.equals("master")).findAny().orElse(null);
+  private String writeAnnouncement(
+      GroupOptions options,
+      List<EndpointReport> reports,
+      SwitchoverAnnouncement announcement,
+      long delayMillis)
+      throws SwitchRefusedException, IOException {
+    EndpointReport primary =
+        reports.stream().filter(report -> report.role.equals("master")).findAny().orElse(null);
     if (primary == null) {
-      throw new Refusal("no member of group " + where.group + " says that it is primary");
+      throw new SwitchRefusedException(
+          "no member of group " + options.group + " says that it is primary");
     }
-    try (ServerQueryClient call = new ServerQueryClient(primary.member.address)) {
-      QueryResponse response = call.ask(announcement.insertStatement(where.table));
+    try (ServerQueryClient client = new ServerQueryClient(primary.endpoint.address)) {
+      QueryResponse response = client.query(announcement.insertStatement(options.table));
       if (response.sqlState() != null) {
-        throw new Refusal(primary.member.id + " did not take it: " + response.sqlState());
+        throw new SwitchRefusedException(
+            primary.endpoint.id + " did not take it: " + response.sqlState());
       }
     }
-    return (announcement.cancelled() ? "taken back: " : "announced, in " + ahead + " ms: ")
+    return (announcement.cancelled() ? "taken back: " : "announced, in " + delayMillis + " ms: ")
         + announcement.toText();
   }
 
-  private static List<Told> ask(Where where) throws InvalidSettingsException, IOException, Refusal {
-    List<Told> told = new ArrayList<>();
-    for (Member member : members(StartFile.read(Path.of(where.file)).discovery(), where.group)) {
-      try (ServerQueryClient call = new ServerQueryClient(member.address)) {
-        QueryResponse response = call.ask(SwitchoverAnnouncement.latestQuery(where.table));
+  private static List<EndpointReport> queryEndpoints(GroupOptions options)
+      throws InvalidSettingsException, IOException, SwitchRefusedException {
+    List<EndpointReport> reports = new ArrayList<>();
+    for (ListedEndpoint endpoint :
+        listEndpoints(StartFile.read(Path.of(options.file)).discovery(), options.group)) {
+      try (ServerQueryClient client = new ServerQueryClient(endpoint.address)) {
+        QueryResponse response = client.query(SwitchoverAnnouncement.latestQuery(options.table));
         if (response.sqlState() != null) {
-          throw new Refusal(
-              member.id + " does not tell table " + where.table + ": " + response.sqlState());
+          throw new SwitchRefusedException(
+              endpoint.id + " does not tell table " + options.table + ": " + response.sqlState());
         }
-        told.add(new Told(member, response.role(), SwitchoverAnnouncement.parse(response.value())));
-      } catch (IOException silent) {
-        told.add(new Told(member, "", null));
+        reports.add(
+            new EndpointReport(
+                endpoint, response.role(), SwitchoverAnnouncement.parse(response.value())));
+      } catch (IOException noAnswer) {
+        reports.add(new EndpointReport(endpoint, "", null));
       }
     }
-    if (told.isEmpty()) {
-      throw new Refusal("discovery lists no member of group " + where.group);
+    if (reports.isEmpty()) {
+      throw new SwitchRefusedException("discovery lists no member of group " + options.group);
     }
-    return told;
+    return reports;
   }
 
-  private static List<Member> members(InetSocketAddress discovery, int group) throws IOException {
-    HttpURLConnection call =
+  private static List<ListedEndpoint> listEndpoints(InetSocketAddress discovery, int group)
+      throws IOException {
+    HttpURLConnection connection =
         (HttpURLConnection)
             URI.create("http://" + Addresses.text(discovery) + "/discovery/hosts")
                 .toURL()
                 .openConnection();
-    call.setConnectTimeout(PATIENCE_MILLIS);
-    call.setReadTimeout(PATIENCE_MILLIS);
-    List<Member> members = new ArrayList<>();
-    try (var in = call.getInputStream()) {
-      Object list = Json.read(new String(in.readNBytes(LARGEST), StandardCharsets.UTF_8));
+    connection.setConnectTimeout(TIMEOUT_MILLIS);
+    connection.setReadTimeout(TIMEOUT_MILLIS);
+    List<ListedEndpoint> endpoints = new ArrayList<>();
+    try (var in = connection.getInputStream()) {
+      Object list = Json.parse(new String(in.readNBytes(MAX_LIST_BYTES), StandardCharsets.UTF_8));
       if (list instanceof Map<?, ?> object && object.get("instances") instanceof List<?> entries) {
         for (Object entry : entries) {
           if (entry instanceof Map<?, ?> member
@@ -238,8 +259,8 @@
               && cell.intValue() == group
               && member.get("hostPort") instanceof String address
               && Addresses.parse(address) != null) {
-            members.add(
-                new Member(
+            endpoints.add(
+                new ListedEndpoint(
                     String.valueOf(member.get("instanceId")),
                     Addresses.parse(address),
                     String.valueOf(member.get("lifecycle"))));
@@ -249,6 +270,6 @@
     } catch (InvalidJsonException fault) {
       throw new IOException("discovery's list is no JSON: " + fault.getMessage());
     }
-    return members;
+    return endpoints;
   }
 }
--- a/router/src/main/java/basaltlever/cli/VotersCommand.java
+++ b/router/src/main/java/basaltlever/cli/VotersCommand.java
@@ -46,7 +46,7 @@
   /** Returns {@link ExitCode#REFUSED} where no majority answers. */
   private int show() throws CommandException, InvalidSettingsException, IOException {
     FleetClient client = FleetClient.of(options);
-    Map<String, VoterAnswer> answers = client.askAllVoters();
+    Map<String, VoterAnswer> answers = client.queryAllVoters();
     String newest = FleetClient.mostUpToDate(answers);
     List<String> members =
         newest == null
@@ -97,7 +97,7 @@
     boolean add = !options.add.isEmpty();
     String voter = add ? options.add : options.remove;
     String leader =
-        client.askAllVoters().entrySet().stream()
+        client.queryAllVoters().entrySet().stream()
             .filter(entry -> entry.getValue().leads())
             .map(Map.Entry::getKey)
             .findFirst()
--- a/router/src/main/java/basaltlever/config/FleetSettingsReader.java
+++ b/router/src/main/java/basaltlever/config/FleetSettingsReader.java
@@ -15,20 +15,20 @@
   private final String name;
   private final Map<String, InetSocketAddress> peers;
   private final Map<String, InetSocketAddress> voters;
-  private final Path folder;
+  private final Path voterDirectory;
   private final double leaseMillis;
-  private final double statedMillis;
-  private final double assignedMillis;
+  private final double fencingMillis;
+  private final double assignmentLifetimeMillis;
 
   private FleetSettingsReader(SettingsReader keys) {
     this.keys = keys;
     name = keys.text(OperatorKeys.FLEET_NAME);
     peers = addresses(OperatorKeys.FLEET_PEERS);
     voters = addresses(OperatorKeys.FLEET_VOTERS);
-    folder = OperatorFile.folder(keys, OperatorKeys.FLEET_FOLDER);
+    voterDirectory = OperatorFile.directory(keys, OperatorKeys.FLEET_FOLDER);
     leaseMillis = keys.number(OperatorKeys.FLEET_LEASE_MILLIS, 100, 60_000);
-    statedMillis = keys.number(OperatorKeys.FLEET_STATED_MILLIS, 200, 600_000);
-    assignedMillis = keys.number(OperatorKeys.FLEET_ASSIGNED_MILLIS, 1_000, 86_400_000);
+    fencingMillis = keys.number(OperatorKeys.FLEET_STATED_MILLIS, 200, 600_000);
+    assignmentLifetimeMillis = keys.number(OperatorKeys.FLEET_ASSIGNED_MILLIS, 1_000, 86_400_000);
   }
 
   /** The settings, or null where the file names no fleet. */
@@ -44,10 +44,10 @@
         reader.name,
         reader.peers,
         reader.voters,
-        reader.folder,
+        reader.voterDirectory,
         Span.ofMillis(reader.leaseMillis),
-        Span.ofMillis(reader.statedMillis),
-        Span.ofMillis(reader.assignedMillis));
+        Span.ofMillis(reader.fencingMillis),
+        Span.ofMillis(reader.assignmentLifetimeMillis));
   }
 
   private void checkName() {
@@ -69,23 +69,23 @@
         keys.fault("fleet.voters names " + voter + ", which fleet.peers does not");
       }
     }
-    if (folder == null) {
+    if (voterDirectory == null) {
       keys.fault("fleet.folder is empty; voters keep their vote in it");
     }
   }
 
   private void checkTimes() {
-    if (statedMillis < 2 * leaseMillis) {
+    if (fencingMillis < 2 * leaseMillis) {
       keys.fault(
           "fleet.stated_ms is "
-              + (long) statedMillis
+              + (long) fencingMillis
               + ", less than twice fleet.lease_ms: a lease and what is on its way then would not be"
               + " over");
     }
-    if (assignedMillis < statedMillis) {
+    if (assignmentLifetimeMillis < fencingMillis) {
       keys.fault(
           "fleet.assigned_ms is "
-              + (long) assignedMillis
+              + (long) assignmentLifetimeMillis
               + ", less than fleet.stated_ms: each short cut would take all members from a router");
     }
   }
--- a/router/src/main/java/basaltlever/config/OperatorFile.java
+++ b/router/src/main/java/basaltlever/config/OperatorFile.java
@@ -27,7 +27,7 @@
 
   private final Map<String, String> values;
   private final Path path;
-  private final Path folder;
+  private final Path snapshotDirectory;
   private final String deployment;
   private final Span snapshotPeriod;
   private final int maxSnapshotBytes;
@@ -43,7 +43,7 @@
     this.values = values;
     SettingsReader keys = SettingsReader.ofTree(path + ": ", values, faults);
     logsJson = keys.choice(OperatorKeys.LOG_FORM, keys.text(OperatorKeys.LOG_FORM), LOG_FORMS) == 1;
-    folder = folder(keys, OperatorKeys.STATE_FOLDER);
+    snapshotDirectory = directory(keys, OperatorKeys.STATE_FOLDER);
     deployment = deployment(keys);
     snapshotPeriod = millis(keys, OperatorKeys.STATE_PERIOD_MILLIS, 100, 3_600_000);
     switchoverTable = table(keys);
@@ -98,7 +98,7 @@
   }
 
   /** A directory, or null where none is given. */
-  static Path folder(SettingsReader keys, String key) {
+  static Path directory(SettingsReader keys, String key) {
     String text = keys.text(key);
     if (text.isEmpty()) {
       return null;
@@ -111,13 +111,13 @@
     }
   }
 
-  private static Span millis(SettingsReader keys, String key, double least, double most) {
-    return Span.ofMillis(keys.number(key, least, most));
+  private static Span millis(SettingsReader keys, String key, double min, double max) {
+    return Span.ofMillis(keys.number(key, min, max));
   }
 
   /** A size in bytes, given in kilobytes from 16 on. */
-  private static long kilobytes(SettingsReader keys, String key, double most) {
-    return ((long) keys.number(key, 16, most)) * BYTES_PER_KILOBYTE;
+  private static long kilobytes(SettingsReader keys, String key, double max) {
+    return ((long) keys.number(key, 16, max)) * BYTES_PER_KILOBYTE;
   }
 
   /** The keys that differ from the other file and take effect only after a restart. */
@@ -140,8 +140,8 @@
   }
 
   /** The directory of the snapshots; null where none are stored. */
-  public Path folder() {
-    return folder;
+  public Path snapshotDirectory() {
+    return snapshotDirectory;
   }
 
   /** Tells the snapshots of one fleet from another's. */
--- a/router/src/main/java/basaltlever/config/SettingsReader.java
+++ b/router/src/main/java/basaltlever/config/SettingsReader.java
@@ -75,8 +75,8 @@
   }
 
   /** The value, or another where it is missing. */
-  String text(String path, String whereMissing) {
-    return values.getOrDefault(path, whereMissing);
+  String text(String path, String defaultValue) {
+    return values.getOrDefault(path, defaultValue);
   }
 
   /** The items of a list of scalars; none where the list is empty or absent. */
@@ -86,24 +86,24 @@
   }
 
   /** A number within the bounds; a fault where it is missing. */
-  double number(String path, double least, double most) {
+  double number(String path, double min, double max) {
     if (!has(path)) {
       fault(path + " is missing");
-      return least;
+      return min;
     }
-    return within(path, values.get(path), least, most);
+    return parseNumber(path, values.get(path), min, max);
   }
 
   /** A number within the bounds, or another where it is missing. */
-  double number(String path, double least, double most, double whereMissing) {
-    return has(path) ? number(path, least, most) : whereMissing;
+  double number(String path, double min, double max, double defaultValue) {
+    return has(path) ? number(path, min, max) : defaultValue;
   }
 
   /** A value that was read elsewhere as a number within the bounds. */
-  double within(String path, String value, double least, double most) {
+  double parseNumber(String path, String value, double min, double max) {
     try {
       double number = Double.parseDouble(value);
-      if (number >= least && number <= most) {
+      if (number >= min && number <= max) {
         return number;
       }
     } catch (NumberFormatException noNumber) {
@@ -114,13 +114,13 @@
             + " can't be read: "
             + value
             + "; it takes a number from "
-            + shown(least)
+            + formatBound(min)
             + " to "
-            + shown(most));
-    return least;
+            + formatBound(max));
+    return min;
   }
 
-  private static String shown(double bound) {
+  private static String formatBound(double bound) {
     return new BigDecimal(bound).toPlainString();
   }
 
@@ -134,10 +134,10 @@
   }
 
   /** The index of the value among the words. */
-  int choice(String path, String value, List<String> words) {
-    int index = words.indexOf(value);
+  int choice(String path, String value, List<String> options) {
+    int index = options.indexOf(value);
     if (index < 0) {
-      fault(path + " can't be read: " + value + "; it takes " + String.join(", ", words));
+      fault(path + " can't be read: " + value + "; it takes " + String.join(", ", options));
     }
     return Math.max(0, index);
   }
--- a/router/src/main/java/basaltlever/config/StartFile.java
+++ b/router/src/main/java/basaltlever/config/StartFile.java
@@ -39,22 +39,22 @@
   private final InetSocketAddress discovery;
   private final long seed;
   private final int maxDescriptors;
-  private Map<?, ?> known;
+  private Map<?, ?> storedEndpointList;
   private final StartValues startValues;
 
   private StartFile(Map<?, ?> tree, List<String> faults) {
-    Map<Object, Object> kept = new LinkedHashMap<>(tree);
-    kept.remove("known");
-    this.tree = kept;
-    Map<Object, Object> own = new LinkedHashMap<>(kept);
-    own.remove("settings");
-    SettingsReader keys = SettingsReader.ofTree("", own, faults);
+    Map<Object, Object> withoutList = new LinkedHashMap<>(tree);
+    withoutList.remove("known");
+    this.tree = withoutList;
+    Map<Object, Object> withoutSettings = new LinkedHashMap<>(withoutList);
+    withoutSettings.remove("settings");
+    SettingsReader keys = SettingsReader.ofTree("", withoutSettings, faults);
     name = keys.text("name", "router");
     listen = address(keys, "listen");
     discovery = address(keys, "discovery");
     seed = seed(keys);
     maxDescriptors = (int) keys.number("limits.sockets", MIN_SOCKETS, MAX_SOCKETS, DEFAULT_SOCKETS);
-    known = tree.get("known") instanceof Map<?, ?> list ? list : Map.of();
+    storedEndpointList = tree.get("known") instanceof Map<?, ?> list ? list : Map.of();
     if (tree.get("known") != null && !(tree.get("known") instanceof Map)) {
       keys.fault("known can't be read; it takes an object as the list of members has it");
     }
@@ -82,14 +82,14 @@
     } catch (IOException cause) {
       throw new InvalidSettingsException(List.of(path + " can't be read: " + cause));
     }
-    return of(text);
+    return parse(text);
   }
 
   /** Checks the text of a file. */
-  public static StartFile of(String text) throws InvalidSettingsException {
+  public static StartFile parse(String text) throws InvalidSettingsException {
     List<String> faults = new ArrayList<>();
     try {
-      if (Json.read(text) instanceof Map<?, ?> tree) {
+      if (Json.parse(text) instanceof Map<?, ?> tree) {
         StartFile file = new StartFile(tree, faults);
         if (faults.isEmpty()) {
           return file;
@@ -109,18 +109,18 @@
    * @param settings as JSON; empty for those of this file
    * @param routers how many routers share the traffic
    */
-  public StartFile with(String settings, int routers) throws InvalidSettingsException {
+  public StartFile withSettings(String settings, int routers) throws InvalidSettingsException {
     List<String> faults = new ArrayList<>();
     try {
       Map<Object, Object> all = new LinkedHashMap<>(tree);
-      Map<?, ?> former = (Map<?, ?>) tree.get("settings");
-      Object read = settings.isEmpty() ? former : Json.read(settings);
+      Map<?, ?> ownSettings = (Map<?, ?>) tree.get("settings");
+      Object read = settings.isEmpty() ? ownSettings : Json.parse(settings);
       if (read instanceof Map<?, ?> given) {
         Map<Object, Object> next = new LinkedHashMap<>(given);
         for (String key : ROUTER_SETTINGS) {
           next.remove(key);
-          if (former.containsKey(key)) {
-            next.put(key, former.get(key));
+          if (ownSettings.containsKey(key)) {
+            next.put(key, ownSettings.get(key));
           }
         }
         next.put("Balancers", new BigDecimal(routers));
@@ -159,7 +159,7 @@
 
   /** The keys that differ from the other file and take effect only after a restart. */
   public List<String> changesNeedingRestart(StartFile other) {
-    return differing(other, Stream.of("name", "listen", "limits.cores", "limits.memory_mb"));
+    return differingKeys(other, Stream.of("name", "listen", "limits.cores", "limits.memory_mb"));
   }
 
   /**
@@ -167,7 +167,7 @@
    * others from being applied, so that the program never runs by a mixture.
    */
   public List<String> changesOfFixedSettings(StartFile other) {
-    return differing(other, FIXED_SETTINGS.stream().map(key -> "settings." + key));
+    return differingKeys(other, FIXED_SETTINGS.stream().map(key -> "settings." + key));
   }
 
   /** The same in a fleet, where the workloads are fixed too: versions are compared by workload. */
@@ -180,20 +180,20 @@
   }
 
   /** Whether the settings of both files are the same. */
-  public boolean hasSettingsOf(StartFile other) {
-    return Objects.equals(at("settings"), other.at("settings"));
+  public boolean hasSameSettings(StartFile other) {
+    return Objects.equals(valueAt("settings"), other.valueAt("settings"));
   }
 
-  private List<String> differing(StartFile other, Stream<String> keys) {
-    return keys.filter(key -> !Objects.equals(at(key), other.at(key))).toList();
+  private List<String> differingKeys(StartFile other, Stream<String> keys) {
+    return keys.filter(key -> !Objects.equals(valueAt(key), other.valueAt(key))).toList();
   }
 
-  private Object at(String key) {
-    Object found = tree;
+  private Object valueAt(String key) {
+    Object value = tree;
     for (String part : key.split("\\.")) {
-      found = found instanceof Map<?, ?> members ? members.get(part) : null;
+      value = value instanceof Map<?, ?> members ? members.get(part) : null;
     }
-    return found;
+    return value;
   }
 
   /** The name of the router. */
@@ -223,7 +223,7 @@
 
   /** Whether the file has the endpoint list that the router had last. */
   public boolean hasStoredEndpointList() {
-    return known.containsKey("instances");
+    return storedEndpointList.containsKey("instances");
   }
 
   /**
@@ -231,9 +231,9 @@
    * list is not held in memory for as long as the settings are.
    */
   public Map<?, ?> takeStoredEndpointList() {
-    Map<?, ?> released = known;
-    known = Map.of();
-    return released;
+    Map<?, ?> list = storedEndpointList;
+    storedEndpointList = Map.of();
+    return list;
   }
 
   /** The settings. */
--- a/router/src/main/java/basaltlever/config/StartValues.java
+++ b/router/src/main/java/basaltlever/config/StartValues.java
@@ -198,20 +198,20 @@
       keys.fault(key + " gives no bound for class " + number);
       return Span.NONE;
     }
-    return new Span((long) keys.within(key, bounds.get(number), 0, MAX_SPAN_MICROS));
+    return new Span((long) keys.parseNumber(key, bounds.get(number), 0, MAX_SPAN_MICROS));
   }
 
   /** The place of the value among the words. */
-  private int choice(String path, List<String> words) {
-    return keys.choice(path, keys.text(path), words);
+  private int choice(String path, List<String> options) {
+    return keys.choice(path, keys.text(path), options);
   }
 
   private Span span(String path) {
     return new Span((long) keys.number(path, 0, MAX_SPAN_MICROS));
   }
 
-  private Span span(String path, double whereMissing) {
-    return new Span((long) keys.number(path, 0, MAX_SPAN_MICROS, whereMissing));
+  private Span span(String path, double defaultMicros) {
+    return new Span((long) keys.number(path, 0, MAX_SPAN_MICROS, defaultMicros));
   }
 
   /** Creates the load balancer with these values, given who carries its decisions out. */
@@ -262,7 +262,7 @@
   }
 
   /** How long a connection to an endpoint may be idle. */
-  public Span idleClose() {
+  public Span connectionIdleTimeout() {
     return pool.idleTimeout();
   }
 
--- a/router/src/main/java/basaltlever/config/WorkloadSlots.java
+++ b/router/src/main/java/basaltlever/config/WorkloadSlots.java
@@ -37,9 +37,9 @@
   private final List<String> names;
   private final Map<String, Integer> slots = new HashMap<>();
 
-  private WorkloadSlots(List<String> names, List<String> now) {
+  private WorkloadSlots(List<String> names, List<String> current) {
     this.names = names;
-    now.forEach(name -> slots.put(name, names.indexOf(name)));
+    current.forEach(name -> slots.put(name, names.indexOf(name)));
   }
 
   /** The slots for the first settings, in their order. */
@@ -48,10 +48,10 @@
   }
 
   /** The slots for other settings; the caller checks that there are not too many. */
-  public WorkloadSlots with(List<String> now) {
+  public WorkloadSlots with(List<String> current) {
     List<String> all = new ArrayList<>(names);
-    now.stream().filter(name -> !all.contains(name)).forEach(all::add);
-    return new WorkloadSlots(all, now);
+    current.stream().filter(name -> !all.contains(name)).forEach(all::add);
+    return new WorkloadSlots(all, current);
   }
 
   /** The number of slots, also those of removed names. */
@@ -65,19 +65,19 @@
   }
 
   /** The settings with each workload at its slot, given the order that they name them in. */
-  public Settings arrange(Settings by, List<String> order) {
+  public Settings arrange(Settings settings, List<String> order) {
     Workload[] placed = new Workload[names.size()];
     for (int slot = 0; slot < placed.length; slot++) {
-      int given = order.indexOf(names.get(slot));
-      placed[slot] = given >= 0 ? by.workloads()[given] : REMOVED;
+      int index = order.indexOf(names.get(slot));
+      placed[slot] = index >= 0 ? settings.workloads()[index] : REMOVED;
     }
     return new Settings(
-        by.identity(),
+        settings.identity(),
         placed,
-        by.replication(),
-        by.drainPolicy(),
-        by.slowStart(),
-        by.attemptLimits(),
-        by.poolSettings());
+        settings.replication(),
+        settings.drainPolicy(),
+        settings.slowStart(),
+        settings.attemptLimits(),
+        settings.poolSettings());
   }
 }
--- a/router/src/main/java/basaltlever/discovery/AgreedEndpoints.java
+++ b/router/src/main/java/basaltlever/discovery/AgreedEndpoints.java
@@ -66,7 +66,7 @@
     }
     ListAnomaly anomaly = view.receiveList(now, update.full(), update.generation(), listed);
     if (anomaly != ListAnomaly.NONE) {
-      heldListLog.note(update.generation(), anomaly.name());
+      heldListLog.log(update.generation(), anomaly.name());
     }
     publish(now, update.generation(), live);
   }
--- a/router/src/main/java/basaltlever/discovery/EndpointPublisher.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointPublisher.java
@@ -134,7 +134,7 @@
   private Moment startedAt(EndpointEntry entry) {
     return entry.startedAtMillis() == 0
         ? Moment.LONG_AGO
-        : clockOffset.started(new Moment(entry.startedAtMillis() * MICROS_PER_MILLI));
+        : clockOffset.correctStart(new Moment(entry.startedAtMillis() * MICROS_PER_MILLI));
   }
 
   /** Publishes an endpoint known from an earlier process as draining, before any list names it. */
--- a/router/src/main/java/basaltlever/discovery/EndpointUpdate.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointUpdate.java
@@ -47,7 +47,7 @@
 
   static Map<?, ?> parseObject(String text) throws InvalidEndpointListException {
     try {
-      if (Json.read(text) instanceof Map<?, ?> object) {
+      if (Json.parse(text) instanceof Map<?, ?> object) {
         return object;
       }
     } catch (InvalidJsonException fault) {
--- a/router/src/main/java/basaltlever/fleet/FleetLeader.java
+++ b/router/src/main/java/basaltlever/fleet/FleetLeader.java
@@ -210,7 +210,7 @@
     if (!found.equals(forks)) {
       forks = found;
       found.forEach(
-          fork -> forkLog.note(fork.listVersion().generation(), "" + fork.holders().values()));
+          fork -> forkLog.log(fork.listVersion().generation(), "" + fork.holders().values()));
     }
   }
 
--- a/router/src/main/java/basaltlever/gateway/SlowStartPolicy.java
+++ b/router/src/main/java/basaltlever/gateway/SlowStartPolicy.java
@@ -10,7 +10,7 @@
    */
   public double capacityShareAt(Span age) {
     return age.isShorterThan(warmUpTime)
-        ? initialShare + (1 - initialShare) * Math.max(0, age.over(warmUpTime))
+        ? initialShare + (1 - initialShare) * Math.max(0, age.ratioTo(warmUpTime))
         : 1;
   }
 }
--- a/router/src/main/java/basaltlever/json/InvalidJsonException.java
+++ b/router/src/main/java/basaltlever/json/InvalidJsonException.java
@@ -4,7 +4,7 @@
 public final class InvalidJsonException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  InvalidJsonException(String what, int at) {
-    super(what + " at character " + at);
+  InvalidJsonException(String problem, int position) {
+    super(problem + " at character " + position);
   }
 }
--- a/router/src/main/java/basaltlever/json/Json.java
+++ b/router/src/main/java/basaltlever/json/Json.java
@@ -13,16 +13,16 @@
  */
 public final class Json {
   /** Deeper nesting than any peer sends would only be there to exhaust the stack. */
-  private static final int DEEPEST = 32;
+  private static final int MAX_DEPTH = 32;
 
   /** A longer number is no number of ours, and arithmetic on it could take for ever. */
-  private static final int LONGEST_NUMBER = 40;
+  private static final int MAX_NUMBER_CHARS = 40;
 
   private static final Pattern NUMBER =
       Pattern.compile("-?(0|[1-9][0-9]*)(\\.[0-9]+)?([eE][+-]?[0-9]{1,3})?");
 
   private final String text;
-  private int at;
+  private int position;
   private int depth;
 
   private Json(String text) {
@@ -30,154 +30,154 @@
   }
 
   /** Reads a text that holds exactly one value. */
-  public static Object read(String text) throws InvalidJsonException {
+  public static Object parse(String text) throws InvalidJsonException {
     Json json = new Json(text);
-    Object value = json.value();
-    json.space();
-    if (json.at < text.length()) {
-      throw json.fault("something follows the value");
+    Object value = json.readValue();
+    json.skipWhitespace();
+    if (json.position < text.length()) {
+      throw json.error("something follows the value");
     }
     return value;
   }
 
-  private Object value() throws InvalidJsonException {
-    space();
+  private Object readValue() throws InvalidJsonException {
+    skipWhitespace();
     return switch (peek()) {
-      case '{' -> object();
-      case '[' -> array();
-      case '"' -> string();
-      case 't' -> word("true", true);
-      case 'f' -> word("false", false);
-      case 'n' -> word("null", null);
-      default -> number();
+      case '{' -> readObject();
+      case '[' -> readArray();
+      case '"' -> readString();
+      case 't' -> readLiteral("true", true);
+      case 'f' -> readLiteral("false", false);
+      case 'n' -> readLiteral("null", null);
+      default -> readNumber();
     };
   }
 
-  private Map<String, Object> object() throws InvalidJsonException {
+  private Map<String, Object> readObject() throws InvalidJsonException {
     Map<String, Object> members = new LinkedHashMap<>();
-    open();
-    while (more('}', members.isEmpty())) {
+    enterNesting();
+    while (nextItem('}', members.isEmpty())) {
       if (peek() != '"') {
-        throw fault("a name is missing");
+        throw error("a name is missing");
       }
-      String name = string();
-      space();
+      String name = readString();
+      skipWhitespace();
       expect(':');
-      members.put(name, value());
+      members.put(name, readValue());
     }
     return members;
   }
 
-  private List<Object> array() throws InvalidJsonException {
+  private List<Object> readArray() throws InvalidJsonException {
     List<Object> items = new ArrayList<>();
-    open();
-    while (more(']', items.isEmpty())) {
-      items.add(value());
+    enterNesting();
+    while (nextItem(']', items.isEmpty())) {
+      items.add(readValue());
     }
     return items;
   }
 
-  private void open() throws InvalidJsonException {
-    at++;
-    if (++depth > DEEPEST) {
-      throw fault("nested too deeply");
+  private void enterNesting() throws InvalidJsonException {
+    position++;
+    if (++depth > MAX_DEPTH) {
+      throw error("nested too deeply");
     }
   }
 
-  private boolean more(char close, boolean first) throws InvalidJsonException {
-    space();
+  private boolean nextItem(char close, boolean first) throws InvalidJsonException {
+    skipWhitespace();
     if (peek() == close) {
-      at++;
+      position++;
       depth--;
       return false;
     }
     if (!first) {
       expect(',');
-      space();
+      skipWhitespace();
     }
     return true;
   }
 
-  private String string() throws InvalidJsonException {
+  private String readString() throws InvalidJsonException {
     expect('"');
     StringBuilder out = new StringBuilder();
     while (true) {
-      char c = take();
+      char c = next();
       if (c == '"') {
         return out.toString();
       }
       if (c < ' ') {
-        throw fault("a bare control character");
+        throw error("a bare control character");
       }
-      out.append(c == '\\' ? escaped() : c);
+      out.append(c == '\\' ? readEscape() : c);
     }
   }
 
-  private char escaped() throws InvalidJsonException {
-    char c = take();
-    int known = "\"\\/bfnrt".indexOf(c);
-    if (known >= 0) {
-      return "\"\\/\b\f\n\r\t".charAt(known);
+  private char readEscape() throws InvalidJsonException {
+    char c = next();
+    int index = "\"\\/bfnrt".indexOf(c);
+    if (index >= 0) {
+      return "\"\\/\b\f\n\r\t".charAt(index);
     }
     int code = 0;
     for (int i = 0; c == 'u' && i < 4; i++) {
-      int digit = Character.digit(take(), 16);
+      int digit = Character.digit(next(), 16);
       code = digit < 0 ? -1 : code < 0 ? code : 16 * code + digit;
     }
     if (c != 'u' || code < 0) {
-      throw fault("an unknown escape");
+      throw error("an unknown escape");
     }
     return (char) code;
   }
 
-  private Object word(String word, Object value) throws InvalidJsonException {
-    if (!text.startsWith(word, at)) {
-      throw fault("an unknown word");
+  private Object readLiteral(String literal, Object value) throws InvalidJsonException {
+    if (!text.startsWith(literal, position)) {
+      throw error("an unknown word");
     }
-    at += word.length();
+    position += literal.length();
     return value;
   }
 
-  private BigDecimal number() throws InvalidJsonException {
-    int from = at;
-    while (at < text.length() && "+-.eE0123456789".indexOf(text.charAt(at)) >= 0) {
-      at++;
+  private BigDecimal readNumber() throws InvalidJsonException {
+    int start = position;
+    while (position < text.length() && "+-.eE0123456789".indexOf(text.charAt(position)) >= 0) {
+      position++;
     }
-    String digits = text.substring(from, at);
-    if (!NUMBER.matcher(digits).matches() || digits.length() > LONGEST_NUMBER) {
-      at = from;
-      throw fault("no value");
+    String digits = text.substring(start, position);
+    if (!NUMBER.matcher(digits).matches() || digits.length() > MAX_NUMBER_CHARS) {
+      position = start;
+      throw error("no value");
     }
     return new BigDecimal(digits);
   }
 
-  private void space() {
-    while (at < text.length() && " \t\r\n".indexOf(text.charAt(at)) >= 0) {
-      at++;
+  private void skipWhitespace() {
+    while (position < text.length() && " \t\r\n".indexOf(text.charAt(position)) >= 0) {
+      position++;
     }
   }
 
   private char peek() throws InvalidJsonException {
-    if (at >= text.length()) {
-      throw fault("the text ends too early");
+    if (position >= text.length()) {
+      throw error("the text ends too early");
     }
-    return text.charAt(at);
+    return text.charAt(position);
   }
 
-  private char take() throws InvalidJsonException {
+  private char next() throws InvalidJsonException {
     char c = peek();
-    at++;
+    position++;
     return c;
   }
 
   private void expect(char c) throws InvalidJsonException {
-    if (take() != c) {
-      at--;
-      throw fault("'" + c + "' is missing");
+    if (next() != c) {
+      position--;
+      throw error("'" + c + "' is missing");
     }
   }
 
-  private InvalidJsonException fault(String what) {
-    return new InvalidJsonException(what, at);
+  private InvalidJsonException error(String problem) {
+    return new InvalidJsonException(problem, position);
   }
 }
--- a/router/src/main/java/basaltlever/log/Counters.java
+++ b/router/src/main/java/basaltlever/log/Counters.java
@@ -14,13 +14,13 @@
   private final long[] reported = new long[counts.length];
 
   /** Counts one more. */
-  public void add(Counter counter) {
+  public void increment(Counter counter) {
     counts[counter.ordinal()]++;
   }
 
   /** Counts several more. */
-  public void add(Counter counter, long more) {
-    counts[counter.ordinal()] += more;
+  public void add(Counter counter, long amount) {
+    counts[counter.ordinal()] += amount;
   }
 
   /** The count since the start. */
@@ -29,21 +29,21 @@
   }
 
   /** Logs each count that has grown as NAME=+GROWTH; nothing where none has. */
-  public void report() {
-    StringBuilder grown = new StringBuilder();
+  public void logChanges() {
+    StringBuilder changes = new StringBuilder();
     for (Counter counter : Counter.values()) {
-      int at = counter.ordinal();
-      if (counts[at] > reported[at]) {
-        grown
-            .append(grown.isEmpty() ? "" : ",")
+      int index = counter.ordinal();
+      if (counts[index] > reported[index]) {
+        changes
+            .append(changes.isEmpty() ? "" : ",")
             .append(counter.key)
             .append("=+")
-            .append(counts[at] - reported[at]);
-        reported[at] = counts[at];
+            .append(counts[index] - reported[index]);
+        reported[index] = counts[index];
       }
     }
-    if (!grown.isEmpty()) {
-      Event.COUNTERS.log(LOG, Level.INFO, "", grown);
+    if (!changes.isEmpty()) {
+      Event.COUNTERS.log(LOG, Level.INFO, "", changes);
     }
   }
 }
--- a/router/src/main/java/basaltlever/log/Event.java
+++ b/router/src/main/java/basaltlever/log/Event.java
@@ -70,19 +70,19 @@
 
   /** One line, with the values of the event's fields in their order. */
   public void log(Logger log, Level level, String text, Object... values) {
-    line(log, level, values).log(text);
+    eventBuilder(log, level, values).log(text);
   }
 
   /** The same for an error with its cause. */
-  public void fault(Logger log, String text, Throwable cause, Object... values) {
-    line(log, Level.ERROR, values).setCause(cause).log(text);
+  public void logError(Logger log, String text, Throwable cause, Object... values) {
+    eventBuilder(log, Level.ERROR, values).setCause(cause).log(text);
   }
 
-  private LoggingEventBuilder line(Logger log, Level level, Object... values) {
-    LoggingEventBuilder line = log.atLevel(level).addKeyValue("event", key);
+  private LoggingEventBuilder eventBuilder(Logger log, Level level, Object... values) {
+    LoggingEventBuilder builder = log.atLevel(level).addKeyValue("event", key);
     for (int i = 0; i < fields.size(); i++) {
-      line = line.addKeyValue(fields.get(i), String.valueOf(values[i]));
+      builder = builder.addKeyValue(fields.get(i), String.valueOf(values[i]));
     }
-    return line;
+    return builder;
   }
 }
--- /dev/null
+++ b/router/src/main/java/basaltlever/log/StatementTracer.java
@@ -0,0 +1,150 @@
+package basaltlever.log;
+
+import basaltlever.time.Moment;
+import basaltlever.time.Span;
+import java.util.LinkedHashSet;
+import java.util.function.Supplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.slf4j.event.Level;
+
+/**
+ * What became of single statements, step by step, where somebody asks: one log line a statement
+ * that took longer than a given span, and one for each that is past its time without an answer. Off
+ * it costs a look at a field; on it is bounded in statements followed, in steps of each and in
+ * lines a second, since clients can cause all of these at will.
+ */
+public final class StatementTracer {
+  private static final Logger LOG = LoggerFactory.getLogger(StatementTracer.class);
+  private static final int MAX_ACTIVE_TRACES = 4_096;
+  private static final int MAX_STEPS_CHARS = 1_200;
+  private static final int MAX_LINES_PER_SECOND = 200;
+  private static final Span RATE_WINDOW = Span.ofMillis(1_000);
+
+  /** A loop that comes back this much later than it asked to is noted. */
+  private static final Span MIN_LOGGED_LOOP_DELAY = Span.ofMillis(50);
+
+  private final Span minDuration;
+  private final Supplier<Moment> clock;
+  private final LinkedHashSet<Trace> activeTraces = new LinkedHashSet<>();
+  private Moment windowStart = Moment.LONG_AGO;
+  private int linesInWindow;
+  private int suppressedLines;
+
+  /** Steps of one statement. */
+  public final class Trace {
+    private final String id;
+    private final Moment startedAt;
+    private final Moment deadline;
+    private final StringBuilder steps = new StringBuilder();
+    private boolean overdueLogged;
+
+    private Trace(String id, Moment startedAt, Moment deadline) {
+      this.id = id;
+      this.startedAt = startedAt;
+      this.deadline = deadline;
+    }
+
+    private void appendStep(String step) {
+      if (steps.length() < MAX_STEPS_CHARS) {
+        steps
+            .append(steps.isEmpty() ? "" : " ")
+            .append(formatMillis(clock.get().since(startedAt)))
+            .append(':')
+            .append(step);
+      }
+    }
+  }
+
+  /** Of statements that took longer than the span; null for none. */
+  public StatementTracer(Span minDuration, Supplier<Moment> clock) {
+    this.minDuration = minDuration;
+    this.clock = clock;
+  }
+
+  /** Whether any statements are traced. */
+  public boolean isEnabled() {
+    return minDuration != null;
+  }
+
+  /** Null where nobody asked, or where too many are followed already. */
+  public Trace begin(String id, Moment startedAt, Moment deadline) {
+    if (minDuration == null || activeTraces.size() >= MAX_ACTIVE_TRACES) {
+      return null;
+    }
+    Trace trace = new Trace(id, startedAt, deadline);
+    activeTraces.add(trace);
+    return trace;
+  }
+
+  /** The life may be null; without blanks, so that the steps stay apart. */
+  public void recordStep(Trace trace, String step) {
+    if (trace != null) {
+      trace.appendStep(step);
+    }
+  }
+
+  /** Its last byte went out, or there is nobody to send it to. */
+  public void end(Trace trace, String step) {
+    if (trace != null && activeTraces.remove(trace)) {
+      trace.appendStep(step);
+      if (trace.overdueLogged || !clock.get().since(trace.startedAt).isShorterThan(minDuration)) {
+        logStatement(trace, "ended");
+      }
+    }
+  }
+
+  /** To be called every so often: names what is past its time. */
+  public void logOverdueStatements() {
+    Moment now = minDuration == null ? null : clock.get();
+    for (Trace trace : minDuration == null ? new LinkedHashSet<Trace>() : activeTraces) {
+      if (!trace.overdueLogged && now.isAfter(trace.deadline)) {
+        trace.overdueLogged = true;
+        logStatement(trace, "past_its_time");
+      }
+    }
+  }
+
+  /** A timer of the loop that was this late. */
+  public void logLoopDelay(Span delay) {
+    if (minDuration != null && delay.isLongerThan(MIN_LOGGED_LOOP_DELAY) && acquireLine()) {
+      Event.LOOP_LATE.log(LOG, Level.INFO, "", formatMillis(delay));
+    }
+  }
+
+  /** A client's connection that its client ended. */
+  public void logClientDisconnect(Object client, Object reason, int bytes) {
+    if (minDuration != null && acquireLine()) {
+      Event.CLIENT_LEFT.log(LOG, Level.INFO, "", client, reason, bytes);
+    }
+  }
+
+  private void logStatement(Trace trace, String outcome) {
+    if (acquireLine()) {
+      Event.STATEMENT.log(
+          LOG,
+          Level.INFO,
+          "",
+          trace.id,
+          outcome,
+          formatMillis(clock.get().since(trace.startedAt)),
+          formatMillis(trace.deadline.since(trace.startedAt)),
+          suppressedLines,
+          trace.steps);
+      suppressedLines = 0;
+    }
+  }
+
+  private boolean acquireLine() {
+    if (!clock.get().since(windowStart).isShorterThan(RATE_WINDOW)) {
+      windowStart = clock.get();
+      linesInWindow = 0;
+    }
+    suppressedLines += linesInWindow >= MAX_LINES_PER_SECOND ? 1 : 0;
+    return linesInWindow++ < MAX_LINES_PER_SECOND;
+  }
+
+  private static String formatMillis(Span span) {
+    return "" + span.micros() / 1_000;
+  }
+}
--- a/router/src/main/java/basaltlever/model/DecayingValue.java
+++ b/router/src/main/java/basaltlever/model/DecayingValue.java
@@ -10,7 +10,7 @@
 
   /** The value at that moment, decayed since it was last set. */
   public double valueAt(Moment now, Span timeConstant) {
-    return value == 0 ? 0 : value * Math.exp(-now.since(updatedAt).over(timeConstant));
+    return value == 0 ? 0 : value * Math.exp(-now.since(updatedAt).ratioTo(timeConstant));
   }
 
   /** Sets the value as of that moment. */
--- a/router/src/main/java/basaltlever/net/AcceptHandler.java
+++ b/router/src/main/java/basaltlever/net/AcceptHandler.java
@@ -223,8 +223,8 @@
   private void pause(String cause) {
     if (!paused) {
       paused = true;
-      iteration.counters().add(Counter.ACCEPT_PAUSED);
-      pauseLog.note("listener", cause);
+      iteration.counters().increment(Counter.ACCEPT_PAUSED);
+      pauseLog.log("listener", cause);
     }
     // From here on nobody looks.
     queue.onReadComplete(false, iteration.earliestArrival());
@@ -280,7 +280,8 @@
     evictionTokens =
         Math.min(
             MAX_EVICTION_BURST,
-            evictionTokens + EVICTIONS_PER_SECOND * now.since(tokensRefilledAt).over(ONE_SECOND));
+            evictionTokens
+                + EVICTIONS_PER_SECOND * now.since(tokensRefilledAt).ratioTo(ONE_SECOND));
     tokensRefilledAt = now;
     boolean evicted = true;
     int roomBefore = -1;
--- a/router/src/main/java/basaltlever/net/AttemptExecutor.java
+++ b/router/src/main/java/basaltlever/net/AttemptExecutor.java
@@ -9,7 +9,7 @@
 import basaltlever.log.Counter;
 import basaltlever.log.Counters;
 import basaltlever.log.Event;
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.pg.MessageEncoder;
 import basaltlever.pg.ProtocolCodes;
@@ -53,7 +53,7 @@
   private LoadReportFormat loadReport;
   private Span pollTimeout;
   private final MemoryBudget budget;
-  private final StatementTrace trace;
+  private final StatementTracer trace;
   private final Counters counters;
   private final ClockOffset clockOffset;
 
@@ -95,7 +95,7 @@
       LoadReportFormat loadReport,
       Span pollTimeout,
       MemoryBudget budget,
-      StatementTrace trace) {
+      StatementTracer trace) {
     this.iteration = iteration;
     this.loop = loop;
     this.pools = pools;
@@ -214,7 +214,7 @@
 
   private void abortUnanswered(PendingStatement pendingStatement) {
     if (!pendingStatement.answered) {
-      counters.add(Counter.STATEMENT_OVERDUE);
+      counters.increment(Counter.STATEMENT_OVERDUE);
       Event.OVERDUE.log(
           LOG,
           Level.WARN,
@@ -234,7 +234,7 @@
 
   /** Beyond what the settings allow to be open, before the decisions hear of it. */
   void rejectTooManyOpen(PendingStatement pendingStatement) {
-    counters.add(Counter.REFUSED_TOO_MANY_OPEN);
+    counters.increment(Counter.REFUSED_TOO_MANY_OPEN);
     iteration.addEffect(
         () ->
             answerError(
@@ -247,7 +247,7 @@
   void clientDisconnected(PendingStatement pendingStatement) {
     iteration.enqueue(
         now -> {
-          trace.ends(pendingStatement.trace, "left");
+          trace.end(pendingStatement.trace, "left");
           pendingStatement.answered = true;
           runGuarded(
               pendingStatement, () -> core.onClientDisconnected(now, pendingStatement.ticket));
@@ -260,7 +260,7 @@
     try {
       step.run();
     } catch (RuntimeException fault) {
-      Event.FAULT.fault(LOG, "", fault, "deciding on statement " + pendingStatement.ticket);
+      Event.FAULT.logError(LOG, "", fault, "deciding on statement " + pendingStatement.ticket);
       if (!pendingStatement.answered) {
         iteration.addEffect(
             () ->
@@ -274,7 +274,7 @@
   private void answerError(
       PendingStatement pendingStatement, String code, String message, String detail) {
     if (!pendingStatement.answered) {
-      trace.step(pendingStatement.trace, code);
+      trace.recordStep(pendingStatement.trace, code);
       pendingStatement.answered = true;
       pendingStatement.client.sendError(code, message, detail);
     }
@@ -308,12 +308,12 @@
     Span limit = timeout.micros() == 0 ? remaining : timeout.shorter(remaining);
     Attempt attempt = new Attempt(pendingStatement, execution, iteration.now().plus(limit), sendBy);
     pendingStatement.attempts.add(attempt);
-    counters.add(Counter.EXECUTION_SENT);
+    counters.increment(Counter.EXECUTION_SENT);
     if (execution > 0) {
-      counters.add(Counter.EXECUTION_RETRIED);
+      counters.increment(Counter.EXECUTION_RETRIED);
     }
     if (pendingStatement.trace != null) {
-      trace.step(pendingStatement.trace, execution + ">" + endpoint);
+      trace.recordStep(pendingStatement.trace, execution + ">" + endpoint);
     }
     pendingStatement.openAttempts++;
     iteration.addEffect(
@@ -352,7 +352,7 @@
   @Override
   public void reject(long ticket, Span retryAfter, RejectReason reason) {
     PendingStatement pendingStatement = statements.get(ticket);
-    counters.add(
+    counters.increment(
         switch (reason) {
           case OVERDUE -> Counter.REFUSED_OVERDUE;
           case SHED -> Counter.REFUSED_SHED;
@@ -360,7 +360,7 @@
           case NO_ATTEMPT_LEFT -> Counter.REFUSED_NO_ATTEMPT_LEFT;
         });
     if (pendingStatement.trace != null) {
-      trace.step(pendingStatement.trace, reason.name());
+      trace.recordStep(pendingStatement.trace, reason.name());
     }
     long retryAfterMillis = retryAfter.micros() / 1_000;
     iteration.addEffect(
@@ -375,7 +375,7 @@
   @Override
   public void abort(long ticket) {
     PendingStatement pendingStatement = statements.get(ticket);
-    counters.add(Counter.FAILED_EFFECT_UNKNOWN);
+    counters.increment(Counter.FAILED_EFFECT_UNKNOWN);
     iteration.addEffect(
         () ->
             answerError(
@@ -387,7 +387,7 @@
 
   @Override
   public void poll(String endpoint) {
-    counters.add(Counter.POLL_SENT);
+    counters.increment(Counter.POLL_SENT);
     if (!switchoverTable.isEmpty()) {
       recentlyPolled.remove(endpoint);
       recentlyPolled.add(endpoint);
@@ -534,7 +534,7 @@
     @Override
     void write(ByteBuf out) {
       if (pendingStatement.trace != null) {
-        trace.step(pendingStatement.trace, attemptNumber + "w");
+        trace.recordStep(pendingStatement.trace, attemptNumber + "w");
       }
       long remainingMicros = Math.max(1, deadline.since(iteration.clock().now()).micros());
       MessageEncoder.query(
@@ -559,7 +559,7 @@
       pendingStatement.openAttempts--;
       // Text put together for nobody costs a process that has just started most.
       if (pendingStatement.trace != null) {
-        trace.step(pendingStatement.trace, attemptNumber + "=" + outcome);
+        trace.recordStep(pendingStatement.trace, attemptNumber + "=" + outcome);
       }
       runGuarded(
           pendingStatement,
@@ -570,7 +570,7 @@
                 attemptNumber,
                 outcome,
                 toRole(response),
-                clockOffset.position(loadReport.momentAtMillis(response.positionMillis())),
+                clockOffset.correctPosition(loadReport.momentAtMillis(response.positionMillis())),
                 false)) {
               pendingStatement.answered = true;
               var row = response.takeRow();
@@ -623,7 +623,7 @@
                 endpoint,
                 outcome,
                 claimedRole,
-                clockOffset.position(position),
+                clockOffset.correctPosition(position),
                 loadReport.valueAt(values, loadReport.utilizationIndex),
                 loadReport.valueAt(values, loadReport.queueIndex));
           });
@@ -632,7 +632,7 @@
     private void updateClockOffset(Moment now, Role claimedRole, Moment position) {
       if (claimedRole == Role.PRIMARY
           && position.isAfter(Moment.LONG_AGO)
-          && clockOffset.primaryAt(now, position)) {
+          && clockOffset.onPrimaryPosition(now, position)) {
         Event.CLOCK_OFF.log(
             LOG,
             Level.WARN,
--- a/router/src/main/java/basaltlever/net/ClientConnection.java
+++ b/router/src/main/java/basaltlever/net/ClientConnection.java
@@ -2,7 +2,7 @@
 
 import basaltlever.log.Counter;
 import basaltlever.log.Event;
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.pg.ArrivalTimes;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.pg.MessageDecoder;
@@ -419,7 +419,7 @@
       Query query = Query.parse(text);
       int workload = host.workloadIndex(query);
       if (host.isRefusingAll()) {
-        host.counters().add(Counter.REFUSED_SHUTDOWN);
+        host.counters().increment(Counter.REFUSED_SHUTDOWN);
         throw new ProtocolException(
             ProtocolCodes.TOO_MANY_CONNECTIONS, "this router ends, and nothing was done");
       }
@@ -468,23 +468,23 @@
       }
     }
     MessageEncoder.readyForQuery(end);
-    StatementTrace.Life life = pendingStatement.trace;
+    StatementTracer.Trace life = pendingStatement.trace;
     socket.writeAndFlush(
         end,
         written -> {
           budget.release(size);
-          host.trace().ends(life, written ? "row_out" : "row_lost");
+          host.trace().end(life, written ? "row_out" : "row_lost");
         });
     onAnswered();
   }
 
   void sendError(String code, String message, String detail) {
     if (lifecycle.isBusy()) {
-      StatementTrace.Life life = pendingStatement.trace;
+      StatementTracer.Trace life = pendingStatement.trace;
       ByteBuf out = socket.alloc().buffer();
       MessageEncoder.errorResponse(out, "ERROR", code, message, detail);
       MessageEncoder.readyForQuery(out);
-      socket.writeAndFlush(out, written -> host.trace().ends(life, written ? "out" : "lost"));
+      socket.writeAndFlush(out, written -> host.trace().end(life, written ? "out" : "lost"));
       onAnswered();
     }
   }
@@ -559,7 +559,7 @@
           : rejectForCapacity();
     }
     if (!lifecycle.endIfIdle(closeReason)) {
-      host.counters().add(Counter.CLIENT_END_DECLINED);
+      host.counters().increment(Counter.CLIENT_END_DECLINED);
       return false;
     }
     onEndBegun();
@@ -687,7 +687,7 @@
 
   /** This program failed at what it read: what is owed is answered, then the connection ends. */
   void onFailure(Throwable cause) {
-    Event.FAULT.fault(LOG, "", cause, "talking to client " + socket.remoteAddress());
+    Event.FAULT.logError(LOG, "", cause, "talking to client " + socket.remoteAddress());
     if (lifecycle.isOpen()) {
       deferredError =
           new ProtocolException(
@@ -701,8 +701,9 @@
   private void markClosed(CloseReason closeReason) {
     boolean wasOpen = lifecycle.isOpen();
     if (lifecycle.markClosed(closeReason) && wasOpen) {
-      host.counters().add(closeReason.counter);
-      host.trace().connectionEnds(socket.remoteAddress(), closeReason, decoder.bufferedBytes());
+      host.counters().increment(closeReason.counter);
+      host.trace()
+          .logClientDisconnect(socket.remoteAddress(), closeReason, decoder.bufferedBytes());
       releaseStatement();
     }
   }
--- a/router/src/main/java/basaltlever/net/ClientHost.java
+++ b/router/src/main/java/basaltlever/net/ClientHost.java
@@ -1,7 +1,7 @@
 package basaltlever.net;
 
 import basaltlever.log.Counters;
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.pg.ProtocolException;
 import basaltlever.pg.Query;
 import basaltlever.time.Moment;
@@ -18,7 +18,7 @@
 
   Descriptors descriptors();
 
-  StatementTrace trace();
+  StatementTracer trace();
 
   /** The place of the query's class among the workloads; a fault where none has that name. */
   int workloadIndex(Query query) throws ProtocolException;
--- a/router/src/main/java/basaltlever/net/ClientSessions.java
+++ b/router/src/main/java/basaltlever/net/ClientSessions.java
@@ -6,7 +6,7 @@
 import basaltlever.log.Counter;
 import basaltlever.log.Counters;
 import basaltlever.log.RateLimitedLog;
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.pg.ProtocolCodes;
 import basaltlever.pg.ProtocolException;
@@ -34,7 +34,7 @@
   private final int maxOpenStatements;
   private final MemoryBudget budget;
   private final RateLimitedLog invalidInputLog;
-  private final StatementTrace trace;
+  private final StatementTracer trace;
   private final LinkedHashSet<ClientConnection> connections = new LinkedHashSet<>();
   private StatementRouter<String> statementRouter;
   private AttemptExecutor executor;
@@ -55,7 +55,7 @@
       int maxOpenStatements,
       MemoryBudget budget,
       RateLimitedLog invalidInputLog,
-      StatementTrace trace) {
+      StatementTracer trace) {
     this.iteration = iteration;
     this.descriptors = descriptors;
     this.slots = slots;
@@ -73,7 +73,7 @@
 
   @Override
   public void onInvalidInput(Object client, String problem) {
-    invalidInputLog.note(client, problem);
+    invalidInputLog.log(client, problem);
   }
 
   @Override
@@ -91,7 +91,7 @@
    * since the other moment if it has sent nothing; where there is no room it is told so.
    */
   ClientConnection admit(Moment queuedSince, Moment silentSince) {
-    counters().add(Counter.CLIENT_ACCEPTED);
+    counters().increment(Counter.CLIENT_ACCEPTED);
     ClientConnection connection =
         new ClientConnection(
             this,
@@ -111,7 +111,7 @@
   @Override
   public void onEndBegun(
       long connectionNumber, Object client, CloseReason closeReason, int partialBytes) {
-    counters().add(closeReason.counter);
+    counters().increment(closeReason.counter);
     if (closeReason != CloseReason.SHUTDOWN) {
       endedConnectionLog.log(connectionNumber, client, closeReason, partialBytes);
     }
@@ -166,8 +166,8 @@
             text,
             query,
             arrivedAt,
-            trace.areFollowed()
-                ? trace.begins(
+            trace.isEnabled()
+                ? trace.begin(
                     query.id,
                     arrivedAt,
                     arrivedAt.plus(Span.ofMillis((double) query.timeoutMillis)))
@@ -188,7 +188,7 @@
             executor.rejectTooManyOpen(pendingStatement);
             return;
           }
-          trace.step(pendingStatement.trace, "taken");
+          trace.recordStep(pendingStatement.trace, "taken");
           executor.add(pendingStatement);
           executor.runGuarded(
               pendingStatement,
@@ -205,7 +205,7 @@
                               ? Moment.LONG_AGO
                               : iteration
                                   .clockOffset()
-                                  .committed(new Moment(query.lastCommitMillis * 1_000)),
+                                  .correctCommit(new Moment(query.lastCommitMillis * 1_000)),
                           pendingStatement.text.capacity())));
         });
     return pendingStatement;
@@ -219,11 +219,11 @@
     Moment now = now();
     new ArrayList<>(connections).forEach(connection -> connection.endIfTimedOut(now));
     descriptors.shedIdleClients(now, MIN_IDLE_TIME);
-    trace.sweep();
+    trace.logOverdueStatements();
   }
 
   @Override
-  public StatementTrace trace() {
+  public StatementTracer trace() {
     return trace;
   }
 
--- a/router/src/main/java/basaltlever/net/ConnectionPool.java
+++ b/router/src/main/java/basaltlever/net/ConnectionPool.java
@@ -67,11 +67,11 @@
   }
 
   void logProtocolViolation(String description) {
-    badEndpointLog.note(this, description);
+    badEndpointLog.log(this, description);
   }
 
   void count(Counter counter) {
-    iteration.counters().add(counter);
+    iteration.counters().increment(counter);
   }
 
   Moment now() {
@@ -114,7 +114,7 @@
   private void closeStale() {
     while (!idle.isEmpty()
         && !now().since(idle.peekLast().idleSince()).isShorterThan(idleTimeout)) {
-      iteration.counters().add(Counter.NODE_CONNECTION_EXPIRED);
+      iteration.counters().increment(Counter.NODE_CONNECTION_EXPIRED);
       idle.peekLast().close();
     }
   }
@@ -130,7 +130,7 @@
       default -> {
         iteration
             .counters()
-            .add(
+            .increment(
                 query.use() == Descriptors.Use.EXECUTION
                     ? Counter.EXECUTION_WITHOUT_DESCRIPTOR
                     : Counter.POLL_WITHOUT_DESCRIPTOR);
@@ -158,7 +158,7 @@
     }
     connection.onConnecting(connecting.channel());
     connectionsOpening++;
-    iteration.counters().add(Counter.NODE_CONNECTION_OPENED);
+    iteration.counters().increment(Counter.NODE_CONNECTION_OPENED);
     connecting.addListener(
         done -> {
           connectionsOpening--;
--- a/router/src/main/java/basaltlever/net/DeferredAccept.java
+++ b/router/src/main/java/basaltlever/net/DeferredAccept.java
@@ -75,7 +75,7 @@
       socket.deferAccept(seconds);
       state = next;
       if (next == State.ON) {
-        iteration.counters().add(Counter.ACCEPT_DEFERRED);
+        iteration.counters().increment(Counter.ACCEPT_DEFERRED);
       }
       Event.ACCEPT_DEFERRED.log(LOG, Level.INFO, "", next, "");
     } catch (IOException exception) {
--- a/router/src/main/java/basaltlever/net/Descriptors.java
+++ b/router/src/main/java/basaltlever/net/Descriptors.java
@@ -390,7 +390,7 @@
 
   private void updateUseRate(Moment now) {
     if (sweptAt != null && now.isAfter(sweptAt)) {
-      double currentRate = usesSinceSweep / now.since(sweptAt).over(ONE_SECOND);
+      double currentRate = usesSinceSweep / now.since(sweptAt).ratioTo(ONE_SECOND);
       usesPerSecond += USE_RATE_SMOOTHING * (currentRate - usesPerSecond);
     }
     sweptAt = now;
--- a/router/src/main/java/basaltlever/net/DiscoveryWatch.java
+++ b/router/src/main/java/basaltlever/net/DiscoveryWatch.java
@@ -237,7 +237,7 @@
     @Override
     public void entry(EndpointEntry entry) {
       lastCompleteAt = lastByteAt;
-      iteration.counters().add(Counter.LIST_ENTRIES_READ);
+      iteration.counters().increment(Counter.LIST_ENTRIES_READ);
       if (entry.lifecycle() != EndpointLifecycle.READY && !outdated) {
         if (earlyEntries.isEmpty()) {
           iteration.enqueueDiscovery(this::applyEarlyEntries);
@@ -304,7 +304,7 @@
     }
 
     private void reportFailure(String reason) {
-      iteration.counters().add(Counter.LIST_CALL_FAILED);
+      iteration.counters().increment(Counter.LIST_CALL_FAILED);
       Event.WATCH_FAILED.log(LOG, Level.INFO, "", reason);
       iteration.enqueue(core::onListCallFailed);
     }
--- a/router/src/main/java/basaltlever/net/LeaseGuard.java
+++ b/router/src/main/java/basaltlever/net/LeaseGuard.java
@@ -214,7 +214,7 @@
   }
 
   private StartFile fileWith(SettingsVersion version) throws InvalidSettingsException {
-    return installedFile.with(version.settingsJson(), version.routers());
+    return installedFile.withSettings(version.settingsJson(), version.routers());
   }
 
   private void applySettings() {
--- a/router/src/main/java/basaltlever/net/LoopIteration.java
+++ b/router/src/main/java/basaltlever/net/LoopIteration.java
@@ -171,8 +171,8 @@
     runGuarded("ending the turn", lastStep);
     Moment endedAt = clock.now();
     if (endedAt.since(startedAt).isLongerThan(SLOW_THRESHOLD)) {
-      counters.add(Counter.TURN_SLOW);
-      slowIterationLog.note(
+      counters.increment(Counter.TURN_SLOW);
+      slowIterationLog.log(
           endedAt.since(startedAt).micros() / 1_000,
           "reading took " + now.since(startedAt).micros() / 1_000 + " ms of it, " + load);
     }
@@ -201,7 +201,7 @@
     try {
       step.run();
     } catch (RuntimeException | OutOfMemoryError fault) {
-      Event.FAULT.fault(LOG, "", fault, description);
+      Event.FAULT.logError(LOG, "", fault, description);
     }
   }
 }
--- a/router/src/main/java/basaltlever/net/PendingStatement.java
+++ b/router/src/main/java/basaltlever/net/PendingStatement.java
@@ -1,6 +1,6 @@
 package basaltlever.net;
 
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.pg.Query;
 import basaltlever.time.Moment;
 import io.netty.buffer.ByteBuf;
@@ -15,7 +15,7 @@
   final Query query;
 
   /** Null where nobody follows it. */
-  final StatementTrace.Life trace;
+  final StatementTracer.Trace trace;
 
   /** By the count that the decisions give them. */
   final List<ServerQuery> attempts = new ArrayList<>(2);
@@ -35,7 +35,7 @@
       ByteBuf text,
       Query query,
       Moment arrivedAt,
-      StatementTrace.Life trace) {
+      StatementTracer.Trace trace) {
     this.ticket = ticket;
     this.client = client;
     this.text = text;
--- a/router/src/main/java/basaltlever/net/PooledConnection.java
+++ b/router/src/main/java/basaltlever/net/PooledConnection.java
@@ -243,7 +243,7 @@
       protocolViolated = true;
       pool.logProtocolViolation(cause.getMessage());
     } else if (!(cause instanceof java.io.IOException)) {
-      Event.FAULT.fault(LOG, "", cause, "talking to node " + pool);
+      Event.FAULT.logError(LOG, "", cause, "talking to node " + pool);
     }
     close();
   }
--- a/router/src/main/java/basaltlever/net/Router.java
+++ b/router/src/main/java/basaltlever/net/Router.java
@@ -17,7 +17,7 @@
 import basaltlever.log.Counter;
 import basaltlever.log.Event;
 import basaltlever.log.RateLimitedLog;
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.membership.MembershipView;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.settings.LeaseHolder;
@@ -153,7 +153,7 @@
   /** Statements that take longer are followed in the log; null for none. */
   private Span traceThreshold;
 
-  private StatementTrace trace;
+  private StatementTracer trace;
   private Moment lastSweepAt;
   private volatile FleetMember fleet;
   private LeaseGuard leaseGuard;
@@ -273,7 +273,7 @@
    * here on.
    */
   private void applySettings(StartFile newFile) {
-    if (newFile.hasSettingsOf(fleet == null ? fileInForce : start)) {
+    if (newFile.hasSameSettings(fleet == null ? fileInForce : start)) {
       return;
     }
     if (fleet != null) {
@@ -326,7 +326,9 @@
     executor.configurePolls(values.loadReportFormat(0), values.connectTimeout());
     clients.setMaxRetryAfter(values.settings().attemptLimits().maxRetryAfter());
     setConnectTimeout(values.connectTimeout());
-    pools.values().forEach(pool -> pool.setTimeouts(values.connectTimeout(), values.idleClose()));
+    pools
+        .values()
+        .forEach(pool -> pool.setTimeouts(values.connectTimeout(), values.connectionIdleTimeout()));
   }
 
   private void setConnectTimeout(Span timeout) {
@@ -341,10 +343,10 @@
   // ---- What outlives the process.
 
   private SnapshotWriter createSnapshotWriter() {
-    return operator == null || operator.folder() == null
+    return operator == null || operator.snapshotDirectory() == null
         ? null
         : new SnapshotWriter(
-            operator.folder(),
+            operator.snapshotDirectory(),
             operator.deployment(),
             start.name(),
             operator.snapshotPeriod(),
@@ -354,7 +356,8 @@
   }
 
   private void updateSnapshotWriter(OperatorFile newOperatorFile) throws InterruptedException {
-    boolean isSameFolder = Objects.equals(newOperatorFile.folder(), operator.folder());
+    boolean isSameFolder =
+        Objects.equals(newOperatorFile.snapshotDirectory(), operator.snapshotDirectory());
     operator = newOperatorFile;
     if (isSameFolder && snapshotWriter != null) {
       snapshotWriter.reconfigure(
@@ -535,7 +538,7 @@
   private void build() {
     StartValues values = start.startValues();
     iteration = new LoopIteration(loop, clock, readinessClock);
-    trace = new StatementTrace(traceThreshold, clock::now);
+    trace = new StatementTracer(traceThreshold, clock::now);
     lastSweepAt = clock.now();
     buffers =
         new PooledByteBufAllocator(
@@ -576,7 +579,7 @@
                         descriptors,
                         budget,
                         fileInForce.startValues().connectTimeout(),
-                        fileInForce.startValues().idleClose(),
+                        fileInForce.startValues().connectionIdleTimeout(),
                         badEndpointLog));
     executor =
         new AttemptExecutor(
@@ -639,7 +642,7 @@
           try {
             step.run();
           } catch (RuntimeException fault) {
-            Event.FAULT.fault(LOG, "", fault, description);
+            Event.FAULT.logError(LOG, "", fault, description);
           }
         },
         period.micros(),
@@ -649,7 +652,7 @@
 
   private void sweep() {
     Moment now = iteration.clock().now();
-    trace.loopWas(now.since(lastSweepAt).minus(SWEEP_INTERVAL));
+    trace.logLoopDelay(now.since(lastSweepAt).minus(SWEEP_INTERVAL));
     lastSweepAt = now;
     clients.sweep();
     if (acceptHandler != null) {
@@ -659,7 +662,7 @@
 
   private void report() {
     iteration.counters().add(Counter.LISTEN_OVERFLOWS, listenQueue.newOverflows());
-    iteration.counters().report();
+    iteration.counters().logChanges();
     descriptors.report();
     core.reportPolledGroups();
   }
--- a/router/src/main/java/basaltlever/snapshot/StateDecay.java
+++ b/router/src/main/java/basaltlever/snapshot/StateDecay.java
@@ -24,7 +24,7 @@
 
   /** The weight of what was learned that long ago, from 1 towards 0; 0 for a negative age. */
   public static double weight(Span age, Span decay) {
-    return age.micros() < 0 ? 0 : Math.exp(-age.over(decay));
+    return age.micros() < 0 ? 0 : Math.exp(-age.ratioTo(decay));
   }
 
   /** The weight of an endpoint's health, as the commands show it. */
--- a/router/src/main/java/basaltlever/storage/SnapshotWriter.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotWriter.java
@@ -159,7 +159,7 @@
   /** Waits for the last snapshot, for a second at most. */
   public void awaitClosed() throws InterruptedException {
     if (!thread.awaitTermination(LAST_WRITE_TIMEOUT.micros(), TimeUnit.MICROSECONDS)) {
-      failures.note(directory, "the last view did not reach the disk in time");
+      failures.log(directory, "the last view did not reach the disk in time");
     }
   }
 
@@ -233,7 +233,7 @@
     } catch (InterruptedException shutDown) {
       Thread.currentThread().interrupt();
     } catch (RuntimeException fault) {
-      failures.note(directory, String.valueOf(fault));
+      failures.log(directory, String.valueOf(fault));
     }
   }
 
@@ -250,7 +250,7 @@
       store.store(state.withSequence(sequence + 1), maxBytes);
       sequence++;
     } catch (IOException | RuntimeException fault) {
-      failures.note(directory, String.valueOf(fault));
+      failures.log(directory, String.valueOf(fault));
       releaseDirectory();
       sequenceKnown = false;
     }
@@ -261,7 +261,7 @@
     try {
       directory.close();
     } catch (IOException fault) {
-      failures.note(directory, String.valueOf(fault));
+      failures.log(directory, String.valueOf(fault));
     }
   }
 }
--- a/router/src/main/java/basaltlever/time/ClockOffset.java
+++ b/router/src/main/java/basaltlever/time/ClockOffset.java
@@ -9,82 +9,83 @@
  */
 public final class ClockOffset {
   /** Reports come that much late, and clocks differ that much, without anything being wrong. */
-  private static final Span BEHIND_TOLERATED = Span.ofMillis(1_000);
+  private static final Span BEHIND_TOLERANCE = Span.ofMillis(1_000);
 
-  private static final Span AHEAD_TOLERATED = Span.ofMillis(5_000);
+  private static final Span AHEAD_TOLERANCE = Span.ofMillis(5_000);
 
   /** Two reports that agree within this make an estimate: one may be spoilt. */
-  private static final Span AGREES = Span.ofMillis(1_000);
+  private static final Span AGREEMENT_TOLERANCE = Span.ofMillis(1_000);
 
-  private static final Span WINDOW = Span.ofMillis(5_000);
+  private static final Span WINDOW_LENGTH = Span.ofMillis(5_000);
 
   private Span behind = Span.NONE;
   private Span ahead = Span.NONE;
-  private Span suspected;
-  private Moment suspectedBy;
-  private Moment windowEnds = Moment.LONG_AGO;
-  private Span freshest;
-  private int reports;
+  private Span unconfirmedGap;
+  private Moment unconfirmedPosition;
+  private Moment windowEnd = Moment.LONG_AGO;
+  private Span minAge;
+  private int reportsInWindow;
 
   /**
    * A primary reported its position; true where the estimate has changed, and what was told before
    * is to be told anew.
    */
-  public boolean primaryAt(Moment now, Moment position) {
+  public boolean onPrimaryPosition(Moment now, Moment position) {
     Span gap = position.since(now);
-    if (gap.isLongerThan(BEHIND_TOLERATED) && gap.isLongerThan(behind)) {
-      return suspect(gap, position);
+    if (gap.isLongerThan(BEHIND_TOLERANCE) && gap.isLongerThan(behind)) {
+      return confirmBehind(gap, position);
     }
-    return window(now, now.since(position));
+    return updateAhead(now, now.since(position));
   }
 
-  private boolean suspect(Span gap, Moment position) {
+  private boolean confirmBehind(Span gap, Moment position) {
     boolean agrees =
-        suspected != null
-            && !position.equals(suspectedBy)
-            && gap.minus(suspected).isShorterThan(AGREES)
-            && suspected.minus(gap).isShorterThan(AGREES);
-    suspected = agrees ? null : gap;
-    suspectedBy = position;
+        unconfirmedGap != null
+            && !position.equals(unconfirmedPosition)
+            && gap.minus(unconfirmedGap).isShorterThan(AGREEMENT_TOLERANCE)
+            && unconfirmedGap.minus(gap).isShorterThan(AGREEMENT_TOLERANCE);
+    unconfirmedGap = agrees ? null : gap;
+    unconfirmedPosition = position;
     if (agrees) {
-      behind = gap.plus(BEHIND_TOLERATED);
+      behind = gap.plus(BEHIND_TOLERANCE);
     }
     return agrees;
   }
 
-  private boolean window(Moment now, Span age) {
-    if (now.isBefore(windowEnds)) {
-      freshest = freshest.shorter(age);
-      reports++;
+  private boolean updateAhead(Moment now, Span age) {
+    if (now.isBefore(windowEnd)) {
+      minAge = minAge.shorter(age);
+      reportsInWindow++;
       return false;
     }
-    Span estimate = reports > 1 && freshest.isLongerThan(AHEAD_TOLERATED) ? freshest : Span.NONE;
+    Span estimate =
+        reportsInWindow > 1 && minAge.isLongerThan(AHEAD_TOLERANCE) ? minAge : Span.NONE;
     boolean changed =
-        reports > 1
-            && (estimate.minus(ahead).isLongerThan(AGREES)
-                || ahead.minus(estimate).isLongerThan(AGREES));
+        reportsInWindow > 1
+            && (estimate.minus(ahead).isLongerThan(AGREEMENT_TOLERANCE)
+                || ahead.minus(estimate).isLongerThan(AGREEMENT_TOLERANCE));
     ahead = changed ? estimate : ahead;
-    windowEnds = now.plus(WINDOW);
-    freshest = age;
-    reports = 1;
+    windowEnd = now.plus(WINDOW_LENGTH);
+    minAge = age;
+    reportsInWindow = 1;
     return changed;
   }
 
   /** A position that a server told, on the clock of this process: never newer than it is. */
-  public Moment position(Moment told) {
-    return told.isAfter(Moment.LONG_AGO) ? told.minus(behind) : told;
+  public Moment correctPosition(Moment reported) {
+    return reported.isAfter(Moment.LONG_AGO) ? reported.minus(behind) : reported;
   }
 
   /** A commit that a read has to see: never older than it is. */
-  public Moment committed(Moment told) {
-    return told.isAfter(Moment.LONG_AGO) && behind.isLongerThan(Span.NONE)
-        ? told.minus(behind.minus(BEHIND_TOLERATED))
-        : told;
+  public Moment correctCommit(Moment reported) {
+    return reported.isAfter(Moment.LONG_AGO) && behind.isLongerThan(Span.NONE)
+        ? reported.minus(behind.minus(BEHIND_TOLERANCE))
+        : reported;
   }
 
   /** The start of a server, as a list tells it: never earlier than it was. */
-  public Moment started(Moment told) {
-    return told.isAfter(Moment.LONG_AGO) ? told.plus(ahead) : told;
+  public Moment correctStart(Moment reported) {
+    return reported.isAfter(Moment.LONG_AGO) ? reported.plus(ahead) : reported;
   }
 
   /** How far this clock is behind the servers, at most; none where it is not. */
--- a/router/src/main/java/basaltlever/time/Span.java
+++ b/router/src/main/java/basaltlever/time/Span.java
@@ -26,7 +26,7 @@
   }
 
   /** How many times the other fits into this one. */
-  public double over(Span other) {
+  public double ratioTo(Span other) {
     return (double) micros / other.micros;
   }
 
--- a/router/src/test/java/basaltlever/OperatorTest.java
+++ b/router/src/test/java/basaltlever/OperatorTest.java
@@ -42,7 +42,7 @@
   void aSoundFileGivesItsValuesAndAnEmptyOneTheDefaults() throws Exception {
     OperatorFile empty = file("");
     check(
-        empty.folder() == null
+        empty.snapshotDirectory() == null
             && !empty.logsJson()
             && empty.snapshotPeriod().equals(Span.ofMillis(5_000))
             && empty.maxSnapshotBytes() == 4_096 * 1_024,
@@ -51,7 +51,7 @@
         file(
             "; c\n[state]\nfolder = /var/lib/a.b, c\nperiod_ms=250\ndeployment = east\n[log]\nform = json\n");
     check(
-        full.folder().equals(Path.of("/var/lib/a.b, c"))
+        full.snapshotDirectory().equals(Path.of("/var/lib/a.b, c"))
             && full.snapshotPeriod().equals(Span.ofMillis(250))
             && full.deployment().equals("east")
             && full.logsJson(),
--- a/router/src/test/java/basaltlever/ParserTest.java
+++ b/router/src/test/java/basaltlever/ParserTest.java
@@ -103,7 +103,7 @@
       check(!expected.getMessage().isEmpty(), "a fault says what");
     }
     try {
-      Json.read(spoilt.substring(chance.nextInt(spoilt.length())));
+      Json.parse(spoilt.substring(chance.nextInt(spoilt.length())));
     } catch (InvalidJsonException expected) {
       check(expected.getMessage().contains("at character"), "a fault says where");
     }
@@ -438,13 +438,13 @@
 
   @Example
   void jsonIsReadExactlyAndItsFaultsHaveAPlace() throws InvalidJsonException {
-    Object read = Json.read(" {\"a\":[1,-2.5e3,true,null,\"\\u00e9\\n\"],\"b\":{}} ");
+    Object read = Json.parse(" {\"a\":[1,-2.5e3,true,null,\"\\u00e9\\n\"],\"b\":{}} ");
     check(
         read instanceof Map<?, ?> map
             && map.get("a").toString().equals("[1, -2.5E+3, true, null, é\n]"),
         "all kinds");
     check(
-        Json.read("1767225600123456789").toString().equals("1767225600123456789"),
+        Json.parse("1767225600123456789").toString().equals("1767225600123456789"),
         "no digit is lost");
     for (String bad :
         new String[] {
@@ -463,7 +463,7 @@
           "\"\\u12"
         }) {
       try {
-        Json.read(bad);
+        Json.parse(bad);
         check(false, "taken: " + bad);
       } catch (InvalidJsonException fault) {
         check(fault.getMessage().contains("at character"), "a place");
--- a/router/src/test/java/basaltlever/SocketWorld.java
+++ b/router/src/test/java/basaltlever/SocketWorld.java
@@ -445,7 +445,7 @@
   }
 
   public static StartValues values() throws InvalidSettingsException {
-    return StartFile.of(startFile(1, 2, "[]")).startValues();
+    return StartFile.parse(startFile(1, 2, "[]")).startValues();
   }
 
   String entries() {
--- a/router/src/test/java/basaltlever/StandIn.java
+++ b/router/src/test/java/basaltlever/StandIn.java
@@ -418,7 +418,7 @@
       double able =
           NODE_RATE
               * (slowStart.initialShare()
-                  + (1 - slowStart.initialShare()) * age.over(slowStart.warmUpTime()));
+                  + (1 - slowStart.initialShare()) * age.ratioTo(slowStart.warmUpTime()));
       check(
           recent <= Math.max(2, slowStart.overloadFactor() * able),
           "rule 4: cold node pushed over");
--- a/router/src/test/java/basaltlever/StartTest.java
+++ b/router/src/test/java/basaltlever/StartTest.java
@@ -17,7 +17,7 @@
 
   private static String faults(String text) {
     try {
-      StartFile.of(text);
+      StartFile.parse(text);
     } catch (InvalidSettingsException fault) {
       return fault.getMessage();
     }
@@ -26,11 +26,13 @@
 
   @Example
   void aSoundFileGivesItsValues() throws InvalidSettingsException {
-    StartFile file = StartFile.of(SOUND);
+    StartFile file = StartFile.parse(SOUND);
     check(file.listen().getPort() == 5432 && file.discovery().getPort() == 8500, "addresses");
     check(file.seed() == 0x8c1f30d27a5be964L && file.maxDescriptors() == 200, "seed and limits");
     check(file.startValues().workloadNames().get(1).equals("post"), "workloads");
-    check(file.startValues().idleClose().equals(Span.ofMillis(2_000)), "spans are microseconds");
+    check(
+        file.startValues().connectionIdleTimeout().equals(Span.ofMillis(2_000)),
+        "spans are microseconds");
   }
 
   @Example
@@ -71,7 +73,7 @@
     SocketWorld.Silent outside = new SocketWorld.Silent();
     StatementRouter<String> core =
         new StatementRouter<>(
-            outside, StartFile.of(pushed).startValues().loadBalancerFactory(1, new Moment(0)));
+            outside, StartFile.parse(pushed).startValues().loadBalancerFactory(1, new Moment(0)));
     core.onTimerFired(new Moment(0));
     check(outside.told.equals(List.of("watch")), "asked for at once");
   }
--- a/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
+++ b/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
@@ -251,7 +251,7 @@
         window.poll();
       }
       double warmUpShare =
-          INITIAL_SHARE + (1 - INITIAL_SHARE) * at.since(startedAt).over(WARM_UP_TIME);
+          INITIAL_SHARE + (1 - INITIAL_SHARE) * at.since(startedAt).ratioTo(WARM_UP_TIME);
       double allowed = OVERLOAD_FACTOR * warmUpShare * capacityPerSecond;
       double budget =
           allowed < 30
--- a/router/src/test/java/basaltlever/net/ClientModel.java
+++ b/router/src/test/java/basaltlever/net/ClientModel.java
@@ -2,7 +2,7 @@
 
 import basaltlever.config.WorkloadSlots;
 import basaltlever.log.Counters;
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.pg.MessageEncoder;
 import basaltlever.pg.ProtocolCodes;
@@ -71,7 +71,7 @@
   private final Counters counters = new Counters();
   private final Descriptors descriptors = new Descriptors(64);
   private final WorkloadSlots slots = WorkloadSlots.of(List.of("view"));
-  private final StatementTrace trace = new StatementTrace(null, this::now);
+  private final StatementTracer trace = new StatementTracer(null, this::now);
   private final ArrayDeque<Runnable> laterTasks = new ArrayDeque<>();
   private final ClientConnection connection;
   private final ArrayDeque<byte[]> unsentUnits = new ArrayDeque<>();
@@ -444,7 +444,7 @@
   }
 
   @Override
-  public StatementTrace trace() {
+  public StatementTracer trace() {
     return trace;
   }
 
@@ -475,7 +475,7 @@
 
   @Override
   public void onEndBegun(long number, Object client, CloseReason closeReason, int partialBytes) {
-    counters.add(closeReason.counter);
+    counters.increment(closeReason.counter);
   }
 
   @Override
--- a/router/src/test/java/basaltlever/net/FloodTest.java
+++ b/router/src/test/java/basaltlever/net/FloodTest.java
@@ -5,7 +5,7 @@
 import basaltlever.config.WorkloadSlots;
 import basaltlever.log.Event;
 import basaltlever.log.RateLimitedLog;
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.pg.MessageEncoder;
 import io.netty.bootstrap.ServerBootstrap;
@@ -67,7 +67,7 @@
                                 LoggerFactory.getLogger(FloodTest.class),
                                 Event.CLIENT_BAD,
                                 clock::now),
-                            new StatementTrace(null, clock::now));
+                            new StatementTracer(null, clock::now));
                     return sessions;
                   })
               .sync()
--- a/router/src/test/java/basaltlever/net/StallableRouter.java
+++ b/router/src/test/java/basaltlever/net/StallableRouter.java
@@ -7,7 +7,7 @@
 import basaltlever.core.StatementRouter;
 import basaltlever.log.Event;
 import basaltlever.log.RateLimitedLog;
-import basaltlever.log.StatementTrace;
+import basaltlever.log.StatementTracer;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.time.Span;
 import io.netty.bootstrap.ServerBootstrap;
@@ -96,7 +96,7 @@
     descriptors = new Descriptors(sockets);
     iteration.setLastStep(descriptors::endLongestIdleClients);
     MemoryBudget budget = new MemoryBudget(1 << 24);
-    StatementTrace trace = new StatementTrace(null, clock::now);
+    StatementTracer trace = new StatementTracer(null, clock::now);
     executor =
         new AttemptExecutor(
             iteration,
--- a/router/src/test/java/basaltlever/time/ClockOffsetTest.java
+++ b/router/src/test/java/basaltlever/time/ClockOffsetTest.java
@@ -20,60 +20,67 @@
   }
 
   @Property(tries = 300, seed = "39", shrinking = ShrinkingMode.OFF)
-  void nothingLooksNewerOrWarmerThanItIs(@ForAll long seed) {
+  void correctedPositionsAreNeverNewerAndStartsNeverEarlier(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    Span off = ms(random.nextLong(-HOUR_MILLIS, HOUR_MILLIS));
+    Span clockError = ms(random.nextLong(-HOUR_MILLIS, HOUR_MILLIS));
     ClockOffset offset = new ClockOffset();
-    Moment truth = new Moment(1_767_225_600_000_000L);
+    Moment serverTime = new Moment(1_767_225_600_000_000L);
     for (int i = 0; i < 60; i++) {
-      truth = truth.plus(ms(100 + random.nextLong(400)));
-      Moment own = truth.plus(off);
-      offset.primaryAt(own, truth.minus(ms(5 + random.nextLong(300))));
+      serverTime = serverTime.plus(ms(100 + random.nextLong(400)));
+      Moment processTime = serverTime.plus(clockError);
+      offset.onPrimaryPosition(processTime, serverTime.minus(ms(5 + random.nextLong(300))));
       if (i < 30) {
         continue;
       }
-      Moment commit = truth.minus(ms(random.nextLong(60_000)));
-      Span aged = own.since(offset.position(commit));
-      boolean looksBehind = off.micros() < -1_300_000;
+      Moment commit = serverTime.minus(ms(random.nextLong(60_000)));
+      Span correctedAge = processTime.since(offset.correctPosition(commit));
+      boolean isBehind = clockError.micros() < -1_300_000;
       check(
-          !looksBehind || !aged.isShorterThan(truth.since(commit)),
+          !isBehind || !correctedAge.isShorterThan(serverTime.since(commit)),
           "it looks as old as it is, or older");
       check(
-          !looksBehind
-              || !own.since(offset.committed(commit))
-                  .isLongerThan(truth.since(commit).plus(ms(310))),
+          !isBehind
+              || !processTime
+                  .since(offset.correctCommit(commit))
+                  .isLongerThan(serverTime.since(commit).plus(ms(310))),
           "what has to be seen is no older");
-      boolean looksAhead = off.micros() > 5_400_000;
+      boolean isAhead = clockError.micros() > 5_400_000;
       check(
-          !looksAhead
-              || !own.since(offset.started(commit)).isLongerThan(truth.since(commit).plus(ms(310))),
-          "a start looks no earlier: " + off);
+          !isAhead
+              || !processTime
+                  .since(offset.correctStart(commit))
+                  .isLongerThan(serverTime.since(commit).plus(ms(310))),
+          "a start looks no earlier: " + clockError);
     }
   }
 
   @Example
-  void oneSpoiltReportChangesNothing() {
+  void singleOutlierReportDoesNotChangeTheEstimate() {
     ClockOffset offset = new ClockOffset();
     Moment now = new Moment(1_767_225_600_000_000L);
     check(
-        !offset.primaryAt(now, now.plus(ms(HOUR_MILLIS))) && offset.behind().equals(Span.NONE),
+        !offset.onPrimaryPosition(now, now.plus(ms(HOUR_MILLIS)))
+            && offset.behind().equals(Span.NONE),
         "one");
     for (int i = 1; i < 40; i++) {
-      offset.primaryAt(now.plus(ms(500L * i)), now.plus(ms(500L * i - 50)));
+      offset.onPrimaryPosition(now.plus(ms(500L * i)), now.plus(ms(500L * i - 50)));
     }
     check(
         offset.behind().equals(Span.NONE) && offset.ahead().equals(Span.NONE),
         "and many good ones behind it");
-    check(offset.position(now).equals(now) && offset.started(now).equals(now), "all as it is told");
+    check(
+        offset.correctPosition(now).equals(now) && offset.correctStart(now).equals(now),
+        "all as it is told");
   }
 
   @Example
-  void reportsThatAreLateForAWhileAreNoStep() {
+  void delayedReportsAreNotTakenForAClockStep() {
     ClockOffset offset = new ClockOffset();
     Moment now = new Moment(1_767_225_600_000_000L);
     for (int i = 1; i < 40; i++) {
       check(
-          !offset.primaryAt(now.plus(ms(500L * i)), now.plus(ms(500L * i - 4_000))), "late by 4 s");
+          !offset.onPrimaryPosition(now.plus(ms(500L * i)), now.plus(ms(500L * i - 4_000))),
+          "late by 4 s");
     }
     check(offset.ahead().equals(Span.NONE), "no step");
   }
