--- a/router/src/main/java/basaltlever/cli/AdapterCommand.java
+++ b/router/src/main/java/basaltlever/cli/AdapterCommand.java
@@ -6,8 +6,10 @@
 import java.io.IOException;
 import java.io.PrintStream;
 
-/** Runs the decisions behind the simulator's protocol. */
-@Parameters(commandDescription = "Speaks the simulator's wire on standard input and output")
+/** Runs the load balancer behind the simulator's protocol. */
+@Parameters(
+    commandDescription =
+        "Runs the load balancer with the simulator's protocol on standard input and output")
 final class AdapterCommand implements Command {
   @Override
   public int run(PrintStream out, PrintStream err) {
--- a/router/src/main/java/basaltlever/cli/CheckCommand.java
+++ b/router/src/main/java/basaltlever/cli/CheckCommand.java
@@ -11,12 +11,12 @@
 import java.util.List;
 
 /** Checks start files and an operator's file without starting a router. */
-@Parameters(commandDescription = "Reads a start file and names all that is wrong with it")
+@Parameters(commandDescription = "Checks start files and reports all faults")
 final class CheckCommand implements Command {
   @Parameter(description = "FILE", required = true)
   private List<String> files = new ArrayList<>();
 
-  @Parameter(names = "--operator", description = "an operator's file to check as well")
+  @Parameter(names = "--operator", description = "operator's file to check as well")
   private String operator;
 
   private interface FileReader {
--- a/router/src/main/java/basaltlever/cli/CommandException.java
+++ b/router/src/main/java/basaltlever/cli/CommandException.java
@@ -1,6 +1,6 @@
 package basaltlever.cli;
 
-/** Ends a command with a message for its user. */
+/** Thrown to end a command with a message for its user. */
 abstract class CommandException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -8,6 +8,6 @@
     super(message);
   }
 
-  /** One of {@link ExitCode}. */
+  /** Returns one of {@link ExitCode}. */
   abstract int exitCode();
 }
--- a/router/src/main/java/basaltlever/cli/CommandLine.java
+++ b/router/src/main/java/basaltlever/cli/CommandLine.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 
 /**
- * Parses the arguments and runs the command that they name. The parser loads all types that the
- * methods of a command's class name, so commands that need {@link OperatorLibraries} stand behind a
- * class that names none of them.
+ * Parses the arguments and runs the command that they name. The parser loads all types in the
+ * method signatures of a command's class, so each command that needs {@link OperatorLibraries} is
+ * wrapped in a class whose methods refer to none of them.
  */
 final class CommandLine {
   private final JCommander parser = JCommander.newBuilder().programName("basaltlever").build();
@@ -22,7 +22,7 @@
     this.arguments = arguments;
     add("serve", new ServeCommand());
     if (arguments.length == 0 || !arguments[0].equals("serve")) {
-      // Each is scanned by reflection, which a router that starts is spared.
+      // The parser scans each command by reflection, which would delay the start of a router.
       addOthers();
     }
   }
@@ -50,7 +50,7 @@
     commands.put(name, command);
   }
 
-  /** Returns the exit code. */
+  /** Runs the command and returns its exit code. */
   int run(PrintStream out, PrintStream err) throws IOException, InterruptedException {
     try {
       parser.parse(arguments);
@@ -71,7 +71,7 @@
     return command.run(out, err);
   }
 
-  @Parameters(commandDescription = "What a router has kept: state show, verify, diff")
+  @Parameters(commandDescription = "Stored snapshots of a router: state show, verify, diff")
   private record StateGroup(StateCommand state) implements Command {
     @Override
     public boolean needsOperatorLibraries() {
@@ -84,7 +84,7 @@
     }
   }
 
-  @Parameters(commandDescription = "Planned changes of primary: switch announce, status, cancel")
+  @Parameters(commandDescription = "Planned switchovers: switch announce, status, cancel")
   private record SwitchGroup(SwitchCommand switchover) implements Command {
     @Override
     public int run(PrintStream out, PrintStream err) {
@@ -93,7 +93,7 @@
   }
 
   @Parameters(
-      commandDescription = "Versions of a fleet's settings: propose, revert, status, history")
+      commandDescription = "Versions of a fleet's settings: propose, revert, status, history, diff")
   private record SettingsGroup(FleetCommand fleet) implements Command {
     @Override
     public boolean needsOperatorLibraries() {
@@ -106,7 +106,7 @@
     }
   }
 
-  @Parameters(commandDescription = "Who is there in a fleet: fleet status")
+  @Parameters(commandDescription = "Routers and voters of a fleet: fleet status, voters, recover")
   private record FleetGroup(FleetCommand fleet) implements Command {
     @Override
     public boolean needsOperatorLibraries() {
--- a/router/src/main/java/basaltlever/cli/CommandMisusedException.java
+++ b/router/src/main/java/basaltlever/cli/CommandMisusedException.java
@@ -1,6 +1,6 @@
 package basaltlever.cli;
 
-/** The command line, or a file that it names, is wrong. */
+/** Thrown if the command line, or a file that it names, is invalid. */
 final class CommandMisusedException extends CommandException {
   private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/basaltlever/cli/CommandRefusedException.java
+++ b/router/src/main/java/basaltlever/cli/CommandRefusedException.java
@@ -1,6 +1,6 @@
 package basaltlever.cli;
 
-/** The command was understood, but not carried out. */
+/** Thrown if a valid command was not executed. */
 final class CommandRefusedException extends CommandException {
   private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/basaltlever/cli/Deadline.java
+++ b/router/src/main/java/basaltlever/cli/Deadline.java
@@ -1,8 +1,8 @@
 package basaltlever.cli;
 
-/** The end of a wait, by the monotonic clock, which no step of the wall clock changes. */
+/** A deadline on the monotonic clock, which is not affected by changes of the system time. */
 final class Deadline {
-  /** Between two checks of what is waited for. */
+  /** The interval between two checks of the condition waited for. */
   static final long POLL_INTERVAL_MILLIS = 50;
 
   private final long startNanos = System.nanoTime();
--- a/router/src/main/java/basaltlever/cli/DiffCommand.java
+++ b/router/src/main/java/basaltlever/cli/DiffCommand.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Shows what differs between two versions, key by key. */
+/** Prints the differences between two versions of the settings, key by key. */
 final class DiffCommand {
   private final FleetOptions.Diff options;
   private final PrintStream out;
@@ -48,7 +48,7 @@
     return ExitCode.OK;
   }
 
-  /** The settings of a version by their paths. */
+  /** Returns the settings of a version by their paths. */
   private static Map<String, String> leaves(StatusReport status, String number)
       throws CommandException {
     String text = FleetClient.settingsText(status, FleetClient.versionNumber("diff", number));
--- a/router/src/main/java/basaltlever/cli/FleetClient.java
+++ b/router/src/main/java/basaltlever/cli/FleetClient.java
@@ -17,13 +17,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Asks the voters of the fleet that an operator's file describes. */
+/** Sends requests to the voters of the fleet that an operator's file describes. */
 final class FleetClient {
   private static final String VOTER_KEY = "voter";
 
-  /** What one voter reported. */
+  /** The status that one voter reported. */
   record VoterStatus(String voter, StatusReport status) {
-    /** Those keys of the report, in its order, and then the voter. */
+    /** Returns the given keys of the report, in its order, followed by the voter. */
     Map<String, Object> json(List<String> keys) {
       Map<String, Object> json = StatusCodec.encode(status);
       json.keySet().retainAll(keys);
@@ -31,17 +31,17 @@
       return json;
     }
 
-    /** Which voter reported it, as the last line of a text. */
+    /** Returns the last line of a text, which names the voter that reported the status. */
     String sourceLine() {
       return "\ntold by " + voter + ", " + status.standing();
     }
   }
 
   /**
-   * A voter's answer.
+   * A voter's response to a status request.
    *
-   * @param status null where there is none
-   * @param problem why there is none; else empty
+   * @param status the status; null if the voter sent none
+   * @param problem why there is no status; empty if there is one
    */
   record VoterAnswer(StatusReport status, String problem) {
     boolean leads() {
@@ -82,7 +82,7 @@
     return AdminClient.send(settings.peers().get(voter), request);
   }
 
-  /** Throws where the voter doesn't accept the request. */
+  /** Sends a request and throws if the voter doesn't accept it. */
   void execute(String voter, FleetRequest request) throws CommandRefusedException, IOException {
     FleetReply reply = send(voter, request);
     if (reply instanceof FleetReply.Accepted) {
@@ -104,7 +104,7 @@
     return send(voter, new FleetRequest.Status(settings.name(), ""));
   }
 
-  /** The leader's status, or that of any voter where nobody leads. */
+  /** Returns the leader's status, or that of any voter if there is no leader. */
   VoterStatus leaderStatus() throws CommandRefusedException {
     VoterStatus any = null;
     for (String voter : settings.voters().keySet()) {
@@ -120,7 +120,7 @@
           }
         }
       } catch (IOException noAnswer) {
-        // Another may answer.
+        // The next voter may respond.
       }
     }
     if (any == null) {
@@ -129,7 +129,7 @@
     return any;
   }
 
-  /** The answers of all voters of the operator's file, and of those that they name. */
+  /** Returns the responses of all voters in the operator's file and in the voters' responses. */
   Map<String, VoterAnswer> queryAllVoters() {
     Map<String, VoterAnswer> answers = new LinkedHashMap<>();
     List<String> voters = new ArrayList<>(settings.voters().keySet());
@@ -156,14 +156,14 @@
     }
   }
 
-  /** Whether the voter leads in the epoch by now. */
+  /** Returns whether the voter is the leader in the epoch. */
   boolean leads(String voter, long epoch) throws IOException {
     return requestStatus(voter) instanceof StatusReport status
         && status.leads()
         && status.epoch() == epoch;
   }
 
-  /** The voter whose register is the newest; null where none votes. */
+  /** Returns the voter with the most recent register; null if no router responded as a voter. */
   static String mostUpToDate(Map<String, VoterAnswer> answers) {
     return answers.keySet().stream()
         .filter(voter -> !answers.get(voter).members().isEmpty())
@@ -171,7 +171,9 @@
         .orElse(null);
   }
 
-  /** The settings text of a version; empty for the start files' own. */
+  /**
+   * Returns the settings text of a version; empty for version 0, the settings of the start files.
+   */
   static String settingsText(StatusReport status, long number) throws CommandRefusedException {
     if (number == 0) {
       return "";
@@ -192,7 +194,7 @@
         "version " + number + " was never in force, or its content is not remembered any more");
   }
 
-  /** The number of a version, as an argument of the command. */
+  /** Parses the number of a version from an argument of the command. */
   static long versionNumber(String command, String argument) throws CommandMisusedException {
     try {
       return Long.parseLong(argument);
@@ -202,7 +204,7 @@
     }
   }
 
-  /** One line on a version; "none" for null. */
+  /** Returns one line that describes a version; "none" for null. */
   static String describe(SettingsVersion version) {
     return version == null
         ? "none"
--- a/router/src/main/java/basaltlever/cli/FleetCommand.java
+++ b/router/src/main/java/basaltlever/cli/FleetCommand.java
@@ -5,7 +5,9 @@
 import java.io.IOException;
 import java.io.PrintStream;
 
-/** The commands {@code settings} and {@code fleet}, which ask the voters of a fleet. */
+/**
+ * The commands {@code settings} and {@code fleet}, which send requests to the voters of a fleet.
+ */
 final class FleetCommand {
   private static final String FLEET = "fleet";
 
--- a/router/src/main/java/basaltlever/cli/FleetStatusCommand.java
+++ b/router/src/main/java/basaltlever/cli/FleetStatusCommand.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Shows the routers of the fleet, with each one's version, lease and endpoint list. */
+/** Prints the routers of the fleet, with the version, lease and endpoint list of each. */
 final class FleetStatusCommand {
   private static final String HEADER =
       "%-16s %8s %9s %9s %9s %10s %-9s %s"
--- a/router/src/main/java/basaltlever/cli/HangupSignal.java
+++ b/router/src/main/java/basaltlever/cli/HangupSignal.java
@@ -1,15 +1,15 @@
 package basaltlever.cli;
 
-/** SIGHUP, which asks a router to read its settings again. */
+/** Handles SIGHUP, which makes a router reload its settings. */
 final class HangupSignal {
   private HangupSignal() {}
 
   /**
-   * Runs the action on each SIGHUP from now on, on a thread of the runtime's own.
+   * Runs the action on each subsequent SIGHUP, on a thread of the Java runtime.
    *
-   * @return whether the signal was ignored by whoever started this process, and stays ignored
+   * @return whether the parent process had set the signal to be ignored; then it stays ignored
    */
-  @SuppressWarnings("sunapi") // The only interface to signals that the runtime has.
+  @SuppressWarnings("sunapi") // The only interface to signals of the Java runtime.
   static boolean handle(Runnable action) {
     sun.misc.SignalHandler before =
         sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> action.run());
--- a/router/src/main/java/basaltlever/cli/HistoryCommand.java
+++ b/router/src/main/java/basaltlever/cli/HistoryCommand.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Shows what became of the latest versions. */
+/** Prints the outcomes of the latest versions. */
 final class HistoryCommand {
   private final FleetOptions.History options;
   private final PrintStream out;
--- a/router/src/main/java/basaltlever/cli/Main.java
+++ b/router/src/main/java/basaltlever/cli/Main.java
@@ -6,9 +6,9 @@
 public final class Main {
   private Main() {}
 
-  /** Runs the command that the arguments name; exits at once where it does not succeed. */
+  /** Runs the command that the arguments name; exits with its code if it fails. */
   public static void main(String[] args) throws InterruptedException, IOException {
-    // A router that starts without options is spared the parsing: its clients are waiting.
+    // A start without options skips the parsing of arguments, since clients wait for the router.
     boolean plainServe = args.length == 1 && args[0].equals("serve");
     int code =
         plainServe
--- a/router/src/main/java/basaltlever/cli/OperatorLibraries.java
+++ b/router/src/main/java/basaltlever/cli/OperatorLibraries.java
@@ -10,16 +10,17 @@
 import java.util.List;
 
 /**
- * The libraries that only the operator's file needs are in {@code lib/operator}, off the jar's
- * class path, where each would cost every router a descriptor and memory. Commands that need them
- * run the command line again in a class loader with both.
+ * Loads the libraries that only the operator's file needs. They are in {@code lib/operator} and not
+ * on the jar's class path, where each would cost every router a file descriptor and memory. A
+ * command that needs them runs the command line again in a class loader with the libraries of both
+ * directories.
  */
 final class OperatorLibraries {
   private static final String SAMPLE_CLASS = "org.apache.commons.configuration2.INIConfiguration";
 
   private OperatorLibraries() {}
 
-  /** Whether the libraries are on the class path. */
+  /** Returns whether the libraries are on the class path. */
   static boolean areLoadable() {
     try {
       Class.forName(SAMPLE_CLASS, false, OperatorLibraries.class.getClassLoader());
@@ -43,7 +44,7 @@
           urls.add(file.toURI().toURL());
         }
       }
-      // Never closed: the command runs in it until the process ends.
+      // The class loader is never closed, as the command uses it until the process ends.
       URLClassLoader loader =
           new URLClassLoader(urls.toArray(URL[]::new), ClassLoader.getPlatformClassLoader());
       Thread.currentThread().setContextClassLoader(loader);
--- a/router/src/main/java/basaltlever/cli/ProposeCommand.java
+++ b/router/src/main/java/basaltlever/cli/ProposeCommand.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Proposes settings and waits for what becomes of them. */
+/** Proposes settings and waits for the outcome. */
 final class ProposeCommand {
   private final FleetOptions.Propose options;
   private final PrintStream out;
@@ -53,7 +53,7 @@
       if (!(Json.parse(text) instanceof Map<?, ?> tree)) {
         throw new CommandMisusedException(file + " is no JSON object");
       }
-      // A whole start file is taken for its settings.
+      // The file may also be a start file, which contains the settings under a key.
       return CommandOutput.toJson(
           tree.get("settings") instanceof Map<?, ?> settings ? settings : tree);
     } catch (InvalidJsonException fault) {
@@ -85,7 +85,7 @@
             + " ms: see settings status");
   }
 
-  /** Prints the version once it is in force, and throws where it was withdrawn. */
+  /** Prints the version once it is in force; throws if it was withdrawn. */
   private boolean isInForce(StatusReport status, long basis)
       throws CommandRefusedException, IOException {
     for (StatusReport.HistoryLine line : status.history()) {
--- a/router/src/main/java/basaltlever/cli/RecoverCommand.java
+++ b/router/src/main/java/basaltlever/cli/RecoverCommand.java
@@ -6,7 +6,7 @@
 import java.io.PrintStream;
 import java.util.Map;
 
-/** Starts a configuration epoch at one voter, without a majority that is lost for good. */
+/** Starts a new configuration epoch at one voter after the majority is permanently lost. */
 final class RecoverCommand {
   private static final long START_TIMEOUT_MILLIS = 15_000;
 
@@ -18,7 +18,7 @@
     this.out = out;
   }
 
-  /** Of the voters that are left, the one whose register is the newest starts the epoch. */
+  /** Starts the epoch at the remaining voter with the most recent register. */
   int run() throws CommandException, InvalidSettingsException, IOException, InterruptedException {
     FleetClient client = FleetClient.of(options);
     for (String voter : options.endedVoters) {
--- a/router/src/main/java/basaltlever/cli/RehearseCommand.java
+++ b/router/src/main/java/basaltlever/cli/RehearseCommand.java
@@ -17,10 +17,10 @@
 import java.nio.file.Path;
 
 /**
- * Starts a router, has it answer one statement and stops it. The build runs it to record the
- * classes that serving loads; operators can run it to see whether a start file works.
+ * Starts a router, sends it one statement and stops it. The build runs this command to record the
+ * classes that serving loads; operators can run it to test a start file.
  */
-@Parameters(commandDescription = "Starts a router, has it answer one statement and stops it")
+@Parameters(commandDescription = "Starts a router, sends it one statement and stops it")
 final class RehearseCommand implements Command {
   private static final int TIMEOUT_MILLIS = 5_000;
 
@@ -42,7 +42,7 @@
     }
   }
 
-  /** The error, or the type of the last message, that a statement is answered with. */
+  /** Returns the error, or else the type of the last message, in the response to a statement. */
   private String queryRouter() throws InvalidSettingsException, IOException, InterruptedException {
     Router router = new Router();
     router.start(Path.of(file), null);
--- a/router/src/main/java/basaltlever/cli/RouterProcess.java
+++ b/router/src/main/java/basaltlever/cli/RouterProcess.java
@@ -12,14 +12,14 @@
 import org.slf4j.event.Level;
 
 /**
- * The process of a running router: starts it, handles its signals and waits for its end. Apart from
- * the options' class, whose methods' types are all loaded when the command line is parsed.
+ * Starts the router of a process, handles signals and waits for the router to stop. Separate from
+ * the class of the options, since parsing the command line loads all types in that class's methods.
  */
 final class RouterProcess {
-  /** Log lines of plain text. */
+  /** The provider of plain text log lines. */
   private static final String PLAIN_LOG = "org.slf4j.simple.SimpleServiceProvider";
 
-  /** Log lines of JSON. */
+  /** The provider of JSON log lines. */
   private static final String JSON_LOG = "ch.qos.logback.classic.spi.LogbackServiceProvider";
 
   private static final String LOG_PROVIDER = "slf4j.provider";
@@ -34,9 +34,9 @@
   /**
    * Prepares a router.
    *
-   * @param file the start file; null where none is given
-   * @param operator the operator's file; null where none is given
-   * @param traceMillis traces statements that take this many milliseconds; null for none
+   * @param file the start file; null if none is given
+   * @param operator the operator's file; null if none is given
+   * @param traceMillis traces statements that take at least this many milliseconds; null for none
    */
   RouterProcess(String file, String operator, Integer traceMillis) {
     this.file = file;
@@ -44,10 +44,10 @@
     this.traceMillis = traceMillis;
   }
 
-  /** Runs until the router has ended; returns the exit code. */
+  /** Runs until the router has stopped; returns the exit code. */
   int run(PrintStream err) throws InterruptedException {
-    // First of all: without a handler the runtime ends on this signal, and starting takes its time.
-    // One that arrives during the start is handled after it.
+    // Installed first, since the Java runtime exits on SIGHUP without a handler. A signal that
+    // arrives during the start is handled after it.
     Semaphore reloads = new Semaphore(0);
     boolean hangupIgnored = HangupSignal.handle(reloads::release);
     if (traceMillis != null && traceMillis < 0) {
@@ -69,7 +69,7 @@
     return serve(operatorFile, reloads, hangupIgnored, err);
   }
 
-  @SuppressWarnings("IllegalCatch") // Whatever keeps a router from starting is told as one line.
+  @SuppressWarnings("IllegalCatch") // Any failure to start is reported in one line.
   private int serve(
       OperatorFile operatorFile, Semaphore reloads, boolean hangupIgnored, PrintStream err)
       throws InterruptedException {
@@ -78,7 +78,7 @@
       Event.SIGNAL_IGNORED.log(
           LoggerFactory.getLogger(Main.class),
           Level.WARN,
-          "it was started that way, and the runtime keeps to it: no reload will be heard",
+          "the parent process set this signal to be ignored; settings can't be reloaded by signal",
           "HUP");
     }
     Thread shutdown = new Thread(() -> shutDown(router), "drain");
@@ -89,7 +89,7 @@
       try {
         Runtime.getRuntime().removeShutdownHook(shutdown);
       } catch (IllegalStateException ending) {
-        // Told to end at this very moment: why it did not start is told all the same.
+        // The process is already shutting down; the failure to start is still reported.
       }
       return reportFault(fault, err);
     }
@@ -115,7 +115,7 @@
     } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
-    // By itself, a runtime that ends on a signal reports the signal and not a clean shutdown.
+    // Without this, the exit code would state the signal and not a clean shutdown.
     Runtime.getRuntime().halt(ExitCode.OK);
   }
 
@@ -137,13 +137,13 @@
     return ExitCode.MISUSED;
   }
 
-  /** Sets the system properties of a process with a router, where the command line sets none. */
+  /** Sets the system properties of a router process that the command line does not set. */
   static void configureRuntime() {
     setLogProvider(PLAIN_LOG);
     configureNetty();
   }
 
-  /** Chooses the form of log lines; to be called before the first one. */
+  /** Sets the logging provider; must be called before the first log line. */
   private static void setLogProvider(String provider) {
     if (System.getProperty(LOG_PROVIDER) == null) {
       System.setProperty(LOG_PROVIDER, provider);
@@ -152,8 +152,8 @@
   }
 
   /**
-   * Switches off Netty's recording events and leak detection, which would cost a fifth of a start's
-   * processor time (docs/performance.md).
+   * Disables Netty's flight recorder events and leak detection, which would cost a fifth of the CPU
+   * time of a start (docs/performance.md).
    */
   private static void configureNetty() {
     setDefault(NETTY_RECORDINGS, "false");
--- a/router/src/main/java/basaltlever/cli/ServeCommand.java
+++ b/router/src/main/java/basaltlever/cli/ServeCommand.java
@@ -4,20 +4,18 @@
 import com.beust.jcommander.Parameters;
 import java.io.PrintStream;
 
-/** Runs a router until it is told to end; SIGHUP makes it read its settings again. */
+/** Runs a router until the process is terminated; SIGHUP makes it reload its settings. */
 @Parameters(commandDescription = "Runs the router that the start file describes")
 final class ServeCommand implements Command {
-  @Parameter(names = "--file", description = "start file; $GW_CONFIG where it is not given")
+  @Parameter(names = "--file", description = "start file; default: $GW_CONFIG")
   private String file = System.getenv("GW_CONFIG");
 
-  @Parameter(
-      names = "--operator",
-      description = "the operator's own file, INI; none where it is not given")
+  @Parameter(names = "--operator", description = "operator's file in INI format; default: none")
   private String operator;
 
   @Parameter(
       names = "--follow",
-      description = "logs the life of each statement that takes so many milliseconds or more")
+      description = "logs the steps of each statement that takes at least this many milliseconds")
   private Integer traceMillis;
 
   @Override
--- a/router/src/main/java/basaltlever/cli/ServerQueryClient.java
+++ b/router/src/main/java/basaltlever/cli/ServerQueryClient.java
@@ -12,7 +12,7 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 
-/** A connection of a command to one node: one query after the other, each waited for. */
+/** A blocking connection to one endpoint, which runs one query at a time. */
 final class ServerQueryClient implements AutoCloseable {
   private static final int TIMEOUT_MILLIS = 3_000;
   private static final int MAX_MESSAGE_BYTES = 1 << 16;
@@ -28,7 +28,7 @@
       MessageEncoder.startupMessage(out, "app", "shop");
       send(out);
       while (readMessage().getByte(0) != ProtocolCodes.READY_FOR_QUERY) {
-        // Parameters and keys mean nothing here.
+        // Parameters and cancel keys are not used.
       }
     } catch (IOException fault) {
       socket.close();
@@ -43,7 +43,7 @@
     try {
       QueryResponse response = new QueryResponse();
       while (!response.add(readMessage())) {
-        // Until it is whole.
+        // Reads messages until the response is complete.
       }
       return response;
     } catch (ProtocolException fault) {
--- a/router/src/main/java/basaltlever/cli/SettingsStatusCommand.java
+++ b/router/src/main/java/basaltlever/cli/SettingsStatusCommand.java
@@ -6,7 +6,7 @@
 import java.io.PrintStream;
 import java.util.List;
 
-/** Shows the version in force and the one that is being brought into force. */
+/** Prints the version in force and the one that is being brought into force. */
 final class SettingsStatusCommand {
   private final FleetOptions.SettingsStatus options;
   private final PrintStream out;
--- a/router/src/main/java/basaltlever/cli/StateCommand.java
+++ b/router/src/main/java/basaltlever/cli/StateCommand.java
@@ -26,24 +26,28 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Shows and checks stored snapshots, for people and scripts. Writes nothing and takes no lock. */
+/**
+ * Prints and checks stored snapshots, for people and scripts. Writes no files, acquires no lock.
+ */
 final class StateCommand {
-  @Parameters(commandDescription = "Shows the newest whole view of a folder, aged to now")
+  @Parameters(
+      commandDescription = "Shows the newest valid snapshot in a directory, with its present age")
   private static final class Show {
     @Parameter(description = "DIR", required = true)
     private String directory;
 
-    @Parameter(names = "--json", description = "one JSON object instead of a table")
+    @Parameter(names = "--json", description = "print one JSON object instead of a table")
     private boolean json;
   }
 
-  @Parameters(commandDescription = "Says whether files hold whole views, and where not")
+  @Parameters(
+      commandDescription = "Checks whether files contain valid snapshots, and reports faults")
   private static final class Verify {
     @Parameter(description = "FILE...", required = true)
     private List<String> files = new ArrayList<>();
   }
 
-  @Parameters(commandDescription = "Shows in what two views differ")
+  @Parameters(commandDescription = "Shows the differences between two snapshots")
   private static final class Diff {
     @Parameter(description = "A B", required = true)
     private List<String> files = new ArrayList<>();
@@ -54,7 +58,7 @@
   private final Diff diff = new Diff();
   private JCommander parser;
 
-  /** Adds the sub-commands. */
+  /** Adds the subcommands to those of the program. */
   void addTo(JCommander main) {
     parser = main.getCommands().get("state");
     parser.addCommand("show", show);
@@ -62,7 +66,7 @@
     parser.addCommand("diff", diff);
   }
 
-  /** Runs the sub-command that was named; returns the exit code. */
+  /** Runs the selected subcommand; returns the exit code. */
   int run(PrintStream out, PrintStream err) throws IOException {
     String command = parser.getParsedCommand();
     return switch (command == null ? "" : command) {
@@ -157,12 +161,14 @@
     return span.micros() / 1e6;
   }
 
-  /** Names come from discovery: no control character of them may reach the terminal. */
+  /** Replaces control characters, as names are external data and must not control the terminal. */
   private static String printable(String text) {
     return text.replaceAll("\\p{Cntrl}", "?");
   }
 
-  /** What was learned of an endpoint beyond what is usual, by the keys of docs/restart.md. */
+  /**
+   * Returns the learned values of an endpoint that are not defaults, by keys of docs/restart.md.
+   */
   private static Map<String, Object> learned(EndpointState state) {
     Map<String, Object> learned = new LinkedHashMap<>();
     put(learned, "drains", state.draining(), true);
@@ -271,7 +277,7 @@
     return endpoints;
   }
 
-  /** Prints in what an endpoint differs; the later one is null where it is gone. */
+  /** Prints the differences of an endpoint; the later state is null if it was removed. */
   private static void printDifference(PrintStream out, KnownEndpoint before, KnownEndpoint after) {
     Map<String, Object> learnedBefore = learned(before.state());
     if (after == null) {
--- a/router/src/main/java/basaltlever/cli/SwitchCommand.java
+++ b/router/src/main/java/basaltlever/cli/SwitchCommand.java
@@ -23,48 +23,49 @@
 import java.util.Map;
 
 /**
- * Announces planned changes of primary in the table that routers read, shows them and takes them
- * back. The members are those that discovery lists now; what they answer decides, not what this
- * command was told.
+ * Announces planned switchovers in the table that routers poll, shows them and cancels them. The
+ * endpoints are those that discovery lists now. Their responses decide which one is the primary and
+ * which announcement is open, not the arguments of the command.
  */
 final class SwitchCommand {
   private static final int TIMEOUT_MILLIS = 3_000;
   private static final int MAX_LIST_BYTES = 1 << 24;
 
-  /** An announcement is open until this long after its time. */
+  /** An announcement stays open for this long after the announced time. */
   private static final long OPEN_MILLIS = 10_000;
 
   private static class GroupOptions {
-    @Parameter(
-        names = "--file",
-        description = "start file of a router; $GW_CONFIG where it is not given")
+    @Parameter(names = "--file", description = "start file of a router; default: $GW_CONFIG")
     String file = System.getenv("GW_CONFIG");
 
-    @Parameter(names = "--group", description = "number of the group", required = true)
+    @Parameter(names = "--group", description = "number of the replica group", required = true)
     int group;
 
     @Parameter(
         names = "--table",
-        description = "the table, as [change] table of the operator's file")
+        description = "table of announcements, as [change] table in the operator's file")
     String table = "basaltlever_change";
   }
 
-  @Parameters(commandDescription = "Announces a change of primary")
+  @Parameters(commandDescription = "Announces a switchover")
   private static final class Announce extends GroupOptions {
     @Parameter(
         names = "--target",
-        description = "the member that is to be primary",
+        description = "endpoint that becomes the primary",
         required = true)
     private String target;
 
-    @Parameter(names = "--in-ms", description = "how long from now it begins, 4000 to 86400000")
+    @Parameter(
+        names = "--in-ms",
+        description = "time until the switchover begins, in milliseconds: 4000 to 86400000")
     private long inMillis = 5_000;
   }
 
-  @Parameters(commandDescription = "Shows what each member of a group tells")
+  @Parameters(
+      commandDescription = "Shows the role and the latest announcement of each endpoint of a group")
   private static final class Status extends GroupOptions {}
 
-  @Parameters(commandDescription = "Takes the latest announcement back")
+  @Parameters(commandDescription = "Cancels the latest announcement")
   private static final class Cancel extends GroupOptions {}
 
   private record ListedEndpoint(String id, InetSocketAddress address, String lifecycle) {}
@@ -72,7 +73,7 @@
   private record EndpointReport(
       ListedEndpoint endpoint, String role, SwitchoverAnnouncement announcement) {}
 
-  /** Refused for a reason that the user can do something about. */
+  /** Thrown if the command can't be executed for a reason that the user can resolve. */
   private static final class SwitchRefusedException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -93,7 +94,7 @@
     parser.addCommand("cancel", cancel);
   }
 
-  /** Runs the sub-command that was named; returns the exit code. */
+  /** Runs the selected subcommand; returns the exit code. */
   int run(PrintStream out, PrintStream err) {
     String command = parser.getParsedCommand();
     GroupOptions options =
--- a/router/src/main/java/basaltlever/cli/VotersCommand.java
+++ b/router/src/main/java/basaltlever/cli/VotersCommand.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Shows the voters, or adds or removes one. */
+/** Prints the voters, or adds or removes one. */
 final class VotersCommand {
   private record VoterLine(
       String name, String address, boolean leads, boolean votes, String standing) {
@@ -43,7 +43,7 @@
     return options.add.isEmpty() && options.remove.isEmpty() ? show() : change();
   }
 
-  /** Returns {@link ExitCode#REFUSED} where no majority answers. */
+  /** Prints the voters; returns {@link ExitCode#REFUSED} if no majority responds. */
   private int show() throws CommandException, InvalidSettingsException, IOException {
     FleetClient client = FleetClient.of(options);
     Map<String, VoterAnswer> answers = client.queryAllVoters();
--- a/router/src/main/java/basaltlever/cli/package-info.java
+++ b/router/src/main/java/basaltlever/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line: one class for each group of sub-commands. */
+/** The command line: one class for each command or group of subcommands. */
 package basaltlever.cli;
--- a/router/src/main/java/basaltlever/config/Addresses.java
+++ b/router/src/main/java/basaltlever/config/Addresses.java
@@ -4,24 +4,24 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Parses and formats ADDRESS:PORT without ever asking a name service. */
+/** Parses and formats ADDRESS:PORT without resolving host names. */
 public final class Addresses {
   private static final int MAX_PORT = 65_535;
 
   private Addresses() {}
 
-  /** The canonical text of an address. */
+  /** Returns the canonical text of an address. */
   public static String text(InetSocketAddress address) {
     String host = address.getAddress().getHostAddress();
     return (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + address.getPort();
   }
 
-  /** The address, or null where the text is none. */
+  /** Returns the address, or null if the text is not an address. */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
     String host = colon < 0 ? "" : text.substring(0, colon);
     boolean ipv6 = host.startsWith("[") && host.endsWith("]");
-    // The library would look up anything that may be a host name, and block for the answer.
+    // InetAddress would resolve any text that may be a host name, and block meanwhile.
     if (!(ipv6
         ? host.matches("\\[[0-9a-fA-F:.]+]")
         : host.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}"))) {
--- a/router/src/main/java/basaltlever/config/FleetSettingsReader.java
+++ b/router/src/main/java/basaltlever/config/FleetSettingsReader.java
@@ -31,7 +31,7 @@
     assignmentLifetimeMillis = keys.number(OperatorKeys.FLEET_ASSIGNED_MILLIS, 1_000, 86_400_000);
   }
 
-  /** The settings, or null where the file names no fleet. */
+  /** Returns the settings, or null if the file names no fleet. */
   static FleetSettings read(SettingsReader keys) {
     FleetSettingsReader reader = new FleetSettingsReader(keys);
     if (reader.name.isEmpty()) {
--- a/router/src/main/java/basaltlever/config/OperatorFile.java
+++ b/router/src/main/java/basaltlever/config/OperatorFile.java
@@ -12,9 +12,9 @@
 import java.util.Objects;
 
 /**
- * The operator's own file, INI: what the platform does not tell a router. It is read and checked as
- * a whole; each fault is reported with file, section and key. Without such a file neither this
- * class nor the libraries that it needs are loaded.
+ * The operator's own file in INI format, with settings that the platform does not provide. The
+ * complete file is checked, and each fault is reported with file, section and key. If there is no
+ * such file, neither this class nor the libraries that it needs are loaded.
  */
 public final class OperatorFile {
   private static final long MAX_FILE_BYTES = 1 << 20;
@@ -22,7 +22,7 @@
   private static final int BYTES_PER_KILOBYTE = 1_024;
   private static final List<String> LOG_FORMS = List.of("plain", "json");
 
-  /** A name that needs no quotes, with or without its schema; or nothing. */
+  /** Matches a name that needs no quotes, with or without its schema, or an empty text. */
   private static final String TABLE_PATTERN = "([a-z_][a-z0-9_]{0,62}(\\.[a-z_][a-z0-9_]{0,62})?)?";
 
   private final Map<String, String> values;
@@ -87,7 +87,7 @@
 
   private static String table(SettingsReader keys) {
     String name = keys.text(OperatorKeys.SWITCHOVER_TABLE);
-    // It becomes part of statements as it is.
+    // The name is inserted into statements without quoting.
     if (!name.matches(TABLE_PATTERN)) {
       keys.fault(
           "change.table can't be read: "
@@ -97,7 +97,7 @@
     return name;
   }
 
-  /** A directory, or null where none is given. */
+  /** Returns a directory, or null if none is given. */
   static Path directory(SettingsReader keys, String key) {
     String text = keys.text(key);
     if (text.isEmpty()) {
@@ -115,12 +115,12 @@
     return Span.ofMillis(keys.number(key, min, max));
   }
 
-  /** A size in bytes, given in kilobytes from 16 on. */
+  /** Returns a size in bytes; the file states it in kilobytes, 16 or more. */
   private static long kilobytes(SettingsReader keys, String key, double max) {
     return ((long) keys.number(key, 16, max)) * BYTES_PER_KILOBYTE;
   }
 
-  /** The keys that differ from the other file and take effect only after a restart. */
+  /** Returns the keys that differ from the other file and take effect only after a restart. */
   public List<String> changesNeedingRestart(OperatorFile other) {
     return values.keySet().stream()
         .filter(OperatorFile::needsRestart)
@@ -134,57 +134,57 @@
         || key.startsWith("fleet.");
   }
 
-  /** Where the file is. */
+  /** Returns the path of the file. */
   public Path path() {
     return path;
   }
 
-  /** The directory of the snapshots; null where none are stored. */
+  /** Returns the directory of the snapshots; null if none are stored. */
   public Path snapshotDirectory() {
     return snapshotDirectory;
   }
 
-  /** Tells the snapshots of one fleet from another's. */
+  /** Returns the name that distinguishes the snapshots of this deployment from others. */
   public String deployment() {
     return deployment;
   }
 
-  /** How often a snapshot is written, on average. */
+  /** Returns the average interval between two snapshots. */
   public Span snapshotPeriod() {
     return snapshotPeriod;
   }
 
-  /** The largest size of a snapshot. */
+  /** Returns the maximum size of a snapshot. */
   public int maxSnapshotBytes() {
     return maxSnapshotBytes;
   }
 
-  /** The table in which servers announce planned switchovers; empty where none is polled. */
+  /** Returns the table that announces planned switchovers; empty if none is polled. */
   public String switchoverTable() {
     return switchoverTable;
   }
 
-  /** How many statements may be held at once; 0 for half of those that may be open. */
+  /** Returns the maximum number of held statements; 0 for half of the open statements allowed. */
   public int maxHeldStatements() {
     return maxHeldStatements;
   }
 
-  /** How many bytes of statements' texts may be held at once. */
+  /** Returns the maximum size of the texts of held statements. */
   public long maxHeldBytes() {
     return maxHeldBytes;
   }
 
-  /** The fleet of this router; null where it is of none. */
+  /** Returns the fleet of this router; null if it belongs to none. */
   public FleetSettings fleet() {
     return fleet;
   }
 
-  /** The most staleness that any version may allow to reads; zero where there is no ceiling. */
+  /** Returns the upper limit for the staleness bounds of any version; zero for no limit. */
   public Span maxStalenessBound() {
     return maxStalenessBound;
   }
 
-  /** Whether log lines are JSON. */
+  /** Returns whether log lines are written as JSON. */
   public boolean logsJson() {
     return logsJson;
   }
--- a/router/src/main/java/basaltlever/config/OperatorFileParser.java
+++ b/router/src/main/java/basaltlever/config/OperatorFileParser.java
@@ -14,7 +14,7 @@
 
 /** Parses the text of an operator's file into values by section.key, with all defaults. */
 final class OperatorFileParser {
-  /** What the library calls the section of keys that stand before any section. */
+  /** The library's name for the section of keys before the first section header. */
   private static final String NO_SECTION = "null";
 
   private final Path path;
@@ -29,11 +29,11 @@
   /**
    * Parses a text.
    *
-   * @param path names the file in faults
-   * @param faults collects unknown, repeated and malformed keys
-   * @throws InvalidSettingsException with all faults, where the text is no INI file at all
+   * @param path the path of the file, for messages
+   * @param faults receives a line for each unknown, repeated or malformed key
+   * @throws InvalidSettingsException with all faults, if the text is not an INI file
    */
-  @SuppressWarnings("IllegalCatch") // The library throws undeclared kinds on malformed files.
+  @SuppressWarnings("IllegalCatch") // The library throws undeclared exceptions on malformed files.
   static Map<String, String> parse(Path path, String text, List<String> faults)
       throws InvalidSettingsException {
     OperatorFileParser parser = new OperatorFileParser(path, faults);
@@ -49,7 +49,10 @@
     return parser.values;
   }
 
-  /** The library takes a line without a value as an empty one, which could switch something off. */
+  /**
+   * Reports lines without a value. The library reads them as keys with an empty value, which could
+   * disable a feature.
+   */
   private void checkLines(String text) {
     String[] lines = text.split("\n");
     for (int i = 0; i < lines.length; i++) {
@@ -72,7 +75,7 @@
   }
 
   private void collect(String section, SubnodeConfiguration keys, String escapedKey) {
-    // The library doubles the dots in names, where one stands for a level.
+    // The library doubles dots within names, as a single dot separates levels.
     String key = escapedKey.replace("..", ".");
     String fullKey = section + "." + key;
     String place = path + ": [" + section + "] ";
--- a/router/src/main/java/basaltlever/config/OperatorKeys.java
+++ b/router/src/main/java/basaltlever/config/OperatorKeys.java
@@ -23,10 +23,10 @@
   static final String FLEET_ASSIGNED_MILLIS = "fleet.assigned_ms";
   static final String FLEET_WIDEST_BOUND_MILLIS = "fleet.widest_bound_ms";
 
-  /** All keys, with the values that hold where the file has none. */
+  /** All keys with their default values. */
   static final Map<String, String> DEFAULTS = defaults();
 
-  /** Edits between a misspelt key and the one that was probably meant. */
+  /** The maximum edit distance between a misspelt key and the key probably meant. */
   private static final int MAX_MISSPELLING = 3;
 
   private OperatorKeys() {}
@@ -52,7 +52,7 @@
     return keys;
   }
 
-  /** The end of an error message that names the key nearest to an unknown one. */
+  /** Returns the end of an error message that suggests the key nearest to an unknown one. */
   static String suggestion(String unknown) {
     LevenshteinDistance distance = LevenshteinDistance.getDefaultInstance();
     String nearest = null;
--- a/router/src/main/java/basaltlever/config/SettingsReader.java
+++ b/router/src/main/java/basaltlever/config/SettingsReader.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Reads values by their full path, from nested JSON or from lines of path=value alike. Lists of
- * scalars are joined by commas; lists of objects have a count and numbered items. Faults are
- * collected, to be reported all at once.
+ * Reads values by their full path, from nested JSON or from lines of path=value. Lists of scalars
+ * are joined by commas; lists of objects have a count and numbered items. Faults are collected and
+ * reported together.
  */
 final class SettingsReader {
   private final Map<String, String> values = new HashMap<>();
@@ -32,7 +32,7 @@
     return keys;
   }
 
-  /** Reads a tree of maps and lists; faults name their keys behind the prefix. */
+  /** Reads a tree of maps and lists; each fault starts with the prefix. */
   static SettingsReader ofTree(String prefix, Object tree, List<String> faults) {
     SettingsReader keys = new SettingsReader(prefix, faults);
     keys.flatten("", tree);
@@ -59,12 +59,12 @@
     return value instanceof BigDecimal number ? number.toPlainString() : String.valueOf(value);
   }
 
-  /** Whether there is a value. */
+  /** Returns whether there is a value. */
   boolean has(String path) {
     return values.containsKey(path);
   }
 
-  /** The value; a fault where it is missing. */
+  /** Returns the value; adds a fault if it is missing. */
   String text(String path) {
     String value = values.get(path);
     if (value == null) {
@@ -74,18 +74,18 @@
     return value;
   }
 
-  /** The value, or another where it is missing. */
+  /** Returns the value, or the default if it is missing. */
   String text(String path, String defaultValue) {
     return values.getOrDefault(path, defaultValue);
   }
 
-  /** The items of a list of scalars; none where the list is empty or absent. */
+  /** Returns the items of a list of scalars; none if the list is empty or missing. */
   List<String> list(String path) {
     String all = values.getOrDefault(path, "");
     return all.isEmpty() ? List.of() : List.of(all.split(",", -1));
   }
 
-  /** A number within the bounds; a fault where it is missing. */
+  /** Returns a number within the bounds; adds a fault if it is missing or out of bounds. */
   double number(String path, double min, double max) {
     if (!has(path)) {
       fault(path + " is missing");
@@ -94,12 +94,12 @@
     return parseNumber(path, values.get(path), min, max);
   }
 
-  /** A number within the bounds, or another where it is missing. */
+  /** Returns a number within the bounds, or the default if it is missing. */
   double number(String path, double min, double max, double defaultValue) {
     return has(path) ? number(path, min, max) : defaultValue;
   }
 
-  /** A value that was read elsewhere as a number within the bounds. */
+  /** Parses a value as a number within the bounds; adds a fault if it is not. */
   double parseNumber(String path, String value, double min, double max) {
     try {
       double number = Double.parseDouble(value);
@@ -107,7 +107,7 @@
         return number;
       }
     } catch (NumberFormatException noNumber) {
-      // Reported below, as are values out of bounds.
+      // Reported below, like values out of bounds.
     }
     fault(
         path
@@ -124,7 +124,7 @@
     return new BigDecimal(bound).toPlainString();
   }
 
-  /** Whether the value is true; false where it is missing. */
+  /** Returns whether the value is true; false if it is missing. */
   boolean flag(String path) {
     String value = values.getOrDefault(path, "false");
     if (!value.equals("true") && !value.equals("false")) {
@@ -133,7 +133,7 @@
     return value.equals("true");
   }
 
-  /** The index of the value among the words. */
+  /** Returns the index of the value among the options; adds a fault if it is none of them. */
   int choice(String path, String value, List<String> options) {
     int index = options.indexOf(value);
     if (index < 0) {
@@ -142,7 +142,7 @@
     return Math.max(0, index);
   }
 
-  /** Adds a fault. */
+  /** Adds a fault to the list, with the prefix of this reader. */
   void fault(String line) {
     faults.add(prefix + line);
   }
--- a/router/src/main/java/basaltlever/config/StartFile.java
+++ b/router/src/main/java/basaltlever/config/StartFile.java
@@ -15,8 +15,8 @@
 import java.util.stream.Stream;
 
 /**
- * The file that a router is started with: its addresses, its limits, the endpoint list that it had
- * last, and its settings.
+ * The start file of a router: its addresses, its limits, the last endpoint list that it stored, and
+ * its settings.
  */
 public final class StartFile {
   private static final long MAX_FILE_BYTES = 16 << 20;
@@ -25,12 +25,10 @@
   private static final double MAX_SOCKETS = 1e6;
   private static final int HEXADECIMAL = 16;
 
-  /**
-   * Settings that hold for as long as a router runs: the endpoint list and memory depend on them.
-   */
+  /** Settings that a running router cannot change: the endpoint list and memory depend on them. */
   private static final List<String> FIXED_SETTINGS = List.of("Zones", "Bounds.MaxOpen");
 
-  /** Settings that each router has of its own, whatever a fleet agrees on. */
+  /** Settings that are specific to each router and not replaced by those of the fleet. */
   private static final List<String> ROUTER_SETTINGS = List.of("Me", "Zone", "Zones");
 
   private final Map<?, ?> tree;
@@ -85,7 +83,7 @@
     return parse(text);
   }
 
-  /** Checks the text of a file. */
+  /** Parses and checks the text of a file. */
   public static StartFile parse(String text) throws InvalidSettingsException {
     List<String> faults = new ArrayList<>();
     try {
@@ -104,10 +102,10 @@
   }
 
   /**
-   * This file with other settings, except for those that each router has of its own.
+   * Returns this file with other settings, except for those that are specific to each router.
    *
-   * @param settings as JSON; empty for those of this file
-   * @param routers how many routers share the traffic
+   * @param settings the settings as JSON; empty for those of this file
+   * @param routers the number of routers that share the traffic
    */
   public StartFile withSettings(String settings, int routers) throws InvalidSettingsException {
     List<String> faults = new ArrayList<>();
@@ -157,20 +155,24 @@
     }
   }
 
-  /** The keys that differ from the other file and take effect only after a restart. */
+  /** Returns the keys that differ from the other file and take effect only after a restart. */
   public List<String> changesNeedingRestart(StartFile other) {
     return differingKeys(other, Stream.of("name", "listen", "limits.cores", "limits.memory_mb"));
   }
 
   /**
-   * The settings that differ and that hold for as long as a router runs. One of them keeps all
-   * others from being applied, so that the program never runs by a mixture.
+   * Returns the settings that differ and that a running router cannot change. If there are any,
+   * none of the other settings are applied either, so that the router never runs with a mixture of
+   * two files.
    */
   public List<String> changesOfFixedSettings(StartFile other) {
     return differingKeys(other, FIXED_SETTINGS.stream().map(key -> "settings." + key));
   }
 
-  /** The same in a fleet, where the workloads are fixed too: versions are compared by workload. */
+  /**
+   * Returns the same for a router of a fleet, where the names of the workloads are fixed too, since
+   * versions are compared by workload.
+   */
   public List<String> changesOfFixedFleetSettings(StartFile other) {
     List<String> keys = new ArrayList<>(changesOfFixedSettings(other));
     if (!startValues.workloadNames().equals(other.startValues.workloadNames())) {
@@ -179,7 +181,7 @@
     return keys;
   }
 
-  /** Whether the settings of both files are the same. */
+  /** Returns whether the settings of both files are equal. */
   public boolean hasSameSettings(StartFile other) {
     return Objects.equals(valueAt("settings"), other.valueAt("settings"));
   }
@@ -196,39 +198,39 @@
     return value;
   }
 
-  /** The name of the router. */
+  /** Returns the name of the router. */
   public String name() {
     return name;
   }
 
-  /** Where clients connect. */
+  /** Returns the address on which the router listens for clients. */
   public InetSocketAddress listen() {
     return listen;
   }
 
-  /** Where the endpoint list is requested. */
+  /** Returns the address of the discovery service. */
   public InetSocketAddress discovery() {
     return discovery;
   }
 
-  /** Seed of random decisions. */
+  /** Returns the seed of random decisions. */
   public long seed() {
     return seed;
   }
 
-  /** How many file descriptors the process may hold. */
+  /** Returns the maximum number of open file descriptors of the process. */
   public int maxDescriptors() {
     return maxDescriptors;
   }
 
-  /** Whether the file has the endpoint list that the router had last. */
+  /** Returns whether the file contains a stored endpoint list. */
   public boolean hasStoredEndpointList() {
     return storedEndpointList.containsKey("instances");
   }
 
   /**
-   * Hands out, once, the endpoint list that this router had last, in the form of discovery: a long
-   * list is not held in memory for as long as the settings are.
+   * Returns the stored endpoint list in the format of discovery and releases it, so that a long
+   * list does not stay in memory as long as the settings. Further calls return an empty map.
    */
   public Map<?, ?> takeStoredEndpointList() {
     Map<?, ?> list = storedEndpointList;
@@ -236,7 +238,7 @@
     return list;
   }
 
-  /** The settings. */
+  /** Returns the settings. */
   public StartValues startValues() {
     return startValues;
   }
--- a/router/src/main/java/basaltlever/config/StartValues.java
+++ b/router/src/main/java/basaltlever/config/StartValues.java
@@ -21,8 +21,8 @@
 import java.util.function.Function;
 
 /**
- * The values that a router is started with, from either form of them. The names of the keys are
- * mapped to the terms of the code here and nowhere else. Spans are given in microseconds.
+ * The settings of a router, read from a start file or from lines of path=value. Only this class
+ * maps the names of keys to the terms of the code. Spans are given in microseconds.
  */
 public final class StartValues {
   private static final double MAX_SPAN_MICROS = 86_400e6;
@@ -31,7 +31,7 @@
   private static final int MAX_ATTEMPTS = 255;
   private static final double MAX_OPEN_STATEMENTS = 1e9;
 
-  /** A quarter of the direct memory of a router, half of what statements' texts may take. */
+  /** A quarter of the direct memory of a router, and half of the limit for statements' texts. */
   private static final long DEFAULT_HELD_BYTES = 8 << 20;
 
   private static final double DEFAULT_LIST_POLL_MICROS = 10e6;
@@ -41,15 +41,15 @@
   private static final List<String> SESSION_MARKS = List.of("carried", "remembered");
   private static final List<String> DISCOVERY_MODES = List.of("pushed", "on_request");
 
-  /** In the order of {@link Workload.ReadConsistency}. */
+  /** The names in the order of {@link Workload.ReadConsistency}. */
   private static final List<String> READ_CONSISTENCIES =
       List.of("write", "fresh", "session", "bounded", "any");
 
-  /** In the order of {@link Workload.Idempotency}. */
+  /** The names in the order of {@link Workload.Idempotency}. */
   private static final List<String> IDEMPOTENCIES =
       List.of("idempotent", "deduplicated", "at_most_once");
 
-  /** In the order of {@link Workload.DeduplicationScope}. */
+  /** The names in the order of {@link Workload.DeduplicationScope}. */
   private static final List<String> DEDUPLICATION_SCOPES = List.of("all", "zone", "cell");
 
   private final SettingsReader keys;
@@ -66,10 +66,10 @@
   private final int maxOpenStatements;
 
   /**
-   * Reads all values, in an order that faults are reported in.
+   * Reads all values. Faults are reported in the order of reading.
    *
    * @param onSockets whether the router serves sockets: then it always requests the endpoint list
-   *     itself, also where the simulator would push it
+   *     itself, even if the settings say that the simulator pushes it
    */
   StartValues(SettingsReader keys, boolean onSockets) {
     this.keys = keys;
@@ -83,7 +83,8 @@
             (int) keys.number("Bounds.StreamsPerConn", 1, MAX_COUNT, 1),
             span("Bounds.IdleClose", 0));
     origin = (long) keys.number("FamilyInfo.OriginTime", 0, MAX_ORIGIN, 0);
-    // Statements that were routed before a drain was announced may be written as late as this.
+    // A statement that was routed before a drain was announced may be written up to this much
+    // later.
     Span drainGrace = span("Rules.DrainGrace", MAX_SPAN_MICROS);
     connectTimeout =
         span("Bounds.ConnectTimeout", DEFAULT_CONNECT_TIMEOUT_MICROS).shorter(drainGrace);
@@ -201,7 +202,7 @@
     return new Span((long) keys.parseNumber(key, bounds.get(number), 0, MAX_SPAN_MICROS));
   }
 
-  /** The place of the value among the words. */
+  /** Returns the index of the value among the options. */
   private int choice(String path, List<String> options) {
     return keys.choice(path, keys.text(path), options);
   }
@@ -214,59 +215,61 @@
     return new Span((long) keys.number(path, 0, MAX_SPAN_MICROS, defaultMicros));
   }
 
-  /** Creates the load balancer with these values, given who carries its decisions out. */
+  /** Returns a function that creates the load balancer, given the sink of its decisions. */
   public Function<DecisionSink, LoadBalancer> loadBalancerFactory(long seed, Moment now) {
     return loadBalancerFactory(seed, now, defaultHoldBudget());
   }
 
-  /** The same with another budget of held statements. */
+  /** Returns the same with another budget of held statements. */
   public Function<DecisionSink, LoadBalancer> loadBalancerFactory(
       long seed, Moment now, HoldBudget holds) {
     return sink -> new LoadBalancer(sink, new SplittableRandom(seed), settings(), holds, now);
   }
 
-  /** Applies these values to a running load balancer. */
+  /** Returns an action that applies these values to a running load balancer. */
   public Consumer<LoadBalancer> settingsUpdate(Moment now) {
     return balancer -> balancer.applySettings(now, settings());
   }
 
-  /** All settings, as one value. */
+  /** Returns all settings as one value. */
   public Settings settings() {
     return new Settings(
         identity, workloads, replication, drainPolicy, slowStart, attemptLimits, pool);
   }
 
-  /** The form in which endpoints report their load. */
+  /** Returns the format in which endpoints report their load. */
   public LoadReportFormat loadReportFormat(long origin) {
     return new LoadReportFormat(keys.list("Reporting.Fields"), origin);
   }
 
-  /** Zero of replication positions on the simulator's clock; sockets use the Unix epoch. */
+  /**
+   * Returns the zero of replication positions on the simulator's clock; sockets use the Unix epoch.
+   */
   public long origin() {
     return origin;
   }
 
-  /** The names of the workloads, in their order. */
+  /** Returns the names of the workloads, in order. */
   public List<String> workloadNames() {
     return workloadNames;
   }
 
-  /** The names of the zones, in their order. */
+  /** Returns the names of the zones, in order. */
   public List<String> zones() {
     return keys.list("Zones");
   }
 
-  /** How long connecting to an endpoint may take. */
+  /** Returns the timeout for connecting to an endpoint. */
   public Span connectTimeout() {
     return connectTimeout;
   }
 
-  /** How long a connection to an endpoint may be idle. */
+  /** Returns how long a connection to an endpoint may be idle. */
   public Span connectionIdleTimeout() {
     return pool.idleTimeout();
   }
 
-  /** The longest timeout of all workloads. */
+  /** Returns the longest timeout of all workloads. */
   public Span longestTimeout() {
     Span longest = Span.NONE;
     for (Workload workload : workloads) {
@@ -276,14 +279,14 @@
   }
 
   /**
-   * How much a router may hold where the operator's file doesn't say: half of its statements, as
-   * the other half is for those that need no primary.
+   * Returns the limits for held statements if the operator's file states none: half of the open
+   * statements, as the other half is for statements that need no primary.
    */
   public HoldBudget defaultHoldBudget() {
     return new HoldBudget(Math.max(1, maxOpenStatements / 2), DEFAULT_HELD_BYTES);
   }
 
-  /** How many statements may be open at once. */
+  /** Returns the maximum number of open statements. */
   public int maxOpenStatements() {
     return maxOpenStatements;
   }
--- a/router/src/main/java/basaltlever/config/WorkloadSlots.java
+++ b/router/src/main/java/basaltlever/config/WorkloadSlots.java
@@ -12,16 +12,18 @@
 import java.util.Map;
 
 /**
- * The slot of each workload in the decisions of a running router. A name keeps its slot for as long
- * as the router runs, whatever settings come: what was learned and what is held counts by slot, and
- * a statement that was accepted under a removed name must never count as another workload's.
- * Immutable.
+ * Maps each workload to its index, or slot, in the load balancer of a running router. A name
+ * retains its slot as long as the router runs, even if the settings change: learned values and held
+ * statements are stored by slot, and a statement that was accepted under a removed name must never
+ * be counted as another workload's. Immutable.
  */
 public final class WorkloadSlots {
-  /** Slots of all names there ever were; settings that need more take a restart. */
+  /** The limit for the slots of current and removed names; exceeding it needs a restart. */
   public static final int MAX_SLOTS = 250;
 
-  /** Fills the slot of a removed name: accepts nothing and does not affect the other workloads. */
+  /**
+   * Fills the slot of a removed name; accepts no statements and does not affect other workloads.
+   */
   public static final Workload REMOVED =
       new Workload(
           ReadConsistency.WRITE,
@@ -42,29 +44,29 @@
     current.forEach(name -> slots.put(name, names.indexOf(name)));
   }
 
-  /** The slots for the first settings, in their order. */
+  /** Returns the slots for the first settings, in their order. */
   public static WorkloadSlots of(List<String> names) {
     return new WorkloadSlots(names, names);
   }
 
-  /** The slots for other settings; the caller checks that there are not too many. */
+  /** Returns the slots for other settings; the caller checks the number of slots. */
   public WorkloadSlots with(List<String> current) {
     List<String> all = new ArrayList<>(names);
     current.stream().filter(name -> !all.contains(name)).forEach(all::add);
     return new WorkloadSlots(all, current);
   }
 
-  /** The number of slots, also those of removed names. */
+  /** Returns the number of slots, including those of removed names. */
   public int size() {
     return names.size();
   }
 
-  /** The slot of a workload; below 0 where the current settings have none of that name. */
+  /** Returns the slot of a workload; negative if the current settings have none of that name. */
   public int of(String name) {
     return slots.getOrDefault(name, -1);
   }
 
-  /** The settings with each workload at its slot, given the order that they name them in. */
+  /** Returns the settings with each workload at its slot, given the order of their names. */
   public Settings arrange(Settings settings, List<String> order) {
     Workload[] placed = new Workload[names.size()];
     for (int slot = 0; slot < placed.length; slot++) {
--- a/router/src/main/java/basaltlever/json/InvalidJsonException.java
+++ b/router/src/main/java/basaltlever/json/InvalidJsonException.java
@@ -1,6 +1,6 @@
 package basaltlever.json;
 
-/** The text is not JSON, or more of it than is taken. */
+/** Thrown if a text is not JSON or exceeds the limits of the parser. */
 public final class InvalidJsonException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/basaltlever/json/Json.java
+++ b/router/src/main/java/basaltlever/json/Json.java
@@ -8,14 +8,17 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads one JSON value: objects become maps in their order, arrays lists, numbers BigDecimals, so
- * that none loses a digit, and null stays null. Of a name given twice the last counts.
+ * Parses one JSON value. Objects become maps that preserve the order of names, arrays become lists,
+ * numbers become BigDecimals, which lose no digit, and null stays null. If a name occurs twice, the
+ * last value is used.
  */
 public final class Json {
-  /** Deeper nesting than any peer sends would only be there to exhaust the stack. */
+  /** Deeper nesting is rejected: no peer needs it, and it could exhaust the stack. */
   private static final int MAX_DEPTH = 32;
 
-  /** A longer number is no number of ours, and arithmetic on it could take for ever. */
+  /**
+   * Longer numbers are rejected: no field needs them, and arithmetic on them could be very slow.
+   */
   private static final int MAX_NUMBER_CHARS = 40;
 
   private static final Pattern NUMBER =
@@ -29,7 +32,7 @@
     this.text = text;
   }
 
-  /** Reads a text that holds exactly one value. */
+  /** Parses a text that contains exactly one value. */
   public static Object parse(String text) throws InvalidJsonException {
     Json json = new Json(text);
     Object value = json.readValue();
--- a/router/src/main/java/basaltlever/json/package-info.java
+++ b/router/src/main/java/basaltlever/json/package-info.java
@@ -1,2 +1,2 @@
-/** A small JSON reader with bounds on size and depth. */
+/** A small JSON parser with limits on the depth of nesting and the length of numbers. */
 package basaltlever.json;
--- a/router/src/main/java/basaltlever/log/Counter.java
+++ b/router/src/main/java/basaltlever/log/Counter.java
@@ -3,85 +3,96 @@
 import java.util.Locale;
 
 /**
- * What a router counts: why connections are closed, why statements are refused, and what is sent.
+ * The counters of a router: reasons for closing connections and rejecting statements, and the
+ * numbers of messages sent.
  */
 public enum Counter {
   /** A client closed its connection, or reset it. */
   CLIENT_CLOSED_BY_PEER,
-  /** A client broke the protocol or sent more than may wait. */
+  /** A client violated the protocol or sent more than the input buffer allows. */
   CLIENT_CLOSED_PROTOCOL_ERROR,
-  /** No start, no first statement or half a message for too long. */
+  /**
+   * A client sent no startup message, no first statement or only part of a message before its
+   * timeout.
+   */
   CLIENT_CLOSED_SILENT,
-  /** It rested between statements, and idle clients were many. */
+  /** A client was idle between statements while there were too many idle clients. */
   CLIENT_CLOSED_IDLE,
-  /** It rested, and its descriptor was needed. */
+  /** A client was idle, and its file descriptor was needed. */
   CLIENT_CLOSED_FOR_DESCRIPTOR,
-  /** This router ends. */
+  /** The router shut down. */
   CLIENT_CLOSED_SHUTDOWN,
   /**
-   * A connection that had asked nothing yet was turned away with an error, since there was no
-   * descriptor for it.
+   * A connection that had sent no statement yet was rejected with an error, since no file
+   * descriptor was available for it.
    */
   CLIENT_TURNED_AWAY,
-  /** This program failed at what it had sent. */
+  /** Handling the input of the client failed with an unexpected exception. */
   CLIENT_CLOSED_FAULT,
-  /** An idle connection that was to be ended goes on: its client had sent something by then. */
+  /** An idle connection was to be closed but stays open: its client had sent data by then. */
   CLIENT_END_DECLINED,
   CLIENT_ACCEPTED,
   /**
-   * Accepting paused, with new connections in the listen queue: no descriptor was free, or the
-   * system had none.
+   * Accepting was paused, which leaves new connections in the listen queue: no file descriptor was
+   * free in this process or in the system.
    */
   ACCEPT_PAUSED,
-  /** Connections that have sent nothing are kept out of the listen queue from here on. */
+  /** Deferred accept was enabled: connections without data stay out of the listen queue. */
   ACCEPT_DEFERRED,
   /**
-   * Connections that the machine could not put into a listen queue that was full (of all programs
-   * on this machine).
+   * Connections that the kernel could not add to a full listen queue, over all programs on this
+   * machine.
    */
   LISTEN_OVERFLOWS,
   NODE_CONNECTION_OPENED,
-  /** The node, or the network, ended it. */
+  /** The endpoint or the network closed the connection. */
   NODE_CONNECTION_LOST,
-  /** It did not come up in time. */
+  /** The connection was not established within the connect timeout. */
   NODE_CONNECT_TIMED_OUT,
-  /** It rested for as long as a node may keep it. */
+  /** The connection was idle for as long as an endpoint keeps idle connections. */
   NODE_CONNECTION_EXPIRED,
-  /** It rested, and its descriptor was needed or more rested than the traffic needs. */
+  /**
+   * The connection was idle, and its file descriptor was needed or more connections were idle than
+   * the traffic needs.
+   */
   NODE_CONNECTION_EVICTED,
-  /** Its answer is not waited for any more, or can't be trusted. */
+  /** The response on this connection is no longer awaited, or can't be trusted. */
   NODE_CONNECTION_ABANDONED,
-  /** An execution was not begun since no descriptor was free. */
+  /** An attempt was not started since no file descriptor was free. */
   EXECUTION_WITHOUT_DESCRIPTOR,
-  /** A poll or a warm-up was not begun since no descriptor was free. */
+  /** A poll or a warm-up connection was not started since no file descriptor was free. */
   POLL_WITHOUT_DESCRIPTOR,
   POLL_SENT,
   EXECUTION_SENT,
-  /** An execution beyond a statement's first. */
+  /** An attempt after the first one of a statement. */
   EXECUTION_RETRIED,
-  /** Statements refused: no room before its patience or its time was over. */
+  /**
+   * A statement was rejected: no endpoint had capacity, or no primary was found, before its
+   * queueing limit or its deadline.
+   */
   REFUSED_OVERDUE,
-  /** The group's servers answer late: less important statements are not begun. */
+  /** The endpoints of the group respond late: statements of less value are not started. */
   REFUSED_SHED,
-  /** The hold has no room for it. */
+  /** The statement exceeds the budget of held statements. */
   REFUSED_HOLD_FULL,
-  /** Attempts are used up, or another one is not allowed. */
+  /** All attempts are used, or another attempt is not allowed. */
   REFUSED_NO_ATTEMPT_LEFT,
-  /** More statements are open than the settings allow, or their texts take up too much memory. */
+  /** More statements are open than the settings allow, or their texts use too much memory. */
   REFUSED_TOO_MANY_OPEN,
-  /** This router ends. */
+  /** The router is shutting down. */
   REFUSED_SHUTDOWN,
-  /** Answered as failed: it may have had an effect. */
+  /** A statement was reported as failed, but may have taken effect. */
   FAILED_EFFECT_UNKNOWN,
   /**
-   * The guard had to abort a statement that the decisions had forgotten: a fault of the program.
+   * A statement was aborted after its deadline although the load balancer had not ended it: a fault
+   * of the program.
    */
   STATEMENT_OVERDUE,
-  /** A turn of the loop that took longer than {@code net.LoopIteration} allows for. */
+  /** An iteration of the event loop took longer than the threshold of {@code net.LoopIteration}. */
   TURN_SLOW,
   LIST_ENTRIES_READ,
   LIST_CALL_FAILED;
 
-  /** As it stands in the log. */
+  /** The name of the counter in the log. */
   public final String key = name().toLowerCase(Locale.ROOT);
 }
--- a/router/src/main/java/basaltlever/log/Counters.java
+++ b/router/src/main/java/basaltlever/log/Counters.java
@@ -5,30 +5,30 @@
 import org.slf4j.event.Level;
 
 /**
- * Counts since the start of a router; what changed since the last report goes to the log. On the
- * loop's thread only.
+ * Counts events since the start of a router and logs the changes since the last report. Used on the
+ * event loop's thread only.
  */
 public final class Counters {
   private static final Logger LOG = LoggerFactory.getLogger(Counters.class);
   private final long[] counts = new long[Counter.values().length];
   private final long[] reported = new long[counts.length];
 
-  /** Counts one more. */
+  /** Adds one to a counter. */
   public void increment(Counter counter) {
     counts[counter.ordinal()]++;
   }
 
-  /** Counts several more. */
+  /** Adds an amount to a counter. */
   public void add(Counter counter, long amount) {
     counts[counter.ordinal()] += amount;
   }
 
-  /** The count since the start. */
+  /** Returns the count since the start of the router. */
   public long get(Counter counter) {
     return counts[counter.ordinal()];
   }
 
-  /** Logs each count that has grown as NAME=+GROWTH; nothing where none has. */
+  /** Logs each counter that has increased as NAME=+INCREASE; logs nothing if none has. */
   public void logChanges() {
     StringBuilder changes = new StringBuilder();
     for (Counter counter : Counter.values()) {
--- a/router/src/main/java/basaltlever/log/Event.java
+++ b/router/src/main/java/basaltlever/log/Event.java
@@ -6,8 +6,9 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Every line that a router logs above debug, by its event's name and the names of its fields;
- * docs/events.md lists them and a test holds the two together. Text may change, these may not.
+ * The events that a router logs above debug level, with the names of their fields. docs/events.md
+ * lists them, and a test compares the two. The free text of a line may change; the names of events
+ * and fields are stable.
  */
 public enum Event {
   PHASE("phase", "phase", "after"),
@@ -57,10 +58,10 @@
   VIEW_NOT_KEPT("view_not_kept", "folder", "cause", "more"),
   VIEW_FOLDER_HELD("view_folder_held", "folder");
 
-  /** The value of "event" in the log line. */
+  /** The value of the field {@code event} in the log line. */
   public final String key;
 
-  /** The names of the other fields, in their order. */
+  /** The names of the other fields, in order. */
   public final List<String> fields;
 
   Event(String key, String... fields) {
@@ -68,12 +69,12 @@
     this.fields = List.of(fields);
   }
 
-  /** One line, with the values of the event's fields in their order. */
+  /** Logs one line, with the values of the event's fields in order. */
   public void log(Logger log, Level level, String text, Object... values) {
     eventBuilder(log, level, values).log(text);
   }
 
-  /** The same for an error with its cause. */
+  /** Logs one line at error level, with the exception that caused it. */
   public void logError(Logger log, String text, Throwable cause, Object... values) {
     eventBuilder(log, Level.ERROR, values).setCause(cause).log(text);
   }
--- a/router/src/main/java/basaltlever/log/RateLimitedLog.java
+++ b/router/src/main/java/basaltlever/log/RateLimitedLog.java
@@ -7,7 +7,8 @@
 import org.slf4j.event.Level;
 
 /**
- * Log lines that others can cause at will: one a second at most, which says how many it stands for.
+ * Limits log lines that peers can trigger at will to one a second. Each line states how many were
+ * suppressed before it.
  */
 public final class RateLimitedLog {
   private static final Span MIN_INTERVAL = Span.ofMillis(1_000);
@@ -17,14 +18,16 @@
   private Moment lastLoggedAt = Moment.LONG_AGO;
   private int suppressedLines;
 
-  /** The event has three fields: whose line it is, what happened, how many more there were. */
+  /**
+   * Creates a log for an event with three fields: subject, cause and number of suppressed lines.
+   */
   public RateLimitedLog(Logger log, Event event, Supplier<Moment> clock) {
     this.log = log;
     this.event = event;
     this.clock = clock;
   }
 
-  /** Logs a line, or only counts it where the last one was less than a second ago. */
+  /** Logs a line, or only counts it if the last one was logged less than a second ago. */
   public void log(Object subject, String cause) {
     Moment now = clock.get();
     if (now.since(lastLoggedAt).isShorterThan(MIN_INTERVAL)) {
--- a/router/src/main/java/basaltlever/log/StatementTracer.java
+++ b/router/src/main/java/basaltlever/log/StatementTracer.java
@@ -9,10 +9,11 @@
 import org.slf4j.event.Level;
 
 /**
- * What became of single statements, step by step, where somebody asks: one log line a statement
- * that took longer than a given span, and one for each that is past its time without an answer. Off
- * it costs a look at a field; on it is bounded in statements followed, in steps of each and in
- * lines a second, since clients can cause all of these at will.
+ * Traces the steps of single statements if tracing is enabled. Logs one line for each statement
+ * that took longer than a given duration, and one for each statement that has no response after its
+ * deadline. When disabled, tracing costs the check of one field. When enabled, the number of traced
+ * statements, the steps of each and the lines a second are bounded, since clients can cause any
+ * number of them.
  */
 public final class StatementTracer {
   private static final Logger LOG = LoggerFactory.getLogger(StatementTracer.class);
@@ -21,7 +22,7 @@
   private static final int MAX_LINES_PER_SECOND = 200;
   private static final Span RATE_WINDOW = Span.ofMillis(1_000);
 
-  /** A loop that comes back this much later than it asked to is noted. */
+  /** A timer of the event loop that fires later than this is logged. */
   private static final Span MIN_LOGGED_LOOP_DELAY = Span.ofMillis(50);
 
   private final Span minDuration;
@@ -31,7 +32,7 @@
   private int linesInWindow;
   private int suppressedLines;
 
-  /** Steps of one statement. */
+  /** The recorded steps of one statement. */
   public final class Trace {
     private final String id;
     private final Moment startedAt;
@@ -56,18 +57,25 @@
     }
   }
 
-  /** Of statements that took longer than the span; null for none. */
+  /**
+   * Creates a tracer.
+   *
+   * @param minDuration traces statements that take at least this long; null for none
+   */
   public StatementTracer(Span minDuration, Supplier<Moment> clock) {
     this.minDuration = minDuration;
     this.clock = clock;
   }
 
-  /** Whether any statements are traced. */
+  /** Returns whether any statements are traced. */
   public boolean isEnabled() {
     return minDuration != null;
   }
 
-  /** Null where nobody asked, or where too many are followed already. */
+  /**
+   * Starts the trace of a statement; returns null if tracing is disabled or too many statements are
+   * being traced.
+   */
   public Trace begin(String id, Moment startedAt, Moment deadline) {
     if (minDuration == null || activeTraces.size() >= MAX_ACTIVE_TRACES) {
       return null;
@@ -77,14 +85,19 @@
     return trace;
   }
 
-  /** The life may be null; without blanks, so that the steps stay apart. */
+  /**
+   * Records a step.
+   *
+   * @param trace the statement's trace; may be null
+   * @param step contains no blanks, as these separate the steps
+   */
   public void recordStep(Trace trace, String step) {
     if (trace != null) {
       trace.appendStep(step);
     }
   }
 
-  /** Its last byte went out, or there is nobody to send it to. */
+  /** Ends a trace: the last byte of the response was written, or the client has disconnected. */
   public void end(Trace trace, String step) {
     if (trace != null && activeTraces.remove(trace)) {
       trace.appendStep(step);
@@ -94,7 +107,7 @@
     }
   }
 
-  /** To be called every so often: names what is past its time. */
+  /** Logs statements that have passed their deadline; to be called periodically. */
   public void logOverdueStatements() {
     Moment now = minDuration == null ? null : clock.get();
     for (Trace trace : minDuration == null ? new LinkedHashSet<Trace>() : activeTraces) {
@@ -105,14 +118,14 @@
     }
   }
 
-  /** A timer of the loop that was this late. */
+  /** Logs the delay of a timer of the event loop if it is long. */
   public void logLoopDelay(Span delay) {
     if (minDuration != null && delay.isLongerThan(MIN_LOGGED_LOOP_DELAY) && acquireLine()) {
       Event.LOOP_LATE.log(LOG, Level.INFO, "", formatMillis(delay));
     }
   }
 
-  /** A client's connection that its client ended. */
+  /** Logs that a client closed its connection. */
   public void logClientDisconnect(Object client, Object reason, int bytes) {
     if (minDuration != null && acquireLine()) {
       Event.CLIENT_LEFT.log(LOG, Level.INFO, "", client, reason, bytes);
--- a/router/src/main/java/basaltlever/time/ClockOffset.java
+++ b/router/src/main/java/basaltlever/time/ClockOffset.java
@@ -1,19 +1,21 @@
 package basaltlever.time;
 
 /**
- * How far the clock of this process is from that of the servers, where the machine's was stepped
- * before it started: afterwards it runs on the monotonic clock. A primary stands at the present, so
- * what primaries report as their position tells. Each figure is turned so that a wrong estimate
- * costs service and breaks no rule: positions never look newer than they are, and servers never
- * look warmer.
+ * Estimates the difference between the clock of this process and the clocks of the servers. The
+ * difference arises if the clock of the machine was wrong when the process started; afterwards the
+ * process uses the monotonic clock. The position of a primary is its present time, so the positions
+ * that primaries report give the estimate. Corrections are conservative: a wrong estimate reduces
+ * availability but violates no guarantee, since positions never appear newer than they are and
+ * servers never appear to have run longer.
  */
 public final class ClockOffset {
-  /** Reports come that much late, and clocks differ that much, without anything being wrong. */
+  /** Normal differences between clocks, which are not corrected. */
   private static final Span BEHIND_TOLERANCE = Span.ofMillis(1_000);
 
+  /** Normal delays of reports together with differences between clocks, which are not corrected. */
   private static final Span AHEAD_TOLERANCE = Span.ofMillis(5_000);
 
-  /** Two reports that agree within this make an estimate: one may be spoilt. */
+  /** Two reports have to agree within this to make an estimate, since one may be wrong. */
   private static final Span AGREEMENT_TOLERANCE = Span.ofMillis(1_000);
 
   private static final Span WINDOW_LENGTH = Span.ofMillis(5_000);
@@ -27,8 +29,8 @@
   private int reportsInWindow;
 
   /**
-   * A primary reported its position; true where the estimate has changed, and what was told before
-   * is to be told anew.
+   * Processes the position that a primary reported. Returns true if the estimate has changed, so
+   * that values corrected before have to be corrected and passed on again.
    */
   public boolean onPrimaryPosition(Moment now, Moment position) {
     Span gap = position.since(now);
@@ -71,29 +73,29 @@
     return changed;
   }
 
-  /** A position that a server told, on the clock of this process: never newer than it is. */
+  /** Converts a reported position to the clock of this process; never newer than it is. */
   public Moment correctPosition(Moment reported) {
     return reported.isAfter(Moment.LONG_AGO) ? reported.minus(behind) : reported;
   }
 
-  /** A commit that a read has to see: never older than it is. */
+  /** Converts the position of a commit that a read has to see; never older than it is. */
   public Moment correctCommit(Moment reported) {
     return reported.isAfter(Moment.LONG_AGO) && behind.isLongerThan(Span.NONE)
         ? reported.minus(behind.minus(BEHIND_TOLERANCE))
         : reported;
   }
 
-  /** The start of a server, as a list tells it: never earlier than it was. */
+  /** Converts the start time of a server in an endpoint list; never earlier than it was. */
   public Moment correctStart(Moment reported) {
     return reported.isAfter(Moment.LONG_AGO) ? reported.plus(ahead) : reported;
   }
 
-  /** How far this clock is behind the servers, at most; none where it is not. */
+  /** Returns how far this clock is behind the servers at most; zero if it is not behind. */
   public Span behind() {
     return behind;
   }
 
-  /** How far this clock is ahead of the servers; none where it is not. */
+  /** Returns how far this clock is ahead of the servers; zero if it is not ahead. */
   public Span ahead() {
     return ahead;
   }
--- a/router/src/main/java/basaltlever/time/package-info.java
+++ b/router/src/main/java/basaltlever/time/package-info.java
@@ -1,2 +1,2 @@
-/** Points in time, durations, and corrections of clocks that are wrong. */
+/** Points in time, durations, and the correction of wrong clocks. */
 package basaltlever.time;
--- a/router/src/test/java/basaltlever/time/ClockOffsetTest.java
+++ b/router/src/test/java/basaltlever/time/ClockOffsetTest.java
@@ -9,8 +9,8 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * A process that started while its machine's clock was wrong: no position looks newer, no server
- * warmer than it is.
+ * Tests a process that started while the clock of its machine was wrong: corrected positions must
+ * not be newer than they are, and corrected start times must not be earlier.
  */
 class ClockOffsetTest {
   private static final long HOUR_MILLIS = 3_600_000;
@@ -37,20 +37,20 @@
       boolean isBehind = clockError.micros() < -1_300_000;
       check(
           !isBehind || !correctedAge.isShorterThan(serverTime.since(commit)),
-          "it looks as old as it is, or older");
+          "a corrected position is not newer than the commit");
       check(
           !isBehind
               || !processTime
                   .since(offset.correctCommit(commit))
                   .isLongerThan(serverTime.since(commit).plus(ms(310))),
-          "what has to be seen is no older");
+          "a corrected commit is at most 310 ms older");
       boolean isAhead = clockError.micros() > 5_400_000;
       check(
           !isAhead
               || !processTime
                   .since(offset.correctStart(commit))
                   .isLongerThan(serverTime.since(commit).plus(ms(310))),
-          "a start looks no earlier: " + clockError);
+          "a corrected start is at most 310 ms earlier: " + clockError);
     }
   }
 
@@ -61,16 +61,16 @@
     check(
         !offset.onPrimaryPosition(now, now.plus(ms(HOUR_MILLIS)))
             && offset.behind().equals(Span.NONE),
-        "one");
+        "one report does not change the estimate");
     for (int i = 1; i < 40; i++) {
       offset.onPrimaryPosition(now.plus(ms(500L * i)), now.plus(ms(500L * i - 50)));
     }
     check(
         offset.behind().equals(Span.NONE) && offset.ahead().equals(Span.NONE),
-        "and many good ones behind it");
+        "later correct reports do not confirm the outlier");
     check(
         offset.correctPosition(now).equals(now) && offset.correctStart(now).equals(now),
-        "all as it is told");
+        "values are not corrected");
   }
 
   @Example
@@ -80,8 +80,8 @@
     for (int i = 1; i < 40; i++) {
       check(
           !offset.onPrimaryPosition(now.plus(ms(500L * i)), now.plus(ms(500L * i - 4_000))),
-          "late by 4 s");
+          "a delay of 4 s does not change the estimate");
     }
-    check(offset.ahead().equals(Span.NONE), "no step");
+    check(offset.ahead().equals(Span.NONE), "the clock is not taken to be ahead");
   }
 }
