--- a/lab/src/main/java/basaltlever/lab/fleet/AgreementRun.java
+++ b/lab/src/main/java/basaltlever/lab/fleet/AgreementRun.java
@@ -346,7 +346,7 @@
 
   private Map<String, Object> ask(int voter, Map<String, Object> message) {
     try {
-      return AdminClient.ask(places.get(voter), message);
+      return AdminClient.sendFields(places.get(voter), message);
     } catch (IOException silent) {
       return Map.of();
     }
@@ -354,7 +354,7 @@
 
   private Integer leader() {
     for (int v = 0; v < (scenario.number("lose_majority_s") > 0 ? places.size() : voters); v++) {
-      if (MessageCodec.flag(ask(v, STATUS), "leads")) {
+      if (MessageCodec.getFlag(ask(v, STATUS), "leads")) {
         return v;
       }
     }
@@ -378,8 +378,8 @@
             new LinkedHashMap<>(
                 Map.of(
                     "do", "propose", "fleet", FLEET, "text", text, "who", "operator", "why", why));
-        command.put("number", MessageCodec.number(force, "number"));
-        last = MessageCodec.text(ask(leader, command), "why");
+        command.put("number", MessageCodec.getNumber(force, "number"));
+        last = MessageCodec.getText(ask(leader, command), "why");
       }
       Thread.sleep(15);
     }
@@ -390,12 +390,12 @@
     if (told.get("history") instanceof List<?> lines) {
       for (Object line : lines) {
         Map<?, ?> chapter = (Map<?, ?>) line;
-        if (MessageCodec.text(chapter, "why").equals(why)
-            && !MessageCodec.text(chapter, "end").equals("REFUSED")) {
-          return MessageCodec.text(chapter, "end")
-              + (MessageCodec.text(chapter, "reason").isEmpty()
+        if (MessageCodec.getText(chapter, "why").equals(why)
+            && !MessageCodec.getText(chapter, "end").equals("REFUSED")) {
+          return MessageCodec.getText(chapter, "end")
+              + (MessageCodec.getText(chapter, "reason").isEmpty()
                   ? ""
-                  : ": " + MessageCodec.text(chapter, "reason"));
+                  : ": " + MessageCodec.getText(chapter, "reason"));
         }
       }
     }
@@ -460,7 +460,7 @@
       run.starts(1);
       Thread.sleep(1_500);
       Map<String, Object> back = ask(1, STATUS);
-      told("n2 comes back", MessageCodec.text(back, "standing"));
+      told("n2 comes back", MessageCodec.getText(back, "standing"));
       run.ends(0);
       Thread.sleep(4_000);
       Integer leader = leader();
@@ -469,8 +469,8 @@
       if (end.get("peers") instanceof List<?> peers) {
         peers.forEach(
             peer -> {
-              if (MessageCodec.number((Map<?, ?>) peer, "lease_ms") > 0) {
-                leased.add(MessageCodec.text((Map<?, ?>) peer, "name"));
+              if (MessageCodec.getNumber((Map<?, ?>) peer, "lease_ms") > 0) {
+                leased.add(MessageCodec.getText((Map<?, ?>) peer, "name"));
               }
             });
       }
@@ -478,7 +478,7 @@
       told(
           "without n1",
           "charter "
-              + MessageCodec.number(end, "charter")
+              + MessageCodec.getNumber(end, "charter")
               + " led by "
               + (leader == null ? "nobody" : "n" + (leader + 1)));
       boolean changed = false;
@@ -492,19 +492,19 @@
         for (int i = 0; i < 80 && !changed; i++) {
           Thread.sleep(100);
           changed =
-              MessageCodec.texts(ask(1, STATUS), "members").contains("n2")
-                  && MessageCodec.text(ask(0, STATUS), "standing").startsWith("does not vote");
+              MessageCodec.getTexts(ask(1, STATUS), "members").contains("n2")
+                  && MessageCodec.getText(ask(0, STATUS), "standing").startsWith("does not vote");
         }
-        told("n1 comes back", MessageCodec.text(ask(0, STATUS), "standing"));
-        told("n2", MessageCodec.text(ask(1, STATUS), "standing"));
+        told("n1 comes back", MessageCodec.getText(ask(0, STATUS), "standing"));
+        told("n2", MessageCodec.getText(ask(1, STATUS), "standing"));
       }
       // All but those that were ended and not started again.
       recovered =
           changed
                   && leased.size() == places.size() - voters + 1
-                  && MessageCodec.number(end, "charter") == 1
-                  && MessageCodec.texts(back, "members").isEmpty()
-                  && MessageCodec.text(back, "standing").contains("charter 1")
+                  && MessageCodec.getNumber(end, "charter") == 1
+                  && MessageCodec.getTexts(back, "members").isEmpty()
+                  && MessageCodec.getText(back, "standing").contains("charter 1")
               ? 1
               : 0;
     } catch (IOException | InterruptedException fault) {
@@ -519,7 +519,8 @@
   private void awaitVoters(int many) throws InterruptedException {
     for (int i = 0; i < 40; i++) {
       Map<String, Object> told = ask(0, STATUS);
-      if (MessageCodec.flag(told, "leads") && MessageCodec.texts(told, "members").size() == many) {
+      if (MessageCodec.getFlag(told, "leads")
+          && MessageCodec.getTexts(told, "members").size() == many) {
         return;
       }
       Thread.sleep(100);
--- a/router/src/main/java/basaltlever/cli/CommandOutput.java
+++ b/router/src/main/java/basaltlever/cli/CommandOutput.java
@@ -20,7 +20,7 @@
   static String json(Object value) throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
-      MessageCodec.value(out, value);
+      MessageCodec.writeValue(out, value);
     }
     return text.toString();
   }
--- a/router/src/main/java/basaltlever/cli/FleetClient.java
+++ b/router/src/main/java/basaltlever/cli/FleetClient.java
@@ -33,7 +33,7 @@
 
     /** Which voter reported it, as the last line of a text. */
     String source() {
-      return "\ntold by " + voter + ", " + status.standing();
+      return "\ntold by " + voter + ", " + status.raftStatus();
     }
   }
 
@@ -45,11 +45,11 @@
    */
   record VoterAnswer(StatusReport status, String problem) {
     boolean leads() {
-      return status != null && status.leads();
+      return status != null && status.isLeader();
     }
 
     List<String> members() {
-      return status == null ? List.of() : status.members();
+      return status == null ? List.of() : status.voters();
     }
 
     long epoch() {
@@ -88,7 +88,7 @@
     if (reply instanceof FleetReply.Accepted) {
       return;
     }
-    if (reply instanceof FleetReply.Refused refused) {
+    if (reply instanceof FleetReply.Rejected refused) {
       throw new CommandRefusedException("refused: " + refused.reason());
     }
     if (reply instanceof FleetReply.Undecided undecided) {
@@ -110,12 +110,12 @@
     for (String voter : settings.voters().keySet()) {
       try {
         FleetReply reply = askStatus(voter);
-        if (reply instanceof FleetReply.Refused refused) {
+        if (reply instanceof FleetReply.Rejected refused) {
           throw new CommandRefusedException(voter + ": " + refused.reason());
         }
         if (reply instanceof StatusReport status) {
           any = new VoterStatus(voter, status);
-          if (status.leads()) {
+          if (status.isLeader()) {
             return any;
           }
         }
@@ -149,7 +149,7 @@
       if (reply instanceof StatusReport status) {
         return new VoterAnswer(status, "");
       }
-      String reason = reply instanceof FleetReply.Refused refused ? refused.reason() : "";
+      String reason = reply instanceof FleetReply.Rejected refused ? refused.reason() : "";
       return new VoterAnswer(null, reason);
     } catch (IOException noAnswer) {
       return new VoterAnswer(null, "does not answer: " + noAnswer.getMessage());
@@ -159,7 +159,7 @@
   /** Whether the voter leads in the epoch by now. */
   boolean leads(String voter, long epoch) throws IOException {
     return askStatus(voter) instanceof StatusReport status
-        && status.leads()
+        && status.isLeader()
         && status.epoch() == epoch;
   }
 
@@ -167,7 +167,7 @@
   static String mostUpToDate(Map<String, VoterAnswer> answers) {
     return answers.keySet().stream()
         .filter(voter -> !answers.get(voter).members().isEmpty())
-        .max(Comparator.comparingLong(voter -> answers.get(voter).status().changes()))
+        .max(Comparator.comparingLong(voter -> answers.get(voter).status().changeCount()))
         .orElse(null);
   }
 
@@ -180,7 +180,7 @@
     if (inForce != null && inForce.number() == number) {
       return inForce.settingsJson();
     }
-    for (StatusReport.HistoryLine line : status.history()) {
+    for (StatusReport.VersionStatus line : status.history()) {
       SettingsVersion version = line.version().version();
       if (version.number() == number
           && line.outcome().equals("IN_FORCE")
--- a/router/src/main/java/basaltlever/cli/FleetStatusCommand.java
+++ b/router/src/main/java/basaltlever/cli/FleetStatusCommand.java
@@ -3,8 +3,8 @@
 import basaltlever.cli.FleetClient.VoterStatus;
 import basaltlever.config.InvalidSettingsException;
 import basaltlever.fleet.StatusReport;
-import basaltlever.fleet.StatusReport.ForkLine;
-import basaltlever.fleet.StatusReport.PeerLine;
+import basaltlever.fleet.StatusReport.ForkStatus;
+import basaltlever.fleet.StatusReport.RouterStatus;
 import basaltlever.membership.GroupAssignment;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -40,21 +40,21 @@
   }
 
   private static String text(StatusReport status, Collection<String> routers) {
-    Map<String, PeerLine> heard = new TreeMap<>();
-    status.peers().forEach(peer -> heard.put(peer.name(), peer));
+    Map<String, RouterStatus> heard = new TreeMap<>();
+    status.routers().forEach(peer -> heard.put(peer.name(), peer));
     StringBuilder text = new StringBuilder(HEADER);
     for (String router : routers) {
-      PeerLine peer = heard.get(router);
+      RouterStatus peer = heard.get(router);
       text.append("\n")
           .append(peer == null ? "%-16s is not there".formatted(router) : describe(peer));
     }
-    for (ForkLine fork : status.forks()) {
+    for (ForkStatus fork : status.forks()) {
       text.append("\ndiscovery tells two things as generation ")
           .append(fork.generation())
           .append(": ")
           .append(fork.holders());
     }
-    for (GroupAssignment assignment : status.moving()) {
+    for (GroupAssignment assignment : status.pendingAssignments()) {
       text.append("\n")
           .append(assignment.endpoint())
           .append(" moves to group ")
@@ -64,16 +64,16 @@
     return text.toString();
   }
 
-  private static String describe(PeerLine peer) {
+  private static String describe(RouterStatus peer) {
     return "%-16s %8d %9d %9d %9d %10d %-9s %s"
         .formatted(
             peer.name(),
             peer.inForce(),
-            peer.keepsTo(),
+            peer.acknowledged(),
             peer.leaseMillis(),
-            peer.heardMillisAgo(),
+            peer.millisSinceHeartbeat(),
             peer.generation(),
             peer.listState(),
-            peer.refusal());
+            peer.rejectionReason());
   }
 }
--- a/router/src/main/java/basaltlever/cli/HistoryCommand.java
+++ b/router/src/main/java/basaltlever/cli/HistoryCommand.java
@@ -20,7 +20,7 @@
   }
 
   int run() throws CommandException, InvalidSettingsException, IOException {
-    List<StatusReport.HistoryLine> lines =
+    List<StatusReport.VersionStatus> lines =
         FleetClient.of(options).leaderStatus().status().history();
     String text = lines.stream().map(HistoryCommand::describe).collect(Collectors.joining("\n"));
     CommandOutput.print(
@@ -31,7 +31,7 @@
     return ExitCode.OK;
   }
 
-  private static String describe(StatusReport.HistoryLine line) {
+  private static String describe(StatusReport.VersionStatus line) {
     return line.outcome()
         + " "
         + FleetClient.describe(line.version().version())
--- a/router/src/main/java/basaltlever/cli/ProposeCommand.java
+++ b/router/src/main/java/basaltlever/cli/ProposeCommand.java
@@ -86,7 +86,7 @@
   /** Prints the version once it is in force, and throws where it was withdrawn. */
   private boolean isInForce(StatusReport status, long basis)
       throws CommandRefusedException, IOException {
-    for (StatusReport.HistoryLine line : status.history()) {
+    for (StatusReport.VersionStatus line : status.history()) {
       SettingsVersion version = line.version().version();
       boolean own =
           version.proposer().equals(options.who)
--- a/router/src/main/java/basaltlever/cli/VotersCommand.java
+++ b/router/src/main/java/basaltlever/cli/VotersCommand.java
@@ -85,7 +85,7 @@
                     members.contains(voter)
                         && answer.epoch() == epoch
                         && !answer.members().isEmpty(),
-                    answer.status() == null ? answer.problem() : answer.status().standing())));
+                    answer.status() == null ? answer.problem() : answer.status().raftStatus())));
     return lines;
   }
 
--- a/router/src/main/java/basaltlever/fleet/AdminClient.java
+++ b/router/src/main/java/basaltlever/fleet/AdminClient.java
@@ -15,26 +15,28 @@
   private AdminClient() {}
 
   /** Throws where the instance can't be reached, or doesn't answer in 5 s. */
-  public static FleetReply send(InetSocketAddress at, FleetRequest request) throws IOException {
-    return send(at, request, REPLY_TIMEOUT_MILLIS);
+  public static FleetReply send(InetSocketAddress address, FleetRequest request)
+      throws IOException {
+    return send(address, request, REPLY_TIMEOUT_MILLIS);
   }
 
   /** Throws where the instance can't be reached, or doesn't answer before the timeout. */
-  static FleetReply send(InetSocketAddress at, FleetRequest request, int timeoutMillis)
+  static FleetReply send(InetSocketAddress address, FleetRequest request, int timeoutMillis)
       throws IOException {
-    return ReplyCodec.decode(exchange(at, RequestCodec.encode(request), timeoutMillis));
+    return ReplyCodec.decode(exchange(address, RequestCodec.encode(request), timeoutMillis));
   }
 
   /** As {@link #send}, with the fields of the messages as they are on the wire. */
-  public static Map<String, Object> ask(InetSocketAddress at, Map<String, Object> message)
-      throws IOException {
-    return exchange(at, message, REPLY_TIMEOUT_MILLIS);
+  public static Map<String, Object> sendFields(
+      InetSocketAddress address, Map<String, Object> message) throws IOException {
+    return exchange(address, message, REPLY_TIMEOUT_MILLIS);
   }
 
   private static Map<String, Object> exchange(
-      InetSocketAddress at, Map<String, Object> message, int timeoutMillis) throws IOException {
+      InetSocketAddress address, Map<String, Object> message, int timeoutMillis)
+      throws IOException {
     try (Socket socket = new Socket()) {
-      socket.connect(at, Math.min(CONNECT_TIMEOUT_MILLIS, timeoutMillis));
+      socket.connect(address, Math.min(CONNECT_TIMEOUT_MILLIS, timeoutMillis));
       socket.setSoTimeout(timeoutMillis);
       byte[] bytes = MessageCodec.write(message);
       DataOutputStream out = new DataOutputStream(socket.getOutputStream());
@@ -43,12 +45,12 @@
       out.flush();
       DataInputStream in = new DataInputStream(socket.getInputStream());
       int length = in.readInt();
-      if (length < 1 || length > MessageCodec.MAX_BYTES) {
+      if (length < 1 || length > MessageCodec.MAX_MESSAGE_BYTES) {
         throw new IOException("an answer of " + length + " bytes");
       }
-      byte[] answer = new byte[length];
-      in.readFully(answer);
-      return MessageCodec.read(answer, 0, length);
+      byte[] reply = new byte[length];
+      in.readFully(reply);
+      return MessageCodec.read(reply, 0, length);
     }
   }
 }
--- a/router/src/main/java/basaltlever/fleet/CommandApplier.java
+++ b/router/src/main/java/basaltlever/fleet/CommandApplier.java
@@ -3,17 +3,17 @@
 import basaltlever.fleet.RaftCommand.Assign;
 import basaltlever.fleet.RaftCommand.BringIntoForce;
 import basaltlever.fleet.RaftCommand.ClearAssignments;
-import basaltlever.fleet.RaftCommand.CountAnew;
-import basaltlever.fleet.RaftCommand.ForgetVoterFolder;
 import basaltlever.fleet.RaftCommand.Propose;
-import basaltlever.fleet.RaftCommand.RegisterVoterFolder;
+import basaltlever.fleet.RaftCommand.RecordVoterFolder;
+import basaltlever.fleet.RaftCommand.RemoveVoterFolder;
 import basaltlever.fleet.RaftCommand.StartEpoch;
+import basaltlever.fleet.RaftCommand.StartNewEra;
 import basaltlever.fleet.RaftCommand.Withdraw;
 import basaltlever.settings.VersionRegister;
 
 /** Applies the commands of the voters' log to the register. */
 final class CommandApplier {
-  private static final String NOT_PREPARED = "it is not on its way";
+  private static final String NOT_PREPARED_REASON = "it is not on its way";
 
   private CommandApplier() {}
 
@@ -25,13 +25,15 @@
             propose.basis(),
             propose.text(),
             propose.routers(),
-            propose.who(),
-            propose.why(),
-            propose.atMillis());
+            propose.proposer(),
+            propose.reason(),
+            propose.proposedAtMillis());
       } else if (command instanceof BringIntoForce bring) {
-        return register.bringIntoForce(bring.version()) ? "" : NOT_PREPARED;
+        return register.bringIntoForce(bring.versionNumber()) ? "" : NOT_PREPARED_REASON;
       } else if (command instanceof Withdraw withdraw) {
-        return register.withdraw(withdraw.version(), withdraw.reason()) ? "" : NOT_PREPARED;
+        return register.withdraw(withdraw.versionNumber(), withdraw.reason())
+            ? ""
+            : NOT_PREPARED_REASON;
       }
       return applyToMembership(command, register);
     }
@@ -41,15 +43,18 @@
     if (command instanceof Assign assign) {
       assign
           .assignments()
-          .forEach(each -> register.assignGroup(each.endpoint(), each.group(), each.listVersion()));
+          .forEach(
+              assignment ->
+                  register.assignGroup(
+                      assignment.endpoint(), assignment.group(), assignment.listVersion()));
     } else if (command instanceof ClearAssignments clear) {
-      clear.assignments().forEach(each -> register.clearAssignment(each.endpoint()));
-    } else if (command instanceof CountAnew anew) {
-      return register.startNewEra(anew.era()) ? "" : "it is counted anew already";
-    } else if (command instanceof RegisterVoterFolder folder) {
-      return register.recordFolder(folder.voter(), folder.folder()) ? "" : "its folder is known";
-    } else if (command instanceof ForgetVoterFolder forget) {
-      register.removeRecordedFolder(forget.voter());
+      clear.assignments().forEach(assignment -> register.clearAssignment(assignment.endpoint()));
+    } else if (command instanceof StartNewEra newEra) {
+      return register.startNewEra(newEra.era()) ? "" : "it is counted anew already";
+    } else if (command instanceof RecordVoterFolder folder) {
+      return register.recordFolder(folder.voter(), folder.folderId()) ? "" : "its folder is known";
+    } else if (command instanceof RemoveVoterFolder removal) {
+      register.removeRecordedFolder(removal.voter());
     } else if (command instanceof StartEpoch start) {
       startEpoch(start.content(), register);
     }
@@ -58,7 +63,7 @@
 
   /** Takes effect once: leaders submit it until the epoch has started. */
   private static void startEpoch(RegisterContent content, VersionRegister register) {
-    if (VersionRegister.epoch(content.changes()) > register.epoch()) {
+    if (VersionRegister.epoch(content.changeCount()) > register.epoch()) {
       content.restoreTo(register);
     }
   }
--- a/router/src/main/java/basaltlever/fleet/FleetLeader.java
+++ b/router/src/main/java/basaltlever/fleet/FleetLeader.java
@@ -32,7 +32,7 @@
   /**
    * The share by which clocks of machines in one fleet may run apart; leases hold at twice that.
    */
-  private static final double MAX_CLOCK_DRIFT = 0.01;
+  private static final double MAX_CLOCK_DRIFT_RATIO = 0.01;
 
   private static final int TICKS_PER_LEASE = 4;
   private static final int TICK_TIMEOUT_LEASES = 2;
@@ -42,29 +42,30 @@
   private final FleetSettings settings;
   private final EventLoop loop;
   private final VoterLifecycle lifecycle;
-  private final LeaseTable leases;
+  private final LeaseTable leaseTable;
   private final MembershipCoordinator coordinator;
   private final RateLimitedLog forkLog =
       new RateLimitedLog(LOG, Event.FLEET_FORK, FleetLeader::now);
   private boolean leading;
   private boolean stepInFlight;
   private boolean tickInFlight;
-  private boolean registrationInFlight;
+  private boolean folderRecordInFlight;
   private List<ListFork> forks = List.of();
 
   FleetLeader(FleetSettings settings, EventLoop loop, VoterLifecycle lifecycle) {
     this.settings = settings;
     this.loop = loop;
     this.lifecycle = lifecycle;
-    leases = new LeaseTable(settings.lease(), 2 * MAX_CLOCK_DRIFT);
+    leaseTable = new LeaseTable(settings.lease(), 2 * MAX_CLOCK_DRIFT_RATIO);
     coordinator =
-        new MembershipCoordinator(leases, settings.peers().keySet(), settings.assignmentLifetime());
+        new MembershipCoordinator(
+            leaseTable, settings.peers().keySet(), settings.assignmentLifetime());
   }
 
   /** Starts the ticks. */
   void start() {
     long period = settings.lease().micros() / TICKS_PER_LEASE;
-    loop.scheduleWithFixedDelay(this::tick, period, period, TimeUnit.MICROSECONDS);
+    loop.scheduleWithFixedDelay(this::sendTick, period, period, TimeUnit.MICROSECONDS);
   }
 
   /** Of the monotonic clock, which goes on while this process is stopped. */
@@ -72,17 +73,17 @@
     return new Moment(System.nanoTime() / 1_000);
   }
 
-  void leadershipChanged(boolean nowLeading) {
-    leading = nowLeading;
-    lifecycle.setLeading(nowLeading);
-    if (nowLeading) {
-      leases.startLeading(now());
+  void onLeadershipChanged(boolean isNowLeading) {
+    leading = isNowLeading;
+    lifecycle.setLeading(isNowLeading);
+    if (isNowLeading) {
+      leaseTable.startLeading(now());
       coordinator.startLeading(now(), System.nanoTime() | 1);
       startEpoch();
     } else {
-      leases.stopLeading();
+      leaseTable.stopLeading();
     }
-    Event.FLEET_LEADER.log(LOG, Level.INFO, "", nowLeading ? "leads" : "follows");
+    Event.FLEET_LEADER.log(LOG, Level.INFO, "", isNowLeading ? "leads" : "follows");
   }
 
   boolean isLeading() {
@@ -97,7 +98,7 @@
   private void startEpoch() {
     try {
       RegisterContent content = lifecycle.pendingEpochStart();
-      RaftNode node = lifecycle.node();
+      RaftNode node = lifecycle.raftNode();
       if (content != null && node != null) {
         node.submit(new RaftCommand.StartEpoch(content));
       }
@@ -115,36 +116,36 @@
   }
 
   /** A majority that takes the command proves that nobody else led when it was sent. */
-  private void tick() {
-    RaftNode node = lifecycle.node();
+  private void sendTick() {
+    RaftNode node = lifecycle.raftNode();
     if (leading && !lifecycle.hasStartedEpoch()) {
       startEpoch();
     } else if (leading && !tickInFlight && node != null) {
       tickInFlight = true;
-      Moment sent = now();
+      Moment sentAt = now();
       node.submit(new RaftCommand.Tick())
           .orTimeout(settings.lease().micros() * TICK_TIMEOUT_LEASES, TimeUnit.MICROSECONDS)
-          .whenComplete((answer, fault) -> loop.execute(() -> tickCompleted(sent, fault)));
+          .whenComplete((answer, fault) -> loop.execute(() -> onTickCompleted(sentAt, fault)));
     }
   }
 
-  private void tickCompleted(Moment sent, Throwable fault) {
+  private void onTickCompleted(Moment sentAt, Throwable fault) {
     tickInFlight = false;
     if (fault == null && isServing()) {
-      leases.confirmLeadership(sent);
-      step();
+      leaseTable.confirmLeadership(sentAt);
+      submitNextStep();
     }
   }
 
-  private void step() {
+  private void submitNextStep() {
     VersionRegister register = lifecycle.register();
     LeaseTable.Step versionStep;
     MembershipCoordinator.Step listStep;
     RaftCommand versionCommand;
     synchronized (register) {
-      versionStep = leases.nextStep(now(), register);
+      versionStep = leaseTable.nextStep(now(), register);
       listStep = coordinator.nextStep(now(), register);
-      versionCommand = command(versionStep, register);
+      versionCommand = toCommand(versionStep, register);
     }
     if (stepInFlight) {
       return;
@@ -154,14 +155,14 @@
       Event.FLEET_STEP.log(
           LOG, Level.INFO, "", versionStep.kind(), versionStep.number(), versionStep.reason());
     } else if (listStep.kind() != MembershipCoordinator.Step.Kind.NOTHING) {
-      submit(command(listStep));
+      submit(toCommand(listStep));
       logListStep(listStep);
     }
     logNewForks();
   }
 
   /** Null where there is nothing to be done. */
-  private static RaftCommand command(LeaseTable.Step step, VersionRegister register) {
+  private static RaftCommand toCommand(LeaseTable.Step step, VersionRegister register) {
     return switch (step.kind()) {
       case BRING_INTO_FORCE -> new RaftCommand.BringIntoForce(step.number());
       case WITHDRAW -> new RaftCommand.Withdraw(step.number(), step.reason());
@@ -178,14 +179,14 @@
     };
   }
 
-  private RaftCommand command(MembershipCoordinator.Step step) {
+  private RaftCommand toCommand(MembershipCoordinator.Step step) {
     return switch (step.kind()) {
       case ASSIGN -> new RaftCommand.Assign(step.assignments());
       case CLEAR -> new RaftCommand.ClearAssignments(step.assignments());
       case START_NEW_ERA -> {
         VersionRegister register = lifecycle.register();
         synchronized (register) {
-          yield new RaftCommand.CountAnew(register.era());
+          yield new RaftCommand.StartNewEra(register.era());
         }
       }
       case NOTHING -> throw new IllegalArgumentException("nothing to be done");
@@ -215,7 +216,7 @@
   }
 
   private void submit(RaftCommand command) {
-    RaftNode node = lifecycle.node();
+    RaftNode node = lifecycle.raftNode();
     if (node == null) {
       return;
     }
@@ -226,83 +227,85 @@
   }
 
   /** The answer to a router's heartbeat. */
-  FleetReply.LeaseGranted grant(FleetRequest.Heartbeat heartbeat) {
+  FleetReply.LeaseGranted grantLease(FleetRequest.Heartbeat heartbeat) {
     LeaseGrant grant;
-    MembershipUpdate lists;
+    MembershipUpdate membershipUpdate;
     VersionRegister register = lifecycle.register();
     synchronized (register) {
       grant =
-          leases.answerHeartbeat(
+          leaseTable.answerHeartbeat(
               now(),
               new RouterHeartbeat(
-                  heartbeat.from(),
+                  heartbeat.router(),
                   heartbeat.incarnation(),
                   heartbeat.number(),
                   heartbeat.inForce(),
-                  heartbeat.keepsTo(),
-                  heartbeat.refused(),
-                  heartbeat.refusal(),
+                  heartbeat.acknowledged(),
+                  heartbeat.rejected(),
+                  heartbeat.rejectionReason(),
                   heartbeat.holdsLease()),
               register);
-      lists = coordinator.answerHeartbeat(now(), heartbeat.from(), heartbeat.lists(), register);
+      membershipUpdate =
+          coordinator.answerHeartbeat(
+              now(), heartbeat.router(), heartbeat.membershipReport(), register);
     }
-    registerFolder(heartbeat.from(), heartbeat.voterFolder());
-    RaftNode node = lifecycle.node();
+    recordFolder(heartbeat.router(), heartbeat.voterFolderId());
+    RaftNode node = lifecycle.raftNode();
     return new FleetReply.LeaseGranted(
         grant.heartbeatNumber(),
         grant.duration(),
         grant.changeCount(),
-        node == null ? List.of() : node.members(),
-        SentVersion.unlessKnown(grant.inForce(), heartbeat.inForce()),
-        SentVersion.unlessKnown(grant.prepared(), heartbeat.keepsTo()),
-        lists);
+        node == null ? List.of() : node.voters(),
+        SentVersion.withTextUnlessKnown(grant.inForce(), heartbeat.inForce()),
+        SentVersion.withTextUnlessKnown(grant.prepared(), heartbeat.acknowledged()),
+        membershipUpdate);
   }
 
   /** Records by which folder a voter votes: with another one it could vote twice. */
-  private void registerFolder(String voter, String folder) {
-    RaftNode node = lifecycle.node();
-    if (!folder.isEmpty()
+  private void recordFolder(String voter, String folderId) {
+    RaftNode node = lifecycle.raftNode();
+    if (!folderId.isEmpty()
         && node != null
-        && !registrationInFlight
+        && !folderRecordInFlight
         && lifecycle.register().recordedFolder(voter).isEmpty()
-        && node.members().contains(voter)) {
-      registrationInFlight = true;
-      node.submit(new RaftCommand.RegisterVoterFolder(voter, folder))
+        && node.voters().contains(voter)) {
+      folderRecordInFlight = true;
+      node.submit(new RaftCommand.RecordVoterFolder(voter, folderId))
           .orTimeout(SUBMIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)
-          .whenComplete((answer, fault) -> loop.execute(() -> registrationInFlight = false));
+          .whenComplete((answer, fault) -> loop.execute(() -> folderRecordInFlight = false));
     }
   }
 
   /** The routers that it has heard from, for status. */
-  List<StatusReport.PeerLine> peerLines(VersionRegister register) {
-    return leases.routers().stream().map(peer -> peerLine(peer, register)).toList();
+  List<StatusReport.RouterStatus> routerStatuses(VersionRegister register) {
+    return leaseTable.routers().stream().map(router -> routerStatus(router, register)).toList();
   }
 
-  private StatusReport.PeerLine peerLine(RouterLease peer, VersionRegister register) {
-    HeartbeatReport report = coordinator.lastReport(peer.name());
+  private StatusReport.RouterStatus routerStatus(RouterLease router, VersionRegister register) {
+    HeartbeatReport report = coordinator.lastReport(router.name());
     String listState =
         report.anomaly() == ListAnomaly.NONE
-            ? coordinator.assessAgreement(peer.name(), now(), register).name()
+            ? coordinator.assessAgreement(router.name(), now(), register).name()
             : report.anomaly().name();
-    return new StatusReport.PeerLine(
-        peer.name(),
-        peer.incarnation(),
-        Math.max(0, peer.leaseEnd().since(now()).micros() / 1_000),
-        now().since(peer.lastHeartbeatAt()).micros() / 1_000,
-        peer.inForce(),
-        peer.acknowledged(),
-        peer.rejectionReason(),
+    return new StatusReport.RouterStatus(
+        router.name(),
+        router.incarnation(),
+        Math.max(0, router.leaseEnd().since(now()).micros() / 1_000),
+        now().since(router.lastHeartbeatAt()).micros() / 1_000,
+        router.inForce(),
+        router.acknowledged(),
+        router.rejectionReason(),
         report.listVersion().generation(),
         Long.toHexString(report.digest()),
         listState);
   }
 
   /** Endpoint lists that contradict each other, for status. */
-  List<StatusReport.ForkLine> forkLines() {
+  List<StatusReport.ForkStatus> forkStatuses() {
     return coordinator.findForks(now()).stream()
         .map(
             fork ->
-                new StatusReport.ForkLine(
+                new StatusReport.ForkStatus(
                     fork.listVersion().generation(), List.copyOf(fork.holders().values())))
         .toList();
   }
--- a/router/src/main/java/basaltlever/fleet/FleetMember.java
+++ b/router/src/main/java/basaltlever/fleet/FleetMember.java
@@ -42,31 +42,32 @@
   /**
    * Both callbacks run on this fleet's event loop. Throws where the voter can't be started.
    *
-   * @param heartbeatDue has to send a heartbeat by {@link #sendHeartbeat}
-   * @param granted takes each grant, with what the fleet agreed on about endpoints
+   * @param onHeartbeatDue has to send a heartbeat by {@link #sendHeartbeat}
+   * @param onLeaseGranted takes each grant, with what the fleet agreed on about endpoints
    */
   public FleetMember(
       FleetSettings settings,
       String name,
       VoterStore store,
       SplittableRandom random,
-      Runnable heartbeatDue,
-      BiConsumer<LeaseGrant, MembershipUpdate> granted)
+      Runnable onHeartbeatDue,
+      BiConsumer<LeaseGrant, MembershipUpdate> onLeaseGranted)
       throws Exception {
     this.settings = settings;
     this.store = store;
     this.name = name;
-    boolean votes = settings.voters().containsKey(name);
+    boolean isVoter = settings.voters().containsKey(name);
     VoterServer started = null;
     try {
-      started = votes ? new VoterServer(settings, name, loop, store) : null;
+      started = isVoter ? new VoterServer(settings, name, loop, store) : null;
     } finally {
-      if (started == null && votes) {
+      if (started == null && isVoter) {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
       }
     }
     voter = started;
-    connection = new LeaderConnection(settings, store, loop, random, heartbeatDue, granted);
+    connection =
+        new LeaderConnection(settings, store, loop, random, onHeartbeatDue, onLeaseGranted);
   }
 
   /**
@@ -75,21 +76,21 @@
    * @param number of the heartbeat
    * @param epoch the latest configuration epoch that the router has learned of
    * @param inForce number of the version in force at the router
-   * @param keepsTo number of the prepared version that the router keeps to
-   * @param refused number of the version that it can't keep to; 0 where there is none
-   * @param refusal why it can't
+   * @param acknowledged number of the prepared version that the router keeps to
+   * @param rejected number of the version that it can't keep to; 0 where there is none
+   * @param rejectionReason why it can't
    * @param holdsLease whether the router holds a lease
-   * @param lists on its endpoint list
+   * @param membershipReport on its endpoint list
    */
   public void sendHeartbeat(
       long number,
       long epoch,
       long inForce,
-      long keepsTo,
-      long refused,
-      String refusal,
+      long acknowledged,
+      long rejected,
+      String rejectionReason,
       boolean holdsLease,
-      HeartbeatReport lists) {
+      HeartbeatReport membershipReport) {
     FleetRequest.Heartbeat heartbeat =
         new FleetRequest.Heartbeat(
             settings.name(),
@@ -97,11 +98,11 @@
             incarnation,
             number,
             inForce,
-            keepsTo,
-            refused,
-            refusal,
+            acknowledged,
+            rejected,
+            rejectionReason,
             holdsLease,
-            lists,
+            membershipReport,
             epoch,
             voter == null ? "" : voter.folderId());
     loop.execute(() -> recordAndSend(heartbeat));
@@ -109,7 +110,7 @@
 
   private void recordAndSend(FleetRequest.Heartbeat heartbeat) {
     try {
-      store.recordEpoch(heartbeat.epoch());
+      store.recordLatestEpoch(heartbeat.epoch());
     } catch (IOException fault) {
       Event.FLEET_STANDS.log(LOG, Level.ERROR, "", "can't write", fault.getMessage());
     }
--- a/router/src/main/java/basaltlever/fleet/FleetReply.java
+++ b/router/src/main/java/basaltlever/fleet/FleetReply.java
@@ -18,20 +18,21 @@
    *
    * @param heartbeat number of the heartbeat
    * @param duration of the lease from the sending of the heartbeat on; none where it is not granted
-   * @param changes of the register, by which a router tells an outdated leader
-   * @param members the voters
+   * @param changeCount of the register, by which a router tells an outdated leader
+   * @param voters the voters
    * @param inForce the version in force
    * @param prepared the version that is being brought into force; null where there is none
-   * @param lists what the fleet agreed on about endpoints; null from a leader that says nothing
+   * @param membershipUpdate what the fleet agreed on about endpoints; null from a leader that says
+   *     nothing
    */
   record LeaseGranted(
       long heartbeat,
       Span duration,
-      long changes,
-      List<String> members,
+      long changeCount,
+      List<String> voters,
       SentVersion inForce,
       SentVersion prepared,
-      MembershipUpdate lists)
+      MembershipUpdate membershipUpdate)
       implements LeaderReply {}
 
   /**
@@ -48,7 +49,7 @@
   record Accepted() implements CommandReply {}
 
   /** The request was rejected. */
-  record Refused(String reason) implements CommandReply {}
+  record Rejected(String reason) implements CommandReply {}
 
   /** No majority answered in time, so the outcome is not known. */
   record Undecided(String reason) implements CommandReply {}
--- a/router/src/main/java/basaltlever/fleet/FleetRequest.java
+++ b/router/src/main/java/basaltlever/fleet/FleetRequest.java
@@ -11,31 +11,31 @@
   /**
    * A router's request for a lease.
    *
-   * @param from name of the router
+   * @param router name of the router
    * @param incarnation of the router's process
    * @param number of the heartbeat, counted by the router
    * @param inForce number of the version that the router has in force
-   * @param keepsTo number of the prepared version that the router keeps to
-   * @param refused number of the version that the router can't keep to; 0 where there is none
-   * @param refusal why it can't
+   * @param acknowledged number of the prepared version that the router keeps to
+   * @param rejected number of the version that the router can't keep to; 0 where there is none
+   * @param rejectionReason why it can't
    * @param holdsLease whether the router held a lease when it sent this
-   * @param lists what the router's endpoint list says
+   * @param membershipReport what the router's endpoint list says
    * @param epoch the latest configuration epoch that the router has learned of
-   * @param voterFolder id of the voter folder of this instance; empty where it doesn't vote
+   * @param voterFolderId id of the voter folder of this instance; empty where it doesn't vote
    */
   record Heartbeat(
       String fleet,
-      String from,
+      String router,
       long incarnation,
       long number,
       long inForce,
-      long keepsTo,
-      long refused,
-      String refusal,
+      long acknowledged,
+      long rejected,
+      String rejectionReason,
       boolean holdsLease,
-      HeartbeatReport lists,
+      HeartbeatReport membershipReport,
       long epoch,
-      String voterFolder)
+      String voterFolderId)
       implements FleetRequest {}
 
   /**
@@ -44,7 +44,7 @@
    * @param basis number of the version in force from which the text was made
    * @param text the settings as JSON
    */
-  record Propose(String fleet, long basis, String text, String who, String why)
+  record Propose(String fleet, long basis, String text, String proposer, String reason)
       implements FleetRequest {}
 
   /** Adds a voter, or removes it. */
@@ -54,17 +54,17 @@
    * Starts a configuration epoch without the lost majority.
    *
    * @param epoch number of the new epoch
-   * @param ended voters whose processes have been ended
+   * @param endedVoters voters whose processes have been ended
    */
-  record Recover(String fleet, long epoch, List<String> ended, String who, String why)
+  record Recover(String fleet, long epoch, List<String> endedVoters, String proposer, String reason)
       implements FleetRequest {}
 
   /**
    * Asks for a {@link StatusReport}.
    *
-   * @param from name of the instance that asks; empty for an operator's command
+   * @param router name of the instance that asks; empty for an operator's command
    */
-  record Status(String fleet, String from) implements FleetRequest {}
+  record Status(String fleet, String requester) implements FleetRequest {}
 
   /** A request that this release doesn't know. */
   record Unknown(String fleet) implements FleetRequest {}
--- a/router/src/main/java/basaltlever/fleet/FrameCodec.java
+++ b/router/src/main/java/basaltlever/fleet/FrameCodec.java
@@ -19,10 +19,10 @@
   /** An instance sends a heartbeat each 50 ms, and commands. */
   private static final int MAX_MESSAGES_PER_SECOND = 200;
 
-  private static final int MAX_PENDING_BYTES = 4 * MessageCodec.MAX_BYTES;
+  private static final int MAX_PENDING_WRITE_BYTES = 4 * MessageCodec.MAX_MESSAGE_BYTES;
 
   private final Function<Map<?, ?>, M> decoder;
-  private ByteBuf received;
+  private ByteBuf receiveBuffer;
   private long currentSecond;
   private int messagesThisSecond;
 
@@ -31,7 +31,7 @@
   }
 
   /** Handles one message, on the connection's event loop. */
-  abstract void messageReceived(ChannelHandlerContext context, M message);
+  abstract void onMessage(ChannelHandlerContext context, M message);
 
   static void send(ChannelHandlerContext to, FleetRequest request) {
     send(to, RequestCodec.encode(request));
@@ -45,7 +45,7 @@
     if (to.channel().unsafe().outboundBuffer() == null) {
       return;
     }
-    if (to.channel().unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_PENDING_BYTES) {
+    if (to.channel().unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_PENDING_WRITE_BYTES) {
       // A peer that reads too slowly would take ever more memory.
       to.close();
       return;
@@ -57,42 +57,42 @@
 
   @Override
   public void handlerAdded(ChannelHandlerContext context) {
-    received = context.alloc().buffer();
+    receiveBuffer = context.alloc().buffer();
   }
 
   @Override
   public void handlerRemoved(ChannelHandlerContext context) {
-    received.release();
-    received = null;
+    receiveBuffer.release();
+    receiveBuffer = null;
   }
 
   @Override
   public void channelRead(ChannelHandlerContext context, Object read) throws IOException {
     ByteBuf in = (ByteBuf) read;
     try {
-      if (received == null) {
+      if (receiveBuffer == null) {
         return;
       }
-      received.writeBytes(in);
+      receiveBuffer.writeBytes(in);
     } finally {
       in.release();
     }
-    while (received != null && received.readableBytes() >= LENGTH_BYTES) {
-      int length = received.getInt(received.readerIndex());
-      if (length < 1 || length > MessageCodec.MAX_BYTES) {
+    while (receiveBuffer != null && receiveBuffer.readableBytes() >= LENGTH_BYTES) {
+      int length = receiveBuffer.getInt(receiveBuffer.readerIndex());
+      if (length < 1 || length > MessageCodec.MAX_MESSAGE_BYTES) {
         throw new IOException("a message of " + length + " bytes");
       }
-      if (received.readableBytes() < LENGTH_BYTES + length) {
+      if (receiveBuffer.readableBytes() < LENGTH_BYTES + length) {
         break;
       }
-      checkRate();
-      byte[] bytes = ByteBufUtil.getBytes(received.skipBytes(LENGTH_BYTES).readSlice(length));
-      received.discardSomeReadBytes();
-      messageReceived(context, decoder.apply(MessageCodec.read(bytes, 0, bytes.length)));
+      enforceMessageRate();
+      byte[] bytes = ByteBufUtil.getBytes(receiveBuffer.skipBytes(LENGTH_BYTES).readSlice(length));
+      receiveBuffer.discardSomeReadBytes();
+      onMessage(context, decoder.apply(MessageCodec.read(bytes, 0, bytes.length)));
     }
   }
 
-  private void checkRate() throws IOException {
+  private void enforceMessageRate() throws IOException {
     long second = System.nanoTime() / 1_000_000_000;
     messagesThisSecond = second == currentSecond ? messagesThisSecond + 1 : 1;
     currentSecond = second;
--- a/router/src/main/java/basaltlever/fleet/LeaderConnection.java
+++ b/router/src/main/java/basaltlever/fleet/LeaderConnection.java
@@ -29,30 +29,30 @@
   private static final int HEARTBEATS_PER_LEASE = 4;
 
   /** The shortest interval between heartbeats, and the range above it, as shares of the mean. */
-  private static final double SHORTEST_INTERVAL = 0.8;
+  private static final double MIN_INTERVAL_FACTOR = 0.8;
 
-  private static final double INTERVAL_RANGE = 0.4;
+  private static final double INTERVAL_FACTOR_RANGE = 0.4;
 
   /** Unanswered heartbeats after which another voter is tried. */
-  private static final int MAX_UNANSWERED = 2;
+  private static final int MAX_UNANSWERED_HEARTBEATS = 2;
 
-  private static final long FIRST_HEARTBEAT_MILLIS = 1;
-  private static final long RECONNECT_MILLIS = 20;
+  private static final long FIRST_HEARTBEAT_DELAY_MILLIS = 1;
+  private static final long RECONNECT_DELAY_MILLIS = 20;
   private static final long MIN_CONNECT_TIMEOUT_MILLIS = 50;
 
   private final FleetSettings settings;
   private final VoterStore store;
   private final EventLoop loop;
   private final SplittableRandom random;
-  private final Runnable heartbeatDue;
-  private final BiConsumer<LeaseGrant, MembershipUpdate> granted;
+  private final Runnable onHeartbeatDue;
+  private final BiConsumer<LeaseGrant, MembershipUpdate> onLeaseGranted;
   private final List<String> voters;
 
   /** The index of the voter that is tried. */
-  private int current;
+  private int currentVoterIndex;
 
-  private int unanswered;
-  private ChannelHandlerContext open;
+  private int unansweredHeartbeats;
+  private ChannelHandlerContext openConnection;
   private boolean connecting;
   private boolean closed;
   private SettingsVersion inForce;
@@ -64,18 +64,18 @@
       VoterStore store,
       EventLoop loop,
       SplittableRandom random,
-      Runnable heartbeatDue,
-      BiConsumer<LeaseGrant, MembershipUpdate> granted) {
+      Runnable onHeartbeatDue,
+      BiConsumer<LeaseGrant, MembershipUpdate> onLeaseGranted) {
     this.settings = settings;
     this.store = store;
     this.loop = loop;
     this.random = random;
-    this.heartbeatDue = heartbeatDue;
-    this.granted = granted;
+    this.onHeartbeatDue = onHeartbeatDue;
+    this.onLeaseGranted = onLeaseGranted;
     voters = new ArrayList<>(settings.voters().keySet());
     store.voters().forEach(this::addVoter);
-    current = random.nextInt(voters.size());
-    loop.schedule(this::intervalElapsed, FIRST_HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
+    currentVoterIndex = random.nextInt(voters.size());
+    loop.schedule(this::onHeartbeatInterval, FIRST_HEARTBEAT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Adds a voter that this router's settings file doesn't name as one, but as a peer. */
@@ -85,35 +85,35 @@
     }
   }
 
-  private void intervalElapsed() {
+  private void onHeartbeatInterval() {
     if (closed) {
       return;
     }
     // Randomized, so that hundreds of routers don't send their heartbeats at the same time.
-    long mean = settings.lease().micros() / HEARTBEATS_PER_LEASE;
-    double share = SHORTEST_INTERVAL + INTERVAL_RANGE * random.nextDouble();
-    loop.schedule(this::intervalElapsed, (long) (mean * share), TimeUnit.MICROSECONDS);
-    if (open == null) {
+    long meanMicros = settings.lease().micros() / HEARTBEATS_PER_LEASE;
+    double factor = MIN_INTERVAL_FACTOR + INTERVAL_FACTOR_RANGE * random.nextDouble();
+    loop.schedule(this::onHeartbeatInterval, (long) (meanMicros * factor), TimeUnit.MICROSECONDS);
+    if (openConnection == null) {
       connect();
-    } else if (++unanswered > MAX_UNANSWERED) {
-      abandonCurrentVoter();
+    } else if (++unansweredHeartbeats > MAX_UNANSWERED_HEARTBEATS) {
+      switchToNextVoter();
     } else {
-      heartbeatDue.run();
+      onHeartbeatDue.run();
     }
   }
 
-  private void abandonCurrentVoter() {
-    current = next();
-    unanswered = 0;
-    if (open != null) {
-      open.close();
-      open = null;
+  private void switchToNextVoter() {
+    currentVoterIndex = nextVoterIndex();
+    unansweredHeartbeats = 0;
+    if (openConnection != null) {
+      openConnection.close();
+      openConnection = null;
     }
     connect();
   }
 
-  private int next() {
-    return (current + 1) % voters.size();
+  private int nextVoterIndex() {
+    return (currentVoterIndex + 1) % voters.size();
   }
 
   private void connect() {
@@ -128,46 +128,47 @@
         .option(ChannelOption.TCP_NODELAY, true)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) timeoutMillis)
         .handler(new LeaderHandler())
-        .connect(settings.peers().get(voters.get(current)))
+        .connect(settings.peers().get(voters.get(currentVoterIndex)))
         .addListener(
             done -> {
               connecting = false;
               if (!done.isSuccess()) {
-                current = next();
+                currentVoterIndex = nextVoterIndex();
               }
             });
   }
 
   /** Drops the heartbeat while there is no connection. */
   void send(FleetRequest.Heartbeat heartbeat) {
-    if (open != null) {
-      FrameCodec.send(open, heartbeat);
+    if (openConnection != null) {
+      FrameCodec.send(openConnection, heartbeat);
     }
   }
 
   void close() {
     closed = true;
-    if (open != null) {
-      open.close();
+    if (openConnection != null) {
+      openConnection.close();
     }
   }
 
-  private void leaseGranted(FleetReply.LeaseGranted reply) {
-    unanswered = 0;
-    reply.members().forEach(this::addVoter);
-    inForce = withKnownText(reply.inForce(), inForce, prepared);
-    prepared = withKnownText(reply.prepared(), prepared, inForce);
+  private void handleGrant(FleetReply.LeaseGranted reply) {
+    unansweredHeartbeats = 0;
+    reply.voters().forEach(this::addVoter);
+    inForce = restoreText(reply.inForce(), inForce, prepared);
+    prepared = restoreText(reply.prepared(), prepared, inForce);
     recordGrant(reply);
     if (inForce != null) {
-      granted.accept(
-          new LeaseGrant(reply.heartbeat(), reply.duration(), inForce, prepared, reply.changes()),
-          reply.lists());
+      onLeaseGranted.accept(
+          new LeaseGrant(
+              reply.heartbeat(), reply.duration(), inForce, prepared, reply.changeCount()),
+          reply.membershipUpdate());
     }
   }
 
   private void recordGrant(FleetReply.LeaseGranted reply) {
     try {
-      store.recordVoters(reply.members());
+      store.recordVoters(reply.voters());
       // A leader that grants no lease may have been replaced, so its version may be outdated.
       if (inForce != null && reply.duration().micros() > 0) {
         store.recordInForce(inForce);
@@ -178,42 +179,42 @@
   }
 
   /** A version without a text is one that was sent with its text before. */
-  private static SettingsVersion withKnownText(
-      SentVersion sent, SettingsVersion known, SettingsVersion other) {
+  private static SettingsVersion restoreText(
+      SentVersion sent, SettingsVersion cached, SettingsVersion otherCached) {
     SettingsVersion version = sent == null ? null : sent.version();
     if (version == null || !version.settingsJson().isEmpty()) {
       return version;
     }
     String text = "";
-    if (known != null && known.number() == version.number()) {
-      text = known.settingsJson();
-    } else if (other != null && other.number() == version.number()) {
-      text = other.settingsJson();
+    if (cached != null && cached.number() == version.number()) {
+      text = cached.settingsJson();
+    } else if (otherCached != null && otherCached.number() == version.number()) {
+      text = otherCached.settingsJson();
     }
     return VersionCodec.withText(version, text);
   }
 
-  private void followRedirect(ChannelHandlerContext from, String leader) {
+  private void followRedirect(ChannelHandlerContext connection, String leader) {
     addVoter(leader);
-    current = voters.contains(leader) ? voters.indexOf(leader) : next();
-    loop.schedule(() -> reconnect(from), RECONNECT_MILLIS, TimeUnit.MILLISECONDS);
+    currentVoterIndex = voters.contains(leader) ? voters.indexOf(leader) : nextVoterIndex();
+    loop.schedule(() -> reconnect(connection), RECONNECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void reconnect(ChannelHandlerContext from) {
-    if (from == open) {
-      from.close();
-      open = null;
+  private void reconnect(ChannelHandlerContext connection) {
+    if (connection == openConnection) {
+      connection.close();
+      openConnection = null;
       connect();
     }
   }
 
-  private void rejected(String reason) {
-    Event.FLEET_REFUSED.log(LOG, Level.ERROR, "", voters.get(current), reason);
-    current = next();
+  private void onRejected(String reason) {
+    Event.FLEET_REFUSED.log(LOG, Level.ERROR, "", voters.get(currentVoterIndex), reason);
+    currentVoterIndex = nextVoterIndex();
   }
 
   private final class LeaderHandler extends FrameCodec<FleetReply> {
-    private boolean answered;
+    private boolean hasResponded;
 
     LeaderHandler() {
       super(ReplyCodec::decode);
@@ -225,38 +226,38 @@
         context.close();
         return;
       }
-      open = context;
-      unanswered = 0;
-      heartbeatDue.run();
+      openConnection = context;
+      unansweredHeartbeats = 0;
+      onHeartbeatDue.run();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      if (open == context) {
-        open = null;
+      if (openConnection == context) {
+        openConnection = null;
         // A voter, or a proxy before it, that closes without an answer would be tried forever.
-        current = answered ? current : next();
+        currentVoterIndex = hasResponded ? currentVoterIndex : nextVoterIndex();
       }
     }
 
     @Override
-    void messageReceived(ChannelHandlerContext context, FleetReply reply) {
-      if (context != open) {
+    void onMessage(ChannelHandlerContext context, FleetReply reply) {
+      if (context != openConnection) {
         return;
       }
-      answered = true;
+      hasResponded = true;
       if (reply instanceof FleetReply.LeaseGranted grant) {
-        leaseGranted(grant);
+        handleGrant(grant);
       } else if (reply instanceof FleetReply.NotLeader notLeader) {
         followRedirect(context, notLeader.leader());
-      } else if (reply instanceof FleetReply.Refused refused) {
-        rejected(refused.reason());
+      } else if (reply instanceof FleetReply.Rejected refused) {
+        onRejected(refused.reason());
       } else if (reply instanceof FleetReply.Undecided undecided) {
-        rejected(undecided.reason());
+        onRejected(undecided.reason());
       } else if (reply instanceof FleetReply.Unknown unknown) {
-        rejected(unknown.reason());
+        onRejected(unknown.reason());
       } else {
-        rejected("");
+        onRejected("");
       }
     }
   }
--- a/router/src/main/java/basaltlever/fleet/MembershipCodec.java
+++ b/router/src/main/java/basaltlever/fleet/MembershipCodec.java
@@ -23,23 +23,23 @@
 
   private MembershipCodec() {}
 
-  private static void put(Map<String, Object> fields, ListVersion at) {
-    fields.put("era", at.era());
-    fields.put("generation", at.generation());
+  private static void putListVersion(Map<String, Object> fields, ListVersion listVersion) {
+    fields.put("era", listVersion.era());
+    fields.put("generation", listVersion.generation());
   }
 
-  private static ListVersion decodeVersion(Map<?, ?> fields) {
+  private static ListVersion decodeListVersion(Map<?, ?> fields) {
     return new ListVersion(
-        fields.containsKey("era") ? MessageCodec.number(fields, "era") : ListVersion.NONE.era(),
-        MessageCodec.number(fields, "generation"));
+        fields.containsKey("era") ? MessageCodec.getNumber(fields, "era") : ListVersion.NONE.era(),
+        MessageCodec.getNumber(fields, "generation"));
   }
 
-  static <T> List<T> decodeAll(Object value, Function<Map<?, ?>, T> each) {
+  static <T> List<T> decodeAll(Object value, Function<Map<?, ?>, T> decoder) {
     List<T> decoded = new ArrayList<>();
     if (value instanceof List<?> items) {
       for (Object item : items) {
-        if (item instanceof Map<?, ?> map && decoded.size() < MAX_ITEMS) {
-          decoded.add(each.apply(map));
+        if (item instanceof Map<?, ?> fields && decoded.size() < MAX_ITEMS) {
+          decoded.add(decoder.apply(fields));
         }
       }
     }
@@ -49,23 +49,23 @@
   private static Map<String, Object> encode(DrainMark mark) {
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("member", mark.endpoint());
-    put(fields, mark.listVersion());
+    putListVersion(fields, mark.listVersion());
     fields.put("gone", mark.gone());
     return fields;
   }
 
-  private static DrainMark decodeMark(Map<?, ?> fields) {
+  private static DrainMark decodeDrainMark(Map<?, ?> fields) {
     return new DrainMark(
-        MessageCodec.text(fields, "member"),
-        decodeVersion(fields),
-        MessageCodec.flag(fields, "gone"));
+        MessageCodec.getText(fields, "member"),
+        decodeListVersion(fields),
+        MessageCodec.getFlag(fields, "gone"));
   }
 
   static Map<String, Object> encode(GroupAssignment assignment) {
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("member", assignment.endpoint());
     fields.put("group", assignment.group());
-    put(fields, assignment.listVersion());
+    putListVersion(fields, assignment.listVersion());
     fields.put("cleared", assignment.cleared());
     return fields;
   }
@@ -73,17 +73,17 @@
   static List<GroupAssignment> decodeAssignments(Object value) {
     return decodeAll(
         value,
-        map ->
+        fields ->
             new GroupAssignment(
-                MessageCodec.text(map, "member"),
-                (int) MessageCodec.number(map, "group"),
-                decodeVersion(map),
-                MessageCodec.flag(map, "cleared")));
+                MessageCodec.getText(fields, "member"),
+                (int) MessageCodec.getNumber(fields, "group"),
+                decodeListVersion(fields),
+                MessageCodec.getFlag(fields, "cleared")));
   }
 
   static Map<String, Object> encode(HeartbeatReport report) {
     Map<String, Object> fields = new LinkedHashMap<>();
-    put(fields, report.listVersion());
+    putListVersion(fields, report.listVersion());
     fields.put("digest", report.digest());
     fields.put("doubt", report.anomaly().name());
     fields.put("marks", report.drainMarks().stream().map(MembershipCodec::encode).toList());
@@ -102,21 +102,21 @@
     if (!(value instanceof Map<?, ?> fields)) {
       return HeartbeatReport.NONE;
     }
-    List<String> free = new ArrayList<>();
+    List<String> releasedEndpoints = new ArrayList<>();
     if (fields.get("free") instanceof List<?> names) {
-      names.stream().limit(MAX_ITEMS).forEach(name -> free.add(String.valueOf(name)));
+      names.stream().limit(MAX_ITEMS).forEach(name -> releasedEndpoints.add(String.valueOf(name)));
     }
     return new HeartbeatReport(
-        decodeVersion(fields),
-        MessageCodec.number(fields, "digest"),
-        constant(ListAnomaly.class, fields, "doubt", ListAnomaly.NONE),
-        decodeAll(fields.get("marks"), MembershipCodec::decodeMark),
-        MessageCodec.number(fields, "marks_end"),
+        decodeListVersion(fields),
+        MessageCodec.getNumber(fields, "digest"),
+        decodeEnum(ListAnomaly.class, fields, "doubt", ListAnomaly.NONE),
+        decodeAll(fields.get("marks"), MembershipCodec::decodeDrainMark),
+        MessageCodec.getNumber(fields, "marks_end"),
         decodeAssignments(fields.get("wanted")),
-        free,
-        MessageCodec.number(fields, "book"),
-        MessageCodec.number(fields, "read"),
-        MessageCodec.number(fields, "seats_read"));
+        releasedEndpoints,
+        MessageCodec.getNumber(fields, "book"),
+        MessageCodec.getNumber(fields, "read"),
+        MessageCodec.getNumber(fields, "seats_read"));
   }
 
   static Map<String, Object> encode(MembershipUpdate update) {
@@ -126,7 +126,7 @@
     fields.put("marks", update.drainMarks().stream().map(MembershipCodec::encode).toList());
     fields.put("marks_end", update.drainMarksEnd());
     fields.put("verdict", update.agreement().name());
-    put(fields, update.listVersion());
+    putListVersion(fields, update.listVersion());
     fields.put("digest", update.digest());
     fields.put("now_era", update.era());
     fields.put("seats_number", update.assignmentChangeNumber());
@@ -140,25 +140,25 @@
       return null;
     }
     return new MembershipUpdate(
-        MessageCodec.number(fields, "book"),
-        MessageCodec.number(fields, "place"),
-        decodeAll(fields.get("marks"), MembershipCodec::decodeMark),
-        MessageCodec.number(fields, "marks_end"),
-        constant(ListAgreement.class, fields, "verdict", ListAgreement.UNTOLD),
-        decodeVersion(fields),
-        MessageCodec.number(fields, "digest"),
-        MessageCodec.number(fields, "now_era"),
-        MessageCodec.number(fields, "seats_number"),
+        MessageCodec.getNumber(fields, "book"),
+        MessageCodec.getNumber(fields, "place"),
+        decodeAll(fields.get("marks"), MembershipCodec::decodeDrainMark),
+        MessageCodec.getNumber(fields, "marks_end"),
+        decodeEnum(ListAgreement.class, fields, "verdict", ListAgreement.UNTOLD),
+        decodeListVersion(fields),
+        MessageCodec.getNumber(fields, "digest"),
+        MessageCodec.getNumber(fields, "now_era"),
+        MessageCodec.getNumber(fields, "seats_number"),
         decodeAssignments(fields.get("seats")));
   }
 
-  private static <E extends Enum<E>> E constant(
-      Class<E> of, Map<?, ?> fields, String name, E otherwise) {
-    for (E candidate : of.getEnumConstants()) {
-      if (candidate.name().equals(MessageCodec.text(fields, name))) {
+  private static <E extends Enum<E>> E decodeEnum(
+      Class<E> type, Map<?, ?> fields, String key, E defaultValue) {
+    for (E candidate : type.getEnumConstants()) {
+      if (candidate.name().equals(MessageCodec.getText(fields, key))) {
         return candidate;
       }
     }
-    return otherwise;
+    return defaultValue;
   }
 }
--- a/router/src/main/java/basaltlever/fleet/MessageCodec.java
+++ b/router/src/main/java/basaltlever/fleet/MessageCodec.java
@@ -19,7 +19,7 @@
  */
 public final class MessageCodec {
   /** The size of a message in bytes at most. */
-  public static final int MAX_BYTES = 1 << 20;
+  public static final int MAX_MESSAGE_BYTES = 1 << 20;
 
   private static final int MAX_DEPTH = 6;
   private static final int MAX_KEY_LENGTH = 64;
@@ -28,9 +28,9 @@
           .streamReadConstraints(
               StreamReadConstraints.builder()
                   .maxNestingDepth(MAX_DEPTH)
-                  .maxStringLength(MAX_BYTES)
+                  .maxStringLength(MAX_MESSAGE_BYTES)
                   .maxNameLength(MAX_KEY_LENGTH)
-                  .maxDocumentLength(MAX_BYTES)
+                  .maxDocumentLength(MAX_MESSAGE_BYTES)
                   .build())
           .build();
 
@@ -40,7 +40,7 @@
   public static byte[] write(Map<String, ?> message) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator out = CBOR.createGenerator(bytes)) {
-      value(out, message);
+      writeValue(out, message);
     } catch (IOException impossible) {
       throw new IllegalStateException(impossible);
     }
@@ -48,18 +48,18 @@
   }
 
   /** Writes a value as CBOR or JSON, depending on the generator. */
-  public static void value(JsonGenerator out, Object value) throws IOException {
+  public static void writeValue(JsonGenerator out, Object value) throws IOException {
     if (value instanceof Map<?, ?> members) {
       out.writeStartObject();
       for (Map.Entry<?, ?> member : members.entrySet()) {
         out.writeFieldName(String.valueOf(member.getKey()));
-        value(out, member.getValue());
+        writeValue(out, member.getValue());
       }
       out.writeEndObject();
     } else if (value instanceof List<?> items) {
       out.writeStartArray();
       for (Object item : items) {
-        value(out, item);
+        writeValue(out, item);
       }
       out.writeEndArray();
     } else if (value instanceof java.math.BigDecimal number) {
@@ -80,7 +80,7 @@
   public static Map<String, Object> read(byte[] bytes, int from, int length) throws IOException {
     try (JsonParser in = CBOR.createParser(bytes, from, length)) {
       if (in.nextToken() == JsonToken.START_OBJECT) {
-        Map<String, Object> message = members(in);
+        Map<String, Object> message = readMap(in);
         if (in.nextToken() == null) {
           return message;
         }
@@ -91,25 +91,25 @@
     throw new IOException("no message");
   }
 
-  private static Map<String, Object> members(JsonParser in) throws IOException {
-    Map<String, Object> members = new LinkedHashMap<>();
+  private static Map<String, Object> readMap(JsonParser in) throws IOException {
+    Map<String, Object> entries = new LinkedHashMap<>();
     while (in.nextToken() == JsonToken.FIELD_NAME) {
-      String name = in.currentName();
+      String key = in.currentName();
       in.nextToken();
-      members.put(name, value(in));
+      entries.put(key, readValue(in));
     }
-    return members;
+    return entries;
   }
 
-  private static Object value(JsonParser in) throws IOException {
+  private static Object readValue(JsonParser in) throws IOException {
     switch (in.currentToken()) {
       case START_OBJECT -> {
-        return members(in);
+        return readMap(in);
       }
       case START_ARRAY -> {
         List<Object> items = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
-          items.add(value(in));
+          items.add(readValue(in));
         }
         return items;
       }
@@ -130,24 +130,24 @@
   }
 
   /** The text at a key; empty where there is none. */
-  public static String text(Map<?, ?> message, String name) {
-    return message.get(name) instanceof String text ? text : "";
+  public static String getText(Map<?, ?> message, String key) {
+    return message.get(key) instanceof String text ? text : "";
   }
 
   /** The list of texts at a key; empty where there is none. */
-  public static List<String> texts(Map<?, ?> message, String name) {
-    return message.get(name) instanceof List<?> items
+  public static List<String> getTexts(Map<?, ?> message, String key) {
+    return message.get(key) instanceof List<?> items
         ? items.stream().map(String::valueOf).toList()
         : List.of();
   }
 
   /** The number at a key; 0 where there is none. */
-  public static long number(Map<?, ?> message, String name) {
-    return message.get(name) instanceof Long number ? number : 0;
+  public static long getNumber(Map<?, ?> message, String key) {
+    return message.get(key) instanceof Long number ? number : 0;
   }
 
   /** The flag at a key; false where there is none. */
-  public static boolean flag(Map<?, ?> message, String name) {
-    return Boolean.TRUE.equals(message.get(name));
+  public static boolean getFlag(Map<?, ?> message, String key) {
+    return Boolean.TRUE.equals(message.get(key));
   }
 }
--- a/router/src/main/java/basaltlever/fleet/PeerPoller.java
+++ b/router/src/main/java/basaltlever/fleet/PeerPoller.java
@@ -36,25 +36,25 @@
             new PeerStatus(
                 other,
                 status.epoch(),
-                status.members(),
-                status.folderOfAsker(),
-                status.emptyFolder(),
-                status.leads()));
+                status.voters(),
+                status.requesterFolderId(),
+                status.hasUnusedFolder(),
+                status.isLeader()));
       }
     }
     return statuses;
   }
 
   /** Null where it doesn't answer in time. */
-  StatusReport poll(String other) {
+  StatusReport poll(String voter) {
     try {
       FleetReply reply =
           AdminClient.send(
-              settings.peers().get(other),
+              settings.peers().get(voter),
               new FleetRequest.Status(settings.name(), name),
               REPLY_TIMEOUT_MILLIS);
       return reply instanceof StatusReport status ? status : null;
-    } catch (IOException noAnswer) {
+    } catch (IOException unreachable) {
       return null;
     }
   }
--- a/router/src/main/java/basaltlever/fleet/RaftCommand.java
+++ b/router/src/main/java/basaltlever/fleet/RaftCommand.java
@@ -6,17 +6,18 @@
 /** A command of the voters' log, applied to the register of each voter in the same order. */
 sealed interface RaftCommand {
   /** Proposes settings; see {@link basaltlever.settings.VersionRegister#propose}. */
-  record Propose(long basis, String text, int routers, String who, String why, long atMillis)
+  record Propose(
+      long basis, String text, int routers, String proposer, String reason, long proposedAtMillis)
       implements RaftCommand {}
 
   /** The leader's proposal of the version in force for a new number of routers. */
   record ProposeRouterCount(Propose proposal) implements RaftCommand {}
 
   /** Brings the prepared version into force. */
-  record BringIntoForce(long version) implements RaftCommand {}
+  record BringIntoForce(long versionNumber) implements RaftCommand {}
 
   /** Withdraws the prepared version. */
-  record Withdraw(long version, String reason) implements RaftCommand {}
+  record Withdraw(long versionNumber, String reason) implements RaftCommand {}
 
   /** Assigns endpoints to groups. */
   record Assign(List<GroupAssignment> assignments) implements RaftCommand {}
@@ -25,13 +26,13 @@
   record ClearAssignments(List<GroupAssignment> assignments) implements RaftCommand {}
 
   /** Starts another era, since discovery counts its generations anew. */
-  record CountAnew(long era) implements RaftCommand {}
+  record StartNewEra(long era) implements RaftCommand {}
 
   /** Records the folder by which a voter votes. */
-  record RegisterVoterFolder(String voter, String folder) implements RaftCommand {}
+  record RecordVoterFolder(String voter, String folderId) implements RaftCommand {}
 
   /** Forgets the folder of a voter that is added or removed. */
-  record ForgetVoterFolder(String voter) implements RaftCommand {}
+  record RemoveVoterFolder(String voter) implements RaftCommand {}
 
   /** Starts a configuration epoch with what was left of the one before. */
   record StartEpoch(RegisterContent content) implements RaftCommand {}
--- a/router/src/main/java/basaltlever/fleet/RaftNode.java
+++ b/router/src/main/java/basaltlever/fleet/RaftNode.java
@@ -34,7 +34,7 @@
  * its lock.
  */
 final class RaftNode implements StateMachine, AutoCloseable {
-  private static final String STACK =
+  private static final String PROTOCOL_STACK =
       """
         <config xmlns="urn:org:jgroups">
           <TCP bind_addr="%s" bind_port="%d" port_range="0" sock_conn_timeout="300" diag.enabled="false"
@@ -63,14 +63,14 @@
   /** Ports of the failure detector lie this far above the voters' own. */
   private static final int FAILURE_DETECTOR_PORT_OFFSET = 1_000;
 
-  private static final long MIN_SUSPECT_INTERVAL_MILLIS = 50;
+  private static final long MIN_FAILURE_CHECK_INTERVAL_MILLIS = 50;
   private static final long JOIN_RETRY_MILLIS = 300;
   private static final Logger LOG = LoggerFactory.getLogger(RaftNode.class);
 
   private final VersionRegister register = new VersionRegister();
   private final JChannel channel;
   private final RaftHandle raft;
-  private final Consumer<Boolean> leadershipChanged;
+  private final Consumer<Boolean> onLeadershipChanged;
   private volatile boolean closed;
 
   /**
@@ -78,48 +78,48 @@
    *
    * @param cluster name of the Raft cluster
    * @param name of this voter
-   * @param voters addresses at which voters may be found
-   * @param members who votes at first, this voter included
+   * @param voterAddresses addresses at which voters may be found
+   * @param initialVoters who votes at first, this voter included
    * @param logFolder where the log is kept
-   * @param suspectMillis silence after which another voter is suspected to have failed
-   * @param leadershipChanged called on a JGroups thread when this voter becomes the leader or
+   * @param suspectTimeoutMillis silence after which another voter is suspected to have failed
+   * @param onLeadershipChanged called on a JGroups thread when this voter becomes the leader or
    *     ceases to be
    */
   RaftNode(
       String cluster,
       String name,
-      Map<String, InetSocketAddress> voters,
-      List<String> members,
+      Map<String, InetSocketAddress> voterAddresses,
+      List<String> initialVoters,
       Path logFolder,
-      long suspectMillis,
-      Consumer<Boolean> leadershipChanged)
+      long suspectTimeoutMillis,
+      Consumer<Boolean> onLeadershipChanged)
       throws Exception {
-    this.leadershipChanged = leadershipChanged;
-    InetSocketAddress own = voters.get(name);
-    String hosts =
-        voters.values().stream()
-            .map(at -> at.getHostString() + "[" + at.getPort() + "]")
+    this.onLeadershipChanged = onLeadershipChanged;
+    InetSocketAddress ownAddress = voterAddresses.get(name);
+    String initialHosts =
+        voterAddresses.values().stream()
+            .map(address -> address.getHostString() + "[" + address.getPort() + "]")
             .collect(Collectors.joining(","));
     String stack =
-        STACK.formatted(
-            own.getHostString(),
-            own.getPort(),
-            hosts,
-            own.getHostString(),
+        PROTOCOL_STACK.formatted(
+            ownAddress.getHostString(),
+            ownAddress.getPort(),
+            initialHosts,
+            ownAddress.getHostString(),
             FAILURE_DETECTOR_PORT_OFFSET,
-            suspectMillis,
-            Math.max(MIN_SUSPECT_INTERVAL_MILLIS, suspectMillis / 4),
-            String.join(",", members),
+            suspectTimeoutMillis,
+            Math.max(MIN_FAILURE_CHECK_INTERVAL_MILLIS, suspectTimeoutMillis / 4),
+            String.join(",", initialVoters),
             name,
             logFolder.toAbsolutePath(),
             name);
     channel = new JChannel(new ByteArrayInputStream(stack.getBytes(StandardCharsets.UTF_8)));
     channel.setName(name);
     raft = new RaftHandle(channel, this).raftId(name);
-    raft.addRoleListener(this::roleChanged);
-    Thread join = new Thread(() -> join(cluster), "raft-join");
-    join.setDaemon(true);
-    join.start();
+    raft.addRoleListener(this::onRoleChanged);
+    Thread joinThread = new Thread(() -> join(cluster), "raft-join");
+    joinThread.setDaemon(true);
+    joinThread.start();
   }
 
   /**
@@ -143,8 +143,8 @@
     }
   }
 
-  private void roleChanged(Role role) {
-    leadershipChanged.accept(role == Role.Leader);
+  private void onRoleChanged(Role role) {
+    onLeadershipChanged.accept(role == Role.Leader);
   }
 
   /** To be locked by whoever reads it outside of JGroups' threads. */
@@ -153,20 +153,20 @@
   }
 
   /** The name of the leader; empty where there is none. */
-  String leader() {
+  String leaderName() {
     Address leader = raft.leader();
     String name = leader == null ? null : NameCache.get(leader);
     return name == null ? "" : name;
   }
 
   /** The voters, as far as this one knows. */
-  List<String> members() {
+  List<String> voters() {
     return List.copyOf(raft.raft().members());
   }
 
   /** Adds or removes a voter; one change at a time, and only at the leader. */
   @SuppressWarnings("IllegalCatch") // JGroups declares Exception.
-  CompletableFuture<byte[]> changeMember(String voter, boolean add) {
+  CompletableFuture<byte[]> changeVoter(String voter, boolean add) {
     try {
       return add ? raft.raft().addServer(voter) : raft.raft().removeServer(voter);
     } catch (Exception rejected) {
@@ -175,7 +175,7 @@
   }
 
   /** The role and how far the log has come, for status. */
-  String standing() {
+  String statusSummary() {
     RAFT protocol = raft.raft();
     return "%s, term %s, applied %s of %s"
         .formatted(
@@ -215,7 +215,7 @@
 
   @Override
   public void readContentFrom(DataInput in) throws IOException {
-    byte[] bytes = new byte[Math.min(Math.max(0, in.readInt()), MessageCodec.MAX_BYTES)];
+    byte[] bytes = new byte[Math.min(Math.max(0, in.readInt()), MessageCodec.MAX_MESSAGE_BYTES)];
     in.readFully(bytes);
     RaftCommandCodec.decodeContent(MessageCodec.read(bytes, 0, bytes.length)).restoreTo(register);
   }
--- a/router/src/main/java/basaltlever/fleet/RegisterContent.java
+++ b/router/src/main/java/basaltlever/fleet/RegisterContent.java
@@ -13,16 +13,16 @@
 record RegisterContent(
     SettingsVersion inForce,
     SettingsVersion prepared,
-    long last,
-    long changes,
+    long lastNumber,
+    long changeCount,
     long era,
-    long assignmentsNumber,
+    long assignmentChangeNumber,
     List<GroupAssignment> assignments,
-    Map<String, String> voterFolders,
-    List<String> ended,
+    Map<String, String> recordedFolders,
+    List<String> lostVoters,
     List<HistoryEntry> history) {
   /** Texts of older versions would make a snapshot large, and revert needs the latest only. */
-  private static final int KEPT_TEXTS = 2;
+  private static final int MAX_VERSIONS_WITH_TEXT = 2;
 
   /** Takes the register's lock. */
   static RegisterContent of(VersionRegister register) {
@@ -44,8 +44,8 @@
   private static List<HistoryEntry> withoutOldTexts(List<HistoryEntry> history) {
     List<HistoryEntry> shortened = new ArrayList<>();
     for (HistoryEntry entry : history) {
-      boolean old = history.indexOf(entry) < history.size() - KEPT_TEXTS;
-      shortened.add(old ? withoutText(entry) : entry);
+      boolean isOld = history.indexOf(entry) < history.size() - MAX_VERSIONS_WITH_TEXT;
+      shortened.add(isOld ? withoutText(entry) : entry);
     }
     return shortened;
   }
@@ -58,9 +58,9 @@
   /** Takes the register's lock. */
   void restoreTo(VersionRegister register) {
     synchronized (register) {
-      register.restore(inForce, prepared, last, changes, history);
-      register.restore(era, assignmentsNumber, assignments);
-      register.restore(voterFolders, ended);
+      register.restore(inForce, prepared, lastNumber, changeCount, history);
+      register.restore(era, assignmentChangeNumber, assignments);
+      register.restore(recordedFolders, lostVoters);
     }
   }
 }
--- a/router/src/main/java/basaltlever/fleet/ReplyCodec.java
+++ b/router/src/main/java/basaltlever/fleet/ReplyCodec.java
@@ -3,7 +3,7 @@
 import basaltlever.fleet.FleetReply.Accepted;
 import basaltlever.fleet.FleetReply.LeaseGranted;
 import basaltlever.fleet.FleetReply.NotLeader;
-import basaltlever.fleet.FleetReply.Refused;
+import basaltlever.fleet.FleetReply.Rejected;
 import basaltlever.fleet.FleetReply.Retiring;
 import basaltlever.fleet.FleetReply.Undecided;
 import basaltlever.time.Span;
@@ -25,7 +25,7 @@
       return StatusCodec.encode(status);
     } else if (reply instanceof Accepted) {
       return Map.of("do", "taken", "why", "");
-    } else if (reply instanceof Refused refused) {
+    } else if (reply instanceof Rejected refused) {
       return Map.of("do", "refused", "why", refused.reason());
     } else if (reply instanceof Undecided undecided) {
       return Map.of("do", "unknown", "why", undecided.reason());
@@ -38,31 +38,31 @@
     fields.put("do", "grant");
     fields.put("beat", granted.heartbeat());
     fields.put("lasts", granted.duration().micros());
-    fields.put("changes", granted.changes());
-    fields.put("members", granted.members());
+    fields.put("changes", granted.changeCount());
+    fields.put("members", granted.voters());
     fields.put("force", VersionCodec.encode(granted.inForce()));
     fields.put("prepared", VersionCodec.encode(granted.prepared()));
-    fields.put("lists", MembershipCodec.encode(granted.lists()));
+    fields.put("lists", MembershipCodec.encode(granted.membershipUpdate()));
     return fields;
   }
 
   static FleetReply decode(Map<?, ?> fields) {
-    String kind = MessageCodec.text(fields, "do");
-    String reason = MessageCodec.text(fields, "why");
+    String kind = MessageCodec.getText(fields, "do");
+    String reason = MessageCodec.getText(fields, "why");
     return switch (kind) {
       case "grant" ->
           new LeaseGranted(
-              MessageCodec.number(fields, "beat"),
-              new Span(MessageCodec.number(fields, "lasts")),
-              MessageCodec.number(fields, "changes"),
-              MessageCodec.texts(fields, "members"),
+              MessageCodec.getNumber(fields, "beat"),
+              new Span(MessageCodec.getNumber(fields, "lasts")),
+              MessageCodec.getNumber(fields, "changes"),
+              MessageCodec.getTexts(fields, "members"),
               VersionCodec.decodeSent(fields.get("force")),
               VersionCodec.decodeSent(fields.get("prepared")),
               MembershipCodec.decodeUpdate(fields.get("lists")));
-      case "follows" -> new NotLeader(MessageCodec.text(fields, "leader"));
+      case "follows" -> new NotLeader(MessageCodec.getText(fields, "leader"));
       case "status" -> StatusCodec.decode(fields);
       case "taken" -> new Accepted();
-      case "refused" -> new Refused(reason);
+      case "refused" -> new Rejected(reason);
       case "unknown" -> new Undecided(reason);
       default -> new FleetReply.Unknown(kind, reason);
     };
--- a/router/src/main/java/basaltlever/fleet/RequestCodec.java
+++ b/router/src/main/java/basaltlever/fleet/RequestCodec.java
@@ -19,8 +19,8 @@
       Map<String, Object> fields = fields("propose", request);
       fields.put("number", propose.basis());
       fields.put("text", propose.text());
-      fields.put("who", propose.who());
-      fields.put("why", propose.why());
+      fields.put("who", propose.proposer());
+      fields.put("why", propose.reason());
       return fields;
     } else if (request instanceof ChangeVoters change) {
       Map<String, Object> fields = fields("voters", request);
@@ -30,14 +30,14 @@
     } else if (request instanceof Recover recover) {
       Map<String, Object> fields = fields("recover", request);
       fields.put("number", recover.epoch());
-      fields.put("ended", recover.ended());
-      fields.put("who", recover.who());
-      fields.put("why", recover.why());
+      fields.put("ended", recover.endedVoters());
+      fields.put("who", recover.proposer());
+      fields.put("why", recover.reason());
       return fields;
     } else if (request instanceof Status status) {
       Map<String, Object> fields = fields("status", request);
-      if (!status.from().isEmpty()) {
-        fields.put("from", status.from());
+      if (!status.requester().isEmpty()) {
+        fields.put("from", status.requester());
       }
       return fields;
     }
@@ -53,42 +53,42 @@
 
   private static Map<String, Object> encode(Heartbeat heartbeat) {
     Map<String, Object> fields = fields("beat", heartbeat);
-    fields.put("from", heartbeat.from());
+    fields.put("from", heartbeat.router());
     fields.put("incarnation", heartbeat.incarnation());
     fields.put("beat", heartbeat.number());
     fields.put("force", heartbeat.inForce());
-    fields.put("keeps", heartbeat.keepsTo());
-    fields.put("refused", heartbeat.refused());
-    fields.put("refusal", heartbeat.refusal());
+    fields.put("keeps", heartbeat.acknowledged());
+    fields.put("refused", heartbeat.rejected());
+    fields.put("refusal", heartbeat.rejectionReason());
     fields.put("holds", heartbeat.holdsLease());
-    fields.put("lists", MembershipCodec.encode(heartbeat.lists()));
+    fields.put("lists", MembershipCodec.encode(heartbeat.membershipReport()));
     fields.put("charter", heartbeat.epoch());
-    fields.put("folder", heartbeat.voterFolder());
+    fields.put("folder", heartbeat.voterFolderId());
     return fields;
   }
 
   static FleetRequest decode(Map<?, ?> fields) {
-    String fleet = MessageCodec.text(fields, "fleet");
-    return switch (MessageCodec.text(fields, "do")) {
+    String fleet = MessageCodec.getText(fields, "fleet");
+    return switch (MessageCodec.getText(fields, "do")) {
       case "beat" -> decodeHeartbeat(fleet, fields);
       case "propose" ->
           new Propose(
               fleet,
-              MessageCodec.number(fields, "number"),
-              MessageCodec.text(fields, "text"),
-              MessageCodec.text(fields, "who"),
-              MessageCodec.text(fields, "why"));
+              MessageCodec.getNumber(fields, "number"),
+              MessageCodec.getText(fields, "text"),
+              MessageCodec.getText(fields, "who"),
+              MessageCodec.getText(fields, "why"));
       case "voters" ->
           new ChangeVoters(
-              fleet, MessageCodec.text(fields, "voter"), MessageCodec.flag(fields, "in"));
+              fleet, MessageCodec.getText(fields, "voter"), MessageCodec.getFlag(fields, "in"));
       case "recover" ->
           new Recover(
               fleet,
-              MessageCodec.number(fields, "number"),
-              MessageCodec.texts(fields, "ended"),
-              MessageCodec.text(fields, "who"),
-              MessageCodec.text(fields, "why"));
-      case "status" -> new Status(fleet, MessageCodec.text(fields, "from"));
+              MessageCodec.getNumber(fields, "number"),
+              MessageCodec.getTexts(fields, "ended"),
+              MessageCodec.getText(fields, "who"),
+              MessageCodec.getText(fields, "why"));
+      case "status" -> new Status(fleet, MessageCodec.getText(fields, "from"));
       default -> new FleetRequest.Unknown(fleet);
     };
   }
@@ -96,16 +96,16 @@
   private static Heartbeat decodeHeartbeat(String fleet, Map<?, ?> fields) {
     return new Heartbeat(
         fleet,
-        MessageCodec.text(fields, "from"),
-        MessageCodec.number(fields, "incarnation"),
-        MessageCodec.number(fields, "beat"),
-        MessageCodec.number(fields, "force"),
-        MessageCodec.number(fields, "keeps"),
-        MessageCodec.number(fields, "refused"),
-        MessageCodec.text(fields, "refusal"),
-        MessageCodec.flag(fields, "holds"),
+        MessageCodec.getText(fields, "from"),
+        MessageCodec.getNumber(fields, "incarnation"),
+        MessageCodec.getNumber(fields, "beat"),
+        MessageCodec.getNumber(fields, "force"),
+        MessageCodec.getNumber(fields, "keeps"),
+        MessageCodec.getNumber(fields, "refused"),
+        MessageCodec.getText(fields, "refusal"),
+        MessageCodec.getFlag(fields, "holds"),
         MembershipCodec.decodeReport(fields.get("lists")),
-        MessageCodec.number(fields, "charter"),
-        MessageCodec.text(fields, "folder"));
+        MessageCodec.getNumber(fields, "charter"),
+        MessageCodec.getText(fields, "folder"));
   }
 }
--- a/router/src/main/java/basaltlever/fleet/RequestHandler.java
+++ b/router/src/main/java/basaltlever/fleet/RequestHandler.java
@@ -11,14 +11,14 @@
 /** Answers the requests on one connection to a voter, on the voter's event loop. */
 final class RequestHandler extends FrameCodec<FleetRequest> {
   private static final int PROPOSE_TIMEOUT_SECONDS = 3;
-  private static final int CHANGE_TIMEOUT_SECONDS = 5;
+  private static final int VOTER_CHANGE_TIMEOUT_SECONDS = 5;
 
   private final FleetSettings settings;
   private final String voterName;
   private final EventLoop loop;
   private final VoterLifecycle lifecycle;
-  private final FleetLeader leader;
-  private final StatusReporter status;
+  private final FleetLeader fleetLeader;
+  private final StatusReporter statusReporter;
 
   RequestHandler(
       FleetSettings settings,
@@ -32,14 +32,14 @@
     this.voterName = voterName;
     this.loop = loop;
     this.lifecycle = lifecycle;
-    this.leader = leader;
-    this.status = status;
+    this.fleetLeader = leader;
+    this.statusReporter = status;
   }
 
   @Override
-  void messageReceived(ChannelHandlerContext context, FleetRequest request) {
+  void onMessage(ChannelHandlerContext context, FleetRequest request) {
     if (!request.fleet().equals(settings.name())) {
-      refuseAndClose(context, "this is fleet " + settings.name());
+      rejectAndClose(context, "this is fleet " + settings.name());
     } else if (request instanceof FleetRequest.Heartbeat heartbeat) {
       answerHeartbeat(context, heartbeat);
     } else if (request instanceof FleetRequest.Propose propose) {
@@ -48,29 +48,29 @@
       changeVoters(context, change);
     } else if (request instanceof FleetRequest.Recover recover) {
       recoverInBackground(context, recover);
-    } else if (request instanceof FleetRequest.Status asked) {
-      send(context, status.report(asked.from()));
+    } else if (request instanceof FleetRequest.Status statusRequest) {
+      send(context, statusReporter.report(statusRequest.requester()));
     } else {
-      refuseAndClose(context, "that is not spoken here");
+      rejectAndClose(context, "that is not spoken here");
     }
   }
 
-  private static void refuseAndClose(ChannelHandlerContext context, String reason) {
-    send(context, new FleetReply.Refused(reason));
+  private static void rejectAndClose(ChannelHandlerContext context, String reason) {
+    send(context, new FleetReply.Rejected(reason));
     context.close();
   }
 
   private void answerHeartbeat(ChannelHandlerContext context, FleetRequest.Heartbeat heartbeat) {
-    RaftNode node = lifecycle.node();
-    if (!isPeer(heartbeat.from())) {
-      refuseAndClose(context, noPeer(heartbeat.from()));
-    } else if (heartbeat.epoch() > lifecycle.epoch() && node != null) {
+    RaftNode raftNode = lifecycle.raftNode();
+    if (!isPeer(heartbeat.router())) {
+      rejectAndClose(context, notPeerReason(heartbeat.router()));
+    } else if (heartbeat.epoch() > lifecycle.epoch() && raftNode != null) {
       lifecycle.retireInBackground();
       send(context, new FleetReply.Retiring());
-    } else if (leader.isServing()) {
-      send(context, leader.grant(heartbeat));
+    } else if (fleetLeader.isServing()) {
+      send(context, fleetLeader.grantLease(heartbeat));
     } else {
-      send(context, new FleetReply.NotLeader(node == null ? "" : node.leader()));
+      send(context, new FleetReply.NotLeader(raftNode == null ? "" : raftNode.leaderName()));
     }
   }
 
@@ -78,67 +78,72 @@
     return settings.peers().containsKey(name);
   }
 
-  private String noPeer(String name) {
+  private String notPeerReason(String name) {
     return name + " is no peer of fleet " + settings.name();
   }
 
   private void propose(ChannelHandlerContext context, FleetRequest.Propose request) {
-    RaftNode node = lifecycle.node();
-    if (node == null || !lifecycle.hasStartedEpoch()) {
+    RaftNode raftNode = lifecycle.raftNode();
+    if (raftNode == null || !lifecycle.hasStartedEpoch()) {
       send(
-          context, new FleetReply.Refused(voterName + " does not vote: " + lifecycle.waitReason()));
+          context,
+          new FleetReply.Rejected(voterName + " does not vote: " + lifecycle.waitReason()));
       return;
     }
-    node.submit(command(request, node.register()))
+    raftNode
+        .submit(toCommand(request, raftNode.register()))
         .orTimeout(PROPOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)
         .whenComplete(
-            (objection, fault) ->
-                sendLater(
+            (rejectionReason, fault) ->
+                sendOnEventLoop(
                     context,
                     fault == null
-                        ? reply(objection)
+                        ? toReply(rejectionReason)
                         : new FleetReply.Undecided("no majority answered: " + fault.getMessage())));
   }
 
-  private static RaftCommand command(FleetRequest.Propose request, VersionRegister register) {
+  private static RaftCommand toCommand(FleetRequest.Propose request, VersionRegister register) {
     synchronized (register) {
       return new RaftCommand.Propose(
           request.basis(),
           request.text(),
           register.inForce().routers(),
-          request.who(),
-          request.why(),
+          request.proposer(),
+          request.reason(),
           System.currentTimeMillis());
     }
   }
 
-  private static FleetReply reply(String objection) {
-    return objection.isEmpty() ? new FleetReply.Accepted() : new FleetReply.Refused(objection);
+  private static FleetReply toReply(String rejectionReason) {
+    return rejectionReason.isEmpty()
+        ? new FleetReply.Accepted()
+        : new FleetReply.Rejected(rejectionReason);
   }
 
-  private void sendLater(ChannelHandlerContext context, FleetReply reply) {
+  private void sendOnEventLoop(ChannelHandlerContext context, FleetReply reply) {
     loop.execute(() -> send(context, reply));
   }
 
   /** The voter's folder is forgotten first, since it may come with another one. */
   private void changeVoters(ChannelHandlerContext context, FleetRequest.ChangeVoters request) {
-    RaftNode node = lifecycle.node();
-    String objection =
-        node == null || !leader.isServing()
+    RaftNode raftNode = lifecycle.raftNode();
+    String rejectionReason =
+        raftNode == null || !fleetLeader.isServing()
             ? voterName + " does not lead"
-            : objection(request, node.members());
-    if (!objection.isEmpty()) {
-      send(context, new FleetReply.Refused(objection));
+            : rejectionReason(request, raftNode.voters());
+    if (!rejectionReason.isEmpty()) {
+      send(context, new FleetReply.Rejected(rejectionReason));
       return;
     }
     CompletableFuture<byte[]> change =
-        node.submit(new RaftCommand.ForgetVoterFolder(request.voter()))
-            .thenCompose(answer -> node.changeMember(request.voter(), request.add()));
+        raftNode
+            .submit(new RaftCommand.RemoveVoterFolder(request.voter()))
+            .thenCompose(answer -> raftNode.changeVoter(request.voter(), request.add()));
     change
-        .orTimeout(CHANGE_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+        .orTimeout(VOTER_CHANGE_TIMEOUT_SECONDS, TimeUnit.SECONDS)
         .whenComplete(
             (answer, fault) ->
-                sendLater(
+                sendOnEventLoop(
                     context,
                     fault == null
                         ? new FleetReply.Accepted()
@@ -146,18 +151,18 @@
   }
 
   /** Empty where there is none. */
-  private String objection(FleetRequest.ChangeVoters request, List<String> members) {
+  private String rejectionReason(FleetRequest.ChangeVoters request, List<String> voters) {
     String voter = request.voter();
     if (!isPeer(voter)) {
-      return noPeer(voter);
+      return notPeerReason(voter);
     }
-    if (request.add() == members.contains(voter)) {
+    if (request.add() == voters.contains(voter)) {
       return voter + (request.add() ? " votes already" : " does not vote");
     }
     if (!request.add() && voter.equals(voterName)) {
       return voterName + " leads: stop it first, so that another does";
     }
-    return !request.add() && members.size() == 1 ? voter + " is the only one" : "";
+    return !request.add() && voters.size() == 1 ? voter + " is the only one" : "";
   }
 
   private void recoverInBackground(ChannelHandlerContext context, FleetRequest.Recover request) {
@@ -168,12 +173,12 @@
 
   @SuppressWarnings("IllegalCatch") // The last guard of its thread; JGroups declares Exception.
   private void recover(ChannelHandlerContext context, FleetRequest.Recover request) {
-    String objection;
+    String rejectionReason;
     try {
-      objection = lifecycle.recover(request);
+      rejectionReason = lifecycle.recover(request);
     } catch (Exception fault) {
-      objection = "" + fault;
+      rejectionReason = "" + fault;
     }
-    sendLater(context, reply(objection));
+    sendOnEventLoop(context, toReply(rejectionReason));
   }
 }
--- a/router/src/main/java/basaltlever/fleet/SentVersion.java
+++ b/router/src/main/java/basaltlever/fleet/SentVersion.java
@@ -10,7 +10,7 @@
  */
 public record SentVersion(SettingsVersion version, boolean hasText) {
   /** With its text, unless the receiver has that version already; null stays null. */
-  static SentVersion unlessKnown(SettingsVersion version, long knownNumber) {
+  static SentVersion withTextUnlessKnown(SettingsVersion version, long knownNumber) {
     return version == null ? null : new SentVersion(version, version.number() != knownNumber);
   }
 }
--- a/router/src/main/java/basaltlever/fleet/StatusCodec.java
+++ b/router/src/main/java/basaltlever/fleet/StatusCodec.java
@@ -1,8 +1,8 @@
 package basaltlever.fleet;
 
-import basaltlever.fleet.StatusReport.ForkLine;
-import basaltlever.fleet.StatusReport.HistoryLine;
-import basaltlever.fleet.StatusReport.PeerLine;
+import basaltlever.fleet.StatusReport.ForkStatus;
+import basaltlever.fleet.StatusReport.RouterStatus;
+import basaltlever.fleet.StatusReport.VersionStatus;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -15,46 +15,47 @@
   public static Map<String, Object> encode(StatusReport status) {
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("do", "status");
-    fields.put("leads", status.leads());
-    fields.put("standing", status.standing());
+    fields.put("leads", status.isLeader());
+    fields.put("standing", status.raftStatus());
     fields.put("charter", status.epoch());
-    fields.put("members", status.members());
-    fields.put("fresh", status.emptyFolder());
-    fields.put("changes", status.changes());
+    fields.put("members", status.voters());
+    fields.put("fresh", status.hasUnusedFolder());
+    fields.put("changes", status.changeCount());
     fields.put("force", VersionCodec.encode(status.inForce()));
     fields.put("prepared", VersionCodec.encode(status.prepared()));
     fields.put("history", status.history().stream().map(StatusCodec::encode).toList());
-    fields.put("peers", status.peers().stream().map(StatusCodec::encode).toList());
+    fields.put("peers", status.routers().stream().map(StatusCodec::encode).toList());
     fields.put("forks", status.forks().stream().map(StatusCodec::encode).toList());
     fields.put("era", status.era());
-    fields.put("seats", status.assignmentsNumber());
-    fields.put("moving", status.moving().stream().map(MembershipCodec::encode).toList());
-    fields.put("seal", status.folderOfAsker());
+    fields.put("seats", status.assignmentChangeNumber());
+    fields.put(
+        "moving", status.pendingAssignments().stream().map(MembershipCodec::encode).toList());
+    fields.put("seal", status.requesterFolderId());
     return fields;
   }
 
   /** One line of the history. */
-  public static Map<String, Object> encode(HistoryLine line) {
+  public static Map<String, Object> encode(VersionStatus version) {
     return VersionCodec.withOutcome(
-        VersionCodec.encode(line.version()), line.outcome(), line.reason());
+        VersionCodec.encode(version.version()), version.outcome(), version.reason());
   }
 
-  private static Map<String, Object> encode(PeerLine peer) {
+  private static Map<String, Object> encode(RouterStatus router) {
     Map<String, Object> fields = new LinkedHashMap<>();
-    fields.put("name", peer.name());
-    fields.put("incarnation", peer.incarnation());
-    fields.put("lease_ms", peer.leaseMillis());
-    fields.put("heard_ms_ago", peer.heardMillisAgo());
-    fields.put("force", peer.inForce());
-    fields.put("keeps", peer.keepsTo());
-    fields.put("refusal", peer.refusal());
-    fields.put("generation", peer.generation());
-    fields.put("digest", peer.digest());
-    fields.put("list", peer.listState());
+    fields.put("name", router.name());
+    fields.put("incarnation", router.incarnation());
+    fields.put("lease_ms", router.leaseMillis());
+    fields.put("heard_ms_ago", router.millisSinceHeartbeat());
+    fields.put("force", router.inForce());
+    fields.put("keeps", router.acknowledged());
+    fields.put("refusal", router.rejectionReason());
+    fields.put("generation", router.generation());
+    fields.put("digest", router.digest());
+    fields.put("list", router.listState());
     return fields;
   }
 
-  private static Map<String, Object> encode(ForkLine fork) {
+  private static Map<String, Object> encode(ForkStatus fork) {
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("generation", fork.generation());
     fields.put("holders", fork.holders());
@@ -63,50 +64,50 @@
 
   static StatusReport decode(Map<?, ?> fields) {
     return new StatusReport(
-        MessageCodec.flag(fields, "leads"),
-        MessageCodec.text(fields, "standing"),
-        MessageCodec.number(fields, "charter"),
-        MessageCodec.texts(fields, "members"),
-        MessageCodec.flag(fields, "fresh"),
-        MessageCodec.number(fields, "changes"),
+        MessageCodec.getFlag(fields, "leads"),
+        MessageCodec.getText(fields, "standing"),
+        MessageCodec.getNumber(fields, "charter"),
+        MessageCodec.getTexts(fields, "members"),
+        MessageCodec.getFlag(fields, "fresh"),
+        MessageCodec.getNumber(fields, "changes"),
         VersionCodec.decode(fields.get("force")),
         VersionCodec.decode(fields.get("prepared")),
-        MembershipCodec.decodeAll(fields.get("history"), StatusCodec::decodeHistoryLine),
-        MembershipCodec.decodeAll(fields.get("peers"), StatusCodec::decodePeer),
-        MembershipCodec.decodeAll(fields.get("forks"), StatusCodec::decodeFork),
-        MessageCodec.number(fields, "era"),
-        MessageCodec.number(fields, "seats"),
+        MembershipCodec.decodeAll(fields.get("history"), StatusCodec::decodeVersionStatus),
+        MembershipCodec.decodeAll(fields.get("peers"), StatusCodec::decodeRouterStatus),
+        MembershipCodec.decodeAll(fields.get("forks"), StatusCodec::decodeForkStatus),
+        MessageCodec.getNumber(fields, "era"),
+        MessageCodec.getNumber(fields, "seats"),
         MembershipCodec.decodeAssignments(fields.get("moving")),
-        MessageCodec.text(fields, "seal"));
+        MessageCodec.getText(fields, "seal"));
   }
 
-  private static HistoryLine decodeHistoryLine(Map<?, ?> fields) {
-    return new HistoryLine(
+  private static VersionStatus decodeVersionStatus(Map<?, ?> fields) {
+    return new VersionStatus(
         VersionCodec.decodeSent(fields),
-        MessageCodec.text(fields, "end"),
-        MessageCodec.text(fields, "reason"));
+        MessageCodec.getText(fields, "end"),
+        MessageCodec.getText(fields, "reason"));
   }
 
-  private static PeerLine decodePeer(Map<?, ?> fields) {
-    return new PeerLine(
-        MessageCodec.text(fields, "name"),
-        MessageCodec.number(fields, "incarnation"),
-        MessageCodec.number(fields, "lease_ms"),
-        MessageCodec.number(fields, "heard_ms_ago"),
-        MessageCodec.number(fields, "force"),
-        MessageCodec.number(fields, "keeps"),
-        MessageCodec.text(fields, "refusal"),
-        MessageCodec.number(fields, "generation"),
-        MessageCodec.text(fields, "digest"),
-        MessageCodec.text(fields, "list"));
+  private static RouterStatus decodeRouterStatus(Map<?, ?> fields) {
+    return new RouterStatus(
+        MessageCodec.getText(fields, "name"),
+        MessageCodec.getNumber(fields, "incarnation"),
+        MessageCodec.getNumber(fields, "lease_ms"),
+        MessageCodec.getNumber(fields, "heard_ms_ago"),
+        MessageCodec.getNumber(fields, "force"),
+        MessageCodec.getNumber(fields, "keeps"),
+        MessageCodec.getText(fields, "refusal"),
+        MessageCodec.getNumber(fields, "generation"),
+        MessageCodec.getText(fields, "digest"),
+        MessageCodec.getText(fields, "list"));
   }
 
-  private static ForkLine decodeFork(Map<?, ?> fields) {
+  private static ForkStatus decodeForkStatus(Map<?, ?> fields) {
     List<List<String>> holders =
         fields.get("holders") instanceof List<?> lists
             ? lists.stream().map(StatusCodec::decodeNames).toList()
             : List.of();
-    return new ForkLine(MessageCodec.number(fields, "generation"), holders);
+    return new ForkStatus(MessageCodec.getNumber(fields, "generation"), holders);
   }
 
   private static List<String> decodeNames(Object value) {
--- a/router/src/main/java/basaltlever/fleet/VersionCodec.java
+++ b/router/src/main/java/basaltlever/fleet/VersionCodec.java
@@ -52,12 +52,12 @@
   static SettingsVersion decode(Object value) {
     return value instanceof Map<?, ?> fields
         ? new SettingsVersion(
-            MessageCodec.number(fields, "number"),
-            MessageCodec.text(fields, "text"),
-            (int) Math.max(1, MessageCodec.number(fields, "routers")),
-            MessageCodec.text(fields, "who"),
-            MessageCodec.text(fields, "why"),
-            MessageCodec.number(fields, "at"))
+            MessageCodec.getNumber(fields, "number"),
+            MessageCodec.getText(fields, "text"),
+            (int) Math.max(1, MessageCodec.getNumber(fields, "routers")),
+            MessageCodec.getText(fields, "who"),
+            MessageCodec.getText(fields, "why"),
+            MessageCodec.getNumber(fields, "at"))
         : null;
   }
 
@@ -72,8 +72,8 @@
   static HistoryEntry decodeHistoryEntry(Map<?, ?> fields) {
     return new HistoryEntry(
         decode(fields),
-        VersionOutcome.valueOf(MessageCodec.text(fields, "end")),
-        MessageCodec.text(fields, "reason"));
+        VersionOutcome.valueOf(MessageCodec.getText(fields, "end")),
+        MessageCodec.getText(fields, "reason"));
   }
 
   static SettingsVersion withText(SettingsVersion version, String text) {
--- a/router/src/main/java/basaltlever/fleet/VoterLifecycle.java
+++ b/router/src/main/java/basaltlever/fleet/VoterLifecycle.java
@@ -21,21 +21,21 @@
  */
 final class VoterLifecycle implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(VoterLifecycle.class);
-  private static final long RETRY_MILLIS = 200;
+  private static final long ELIGIBILITY_RETRY_MILLIS = 200;
   private static final long CHECK_INTERVAL_MILLIS = 2_000;
-  private static final long MIN_SUSPECT_MILLIS = 300;
+  private static final long MIN_SUSPECT_TIMEOUT_MILLIS = 300;
 
   private final FleetSettings settings;
   private final String name;
   private final VoterStore store;
   private final PeerPoller poller;
-  private final Consumer<Boolean> leadershipChanged;
+  private final Consumer<Boolean> onLeadershipChanged;
 
   /** What is reported while this instance doesn't vote. */
   private final VersionRegister emptyRegister = new VersionRegister();
 
   /** Null while this instance may not vote. */
-  private volatile RaftNode node;
+  private volatile RaftNode raftNode;
 
   private volatile long epoch;
   private volatile String waitReason = "";
@@ -44,19 +44,22 @@
 
   /** LeadershipChanged is called on any thread. */
   VoterLifecycle(
-      FleetSettings settings, String name, VoterStore store, Consumer<Boolean> leadershipChanged) {
+      FleetSettings settings,
+      String name,
+      VoterStore store,
+      Consumer<Boolean> onLeadershipChanged) {
     this.settings = settings;
     this.name = name;
     this.store = store;
-    this.leadershipChanged = leadershipChanged;
+    this.onLeadershipChanged = onLeadershipChanged;
     poller = new PeerPoller(settings, name, store);
   }
 
   /** Starts to look for a way to vote, in the background. */
   void start() {
-    Thread eligibility = new Thread(this::checkUntilClosed, "voter-eligibility");
-    eligibility.setDaemon(true);
-    eligibility.start();
+    Thread eligibilityThread = new Thread(this::checkUntilClosed, "voter-eligibility");
+    eligibilityThread.setDaemon(true);
+    eligibilityThread.start();
   }
 
   /** Checks again and again, since a voter may have been removed or given up while it was away. */
@@ -65,7 +68,7 @@
     while (!closed) {
       try {
         checkEligibility(poller.pollAll());
-        Thread.sleep(node == null ? RETRY_MILLIS : CHECK_INTERVAL_MILLIS);
+        Thread.sleep(raftNode == null ? ELIGIBILITY_RETRY_MILLIS : CHECK_INTERVAL_MILLIS);
       } catch (InterruptedException ended) {
         return;
       } catch (Exception fault) {
@@ -82,7 +85,7 @@
 
   private void checkEligibility(List<PeerStatus> others) throws Exception {
     synchronized (store) {
-      if (node == null && !closed) {
+      if (raftNode == null && !closed) {
         VoterIdentity identity = store.identity();
         startVoting(
             VoterEligibility.decide(
@@ -111,20 +114,20 @@
       return;
     }
     if (eligibility.kind() != VoterEligibility.Kind.RESUME) {
-      store.recordVote(eligibility.epoch(), eligibility.voters());
+      store.recordVotingEpoch(eligibility.epoch(), eligibility.voters());
     }
     waitReason = "";
     epoch = eligibility.epoch();
     Files.createDirectories(store.logFolder(epoch));
-    node =
+    raftNode =
         new RaftNode(
             epoch == 0 ? settings.name() : settings.name() + "#" + epoch,
             name,
             settings.voters(),
             eligibility.voters(),
             store.logFolder(epoch),
-            Math.max(MIN_SUSPECT_MILLIS, settings.lease().micros() / 1_000),
-            leadershipChanged);
+            Math.max(MIN_SUSPECT_TIMEOUT_MILLIS, settings.lease().micros() / 1_000),
+            onLeadershipChanged);
     Event.FLEET_STANDS.log(
         LOG,
         Level.INFO,
@@ -139,9 +142,9 @@
 
   /** Stops voting, since the others go on in a newer epoch or without this instance. */
   private void retire() {
-    RaftNode former = node;
-    node = null;
-    leadershipChanged.accept(false);
+    RaftNode former = raftNode;
+    raftNode = null;
+    onLeadershipChanged.accept(false);
     former.close();
     Event.FLEET_STANDS.log(
         LOG, Level.WARN, "", "retires", "a charter newer than " + epoch + ", or taken out");
@@ -149,18 +152,18 @@
 
   /** Stops voting in the background, since a newer epoch has been reported. */
   void retireInBackground() {
-    Thread retirement =
+    Thread retirementThread =
         new Thread(
             () -> {
               synchronized (store) {
-                if (node != null) {
+                if (raftNode != null) {
                   retire();
                 }
               }
             },
             "voter-retirement");
-    retirement.setDaemon(true);
-    retirement.start();
+    retirementThread.setDaemon(true);
+    retirementThread.start();
   }
 
   /**
@@ -169,76 +172,78 @@
    */
   String recover(FleetRequest.Recover request) throws Exception {
     synchronized (store) {
-      RaftNode former = node;
-      String objection = objectionToRecovery(request, former);
-      if (!objection.isEmpty()) {
-        return objection;
+      RaftNode former = raftNode;
+      String rejectionReason = reasonToRejectRecovery(request, former);
+      if (!rejectionReason.isEmpty()) {
+        return rejectionReason;
       }
-      node = null;
+      raftNode = null;
       former.close();
       VersionRegister register = former.register();
       synchronized (register) {
         register.recover(
-            new TreeSet<>(request.ended()),
-            request.who(),
-            request.why(),
+            new TreeSet<>(request.endedVoters()),
+            request.proposer(),
+            request.reason(),
             System.currentTimeMillis());
       }
       long newEpoch = epoch + 1;
       store.writeEpochStart(newEpoch, RegisterContent.of(register));
-      store.recordVote(newEpoch, List.of(name));
+      store.recordVotingEpoch(newEpoch, List.of(name));
       startVoting(new VoterEligibility(VoterEligibility.Kind.RESUME, newEpoch, List.of(name), ""));
       return "";
     }
   }
 
-  private String objectionToRecovery(FleetRequest.Recover request, RaftNode current) {
+  private String reasonToRejectRecovery(FleetRequest.Recover request, RaftNode current) {
     if (current == null) {
       return name + " does not vote: " + waitReason;
     }
     if (request.epoch() != epoch + 1) {
       return "charter " + epoch + " holds, so the next one is " + (epoch + 1);
     }
-    if (leading || !current.leader().isEmpty()) {
-      return "a majority is there: " + (leading ? name : current.leader()) + " leads";
+    if (leading || !current.leaderName().isEmpty()) {
+      return "a majority is there: " + (leading ? name : current.leaderName()) + " leads";
     }
-    for (String member : current.members()) {
-      if (!member.equals(name)) {
-        String objection =
-            objectionOfMember(
-                member, request.ended().contains(member), current.register().changeCount());
-        if (!objection.isEmpty()) {
-          return objection;
+    for (String voter : current.voters()) {
+      if (!voter.equals(name)) {
+        String rejectionReason =
+            reasonToRejectRecoveryBy(
+                voter, request.endedVoters().contains(voter), current.register().changeCount());
+        if (!rejectionReason.isEmpty()) {
+          return rejectionReason;
         }
       }
     }
     return "";
   }
 
-  private String objectionOfMember(String member, boolean ended, long ownChanges) {
-    StatusReport status = poller.poll(member);
-    if (ended) {
-      return status == null ? "" : member + " answers, so it is not ended";
+  private String reasonToRejectRecoveryBy(String voter, boolean isEnded, long ownChangeCount) {
+    StatusReport status = poller.poll(voter);
+    if (isEnded) {
+      return status == null ? "" : voter + " answers, so it is not ended";
     }
     if (status == null) {
-      return member + " votes too: end it and name it, or bring it back";
+      return voter + " votes too: end it and name it, or bring it back";
     }
-    return status.changes() > ownChanges ? member + " knows more: have it recover instead" : "";
+    return status.changeCount() > ownChangeCount
+        ? voter + " knows more: have it recover instead"
+        : "";
   }
 
   /** Told by the event loop, once it has acted on a change of leadership. */
-  void setLeading(boolean nowLeading) {
-    leading = nowLeading;
+  void setLeading(boolean isLeading) {
+    leading = isLeading;
   }
 
   /** Null while this instance doesn't vote. */
-  RaftNode node() {
-    return node;
+  RaftNode raftNode() {
+    return raftNode;
   }
 
   /** The register of the node, or an empty one while this instance doesn't vote. */
   VersionRegister register() {
-    RaftNode current = node;
+    RaftNode current = raftNode;
     return current == null ? emptyRegister : current.register();
   }
 
@@ -255,22 +260,22 @@
    * Whether the register holds what the epoch starts with: before that nothing may be led by it.
    */
   boolean hasStartedEpoch() {
-    RaftNode current = node;
+    RaftNode current = raftNode;
     return current != null && current.register().epoch() == epoch;
   }
 
   /** What the epoch starts with; null where it has started, or is not for this voter to start. */
   RegisterContent pendingEpochStart() throws IOException {
-    return hasStartedEpoch() || node == null ? null : store.readEpochStart(epoch);
+    return hasStartedEpoch() || raftNode == null ? null : store.readEpochStart(epoch);
   }
 
   /** The id of the folder by which this instance votes; empty while it doesn't vote. */
   String folderId() {
-    return node == null ? "" : store.identity().folderId();
+    return raftNode == null ? "" : store.identity().folderId();
   }
 
   /** Whether the folder of this instance has never been used to vote. */
-  boolean hasEmptyFolder() {
+  boolean hasUnusedFolder() {
     return store.identity().voters().isEmpty();
   }
 
@@ -278,8 +283,8 @@
   public void close() {
     closed = true;
     synchronized (store) {
-      if (node != null) {
-        node.close();
+      if (raftNode != null) {
+        raftNode.close();
       }
     }
   }
--- a/router/src/main/java/basaltlever/fleet/VoterServer.java
+++ b/router/src/main/java/basaltlever/fleet/VoterServer.java
@@ -19,8 +19,8 @@
   private final String name;
   private final EventLoop loop;
   private final VoterLifecycle lifecycle;
-  private final FleetLeader leader;
-  private final StatusReporter status;
+  private final FleetLeader fleetLeader;
+  private final StatusReporter statusReporter;
   private final Channel listener;
 
   /** Of the event loop. */
@@ -32,16 +32,16 @@
     this.settings = settings;
     this.name = name;
     this.loop = loop;
-    lifecycle = new VoterLifecycle(settings, name, store, this::leadershipChanged);
-    leader = new FleetLeader(settings, loop, lifecycle);
-    status = new StatusReporter(lifecycle, leader);
+    lifecycle = new VoterLifecycle(settings, name, store, this::onLeadershipChanged);
+    fleetLeader = new FleetLeader(settings, loop, lifecycle);
+    statusReporter = new StatusReporter(lifecycle, fleetLeader);
     listener = listen();
-    leader.start();
+    fleetLeader.start();
     lifecycle.start();
   }
 
-  private void leadershipChanged(boolean leading) {
-    loop.execute(() -> leader.leadershipChanged(leading));
+  private void onLeadershipChanged(boolean leading) {
+    loop.execute(() -> fleetLeader.onLeadershipChanged(leading));
   }
 
   private Channel listen() throws InterruptedException {
@@ -69,7 +69,9 @@
     }
     openConnections++;
     channel.closeFuture().addListener(closed -> openConnections--);
-    channel.pipeline().addLast(new RequestHandler(settings, name, loop, lifecycle, leader, status));
+    channel
+        .pipeline()
+        .addLast(new RequestHandler(settings, name, loop, lifecycle, fleetLeader, statusReporter));
   }
 
   /** The id of the folder by which this instance votes; empty while it doesn't vote. */
--- a/router/src/main/java/basaltlever/fleet/VoterStore.java
+++ b/router/src/main/java/basaltlever/fleet/VoterStore.java
@@ -20,11 +20,11 @@
  * one that can't be read, is rejected: an instance that goes on with a guess could vote twice.
  */
 public final class VoterStore {
-  private static final String FILE = "papers";
-  private static final String NEW_FILE = "papers.new";
+  private static final String IDENTITY_FILE = "papers";
+  private static final String NEW_IDENTITY_FILE = "papers.new";
   private static final String EPOCH_START_FILE = "seed";
   private static final String NEW_EPOCH_START_FILE = "seed.new";
-  private static final int MAX_FILE_BYTES = MessageCodec.MAX_BYTES;
+  private static final int MAX_FILE_BYTES = MessageCodec.MAX_MESSAGE_BYTES;
 
   private final LockedDirectory directory;
   private VoterIdentity identity;
@@ -48,10 +48,10 @@
   }
 
   /** The folder of the router by that name; throws with the reason where it is not its own. */
-  public static VoterStore read(Path path, String fleet, String name) throws IOException {
+  public static VoterStore open(Path path, String fleet, String name) throws IOException {
     Files.createDirectories(path);
     LockedDirectory directory = new LockedDirectory(path);
-    if (!directory.list().contains(FILE)) {
+    if (!directory.list().contains(IDENTITY_FILE)) {
       String id = UUID.randomUUID().toString();
       VoterIdentity identity = new VoterIdentity(fleet, name, id, 0, List.of());
       return new VoterStore(directory, identity, 0, List.of(), null);
@@ -59,27 +59,27 @@
     Map<String, Object> fields = readFields(path, directory);
     VoterIdentity identity =
         new VoterIdentity(
-            MessageCodec.text(fields, "fleet"),
-            MessageCodec.text(fields, "name"),
-            MessageCodec.text(fields, "id"),
-            MessageCodec.number(fields, "charter"),
-            MessageCodec.texts(fields, "members"));
+            MessageCodec.getText(fields, "fleet"),
+            MessageCodec.getText(fields, "name"),
+            MessageCodec.getText(fields, "id"),
+            MessageCodec.getNumber(fields, "charter"),
+            MessageCodec.getTexts(fields, "members"));
     checkOwner(path, identity, fleet, name);
     return new VoterStore(
         directory,
         identity,
-        MessageCodec.number(fields, "knows"),
-        MessageCodec.texts(fields, "voters"),
+        MessageCodec.getNumber(fields, "knows"),
+        MessageCodec.getTexts(fields, "voters"),
         VersionCodec.decode(fields.get("told")));
   }
 
   private static Map<String, Object> readFields(Path path, LockedDirectory directory)
       throws IOException {
-    byte[] bytes = directory.read(FILE, MAX_FILE_BYTES);
+    byte[] bytes = directory.read(IDENTITY_FILE, MAX_FILE_BYTES);
     if (bytes.length < Long.BYTES
         || ByteBuffer.wrap(bytes).getLong() != checksum(bytes, Long.BYTES)) {
       throw new IOException(
-          path.resolve(FILE)
+          path.resolve(IDENTITY_FILE)
               + " is damaged: bring the folder back from a copy, or take this"
               + " voter out, empty the folder and take it in again");
     }
@@ -112,15 +112,15 @@
   }
 
   /** Records under which epoch and with whom this instance votes from here on. */
-  synchronized void recordVote(long epoch, List<String> members) throws IOException {
+  synchronized void recordVotingEpoch(long epoch, List<String> voters) throws IOException {
     identity =
         new VoterIdentity(
-            identity.fleet(), identity.name(), identity.folderId(), epoch, List.copyOf(members));
+            identity.fleet(), identity.name(), identity.folderId(), epoch, List.copyOf(voters));
     latestEpoch = Math.max(latestEpoch, epoch);
     write();
   }
 
-  synchronized void recordEpoch(long epoch) throws IOException {
+  synchronized void recordLatestEpoch(long epoch) throws IOException {
     if (epoch > latestEpoch) {
       latestEpoch = epoch;
       write();
@@ -135,9 +135,9 @@
     return voters;
   }
 
-  synchronized void recordVoters(List<String> members) throws IOException {
-    if (!members.isEmpty() && !members.equals(voters)) {
-      voters = List.copyOf(members);
+  synchronized void recordVoters(List<String> newVoters) throws IOException {
+    if (!newVoters.isEmpty() && !newVoters.equals(voters)) {
+      voters = List.copyOf(newVoters);
       write();
     }
   }
@@ -175,9 +175,9 @@
     }
     ByteBuffer bytes =
         ByteBuffer.allocate(Long.BYTES + content.length).putLong(checksum(content, 0)).put(content);
-    directory.write(NEW_FILE, bytes.array());
-    directory.sync(NEW_FILE);
-    directory.rename(NEW_FILE, FILE);
+    directory.write(NEW_IDENTITY_FILE, bytes.array());
+    directory.sync(NEW_IDENTITY_FILE);
+    directory.rename(NEW_IDENTITY_FILE, IDENTITY_FILE);
     directory.syncDirectory();
   }
 
@@ -191,7 +191,7 @@
     return RaftCommandCodec.decodeContent(MessageCodec.read(bytes, 0, bytes.length));
   }
 
-  /** Takes effect with the {@link #recordVote} that has to follow. */
+  /** Takes effect with the {@link #recordVotingEpoch} that has to follow. */
   synchronized void writeEpochStart(long epoch, RegisterContent content) throws IOException {
     LockedDirectory epochFolder = new LockedDirectory(Files.createDirectories(logFolder(epoch)));
     epochFolder.write(NEW_EPOCH_START_FILE, MessageCodec.write(RaftCommandCodec.encode(content)));
--- a/router/src/main/java/basaltlever/net/Router.java
+++ b/router/src/main/java/basaltlever/net/Router.java
@@ -479,7 +479,7 @@
         .sync();
     try {
       VoterStore voterStore =
-          VoterStore.read(fleetSettings.voterDirectory(), fleetSettings.name(), start.name());
+          VoterStore.open(fleetSettings.voterDirectory(), fleetSettings.name(), start.name());
       loop.submit(
               () -> {
                 leaseGuard.leaseHolder().restoreEpoch(voterStore.latestEpoch());
--- a/router/src/test/java/basaltlever/fleet/StoredVersionTest.java
+++ b/router/src/test/java/basaltlever/fleet/StoredVersionTest.java
@@ -28,7 +28,7 @@
  * it.
  */
 class StoredVersionTest {
-  private static InetSocketAddress free() throws Exception {
+  private static InetSocketAddress freeAddress() throws Exception {
     try (ServerSocket socket = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
       return new InetSocketAddress("127.0.0.1", socket.getLocalPort());
     }
@@ -37,8 +37,8 @@
   private static FleetSettings settings(Path folder) throws Exception {
     return new FleetSettings(
         "cards",
-        Map.of("n1", free()),
-        Map.of("n1", free()),
+        Map.of("n1", freeAddress()),
+        Map.of("n1", freeAddress()),
         folder,
         Span.ofMillis(400),
         Span.ofMillis(1_000),
@@ -47,37 +47,42 @@
 
   /** A router that reports nothing but its heartbeats. */
   private static FleetMember start(
-      Path folder, VoterStore store, BiConsumer<LeaseGrant, MembershipUpdate> granted)
+      Path folder, VoterStore store, BiConsumer<LeaseGrant, MembershipUpdate> onLeaseGranted)
       throws Exception {
     MembershipView view = new MembershipView(Span.ofMillis(1_000), Span.ofMillis(3_000));
     AtomicLong heartbeats = new AtomicLong();
     AtomicReference<FleetMember> fleet = new AtomicReference<>();
-    Runnable heartbeatDue =
+    Runnable onHeartbeatDue =
         () -> {
           if (fleet.get() != null) {
             HeartbeatReport report =
-                view.createReport(new Moment(System.nanoTime() / 1_000), member -> true);
+                view.createReport(new Moment(System.nanoTime() / 1_000), endpoint -> true);
             fleet.get().sendHeartbeat(heartbeats.incrementAndGet(), 0, 0, 0, 0, "", true, report);
           }
         };
     fleet.set(
         new FleetMember(
-            settings(folder), "n1", store, new SplittableRandom(1), heartbeatDue, granted));
+            settings(folder),
+            "n1",
+            store,
+            new SplittableRandom(1),
+            onHeartbeatDue,
+            onLeaseGranted));
     return fleet.get();
   }
 
   @Example
-  void theVersionInForceIsKeptByTheTimeARouterIsGrantedIt() throws Exception {
+  void versionInForceIsStoredBeforeTheGrantIsDelivered() throws Exception {
     Path folder = Files.createTempDirectory("told");
-    VoterStore store = VoterStore.read(folder, "cards", "n1");
+    VoterStore store = VoterStore.open(folder, "cards", "n1");
     check(store.inForce() == null, "an empty folder was told nothing");
-    AtomicReference<SettingsVersion> kept = new AtomicReference<>();
+    AtomicReference<SettingsVersion> stored = new AtomicReference<>();
     AtomicReference<LeaseGrant> granted = new AtomicReference<>();
     CountDownLatch leased = new CountDownLatch(1);
     BiConsumer<LeaseGrant, MembershipUpdate> onGrant =
         (grant, lists) -> {
           if (grant.duration().micros() > 0 && leased.getCount() > 0) {
-            kept.set(store.inForce());
+            stored.set(store.inForce());
             granted.set(grant);
             leased.countDown();
           }
@@ -86,11 +91,11 @@
       check(fleet != null, "started");
       check(leased.await(20, TimeUnit.SECONDS), "it leads itself");
       check(
-          granted.get().inForce().equals(kept.get()),
-          "in force: " + granted.get().inForce() + ", kept: " + kept);
+          granted.get().inForce().equals(stored.get()),
+          "in force: " + granted.get().inForce() + ", kept: " + stored);
     }
     check(
-        VoterStore.read(folder, "cards", "n1").inForce().equals(kept.get()),
+        VoterStore.open(folder, "cards", "n1").inForce().equals(stored.get()),
         "and found by the next process");
   }
 }
--- a/router/src/test/java/basaltlever/fleet/TypedMessagesTest.java
+++ b/router/src/test/java/basaltlever/fleet/TypedMessagesTest.java
@@ -24,16 +24,17 @@
  * and keys that are missing taking their defaults.
  */
 class TypedMessagesTest {
-  private static final ListVersion AT = new ListVersion(1, 42);
-  private static final GroupAssignment ASSIGNMENT = new GroupAssignment("db-1", 3, AT, true);
-  private static final DrainMark MARK = new DrainMark("db-2", AT, true);
+  private static final ListVersion LIST_VERSION = new ListVersion(1, 42);
+  private static final GroupAssignment ASSIGNMENT =
+      new GroupAssignment("db-1", 3, LIST_VERSION, true);
+  private static final DrainMark MARK = new DrainMark("db-2", LIST_VERSION, true);
   private static final SettingsVersion VERSION =
       new SettingsVersion(7, "{\"MaxOpen\":400}", 12, "ops", "more", 1_796_000_000_000L);
   private static final SettingsVersion WITHOUT_TEXT =
       new SettingsVersion(6, "", 11, "ops", "fewer", 1_795_000_000_000L);
   private static final HeartbeatReport REPORT =
       new HeartbeatReport(
-          AT,
+          LIST_VERSION,
           99,
           ListAnomaly.BACK,
           List.of(MARK),
@@ -45,10 +46,10 @@
           7);
   private static final MembershipUpdate UPDATE =
       new MembershipUpdate(
-          1, 2, List.of(MARK), 3, ListAgreement.AHEAD, AT, 99, 1, 8, List.of(ASSIGNMENT));
+          1, 2, List.of(MARK), 3, ListAgreement.AHEAD, LIST_VERSION, 99, 1, 8, List.of(ASSIGNMENT));
 
   /** Over the bytes of the wire, with keys of a later release. */
-  private static Map<String, Object> sent(Map<String, Object> fields) throws IOException {
+  private static Map<String, Object> roundTrip(Map<String, Object> fields) throws IOException {
     Map<String, Object> withUnknown = new LinkedHashMap<>();
     withUnknown.put("of_a_later_release", List.of(Map.of("a", 1)));
     withUnknown.putAll(fields);
@@ -57,7 +58,7 @@
   }
 
   @Example
-  void requestsAreReadAsWritten() throws IOException {
+  void decodedRequestsEqualTheEncodedOnes() throws IOException {
     List<FleetRequest> requests =
         List.of(
             new FleetRequest.Heartbeat(
@@ -68,13 +69,13 @@
             new FleetRequest.Status("cards", "n2"),
             new FleetRequest.Status("cards", ""));
     for (FleetRequest request : requests) {
-      FleetRequest read = RequestCodec.decode(sent(RequestCodec.encode(request)));
-      check(read.equals(request), request + " is read as " + read);
+      FleetRequest decoded = RequestCodec.decode(roundTrip(RequestCodec.encode(request)));
+      check(decoded.equals(request), request + " is read as " + decoded);
     }
   }
 
   @Example
-  void repliesAreReadAsWritten() throws IOException {
+  void decodedRepliesEqualTheEncodedOnes() throws IOException {
     List<FleetReply> replies =
         List.of(
             new FleetReply.LeaseGranted(
@@ -89,15 +90,17 @@
                 6, Span.NONE, 14, List.of(), new SentVersion(VERSION, true), null, UPDATE),
             new FleetReply.NotLeader("n2"),
             new FleetReply.Accepted(),
-            new FleetReply.Refused("stale"),
+            new FleetReply.Rejected("stale"),
             new FleetReply.Undecided("no majority"),
             status());
     for (FleetReply reply : replies) {
-      FleetReply read = ReplyCodec.decode(sent(ReplyCodec.encode(reply)));
-      check(read.equals(reply), reply + " is read as " + read);
+      FleetReply decoded = ReplyCodec.decode(roundTrip(ReplyCodec.encode(reply)));
+      check(decoded.equals(reply), reply + " is read as " + decoded);
     }
-    FleetReply read = ReplyCodec.decode(sent(ReplyCodec.encode(new FleetReply.Retiring())));
-    check(read.equals(new FleetReply.NotLeader("")), "a retiring voter names no leader: " + read);
+    FleetReply decoded = ReplyCodec.decode(roundTrip(ReplyCodec.encode(new FleetReply.Retiring())));
+    check(
+        decoded.equals(new FleetReply.NotLeader("")),
+        "a retiring voter names no leader: " + decoded);
   }
 
   private static StatusReport status() {
@@ -111,11 +114,11 @@
         VERSION,
         null,
         List.of(
-            new StatusReport.HistoryLine(
+            new StatusReport.VersionStatus(
                 new SentVersion(WITHOUT_TEXT, false), "REFUSED", "it is too late"),
-            new StatusReport.HistoryLine(new SentVersion(VERSION, true), "IN_FORCE", "")),
-        List.of(new StatusReport.PeerLine("n1", 1, 2, 3, 4, 5, "no", 42, "63", "SEEN")),
-        List.of(new StatusReport.ForkLine(42, List.of(List.of("n1"), List.of("n2", "n3")))),
+            new StatusReport.VersionStatus(new SentVersion(VERSION, true), "IN_FORCE", "")),
+        List.of(new StatusReport.RouterStatus("n1", 1, 2, 3, 4, 5, "no", 42, "63", "SEEN")),
+        List.of(new StatusReport.ForkStatus(42, List.of(List.of("n1"), List.of("n2", "n3")))),
         1,
         8,
         List.of(ASSIGNMENT),
@@ -123,7 +126,7 @@
   }
 
   @Example
-  void commandsAreReadAsWritten() throws IOException {
+  void decodedCommandsEqualTheEncodedOnes() throws IOException {
     RaftCommand.Propose proposal =
         new RaftCommand.Propose(7, "{}", 12, "ops", "more", 1_796_000_000_000L);
     RegisterContent content =
@@ -146,47 +149,47 @@
             new RaftCommand.Withdraw(7, "n2: too many"),
             new RaftCommand.Assign(List.of(ASSIGNMENT)),
             new RaftCommand.ClearAssignments(List.of(ASSIGNMENT)),
-            new RaftCommand.CountAnew(1),
-            new RaftCommand.RegisterVoterFolder("n1", "id"),
-            new RaftCommand.ForgetVoterFolder("n1"),
+            new RaftCommand.StartNewEra(1),
+            new RaftCommand.RecordVoterFolder("n1", "id"),
+            new RaftCommand.RemoveVoterFolder("n1"),
             new RaftCommand.StartEpoch(content),
             new RaftCommand.Tick());
     for (RaftCommand command : commands) {
-      RaftCommand read = RaftCommandCodec.decode(sent(RaftCommandCodec.encode(command)));
-      check(read.equals(command), command + " is read as " + read);
+      RaftCommand decoded = RaftCommandCodec.decode(roundTrip(RaftCommandCodec.encode(command)));
+      check(decoded.equals(command), command + " is read as " + decoded);
     }
-    RaftCommand read =
+    RaftCommand decoded =
         RaftCommandCodec.decode(
-            sent(RaftCommandCodec.encode(new RaftCommand.ProposeRouterCount(proposal))));
-    check(read.equals(proposal), "a count of routers is a proposal: " + read);
+            roundTrip(RaftCommandCodec.encode(new RaftCommand.ProposeRouterCount(proposal))));
+    check(decoded.equals(proposal), "a count of routers is a proposal: " + decoded);
   }
 
   @Example
-  void whatIsMissingOrNotKnownTakesItsDefault() throws IOException {
+  void missingKeysTakeDefaultsAndUnknownKindsDecodeAsUnknown() throws IOException {
     check(
-        RequestCodec.decode(sent(Map.of("do", "beat", "fleet", "cards")))
+        RequestCodec.decode(roundTrip(Map.of("do", "beat", "fleet", "cards")))
             .equals(
                 new FleetRequest.Heartbeat(
                     "cards", "", 0, 0, 0, 0, 0, "", false, HeartbeatReport.NONE, 0, "")),
         "a heartbeat");
     check(
-        RequestCodec.decode(sent(Map.of("do", "later", "fleet", "cards")))
+        RequestCodec.decode(roundTrip(Map.of("do", "later", "fleet", "cards")))
             .equals(new FleetRequest.Unknown("cards")),
         "a request of a later release");
     check(
-        ReplyCodec.decode(sent(Map.of("do", "grant")))
+        ReplyCodec.decode(roundTrip(Map.of("do", "grant")))
             .equals(new FleetReply.LeaseGranted(0, Span.NONE, 0, List.of(), null, null, null)),
         "a grant");
     check(
-        ReplyCodec.decode(sent(Map.of("do", "later", "why", "so")))
+        ReplyCodec.decode(roundTrip(Map.of("do", "later", "why", "so")))
             .equals(new FleetReply.Unknown("later", "so")),
         "a reply of a later release");
     check(
-        RaftCommandCodec.decode(sent(Map.of("do", "propose")))
+        RaftCommandCodec.decode(roundTrip(Map.of("do", "propose")))
             .equals(new RaftCommand.Propose(0, "", 1, "", "", 0)),
         "a proposal is for one router at least");
     check(
-        RaftCommandCodec.decode(sent(Map.of("do", "later"))).equals(new RaftCommand.Unknown()),
+        RaftCommandCodec.decode(roundTrip(Map.of("do", "later"))).equals(new RaftCommand.Unknown()),
         "a command of a later release");
   }
 }
--- a/router/src/test/java/basaltlever/golden/Commands.java
+++ b/router/src/test/java/basaltlever/golden/CommandRunner.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.TimeUnit;
 
 /** Commands of the program, each in a process of its own on the class path of the tests. */
-final class Commands {
-  private static final int PATIENCE_S = 60;
+final class CommandRunner {
+  private static final int TIMEOUT_SECONDS = 60;
 
-  private Commands() {}
+  private CommandRunner() {}
 
   /** What it prints, standard output and errors in one, and its exit code on a last line. */
   static String run(Class<?> main, List<String> arguments)
@@ -22,7 +22,7 @@
     line.addAll(arguments);
     Process process = new ProcessBuilder(line).redirectErrorStream(true).start();
     String printed = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    if (!process.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+    if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
       process.destroyForcibly();
       throw new IOException("it does not end: " + arguments);
     }
--- a/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
@@ -42,26 +42,26 @@
  * folder of theirs is read.
  */
 class FleetGoldenTest {
-  private static final int PATIENCE_MS = 20_000;
+  private static final int TIMEOUT_MILLIS = 20_000;
   private static final String NAME = "n1";
-  private static final int BEATS = 40;
-  private static final int BEAT_MS = 100;
+  private static final int MAX_HEARTBEATS = 40;
+  private static final int HEARTBEAT_INTERVAL_MILLIS = 100;
 
   /** By the generation that both routers report: what status says once it has been acted on. */
-  private static final Map<Long, String> EXPECTED =
+  private static final Map<Long, String> EXPECTED_STATUS_BY_GENERATION =
       Map.of(41L, "\"seats\":1", 42L, "\"seats\":3", 7L, "\"era\":1");
 
-  private static InetSocketAddress free() throws IOException {
+  private static InetSocketAddress freeAddress() throws IOException {
     try (ServerSocket socket = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
       return new InetSocketAddress("127.0.0.1", socket.getLocalPort());
     }
   }
 
-  private static FleetSettings terms(Path folder, InetSocketAddress voter, InetSocketAddress peer)
-      throws IOException {
+  private static FleetSettings createSettings(
+      Path folder, InetSocketAddress voter, InetSocketAddress peer) throws IOException {
     return new FleetSettings(
         "cards",
-        Map.of(NAME, peer, "n2", free()),
+        Map.of(NAME, peer, "n2", freeAddress()),
         Map.of(NAME, voter),
         folder,
         Span.ofMillis(400),
@@ -70,16 +70,16 @@
   }
 
   /** An instance whose router reports what it is given and takes whatever it is granted. */
-  private static FleetMember instance(
+  private static FleetMember startInstance(
       FleetSettings fleetSettings,
       String name,
       VoterStore voterStore,
       BlockingQueue<LeaseGrant> grants,
       Supplier<HeartbeatReport> reports)
       throws Exception {
-    AtomicLong beats = new AtomicLong();
+    AtomicLong heartbeats = new AtomicLong();
     AtomicReference<FleetMember> fleet = new AtomicReference<>();
-    AtomicReference<LeaseGrant> latest = new AtomicReference<>();
+    AtomicReference<LeaseGrant> latestGrant = new AtomicReference<>();
     fleet.set(
         new FleetMember(
             fleetSettings,
@@ -89,17 +89,27 @@
             () -> {
               if (fleet.get() != null) {
                 HeartbeatReport report = reports.get();
-                LeaseGrant last = latest.get();
-                long force = last == null ? 0 : last.inForce().number();
-                long keeps =
-                    last == null || last.prepared() == null ? force : last.prepared().number();
+                LeaseGrant lastGrant = latestGrant.get();
+                long inForce = lastGrant == null ? 0 : lastGrant.inForce().number();
+                long acknowledged =
+                    lastGrant == null || lastGrant.prepared() == null
+                        ? inForce
+                        : lastGrant.prepared().number();
                 fleet
                     .get()
-                    .sendHeartbeat(beats.incrementAndGet(), 0, force, keeps, 0, "", true, report);
+                    .sendHeartbeat(
+                        heartbeats.incrementAndGet(),
+                        0,
+                        inForce,
+                        acknowledged,
+                        0,
+                        "",
+                        true,
+                        report);
               }
             },
             (grant, update) -> {
-              latest.set(grant);
+              latestGrant.set(grant);
               grants.add(grant);
             }));
     return fleet.get();
@@ -107,17 +117,17 @@
 
   private static byte[] exchange(InetSocketAddress at, byte[] message) throws IOException {
     try (Socket socket = new Socket()) {
-      socket.connect(at, PATIENCE_MS);
-      socket.setSoTimeout(PATIENCE_MS);
+      socket.connect(at, TIMEOUT_MILLIS);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       DataOutputStream out = new DataOutputStream(socket.getOutputStream());
       out.writeInt(message.length);
       out.write(message);
       out.flush();
-      return frame(socket);
+      return readFrame(socket);
     }
   }
 
-  private static byte[] frame(Socket socket) throws IOException {
+  private static byte[] readFrame(Socket socket) throws IOException {
     DataInputStream in = new DataInputStream(socket.getInputStream());
     byte[] answer = new byte[in.readInt()];
     in.readFully(answer);
@@ -125,7 +135,7 @@
   }
 
   /** Lines of a name and the bytes of a request, in the order in which they were sent. */
-  private static List<String[]> requests() throws IOException {
+  private static List<String[]> recordedRequests() throws IOException {
     return Golden.text("fleet-requests.txt").lines().map(line -> line.split(" ")).toList();
   }
 
@@ -133,59 +143,62 @@
    * What the router of the voter itself says of a list, so that both routers of the fleet say the
    * same.
    */
-  private static HeartbeatReport report(long generation) {
-    ListVersion at = new ListVersion(0, generation);
-    GroupAssignment assignment = new GroupAssignment("db-1", generation == 41 ? 0 : 1, at, false);
-    List<String> free = generation == 41 ? List.of() : List.of("db-1");
+  private static HeartbeatReport createReport(long generation) {
+    ListVersion listVersion = new ListVersion(0, generation);
+    GroupAssignment assignment =
+        new GroupAssignment("db-1", generation == 41 ? 0 : 1, listVersion, false);
+    List<String> releasedEndpoints = generation == 41 ? List.of() : List.of("db-1");
     ListAnomaly anomaly = generation < 41 ? ListAnomaly.BACK : ListAnomaly.NONE;
-    return new HeartbeatReport(at, 99, anomaly, List.of(), 0, List.of(assignment), free, 0, 0, 0);
+    return new HeartbeatReport(
+        listVersion, 99, anomaly, List.of(), 0, List.of(assignment), releasedEndpoints, 0, 0, 0);
   }
 
-  private static void leads(BlockingQueue<LeaseGrant> grants) throws InterruptedException {
-    LeaseGrant grant = grants.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+  private static void awaitLease(BlockingQueue<LeaseGrant> grants) throws InterruptedException {
+    LeaseGrant grant = grants.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     while (grant != null && grant.duration().micros() <= 0) {
-      grant = grants.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+      grant = grants.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
     check(grant != null, "it leads itself");
   }
 
   /** The lines of status that tell what was agreed, once nothing is on its way any more. */
-  private static String settled(InetSocketAddress at, byte[] status, String contains)
+  private static String awaitSettledStatus(InetSocketAddress at, byte[] status, String expectedText)
       throws IOException, InterruptedException {
-    String told = "";
-    for (long since = System.nanoTime();
-        (System.nanoTime() - since) / 1_000_000 < PATIENCE_MS;
+    String statusJson = "";
+    for (long startNanos = System.nanoTime();
+        (System.nanoTime() - startNanos) / 1_000_000 < TIMEOUT_MILLIS;
         Thread.sleep(50)) {
-      told = Golden.json(exchange(at, status));
-      if (told.contains("\"prepared\":null") && told.contains(contains)) {
-        return told;
+      statusJson = Golden.toMaskedJson(exchange(at, status));
+      if (statusJson.contains("\"prepared\":null") && statusJson.contains(expectedText)) {
+        return statusJson;
       }
     }
-    throw new AssertionError("never settled: " + told);
+    throw new AssertionError("never settled: " + statusJson);
   }
 
   @Example
-  void aVoterAnswersRecordedRequestsAndLogsTheSameCommands() throws Exception {
+  void voterAnswersRecordedRequestsAndLogsTheSameCommands() throws Exception {
     Path folder = Files.createTempDirectory("golden");
-    InetSocketAddress peer = free();
-    FleetSettings fleetSettings = terms(folder, free(), peer);
+    InetSocketAddress peer = freeAddress();
+    FleetSettings fleetSettings = createSettings(folder, freeAddress(), peer);
     BlockingQueue<LeaseGrant> grants = new LinkedBlockingQueue<>();
     StringBuilder answers = new StringBuilder();
-    AtomicReference<HeartbeatReport> list = new AtomicReference<>(HeartbeatReport.NONE);
+    AtomicReference<HeartbeatReport> report = new AtomicReference<>(HeartbeatReport.NONE);
     try (FleetMember voter =
-        instance(fleetSettings, NAME, VoterStore.read(folder, "cards", NAME), grants, list::get)) {
+        startInstance(
+            fleetSettings, NAME, VoterStore.open(folder, "cards", NAME), grants, report::get)) {
       check(voter != null, "started");
-      leads(grants);
-      byte[] status = HexFormat.of().parseHex(requests().get(0)[1]);
-      for (String[] request : requests()) {
+      awaitLease(grants);
+      byte[] status = HexFormat.of().parseHex(recordedRequests().get(0)[1]);
+      for (String[] request : recordedRequests()) {
         if (request[0].startsWith("heartbeat")) {
           continue;
         }
         byte[] answer = exchange(peer, HexFormat.of().parseHex(request[1]));
-        answers.append(request[0]).append(' ').append(Golden.json(answer)).append('\n');
-        settled(peer, status, "");
+        answers.append(request[0]).append(' ').append(Golden.toMaskedJson(answer)).append('\n');
+        awaitSettledStatus(peer, status, "");
       }
-      Path operator = operatorFile(folder, fleetSettings);
+      Path operator = writeOperatorFile(folder, fleetSettings);
       for (List<String> command :
           List.of(
               List.of("settings", "status", "--json"),
@@ -196,34 +209,41 @@
               List.of("fleet", "voters", "--json"))) {
         List<String> line =
             Stream.concat(command.stream(), Stream.of("--operator", operator.toString())).toList();
-        answers.append(command).append(' ').append(Golden.lines(Commands.run(Main.class, line)));
+        answers
+            .append(command)
+            .append(' ')
+            .append(Golden.maskLines(CommandRunner.run(Main.class, line)));
       }
-      reportLists(peer, status, list);
-      settled(peer, status, "\"number\":4,");
+      reportLists(peer, status, report);
+      awaitSettledStatus(peer, status, "\"number\":4,");
     }
     Golden.check("fleet-answers.txt", answers.toString());
-    Golden.check("fleet-commands.txt", String.join("\n", commands(folder)) + "\n");
+    Golden.check("fleet-commands.txt", String.join("\n", loggedCommands(folder)) + "\n");
   }
 
   private static void reportLists(
-      InetSocketAddress peer, byte[] status, AtomicReference<HeartbeatReport> list)
+      InetSocketAddress peer, byte[] status, AtomicReference<HeartbeatReport> report)
       throws IOException, InterruptedException {
-    for (String[] request : requests()) {
+    for (String[] request : recordedRequests()) {
       if (request[0].startsWith("heartbeat")) {
         long generation = Long.parseLong(request[0].substring("heartbeat-".length()));
-        list.set(report(generation));
-        String told = "";
-        for (int i = 0; i < BEATS && !told.contains(EXPECTED.get(generation)); i++) {
+        report.set(createReport(generation));
+        String statusJson = "";
+        for (int i = 0;
+            i < MAX_HEARTBEATS
+                && !statusJson.contains(EXPECTED_STATUS_BY_GENERATION.get(generation));
+            i++) {
           exchange(peer, HexFormat.of().parseHex(request[1]));
-          Thread.sleep(BEAT_MS);
-          told = Golden.json(exchange(peer, status));
+          Thread.sleep(HEARTBEAT_INTERVAL_MILLIS);
+          statusJson = Golden.toMaskedJson(exchange(peer, status));
         }
-        check(told.contains(EXPECTED.get(generation)), told);
+        check(statusJson.contains(EXPECTED_STATUS_BY_GENERATION.get(generation)), statusJson);
       }
     }
   }
 
-  private static Path operatorFile(Path folder, FleetSettings fleetSettings) throws IOException {
+  private static Path writeOperatorFile(Path folder, FleetSettings fleetSettings)
+      throws IOException {
     StringBuilder text = new StringBuilder("[fleet]\nname = cards\npeers = ");
     fleetSettings
         .peers()
@@ -240,7 +260,7 @@
   }
 
   /** Each form of a command that the log holds, once. */
-  private static SortedSet<String> commands(Path folder) throws Exception {
+  private static SortedSet<String> loggedCommands(Path folder) throws Exception {
     SortedSet<String> forms = new TreeSet<>();
     FileBasedLog log = new FileBasedLog();
     log.init(folder.resolve(NAME + ".log").toString(), Map.of());
@@ -248,7 +268,7 @@
       log.forEach(
           (entry, index) -> {
             if (!entry.internal()) {
-              forms.add(json(entry.command(), entry.offset(), entry.length()));
+              forms.add(toMaskedJson(entry.command(), entry.offset(), entry.length()));
             }
           });
     } finally {
@@ -257,72 +277,78 @@
     return forms;
   }
 
-  private static String json(byte[] bytes, int offset, int length) {
+  private static String toMaskedJson(byte[] bytes, int offset, int length) {
     try {
-      return Golden.json(java.util.Arrays.copyOfRange(bytes, offset, offset + length));
+      return Golden.toMaskedJson(java.util.Arrays.copyOfRange(bytes, offset, offset + length));
     } catch (IOException fault) {
       throw new java.io.UncheckedIOException(fault);
     }
   }
 
   @Example
-  void aRouterBeatsInTheSameFormAndTakesARecordedGrant() throws Exception {
+  void routerSendsTheRecordedHeartbeatAndAppliesTheRecordedGrant() throws Exception {
     Path folder = Files.createTempDirectory("golden");
     BlockingQueue<LeaseGrant> grants = new LinkedBlockingQueue<>();
     try (ServerSocket voter = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
-      voter.setSoTimeout(PATIENCE_MS);
+      voter.setSoTimeout(TIMEOUT_MILLIS);
       InetSocketAddress at = new InetSocketAddress("127.0.0.1", voter.getLocalPort());
-      VoterStore voterStore = VoterStore.read(folder, "cards", "n2");
+      VoterStore voterStore = VoterStore.open(folder, "cards", "n2");
       try (FleetMember router =
-              instance(
-                  terms(folder, free(), at), "n2", voterStore, grants, () -> HeartbeatReport.NONE);
-          Socket open = voter.accept()) {
+              startInstance(
+                  createSettings(folder, freeAddress(), at),
+                  "n2",
+                  voterStore,
+                  grants,
+                  () -> HeartbeatReport.NONE);
+          Socket connection = voter.accept()) {
         check(router != null, "started");
-        Golden.check("fleet-beat.txt", Golden.json(frame(open)) + "\n");
+        Golden.check("fleet-beat.txt", Golden.toMaskedJson(readFrame(connection)) + "\n");
         byte[] grant = Golden.bytes("fleet-grant.cbor");
-        DataOutputStream out = new DataOutputStream(open.getOutputStream());
+        DataOutputStream out = new DataOutputStream(connection.getOutputStream());
         out.writeInt(grant.length);
         out.write(grant);
         out.flush();
-        LeaseGrant taken = grants.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        LeaseGrant applied = grants.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         check(
-            taken != null && taken.heartbeatNumber() == 1 && taken.duration().micros() == 390_000,
+            applied != null
+                && applied.heartbeatNumber() == 1
+                && applied.duration().micros() == 390_000,
             "its lease");
         check(
-            taken.inForce().number() == 2 && taken.inForce().routers() == 2,
+            applied.inForce().number() == 2 && applied.inForce().routers() == 2,
             "the version in force");
-        check(taken.inForce().settingsJson().equals("{\"MaxOpen\":400}"), "its settings");
-        check(taken.prepared() == null && taken.changeCount() == 7, "and nothing on its way");
-        check(voterStore.inForce().equals(taken.inForce()), "kept by then");
+        check(applied.inForce().settingsJson().equals("{\"MaxOpen\":400}"), "its settings");
+        check(applied.prepared() == null && applied.changeCount() == 7, "and nothing on its way");
+        check(voterStore.inForce().equals(applied.inForce()), "kept by then");
       }
     }
   }
 
   @Example
-  void aFolderOfAnEarlierReleaseIsRead() throws Exception {
-    Path folder = recordedFolder();
-    VoterStore voterStore = VoterStore.read(folder, "cards", NAME);
+  void voterStartsFromAFolderOfAnEarlierRelease() throws Exception {
+    Path folder = copyRecordedFolder();
+    VoterStore voterStore = VoterStore.open(folder, "cards", NAME);
     check(
         voterStore.inForce().number() == 3
             && voterStore.inForce().settingsJson().equals("{\"MaxOpen\":400}"),
         "the version told last");
     BlockingQueue<LeaseGrant> grants = new LinkedBlockingQueue<>();
-    InetSocketAddress peer = free();
+    InetSocketAddress peer = freeAddress();
     try (FleetMember voter =
-        instance(
-            terms(folder, free(), peer),
+        startInstance(
+            createSettings(folder, freeAddress(), peer),
             NAME,
-            VoterStore.read(folder, "cards", NAME),
+            VoterStore.open(folder, "cards", NAME),
             grants,
             () -> HeartbeatReport.NONE)) {
       check(voter != null, "started");
-      leads(grants);
-      byte[] status = HexFormat.of().parseHex(requests().get(0)[1]);
-      Golden.check("voter-status.txt", settled(peer, status, "\"keeps\":4") + "\n");
+      awaitLease(grants);
+      byte[] status = HexFormat.of().parseHex(recordedRequests().get(0)[1]);
+      Golden.check("voter-status.txt", awaitSettledStatus(peer, status, "\"keeps\":4") + "\n");
     }
   }
 
-  private static Path recordedFolder() throws IOException {
+  private static Path copyRecordedFolder() throws IOException {
     Path folder = Files.createTempDirectory("golden");
     for (String name : Golden.text("voter/FILES").lines().toList()) {
       Path file = folder.resolve(name);
--- a/router/src/test/java/basaltlever/golden/Golden.java
+++ b/router/src/test/java/basaltlever/golden/Golden.java
@@ -23,7 +23,7 @@
  * target/golden.
  */
 public final class Golden {
-  private static final Pattern VOLATILE =
+  private static final Pattern VOLATILE_VALUE =
       Pattern.compile(
           "\"(at|age_ms|lasts|heard_ms_ago|lease_ms|incarnation|folder|id|seal|digest|book|marks_end|standing|port"
               + ")\":(\"[^\"]*\"|-?\\d+)");
@@ -47,11 +47,11 @@
 
   /** Throws where the bytes are not those recorded. */
   public static void check(String name, byte[] actual) throws IOException {
-    Path left = Files.createDirectories(Path.of("router/target/golden")).resolve(name);
-    Files.createDirectories(left.getParent());
-    Files.write(left, actual);
+    Path output = Files.createDirectories(Path.of("router/target/golden")).resolve(name);
+    Files.createDirectories(output.getParent());
+    Files.write(output, actual);
     if (!Arrays.equals(bytes(name), actual)) {
-      throw new AssertionError(name + " differs from what was recorded: see " + left);
+      throw new AssertionError(name + " differs from what was recorded: see " + output);
     }
   }
 
@@ -64,46 +64,51 @@
    * CBOR as JSON, the keys in their order; times, ids and other values that differ with each run as
    * V.
    */
-  public static String json(byte[] cbor) throws IOException {
-    return sorted(new CBORFactory().createParser(cbor));
+  public static String toMaskedJson(byte[] cbor) throws IOException {
+    return toSortedJson(new CBORFactory().createParser(cbor));
   }
 
   /**
    * Each line that is a JSON object with its keys sorted, since their order is free; masked like a
    * message.
    */
-  public static String lines(String printed) throws IOException {
-    StringBuilder all = new StringBuilder();
+  public static String maskLines(String printed) throws IOException {
+    StringBuilder masked = new StringBuilder();
     for (String line : printed.split("\n")) {
       boolean isJson = line.startsWith("{");
-      all.append(isJson ? sorted(new JsonFactory().createParser(line)) : masked(line)).append('\n');
+      masked
+          .append(
+              isJson
+                  ? toSortedJson(new JsonFactory().createParser(line))
+                  : maskVolatileValues(line))
+          .append('\n');
     }
-    return all.toString();
+    return masked.toString();
   }
 
-  private static String sorted(JsonParser parser) throws IOException {
+  private static String toSortedJson(JsonParser parser) throws IOException {
     StringWriter text = new StringWriter();
     try (JsonParser in = parser;
         JsonGenerator out = new JsonFactory().createGenerator(text)) {
       in.nextToken();
-      write(out, value(in));
+      writeValue(out, readValue(in));
     }
-    return masked(text.toString());
+    return maskVolatileValues(text.toString());
   }
 
-  private static Object value(JsonParser in) throws IOException {
+  private static Object readValue(JsonParser in) throws IOException {
     if (in.currentToken() == JsonToken.START_OBJECT) {
       Map<String, Object> members = new TreeMap<>();
       while (in.nextToken() == JsonToken.FIELD_NAME) {
         String name = in.currentName();
         in.nextToken();
-        members.put(name, value(in));
+        members.put(name, readValue(in));
       }
       return members;
     } else if (in.currentToken() == JsonToken.START_ARRAY) {
       List<Object> items = new ArrayList<>();
       while (in.nextToken() != JsonToken.END_ARRAY) {
-        items.add(value(in));
+        items.add(readValue(in));
       }
       return items;
     }
@@ -116,18 +121,18 @@
     };
   }
 
-  private static void write(JsonGenerator out, Object value) throws IOException {
+  private static void writeValue(JsonGenerator out, Object value) throws IOException {
     if (value instanceof Map<?, ?> members) {
       out.writeStartObject();
       for (Map.Entry<?, ?> member : members.entrySet()) {
         out.writeFieldName((String) member.getKey());
-        write(out, member.getValue());
+        writeValue(out, member.getValue());
       }
       out.writeEndObject();
     } else if (value instanceof List<?> items) {
       out.writeStartArray();
       for (Object item : items) {
-        write(out, item);
+        writeValue(out, item);
       }
       out.writeEndArray();
     } else {
@@ -136,8 +141,8 @@
   }
 
   /** The text with times, ids and other values that differ with each run as V. */
-  private static String masked(String json) {
-    return VOLATILE
+  private static String maskVolatileValues(String json) {
+    return VOLATILE_VALUE
         .matcher(json)
         .replaceAll("\"$1\":V")
         .replaceAll("127\\.0\\.0\\.1:\\d+", "ADDRESS");
--- a/router/src/test/java/basaltlever/golden/SettingsGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/SettingsGoldenTest.java
@@ -12,16 +12,16 @@
  */
 class SettingsGoldenTest {
   @Example
-  void filesWithEveryKeyAreTakenAndFaultsAreNamedAsBefore() throws Exception {
+  void everyKeyIsAcceptedAndFaultsAreReportedAsRecorded() throws Exception {
     Path folder = Files.createTempDirectory("golden");
     for (String name : List.of("start.json", "operator.ini", "faulty.json", "faulty.ini")) {
       Files.write(folder.resolve(name), Golden.bytes("settings/" + name));
     }
-    StringBuilder told = new StringBuilder();
+    StringBuilder output = new StringBuilder();
     for (List<String> files :
         List.of(List.of("start.json", "operator.ini"), List.of("faulty.json", "faulty.ini"))) {
-      told.append(
-          Commands.run(
+      output.append(
+          CommandRunner.run(
               Main.class,
               List.of(
                   "check",
@@ -29,6 +29,6 @@
                   folder.resolve(files.get(1)).toString(),
                   folder.resolve(files.get(0)).toString())));
     }
-    Golden.check("settings/told.txt", told.toString().replace(folder.toString(), "FOLDER"));
+    Golden.check("settings/told.txt", output.toString().replace(folder.toString(), "FOLDER"));
   }
 }
--- a/router/src/test/java/basaltlever/golden/SnapshotGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/SnapshotGoldenTest.java
@@ -16,28 +16,28 @@
  * shown alike.
  */
 class SnapshotGoldenTest {
-  private static final int LARGEST = 1 << 20;
+  private static final int MAX_BYTES = 1 << 20;
 
   @Example
-  void aKeptStateIsReadAndWrittenWithTheSameBytes() throws Exception {
+  void recordedSnapshotIsReadAndRewrittenByteForByte() throws Exception {
     LearnedState recorded = SnapshotCodec.read(Golden.bytes("snapshot-7.view"));
     check(recorded.equals(KeptViews.view(7, 5)), "read as it was meant");
-    Golden.check("snapshot-7.view", SnapshotCodec.write(recorded, LARGEST));
+    Golden.check("snapshot-7.view", SnapshotCodec.write(recorded, MAX_BYTES));
   }
 
   @Example
-  void theCommandsShowItAsBefore() throws Exception {
+  void stateCommandsPrintTheRecordedOutput() throws Exception {
     Path folder = Files.createTempDirectory("golden");
     Path file = folder.resolve("view-0000000000000007.blv");
     Files.write(file, Golden.bytes("snapshot-7.view"));
-    StringBuilder shown = new StringBuilder();
+    StringBuilder output = new StringBuilder();
     for (List<String> command :
         List.of(
             List.of("state", "verify", file.toString()),
             List.of("state", "show", folder.toString(), "--json"),
             List.of("state", "diff", file.toString(), file.toString()))) {
-      shown.append(Golden.lines(Commands.run(Main.class, command)));
+      output.append(Golden.maskLines(CommandRunner.run(Main.class, command)));
     }
-    Golden.check("snapshot-7.shown", shown.toString().replace(folder.toString(), "FOLDER"));
+    Golden.check("snapshot-7.shown", output.toString().replace(folder.toString(), "FOLDER"));
   }
 }
