--- a/router/src/main/java/basaltlever/fleet/AdminClient.java
+++ b/router/src/main/java/basaltlever/fleet/AdminClient.java
@@ -7,26 +7,26 @@
 import java.net.Socket;
 import java.util.Map;
 
-/** Sends one request to one instance over a connection of its own and reads the reply. */
+/** Sends single requests to an instance, each over a separate connection, and reads the reply. */
 public final class AdminClient {
   private static final int REPLY_TIMEOUT_MILLIS = 5_000;
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
   private AdminClient() {}
 
-  /** Throws where the instance can't be reached, or doesn't answer in 5 s. */
+  /** Throws if the instance can't be reached or doesn't reply within 5 s. */
   public static FleetReply send(InetSocketAddress address, FleetRequest request)
       throws IOException {
     return send(address, request, REPLY_TIMEOUT_MILLIS);
   }
 
-  /** Throws where the instance can't be reached, or doesn't answer before the timeout. */
+  /** Throws if the instance can't be reached or doesn't reply before the timeout. */
   static FleetReply send(InetSocketAddress address, FleetRequest request, int timeoutMillis)
       throws IOException {
     return ReplyCodec.decode(exchange(address, RequestCodec.encode(request), timeoutMillis));
   }
 
-  /** As {@link #send}, with the fields of the messages as they are on the wire. */
+  /** Like {@link #send}, with the messages given as the fields that are on the wire. */
   public static Map<String, Object> sendFields(
       InetSocketAddress address, Map<String, Object> message) throws IOException {
     return exchange(address, message, REPLY_TIMEOUT_MILLIS);
@@ -46,7 +46,7 @@
       DataInputStream in = new DataInputStream(socket.getInputStream());
       int length = in.readInt();
       if (length < 1 || length > MessageCodec.MAX_MESSAGE_BYTES) {
-        throw new IOException("an answer of " + length + " bytes");
+        throw new IOException("reply length is out of range: " + length + " bytes");
       }
       byte[] reply = new byte[length];
       in.readFully(reply);
--- a/router/src/main/java/basaltlever/fleet/CommandApplier.java
+++ b/router/src/main/java/basaltlever/fleet/CommandApplier.java
@@ -11,13 +11,13 @@
 import basaltlever.fleet.RaftCommand.Withdraw;
 import basaltlever.settings.VersionRegister;
 
-/** Applies the commands of the voters' log to the register. */
+/** Applies the commands of the voters' Raft log to the register. */
 final class CommandApplier {
   private static final String NOT_PREPARED_REASON = "it is not on its way";
 
   private CommandApplier() {}
 
-  /** Why the command has no effect; empty where it has. Takes the register's lock. */
+  /** Returns why the command has no effect, or an empty text. Acquires the register's lock. */
   static String apply(RaftCommand command, VersionRegister register) {
     synchronized (register) {
       if (command instanceof Propose propose) {
@@ -61,7 +61,7 @@
     return "";
   }
 
-  /** Takes effect once: leaders submit it until the epoch has started. */
+  /** Has an effect only once per epoch, since leaders submit it until the epoch has started. */
   private static void startEpoch(RegisterContent content, VersionRegister register) {
     if (VersionRegister.epoch(content.changeCount()) > register.epoch()) {
       content.restoreTo(register);
--- a/router/src/main/java/basaltlever/fleet/FleetLeader.java
+++ b/router/src/main/java/basaltlever/fleet/FleetLeader.java
@@ -23,15 +23,13 @@
 import org.slf4j.event.Level;
 
 /**
- * The leader's side of a voter: grants leases, confirms that it still leads, and submits the
- * commands that follow from what the routers report. All methods run on the voter's event loop.
+ * The leader's part of a voter: grants leases, confirms its leadership, and submits the commands
+ * that result from the routers' reports. All methods run on the voter's event loop.
  */
 final class FleetLeader {
   private static final Logger LOG = LoggerFactory.getLogger(FleetLeader.class);
 
-  /**
-   * The share by which clocks of machines in one fleet may run apart; leases hold at twice that.
-   */
+  /** The ratio by which clock rates in a fleet may differ; leases allow for twice that ratio. */
   private static final double MAX_CLOCK_DRIFT_RATIO = 0.01;
 
   private static final int TICKS_PER_LEASE = 4;
@@ -50,7 +48,7 @@
   private boolean stepInFlight;
   private boolean tickInFlight;
   private boolean folderRecordInFlight;
-  private List<ListFork> forks = List.of();
+  private List<ListFork> lastLoggedForks = List.of();
 
   FleetLeader(FleetSettings settings, EventLoop loop, VoterLifecycle lifecycle) {
     this.settings = settings;
@@ -62,13 +60,13 @@
             leaseTable, settings.peers().keySet(), settings.assignmentLifetime());
   }
 
-  /** Starts the ticks. */
+  /** Starts the periodic ticks. */
   void start() {
     long period = settings.lease().micros() / TICKS_PER_LEASE;
     loop.scheduleWithFixedDelay(this::sendTick, period, period, TimeUnit.MICROSECONDS);
   }
 
-  /** Of the monotonic clock, which goes on while this process is stopped. */
+  /** Returns the time of the monotonic clock, which continues while this process is stopped. */
   private static Moment now() {
     return new Moment(System.nanoTime() / 1_000);
   }
@@ -90,7 +88,7 @@
     return leading;
   }
 
-  /** Whether it leads, and may act on what its register holds. */
+  /** Returns whether this voter leads and its register contains the start of the epoch. */
   boolean isServing() {
     return leading && lifecycle.hasStartedEpoch();
   }
@@ -98,9 +96,9 @@
   private void startEpoch() {
     try {
       RegisterContent content = lifecycle.pendingEpochStart();
-      RaftNode node = lifecycle.raftNode();
-      if (content != null && node != null) {
-        node.submit(new RaftCommand.StartEpoch(content));
+      RaftNode raftNode = lifecycle.raftNode();
+      if (content != null && raftNode != null) {
+        raftNode.submit(new RaftCommand.StartEpoch(content));
       }
     } catch (IOException fault) {
       Event.FLEET_STANDS.log(
@@ -108,22 +106,20 @@
           Level.ERROR,
           "",
           "waits",
-          "the beginning of charter "
-              + lifecycle.epoch()
-              + " can't be read: "
-              + fault.getMessage());
+          "the start of charter " + lifecycle.epoch() + " can't be read: " + fault.getMessage());
     }
   }
 
-  /** A majority that takes the command proves that nobody else led when it was sent. */
+  /** A tick that a majority commits proves that there was no other leader when it was sent. */
   private void sendTick() {
-    RaftNode node = lifecycle.raftNode();
+    RaftNode raftNode = lifecycle.raftNode();
     if (leading && !lifecycle.hasStartedEpoch()) {
       startEpoch();
-    } else if (leading && !tickInFlight && node != null) {
+    } else if (leading && !tickInFlight && raftNode != null) {
       tickInFlight = true;
       Moment sentAt = now();
-      node.submit(new RaftCommand.Tick())
+      raftNode
+          .submit(new RaftCommand.Tick())
           .orTimeout(settings.lease().micros() * TICK_TIMEOUT_LEASES, TimeUnit.MICROSECONDS)
           .whenComplete((answer, fault) -> loop.execute(() -> onTickCompleted(sentAt, fault)));
     }
@@ -161,7 +157,7 @@
     logNewForks();
   }
 
-  /** Null where there is nothing to be done. */
+  /** Returns the command of a step; null for none. */
   private static RaftCommand toCommand(LeaseTable.Step step, VersionRegister register) {
     return switch (step.kind()) {
       case BRING_INTO_FORCE -> new RaftCommand.BringIntoForce(step.number());
@@ -189,7 +185,7 @@
           yield new RaftCommand.StartNewEra(register.era());
         }
       }
-      case NOTHING -> throw new IllegalArgumentException("nothing to be done");
+      case NOTHING -> throw new IllegalArgumentException("a step of kind NOTHING has no command");
     };
   }
 
@@ -207,26 +203,27 @@
   }
 
   private void logNewForks() {
-    List<ListFork> found = coordinator.findForks(now());
-    if (!found.equals(forks)) {
-      forks = found;
-      found.forEach(
+    List<ListFork> currentForks = coordinator.findForks(now());
+    if (!currentForks.equals(lastLoggedForks)) {
+      lastLoggedForks = currentForks;
+      currentForks.forEach(
           fork -> forkLog.note(fork.listVersion().generation(), "" + fork.holders().values()));
     }
   }
 
   private void submit(RaftCommand command) {
-    RaftNode node = lifecycle.raftNode();
-    if (node == null) {
+    RaftNode raftNode = lifecycle.raftNode();
+    if (raftNode == null) {
       return;
     }
     stepInFlight = true;
-    node.submit(command)
+    raftNode
+        .submit(command)
         .orTimeout(SUBMIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)
         .whenComplete((answer, fault) -> loop.execute(() -> stepInFlight = false));
   }
 
-  /** The answer to a router's heartbeat. */
+  /** Returns the reply to a router's heartbeat. */
   FleetReply.LeaseGranted grantLease(FleetRequest.Heartbeat heartbeat) {
     LeaseGrant grant;
     MembershipUpdate membershipUpdate;
@@ -250,33 +247,34 @@
               now(), heartbeat.router(), heartbeat.membershipReport(), register);
     }
     recordFolder(heartbeat.router(), heartbeat.voterFolderId());
-    RaftNode node = lifecycle.raftNode();
+    RaftNode raftNode = lifecycle.raftNode();
     return new FleetReply.LeaseGranted(
         grant.heartbeatNumber(),
         grant.duration(),
         grant.changeCount(),
-        node == null ? List.of() : node.voters(),
+        raftNode == null ? List.of() : raftNode.voters(),
         SentVersion.withTextUnlessKnown(grant.inForce(), heartbeat.inForce()),
         SentVersion.withTextUnlessKnown(grant.prepared(), heartbeat.acknowledged()),
         membershipUpdate);
   }
 
-  /** Records by which folder a voter votes: with another one it could vote twice. */
+  /** Records the folder with which a voter votes: with a different one it could vote twice. */
   private void recordFolder(String voter, String folderId) {
-    RaftNode node = lifecycle.raftNode();
+    RaftNode raftNode = lifecycle.raftNode();
     if (!folderId.isEmpty()
-        && node != null
+        && raftNode != null
         && !folderRecordInFlight
         && lifecycle.register().recordedFolder(voter).isEmpty()
-        && node.voters().contains(voter)) {
+        && raftNode.voters().contains(voter)) {
       folderRecordInFlight = true;
-      node.submit(new RaftCommand.RecordVoterFolder(voter, folderId))
+      raftNode
+          .submit(new RaftCommand.RecordVoterFolder(voter, folderId))
           .orTimeout(SUBMIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)
           .whenComplete((answer, fault) -> loop.execute(() -> folderRecordInFlight = false));
     }
   }
 
-  /** The routers that it has heard from, for status. */
+  /** Returns the status of the routers from which heartbeats have arrived. */
   List<StatusReport.RouterStatus> routerStatuses(VersionRegister register) {
     return leaseTable.routers().stream().map(router -> routerStatus(router, register)).toList();
   }
@@ -300,7 +298,7 @@
         listState);
   }
 
-  /** Endpoint lists that contradict each other, for status. */
+  /** Returns the endpoint lists that contradict each other. */
   List<StatusReport.ForkStatus> forkStatuses() {
     return coordinator.findForks(now()).stream()
         .map(
--- a/router/src/main/java/basaltlever/fleet/FleetMember.java
+++ b/router/src/main/java/basaltlever/fleet/FleetMember.java
@@ -17,8 +17,8 @@
 import org.slf4j.event.Level;
 
 /**
- * One instance's part in its fleet: its connection to the leader, and its voter where it is one,
- * both on an event loop of their own.
+ * The participation of one instance in its fleet: its connection to the leader and, if the instance
+ * is configured as a voter, its voter. Both run on one separate event loop.
  */
 public final class FleetMember implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(FleetMember.class);
@@ -28,7 +28,7 @@
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
 
-  /** Null where this instance isn't configured as a voter. */
+  /** Null if this instance isn't configured as a voter. */
   private final VoterServer voter;
 
   private final LeaderConnection connection;
@@ -36,14 +36,15 @@
   private final FleetSettings settings;
   private final VoterStore store;
 
-  /** Of this process. */
+  /** Identifies this process; a restart changes it. */
   private final long incarnation = System.currentTimeMillis();
 
   /**
-   * Both callbacks run on this fleet's event loop. Throws where the voter can't be started.
+   * Starts the voter and the connection. Both callbacks run on the event loop of this object.
+   * Throws if the voter can't be started.
    *
-   * @param onHeartbeatDue has to send a heartbeat by {@link #sendHeartbeat}
-   * @param onLeaseGranted takes each grant, with what the fleet agreed on about endpoints
+   * @param onHeartbeatDue has to send a heartbeat with {@link #sendHeartbeat}
+   * @param onLeaseGranted receives each grant, with the fleet's agreement about endpoints
    */
   public FleetMember(
       FleetSettings settings,
@@ -71,16 +72,16 @@
   }
 
   /**
-   * Sends a heartbeat; from any thread.
+   * Sends a heartbeat. May be called on any thread.
    *
-   * @param number of the heartbeat
-   * @param epoch the latest configuration epoch that the router has learned of
+   * @param number sequence number of the heartbeat
+   * @param epoch latest configuration epoch that the router has learned of
    * @param inForce number of the version in force at the router
-   * @param acknowledged number of the prepared version that the router keeps to
-   * @param rejected number of the version that it can't keep to; 0 where there is none
-   * @param rejectionReason why it can't
+   * @param acknowledged number of the prepared version that the router complies with
+   * @param rejected number of the version that the router can't comply with; 0 if there is none
+   * @param rejectionReason why it can't; empty if it rejects nothing
    * @param holdsLease whether the router holds a lease
-   * @param membershipReport on its endpoint list
+   * @param membershipReport state of its endpoint list
    */
   public void sendHeartbeat(
       long number,
--- a/router/src/main/java/basaltlever/fleet/FleetReply.java
+++ b/router/src/main/java/basaltlever/fleet/FleetReply.java
@@ -4,26 +4,27 @@
 import basaltlever.time.Span;
 import java.util.List;
 
-/** A voter's answer to a {@link FleetRequest}. */
-public sealed interface FleetReply permits FleetReply.CommandReply, FleetReply.LeaderReply {
-  /** What became of a request that changes something, or that was rejected. */
+/** A voter's reply to a {@link FleetRequest}. */
+public sealed interface FleetReply permits FleetReply.CommandReply, FleetReply.StateReply {
+  /** The outcome of a request for a change, or the rejection of any request. */
   sealed interface CommandReply extends FleetReply {}
 
-  /** What only a voter tells of itself or as the leader. */
-  sealed interface LeaderReply extends FleetReply
+  /** A reply about the voter itself or about the leader's state. */
+  sealed interface StateReply extends FleetReply
       permits LeaseGranted, NotLeader, Retiring, StatusReport {}
 
   /**
-   * The leader's answer to a heartbeat.
+   * The leader's reply to a heartbeat.
    *
-   * @param heartbeat number of the heartbeat
-   * @param duration of the lease from the sending of the heartbeat on; none where it is not granted
-   * @param changeCount of the register, by which a router tells an outdated leader
-   * @param voters the voters
+   * @param heartbeat number of the heartbeat that it answers
+   * @param duration duration of the lease, from the sending of the heartbeat; zero if no lease is
+   *     granted
+   * @param changeCount change count of the leader's register, by which a router detects an outdated
+   *     leader
+   * @param voters the current voters
    * @param inForce the version in force
-   * @param prepared the version that is being brought into force; null where there is none
-   * @param membershipUpdate what the fleet agreed on about endpoints; null from a leader that says
-   *     nothing
+   * @param prepared the version that is being brought into force; null if there is none
+   * @param membershipUpdate the fleet's agreement about endpoints; null if the leader sent none
    */
   record LeaseGranted(
       long heartbeat,
@@ -33,17 +34,17 @@
       SentVersion inForce,
       SentVersion prepared,
       MembershipUpdate membershipUpdate)
-      implements LeaderReply {}
+      implements StateReply {}
 
   /**
-   * The voter doesn't lead.
+   * The voter is not the leader.
    *
-   * @param leader name of the voter that leads; empty where it is not known
+   * @param leader name of the leader; empty if it is not known
    */
-  record NotLeader(String leader) implements LeaderReply {}
+  record NotLeader(String leader) implements StateReply {}
 
-  /** The voter has just learned of a newer epoch; read as {@link NotLeader}. */
-  record Retiring() implements LeaderReply {}
+  /** The voter retires because of a newer epoch; receivers decode it as {@link NotLeader}. */
+  record Retiring() implements StateReply {}
 
   /** The request was carried out. */
   record Accepted() implements CommandReply {}
@@ -51,9 +52,9 @@
   /** The request was rejected. */
   record Rejected(String reason) implements CommandReply {}
 
-  /** No majority answered in time, so the outcome is not known. */
+  /** The outcome is unknown, because no majority answered in time. */
   record Undecided(String reason) implements CommandReply {}
 
-  /** A reply that this release doesn't know. */
+  /** A reply of a kind that this release doesn't support. */
   record Unknown(String kind, String reason) implements CommandReply {}
 }
--- a/router/src/main/java/basaltlever/fleet/FrameCodec.java
+++ b/router/src/main/java/basaltlever/fleet/FrameCodec.java
@@ -10,13 +10,13 @@
 
 /**
  * Reads and writes the messages on a connection between instances, each preceded by its length in
- * four bytes. Malformed bytes close the connection, and so does a peer that sends more messages a
+ * four bytes. The connection is closed if the peer sends malformed bytes, or more messages per
  * second than any instance does.
  */
 abstract class FrameCodec<M> extends ChannelInboundHandlerAdapter {
   private static final int LENGTH_BYTES = 4;
 
-  /** An instance sends a heartbeat each 50 ms, and commands. */
+  /** Above the rate of any instance: one heartbeat every 50 ms, and commands. */
   private static final int MAX_MESSAGES_PER_SECOND = 200;
 
   private static final int MAX_PENDING_WRITE_BYTES = 4 * MessageCodec.MAX_MESSAGE_BYTES;
@@ -30,7 +30,7 @@
     this.decoder = decoder;
   }
 
-  /** Handles one message, on the connection's event loop. */
+  /** Handles a message, on the connection's event loop. */
   abstract void onMessage(ChannelHandlerContext context, M message);
 
   static void send(ChannelHandlerContext to, FleetRequest request) {
@@ -46,7 +46,7 @@
       return;
     }
     if (to.channel().unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_PENDING_WRITE_BYTES) {
-      // A peer that reads too slowly would take ever more memory.
+      // Pending messages to a peer that reads too slowly would use memory without bound.
       to.close();
       return;
     }
@@ -80,7 +80,7 @@
     while (receiveBuffer != null && receiveBuffer.readableBytes() >= LENGTH_BYTES) {
       int length = receiveBuffer.getInt(receiveBuffer.readerIndex());
       if (length < 1 || length > MessageCodec.MAX_MESSAGE_BYTES) {
-        throw new IOException("a message of " + length + " bytes");
+        throw new IOException("message length is out of range: " + length + " bytes");
       }
       if (receiveBuffer.readableBytes() < LENGTH_BYTES + length) {
         break;
@@ -97,7 +97,8 @@
     messagesThisSecond = second == currentSecond ? messagesThisSecond + 1 : 1;
     currentSecond = second;
     if (messagesThisSecond > MAX_MESSAGES_PER_SECOND) {
-      throw new IOException("more than " + MAX_MESSAGES_PER_SECOND + " messages a second");
+      throw new IOException(
+          "peer sent more than " + MAX_MESSAGES_PER_SECOND + " messages per second");
     }
   }
 
--- a/router/src/main/java/basaltlever/fleet/LeaderConnection.java
+++ b/router/src/main/java/basaltlever/fleet/LeaderConnection.java
@@ -21,19 +21,19 @@
 import org.slf4j.event.Level;
 
 /**
- * A router's connection to the leader, which is found by trying one voter after the other. What a
- * heartbeat says and what a grant means is up to the caller. All methods run on the event loop.
+ * A router's connection to the leader, which it finds by trying one voter after the other. The
+ * caller creates the heartbeats and applies the grants. All methods run on the event loop.
  */
 final class LeaderConnection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderConnection.class);
   private static final int HEARTBEATS_PER_LEASE = 4;
 
-  /** The shortest interval between heartbeats, and the range above it, as shares of the mean. */
+  /** The shortest heartbeat interval, and the range above it, as factors of the mean interval. */
   private static final double MIN_INTERVAL_FACTOR = 0.8;
 
   private static final double INTERVAL_FACTOR_RANGE = 0.4;
 
-  /** Unanswered heartbeats after which another voter is tried. */
+  /** The maximum number of unanswered heartbeats before the next voter is tried. */
   private static final int MAX_UNANSWERED_HEARTBEATS = 2;
 
   private static final long FIRST_HEARTBEAT_DELAY_MILLIS = 1;
@@ -48,7 +48,7 @@
   private final BiConsumer<LeaseGrant, MembershipUpdate> onLeaseGranted;
   private final List<String> voters;
 
-  /** The index of the voter that is tried. */
+  /** Index in {@code voters} of the voter that is connected or tried next. */
   private int currentVoterIndex;
 
   private int unansweredHeartbeats;
@@ -58,7 +58,12 @@
   private SettingsVersion inForce;
   private SettingsVersion prepared;
 
-  /** HeartbeatDue has to send a heartbeat by {@link #send}; callbacks run on the event loop. */
+  /**
+   * Starts connecting to the voters. Both callbacks run on the event loop.
+   *
+   * @param onHeartbeatDue has to send a heartbeat with {@link #send}
+   * @param onLeaseGranted receives each grant, with the fleet's agreement about endpoints
+   */
   LeaderConnection(
       FleetSettings settings,
       VoterStore store,
@@ -78,7 +83,7 @@
     loop.schedule(this::onHeartbeatInterval, FIRST_HEARTBEAT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Adds a voter that this router's settings file doesn't name as one, but as a peer. */
+  /** Adds a voter that this router's settings file names only as a peer. */
   private void addVoter(String voter) {
     if (settings.peers().containsKey(voter) && !voters.contains(voter)) {
       voters.add(voter);
@@ -89,7 +94,7 @@
     if (closed) {
       return;
     }
-    // Randomized, so that hundreds of routers don't send their heartbeats at the same time.
+    // Randomized, so that hundreds of routers don't send their heartbeats simultaneously.
     long meanMicros = settings.lease().micros() / HEARTBEATS_PER_LEASE;
     double factor = MIN_INTERVAL_FACTOR + INTERVAL_FACTOR_RANGE * random.nextDouble();
     loop.schedule(this::onHeartbeatInterval, (long) (meanMicros * factor), TimeUnit.MICROSECONDS);
@@ -138,7 +143,7 @@
             });
   }
 
-  /** Drops the heartbeat while there is no connection. */
+  /** Sends a heartbeat; drops it while there is no connection. */
   void send(FleetRequest.Heartbeat heartbeat) {
     if (openConnection != null) {
       FrameCodec.send(openConnection, heartbeat);
@@ -169,7 +174,7 @@
   private void recordGrant(FleetReply.LeaseGranted reply) {
     try {
       store.recordVoters(reply.voters());
-      // A leader that grants no lease may have been replaced, so its version may be outdated.
+      // A leader that grants no lease may have been replaced, and its version may be outdated.
       if (inForce != null && reply.duration().micros() > 0) {
         store.recordInForce(inForce);
       }
@@ -178,7 +183,7 @@
     }
   }
 
-  /** A version without a text is one that was sent with its text before. */
+  /** Restores a text that the leader omitted because it has sent that version before. */
   private static SettingsVersion restoreText(
       SentVersion sent, SettingsVersion cached, SettingsVersion otherCached) {
     SettingsVersion version = sent == null ? null : sent.version();
@@ -235,7 +240,8 @@
     public void channelInactive(ChannelHandlerContext context) {
       if (openConnection == context) {
         openConnection = null;
-        // A voter, or a proxy before it, that closes without an answer would be tried forever.
+        // Otherwise a voter, or a proxy in front of it, that closes each connection without a
+        // reply would be tried forever.
         currentVoterIndex = hasResponded ? currentVoterIndex : nextVoterIndex();
       }
     }
@@ -250,8 +256,8 @@
         handleGrant(grant);
       } else if (reply instanceof FleetReply.NotLeader notLeader) {
         followRedirect(context, notLeader.leader());
-      } else if (reply instanceof FleetReply.Rejected refused) {
-        onRejected(refused.reason());
+      } else if (reply instanceof FleetReply.Rejected rejected) {
+        onRejected(rejected.reason());
       } else if (reply instanceof FleetReply.Undecided undecided) {
         onRejected(undecided.reason());
       } else if (reply instanceof FleetReply.Unknown unknown) {
--- a/router/src/main/java/basaltlever/fleet/MembershipCodec.java
+++ b/router/src/main/java/basaltlever/fleet/MembershipCodec.java
@@ -14,11 +14,11 @@
 import java.util.function.Function;
 
 /**
- * Endpoint lists, drain marks and group assignments as parts of messages. A field that is missing
- * takes its default, and one of another release is ignored.
+ * Converts states of endpoint lists, drain marks and group assignments to and from fields of
+ * messages. Missing fields have defaults; unknown fields of other releases are ignored.
  */
 final class MembershipCodec {
-  /** Items of one list that are read at most; more are never sent. */
+  /** The maximum number of items that are read of one list; instances never send more. */
   private static final int MAX_ITEMS = 5_000;
 
   private MembershipCodec() {}
@@ -97,7 +97,7 @@
     return fields;
   }
 
-  /** {@link HeartbeatReport#NONE} where the value is no report. */
+  /** Returns {@link HeartbeatReport#NONE} if the value is not a report. */
   static HeartbeatReport decodeReport(Object value) {
     if (!(value instanceof Map<?, ?> fields)) {
       return HeartbeatReport.NONE;
@@ -134,7 +134,7 @@
     return fields;
   }
 
-  /** Null where the value is no update. */
+  /** Returns null if the value is not an update. */
   static MembershipUpdate decodeUpdate(Object value) {
     if (!(value instanceof Map<?, ?> fields)) {
       return null;
--- a/router/src/main/java/basaltlever/fleet/MessageCodec.java
+++ b/router/src/main/java/basaltlever/fleet/MessageCodec.java
@@ -13,12 +13,12 @@
 import java.util.Map;
 
 /**
- * Reads and writes the messages between instances and the commands of the voters' log: each is one
- * map in CBOR (RFC 8949). Readers ignore keys that they don't know and take defaults for those that
- * are missing. Anything that is no map, or is nested deeper or larger than ever sent, is rejected.
+ * Reads and writes the messages between instances and the commands of the voters' log. Each is one
+ * CBOR map (RFC 8949). Readers ignore unknown keys and use defaults for missing ones. Input that is
+ * not a map, or is nested deeper or larger than any message sent, is rejected.
  */
 public final class MessageCodec {
-  /** The size of a message in bytes at most. */
+  /** The maximum size of a message in bytes. */
   public static final int MAX_MESSAGE_BYTES = 1 << 20;
 
   private static final int MAX_DEPTH = 6;
@@ -36,7 +36,7 @@
 
   private MessageCodec() {}
 
-  /** Writes a map of texts, whole numbers, flags, nulls, and maps and lists of these. */
+  /** Writes a map of strings, integers, booleans and nulls, and of maps and lists of these. */
   public static byte[] write(Map<String, ?> message) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator out = CBOR.createGenerator(bytes)) {
@@ -47,13 +47,13 @@
     return bytes.toByteArray();
   }
 
-  /** Writes a value as CBOR or JSON, depending on the generator. */
+  /** Writes a value in the format of the generator, CBOR or JSON. */
   public static void writeValue(JsonGenerator out, Object value) throws IOException {
-    if (value instanceof Map<?, ?> members) {
+    if (value instanceof Map<?, ?> map) {
       out.writeStartObject();
-      for (Map.Entry<?, ?> member : members.entrySet()) {
-        out.writeFieldName(String.valueOf(member.getKey()));
-        writeValue(out, member.getValue());
+      for (Map.Entry<?, ?> entry : map.entrySet()) {
+        out.writeFieldName(String.valueOf(entry.getKey()));
+        writeValue(out, entry.getValue());
       }
       out.writeEndObject();
     } else if (value instanceof List<?> items) {
@@ -75,8 +75,8 @@
     }
   }
 
-  /** Throws where the bytes are no such map. */
-  @SuppressWarnings("IllegalCatch") // The parser throws unchecked exceptions at malformed bytes.
+  /** Throws if the bytes are not such a map. */
+  @SuppressWarnings("IllegalCatch") // The parser throws unchecked exceptions for malformed bytes.
   public static Map<String, Object> read(byte[] bytes, int from, int length) throws IOException {
     try (JsonParser in = CBOR.createParser(bytes, from, length)) {
       if (in.nextToken() == JsonToken.START_OBJECT) {
@@ -88,7 +88,7 @@
     } catch (RuntimeException malformed) {
       throw new IOException(malformed);
     }
-    throw new IOException("no message");
+    throw new IOException("message is not a single CBOR map");
   }
 
   private static Map<String, Object> readMap(JsonParser in) throws IOException {
@@ -125,28 +125,28 @@
       case VALUE_NULL -> {
         return null;
       }
-      default -> throw new IOException("a value that is never sent");
+      default -> throw new IOException("message contains a CBOR value of an unsupported type");
     }
   }
 
-  /** The text at a key; empty where there is none. */
+  /** Returns the text at a key; empty if there is none. */
   public static String getText(Map<?, ?> message, String key) {
     return message.get(key) instanceof String text ? text : "";
   }
 
-  /** The list of texts at a key; empty where there is none. */
+  /** Returns the list of texts at a key; empty if there is none. */
   public static List<String> getTexts(Map<?, ?> message, String key) {
     return message.get(key) instanceof List<?> items
         ? items.stream().map(String::valueOf).toList()
         : List.of();
   }
 
-  /** The number at a key; 0 where there is none. */
+  /** Returns the number at a key; 0 if there is none. */
   public static long getNumber(Map<?, ?> message, String key) {
     return message.get(key) instanceof Long number ? number : 0;
   }
 
-  /** The flag at a key; false where there is none. */
+  /** Returns the flag at a key; false if there is none. */
   public static boolean getFlag(Map<?, ?> message, String key) {
     return Boolean.TRUE.equals(message.get(key));
   }
--- a/router/src/main/java/basaltlever/fleet/PeerPoller.java
+++ b/router/src/main/java/basaltlever/fleet/PeerPoller.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Asks the other voters for their status; blocks while it does. */
+/** Requests the status of the other voters; blocks until they reply or time out. */
 final class PeerPoller {
   private static final int REPLY_TIMEOUT_MILLIS = 250;
 
@@ -22,19 +22,22 @@
     this.store = store;
   }
 
-  /** The status of all other voters that answer in time, of the settings file and of the store. */
+  /**
+   * Returns the status of each other voter, named by the settings file or the store, that replies
+   * in time.
+   */
   List<PeerStatus> pollAll() {
     Set<String> others = new LinkedHashSet<>(settings.voters().keySet());
     others.addAll(store.voters());
     others.retainAll(settings.peers().keySet());
     others.remove(name);
     List<PeerStatus> statuses = new ArrayList<>();
-    for (String other : others) {
-      StatusReport status = poll(other);
+    for (String voter : others) {
+      StatusReport status = poll(voter);
       if (status != null) {
         statuses.add(
             new PeerStatus(
-                other,
+                voter,
                 status.epoch(),
                 status.voters(),
                 status.requesterFolderId(),
@@ -45,7 +48,7 @@
     return statuses;
   }
 
-  /** Null where it doesn't answer in time. */
+  /** Returns the status of a voter; null if it doesn't reply in time. */
   StatusReport poll(String voter) {
     try {
       FleetReply reply =
--- a/router/src/main/java/basaltlever/fleet/RaftCommand.java
+++ b/router/src/main/java/basaltlever/fleet/RaftCommand.java
@@ -3,14 +3,14 @@
 import basaltlever.membership.GroupAssignment;
 import java.util.List;
 
-/** A command of the voters' log, applied to the register of each voter in the same order. */
+/** A command of the voters' Raft log; every voter applies all commands in the same order. */
 sealed interface RaftCommand {
   /** Proposes settings; see {@link basaltlever.settings.VersionRegister#propose}. */
   record Propose(
       long basis, String text, int routers, String proposer, String reason, long proposedAtMillis)
       implements RaftCommand {}
 
-  /** The leader's proposal of the version in force for a new number of routers. */
+  /** Proposes the settings in force again, for a changed number of routers. */
   record ProposeRouterCount(Propose proposal) implements RaftCommand {}
 
   /** Brings the prepared version into force. */
@@ -22,24 +22,24 @@
   /** Assigns endpoints to groups. */
   record Assign(List<GroupAssignment> assignments) implements RaftCommand {}
 
-  /** Marks assignments as in effect, since no router uses the endpoints in their former groups. */
+  /** Marks assignments as effective: no router uses the endpoints in their former groups. */
   record ClearAssignments(List<GroupAssignment> assignments) implements RaftCommand {}
 
-  /** Starts another era, since discovery counts its generations anew. */
+  /** Starts a new era after discovery has restarted its generation numbers. */
   record StartNewEra(long era) implements RaftCommand {}
 
-  /** Records the folder by which a voter votes. */
+  /** Records the id of the folder with which a voter votes. */
   record RecordVoterFolder(String voter, String folderId) implements RaftCommand {}
 
-  /** Forgets the folder of a voter that is added or removed. */
+  /** Removes the recorded folder of a voter that is added or removed. */
   record RemoveVoterFolder(String voter) implements RaftCommand {}
 
-  /** Starts a configuration epoch with what was left of the one before. */
+  /** Starts a configuration epoch with the register recovered from the previous one. */
   record StartEpoch(RegisterContent content) implements RaftCommand {}
 
-  /** Proves that its sender still leads. */
+  /** Confirms, once a majority has committed it, that its sender still leads. */
   record Tick() implements RaftCommand {}
 
-  /** A command that this release doesn't know: it only takes its place in the order. */
+  /** A command of a kind that this release doesn't support; it is applied without any effect. */
   record Unknown() implements RaftCommand {}
 }
--- a/router/src/main/java/basaltlever/fleet/RaftCommandCodec.java
+++ b/router/src/main/java/basaltlever/fleet/RaftCommandCodec.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Commands of the voters' log, and contents of registers, as maps of their CBOR keys. */
+/** Converts commands of the Raft log and register contents to and from maps with CBOR keys. */
 final class RaftCommandCodec {
   private RaftCommandCodec() {}
 
@@ -58,7 +58,7 @@
     } else if (command instanceof Tick) {
       return Map.of("do", "pulse");
     }
-    throw new IllegalArgumentException("never submitted: " + command);
+    throw new IllegalArgumentException("commands of this kind are never submitted: " + command);
   }
 
   private static Map<String, Object> fields(
--- a/router/src/main/java/basaltlever/fleet/RaftNode.java
+++ b/router/src/main/java/basaltlever/fleet/RaftNode.java
@@ -28,10 +28,10 @@
 import org.slf4j.event.Level;
 
 /**
- * The Raft node of one voter, on JGroups (docs/agreement.md says why). Term, vote and log are kept
- * in the log folder; the register is the state that the log's commands lead to. Commands are
- * applied on JGroups' own threads, one after the other; whoever reads the register meanwhile holds
- * its lock.
+ * The Raft node of one voter, implemented with JGroups (docs/agreement.md gives the reasons). Term,
+ * vote and log are stored in the log folder; the register is the state machine to which the log's
+ * commands are applied. JGroups applies them one after the other on its own threads, so other
+ * threads must hold the register's lock while they read it.
  */
 final class RaftNode implements StateMachine, AutoCloseable {
   private static final String PROTOCOL_STACK =
@@ -60,7 +60,7 @@
         </config>
         """;
 
-  /** Ports of the failure detector lie this far above the voters' own. */
+  /** Offset from a voter's port to the port of its failure detector. */
   private static final int FAILURE_DETECTOR_PORT_OFFSET = 1_000;
 
   private static final long MIN_FAILURE_CHECK_INTERVAL_MILLIS = 50;
@@ -74,16 +74,17 @@
   private volatile boolean closed;
 
   /**
-   * Joins the other voters in the background.
+   * Creates the Raft node and joins the other voters in the background.
    *
    * @param cluster name of the Raft cluster
-   * @param name of this voter
-   * @param voterAddresses addresses at which voters may be found
-   * @param initialVoters who votes at first, this voter included
-   * @param logFolder where the log is kept
-   * @param suspectTimeoutMillis silence after which another voter is suspected to have failed
+   * @param name name of this voter
+   * @param voterAddresses addresses of all configured voters, by name
+   * @param initialVoters voters of a new log, including this one
+   * @param logFolder folder of the log
+   * @param suspectTimeoutMillis time without a message after which another voter is suspected to
+   *     have failed
    * @param onLeadershipChanged called on a JGroups thread when this voter becomes the leader or
-   *     ceases to be
+   *     loses the leadership
    */
   RaftNode(
       String cluster,
@@ -123,21 +124,21 @@
   }
 
   /**
-   * A voter that restarts is rejected until the others have noticed that its former process is
-   * gone, so it tries again while its router serves.
+   * Joins the cluster, with retries: the other voters reject a restarted voter until they have
+   * detected that its former process has ended. The router serves meanwhile.
    */
-  @SuppressWarnings("IllegalCatch") // The last guard of its thread; JGroups declares Exception.
+  @SuppressWarnings("IllegalCatch") // Top-level handler of its thread; JGroups declares Exception.
   private void join(String cluster) {
     while (!closed) {
       try {
         channel.connect(cluster);
         return;
-      } catch (Exception rejected) {
-        Event.FLEET_JOINS.log(LOG, Level.WARN, "asks again", rejected);
+      } catch (Exception failure) {
+        Event.FLEET_JOINS.log(LOG, Level.WARN, "joining the voters failed; retrying", failure);
       }
       try {
         Thread.sleep(JOIN_RETRY_MILLIS);
-      } catch (InterruptedException ended) {
+      } catch (InterruptedException interrupted) {
         return;
       }
     }
@@ -147,34 +148,34 @@
     onLeadershipChanged.accept(role == Role.Leader);
   }
 
-  /** To be locked by whoever reads it outside of JGroups' threads. */
+  /** Returns the register; callers on other threads than JGroups' must hold its lock. */
   VersionRegister register() {
     return register;
   }
 
-  /** The name of the leader; empty where there is none. */
+  /** Returns the name of the leader; empty if there is none. */
   String leaderName() {
     Address leader = raft.leader();
     String name = leader == null ? null : NameCache.get(leader);
     return name == null ? "" : name;
   }
 
-  /** The voters, as far as this one knows. */
+  /** Returns the voters according to this voter's log. */
   List<String> voters() {
     return List.copyOf(raft.raft().members());
   }
 
-  /** Adds or removes a voter; one change at a time, and only at the leader. */
+  /** Adds or removes a voter. Only the leader may do so, one change at a time. */
   @SuppressWarnings("IllegalCatch") // JGroups declares Exception.
   CompletableFuture<byte[]> changeVoter(String voter, boolean add) {
     try {
       return add ? raft.raft().addServer(voter) : raft.raft().removeServer(voter);
-    } catch (Exception rejected) {
-      return CompletableFuture.failedFuture(rejected);
+    } catch (Exception failure) {
+      return CompletableFuture.failedFuture(failure);
     }
   }
 
-  /** The role and how far the log has come, for status. */
+  /** Describes the role and the progress of the log, for status reports. */
   String statusSummary() {
     RAFT protocol = raft.raft();
     return "%s, term %s, applied %s of %s"
@@ -186,8 +187,8 @@
   }
 
   /**
-   * Completes with the register's objection, empty where there is none, once a majority has the
-   * command; fails where there is no majority.
+   * Submits a command to the log. The result completes once a majority has committed the command,
+   * with the reason why it has no effect, or an empty text; it fails if there is no majority.
    */
   @SuppressWarnings("IllegalCatch") // JGroups declares Exception.
   CompletableFuture<String> submit(RaftCommand command) {
@@ -195,8 +196,8 @@
     try {
       return raft.setAsync(bytes, 0, bytes.length, Options.create(false))
           .thenApply(answer -> answer == null ? "" : new String(answer, StandardCharsets.UTF_8));
-    } catch (Exception rejected) {
-      return CompletableFuture.failedFuture(rejected);
+    } catch (Exception failure) {
+      return CompletableFuture.failedFuture(failure);
     }
   }
 
--- a/router/src/main/java/basaltlever/fleet/RegisterContent.java
+++ b/router/src/main/java/basaltlever/fleet/RegisterContent.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** All of a {@link VersionRegister} that a Raft snapshot, or the start of an epoch, holds. */
+/** The content of a {@link VersionRegister} as stored in Raft snapshots and epoch starts. */
 record RegisterContent(
     SettingsVersion inForce,
     SettingsVersion prepared,
@@ -21,10 +21,10 @@
     Map<String, String> recordedFolders,
     List<String> lostVoters,
     List<HistoryEntry> history) {
-  /** Texts of older versions would make a snapshot large, and revert needs the latest only. */
+  /** Older settings texts are omitted to keep snapshots small; a revert needs only the latest. */
   private static final int MAX_VERSIONS_WITH_TEXT = 2;
 
-  /** Takes the register's lock. */
+  /** Returns the content of a register, under the register's lock. */
   static RegisterContent of(VersionRegister register) {
     synchronized (register) {
       return new RegisterContent(
@@ -42,12 +42,12 @@
   }
 
   private static List<HistoryEntry> withoutOldTexts(List<HistoryEntry> history) {
-    List<HistoryEntry> shortened = new ArrayList<>();
+    List<HistoryEntry> entries = new ArrayList<>();
     for (HistoryEntry entry : history) {
       boolean isOld = history.indexOf(entry) < history.size() - MAX_VERSIONS_WITH_TEXT;
-      shortened.add(isOld ? withoutText(entry) : entry);
+      entries.add(isOld ? withoutText(entry) : entry);
     }
-    return shortened;
+    return entries;
   }
 
   private static HistoryEntry withoutText(HistoryEntry entry) {
@@ -55,7 +55,7 @@
         VersionCodec.withText(entry.version(), ""), entry.outcome(), entry.reason());
   }
 
-  /** Takes the register's lock. */
+  /** Replaces the content of a register, under the register's lock. */
   void restoreTo(VersionRegister register) {
     synchronized (register) {
       register.restore(inForce, prepared, lastNumber, changeCount, history);
--- a/router/src/main/java/basaltlever/fleet/ReplyCodec.java
+++ b/router/src/main/java/basaltlever/fleet/ReplyCodec.java
@@ -10,7 +10,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Replies of voters as maps of their CBOR keys. */
+/** Converts voters' replies to and from maps with CBOR keys. */
 final class ReplyCodec {
   private ReplyCodec() {}
 
@@ -25,12 +25,12 @@
       return StatusCodec.encode(status);
     } else if (reply instanceof Accepted) {
       return Map.of("do", "taken", "why", "");
-    } else if (reply instanceof Rejected refused) {
-      return Map.of("do", "refused", "why", refused.reason());
+    } else if (reply instanceof Rejected rejected) {
+      return Map.of("do", "refused", "why", rejected.reason());
     } else if (reply instanceof Undecided undecided) {
       return Map.of("do", "unknown", "why", undecided.reason());
     }
-    throw new IllegalArgumentException("never sent: " + reply);
+    throw new IllegalArgumentException("voters don't send replies of this kind: " + reply);
   }
 
   private static Map<String, Object> encode(LeaseGranted granted) {
--- a/router/src/main/java/basaltlever/fleet/RequestCodec.java
+++ b/router/src/main/java/basaltlever/fleet/RequestCodec.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Requests to voters as maps of their CBOR keys. */
+/** Converts requests to voters to and from maps with CBOR keys. */
 final class RequestCodec {
   private RequestCodec() {}
 
@@ -41,7 +41,7 @@
       }
       return fields;
     }
-    throw new IllegalArgumentException("never sent: " + request);
+    throw new IllegalArgumentException("instances don't send requests of this kind: " + request);
   }
 
   private static Map<String, Object> fields(String kind, FleetRequest request) {
--- a/router/src/main/java/basaltlever/fleet/RequestHandler.java
+++ b/router/src/main/java/basaltlever/fleet/RequestHandler.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Answers the requests on one connection to a voter, on the voter's event loop. */
+/** Handles the requests on one connection to a voter, on the voter's event loop. */
 final class RequestHandler extends FrameCodec<FleetRequest> {
   private static final int PROPOSE_TIMEOUT_SECONDS = 3;
   private static final int VOTER_CHANGE_TIMEOUT_SECONDS = 5;
@@ -124,7 +124,7 @@
     loop.execute(() -> send(context, reply));
   }
 
-  /** The voter's folder is forgotten first, since it may come with another one. */
+  /** Removes the voter's recorded folder first, since the voter may join with a new one. */
   private void changeVoters(ChannelHandlerContext context, FleetRequest.ChangeVoters request) {
     RaftNode raftNode = lifecycle.raftNode();
     String rejectionReason =
@@ -150,7 +150,7 @@
                         : new FleetReply.Undecided("no majority answered: " + fault)));
   }
 
-  /** Empty where there is none. */
+  /** Returns why the change is rejected; empty if it is allowed. */
   private String rejectionReason(FleetRequest.ChangeVoters request, List<String> voters) {
     String voter = request.voter();
     if (!isPeer(voter)) {
@@ -171,7 +171,7 @@
     recovery.start();
   }
 
-  @SuppressWarnings("IllegalCatch") // The last guard of its thread; JGroups declares Exception.
+  @SuppressWarnings("IllegalCatch") // Top-level handler of its thread; JGroups declares Exception.
   private void recover(ChannelHandlerContext context, FleetRequest.Recover request) {
     String rejectionReason;
     try {
--- a/router/src/main/java/basaltlever/fleet/StatusCodec.java
+++ b/router/src/main/java/basaltlever/fleet/StatusCodec.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Status reports as maps of their CBOR keys, which are those of the commands' JSON too. */
+/** Converts status reports to and from maps with CBOR keys, which commands print as JSON too. */
 public final class StatusCodec {
   private StatusCodec() {}
 
-  /** In the order in which voters send the keys. */
+  /** Returns the fields of a status report in the order in which voters send them. */
   public static Map<String, Object> encode(StatusReport status) {
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("do", "status");
@@ -34,7 +34,7 @@
     return fields;
   }
 
-  /** One line of the history. */
+  /** Returns the fields of one history entry. */
   public static Map<String, Object> encode(VersionStatus version) {
     return VersionCodec.withOutcome(
         VersionCodec.encode(version.version()), version.outcome(), version.reason());
--- a/router/src/main/java/basaltlever/fleet/StatusReporter.java
+++ b/router/src/main/java/basaltlever/fleet/StatusReporter.java
@@ -5,9 +5,9 @@
 import basaltlever.settings.VersionRegister.HistoryEntry;
 import java.util.List;
 
-/** Puts together a voter's status; on the voter's event loop. */
+/** Builds a voter's status report, on the voter's event loop. */
 final class StatusReporter {
-  /** Of the whole history only the latest texts are sent, since a reply is limited in size. */
+  /** Settings texts of older versions are omitted from the history, since replies are limited. */
   private static final int MAX_VERSION_AGE_WITH_TEXT = 3;
 
   private final VoterLifecycle lifecycle;
@@ -18,11 +18,11 @@
     this.fleetLeader = leader;
   }
 
-  /** The status for the instance of that name; empty for an operator's command. */
+  /** Builds the report for the named instance; the name is empty for an operator's command. */
   StatusReport report(String requester) {
     RaftNode raftNode = lifecycle.raftNode();
     VersionRegister register = lifecycle.register();
-    // Before the register is locked, since these take locks of their own.
+    // Read before the register is locked, since these calls acquire other locks.
     String raftStatus =
         raftNode == null ? "does not vote: " + lifecycle.waitReason() : raftNode.statusSummary();
     List<String> voters = raftNode == null ? List.of() : raftNode.voters();
--- a/router/src/main/java/basaltlever/fleet/VersionCodec.java
+++ b/router/src/main/java/basaltlever/fleet/VersionCodec.java
@@ -6,11 +6,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Settings versions as parts of messages and files. */
+/** Converts settings versions to and from fields of messages and files. */
 final class VersionCodec {
   private VersionCodec() {}
 
-  /** Null stays null. */
+  /** Returns null for null. */
   static Map<String, Object> encode(SettingsVersion version) {
     if (version == null) {
       return null;
@@ -25,7 +25,7 @@
     return fields;
   }
 
-  /** Null stays null. */
+  /** Returns null for null. */
   static Map<String, Object> encode(SentVersion sent) {
     if (sent == null) {
       return null;
@@ -48,7 +48,7 @@
     return version;
   }
 
-  /** Null where the value is no version. */
+  /** Returns null if the value is not a version. */
   static SettingsVersion decode(Object value) {
     return value instanceof Map<?, ?> fields
         ? new SettingsVersion(
@@ -61,14 +61,14 @@
         : null;
   }
 
-  /** Null where the value is no version. */
+  /** Returns null if the value is not a version. */
   static SentVersion decodeSent(Object value) {
     return value instanceof Map<?, ?> fields
         ? new SentVersion(decode(fields), fields.containsKey("text"))
         : null;
   }
 
-  /** Throws where the outcome is not one that this release knows. */
+  /** Throws if the outcome is not known to this release. */
   static HistoryEntry decodeHistoryEntry(Map<?, ?> fields) {
     return new HistoryEntry(
         decode(fields),
--- a/router/src/main/java/basaltlever/fleet/VoterLifecycle.java
+++ b/router/src/main/java/basaltlever/fleet/VoterLifecycle.java
@@ -16,8 +16,8 @@
 import org.slf4j.event.Level;
 
 /**
- * Decides whether this instance may vote, and runs its Raft node while it does. The store's lock
- * guards each change of the node; any thread may read.
+ * Decides whether this instance may vote, and runs its Raft node while it votes. The Raft node is
+ * replaced only under the store's lock; any thread may read it.
  */
 final class VoterLifecycle implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(VoterLifecycle.class);
@@ -31,10 +31,10 @@
   private final PeerPoller poller;
   private final Consumer<Boolean> onLeadershipChanged;
 
-  /** What is reported while this instance doesn't vote. */
+  /** Reported while this instance doesn't vote. */
   private final VersionRegister emptyRegister = new VersionRegister();
 
-  /** Null while this instance may not vote. */
+  /** Null while this instance doesn't vote. */
   private volatile RaftNode raftNode;
 
   private volatile long epoch;
@@ -42,7 +42,7 @@
   private volatile boolean leading;
   private volatile boolean closed;
 
-  /** LeadershipChanged is called on any thread. */
+  /** Creates the lifecycle; {@code onLeadershipChanged} may be called on any thread. */
   VoterLifecycle(
       FleetSettings settings,
       String name,
@@ -55,28 +55,32 @@
     poller = new PeerPoller(settings, name, store);
   }
 
-  /** Starts to look for a way to vote, in the background. */
+  /** Starts checking in the background whether this instance may vote. */
   void start() {
     Thread eligibilityThread = new Thread(this::checkUntilClosed, "voter-eligibility");
     eligibilityThread.setDaemon(true);
     eligibilityThread.start();
   }
 
-  /** Checks again and again, since a voter may have been removed or given up while it was away. */
-  @SuppressWarnings("IllegalCatch") // The last guard of its thread; JGroups declares Exception.
+  /**
+   * Checks periodically, also while this instance votes, since the voter may have been removed or
+   * given up while it was disconnected.
+   */
+  @SuppressWarnings("IllegalCatch") // Top-level handler of its thread; JGroups declares Exception.
   private void checkUntilClosed() {
     while (!closed) {
       try {
         checkEligibility(poller.pollAll());
         Thread.sleep(raftNode == null ? ELIGIBILITY_RETRY_MILLIS : CHECK_INTERVAL_MILLIS);
-      } catch (InterruptedException ended) {
+      } catch (InterruptedException interrupted) {
         return;
       } catch (Exception fault) {
         waitReason = "" + fault;
-        Event.FLEET_JOINS.log(LOG, Level.WARN, "can't vote, asks again", fault);
+        Event.FLEET_JOINS.log(
+            LOG, Level.WARN, "check of the eligibility to vote failed; retrying", fault);
         try {
           Thread.sleep(CHECK_INTERVAL_MILLIS);
-        } catch (InterruptedException ended) {
+        } catch (InterruptedException interrupted) {
           return;
         }
       }
@@ -99,7 +103,7 @@
     }
   }
 
-  /** Whether another voter is in a newer epoch, or leads this one without this instance. */
+  /** Returns whether a voter is in a newer epoch, or leads this epoch without this instance. */
   private boolean isSuperseding(PeerStatus other) {
     return other.epoch() > epoch
         || (other.isLeader() && other.epoch() == epoch && !other.voters().contains(name));
@@ -140,17 +144,21 @@
             + String.join(", ", eligibility.voters()));
   }
 
-  /** Stops voting, since the others go on in a newer epoch or without this instance. */
+  /** Stops voting, since the other voters continue in a newer epoch or without this instance. */
   private void retire() {
     RaftNode former = raftNode;
     raftNode = null;
     onLeadershipChanged.accept(false);
     former.close();
     Event.FLEET_STANDS.log(
-        LOG, Level.WARN, "", "retires", "a charter newer than " + epoch + ", or taken out");
+        LOG,
+        Level.WARN,
+        "",
+        "retires",
+        "a charter newer than " + epoch + " exists, or this voter was removed");
   }
 
-  /** Stops voting in the background, since a newer epoch has been reported. */
+  /** Stops voting, in the background, after a heartbeat has reported a newer epoch. */
   void retireInBackground() {
     Thread retirementThread =
         new Thread(
@@ -167,8 +175,10 @@
   }
 
   /**
-   * Carries out an operator's request: this voter goes on by itself, in a new epoch. Blocks while
-   * it asks the other voters. Returns the objection; empty where the epoch starts.
+   * Executes an operator's request to continue with this voter alone, in a new epoch. Blocks while
+   * it polls the other voters.
+   *
+   * @return why the request is rejected; empty if the new epoch starts
    */
   String recover(FleetRequest.Recover request) throws Exception {
     synchronized (store) {
@@ -231,17 +241,17 @@
         : "";
   }
 
-  /** Told by the event loop, once it has acted on a change of leadership. */
+  /** Called by the event loop after it has handled a change of leadership. */
   void setLeading(boolean isLeading) {
     leading = isLeading;
   }
 
-  /** Null while this instance doesn't vote. */
+  /** Returns the Raft node; null while this instance doesn't vote. */
   RaftNode raftNode() {
     return raftNode;
   }
 
-  /** The register of the node, or an empty one while this instance doesn't vote. */
+  /** Returns the register of the Raft node, or an empty one while this instance doesn't vote. */
   VersionRegister register() {
     RaftNode current = raftNode;
     return current == null ? emptyRegister : current.register();
@@ -251,30 +261,34 @@
     return epoch;
   }
 
-  /** Why this instance doesn't vote. */
+  /** Returns why this instance doesn't vote. */
   String waitReason() {
     return waitReason;
   }
 
   /**
-   * Whether the register holds what the epoch starts with: before that nothing may be led by it.
+   * Returns whether the register contains the initial content of the epoch. Until it does, this
+   * voter must not act as the leader.
    */
   boolean hasStartedEpoch() {
     RaftNode current = raftNode;
     return current != null && current.register().epoch() == epoch;
   }
 
-  /** What the epoch starts with; null where it has started, or is not for this voter to start. */
+  /**
+   * Returns the initial content of the epoch; null if the epoch has started, or if another voter
+   * has to start it.
+   */
   RegisterContent pendingEpochStart() throws IOException {
     return hasStartedEpoch() || raftNode == null ? null : store.readEpochStart(epoch);
   }
 
-  /** The id of the folder by which this instance votes; empty while it doesn't vote. */
+  /** Returns the id of the folder with which this instance votes; empty while it doesn't. */
   String folderId() {
     return raftNode == null ? "" : store.identity().folderId();
   }
 
-  /** Whether the folder of this instance has never been used to vote. */
+  /** Returns whether the folder of this instance has never been used to vote. */
   boolean hasUnusedFolder() {
     return store.identity().voters().isEmpty();
   }
--- a/router/src/main/java/basaltlever/fleet/VoterServer.java
+++ b/router/src/main/java/basaltlever/fleet/VoterServer.java
@@ -9,8 +9,8 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 
 /**
- * The voter of an instance: listens for requests of routers, other voters and operators' commands.
- * It runs on an event loop of its own, so that no statement waits for it.
+ * The voter of an instance: accepts requests from routers, other voters and operators' commands. It
+ * runs on a separate event loop, so that statements are never delayed by it.
  */
 final class VoterServer implements AutoCloseable {
   private static final int MAX_CONNECTIONS = 2_100;
@@ -23,10 +23,10 @@
   private final StatusReporter statusReporter;
   private final Channel listener;
 
-  /** Of the event loop. */
+  /** Accessed only on the event loop. */
   private int openConnections;
 
-  /** Throws where the port can't be bound. */
+  /** Throws if the port can't be bound. */
   VoterServer(FleetSettings settings, String name, EventLoop loop, VoterStore store)
       throws InterruptedException {
     this.settings = settings;
@@ -74,7 +74,7 @@
         .addLast(new RequestHandler(settings, name, loop, lifecycle, fleetLeader, statusReporter));
   }
 
-  /** The id of the folder by which this instance votes; empty while it doesn't vote. */
+  /** Returns the id of the folder with which this instance votes; empty while it doesn't. */
   String folderId() {
     return lifecycle.folderId();
   }
--- a/router/src/main/java/basaltlever/fleet/VoterStore.java
+++ b/router/src/main/java/basaltlever/fleet/VoterStore.java
@@ -14,10 +14,13 @@
 import java.util.zip.CRC32C;
 
 /**
- * The folder of an instance: its identity, the configuration epoch under which it votes and with
- * whom, and the latest epoch, voters and settings version that it has learned of. The file is
- * written as a whole with a checksum, synced and renamed. A folder of another router or fleet, or
- * one that can't be read, is rejected: an instance that goes on with a guess could vote twice.
+ * Stores the voter state of an instance in its folder: its identity, the configuration epoch in
+ * which it votes and the voters of that epoch, and the latest epoch, voters and settings version
+ * that it has learned of.
+ *
+ * <p>Each update writes a new file with a checksum, syncs it and renames it over the previous one.
+ * A folder of another router or fleet, or one that can't be read, is rejected: an instance that
+ * continued with guessed contents could vote twice.
  */
 public final class VoterStore {
   private static final String IDENTITY_FILE = "papers";
@@ -31,7 +34,7 @@
   private long latestEpoch;
   private List<String> voters;
 
-  /** Null where none has been learned of. */
+  /** Null until a leader has reported one. */
   private SettingsVersion inForce;
 
   private VoterStore(
@@ -47,7 +50,11 @@
     this.inForce = inForce;
   }
 
-  /** The folder of the router by that name; throws with the reason where it is not its own. */
+  /**
+   * Opens the folder of an instance; an empty folder gets a new id.
+   *
+   * @throws IOException if the folder is damaged or belongs to another instance or fleet
+   */
   public static VoterStore open(Path path, String fleet, String name) throws IOException {
     Files.createDirectories(path);
     LockedDirectory directory = new LockedDirectory(path);
@@ -80,8 +87,8 @@
         || ByteBuffer.wrap(bytes).getLong() != checksum(bytes, Long.BYTES)) {
       throw new IOException(
           path.resolve(IDENTITY_FILE)
-              + " is damaged: bring the folder back from a copy, or take this"
-              + " voter out, empty the folder and take it in again");
+              + " is damaged: restore the folder from a backup, or remove this"
+              + " voter, empty the folder and add the voter again");
     }
     return MessageCodec.read(bytes, Long.BYTES, bytes.length - Long.BYTES);
   }
@@ -101,17 +108,17 @@
     return checksum.getValue();
   }
 
-  /** Has no members while this instance doesn't vote. */
+  /** Returns the identity, which names no voters until this instance has voted. */
   synchronized VoterIdentity identity() {
     return identity;
   }
 
-  /** The latest configuration epoch that this router has learned of. */
+  /** Returns the latest configuration epoch that this router has learned of. */
   public synchronized long latestEpoch() {
     return latestEpoch;
   }
 
-  /** Records under which epoch and with whom this instance votes from here on. */
+  /** Records the epoch in which this instance votes from now on, and the voters of that epoch. */
   synchronized void recordVotingEpoch(long epoch, List<String> voters) throws IOException {
     identity =
         new VoterIdentity(
@@ -128,8 +135,8 @@
   }
 
   /**
-   * The voters as a leader named them last, since settings files may name voters that are long
-   * gone. Empty before that.
+   * Returns the voters that a leader reported last; empty before the first report. Settings files
+   * may still name voters that were removed long ago.
    */
   synchronized List<String> voters() {
     return voters;
@@ -143,8 +150,9 @@
   }
 
   /**
-   * The version that was in force when a leader granted a lease last, with the number of routers. A
-   * process that starts while nobody leads keeps to nothing looser. Null where there is none.
+   * Returns the version that was in force, and its number of routers, when a leader last granted a
+   * lease; null if there is none. A process that starts while there is no leader applies limits at
+   * least as strict.
    */
   public synchronized SettingsVersion inForce() {
     return inForce;
@@ -169,7 +177,7 @@
     fields.put("told", VersionCodec.encode(inForce));
     byte[] content = MessageCodec.write(fields);
     if (content.length > MAX_FILE_BYTES - Long.BYTES) {
-      // A folder without the version is better than one that is too large to be read.
+      // Without the version the file remains readable; a file above the limit would be rejected.
       fields.remove("told");
       content = MessageCodec.write(fields);
     }
@@ -181,7 +189,7 @@
     directory.syncDirectory();
   }
 
-  /** What an epoch starts with; null where this instance didn't start it. */
+  /** Returns the initial content of an epoch; null if this instance didn't start the epoch. */
   synchronized RegisterContent readEpochStart(long epoch) throws IOException {
     Path file = logFolder(epoch).resolve(EPOCH_START_FILE);
     if (epoch == 0 || !Files.exists(file)) {
@@ -191,7 +199,7 @@
     return RaftCommandCodec.decodeContent(MessageCodec.read(bytes, 0, bytes.length));
   }
 
-  /** Takes effect with the {@link #recordVotingEpoch} that has to follow. */
+  /** Writes the initial content of an epoch; {@link #recordVotingEpoch} has to follow. */
   synchronized void writeEpochStart(long epoch, RegisterContent content) throws IOException {
     LockedDirectory epochFolder = new LockedDirectory(Files.createDirectories(logFolder(epoch)));
     epochFolder.write(NEW_EPOCH_START_FILE, MessageCodec.write(RaftCommandCodec.encode(content)));
@@ -200,7 +208,7 @@
     epochFolder.syncDirectory();
   }
 
-  /** Where the Raft node keeps its log under an epoch. */
+  /** Returns the folder of the Raft node's log in an epoch. */
   Path logFolder(long epoch) {
     return epoch == 0 ? directory.path() : directory.path().resolve("charter-" + epoch);
   }
--- a/router/src/main/java/basaltlever/fleet/package-info.java
+++ b/router/src/main/java/basaltlever/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Communication between the instances of a fleet: voters, the leader's connections and their
- * messages.
+ * Communication between the instances of a fleet: voters, routers' connections to the leader, and
+ * the messages between them.
  */
 package basaltlever.fleet;
