--- a/router/src/test/java/basaltlever/fleet/StoredVersionTest.java
+++ b/router/src/test/java/basaltlever/fleet/StoredVersionTest.java
@@ -24,8 +24,8 @@
 import net.jqwik.api.Example;
 
 /**
- * A fleet of one, on loopback: what its leader tells is in the folder before the router hears of
- * it.
+ * Runs a fleet of one voter on loopback, and checks that the version in force is stored in the
+ * folder before the grant that reports it is delivered to the router.
  */
 class StoredVersionTest {
   private static InetSocketAddress freeAddress() throws Exception {
@@ -45,7 +45,7 @@
         Span.ofMillis(3_000));
   }
 
-  /** A router that reports nothing but its heartbeats. */
+  /** Starts an instance that sends heartbeats without endpoints. */
   private static FleetMember start(
       Path folder, VoterStore store, BiConsumer<LeaseGrant, MembershipUpdate> onLeaseGranted)
       throws Exception {
@@ -73,9 +73,9 @@
 
   @Example
   void versionInForceIsStoredBeforeTheGrantIsDelivered() throws Exception {
-    Path folder = Files.createTempDirectory("told");
+    Path folder = Files.createTempDirectory("voter-store");
     VoterStore store = VoterStore.open(folder, "cards", "n1");
-    check(store.inForce() == null, "an empty folder was told nothing");
+    check(store.inForce() == null, "an empty folder contains no version");
     AtomicReference<SettingsVersion> stored = new AtomicReference<>();
     AtomicReference<LeaseGrant> granted = new AtomicReference<>();
     CountDownLatch leased = new CountDownLatch(1);
@@ -88,14 +88,16 @@
           }
         };
     try (FleetMember fleet = start(folder, store, onGrant)) {
-      check(fleet != null, "started");
-      check(leased.await(20, TimeUnit.SECONDS), "it leads itself");
+      check(fleet != null, "instance has started");
+      check(
+          leased.await(20, TimeUnit.SECONDS),
+          "the only voter becomes leader and grants itself a lease");
       check(
           granted.get().inForce().equals(stored.get()),
-          "in force: " + granted.get().inForce() + ", kept: " + stored);
+          "in force: " + granted.get().inForce() + ", stored: " + stored);
     }
     check(
         VoterStore.open(folder, "cards", "n1").inForce().equals(stored.get()),
-        "and found by the next process");
+        "the next process reads the stored version");
   }
 }
--- a/router/src/test/java/basaltlever/fleet/TypedMessagesTest.java
+++ b/router/src/test/java/basaltlever/fleet/TypedMessagesTest.java
@@ -20,8 +20,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Each typed message is read as it was written, with keys that this release doesn't know ignored
- * and keys that are missing taking their defaults.
+ * Checks that each typed message is decoded to what was encoded, that unknown keys are ignored and
+ * that missing keys have defaults.
  */
 class TypedMessagesTest {
   private static final ListVersion LIST_VERSION = new ListVersion(1, 42);
@@ -48,7 +48,7 @@
       new MembershipUpdate(
           1, 2, List.of(MARK), 3, ListAgreement.AHEAD, LIST_VERSION, 99, 1, 8, List.of(ASSIGNMENT));
 
-  /** Over the bytes of the wire, with keys of a later release. */
+  /** Encodes the fields, with a key of a later release added, as CBOR and decodes them. */
   private static Map<String, Object> roundTrip(Map<String, Object> fields) throws IOException {
     Map<String, Object> withUnknown = new LinkedHashMap<>();
     withUnknown.put("of_a_later_release", List.of(Map.of("a", 1)));
@@ -70,7 +70,7 @@
             new FleetRequest.Status("cards", ""));
     for (FleetRequest request : requests) {
       FleetRequest decoded = RequestCodec.decode(roundTrip(RequestCodec.encode(request)));
-      check(decoded.equals(request), request + " is read as " + decoded);
+      check(decoded.equals(request), request + " is decoded as " + decoded);
     }
   }
 
@@ -95,12 +95,12 @@
             status());
     for (FleetReply reply : replies) {
       FleetReply decoded = ReplyCodec.decode(roundTrip(ReplyCodec.encode(reply)));
-      check(decoded.equals(reply), reply + " is read as " + decoded);
+      check(decoded.equals(reply), reply + " is decoded as " + decoded);
     }
     FleetReply decoded = ReplyCodec.decode(roundTrip(ReplyCodec.encode(new FleetReply.Retiring())));
     check(
         decoded.equals(new FleetReply.NotLeader("")),
-        "a retiring voter names no leader: " + decoded);
+        "Retiring is decoded as NotLeader without a leader: " + decoded);
   }
 
   private static StatusReport status() {
@@ -156,12 +156,12 @@
             new RaftCommand.Tick());
     for (RaftCommand command : commands) {
       RaftCommand decoded = RaftCommandCodec.decode(roundTrip(RaftCommandCodec.encode(command)));
-      check(decoded.equals(command), command + " is read as " + decoded);
+      check(decoded.equals(command), command + " is decoded as " + decoded);
     }
     RaftCommand decoded =
         RaftCommandCodec.decode(
             roundTrip(RaftCommandCodec.encode(new RaftCommand.ProposeRouterCount(proposal))));
-    check(decoded.equals(proposal), "a count of routers is a proposal: " + decoded);
+    check(decoded.equals(proposal), "ProposeRouterCount is decoded as its proposal: " + decoded);
   }
 
   @Example
@@ -171,25 +171,25 @@
             .equals(
                 new FleetRequest.Heartbeat(
                     "cards", "", 0, 0, 0, 0, 0, "", false, HeartbeatReport.NONE, 0, "")),
-        "a heartbeat");
+        "keys missing from a heartbeat have defaults");
     check(
         RequestCodec.decode(roundTrip(Map.of("do", "later", "fleet", "cards")))
             .equals(new FleetRequest.Unknown("cards")),
-        "a request of a later release");
+        "a request of a later release is decoded as Unknown");
     check(
         ReplyCodec.decode(roundTrip(Map.of("do", "grant")))
             .equals(new FleetReply.LeaseGranted(0, Span.NONE, 0, List.of(), null, null, null)),
-        "a grant");
+        "keys missing from a grant have defaults");
     check(
         ReplyCodec.decode(roundTrip(Map.of("do", "later", "why", "so")))
             .equals(new FleetReply.Unknown("later", "so")),
-        "a reply of a later release");
+        "a reply of a later release is decoded as Unknown");
     check(
         RaftCommandCodec.decode(roundTrip(Map.of("do", "propose")))
             .equals(new RaftCommand.Propose(0, "", 1, "", "", 0)),
-        "a proposal is for one router at least");
+        "a proposal is for at least one router");
     check(
         RaftCommandCodec.decode(roundTrip(Map.of("do", "later"))).equals(new RaftCommand.Unknown()),
-        "a command of a later release");
+        "a command of a later release is decoded as Unknown");
   }
 }
--- a/router/src/test/java/basaltlever/fleet/VoterStoreTest.java
+++ b/router/src/test/java/basaltlever/fleet/VoterStoreTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** A voter's folder is read as it was written; damaged or foreign folders are rejected. */
+/** Checks that a voter's folder is read back, and that damaged or foreign ones are rejected. */
 class VoterStoreTest {
   private static String openFailure(Path folder, String fleet, String name) {
     try {
@@ -23,7 +23,7 @@
 
   @Example
   void writtenFolderIsReadBackAndForeignOrDamagedFoldersAreRejected() throws Exception {
-    Path folder = Files.createTempDirectory("papers");
+    Path folder = Files.createTempDirectory("voter-store");
     VoterStore voterStore = VoterStore.open(folder, "cards", "n1");
     voterStore.recordVotingEpoch(2, List.of("n1", "n4"));
     voterStore.recordLatestEpoch(3);
@@ -38,28 +38,34 @@
             && reopened.latestEpoch() == 3
             && reopened.voters().equals(List.of("n4", "n5"))
             && reopened.inForce().equals(version),
-        "kept");
+        "all recorded values are read back");
     check(
         openFailure(folder, "cards", "n2").contains("is the folder of n1 of fleet cards"),
-        "another router's");
-    check(openFailure(folder, "views", "n1").contains("not of n1 of views"), "another fleet's");
+        "folder of another router is rejected");
+    check(
+        openFailure(folder, "views", "n1").contains("not of n1 of views"),
+        "folder of another fleet is rejected");
     Path file = folder.resolve("papers");
     byte[] bytes = Files.readAllBytes(file);
-    for (int at = 0; at < bytes.length; at++) {
+    for (int index = 0; index < bytes.length; index++) {
       byte[] damaged = bytes.clone();
-      damaged[at] ^= 4;
+      damaged[index] ^= 4;
       Files.write(file, damaged);
-      check(openFailure(folder, "cards", "n1").contains("damaged"), "bit of byte " + at);
+      check(
+          openFailure(folder, "cards", "n1").contains("damaged"),
+          "undetected bit flip in byte " + index);
     }
     for (int length = 0; length < bytes.length; length += 7) {
       Files.write(file, java.util.Arrays.copyOf(bytes, length));
-      check(openFailure(folder, "cards", "n1").contains("damaged"), "cut at " + length);
+      check(
+          openFailure(folder, "cards", "n1").contains("damaged"),
+          "undetected truncation to length " + length);
     }
   }
 
   @Example
   void fileOfAnEarlierReleaseIsRewrittenByteForByte() throws Exception {
-    Path folder = Files.createTempDirectory("papers");
+    Path folder = Files.createTempDirectory("voter-store");
     Path file = folder.resolve("papers");
     Files.write(file, Golden.bytes("voter/papers"));
     VoterStore voterStore = VoterStore.open(folder, "cards", "n1");
@@ -69,10 +75,10 @@
     Golden.check("voter/papers", Files.readAllBytes(file));
   }
 
-  /** One message may hold settings that fill it: the folder must still be read. */
+  /** Settings may fill a message up to its limit; the file must still be readable then. */
   @Example
   void onlyTheVersionIsOmittedWhenTheFileWouldExceedTheSizeLimit() throws Exception {
-    Path folder = Files.createTempDirectory("papers");
+    Path folder = Files.createTempDirectory("voter-store");
     VoterStore voterStore = VoterStore.open(folder, "cards", "n1");
     voterStore.recordVotingEpoch(2, List.of("n1"));
     voterStore.recordInForce(
@@ -83,6 +89,6 @@
         reopened.inForce() == null
             && reopened.identity().equals(voterStore.identity())
             && reopened.latestEpoch() == 2,
-        "all but the version");
+        "everything except the version is stored");
   }
 }
--- a/router/src/test/java/basaltlever/golden/CommandRunner.java
+++ b/router/src/test/java/basaltlever/golden/CommandRunner.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Commands of the program, each in a process of its own on the class path of the tests. */
+/** Runs commands of the program, each in a separate process on the class path of the tests. */
 final class CommandRunner {
   private static final int TIMEOUT_SECONDS = 60;
 
   private CommandRunner() {}
 
-  /** What it prints, standard output and errors in one, and its exit code on a last line. */
+  /** Returns the merged standard output and error, followed by a line with the exit code. */
   static String run(Class<?> main, List<String> arguments)
       throws IOException, InterruptedException {
     List<String> line = new ArrayList<>();
@@ -24,7 +24,7 @@
     String printed = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
       process.destroyForcibly();
-      throw new IOException("it does not end: " + arguments);
+      throw new IOException("command did not end in time: " + arguments);
     }
     return printed + "exit " + process.exitValue() + "\n";
   }
--- a/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
@@ -37,9 +37,9 @@
 import org.jgroups.protocols.raft.FileBasedLog;
 
 /**
- * What instances of an earlier release said to each other and kept: each side of this release hears
- * the recorded bytes and answers in the same form, the voters' log holds the same commands, and a
- * folder of theirs is read.
+ * Checks the compatibility with instances of an earlier release by their recorded messages and
+ * files: both sides answer the recorded bytes in the same form, the voters' log contains the same
+ * commands, and a voter starts from a recorded folder.
  */
 class FleetGoldenTest {
   private static final int TIMEOUT_MILLIS = 20_000;
@@ -47,7 +47,7 @@
   private static final int MAX_HEARTBEATS = 40;
   private static final int HEARTBEAT_INTERVAL_MILLIS = 100;
 
-  /** By the generation that both routers report: what status says once it has been acted on. */
+  /** Text in the status after the leader has handled a generation that both routers reported. */
   private static final Map<Long, String> EXPECTED_STATUS_BY_GENERATION =
       Map.of(41L, "\"seats\":1", 42L, "\"seats\":3", 7L, "\"era\":1");
 
@@ -69,11 +69,11 @@
         Span.ofMillis(3_000));
   }
 
-  /** An instance whose router reports what it is given and takes whatever it is granted. */
+  /** Starts an instance whose router sends the given reports and complies with each grant. */
   private static FleetMember startInstance(
-      FleetSettings fleetSettings,
+      FleetSettings settings,
       String name,
-      VoterStore voterStore,
+      VoterStore store,
       BlockingQueue<LeaseGrant> grants,
       Supplier<HeartbeatReport> reports)
       throws Exception {
@@ -82,9 +82,9 @@
     AtomicReference<LeaseGrant> latestGrant = new AtomicReference<>();
     fleet.set(
         new FleetMember(
-            fleetSettings,
+            settings,
             name,
-            voterStore,
+            store,
             new SplittableRandom(1),
             () -> {
               if (fleet.get() != null) {
@@ -115,9 +115,9 @@
     return fleet.get();
   }
 
-  private static byte[] exchange(InetSocketAddress at, byte[] message) throws IOException {
+  private static byte[] exchange(InetSocketAddress address, byte[] message) throws IOException {
     try (Socket socket = new Socket()) {
-      socket.connect(at, TIMEOUT_MILLIS);
+      socket.connect(address, TIMEOUT_MILLIS);
       socket.setSoTimeout(TIMEOUT_MILLIS);
       DataOutputStream out = new DataOutputStream(socket.getOutputStream());
       out.writeInt(message.length);
@@ -129,20 +129,17 @@
 
   private static byte[] readFrame(Socket socket) throws IOException {
     DataInputStream in = new DataInputStream(socket.getInputStream());
-    byte[] answer = new byte[in.readInt()];
-    in.readFully(answer);
-    return answer;
+    byte[] reply = new byte[in.readInt()];
+    in.readFully(reply);
+    return reply;
   }
 
-  /** Lines of a name and the bytes of a request, in the order in which they were sent. */
+  /** Returns pairs of a name and a request in hexadecimal, in the order in which to send them. */
   private static List<String[]> recordedRequests() throws IOException {
     return Golden.text("fleet-requests.txt").lines().map(line -> line.split(" ")).toList();
   }
 
-  /**
-   * What the router of the voter itself says of a list, so that both routers of the fleet say the
-   * same.
-   */
+  /** Creates the report of the voter's own router, which agrees with the recorded heartbeat. */
   private static HeartbeatReport createReport(long generation) {
     ListVersion listVersion = new ListVersion(0, generation);
     GroupAssignment assignment =
@@ -158,47 +155,48 @@
     while (grant != null && grant.duration().micros() <= 0) {
       grant = grants.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
-    check(grant != null, "it leads itself");
+    check(grant != null, "the only voter becomes leader and grants itself a lease");
   }
 
-  /** The lines of status that tell what was agreed, once nothing is on its way any more. */
-  private static String awaitSettledStatus(InetSocketAddress at, byte[] status, String expectedText)
+  /** Waits for a status that contains the text and no prepared version, and returns it. */
+  private static String awaitSettledStatus(
+      InetSocketAddress address, byte[] status, String expectedText)
       throws IOException, InterruptedException {
     String statusJson = "";
     for (long startNanos = System.nanoTime();
         (System.nanoTime() - startNanos) / 1_000_000 < TIMEOUT_MILLIS;
         Thread.sleep(50)) {
-      statusJson = Golden.toMaskedJson(exchange(at, status));
+      statusJson = Golden.toMaskedJson(exchange(address, status));
       if (statusJson.contains("\"prepared\":null") && statusJson.contains(expectedText)) {
         return statusJson;
       }
     }
-    throw new AssertionError("never settled: " + statusJson);
+    throw new AssertionError("status did not settle in time: " + statusJson);
   }
 
   @Example
   void voterAnswersRecordedRequestsAndLogsTheSameCommands() throws Exception {
     Path folder = Files.createTempDirectory("golden");
     InetSocketAddress peer = freeAddress();
-    FleetSettings fleetSettings = createSettings(folder, freeAddress(), peer);
+    FleetSettings settings = createSettings(folder, freeAddress(), peer);
     BlockingQueue<LeaseGrant> grants = new LinkedBlockingQueue<>();
-    StringBuilder answers = new StringBuilder();
+    StringBuilder output = new StringBuilder();
     AtomicReference<HeartbeatReport> report = new AtomicReference<>(HeartbeatReport.NONE);
     try (FleetMember voter =
         startInstance(
-            fleetSettings, NAME, VoterStore.open(folder, "cards", NAME), grants, report::get)) {
-      check(voter != null, "started");
+            settings, NAME, VoterStore.open(folder, "cards", NAME), grants, report::get)) {
+      check(voter != null, "instance has started");
       awaitLease(grants);
       byte[] status = HexFormat.of().parseHex(recordedRequests().get(0)[1]);
       for (String[] request : recordedRequests()) {
         if (request[0].startsWith("heartbeat")) {
           continue;
         }
-        byte[] answer = exchange(peer, HexFormat.of().parseHex(request[1]));
-        answers.append(request[0]).append(' ').append(Golden.toMaskedJson(answer)).append('\n');
+        byte[] reply = exchange(peer, HexFormat.of().parseHex(request[1]));
+        output.append(request[0]).append(' ').append(Golden.toMaskedJson(reply)).append('\n');
         awaitSettledStatus(peer, status, "");
       }
-      Path operator = writeOperatorFile(folder, fleetSettings);
+      Path operator = writeOperatorFile(folder, settings);
       for (List<String> command :
           List.of(
               List.of("settings", "status", "--json"),
@@ -209,15 +207,12 @@
               List.of("fleet", "voters", "--json"))) {
         List<String> line =
             Stream.concat(command.stream(), Stream.of("--operator", operator.toString())).toList();
-        answers
-            .append(command)
-            .append(' ')
-            .append(Golden.maskLines(CommandRunner.run(Main.class, line)));
+        output.append(command).append(' ').append(Golden.mask(CommandRunner.run(Main.class, line)));
       }
       reportLists(peer, status, report);
       awaitSettledStatus(peer, status, "\"number\":4,");
     }
-    Golden.check("fleet-answers.txt", answers.toString());
+    Golden.check("fleet-answers.txt", output.toString());
     Golden.check("fleet-commands.txt", String.join("\n", loggedCommands(folder)) + "\n");
   }
 
@@ -242,39 +237,41 @@
     }
   }
 
-  private static Path writeOperatorFile(Path folder, FleetSettings fleetSettings)
-      throws IOException {
+  private static Path writeOperatorFile(Path folder, FleetSettings settings) throws IOException {
     StringBuilder text = new StringBuilder("[fleet]\nname = cards\npeers = ");
-    fleetSettings
+    settings
         .peers()
         .forEach(
-            (name, at) ->
-                text.append(name).append("@127.0.0.1:").append(at.getPort()).append(", "));
+            (name, address) ->
+                text.append(name).append("@127.0.0.1:").append(address.getPort()).append(", "));
     text.setLength(text.length() - 2);
-    fleetSettings
+    settings
         .voters()
         .forEach(
-            (name, at) ->
-                text.append("\nvoters = ").append(name).append("@127.0.0.1:").append(at.getPort()));
+            (name, address) ->
+                text.append("\nvoters = ")
+                    .append(name)
+                    .append("@127.0.0.1:")
+                    .append(address.getPort()));
     return Files.writeString(folder.resolve("operator.ini"), text + "\nfolder = " + folder + "\n");
   }
 
-  /** Each form of a command that the log holds, once. */
+  /** Returns the distinct commands of the log, masked. */
   private static SortedSet<String> loggedCommands(Path folder) throws Exception {
-    SortedSet<String> forms = new TreeSet<>();
+    SortedSet<String> commands = new TreeSet<>();
     FileBasedLog log = new FileBasedLog();
     log.init(folder.resolve(NAME + ".log").toString(), Map.of());
     try {
       log.forEach(
           (entry, index) -> {
             if (!entry.internal()) {
-              forms.add(toMaskedJson(entry.command(), entry.offset(), entry.length()));
+              commands.add(toMaskedJson(entry.command(), entry.offset(), entry.length()));
             }
           });
     } finally {
       log.close();
     }
-    return forms;
+    return commands;
   }
 
   private static String toMaskedJson(byte[] bytes, int offset, int length) {
@@ -291,17 +288,17 @@
     BlockingQueue<LeaseGrant> grants = new LinkedBlockingQueue<>();
     try (ServerSocket voter = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
       voter.setSoTimeout(TIMEOUT_MILLIS);
-      InetSocketAddress at = new InetSocketAddress("127.0.0.1", voter.getLocalPort());
-      VoterStore voterStore = VoterStore.open(folder, "cards", "n2");
+      InetSocketAddress address = new InetSocketAddress("127.0.0.1", voter.getLocalPort());
+      VoterStore store = VoterStore.open(folder, "cards", "n2");
       try (FleetMember router =
               startInstance(
-                  createSettings(folder, freeAddress(), at),
+                  createSettings(folder, freeAddress(), address),
                   "n2",
-                  voterStore,
+                  store,
                   grants,
                   () -> HeartbeatReport.NONE);
           Socket connection = voter.accept()) {
-        check(router != null, "started");
+        check(router != null, "instance has started");
         Golden.check("fleet-beat.txt", Golden.toMaskedJson(readFrame(connection)) + "\n");
         byte[] grant = Golden.bytes("fleet-grant.cbor");
         DataOutputStream out = new DataOutputStream(connection.getOutputStream());
@@ -313,13 +310,15 @@
             applied != null
                 && applied.heartbeatNumber() == 1
                 && applied.duration().micros() == 390_000,
-            "its lease");
+            "the recorded lease is applied");
         check(
             applied.inForce().number() == 2 && applied.inForce().routers() == 2,
-            "the version in force");
-        check(applied.inForce().settingsJson().equals("{\"MaxOpen\":400}"), "its settings");
-        check(applied.prepared() == null && applied.changeCount() == 7, "and nothing on its way");
-        check(voterStore.inForce().equals(applied.inForce()), "kept by then");
+            "the recorded version is in force");
+        check(applied.inForce().settingsJson().equals("{\"MaxOpen\":400}"), "settings applied");
+        check(
+            applied.prepared() == null && applied.changeCount() == 7,
+            "no version is prepared, and the change count is the recorded one");
+        check(store.inForce().equals(applied.inForce()), "version is stored before delivery");
       }
     }
   }
@@ -327,11 +326,10 @@
   @Example
   void voterStartsFromAFolderOfAnEarlierRelease() throws Exception {
     Path folder = copyRecordedFolder();
-    VoterStore voterStore = VoterStore.open(folder, "cards", NAME);
+    VoterStore store = VoterStore.open(folder, "cards", NAME);
     check(
-        voterStore.inForce().number() == 3
-            && voterStore.inForce().settingsJson().equals("{\"MaxOpen\":400}"),
-        "the version told last");
+        store.inForce().number() == 3 && store.inForce().settingsJson().equals("{\"MaxOpen\":400}"),
+        "the version last reported by a leader is read");
     BlockingQueue<LeaseGrant> grants = new LinkedBlockingQueue<>();
     InetSocketAddress peer = freeAddress();
     try (FleetMember voter =
@@ -341,7 +339,7 @@
             VoterStore.open(folder, "cards", NAME),
             grants,
             () -> HeartbeatReport.NONE)) {
-      check(voter != null, "started");
+      check(voter != null, "instance has started");
       awaitLease(grants);
       byte[] status = HexFormat.of().parseHex(recordedRequests().get(0)[1]);
       Golden.check("voter-status.txt", awaitSettledStatus(peer, status, "\"keeps\":4") + "\n");
--- a/router/src/test/java/basaltlever/golden/Golden.java
+++ b/router/src/test/java/basaltlever/golden/Golden.java
@@ -19,8 +19,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Recorded data of an earlier release, in test resources below golden/; what differs is left in
- * target/golden.
+ * Compares data with recordings of an earlier release, which are test resources below golden/. The
+ * compared data is left in router/target/golden.
  */
 public final class Golden {
   private static final Pattern VOLATILE_VALUE =
@@ -30,49 +30,50 @@
 
   private Golden() {}
 
-  /** The recorded bytes. */
+  /** Returns the recorded bytes. */
   public static byte[] bytes(String name) throws IOException {
     try (InputStream in = Golden.class.getResourceAsStream("/golden/" + name)) {
       if (in == null) {
-        throw new IOException("no recorded " + name);
+        throw new IOException("no recording in test resources: golden/" + name);
       }
       return in.readAllBytes();
     }
   }
 
-  /** The recorded text. */
+  /** Returns the recorded text. */
   public static String text(String name) throws IOException {
     return new String(bytes(name), StandardCharsets.UTF_8);
   }
 
-  /** Throws where the bytes are not those recorded. */
+  /** Throws if the bytes differ from the recorded ones. */
   public static void check(String name, byte[] actual) throws IOException {
     Path output = Files.createDirectories(Path.of("router/target/golden")).resolve(name);
     Files.createDirectories(output.getParent());
     Files.write(output, actual);
     if (!Arrays.equals(bytes(name), actual)) {
-      throw new AssertionError(name + " differs from what was recorded: see " + output);
+      throw new AssertionError(
+          name + " differs from its recording; the actual data is in " + output);
     }
   }
 
-  /** Throws where the text is not that recorded. */
+  /** Throws if the text differs from the recorded one. */
   public static void check(String name, String actual) throws IOException {
     check(name, actual.getBytes(StandardCharsets.UTF_8));
   }
 
   /**
-   * CBOR as JSON, the keys in their order; times, ids and other values that differ with each run as
-   * V.
+   * Returns CBOR as JSON with sorted keys, and with V for times, ids and other values that differ
+   * between runs.
    */
   public static String toMaskedJson(byte[] cbor) throws IOException {
     return toSortedJson(new CBORFactory().createParser(cbor));
   }
 
   /**
-   * Each line that is a JSON object with its keys sorted, since their order is free; masked like a
-   * message.
+   * Masks each line like a message. Lines that are JSON objects get sorted keys, since the order of
+   * keys may change.
    */
-  public static String maskLines(String printed) throws IOException {
+  public static String mask(String printed) throws IOException {
     StringBuilder masked = new StringBuilder();
     for (String line : printed.split("\n")) {
       boolean isJson = line.startsWith("{");
@@ -98,13 +99,13 @@
 
   private static Object readValue(JsonParser in) throws IOException {
     if (in.currentToken() == JsonToken.START_OBJECT) {
-      Map<String, Object> members = new TreeMap<>();
+      Map<String, Object> entries = new TreeMap<>();
       while (in.nextToken() == JsonToken.FIELD_NAME) {
         String name = in.currentName();
         in.nextToken();
-        members.put(name, readValue(in));
+        entries.put(name, readValue(in));
       }
-      return members;
+      return entries;
     } else if (in.currentToken() == JsonToken.START_ARRAY) {
       List<Object> items = new ArrayList<>();
       while (in.nextToken() != JsonToken.END_ARRAY) {
@@ -122,11 +123,11 @@
   }
 
   private static void writeValue(JsonGenerator out, Object value) throws IOException {
-    if (value instanceof Map<?, ?> members) {
+    if (value instanceof Map<?, ?> map) {
       out.writeStartObject();
-      for (Map.Entry<?, ?> member : members.entrySet()) {
-        out.writeFieldName((String) member.getKey());
-        writeValue(out, member.getValue());
+      for (Map.Entry<?, ?> entry : map.entrySet()) {
+        out.writeFieldName((String) entry.getKey());
+        writeValue(out, entry.getValue());
       }
       out.writeEndObject();
     } else if (value instanceof List<?> items) {
@@ -140,7 +141,7 @@
     }
   }
 
-  /** The text with times, ids and other values that differ with each run as V. */
+  /** Replaces times, ids and other values that differ between runs by V. */
   private static String maskVolatileValues(String json) {
     return VOLATILE_VALUE
         .matcher(json)
--- a/router/src/test/java/basaltlever/golden/SettingsGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/SettingsGoldenTest.java
@@ -7,8 +7,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Start files and operator's files of an earlier release: taken as before, and refused with the
- * same reasons.
+ * Checks start files and operator's files of an earlier release: they are accepted as before, or
+ * rejected for the same reasons.
  */
 class SettingsGoldenTest {
   @Example
--- a/router/src/test/java/basaltlever/golden/SnapshotGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/SnapshotGoldenTest.java
@@ -12,8 +12,8 @@
 import net.jqwik.api.Example;
 
 /**
- * A learned state that an earlier release kept: read as it was meant, written with the same bytes,
- * shown alike.
+ * Checks that a snapshot written by an earlier release is decoded correctly, encoded to the same
+ * bytes and printed as before.
  */
 class SnapshotGoldenTest {
   private static final int MAX_BYTES = 1 << 20;
@@ -21,7 +21,7 @@
   @Example
   void recordedSnapshotIsReadAndRewrittenByteForByte() throws Exception {
     LearnedState recorded = SnapshotCodec.read(Golden.bytes("snapshot-7.view"));
-    check(recorded.equals(KeptViews.view(7, 5)), "read as it was meant");
+    check(recorded.equals(KeptViews.view(7, 5)), "the decoded snapshot equals the recorded state");
     Golden.check("snapshot-7.view", SnapshotCodec.write(recorded, MAX_BYTES));
   }
 
@@ -36,7 +36,7 @@
             List.of("state", "verify", file.toString()),
             List.of("state", "show", folder.toString(), "--json"),
             List.of("state", "diff", file.toString(), file.toString()))) {
-      output.append(Golden.maskLines(CommandRunner.run(Main.class, command)));
+      output.append(Golden.mask(CommandRunner.run(Main.class, command)));
     }
     Golden.check("snapshot-7.shown", output.toString().replace(folder.toString(), "FOLDER"));
   }
