--- a/router/src/main/java/basaltlever/fleet/RegisterContent.java
+++ b/router/src/main/java/basaltlever/fleet/RegisterContent.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** All of a {@link VersionRegister} that a Raft snapshot, or the start of an epoch, holds. */
+/** The content of a {@link VersionRegister} as stored in Raft snapshots and epoch starts. */
 record RegisterContent(
     SettingsVersion inForce,
     SettingsVersion prepared,
@@ -21,10 +21,10 @@
     Map<String, String> recordedFolders,
     List<String> lostVoters,
     List<HistoryEntry> history) {
-  /** Texts of older versions would make a snapshot large, and revert needs the latest only. */
+  /** Older settings texts are omitted to keep snapshots small; a revert needs only the latest. */
   private static final int MAX_VERSIONS_WITH_TEXT = 2;
 
-  /** Takes the register's lock. */
+  /** Returns the content of a register, under the register's lock. */
   static RegisterContent of(VersionRegister register) {
     synchronized (register) {
       return new RegisterContent(
@@ -55,7 +55,7 @@
         VersionCodec.withText(entry.version(), ""), entry.outcome(), entry.reason());
   }
 
-  /** Takes the register's lock. */
+  /** Replaces the content of a register, under the register's lock. */
   void restoreTo(VersionRegister register) {
     synchronized (register) {
       register.restore(inForce, prepared, lastNumber, changeCount, history);
--- a/router/src/main/java/basaltlever/fleet/ReplyCodec.java
+++ b/router/src/main/java/basaltlever/fleet/ReplyCodec.java
@@ -10,7 +10,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Replies of voters as maps of their CBOR keys. */
+/** Converts voters' replies to and from maps with CBOR keys. */
 final class ReplyCodec {
   private ReplyCodec() {}
 
@@ -30,7 +30,7 @@
     } else if (reply instanceof Undecided undecided) {
       return Map.of("do", "unknown", "why", undecided.reason());
     }
-    throw new IllegalArgumentException("never sent: " + reply);
+    throw new IllegalArgumentException("voters don't send replies of this kind: " + reply);
   }
 
   private static Map<String, Object> encode(LeaseGranted granted) {
--- a/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
@@ -37,9 +37,9 @@
 import org.jgroups.protocols.raft.FileBasedLog;
 
 /**
- * What instances of an earlier release said to each other and kept: each side of this release hears
- * the recorded bytes and answers in the same form, the voters' log holds the same commands, and a
- * folder of theirs is read.
+ * Checks the compatibility with instances of an earlier release by their recorded messages and
+ * files: both sides answer the recorded bytes in the same form, the voters' log contains the same
+ * commands, and a voter starts from a recorded folder.
  */
 class FleetGoldenTest {
   private static final int TIMEOUT_MILLIS = 20_000;
@@ -47,7 +47,7 @@
   private static final int MAX_HEARTBEATS = 40;
   private static final int HEARTBEAT_INTERVAL_MILLIS = 100;
 
-  /** By the generation that both routers report: what status says once it has been acted on. */
+  /** Text in the status after the leader has handled a generation that both routers reported. */
   private static final Map<Long, String> EXPECTED_STATUS_BY_GENERATION =
       Map.of(41L, "\"seats\":1", 42L, "\"seats\":3", 7L, "\"era\":1");
 
@@ -69,7 +69,7 @@
         Span.ofMillis(3_000));
   }
 
-  /** An instance whose router reports what it is given and takes whatever it is granted. */
+  /** Starts an instance whose router sends the given reports and complies with each grant. */
   private static FleetMember startInstance(
       FleetSettings settings,
       String name,
@@ -134,15 +134,12 @@
     return reply;
   }
 
-  /** Lines of a name and the bytes of a request, in the order in which they were sent. */
+  /** Returns pairs of a name and a request in hexadecimal, in the order in which to send them. */
   private static List<String[]> recordedRequests() throws IOException {
     return Golden.text("fleet-requests.txt").lines().map(line -> line.split(" ")).toList();
   }
 
-  /**
-   * What the router of the voter itself says of a list, so that both routers of the fleet say the
-   * same.
-   */
+  /** Creates the report of the voter's own router, which agrees with the recorded heartbeat. */
   private static HeartbeatReport createReport(long generation) {
     ListVersion listVersion = new ListVersion(0, generation);
     GroupAssignment assignment =
@@ -158,10 +155,10 @@
     while (grant != null && grant.duration().micros() <= 0) {
       grant = grants.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
-    check(grant != null, "it leads itself");
+    check(grant != null, "the only voter becomes leader and grants itself a lease");
   }
 
-  /** The lines of status that tell what was agreed, once nothing is on its way any more. */
+  /** Waits for a status that contains the text and no prepared version, and returns it. */
   private static String awaitSettledStatus(
       InetSocketAddress address, byte[] status, String expectedText)
       throws IOException, InterruptedException {
@@ -174,7 +171,7 @@
         return statusJson;
       }
     }
-    throw new AssertionError("never settled: " + statusJson);
+    throw new AssertionError("status did not settle in time: " + statusJson);
   }
 
   @Example
@@ -188,7 +185,7 @@
     try (FleetMember voter =
         startInstance(
             settings, NAME, VoterStore.open(folder, "cards", NAME), grants, report::get)) {
-      check(voter != null, "started");
+      check(voter != null, "instance has started");
       awaitLease(grants);
       byte[] status = HexFormat.of().parseHex(recordedRequests().get(0)[1]);
       for (String[] request : recordedRequests()) {
@@ -259,7 +256,7 @@
     return Files.writeString(folder.resolve("operator.ini"), text + "\nfolder = " + folder + "\n");
   }
 
-  /** Each form of a command that the log holds, once. */
+  /** Returns the distinct commands of the log, masked. */
   private static SortedSet<String> loggedCommands(Path folder) throws Exception {
     SortedSet<String> commands = new TreeSet<>();
     FileBasedLog log = new FileBasedLog();
@@ -301,7 +298,7 @@
                   grants,
                   () -> HeartbeatReport.NONE);
           Socket connection = voter.accept()) {
-        check(router != null, "started");
+        check(router != null, "instance has started");
         Golden.check("fleet-beat.txt", Golden.toMaskedJson(readFrame(connection)) + "\n");
         byte[] grant = Golden.bytes("fleet-grant.cbor");
         DataOutputStream out = new DataOutputStream(connection.getOutputStream());
@@ -313,13 +310,15 @@
             applied != null
                 && applied.heartbeatNumber() == 1
                 && applied.duration().micros() == 390_000,
-            "its lease");
+            "the recorded lease is applied");
         check(
             applied.inForce().number() == 2 && applied.inForce().routers() == 2,
-            "the version in force");
-        check(applied.inForce().settingsJson().equals("{\"MaxOpen\":400}"), "its settings");
-        check(applied.prepared() == null && applied.changeCount() == 7, "and nothing on its way");
-        check(store.inForce().equals(applied.inForce()), "kept by then");
+            "the recorded version is in force");
+        check(applied.inForce().settingsJson().equals("{\"MaxOpen\":400}"), "settings applied");
+        check(
+            applied.prepared() == null && applied.changeCount() == 7,
+            "no version is prepared, and the change count is the recorded one");
+        check(store.inForce().equals(applied.inForce()), "version is stored before delivery");
       }
     }
   }
@@ -330,7 +329,7 @@
     VoterStore store = VoterStore.open(folder, "cards", NAME);
     check(
         store.inForce().number() == 3 && store.inForce().settingsJson().equals("{\"MaxOpen\":400}"),
-        "the version told last");
+        "the version last reported by a leader is read");
     BlockingQueue<LeaseGrant> grants = new LinkedBlockingQueue<>();
     InetSocketAddress peer = freeAddress();
     try (FleetMember voter =
@@ -340,7 +339,7 @@
             VoterStore.open(folder, "cards", NAME),
             grants,
             () -> HeartbeatReport.NONE)) {
-      check(voter != null, "started");
+      check(voter != null, "instance has started");
       awaitLease(grants);
       byte[] status = HexFormat.of().parseHex(recordedRequests().get(0)[1]);
       Golden.check("voter-status.txt", awaitSettledStatus(peer, status, "\"keeps\":4") + "\n");
