--- a/lab/src/main/java/basaltlever/lab/Fleet.java
+++ b/lab/src/main/java/basaltlever/lab/Fleet.java
@@ -46,7 +46,7 @@
       DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
       in.readFully(new byte[in.readInt() - 4]);
       ByteBuf out = Unpooled.buffer();
-      MessageEncoder.startupResponse(out);
+      MessageEncoder.writeStartupResponse(out);
       send(socket, out);
       while (in.readByte() == 'Q') {
         byte[] text = new byte[in.readInt() - 4];
@@ -66,14 +66,14 @@
           if (manner == Manner.HANGS) {
             continue;
           } else if (manner == Manner.FAILS) {
-            MessageEncoder.errorResponse(out, "ERROR", "XX000", "as asked", null);
+            MessageEncoder.writeErrorResponse(out, "ERROR", "XX000", "as asked", null);
           } else {
             row(out, "v");
           }
-          MessageEncoder.parameterStatus(out, "part", number == 0 ? "master" : "replica");
-          MessageEncoder.parameterStatus(out, "caught_up_to", "" + now);
+          MessageEncoder.writeParameterStatus(out, "part", number == 0 ? "master" : "replica");
+          MessageEncoder.writeParameterStatus(out, "caught_up_to", "" + now);
         }
-        MessageEncoder.readyForQuery(out);
+        MessageEncoder.writeReadyForQuery(out);
         send(socket, out);
       }
     }
@@ -156,7 +156,7 @@
         .writeShort(1)
         .writeInt(bytes.length)
         .writeBytes(bytes);
-    MessageEncoder.commandComplete(out, "SELECT 1");
+    MessageEncoder.writeCommandComplete(out, "SELECT 1");
   }
 
   private static void pause(int millis) throws IOException {
--- a/lab/src/main/java/basaltlever/lab/KillState.java
+++ b/lab/src/main/java/basaltlever/lab/KillState.java
@@ -69,7 +69,7 @@
         }
         SnapshotStore generations = new SnapshotStore(to);
         // Where nobody reads any more, whoever was to kill it has gone, and it ends by itself.
-        for (long number = generations.newest().highestSequence() + 1;
+        for (long number = generations.loadNewest().highestSequence() + 1;
             !System.out.checkError();
             number++) {
           generations.store(MadeViews.view(number, NODES), 1 << 20);
@@ -157,7 +157,7 @@
   }
 
   static Left judge(Path folder, long told, long later) throws IOException {
-    LearnedState view = new SnapshotStore(new LockedDirectory(folder)).newest().state();
+    LearnedState view = new SnapshotStore(new LockedDirectory(folder)).loadNewest().state();
     if (view == null) {
       return Left.LOST;
     }
@@ -169,7 +169,7 @@
       return Left.CORRUPT;
     }
     StateRestore offered =
-        StateRestore.of(
+        StateRestore.evaluate(
             view,
             MadeViews.DEPLOYMENT,
             MadeViews.ROUTER,
@@ -178,7 +178,8 @@
             SystemClocks.bootId());
     for (KnownEndpoint known : made) {
       EndpointState aged =
-          offered.of(known.id(), known.address(), known.state().listedStartMicros(), 0, true);
+          offered.takeEndpoint(
+              known.id(), known.address(), known.state().listedStartMicros(), 0, true);
       double was = known.state().unresponsive() ? 1 : known.state().failureRate();
       if (aged == null
           || Math.abs(aged.failureRate() - was * Math.exp(-later / 1e6 / CONDITION_SECONDS))
--- a/lab/src/main/java/basaltlever/lab/Relay.java
+++ b/lab/src/main/java/basaltlever/lab/Relay.java
@@ -66,11 +66,11 @@
       socket.setTcpNoDelay(true);
       in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
       ByteBuf out = Unpooled.buffer();
-      MessageEncoder.startupMessage(out, "app", "shop");
+      MessageEncoder.writeStartupMessage(out, "app", "shop");
       socket.getOutputStream().write(ByteBufUtil.getBytes(out));
       upToReady();
       out = Unpooled.buffer();
-      MessageEncoder.query(
+      MessageEncoder.writeQuery(
           out,
           "/* id=r" + number + ",c=view,d=5000,cluster=1 */ SELECT doc FROM items WHERE id = 'k'");
       query = ByteBufUtil.getBytes(out);
--- a/lab/src/main/java/basaltlever/lab/RestartPaired.java
+++ b/lab/src/main/java/basaltlever/lab/RestartPaired.java
@@ -255,13 +255,13 @@
       socket.setSoTimeout(4_000);
       DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
       ByteBuf out = Unpooled.buffer();
-      MessageEncoder.startupMessage(out, "app", "shop");
+      MessageEncoder.writeStartupMessage(out, "app", "shop");
       Fleet.send(socket, out);
       isRow(in);
       int asked = 0;
       for (long at = due.take(); at >= 0; at = due.take()) {
         out = Unpooled.buffer();
-        MessageEncoder.query(
+        MessageEncoder.writeQuery(
             out,
             "/* id=q"
                 + number
--- a/lab/src/main/java/basaltlever/lab/ViewCost.java
+++ b/lab/src/main/java/basaltlever/lab/ViewCost.java
@@ -85,12 +85,12 @@
         held.recordValue((System.nanoTime() - before) / 1_000);
       }
     }
-    byte[] file = SnapshotCodec.write(view, SnapshotCodec.MAX_FILE_BYTES);
+    byte[] file = SnapshotCodec.encode(view, SnapshotCodec.MAX_FILE_BYTES);
     long heap = used();
     long before = System.nanoTime();
     StateRestore offered =
-        StateRestore.of(
-            SnapshotCodec.read(file),
+        StateRestore.evaluate(
+            SnapshotCodec.decode(file),
             MadeViews.DEPLOYMENT,
             MadeViews.ROUTER,
             SystemClocks.unixMicros(),
@@ -98,7 +98,7 @@
             SystemClocks.bootId());
     double firstLoad = (System.nanoTime() - before) / 1e6;
     before = System.nanoTime();
-    SnapshotCodec.read(file);
+    SnapshotCodec.decode(file);
     double load = (System.nanoTime() - before) / 1e6;
     long taken = used() - heap;
     StatementRouter<String> fresh = core(now);
@@ -114,7 +114,8 @@
           1,
           new Moment(known.state().listedStartMicros()));
       EndpointState learned =
-          offered.of(known.id(), known.address(), known.state().listedStartMicros(), 2, true);
+          offered.takeEndpoint(
+              known.id(), known.address(), known.state().listedStartMicros(), 2, true);
       if (learned == null) {
         throw new IllegalStateException("a node was not known again");
       }
--- a/lab/src/main/java/basaltlever/lab/endtoend/ClientLoad.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/ClientLoad.java
@@ -235,7 +235,7 @@
       String text = text(entry);
       if (channel.isActive()) {
         ByteBuf out = channel.alloc().buffer();
-        MessageEncoder.query(out, text);
+        MessageEncoder.writeQuery(out, text);
         channel.writeAndFlush(out);
       } else {
         unsent.add(text);
@@ -296,13 +296,13 @@
     public void channelActive(ChannelHandlerContext context) {
       connected = true;
       ByteBuf out = context.alloc().buffer();
-      MessageEncoder.startupMessage(out, "app", "shop");
+      MessageEncoder.writeStartupMessage(out, "app", "shop");
       if (!startsWhole) {
         context.writeAndFlush(out);
         out = context.alloc().buffer();
       }
       while (!unsent.isEmpty()) {
-        MessageEncoder.query(out, unsent.poll());
+        MessageEncoder.writeQuery(out, unsent.poll());
       }
       context.writeAndFlush(out);
       if (!asked.isEmpty()) {
--- a/lab/src/main/java/basaltlever/lab/endtoend/ServerFarm.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/ServerFarm.java
@@ -193,7 +193,7 @@
         if (!started) {
           started = true;
           ByteBuf out = context.alloc().buffer();
-          MessageEncoder.startupResponse(out);
+          MessageEncoder.writeStartupResponse(out);
           context.writeAndFlush(out);
         } else if (message.getByte(message.readerIndex()) == 'Q') {
           query(
@@ -232,7 +232,7 @@
       } else if (text.startsWith("/*") && id.find()) {
         statement(context, ledger.find(id.group(1)), text);
       } else {
-        reply(context, MessageEncoder::emptyQueryResponse);
+        reply(context, MessageEncoder::writeEmptyQueryResponse);
       }
     }
 
@@ -245,7 +245,8 @@
         reply(
             context,
             out ->
-                MessageEncoder.errorResponse(out, "ERROR", "53300", "nobody waits for this", null));
+                MessageEncoder.writeErrorResponse(
+                    out, "ERROR", "53300", "nobody waits for this", null));
         return;
       }
       ledger.attempt(entry, cameAt);
@@ -261,7 +262,7 @@
       if (entry.workload.isWrite() && !server.primary) {
         reply(
             context,
-            out -> MessageEncoder.errorResponse(out, "ERROR", "25006", "no primary", null));
+            out -> MessageEncoder.writeErrorResponse(out, "ERROR", "25006", "no primary", null));
         return;
       }
       // What a closed connection carried may run all the same.
@@ -297,9 +298,9 @@
         ChannelHandlerContext context, java.util.function.Consumer<ByteBuf> content) {
       ByteBuf out = context.alloc().buffer();
       content.accept(out);
-      MessageEncoder.parameterStatus(out, "part", server.primary ? "master" : "replica");
-      MessageEncoder.parameterStatus(out, "caught_up_to", "" + nowMillis());
-      MessageEncoder.readyForQuery(out);
+      MessageEncoder.writeParameterStatus(out, "part", server.primary ? "master" : "replica");
+      MessageEncoder.writeParameterStatus(out, "caught_up_to", "" + nowMillis());
+      MessageEncoder.writeReadyForQuery(out);
       context.writeAndFlush(out);
     }
 
--- a/lab/src/main/java/basaltlever/lab/sockets/ClientFront.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/ClientFront.java
@@ -125,7 +125,7 @@
     private void send() {
       ByteBuf out = channel.alloc().buffer();
       long left = Math.max(1, ask.leaves.since(world.now()).micros() / 1_000);
-      MessageEncoder.query(
+      MessageEncoder.writeQuery(
           out,
           "/* id="
               + ask.id
@@ -149,7 +149,7 @@
     public void channelActive(ChannelHandlerContext context) {
       channel = context.channel();
       ByteBuf out = context.alloc().buffer();
-      MessageEncoder.startupMessage(out, "app", "shop");
+      MessageEncoder.writeStartupMessage(out, "app", "shop");
       context.writeAndFlush(out);
     }
 
--- a/lab/src/main/java/basaltlever/lab/sockets/Echo.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/Echo.java
@@ -89,7 +89,7 @@
       for (ByteBuf m = next(); m != null; m = next()) {
         if (!started) {
           started = true;
-          MessageEncoder.startupResponse(out);
+          MessageEncoder.writeStartupResponse(out);
         } else {
           long now = System.currentTimeMillis();
           boolean poll = m.getByte(m.readerIndex() + MessageDecoder.HEADER_BYTES) == 'S';
@@ -102,8 +102,8 @@
                       + String.valueOf(1_000 + now % 1_000).substring(1)
                       + ",x1=1,utilization=0.1"
                   : "v");
-          MessageEncoder.parameterStatus(out, "part", "master");
-          MessageEncoder.readyForQuery(out);
+          MessageEncoder.writeParameterStatus(out, "part", "master");
+          MessageEncoder.writeReadyForQuery(out);
         }
       }
       context.writeAndFlush(out);
--- a/lab/src/main/java/basaltlever/lab/sockets/NodeFront.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/NodeFront.java
@@ -138,7 +138,7 @@
         started = true;
         if (!server.isHung() && !world.isCut(router, server)) {
           ByteBuf out = context.alloc().buffer();
-          MessageEncoder.startupResponse(out);
+          MessageEncoder.writeStartupResponse(out);
           context.writeAndFlush(out);
         }
         return;
@@ -195,18 +195,19 @@
                 Long.parseLong(insert.group(3)),
                 insert.group(4).equals("off"));
         if (!server.saysPrimary() || !write(announcement)) {
-          MessageEncoder.errorResponse(
+          MessageEncoder.writeErrorResponse(
               out, "ERROR", server.saysPrimary() ? "23514" : "25006", "not taken", null);
         } else {
-          MessageEncoder.commandComplete(out, "INSERT 0 1");
+          MessageEncoder.writeCommandComplete(out, "INSERT 0 1");
         }
       } else if (query.isBlank()) {
-        MessageEncoder.emptyQueryResponse(out);
+        MessageEncoder.writeEmptyQueryResponse(out);
       } else {
-        MessageEncoder.errorResponse(out, "ERROR", "08P01", "no statement of this world", null);
+        MessageEncoder.writeErrorResponse(
+            out, "ERROR", "08P01", "no statement of this world", null);
       }
-      MessageEncoder.parameterStatus(out, "part", server.saysPrimary() ? "master" : "replica");
-      MessageEncoder.readyForQuery(out);
+      MessageEncoder.writeParameterStatus(out, "part", server.saysPrimary() ? "master" : "replica");
+      MessageEncoder.writeReadyForQuery(out);
       return out;
     }
 
@@ -220,8 +221,8 @@
 
     private void error(ChannelHandlerContext context, String code, String text) {
       ByteBuf out = context.alloc().buffer();
-      MessageEncoder.errorResponse(out, "ERROR", code, text, null);
-      MessageEncoder.readyForQuery(out);
+      MessageEncoder.writeErrorResponse(out, "ERROR", code, text, null);
+      MessageEncoder.writeReadyForQuery(out);
       context.writeAndFlush(out);
     }
 
@@ -251,7 +252,7 @@
         }
         ByteBuf out = context.alloc().buffer();
         if (code != null) {
-          MessageEncoder.errorResponse(out, "ERROR", code, "told by the stand-in", null);
+          MessageEncoder.writeErrorResponse(out, "ERROR", code, "told by the stand-in", null);
         } else if (value == null) {
           out.writeBytes("not a message at all".getBytes(StandardCharsets.US_ASCII));
           context.writeAndFlush(out);
@@ -259,11 +260,11 @@
         } else {
           Rows.row(out, value);
         }
-        MessageEncoder.parameterStatus(out, "part", primary ? "master" : "replica");
+        MessageEncoder.writeParameterStatus(out, "part", primary ? "master" : "replica");
         if (position > 0) {
-          MessageEncoder.parameterStatus(out, "caught_up_to", "" + position);
+          MessageEncoder.writeParameterStatus(out, "caught_up_to", "" + position);
         }
-        MessageEncoder.readyForQuery(out);
+        MessageEncoder.writeReadyForQuery(out);
         context.writeAndFlush(out);
       }
 
@@ -272,7 +273,7 @@
       public void breaks() {
         ByteBuf out = context.alloc().buffer();
         Rows.row(out, "cut");
-        MessageEncoder.readyForQuery(out);
+        MessageEncoder.writeReadyForQuery(out);
         out.writerIndex(world.chance.nextInt(out.writerIndex()));
         context.writeAndFlush(out).addListener(done -> reset(context.channel()));
       }
--- a/lab/src/main/java/basaltlever/lab/sockets/Rows.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/Rows.java
@@ -27,6 +27,6 @@
         .writeShort(1)
         .writeInt(bytes.length)
         .writeBytes(bytes);
-    MessageEncoder.commandComplete(out, "SELECT 1");
+    MessageEncoder.writeCommandComplete(out, "SELECT 1");
   }
 }
--- a/lab/src/test/java/basaltlever/lab/endtoend/LateJudgeTest.java
+++ b/lab/src/test/java/basaltlever/lab/endtoend/LateJudgeTest.java
@@ -34,7 +34,7 @@
     farm.listen();
     try (Socket router = new Socket(InetAddress.getByName(SERVER), farm.port())) {
       ByteBuf startup = Unpooled.buffer();
-      MessageEncoder.startupMessage(startup, "app", "shop");
+      MessageEncoder.writeStartupMessage(startup, "app", "shop");
       router.getOutputStream().write(ByteBufUtil.getBytes(startup));
       router.getInputStream().read(new byte[512]);
       long deadlineMillis = view.deadlineMillis();
@@ -44,7 +44,7 @@
         loop.execute(LateJudgeTest::holdUp);
       }
       ByteBuf query = Unpooled.buffer();
-      MessageEncoder.query(
+      MessageEncoder.writeQuery(
           query, "/* id=r0x1,c=" + view.key() + ",d=" + deadlineMillis + " */ SELECT 1");
       router.getOutputStream().write(ByteBufUtil.getBytes(query));
       router.getInputStream().read(new byte[512]);
--- a/router/src/main/java/basaltlever/cli/RehearseCommand.java
+++ b/router/src/main/java/basaltlever/cli/RehearseCommand.java
@@ -50,8 +50,8 @@
     try (Socket socket = new Socket(router.address().getAddress(), router.address().getPort())) {
       socket.setSoTimeout(TIMEOUT_MILLIS);
       ByteBuf out = Unpooled.buffer();
-      MessageEncoder.startupMessage(out, "app", "shop");
-      MessageEncoder.query(
+      MessageEncoder.writeStartupMessage(out, "app", "shop");
+      MessageEncoder.writeQuery(
           out,
           "/* id=1,c="
               + workload
--- a/router/src/main/java/basaltlever/cli/ServerQueryClient.java
+++ b/router/src/main/java/basaltlever/cli/ServerQueryClient.java
@@ -25,7 +25,7 @@
       socket.setSoTimeout(PATIENCE_MILLIS);
       in = new DataInputStream(socket.getInputStream());
       ByteBuf out = Unpooled.buffer();
-      MessageEncoder.startupMessage(out, "app", "shop");
+      MessageEncoder.writeStartupMessage(out, "app", "shop");
       send(out);
       while (message().getByte(0) != ProtocolCodes.READY_FOR_QUERY) {
         // Parameters and keys mean nothing here.
@@ -38,7 +38,7 @@
 
   QueryResponse ask(String query) throws IOException {
     ByteBuf out = Unpooled.buffer();
-    MessageEncoder.query(out, query);
+    MessageEncoder.writeQuery(out, query);
     send(out);
     try {
       QueryResponse response = new QueryResponse();
--- a/router/src/main/java/basaltlever/cli/StateCommand.java
+++ b/router/src/main/java/basaltlever/cli/StateCommand.java
@@ -92,7 +92,8 @@
 
   private static LearnedState read(String file, PrintStream err) {
     try {
-      return SnapshotCodec.read(LockedDirectory.read(Path.of(file), SnapshotCodec.MAX_FILE_BYTES));
+      return SnapshotCodec.decode(
+          LockedDirectory.read(Path.of(file), SnapshotCodec.MAX_FILE_BYTES));
     } catch (InvalidSnapshotException | IOException | InvalidPathException fault) {
       err.println("basaltlever: " + file + ": " + fault.getMessage());
       return null;
@@ -100,21 +101,21 @@
   }
 
   private int show(PrintStream out, PrintStream err) throws IOException {
-    SnapshotStore.Found found;
+    SnapshotStore.LoadResult found;
     try (LockedDirectory directory = new LockedDirectory(Path.of(show.folder))) {
-      found = new SnapshotStore(directory).newest();
+      found = new SnapshotStore(directory).loadNewest();
     } catch (IOException | InvalidPathException fault) {
       err.println("basaltlever: " + show.folder + " can't be read: " + fault);
       return ExitCode.MISUSED;
     }
-    found.rejected().forEach(fault -> err.println("basaltlever: " + fault));
+    found.rejectedFiles().forEach(fault -> err.println("basaltlever: " + fault));
     LearnedState view = found.state();
     if (view == null) {
       err.println("basaltlever: " + show.folder + " holds no whole view");
       return ExitCode.MISUSED;
     }
     StateRestore now =
-        StateRestore.of(
+        StateRestore.evaluate(
             view,
             view.deployment(),
             view.router(),
@@ -123,10 +124,10 @@
             SystemClocks.bootId());
     double weight = now.rejection().isEmpty() ? StateDecay.weight(now.age()) : 0;
     if (show.json) {
-      json(out, found.name(), view, now, weight);
+      json(out, found.fileName(), view, now, weight);
       return ExitCode.OK;
     }
-    table(out, found.name(), view, now, weight);
+    table(out, found.fileName(), view, now, weight);
     return ExitCode.OK;
   }
 
--- a/router/src/main/java/basaltlever/discovery/AgreedEndpoints.java
+++ b/router/src/main/java/basaltlever/discovery/AgreedEndpoints.java
@@ -31,10 +31,10 @@
   private final RateLimitedLog heldListLog;
 
   /** The latest listed entry of each endpoint. */
-  private final Map<String, EndpointEntry> latest = new LinkedHashMap<>();
+  private final Map<String, EndpointEntry> latestEntries = new LinkedHashMap<>();
 
   /** The entry of each endpoint as published last. */
-  private final Map<String, EndpointEntry> published = new HashMap<>();
+  private final Map<String, EndpointEntry> publishedEntries = new HashMap<>();
 
   /** The use of each endpoint as published last. */
   private final Map<String, MembershipView.EndpointUse> publishedUses = new HashMap<>();
@@ -49,19 +49,19 @@
 
   /** Adds an endpoint known from an earlier process, which is published as draining. */
   void addRestored(EndpointEntry entry) {
-    latest.put(entry.id(), entry);
+    latestEntries.put(entry.id(), entry);
     publishedUses.put(
         entry.id(), new MembershipView.EndpointUse(EndpointLifecycle.DRAINING, entry.group()));
   }
 
   /** Reports an update to the membership view and publishes what the view makes of it. */
-  void take(Moment now, EndpointUpdate update, boolean live) {
+  void applyUpdate(Moment now, EndpointUpdate update, boolean live) {
     Map<String, ListedEndpoint> listed = new LinkedHashMap<>();
     for (EndpointEntry entry : update.entries()) {
       listed.put(entry.id(), new ListedEndpoint(entry.lifecycle(), entry.group()));
       // An entry of an endpoint that is gone may state no address: the previous entry stays.
-      if (entry.address() != null || !latest.containsKey(entry.id())) {
-        latest.put(entry.id(), entry);
+      if (entry.address() != null || !latestEntries.containsKey(entry.id())) {
+        latestEntries.put(entry.id(), entry);
       }
     }
     ListAnomaly anomaly = view.receiveList(now, update.full(), update.generation(), listed);
@@ -80,44 +80,44 @@
 
   private void publish(Moment now, long generation, boolean live) {
     publishedRevision = view.revision(now);
-    Set<String> members = view.endpoints();
-    members.addAll(publishedUses.keySet());
-    boolean begun = live;
+    Set<String> endpointIds = view.endpoints();
+    endpointIds.addAll(publishedUses.keySet());
+    boolean batchBegun = live;
     boolean drainsUntilFullList = false;
     if (live) {
-      publisher.begin();
+      publisher.beginBatch();
     }
-    for (String id : members) {
+    for (String id : endpointIds) {
       MembershipView.EndpointUse use = view.determineUse(now, id);
       if (!needsPublishing(id, use)) {
         continue;
       }
-      if (!begun) {
-        publisher.begin();
-        begun = true;
+      if (!batchBegun) {
+        publisher.beginBatch();
+        batchBegun = true;
       }
       logMigration(id, use);
       drainsUntilFullList |=
           publisher.publishListed(
-              now, latest.get(id), use.lifecycle(), use.group(), generation, live);
+              now, latestEntries.get(id), use.lifecycle(), use.group(), generation, live);
       publishedUses.put(id, use);
     }
-    if (begun) {
+    if (batchBegun) {
       publisher.endList(now, drainsUntilFullList, live);
     }
-    forgetAllBut(members);
+    retainOnly(endpointIds);
   }
 
   /** Also records the latest entry. One that was read anew is published even if it is equal. */
   @SuppressWarnings("ReferenceEquality")
   private boolean needsPublishing(String id, MembershipView.EndpointUse use) {
-    EndpointEntry entry = latest.get(id);
-    boolean readAnew = entry != published.put(id, entry);
+    EndpointEntry entry = latestEntries.get(id);
+    boolean entryReplaced = entry != publishedEntries.put(id, entry);
     MembershipView.EndpointUse previousUse = publishedUses.get(id);
     if (entry == null || (previousUse == null && use.lifecycle() == EndpointLifecycle.GONE)) {
       return false;
     }
-    return readAnew || !use.equals(previousUse);
+    return entryReplaced || !use.equals(previousUse);
   }
 
   private void logMigration(String id, MembershipView.EndpointUse use) {
@@ -127,9 +127,9 @@
     }
   }
 
-  private void forgetAllBut(Set<String> members) {
+  private void retainOnly(Set<String> endpointIds) {
     publishedUses.values().removeIf(use -> use.lifecycle() == EndpointLifecycle.GONE);
-    published.keySet().retainAll(publishedUses.keySet());
-    latest.keySet().retainAll(members);
+    publishedEntries.keySet().retainAll(publishedUses.keySet());
+    latestEntries.keySet().retainAll(endpointIds);
   }
 }
--- a/router/src/main/java/basaltlever/discovery/EndpointEntry.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointEntry.java
@@ -29,7 +29,7 @@
   private static final double MAX_NUMBER = 1e15;
 
   /** Converts a parsed entry; throws if it is invalid. */
-  static EndpointEntry of(Map<?, ?> fields) throws InvalidEndpointListException {
+  static EndpointEntry parse(Map<?, ?> fields) throws InvalidEndpointListException {
     if (!(fields.get("instanceId") instanceof String id)) {
       throw new InvalidEndpointListException("an entry of the list has no instanceId");
     }
@@ -43,9 +43,9 @@
         id,
         address,
         fields.get("zone") instanceof String zone ? zone : null,
-        (int) number(fields, "cell", 0),
-        number(fields, "weight", 1),
-        (long) number(fields, "startedAtMs", 0),
+        (int) parseNumber(fields, "cell", 0),
+        parseNumber(fields, "weight", 1),
+        (long) parseNumber(fields, "startedAtMs", 0),
         lifecycle);
   }
 
@@ -57,7 +57,7 @@
     return "terminated".equals(text) ? EndpointLifecycle.GONE : EndpointLifecycle.DRAINING;
   }
 
-  static double number(Map<?, ?> fields, String name, double defaultValue)
+  static double parseNumber(Map<?, ?> fields, String name, double defaultValue)
       throws InvalidEndpointListException {
     Object value = fields.get(name);
     if (value == null) {
--- a/router/src/main/java/basaltlever/discovery/EndpointList.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointList.java
@@ -30,10 +30,10 @@
   private final EndpointPublisher publisher;
 
   /** Null if this router belongs to no fleet: then lists count as they are. */
-  private AgreedEndpoints agreed;
+  private AgreedEndpoints agreedEndpoints;
 
   /** The endpoints as published, without those that are gone; unused with a fleet. */
-  private final Map<String, EndpointEntry> current = new LinkedHashMap<>();
+  private final Map<String, EndpointEntry> currentEntries = new LinkedHashMap<>();
 
   private long generation = NO_GENERATION;
 
@@ -42,13 +42,13 @@
    *
    * @param core is told of the endpoints
    * @param zones the names of the zones, by index
-   * @param addresses receives the address of each endpoint
+   * @param onAddress receives the address of each endpoint
    */
   public EndpointList(
       StatementRouter<String> core,
       List<String> zones,
-      BiConsumer<String, InetSocketAddress> addresses) {
-    publisher = new EndpointPublisher(core, zones, addresses, this::requestFullList);
+      BiConsumer<String, InetSocketAddress> onAddress) {
+    publisher = new EndpointPublisher(core, zones, onAddress, this::requestFullList);
   }
 
   /** The generation after which to request updates; 0 requests the full list. */
@@ -65,10 +65,10 @@
    * Sets the stored state of an earlier process, which counts until a list from the service has
    * come.
    *
-   * @param unresponsive receives each endpoint that did not respond to the earlier process
+   * @param onUnresponsive receives each endpoint that did not respond to the earlier process
    */
-  public void restoreFrom(StateRestore stored, Consumer<String> unresponsive) {
-    publisher.restoreFrom(stored, unresponsive);
+  public void restoreFrom(StateRestore stored, Consumer<String> onUnresponsive) {
+    publisher.restoreFrom(stored, onUnresponsive);
   }
 
   /**
@@ -77,15 +77,15 @@
    * because a file names it.
    */
   public void publishRestored(Moment now) {
-    publisher.begin();
+    publisher.beginBatch();
     for (KnownEndpoint known : publisher.restoredEndpoints()) {
       InetSocketAddress address = Addresses.parse(known.address());
       if (address != null) {
         EndpointEntry entry = EndpointPublisher.restoredEntry(known, address);
-        if (agreed == null) {
-          current.put(entry.id(), entry);
+        if (agreedEndpoints == null) {
+          currentEntries.put(entry.id(), entry);
         } else {
-          agreed.addRestored(entry);
+          agreedEndpoints.addRestored(entry);
         }
         publisher.publishRestored(now, known, address);
       }
@@ -105,7 +105,7 @@
    * @throws InvalidEndpointListException before any change, if the update does not continue the
    *     current list
    */
-  public void takeUpdate(Moment now, EndpointUpdate update, boolean live)
+  public void applyUpdate(Moment now, EndpointUpdate update, boolean live)
       throws InvalidEndpointListException {
     if (update.generation() < generation && !update.full()) {
       // A service that lost its state counts from the start: its updates belong to another list.
@@ -113,21 +113,21 @@
           "the list's generation went from " + generation + " back to " + update.generation());
     }
     generation = update.generation();
-    if (agreed == null) {
+    if (agreedEndpoints == null) {
       publish(now, update, live);
     } else {
-      agreed.take(now, update, live);
+      agreedEndpoints.applyUpdate(now, update, live);
     }
   }
 
   private void publish(Moment now, EndpointUpdate update, boolean live) {
-    publisher.begin();
+    publisher.beginBatch();
     boolean drainsUntilFullList = false;
-    for (EndpointEntry entry : changes(update)) {
+    for (EndpointEntry entry : findChanges(update)) {
       boolean mustDrain =
           publisher.publishListed(now, entry, entry.lifecycle(), entry.group(), generation, live);
       drainsUntilFullList |= mustDrain;
-      store(
+      recordCurrent(
           mustDrain && entry.lifecycle() == EndpointLifecycle.READY
               ? entry.withLifecycle(EndpointLifecycle.DRAINING)
               : entry);
@@ -139,19 +139,19 @@
    * Takes in entries of a list that is not complete yet: an endpoint that is draining or gone gets
    * no more statements from here on. All other changes wait for the complete list.
    */
-  public void takeEarly(Moment now, List<EndpointEntry> entries) {
-    if (agreed != null) {
+  public void applyIncompleteList(Moment now, List<EndpointEntry> entries) {
+    if (agreedEndpoints != null) {
       return;
     }
     boolean changed = false;
     for (EndpointEntry entry : entries) {
-      EndpointEntry previous = current.get(entry.id());
+      EndpointEntry previous = currentEntries.get(entry.id());
       if (entry.lifecycle() != EndpointLifecycle.READY
           && previous != null
           && previous.lifecycle() == EndpointLifecycle.READY) {
         EndpointEntry drained = previous.withLifecycle(entry.lifecycle());
         publisher.publish(now, drained, drained.lifecycle(), drained.group());
-        store(drained);
+        recordCurrent(drained);
         changed = true;
       }
     }
@@ -161,12 +161,12 @@
   }
 
   /** The entries that differ from the current ones, with those first that get no more load. */
-  private List<EndpointEntry> changes(EndpointUpdate update) {
+  private List<EndpointEntry> findChanges(EndpointUpdate update) {
     List<EndpointEntry> changes = new ArrayList<>();
     List<EndpointEntry> ready = new ArrayList<>();
     boolean hasRestored = !publisher.restoredEndpoints().isEmpty();
     for (EndpointEntry entry : update.entries()) {
-      EndpointEntry previous = current.get(entry.id());
+      EndpointEntry previous = currentEntries.get(entry.id());
       if (hasRestored || !entry.equals(previous)) {
         (entry.lifecycle() == EndpointLifecycle.READY ? ready : changes)
             .add(entry.withAddressFrom(previous));
@@ -185,18 +185,18 @@
     for (EndpointEntry entry : update.entries()) {
       listed.add(entry.id());
     }
-    for (EndpointEntry entry : current.values()) {
+    for (EndpointEntry entry : currentEntries.values()) {
       if (!listed.contains(entry.id())) {
         changes.add(entry.withLifecycle(EndpointLifecycle.GONE));
       }
     }
   }
 
-  private void store(EndpointEntry entry) {
+  private void recordCurrent(EndpointEntry entry) {
     if (entry.lifecycle() == EndpointLifecycle.GONE) {
-      current.remove(entry.id());
+      currentEntries.remove(entry.id());
     } else {
-      current.put(entry.id(), entry);
+      currentEntries.put(entry.id(), entry);
     }
   }
 
@@ -207,8 +207,8 @@
 
   /** Publishes the start times again, after the clock offset has changed. */
   public void publishStartTimes(Moment now) {
-    publisher.begin();
-    for (EndpointEntry entry : current.values()) {
+    publisher.beginBatch();
+    for (EndpointEntry entry : currentEntries.values()) {
       if (entry.startedAtMillis() != 0) {
         publisher.publish(now, entry, entry.lifecycle(), entry.group());
       }
@@ -218,11 +218,11 @@
 
   /** Makes all further lists count only as far as the fleet agrees with them. */
   public void setMembershipView(MembershipView fleet, Supplier<Moment> clock) {
-    agreed = new AgreedEndpoints(fleet, publisher, clock);
+    agreedEndpoints = new AgreedEndpoints(fleet, publisher, clock);
   }
 
   /** Publishes what has changed in the membership view; at the first call, all of it. */
   public void publishMembershipChanges(Moment now) {
-    agreed.publishChanges(now, generation);
+    agreedEndpoints.publishChanges(now, generation);
   }
 }
--- a/router/src/main/java/basaltlever/discovery/EndpointListReader.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointListReader.java
@@ -14,13 +14,13 @@
   /** Receives what is read, from within {@link #read}. */
   public interface Listener {
     /** An empty line: the service keeps the response open. */
-    void keepAlive();
+    void onKeepAlive();
 
     /** One entry of a message that is not complete yet. */
-    void entry(EndpointEntry entry);
+    void onEntry(EndpointEntry entry);
 
     /** A complete message, with all of its entries. */
-    void update(EndpointUpdate update);
+    void onUpdate(EndpointUpdate update);
   }
 
   private final Listener listener;
@@ -46,18 +46,18 @@
   }
 
   private void readEntry(String text) throws InvalidEndpointListException {
-    EndpointEntry entry = EndpointEntry.of(EndpointUpdate.parseObject(text));
+    EndpointEntry entry = EndpointEntry.parse(EndpointUpdate.parseObject(text));
     entries.add(entry);
-    listener.entry(entry);
+    listener.onEntry(entry);
   }
 
   private void readMessage(String text) throws InvalidEndpointListException {
     if (text.isEmpty()) {
-      listener.keepAlive();
+      listener.onKeepAlive();
       return;
     }
     List<EndpointEntry> parsed = entries;
     entries = new ArrayList<>();
-    listener.update(EndpointUpdate.of(text, parsed));
+    listener.onUpdate(EndpointUpdate.of(text, parsed));
   }
 }
--- a/router/src/main/java/basaltlever/discovery/EndpointPublisher.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointPublisher.java
@@ -24,36 +24,36 @@
 
   private final StatementRouter<String> core;
   private final List<String> zones;
-  private final BiConsumer<String, InetSocketAddress> addresses;
-  private final Runnable requestFullList;
+  private final BiConsumer<String, InetSocketAddress> onAddress;
+  private final Runnable onFullListNeeded;
   private ClockOffset clockOffset = new ClockOffset();
-  private StateRestore restore = StateRestore.NOTHING;
-  private Consumer<String> unresponsive = id -> {};
+  private StateRestore restore = StateRestore.EMPTY;
+  private Consumer<String> onUnresponsive = id -> {};
 
   /**
    * Creates a publisher.
    *
-   * @param addresses receives the address of each endpoint, before the endpoint is published
-   * @param requestFullList is run if the next response of the service has to be the full list
+   * @param onAddress receives the address of each endpoint, before the endpoint is published
+   * @param onFullListNeeded is run if the next response of the service has to be the full list
    */
   EndpointPublisher(
       StatementRouter<String> core,
       List<String> zones,
-      BiConsumer<String, InetSocketAddress> addresses,
-      Runnable requestFullList) {
+      BiConsumer<String, InetSocketAddress> onAddress,
+      Runnable onFullListNeeded) {
     this.core = core;
     this.zones = zones;
-    this.addresses = addresses;
-    this.requestFullList = requestFullList;
+    this.onAddress = onAddress;
+    this.onFullListNeeded = onFullListNeeded;
   }
 
   void setClockOffset(ClockOffset offset) {
     clockOffset = offset;
   }
 
-  void restoreFrom(StateRestore stored, Consumer<String> unresponsiveEndpoints) {
+  void restoreFrom(StateRestore stored, Consumer<String> onUnresponsiveEndpoint) {
     restore = stored;
-    unresponsive = unresponsiveEndpoints;
+    onUnresponsive = onUnresponsiveEndpoint;
   }
 
   /** Endpoints known from an earlier process that were not listed since. */
@@ -62,7 +62,7 @@
   }
 
   /** Begins a batch; each is ended by one of the methods below. */
-  void begin() {
+  void beginBatch() {
     core.onListStarted();
   }
 
@@ -71,10 +71,10 @@
     core.restore(now, restore.takeGroups());
     if (drainsUntilFullList) {
       // Updates after this generation may not name the endpoint again.
-      requestFullList.run();
+      onFullListNeeded.run();
     }
     if (live) {
-      restore = StateRestore.NOTHING;
+      restore = StateRestore.EMPTY;
     }
     core.onListFinished(now, false, live);
   }
@@ -98,10 +98,11 @@
       long generation,
       boolean live) {
     if (entry.address() != null) {
-      addresses.accept(entry.id(), entry.address());
+      onAddress.accept(entry.id(), entry.address());
     }
     publish(now, entry, lifecycle, group);
-    EndpointState stored = entry.address() == null ? null : storedState(entry, generation, live);
+    EndpointState stored =
+        entry.address() == null ? null : takeStoredState(entry, generation, live);
     if (stored == null) {
       return false;
     }
@@ -110,8 +111,8 @@
     return stored.draining();
   }
 
-  private EndpointState storedState(EndpointEntry entry, long generation, boolean live) {
-    return restore.of(
+  private EndpointState takeStoredState(EndpointEntry entry, long generation, boolean live) {
+    return restore.takeEndpoint(
         entry.id(),
         Addresses.text(entry.address()),
         entry.startedAtMillis() * MICROS_PER_MILLI,
@@ -140,7 +141,7 @@
   /** Publishes an endpoint known from an earlier process as draining, before any list names it. */
   void publishRestored(Moment now, KnownEndpoint known, InetSocketAddress address) {
     EndpointState stored = known.state();
-    addresses.accept(known.id(), address);
+    onAddress.accept(known.id(), address);
     core.onEndpointListed(
         now,
         known.id(),
@@ -167,7 +168,7 @@
 
   private void reportUnresponsive(String id, EndpointState stored) {
     if (stored.unresponsive() || stored.isDown()) {
-      unresponsive.accept(id);
+      onUnresponsive.accept(id);
     }
   }
 }
--- a/router/src/main/java/basaltlever/discovery/EndpointUpdate.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointUpdate.java
@@ -24,10 +24,10 @@
       if (!(instance instanceof Map<?, ?> fields)) {
         throw new InvalidEndpointListException("an entry of the list has no instanceId");
       }
-      entries.add(EndpointEntry.of(fields));
+      entries.add(EndpointEntry.parse(fields));
     }
     return new EndpointUpdate(
-        (long) EndpointEntry.number(message, "generation", 0),
+        (long) EndpointEntry.parseNumber(message, "generation", 0),
         Boolean.TRUE.equals(message.get("reset")),
         entries);
   }
--- a/router/src/main/java/basaltlever/discovery/JsonObjectSplitter.java
+++ b/router/src/main/java/basaltlever/discovery/JsonObjectSplitter.java
@@ -16,7 +16,7 @@
   /** Depth directly within a list of the outermost object. */
   private static final int LIST_DEPTH = 2;
 
-  private enum Lexical {
+  private enum LexicalState {
     /** Outside of strings. */
     STRUCTURE,
     STRING,
@@ -24,14 +24,14 @@
     ESCAPE
   }
 
-  private final TextSink objects;
+  private final TextSink objectSink;
 
   /** Null if the objects of lists stay within the text of the outermost object. */
-  private final TextSink entries;
+  private final TextSink entrySink;
 
-  private final ByteArrayOutputStream object = new ByteArrayOutputStream();
-  private final ByteArrayOutputStream entry = new ByteArrayOutputStream();
-  private Lexical lexical = Lexical.STRUCTURE;
+  private final ByteArrayOutputStream objectBuffer = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream entryBuffer = new ByteArrayOutputStream();
+  private LexicalState lexicalState = LexicalState.STRUCTURE;
 
   /** The number of open braces and brackets. */
   private int depth;
@@ -48,13 +48,14 @@
   /**
    * Creates a splitter.
    *
-   * @param objects receives each outermost object, and an empty text for each line end between them
-   * @param entries receives the objects in lists directly within the outermost object, which then
+   * @param objectSink receives each outermost object, and an empty text for each line end between
+   *     them
+   * @param entrySink receives the objects in lists directly within the outermost object, which then
    *     are left out of its text; null to leave them there
    */
-  JsonObjectSplitter(TextSink objects, TextSink entries) {
-    this.objects = objects;
-    this.entries = entries;
+  JsonObjectSplitter(TextSink objectSink, TextSink entrySink) {
+    this.objectSink = objectSink;
+    this.entrySink = entrySink;
   }
 
   /** Adds the next byte. */
@@ -62,8 +63,8 @@
     if (depth > 0 || next == '{') {
       addToObject(next);
     } else if (next == '\n') {
-      objects.accept("");
-    } else if (!isSpace(next)) {
+      objectSink.accept("");
+    } else if (!isInlineWhitespace(next)) {
       throw new InvalidEndpointListException("a list begins with no object");
     }
   }
@@ -75,20 +76,20 @@
     }
     inEntry |= opensEntry(next);
     if (inEntry) {
-      entry.write(next);
+      entryBuffer.write(next);
     } else if (!isSeparatorOfEntries(next)) {
-      object.write(next);
+      objectBuffer.write(next);
     }
-    switch (lexical) {
-      case ESCAPE -> lexical = Lexical.STRING;
+    switch (lexicalState) {
+      case ESCAPE -> lexicalState = LexicalState.STRING;
       case STRING -> addToString(next);
       case STRUCTURE -> addToStructure(next);
     }
   }
 
   private boolean opensEntry(byte next) {
-    return entries != null
-        && lexical == Lexical.STRUCTURE
+    return entrySink != null
+        && lexicalState == LexicalState.STRUCTURE
         && depth == LIST_DEPTH
         && next == '{'
         && inList;
@@ -96,24 +97,24 @@
 
   /** The commas and white space between entries are left out together with the entries. */
   private boolean isSeparatorOfEntries(byte next) {
-    if (!afterEntry || lexical != Lexical.STRUCTURE || depth != LIST_DEPTH) {
+    if (!afterEntry || lexicalState != LexicalState.STRUCTURE || depth != LIST_DEPTH) {
       return false;
     }
-    afterEntry = next == ',' || next == '\n' || isSpace(next);
+    afterEntry = next == ',' || next == '\n' || isInlineWhitespace(next);
     return afterEntry;
   }
 
   private void addToString(byte next) {
     if (next == '\\') {
-      lexical = Lexical.ESCAPE;
+      lexicalState = LexicalState.ESCAPE;
     } else if (next == '"') {
-      lexical = Lexical.STRUCTURE;
+      lexicalState = LexicalState.STRUCTURE;
     }
   }
 
   private void addToStructure(byte next) throws InvalidEndpointListException {
     switch (next) {
-      case '"' -> lexical = Lexical.STRING;
+      case '"' -> lexicalState = LexicalState.STRING;
       case '{', '[' -> open(next);
       case '}', ']' -> close();
       default -> {}
@@ -132,20 +133,20 @@
     if (inEntry && depth == LIST_DEPTH) {
       inEntry = false;
       afterEntry = true;
-      entries.accept(takeText(entry));
+      entrySink.accept(drainText(entryBuffer));
     } else if (depth == 0) {
       objectBytes = 0;
-      objects.accept(takeText(object));
+      objectSink.accept(drainText(objectBuffer));
     }
   }
 
-  private static String takeText(ByteArrayOutputStream bytes) {
+  private static String drainText(ByteArrayOutputStream bytes) {
     String text = bytes.toString(StandardCharsets.UTF_8);
     bytes.reset();
     return text;
   }
 
-  private static boolean isSpace(byte next) {
+  private static boolean isInlineWhitespace(byte next) {
     return next == ' ' || next == '\r' || next == '\t';
   }
 }
--- a/router/src/main/java/basaltlever/net/AttemptExecutor.java
+++ b/router/src/main/java/basaltlever/net/AttemptExecutor.java
@@ -537,7 +537,7 @@
         trace.step(pendingStatement.trace, attemptNumber + "w");
       }
       long remainingMicros = Math.max(1, deadline.since(iteration.clock().now()).micros());
-      MessageEncoder.query(
+      MessageEncoder.writeQuery(
           out,
           pendingStatement.text,
           pendingStatement.query.timeoutStart,
@@ -596,7 +596,7 @@
 
     @Override
     void write(ByteBuf out) {
-      MessageEncoder.query(out, loadReport.fieldNames.isEmpty() ? "SELECT 1" : "SHOW gauges");
+      MessageEncoder.writeQuery(out, loadReport.fieldNames.isEmpty() ? "SELECT 1" : "SHOW gauges");
     }
 
     @Override
@@ -669,7 +669,7 @@
 
     @Override
     void write(ByteBuf out) {
-      MessageEncoder.query(out, SwitchoverAnnouncement.latestQuery(switchoverTable));
+      MessageEncoder.writeQuery(out, SwitchoverAnnouncement.latestQuery(switchoverTable));
     }
 
     @Override
@@ -704,7 +704,7 @@
 
     @Override
     void write(ByteBuf out) {
-      MessageEncoder.query(out, "SELECT 1");
+      MessageEncoder.writeQuery(out, "SELECT 1");
     }
 
     @Override
--- a/router/src/main/java/basaltlever/net/ClientConnection.java
+++ b/router/src/main/java/basaltlever/net/ClientConnection.java
@@ -325,7 +325,8 @@
         host.onInvalidInput(socket.remoteAddress(), exception.getMessage());
       }
       ByteBuf out = socket.alloc().buffer();
-      MessageEncoder.errorResponse(out, "FATAL", exception.sqlState, exception.getMessage(), null);
+      MessageEncoder.writeErrorResponse(
+          out, "FATAL", exception.sqlState, exception.getMessage(), null);
       beginLingeringClose(out);
       return true;
     }
@@ -350,9 +351,9 @@
     } else {
       ByteBuf out = socket.alloc().buffer();
       if (version != ProtocolCodes.PROTOCOL_VERSION) {
-        MessageEncoder.negotiateProtocolVersion(out);
+        MessageEncoder.writeNegotiateProtocolVersion(out);
       }
-      MessageEncoder.startupResponse(out);
+      MessageEncoder.writeStartupResponse(out);
       socket.write(out);
       decoder.setMaxMessageBytes(MAX_MESSAGE_BYTES);
       lifecycle.onStarted();
@@ -380,14 +381,14 @@
       if (!skippingToSync) {
         skippingToSync = type != 'F';
         ByteBuf out = socket.alloc().buffer();
-        MessageEncoder.errorResponse(
+        MessageEncoder.writeErrorResponse(
             out,
             "ERROR",
             ProtocolCodes.FEATURE_NOT_SUPPORTED,
             "only simple queries are taken here",
             null);
         if (type == 'F') {
-          MessageEncoder.readyForQuery(out);
+          MessageEncoder.writeReadyForQuery(out);
         }
         socket.write(out);
       }
@@ -404,11 +405,11 @@
           ProtocolCodes.PROTOCOL_VIOLATION, "a query does not end in a zero byte");
     }
     ByteBuf text = message.slice(message.readerIndex(), message.readableBytes() - 1);
-    String commandTag = Query.sessionCommand(text);
+    String commandTag = Query.findSessionCommand(text);
     if (Query.isBlank(text)) {
-      writeReply(MessageEncoder::emptyQueryResponse);
+      writeReply(MessageEncoder::writeEmptyQueryResponse);
     } else if (commandTag != null) {
-      writeReply(out -> MessageEncoder.commandComplete(out, commandTag));
+      writeReply(out -> MessageEncoder.writeCommandComplete(out, commandTag));
     } else {
       submitStatement(text);
     }
@@ -432,7 +433,7 @@
       host.onInvalidInput(socket.remoteAddress(), exception.getMessage());
       writeReply(
           out ->
-              MessageEncoder.errorResponse(
+              MessageEncoder.writeErrorResponse(
                   out, "ERROR", exception.sqlState, exception.getMessage(), null));
     }
   }
@@ -441,7 +442,7 @@
   private void writeReply(Consumer<ByteBuf> bodyWriter) {
     ByteBuf out = socket.alloc().buffer();
     bodyWriter.accept(out);
-    MessageEncoder.readyForQuery(out);
+    MessageEncoder.writeReadyForQuery(out);
     socket.write(out);
   }
 
@@ -467,7 +468,7 @@
         socket.write(slice);
       }
     }
-    MessageEncoder.readyForQuery(end);
+    MessageEncoder.writeReadyForQuery(end);
     StatementTrace.Life life = pendingStatement.trace;
     socket.writeAndFlush(
         end,
@@ -482,8 +483,8 @@
     if (lifecycle.isBusy()) {
       StatementTrace.Life life = pendingStatement.trace;
       ByteBuf out = socket.alloc().buffer();
-      MessageEncoder.errorResponse(out, "ERROR", code, message, detail);
-      MessageEncoder.readyForQuery(out);
+      MessageEncoder.writeErrorResponse(out, "ERROR", code, message, detail);
+      MessageEncoder.writeReadyForQuery(out);
       socket.writeAndFlush(out, written -> host.trace().ends(life, written ? "out" : "lost"));
       onAnswered();
     }
@@ -573,7 +574,7 @@
     }
     ByteBuf out = socket.alloc().buffer();
     long retryAfterMillis = host.retryAfterMillis();
-    MessageEncoder.errorResponse(
+    MessageEncoder.writeErrorResponse(
         out,
         "FATAL",
         ProtocolCodes.TOO_MANY_CONNECTIONS,
--- a/router/src/main/java/basaltlever/net/DiscoveryWatch.java
+++ b/router/src/main/java/basaltlever/net/DiscoveryWatch.java
@@ -226,7 +226,7 @@
     }
 
     @Override
-    public void keepAlive() {
+    public void onKeepAlive() {
       lastCompleteAt = lastByteAt;
     }
 
@@ -235,7 +235,7 @@
      * the rest.
      */
     @Override
-    public void entry(EndpointEntry entry) {
+    public void onEntry(EndpointEntry entry) {
       lastCompleteAt = lastByteAt;
       iteration.counters().add(Counter.LIST_ENTRIES_READ);
       if (entry.lifecycle() != EndpointLifecycle.READY && !outdated) {
@@ -250,12 +250,12 @@
       List<EndpointEntry> entries = earlyEntries;
       earlyEntries = new ArrayList<>();
       if (!outdated) {
-        list.takeEarly(now, entries);
+        list.applyIncompleteList(now, entries);
       }
     }
 
     @Override
-    public void update(EndpointUpdate update) {
+    public void onUpdate(EndpointUpdate update) {
       lastCompleteAt = lastByteAt;
       if (outdated) {
         return;
@@ -273,7 +273,7 @@
     private void applyUpdate(Moment now, EndpointUpdate update) {
       try {
         if (!outdated) {
-          list.takeUpdate(now, update, true);
+          list.applyUpdate(now, update, true);
         }
       } catch (InvalidEndpointListException broken) {
         list.requestFullList();
--- a/router/src/main/java/basaltlever/net/PooledConnection.java
+++ b/router/src/main/java/basaltlever/net/PooledConnection.java
@@ -110,7 +110,7 @@
   @Override
   public void channelActive(ChannelHandlerContext context) {
     ByteBuf out = context.alloc().buffer();
-    MessageEncoder.startupMessage(out, "app", "shop");
+    MessageEncoder.writeStartupMessage(out, "app", "shop");
     context.writeAndFlush(out);
   }
 
--- a/router/src/main/java/basaltlever/net/Router.java
+++ b/router/src/main/java/basaltlever/net/Router.java
@@ -197,7 +197,7 @@
     loop.submit(this::build).sync();
     // Read meanwhile, on the keeper's thread: what it loads first would else be added to the start.
     StateRestore restore =
-        snapshotWriter == null ? StateRestore.NOTHING : snapshotWriter.awaitRestore();
+        snapshotWriter == null ? StateRestore.EMPTY : snapshotWriter.awaitRestore();
     loop.submit(() -> restore(restore)).sync();
     joinFleet();
     Promise<Void> firstPolls = loop.newPromise();
@@ -696,7 +696,7 @@
         now -> {
           try {
             if (start.hasStoredEndpointList()) {
-              list.takeUpdate(now, EndpointUpdate.of(start.takeStoredEndpointList()), false);
+              list.applyUpdate(now, EndpointUpdate.of(start.takeStoredEndpointList()), false);
               return;
             }
           } catch (InvalidEndpointListException fault) {
--- a/router/src/main/java/basaltlever/pg/MessageDecoder.java
+++ b/router/src/main/java/basaltlever/pg/MessageDecoder.java
@@ -16,7 +16,7 @@
   private static final int LENGTH_BYTES = Integer.BYTES;
 
   private static final int TYPE_BYTES = 1;
-  private static final int MIN_JOIN_CAPACITY_BYTES = 512;
+  private static final int MIN_BUFFER_CAPACITY_BYTES = 512;
 
   private int maxMessageBytes;
   private final MemoryBudget budget;
@@ -70,7 +70,7 @@
    */
   private void replaceBuffer(ByteBuf received) {
     int total = buffered.readableBytes() + received.readableBytes();
-    ByteBuf larger = received.alloc().buffer(Math.max(MIN_JOIN_CAPACITY_BYTES, 2 * total));
+    ByteBuf larger = received.alloc().buffer(Math.max(MIN_BUFFER_CAPACITY_BYTES, 2 * total));
     larger.writeBytes(buffered);
     buffered.release();
     buffered = larger;
@@ -82,7 +82,7 @@
    */
   public ByteBuf nextMessage() throws ProtocolException {
     if (bufferedBytes() < HEADER_BYTES) {
-      return awaitMore();
+      return returnNoMessage();
     }
     return slice(buffered.getInt(buffered.readerIndex() + TYPE_BYTES), TYPE_BYTES);
   }
@@ -90,7 +90,7 @@
   /** As {@link #nextMessage}, for the messages of the startup phase, which have no type byte. */
   public ByteBuf nextStartupMessage() throws ProtocolException {
     if (bufferedBytes() < LENGTH_BYTES) {
-      return awaitMore();
+      return returnNoMessage();
     }
     return slice(buffered.getInt(buffered.readerIndex()), 0);
   }
@@ -108,7 +108,7 @@
   }
 
   /** Returns null for "no message", and the buffer to its pool if all of it was consumed. */
-  private ByteBuf awaitMore() {
+  private ByteBuf returnNoMessage() {
     if (buffered != null && !buffered.isReadable()) {
       release();
     }
--- a/router/src/main/java/basaltlever/pg/MessageEncoder.java
+++ b/router/src/main/java/basaltlever/pg/MessageEncoder.java
@@ -17,7 +17,7 @@
   private MessageEncoder() {}
 
   /** StartupMessage, from a client. */
-  public static void startupMessage(ByteBuf out, String user, String database) {
+  public static void writeStartupMessage(ByteBuf out, String user, String database) {
     int lengthIndex = out.writerIndex();
     out.writeInt(0).writeInt(ProtocolCodes.PROTOCOL_VERSION);
     writeString(out, "user");
@@ -25,57 +25,57 @@
     writeString(out, "database");
     writeString(out, database);
     out.writeByte(TERMINATOR);
-    setLength(out, lengthIndex);
+    endMessage(out, lengthIndex);
   }
 
   /** The response to a startup message, from AuthenticationOk to ReadyForQuery. */
-  public static void startupResponse(ByteBuf out) {
+  public static void writeStartupResponse(ByteBuf out) {
     out.writeByte(ProtocolCodes.AUTHENTICATION).writeInt(2 * Integer.BYTES);
     out.writeInt(AUTHENTICATION_OK);
-    parameterStatus(out, "server_version", "15.0 (basaltlever)");
-    parameterStatus(out, "server_encoding", "UTF8");
-    parameterStatus(out, "client_encoding", "UTF8");
-    parameterStatus(out, "standard_conforming_strings", "on");
-    parameterStatus(out, "integer_datetimes", "on");
+    writeParameterStatus(out, "server_version", "15.0 (basaltlever)");
+    writeParameterStatus(out, "server_encoding", "UTF8");
+    writeParameterStatus(out, "client_encoding", "UTF8");
+    writeParameterStatus(out, "standard_conforming_strings", "on");
+    writeParameterStatus(out, "integer_datetimes", "on");
     out.writeByte(ProtocolCodes.BACKEND_KEY_DATA).writeInt(3 * Integer.BYTES);
     out.writeInt(NO_CANCEL_KEY).writeInt(NO_CANCEL_KEY);
-    readyForQuery(out);
+    writeReadyForQuery(out);
   }
 
   /**
    * NegotiateProtocolVersion: this side speaks an older minor version than was requested, and
    * rejects no named protocol option.
    */
-  public static void negotiateProtocolVersion(ByteBuf out) {
+  public static void writeNegotiateProtocolVersion(ByteBuf out) {
     int rejectedOptions = 0;
     out.writeByte(ProtocolCodes.NEGOTIATE_PROTOCOL_VERSION).writeInt(3 * Integer.BYTES);
     out.writeInt(ProtocolCodes.PROTOCOL_VERSION).writeInt(rejectedOptions);
   }
 
   /** ParameterStatus. */
-  public static void parameterStatus(ByteBuf out, String name, String value) {
+  public static void writeParameterStatus(ByteBuf out, String name, String value) {
     int lengthIndex = beginMessage(out, ProtocolCodes.PARAMETER_STATUS);
     writeString(out, name);
     writeString(out, value);
-    setLength(out, lengthIndex);
+    endMessage(out, lengthIndex);
   }
 
   /** ReadyForQuery, outside of a transaction. */
-  public static void readyForQuery(ByteBuf out) {
+  public static void writeReadyForQuery(ByteBuf out) {
     out.writeByte(ProtocolCodes.READY_FOR_QUERY).writeInt(Integer.BYTES + 1);
     out.writeByte(TRANSACTION_STATUS_IDLE);
   }
 
   /** EmptyQueryResponse. */
-  public static void emptyQueryResponse(ByteBuf out) {
+  public static void writeEmptyQueryResponse(ByteBuf out) {
     out.writeByte(ProtocolCodes.EMPTY_QUERY_RESPONSE).writeInt(Integer.BYTES);
   }
 
   /** CommandComplete with its command tag. */
-  public static void commandComplete(ByteBuf out, String tag) {
+  public static void writeCommandComplete(ByteBuf out, String tag) {
     int lengthIndex = beginMessage(out, ProtocolCodes.COMMAND_COMPLETE);
     writeString(out, tag);
-    setLength(out, lengthIndex);
+    endMessage(out, lengthIndex);
   }
 
   /**
@@ -84,7 +84,7 @@
    * @param code the SQLSTATE
    * @param detail null to omit the field
    */
-  public static void errorResponse(
+  public static void writeErrorResponse(
       ByteBuf out, String severity, String code, String message, String detail) {
     int lengthIndex = beginMessage(out, ProtocolCodes.ERROR_RESPONSE);
     writeErrorField(out, 'S', severity);
@@ -95,14 +95,14 @@
       writeErrorField(out, 'D', detail);
     }
     out.writeByte(TERMINATOR);
-    setLength(out, lengthIndex);
+    endMessage(out, lengthIndex);
   }
 
   /** Query. */
-  public static void query(ByteBuf out, String text) {
+  public static void writeQuery(ByteBuf out, String text) {
     int lengthIndex = beginMessage(out, ProtocolCodes.QUERY);
     writeString(out, text);
-    setLength(out, lengthIndex);
+    endMessage(out, lengthIndex);
   }
 
   /**
@@ -111,7 +111,7 @@
    * @param timeoutStart offset of the first digit of the timeout in the text
    * @param timeoutEnd offset behind its last digit
    */
-  public static void query(
+  public static void writeQuery(
       ByteBuf out, ByteBuf text, int timeoutStart, int timeoutEnd, long timeoutMillis) {
     int lengthIndex = beginMessage(out, ProtocolCodes.QUERY);
     int textStart = text.readerIndex();
@@ -119,7 +119,7 @@
     out.writeCharSequence(Long.toString(timeoutMillis), StandardCharsets.US_ASCII);
     out.writeBytes(text, textStart + timeoutEnd, text.readableBytes() - timeoutEnd);
     out.writeByte(TERMINATOR);
-    setLength(out, lengthIndex);
+    endMessage(out, lengthIndex);
   }
 
   /** Writes type and a placeholder of the length, and returns the index of the latter. */
@@ -131,7 +131,7 @@
   }
 
   /** Ends a message: its length counts itself, but not the type. */
-  private static void setLength(ByteBuf out, int lengthIndex) {
+  private static void endMessage(ByteBuf out, int lengthIndex) {
     out.setInt(lengthIndex, out.writerIndex() - lengthIndex);
   }
 
--- a/router/src/main/java/basaltlever/pg/ProtocolException.java
+++ b/router/src/main/java/basaltlever/pg/ProtocolException.java
@@ -8,9 +8,9 @@
   public final String sqlState;
 
   /** Creates one with its SQLSTATE and a message that may be sent to a client. */
-  public ProtocolException(String code, String message) {
+  public ProtocolException(String sqlState, String message) {
     super(message);
-    this.sqlState = code;
+    this.sqlState = sqlState;
   }
 
   /** The peer broke the protocol. */
--- a/router/src/main/java/basaltlever/pg/Query.java
+++ b/router/src/main/java/basaltlever/pg/Query.java
@@ -12,7 +12,7 @@
  */
 public final class Query {
   private static final String COMMENT_OPEN = "/*";
-  private static final int COMMENT_MARK_BYTES = COMMENT_OPEN.length();
+  private static final int COMMENT_DELIMITER_BYTES = COMMENT_OPEN.length();
   private static final int MAX_COMMENT_BYTES = 1_024;
 
   private static final String ID_KEY = "id";
@@ -62,7 +62,7 @@
    *
    * @param commentOffset of the comment in the text
    */
-  private Query(String comment, int commentOffset, long session) throws ProtocolException {
+  private Query(String comment, int commentOffset, long sessionHash) throws ProtocolException {
     Map<String, String> fields = new HashMap<>();
     int timeoutStart = 0;
     int timeoutEnd = 0;
@@ -81,13 +81,15 @@
     }
     this.timeoutStart = timeoutStart;
     this.timeoutEnd = timeoutEnd;
-    this.workload = required(fields, WORKLOAD_KEY);
-    this.id = required(fields, ID_KEY);
-    this.timeoutMillis = number(TIMEOUT_KEY, required(fields, TIMEOUT_KEY), MAX_TIMEOUT_MILLIS);
-    this.group = (int) number(GROUP_KEY, fields.getOrDefault(GROUP_KEY, "0"), Integer.MAX_VALUE);
+    this.workload = requiredField(fields, WORKLOAD_KEY);
+    this.id = requiredField(fields, ID_KEY);
+    this.timeoutMillis =
+        parseNumber(TIMEOUT_KEY, requiredField(fields, TIMEOUT_KEY), MAX_TIMEOUT_MILLIS);
+    this.group =
+        (int) parseNumber(GROUP_KEY, fields.getOrDefault(GROUP_KEY, "0"), Integer.MAX_VALUE);
     this.lastCommitMillis =
-        number(COMMIT_KEY, fields.getOrDefault(COMMIT_KEY, "0"), MAX_COMMIT_MILLIS);
-    this.sessionHash = session;
+        parseNumber(COMMIT_KEY, fields.getOrDefault(COMMIT_KEY, "0"), MAX_COMMIT_MILLIS);
+    this.sessionHash = sessionHash;
   }
 
   /** Parses the text of a query, without the zero byte that terminates it. */
@@ -99,13 +101,14 @@
             text.readerIndex() + commentStart,
             commentEnd - commentStart,
             StandardCharsets.ISO_8859_1);
-    return new Query(comment, commentStart, sessionHash(text, commentEnd + COMMENT_MARK_BYTES));
+    return new Query(
+        comment, commentStart, computeSessionHash(text, commentEnd + COMMENT_DELIMITER_BYTES));
   }
 
   /** The offset behind the mark that opens the comment. */
   private static int findCommentStart(ByteBuf text) throws ProtocolException {
-    int open = skipSpace(text, 0);
-    int start = open + COMMENT_MARK_BYTES;
+    int open = skipWhitespace(text, 0);
+    int start = open + COMMENT_DELIMITER_BYTES;
     if (text.readableBytes() < start
         || byteAt(text, open) != COMMENT_OPEN.charAt(0)
         || byteAt(text, open + 1) != COMMENT_OPEN.charAt(1)) {
@@ -116,7 +119,8 @@
 
   /** The offset of the mark that closes the comment. */
   private static int findCommentEnd(ByteBuf text, int start) throws ProtocolException {
-    int limit = Math.min(text.readableBytes() - 1, start - COMMENT_MARK_BYTES + MAX_COMMENT_BYTES);
+    int limit =
+        Math.min(text.readableBytes() - 1, start - COMMENT_DELIMITER_BYTES + MAX_COMMENT_BYTES);
     for (int offset = start; offset < limit; offset++) {
       if (byteAt(text, offset) == '*' && byteAt(text, offset + 1) == '/') {
         return offset;
@@ -143,7 +147,8 @@
     }
   }
 
-  private static String required(Map<String, String> fields, String key) throws ProtocolException {
+  private static String requiredField(Map<String, String> fields, String key)
+      throws ProtocolException {
     String value = fields.get(key);
     if (value == null || value.isEmpty()) {
       throw ProtocolException.violation("the comment lacks " + key);
@@ -151,7 +156,7 @@
     return value;
   }
 
-  private static long number(String key, String digits, long max) throws ProtocolException {
+  private static long parseNumber(String key, String digits, long max) throws ProtocolException {
     long number = 0;
     boolean valid = !digits.isEmpty();
     for (int i = 0; i < digits.length() && valid; i++) {
@@ -166,7 +171,7 @@
   }
 
   /** The FNV-1a hash of the first quoted literal, never 0 if there is one. */
-  private static long sessionHash(ByteBuf text, int from) {
+  private static long computeSessionHash(ByteBuf text, int from) {
     int open = text.indexOf(text.readerIndex() + from, text.writerIndex(), (byte) '\'');
     int close = open < 0 ? -1 : text.indexOf(open + 1, text.writerIndex(), (byte) '\'');
     if (close < 0) {
@@ -181,9 +186,9 @@
 
   /** Whether the text has no statement, only white space and semicolons. */
   public static boolean isBlank(ByteBuf text) {
-    int offset = skipSpace(text, 0);
+    int offset = skipWhitespace(text, 0);
     while (offset < text.readableBytes() && byteAt(text, offset) == ';') {
-      offset = skipSpace(text, offset + 1);
+      offset = skipWhitespace(text, offset + 1);
     }
     return offset == text.readableBytes();
   }
@@ -192,8 +197,8 @@
    * Returns the first word of a command that changes only the session, such as SET, or null. It has
    * no effect here, since statements of a session run on many connections.
    */
-  public static String sessionCommand(ByteBuf text) {
-    int start = skipSpace(text, 0);
+  public static String findSessionCommand(ByteBuf text) {
+    int start = skipWhitespace(text, 0);
     for (String command : SESSION_COMMANDS) {
       if (startsWithWord(text, start, command)) {
         return command;
@@ -217,7 +222,7 @@
     return text.getByte(text.readerIndex() + offset);
   }
 
-  private static int skipSpace(ByteBuf text, int from) {
+  private static int skipWhitespace(ByteBuf text, int from) {
     int offset = from;
     while (offset < text.readableBytes()
         && byteAt(text, offset) <= ' '
--- a/router/src/main/java/basaltlever/pg/QueryResponse.java
+++ b/router/src/main/java/basaltlever/pg/QueryResponse.java
@@ -37,9 +37,9 @@
   private static final int DATA_ROW_INDEX = 1;
 
   /** The messages of the row as they were read, each owned here until it is taken or released. */
-  private final List<ByteBuf> row = new ArrayList<>(ROW_SEQUENCE.length);
+  private final List<ByteBuf> rowBuffers = new ArrayList<>(ROW_SEQUENCE.length);
 
-  private int rowMessages;
+  private int rowMessageCount;
   private boolean rowInSequence = true;
   private String sqlState;
   private boolean malformed;
@@ -47,7 +47,7 @@
 
   private String role = "";
 
-  private long position;
+  private long positionMillis;
 
   /**
    * Adds the next message of the response.
@@ -74,16 +74,16 @@
   }
 
   private void addRowMessage(byte type, ByteBuf message) {
-    rowInSequence &= rowMessages < ROW_SEQUENCE.length && ROW_SEQUENCE[rowMessages] == type;
-    rowMessages++;
-    malformed |= rowMessages > ROW_SEQUENCE.length || !isWellFormed(type, message);
+    rowInSequence &= rowMessageCount < ROW_SEQUENCE.length && ROW_SEQUENCE[rowMessageCount] == type;
+    rowMessageCount++;
+    malformed |= rowMessageCount > ROW_SEQUENCE.length || !isWellFormed(type, message);
     if (!malformed) {
-      row.add(message.retainedSlice());
+      rowBuffers.add(message.retainedSlice());
     }
   }
 
   private void addError(ByteBuf message) {
-    malformed |= sqlState != null || rowMessages > 0;
+    malformed |= sqlState != null || rowMessageCount > 0;
     sqlState = errorField(message, SQLSTATE_FIELD);
   }
 
@@ -99,14 +99,17 @@
     switch (name) {
       case "part" -> role = value;
       case "caught_up_to" ->
-          position = UNIX_MILLIS.matcher(value).matches() ? Long.parseLong(value) : 0;
+          positionMillis = UNIX_MILLIS.matcher(value).matches() ? Long.parseLong(value) : 0;
       default -> {}
     }
   }
 
   /** Whether this is one complete row of one column: only then did the statement complete. */
   public boolean isSingleRow() {
-    return !malformed && sqlState == null && rowInSequence && rowMessages == ROW_SEQUENCE.length;
+    return !malformed
+        && sqlState == null
+        && rowInSequence
+        && rowMessageCount == ROW_SEQUENCE.length;
   }
 
   /**
@@ -132,22 +135,22 @@
 
   /** The replication position in Unix milliseconds, 0 if the server reported none. */
   public long positionMillis() {
-    return position;
+    return positionMillis;
   }
 
   /** The messages of the row; the caller has to release them. */
   public List<ByteBuf> takeRow() {
-    List<ByteBuf> taken = List.copyOf(row);
-    row.clear();
-    return taken;
+    List<ByteBuf> buffers = List.copyOf(rowBuffers);
+    rowBuffers.clear();
+    return buffers;
   }
 
   /** The value of the row as text; empty if there is no row or the value is too long. */
   public String value() {
-    if (!isSingleRow() || row.size() <= DATA_ROW_INDEX) {
+    if (!isSingleRow() || rowBuffers.size() <= DATA_ROW_INDEX) {
       return "";
     }
-    ByteBuf data = row.get(DATA_ROW_INDEX);
+    ByteBuf data = rowBuffers.get(DATA_ROW_INDEX);
     int lengthIndex = data.readerIndex() + MessageDecoder.HEADER_BYTES + COLUMN_COUNT_BYTES;
     int length = data.getInt(lengthIndex);
     return length > MAX_TEXT_BYTES
@@ -157,29 +160,29 @@
 
   /** Releases the messages that were not taken. */
   public void release() {
-    row.forEach(ByteBuf::release);
-    row.clear();
+    rowBuffers.forEach(ByteBuf::release);
+    rowBuffers.clear();
   }
 
   private static boolean isWellFormed(byte type, ByteBuf message) {
-    int body = message.readerIndex() + MessageDecoder.HEADER_BYTES;
-    int bodyBytes = message.writerIndex() - body;
+    int bodyStart = message.readerIndex() + MessageDecoder.HEADER_BYTES;
+    int bodyBytes = message.writerIndex() - bodyStart;
     if (type == ProtocolCodes.COMMAND_COMPLETE) {
-      return isPrintableTag(message, body, bodyBytes);
+      return isPrintableTag(message, bodyStart, bodyBytes);
     }
-    if (bodyBytes < MIN_ROW_BODY_BYTES || message.getShort(body) != 1) {
+    if (bodyBytes < MIN_ROW_BODY_BYTES || message.getShort(bodyStart) != 1) {
       return false;
     }
     return type == ProtocolCodes.DATA_ROW
-        ? message.getInt(body + COLUMN_COUNT_BYTES) == bodyBytes - MIN_ROW_BODY_BYTES
-        : isOneColumn(message, body + COLUMN_COUNT_BYTES);
+        ? message.getInt(bodyStart + COLUMN_COUNT_BYTES) == bodyBytes - MIN_ROW_BODY_BYTES
+        : isOneColumn(message, bodyStart + COLUMN_COUNT_BYTES);
   }
 
   /** Whether the body is one non-empty, terminated string of printable ASCII. */
-  private static boolean isPrintableTag(ByteBuf message, int body, int bodyBytes) {
+  private static boolean isPrintableTag(ByteBuf message, int bodyStart, int bodyBytes) {
     return bodyBytes > 1
-        && findTerminator(message, body) == message.writerIndex() - 1
-        && message.forEachByte(body, bodyBytes - 1, b -> b >= ' ' && b < 127) < 0;
+        && findTerminator(message, bodyStart) == message.writerIndex() - 1
+        && message.forEachByte(bodyStart, bodyBytes - 1, b -> b >= ' ' && b < 127) < 0;
   }
 
   /** Whether the message ends with the name and the description of the column at this index. */
--- a/router/src/main/java/basaltlever/snapshot/EndpointState.java
+++ b/router/src/main/java/basaltlever/snapshot/EndpointState.java
@@ -48,7 +48,7 @@
   /** The span since something that has not happened. */
   public static final Span NEVER = new Span(Long.MAX_VALUE / 8);
 
-  private static final double NEGLIGIBLE = 0.05;
+  private static final double NEGLIGIBLE_LEVEL = 0.05;
 
   /** Whether it could not be reached. */
   public boolean isDown() {
@@ -69,7 +69,7 @@
   }
 
   private boolean isHealthy() {
-    return failureRate < NEGLIGIBLE && latencyStrain < NEGLIGIBLE;
+    return failureRate < NEGLIGIBLE_LEVEL && latencyStrain < NEGLIGIBLE_LEVEL;
   }
 
   /** A builder that starts from this state. */
--- a/router/src/main/java/basaltlever/snapshot/StateDecay.java
+++ b/router/src/main/java/basaltlever/snapshot/StateDecay.java
@@ -15,10 +15,10 @@
   static final Span LOAD_DECAY = Span.ofMillis(15_000);
 
   /** Health weight below which "down" and "silent" count only as a failure rate. */
-  private static final double LEAST_WEIGHT_OF_STATES = 0.5;
+  private static final double MIN_STATUS_WEIGHT = 0.5;
 
   /** Keeps the division by a decayed weight finite. */
-  private static final double LEAST_DIVISOR = 1e-6;
+  private static final double MIN_DIVISOR = 1e-6;
 
   private StateDecay() {}
 
@@ -36,34 +36,34 @@
    * The same state, that much later. Draining and a spent slow-start budget don't decay: they bind
    * until they are over.
    */
-  public static EndpointState aged(EndpointState state, Span age) {
+  public static EndpointState decay(EndpointState state, Span age) {
     double healthWeight = weight(age, HEALTH_DECAY);
     double loadWeight = weight(age, LOAD_DECAY);
-    boolean statesCount = healthWeight >= LEAST_WEIGHT_OF_STATES;
+    boolean retainsStatus = healthWeight >= MIN_STATUS_WEIGHT;
     double failureRate = state.unresponsive() || state.isDown() ? 1 : state.failureRate();
     return state.toBuilder()
-        .sinceStart(longerAgo(state.sinceStart(), age))
-        .sinceNotPrimary(longerAgo(state.sinceNotPrimary(), age))
-        .unresponsive(state.unresponsive() && statesCount)
-        .downFor(statesCount ? longerAgo(state.downFor(), age) : EndpointState.NEVER)
+        .sinceStart(extend(state.sinceStart(), age))
+        .sinceNotPrimary(extend(state.sinceNotPrimary(), age))
+        .unresponsive(state.unresponsive() && retainsStatus)
+        .downFor(retainsStatus ? extend(state.downFor(), age) : EndpointState.NEVER)
         .failureRate(failureRate * healthWeight)
         .latencyStrain(Math.max(0, state.latencyStrain()) * loadWeight)
-        .capacity(state.capacity() / Math.max(loadWeight, LEAST_DIVISOR))
-        .consecutiveRejections(statesCount ? state.consecutiveRejections() : 0)
+        .capacity(state.capacity() / Math.max(loadWeight, MIN_DIVISOR))
+        .consecutiveRejections(retainsStatus ? state.consecutiveRejections() : 0)
         .remainingBackoff(state.remainingBackoff().minus(age).longer(Span.NONE))
         .lag(state.lag().times(loadWeight))
-        .sinceSlowStartSpent(longerAgo(state.sinceSlowStartSpent(), age))
+        .sinceSlowStartSpent(extend(state.sinceSlowStartSpent(), age))
         .build();
   }
 
   /** The same state, that much later. */
-  public static GroupState aged(GroupState state, Span age) {
+  public static GroupState decay(GroupState state, Span age) {
     double loadWeight = weight(age, LOAD_DECAY);
     return new GroupState(
         state.group(), state.congestion() * loadWeight, state.primaryCongestion() * loadWeight);
   }
 
-  private static Span longerAgo(Span ago, Span age) {
+  private static Span extend(Span ago, Span age) {
     return ago.isShorterThan(EndpointState.NEVER) ? ago.plus(age) : ago;
   }
 }
--- a/router/src/main/java/basaltlever/snapshot/StateRestore.java
+++ b/router/src/main/java/basaltlever/snapshot/StateRestore.java
@@ -13,7 +13,7 @@
  */
 public final class StateRestore {
   /** For a router without a stored state. */
-  public static final StateRestore NOTHING = rejected("there is none");
+  public static final StateRestore EMPTY = rejected("there is none");
 
   /** How far the system clock may differ from the monotonic one before neither is trusted. */
   private static final Span CLOCK_TOLERANCE = Span.ofMillis(2_000);
@@ -25,7 +25,7 @@
   private final Span age;
   private final long listVersion;
   private final Map<String, KnownEndpoint> pending = new LinkedHashMap<>();
-  private List<GroupState> takeGroups;
+  private List<GroupState> pendingGroups;
 
   private StateRestore(
       String rejection,
@@ -36,7 +36,7 @@
     this.rejection = rejection;
     this.age = age;
     this.listVersion = listVersion;
-    this.takeGroups = groups;
+    this.pendingGroups = groups;
     endpoints.forEach(known -> pending.put(known.id(), known));
   }
 
@@ -45,30 +45,35 @@
    *
    * @param deployment the deployment of the restarted router
    * @param router its name
-   * @param now microseconds of Unix time by the system clock
-   * @param steady microseconds of the machine's monotonic clock
-   * @param boot the current boot of the machine; empty where unknown
+   * @param unixMicros microseconds of Unix time by the system clock
+   * @param monotonicMicros microseconds of the machine's monotonic clock
+   * @param bootId the current boot of the machine; empty where unknown
    */
-  public static StateRestore of(
-      LearnedState stored, String deployment, String router, long now, long steady, String boot) {
+  public static StateRestore evaluate(
+      LearnedState stored,
+      String deployment,
+      String router,
+      long unixMicros,
+      long monotonicMicros,
+      String bootId) {
     if (!stored.deployment().equals(deployment) || !stored.router().equals(router)) {
       return rejected(
           "it is of deployment '" + stored.deployment() + "', router '" + stored.router() + "'");
     }
-    Span systemAge = new Span(now - stored.writtenAtMicros());
+    Span systemAge = new Span(unixMicros - stored.writtenAtMicros());
     if (systemAge.micros() < 0) {
       return rejected("it was written in the future, by this machine's clock");
     }
-    if (boot.isEmpty() || !boot.equals(stored.bootId())) {
+    if (bootId.isEmpty() || !bootId.equals(stored.bootId())) {
       return aged(stored, systemAge);
     }
-    Span monotonicAge = new Span(steady - stored.monotonicMicros());
-    return agree(systemAge, monotonicAge)
+    Span monotonicAge = new Span(monotonicMicros - stored.monotonicMicros());
+    return clocksAgree(systemAge, monotonicAge)
         ? aged(stored, monotonicAge)
         : rejected("the clock was set since it was written");
   }
 
-  private static boolean agree(Span systemAge, Span monotonicAge) {
+  private static boolean clocksAgree(Span systemAge, Span monotonicAge) {
     Span difference = new Span(Math.abs(monotonicAge.minus(systemAge).micros()));
     Span tolerance = CLOCK_TOLERANCE.plus(monotonicAge.times(CLOCK_TOLERANCE_RATIO));
     return monotonicAge.micros() >= 0 && !difference.isLongerThan(tolerance);
@@ -78,10 +83,10 @@
     List<KnownEndpoint> endpoints = new ArrayList<>(stored.endpoints().size());
     for (KnownEndpoint known : stored.endpoints()) {
       endpoints.add(
-          new KnownEndpoint(known.id(), known.address(), StateDecay.aged(known.state(), age)));
+          new KnownEndpoint(known.id(), known.address(), StateDecay.decay(known.state(), age)));
     }
     List<GroupState> groups =
-        stored.groups().stream().map(group -> StateDecay.aged(group, age)).toList();
+        stored.groups().stream().map(group -> StateDecay.decay(group, age)).toList();
     return new StateRestore("", age, stored.listVersion(), endpoints, groups);
   }
 
@@ -100,7 +105,7 @@
   }
 
   /** The number of endpoints that have not been listed yet. */
-  public int pendingCount() {
+  public int pendingEndpointCount() {
     return pending.size();
   }
 
@@ -117,7 +122,8 @@
    * @param version the version of the list
    * @param live whether the router requested the list itself
    */
-  public EndpointState of(String id, String address, long listedStart, long version, boolean live) {
+  public EndpointState takeEndpoint(
+      String id, String address, long listedStart, long version, boolean live) {
     KnownEndpoint known = pending.get(id);
     boolean olderList = !live && version < listVersion;
     if (known == null
@@ -136,8 +142,8 @@
 
   /** Hands out, once, what is known of the replica groups. */
   public List<GroupState> takeGroups() {
-    List<GroupState> handedOut = takeGroups;
-    takeGroups = List.of();
-    return handedOut;
+    List<GroupState> groups = pendingGroups;
+    pendingGroups = List.of();
+    return groups;
   }
 }
--- a/router/src/main/java/basaltlever/storage/InvalidSnapshotException.java
+++ b/router/src/main/java/basaltlever/storage/InvalidSnapshotException.java
@@ -9,12 +9,12 @@
   }
 
   /** The file as a whole is wrong. */
-  static InvalidSnapshotException ofFile(String reason) {
+  static InvalidSnapshotException forFile(String reason) {
     return new InvalidSnapshotException(reason);
   }
 
   /** The part that begins at the given byte of the file is wrong. */
-  static InvalidSnapshotException at(int offset, String reason) {
+  static InvalidSnapshotException atOffset(int offset, String reason) {
     return new InvalidSnapshotException("byte " + offset + ": " + reason);
   }
 }
--- a/router/src/main/java/basaltlever/storage/LockedDirectory.java
+++ b/router/src/main/java/basaltlever/storage/LockedDirectory.java
@@ -43,7 +43,7 @@
     FileLock lock = null;
     try {
       lock = channel.tryLock();
-    } catch (OverlappingFileLockException ours) {
+    } catch (OverlappingFileLockException heldByThisProcess) {
       // Held within this process, which is the same to the caller.
     } finally {
       if (lock == null) {
@@ -99,11 +99,12 @@
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
-      int at = 0;
-      while (at < bytes.length) {
-        at +=
+      int written = 0;
+      while (written < bytes.length) {
+        written +=
             channel.write(
-                ByteBuffer.wrap(bytes, at, Math.min(WRITE_CHUNK_BYTES, bytes.length - at)));
+                ByteBuffer.wrap(
+                    bytes, written, Math.min(WRITE_CHUNK_BYTES, bytes.length - written)));
       }
     }
   }
--- a/router/src/main/java/basaltlever/storage/RecordFields.java
+++ b/router/src/main/java/basaltlever/storage/RecordFields.java
@@ -23,9 +23,9 @@
   }
 
   /** Reads the record at the file's position, and moves the position behind it. */
-  static RecordFields next(ByteBuffer file, int end) throws InvalidSnapshotException {
+  static RecordFields readNext(ByteBuffer file, int end) throws InvalidSnapshotException {
     int offset = file.position();
-    int length = RecordFraming.open(file, end);
+    int length = RecordFraming.readHeader(file, end);
     int content = file.position();
     file.position(content + length);
     return new RecordFields(parse(file.array(), content, length, offset), offset);
@@ -35,26 +35,26 @@
   private static Map<String, Object> parse(byte[] bytes, int from, int length, int offset)
       throws InvalidSnapshotException {
     try (JsonParser parser = CBOR.createParser(bytes, from, length)) {
-      return map(parser, offset);
+      return parseMap(parser, offset);
     } catch (IOException | RuntimeException unreadable) {
-      throw InvalidSnapshotException.at(
+      throw InvalidSnapshotException.atOffset(
           offset, "the record can't be read: " + unreadable.getClass().getSimpleName());
     }
   }
 
-  private static Map<String, Object> map(JsonParser parser, int offset)
+  private static Map<String, Object> parseMap(JsonParser parser, int offset)
       throws IOException, InvalidSnapshotException {
     if (parser.nextToken() != JsonToken.START_OBJECT) {
-      throw InvalidSnapshotException.at(offset, "the record is no map");
+      throw InvalidSnapshotException.atOffset(offset, "the record is no map");
     }
     Map<String, Object> values = new HashMap<>();
     while (parser.nextToken() == JsonToken.FIELD_NAME) {
       String name = parser.currentName();
       JsonToken token = parser.nextToken();
       if (token == null) {
-        throw InvalidSnapshotException.at(offset, "the record ends within its map");
+        throw InvalidSnapshotException.atOffset(offset, "the record ends within its map");
       }
-      Object value = scalar(parser, token);
+      Object value = parseScalar(parser, token);
       if (value != null) {
         values.put(name, value);
       }
@@ -63,7 +63,7 @@
   }
 
   /** The value, or null for one of a type that no known field has. */
-  private static Object scalar(JsonParser parser, JsonToken token) throws IOException {
+  private static Object parseScalar(JsonParser parser, JsonToken token) throws IOException {
     switch (token) {
       case START_OBJECT, START_ARRAY -> parser.skipChildren();
       case VALUE_NUMBER_INT -> {
@@ -108,11 +108,11 @@
   }
 
   /** A number within the bounds. */
-  double number(String name, double least, double most, double whereMissing)
+  double number(String name, double min, double max, double defaultValue)
       throws InvalidSnapshotException {
-    if (values.getOrDefault(name, whereMissing) instanceof Number value
-        && value.doubleValue() >= least
-        && value.doubleValue() <= most) {
+    if (values.getOrDefault(name, defaultValue) instanceof Number value
+        && value.doubleValue() >= min
+        && value.doubleValue() <= max) {
       return value.doubleValue();
     }
     throw outOfBounds(name);
@@ -135,6 +135,6 @@
 
   /** The error for a field of this record that can't be used. */
   private InvalidSnapshotException outOfBounds(String name) {
-    return InvalidSnapshotException.at(offset, name + " is out of its bounds");
+    return InvalidSnapshotException.atOffset(offset, name + " is out of its bounds");
   }
 }
--- a/router/src/main/java/basaltlever/storage/RecordFraming.java
+++ b/router/src/main/java/basaltlever/storage/RecordFraming.java
@@ -20,18 +20,18 @@
    * @param end offset of the first byte behind all records
    * @return the length of the record
    */
-  static int open(ByteBuffer file, int end) throws InvalidSnapshotException {
+  static int readHeader(ByteBuffer file, int end) throws InvalidSnapshotException {
     int offset = file.position();
     if (end - offset < SnapshotFormat.FRAME_HEADER_BYTES) {
-      throw InvalidSnapshotException.at(offset, "half of a record");
+      throw InvalidSnapshotException.atOffset(offset, "half of a record");
     }
     int length = file.getInt();
     int checksum = file.getInt();
     if (length < 0 || length > SnapshotFormat.MAX_RECORD_BYTES || length > end - file.position()) {
-      throw InvalidSnapshotException.at(offset, "a record of " + length + " bytes");
+      throw InvalidSnapshotException.atOffset(offset, "a record of " + length + " bytes");
     }
     if (crc(file.array(), file.position(), length) != checksum) {
-      throw InvalidSnapshotException.at(offset, "the record's checksum does not fit");
+      throw InvalidSnapshotException.atOffset(offset, "the record's checksum does not fit");
     }
     return length;
   }
--- a/router/src/main/java/basaltlever/storage/SnapshotCodec.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotCodec.java
@@ -13,7 +13,7 @@
    * Encodes a state within the given number of bytes. Where they don't suffice, the endpoints of
    * which little was learned are left out.
    */
-  public static byte[] write(LearnedState state, int maxBytes) {
+  public static byte[] encode(LearnedState state, int maxBytes) {
     return SnapshotEncoder.encode(state, Math.min(maxBytes, MAX_FILE_BYTES));
   }
 
@@ -21,7 +21,7 @@
    * Decodes a file. Throws nothing else, whatever the bytes are, and takes no more memory than a
    * few times their size.
    */
-  public static LearnedState read(byte[] file) throws InvalidSnapshotException {
+  public static LearnedState decode(byte[] file) throws InvalidSnapshotException {
     return new SnapshotDecoder(file).decode();
   }
 }
--- a/router/src/main/java/basaltlever/storage/SnapshotDecoder.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotDecoder.java
@@ -31,50 +31,51 @@
     ByteBuffer in = ByteBuffer.wrap(file);
     checkHeader(in);
     checkDigest();
-    RecordFields description = RecordFields.next(in, end);
+    RecordFields description = RecordFields.readNext(in, end);
     int records = 0;
     while (in.position() < end) {
-      decodeRecord(RecordFields.next(in, end));
+      decodeRecord(RecordFields.readNext(in, end));
       records++;
     }
     if (!description.text(SnapshotFormat.KIND).equals(SnapshotFormat.KIND_SNAPSHOT)
         || description.integer(SnapshotFormat.RECORD_COUNT) != records) {
-      throw InvalidSnapshotException.at(
+      throw InvalidSnapshotException.atOffset(
           SnapshotFormat.HEADER_BYTES, "the first record does not describe what follows");
     }
-    return state(description);
+    return buildState(description);
   }
 
   private void checkHeader(ByteBuffer in) throws InvalidSnapshotException {
     if (file.length < SnapshotFormat.HEADER_BYTES + SnapshotFormat.DIGEST_BYTES) {
-      throw InvalidSnapshotException.ofFile(
+      throw InvalidSnapshotException.forFile(
           "it ends after " + file.length + " bytes, before its head and its sum");
     }
     if (in.getInt() != SnapshotFormat.MAGIC) {
-      throw InvalidSnapshotException.at(0, "no view begins like this");
+      throw InvalidSnapshotException.atOffset(0, "no view begins like this");
     }
     int format = in.getInt();
-    if (format != SnapshotFormat.FORMAT) {
-      throw InvalidSnapshotException.at(
+    if (format != SnapshotFormat.FORMAT_VERSION) {
+      throw InvalidSnapshotException.atOffset(
           Integer.BYTES,
-          "format " + format + ", where this program reads " + SnapshotFormat.FORMAT);
+          "format " + format + ", where this program reads " + SnapshotFormat.FORMAT_VERSION);
     }
   }
 
   private void checkDigest() throws InvalidSnapshotException {
     byte[] stored = Arrays.copyOfRange(file, end, file.length);
     if (!MessageDigest.isEqual(RecordFraming.digest(file, end), stored)) {
-      throw InvalidSnapshotException.at(offsetOfDamage(), "the sum over the file does not fit");
+      throw InvalidSnapshotException.atOffset(
+          findDamageOffset(), "the sum over the file does not fit");
     }
   }
 
   /** The first record whose own checksum does not fit, or else the digest. */
-  private int offsetOfDamage() {
+  private int findDamageOffset() {
     ByteBuffer in = ByteBuffer.wrap(file).position(SnapshotFormat.HEADER_BYTES);
     while (in.position() < end) {
       int offset = in.position();
       try {
-        RecordFields.next(in, end);
+        RecordFields.readNext(in, end);
       } catch (InvalidSnapshotException damaged) {
         return offset;
       }
@@ -84,15 +85,15 @@
 
   private void decodeRecord(RecordFields record) throws InvalidSnapshotException {
     switch (record.text(SnapshotFormat.KIND)) {
-      case SnapshotFormat.KIND_ENDPOINT -> endpoints.add(endpoint(record));
-      case SnapshotFormat.KIND_GROUP -> groups.add(group(record));
+      case SnapshotFormat.KIND_ENDPOINT -> endpoints.add(decodeEndpoint(record));
+      case SnapshotFormat.KIND_GROUP -> groups.add(decodeGroup(record));
       default -> {
         // A kind that a later release added.
       }
     }
   }
 
-  private LearnedState state(RecordFields description) throws InvalidSnapshotException {
+  private LearnedState buildState(RecordFields description) throws InvalidSnapshotException {
     return new LearnedState(
         description.text(SnapshotFormat.DEPLOYMENT),
         description.text(SnapshotFormat.ROUTER),
@@ -105,11 +106,11 @@
         groups);
   }
 
-  private static KnownEndpoint endpoint(RecordFields record) throws InvalidSnapshotException {
+  private static KnownEndpoint decodeEndpoint(RecordFields record) throws InvalidSnapshotException {
     double max = SnapshotFormat.MAX_NUMBER;
     EndpointState state =
         new EndpointStateBuilder()
-            .group(groupNumber(record))
+            .group(decodeGroupNumber(record))
             .listedStartMicros(record.integer(SnapshotFormat.LISTED_START))
             .draining(record.flag(SnapshotFormat.DRAINING))
             .primary(record.flag(SnapshotFormat.PRIMARY))
@@ -120,7 +121,7 @@
             .failureRate(record.share(SnapshotFormat.FAILURE_RATE))
             .latencyStrain(record.number(SnapshotFormat.LATENCY_STRAIN, -max, max, 0))
             .capacity(record.number(SnapshotFormat.CAPACITY, 0, max, max))
-            .consecutiveRejections(consecutiveRejections(record))
+            .consecutiveRejections(decodeConsecutiveRejections(record))
             .remainingBackoff(record.span(SnapshotFormat.REMAINING_BACKOFF))
             .lag(new Span((long) record.number(SnapshotFormat.LAG, 0, max, 0)))
             .slowStartSpent(record.number(SnapshotFormat.SLOW_START_SPENT, 0, max, 0))
@@ -130,18 +131,19 @@
         record.text(SnapshotFormat.ID), record.text(SnapshotFormat.ADDRESS), state);
   }
 
-  private static GroupState group(RecordFields record) throws InvalidSnapshotException {
+  private static GroupState decodeGroup(RecordFields record) throws InvalidSnapshotException {
     return new GroupState(
-        groupNumber(record),
+        decodeGroupNumber(record),
         record.share(SnapshotFormat.CONGESTION),
         record.share(SnapshotFormat.PRIMARY_CONGESTION));
   }
 
-  private static int groupNumber(RecordFields record) throws InvalidSnapshotException {
+  private static int decodeGroupNumber(RecordFields record) throws InvalidSnapshotException {
     return (int) record.number(SnapshotFormat.GROUP, 0, Integer.MAX_VALUE, 0);
   }
 
-  private static int consecutiveRejections(RecordFields record) throws InvalidSnapshotException {
+  private static int decodeConsecutiveRejections(RecordFields record)
+      throws InvalidSnapshotException {
     return (int)
         record.number(
             SnapshotFormat.CONSECUTIVE_REJECTIONS, 0, SnapshotFormat.MAX_CONSECUTIVE_REJECTIONS, 0);
--- a/router/src/main/java/basaltlever/storage/SnapshotEncoder.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotEncoder.java
@@ -20,52 +20,54 @@
   private static final CBORFactory CBOR = new CBORFactory();
 
   /** A usual record, so that its buffer need not grow. */
-  private static final int USUAL_RECORD_BYTES = 256;
+  private static final int TYPICAL_RECORD_BYTES = 256;
 
   private SnapshotEncoder() {}
 
   static byte[] encode(LearnedState state, int maxBytes) {
-    List<byte[]> records = fitting(records(state), maxBytes);
-    byte[] description = record(out -> description(out, state, records.size()));
+    List<byte[]> records = selectFitting(encodeRecords(state), maxBytes);
+    byte[] description = encodeRecord(out -> writeDescription(out, state, records.size()));
     int size = SnapshotFormat.HEADER_BYTES + framedBytes(description) + SnapshotFormat.DIGEST_BYTES;
     for (byte[] record : records) {
       size += framedBytes(record);
     }
     ByteBuffer file =
-        ByteBuffer.allocate(size).putInt(SnapshotFormat.MAGIC).putInt(SnapshotFormat.FORMAT);
+        ByteBuffer.allocate(size)
+            .putInt(SnapshotFormat.MAGIC)
+            .putInt(SnapshotFormat.FORMAT_VERSION);
     RecordFraming.append(file, description);
     records.forEach(record -> RecordFraming.append(file, record));
     return file.put(RecordFraming.digest(file.array(), file.position())).array();
   }
 
   /** One record for each endpoint, those of which little was learned last, then the groups. */
-  private static List<byte[]> records(LearnedState state) {
+  private static List<byte[]> encodeRecords(LearnedState state) {
     List<KnownEndpoint> endpoints = new ArrayList<>(state.endpoints());
     endpoints.sort(Comparator.comparing(known -> known.state().isUnremarkable()));
     List<byte[]> records = new ArrayList<>();
     for (KnownEndpoint known : endpoints) {
       if (known.id().length() <= SnapshotFormat.MAX_NAME_CHARS
           && known.address().length() <= SnapshotFormat.MAX_NAME_CHARS) {
-        records.add(record(out -> endpoint(out, known)));
+        records.add(encodeRecord(out -> writeEndpoint(out, known)));
       }
     }
     for (GroupState group : state.groups()) {
-      records.add(record(out -> group(out, group)));
+      records.add(encodeRecord(out -> writeGroup(out, group)));
     }
     return records;
   }
 
   /** As many of the first records as the file has room for, beside the largest description. */
-  private static List<byte[]> fitting(List<byte[]> records, int maxBytes) {
-    int left =
+  private static List<byte[]> selectFitting(List<byte[]> records, int maxBytes) {
+    int remainingBytes =
         maxBytes
             - SnapshotFormat.HEADER_BYTES
             - SnapshotFormat.FRAME_HEADER_BYTES
             - SnapshotFormat.MAX_RECORD_BYTES
             - SnapshotFormat.DIGEST_BYTES;
     int count = 0;
-    while (count < records.size() && framedBytes(records.get(count)) <= left) {
-      left -= framedBytes(records.get(count));
+    while (count < records.size() && framedBytes(records.get(count)) <= remainingBytes) {
+      remainingBytes -= framedBytes(records.get(count));
       count++;
     }
     return records.subList(0, count);
@@ -79,8 +81,8 @@
     void write(JsonGenerator out) throws IOException;
   }
 
-  private static byte[] record(FieldWriter fields) {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_RECORD_BYTES);
+  private static byte[] encodeRecord(FieldWriter fields) {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(TYPICAL_RECORD_BYTES);
     try (JsonGenerator out = CBOR.createGenerator(bytes)) {
       out.writeStartObject();
       fields.write(out);
@@ -91,7 +93,7 @@
     return bytes.toByteArray();
   }
 
-  private static void description(JsonGenerator out, LearnedState state, int records)
+  private static void writeDescription(JsonGenerator out, LearnedState state, int records)
       throws IOException {
     out.writeStringField(SnapshotFormat.KIND, SnapshotFormat.KIND_SNAPSHOT);
     out.writeStringField(SnapshotFormat.DEPLOYMENT, state.deployment());
@@ -104,19 +106,19 @@
     out.writeNumberField(SnapshotFormat.RECORD_COUNT, records);
   }
 
-  private static void endpoint(JsonGenerator out, KnownEndpoint known) throws IOException {
+  private static void writeEndpoint(JsonGenerator out, KnownEndpoint known) throws IOException {
     EndpointState state = known.state();
     out.writeStringField(SnapshotFormat.KIND, SnapshotFormat.KIND_ENDPOINT);
     out.writeStringField(SnapshotFormat.ID, known.id());
     out.writeStringField(SnapshotFormat.ADDRESS, known.address());
     out.writeNumberField(SnapshotFormat.GROUP, state.group());
     out.writeNumberField(SnapshotFormat.LISTED_START, state.listedStartMicros());
-    flag(out, SnapshotFormat.DRAINING, state.draining());
-    flag(out, SnapshotFormat.PRIMARY, state.primary());
-    spanSince(out, SnapshotFormat.SINCE_START, state.sinceStart());
-    spanSince(out, SnapshotFormat.SINCE_NOT_PRIMARY, state.sinceNotPrimary());
-    flag(out, SnapshotFormat.UNRESPONSIVE, state.unresponsive());
-    spanSince(out, SnapshotFormat.DOWN_FOR, state.downFor());
+    writeFlag(out, SnapshotFormat.DRAINING, state.draining());
+    writeFlag(out, SnapshotFormat.PRIMARY, state.primary());
+    writeSpanSince(out, SnapshotFormat.SINCE_START, state.sinceStart());
+    writeSpanSince(out, SnapshotFormat.SINCE_NOT_PRIMARY, state.sinceNotPrimary());
+    writeFlag(out, SnapshotFormat.UNRESPONSIVE, state.unresponsive());
+    writeSpanSince(out, SnapshotFormat.DOWN_FOR, state.downFor());
     out.writeNumberField(SnapshotFormat.FAILURE_RATE, state.failureRate());
     out.writeNumberField(SnapshotFormat.LATENCY_STRAIN, state.latencyStrain());
     out.writeNumberField(SnapshotFormat.CAPACITY, state.capacity());
@@ -124,10 +126,10 @@
     out.writeNumberField(SnapshotFormat.REMAINING_BACKOFF, state.remainingBackoff().micros());
     out.writeNumberField(SnapshotFormat.LAG, state.lag().micros());
     out.writeNumberField(SnapshotFormat.SLOW_START_SPENT, state.slowStartSpent());
-    spanSince(out, SnapshotFormat.SINCE_SLOW_START_SPENT, state.sinceSlowStartSpent());
+    writeSpanSince(out, SnapshotFormat.SINCE_SLOW_START_SPENT, state.sinceSlowStartSpent());
   }
 
-  private static void group(JsonGenerator out, GroupState state) throws IOException {
+  private static void writeGroup(JsonGenerator out, GroupState state) throws IOException {
     out.writeStringField(SnapshotFormat.KIND, SnapshotFormat.KIND_GROUP);
     out.writeNumberField(SnapshotFormat.GROUP, state.group());
     out.writeNumberField(SnapshotFormat.CONGESTION, state.congestion());
@@ -135,14 +137,14 @@
   }
 
   /** Flags that are not set are left out. */
-  private static void flag(JsonGenerator out, String name, boolean set) throws IOException {
+  private static void writeFlag(JsonGenerator out, String name, boolean set) throws IOException {
     if (set) {
       out.writeBooleanField(name, true);
     }
   }
 
   /** Spans since what has not happened are left out. */
-  private static void spanSince(JsonGenerator out, String name, Span span) throws IOException {
+  private static void writeSpanSince(JsonGenerator out, String name, Span span) throws IOException {
     if (span.isShorterThan(EndpointState.NEVER)) {
       out.writeNumberField(name, span.micros());
     }
--- a/router/src/main/java/basaltlever/storage/SnapshotFormat.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotFormat.java
@@ -10,7 +10,7 @@
  */
 final class SnapshotFormat {
   static final int MAGIC = 0x424C5657;
-  static final int FORMAT = 1;
+  static final int FORMAT_VERSION = 1;
   static final int HEADER_BYTES = 8;
   static final int FRAME_HEADER_BYTES = 8;
   static final int DIGEST_BYTES = 32;
--- a/router/src/main/java/basaltlever/storage/SnapshotStore.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotStore.java
@@ -20,7 +20,7 @@
   /** The first digit keeps sequence numbers far from overflow, so that the next one sorts last. */
   private static final String FILE_NAME_PATTERN = PREFIX + "[0-3][0-9a-f]{15}\\.blv";
 
-  private static final int GENERATIONS = 2;
+  private static final int RETAINED_SNAPSHOTS = 2;
 
   private final DirectoryOperations directory;
 
@@ -32,13 +32,13 @@
   /**
    * A file that holds no usable snapshot.
    *
-   * @param name of the file
+   * @param fileName of the file
    * @param reason what is wrong with it
    */
-  public record RejectedFile(String name, String reason) {
+  public record RejectedFile(String fileName, String reason) {
     @Override
     public String toString() {
-      return name + ": " + reason;
+      return fileName + ": " + reason;
     }
   }
 
@@ -46,12 +46,15 @@
    * The newest whole snapshot.
    *
    * @param state its state; null where none is whole
-   * @param name of its file; empty where none is whole
+   * @param fileName of its file; empty where none is whole
    * @param highestSequence the highest sequence number in any file name that was looked at
-   * @param rejected newer files that hold no whole snapshot
+   * @param rejectedFiles newer files that hold no whole snapshot
    */
-  public record Found(
-      LearnedState state, String name, long highestSequence, List<RejectedFile> rejected) {}
+  public record LoadResult(
+      LearnedState state,
+      String fileName,
+      long highestSequence,
+      List<RejectedFile> rejectedFiles) {}
 
   /** The file name of a snapshot. */
   public static String fileName(long sequence) {
@@ -59,37 +62,37 @@
   }
 
   /** The file names of all snapshots, the newest first. */
-  public static List<String> names(DirectoryOperations directory) throws IOException {
+  public static List<String> listFileNames(DirectoryOperations directory) throws IOException {
     return directory.list().stream()
         .filter(name -> name.matches(FILE_NAME_PATTERN))
         .sorted(Comparator.reverseOrder())
         .toList();
   }
 
-  private static long sequence(String fileName) {
+  private static long parseSequence(String fileName) {
     int end = PREFIX.length() + SEQUENCE_DIGITS;
     return Long.parseLong(fileName.substring(PREFIX.length(), end), HEXADECIMAL);
   }
 
   /** Reads the newest whole snapshot. */
-  public Found newest() throws IOException {
+  public LoadResult loadNewest() throws IOException {
     List<RejectedFile> rejected = new ArrayList<>();
-    long highest = 0;
-    for (String name : names(directory)) {
-      highest = Math.max(highest, sequence(name));
+    long highestSequence = 0;
+    for (String name : listFileNames(directory)) {
+      highestSequence = Math.max(highestSequence, parseSequence(name));
       try {
-        return new Found(read(name), name, highest, rejected);
+        return new LoadResult(readSnapshot(name), name, highestSequence, rejected);
       } catch (InvalidSnapshotException | IOException fault) {
         rejected.add(new RejectedFile(name, fault.getMessage()));
       }
     }
-    return new Found(null, "", highest, rejected);
+    return new LoadResult(null, "", highestSequence, rejected);
   }
 
-  private LearnedState read(String name) throws InvalidSnapshotException, IOException {
-    LearnedState state = SnapshotCodec.read(directory.read(name, SnapshotCodec.MAX_FILE_BYTES));
-    if (state.sequence() != sequence(name)) {
-      throw InvalidSnapshotException.ofFile(
+  private LearnedState readSnapshot(String name) throws InvalidSnapshotException, IOException {
+    LearnedState state = SnapshotCodec.decode(directory.read(name, SnapshotCodec.MAX_FILE_BYTES));
+    if (state.sequence() != parseSequence(name)) {
+      throw InvalidSnapshotException.forFile(
           "it is number " + state.sequence() + ", under another's name");
     }
     return state;
@@ -97,12 +100,13 @@
 
   /** Makes a snapshot of at most the given size durable, then deletes the outdated ones. */
   public void store(LearnedState state, int maxBytes) throws IOException {
-    directory.write(TEMPORARY_FILE, SnapshotCodec.write(state, maxBytes));
+    directory.write(TEMPORARY_FILE, SnapshotCodec.encode(state, maxBytes));
     directory.sync(TEMPORARY_FILE);
     directory.rename(TEMPORARY_FILE, fileName(state.sequence()));
     directory.syncDirectory();
-    List<String> names = names(directory);
-    for (String outdated : names.subList(Math.min(GENERATIONS, names.size()), names.size())) {
+    List<String> names = listFileNames(directory);
+    for (String outdated :
+        names.subList(Math.min(RETAINED_SNAPSHOTS, names.size()), names.size())) {
       directory.delete(outdated);
     }
   }
--- a/router/src/main/java/basaltlever/storage/SnapshotWriter.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotWriter.java
@@ -53,20 +53,20 @@
   private final String router;
   private final SplittableRandom random;
   private final Source source;
-  private final RateLimitedLog failures;
-  private final ScheduledThreadPoolExecutor thread;
-  private final Future<StateRestore> restore;
+  private final RateLimitedLog failureLog;
+  private final ScheduledThreadPoolExecutor executor;
+  private final Future<StateRestore> restoreResult;
   private volatile Span period;
   private volatile int maxBytes;
   private boolean locked;
   private boolean lockRefusalLogged;
-  private boolean sequenceKnown;
+  private boolean sequenceInitialized;
   private long sequence;
 
   /**
    * Starts to read the newest snapshot.
    *
-   * @param folder the directory of the snapshots
+   * @param path the directory of the snapshots
    * @param deployment the deployment of the router
    * @param router the name of the router
    * @param period the time between two snapshots, on average
@@ -75,14 +75,14 @@
    * @param source provides the state to be stored
    */
   public SnapshotWriter(
-      Path folder,
+      Path path,
       String deployment,
       String router,
       Span period,
       int maxBytes,
       SplittableRandom random,
       Source source) {
-    directory = new LockedDirectory(folder);
+    directory = new LockedDirectory(path);
     this.deployment = deployment;
     this.router = router;
     this.period = period;
@@ -90,15 +90,15 @@
     this.random = random;
     this.source = source;
     store = new SnapshotStore(directory);
-    failures =
+    failureLog =
         new RateLimitedLog(
             LOG, Event.VIEW_NOT_KEPT, () -> new Moment(SystemClocks.monotonicMicros()));
-    thread = new ScheduledThreadPoolExecutor(1, SnapshotWriter::daemonThread);
-    restore = thread.submit(this::restore);
+    executor = new ScheduledThreadPoolExecutor(1, SnapshotWriter::newDaemonThread);
+    restoreResult = executor.submit(this::readSnapshot);
   }
 
-  private static Thread daemonThread(Runnable work) {
-    Thread worker = new Thread(work, "view");
+  private static Thread newDaemonThread(Runnable task) {
+    Thread worker = new Thread(task, "view");
     worker.setDaemon(true);
     return worker;
   }
@@ -106,21 +106,21 @@
   /** Waits, for a second at most, for what the directory's snapshot is worth; never fails. */
   public StateRestore awaitRestore() throws InterruptedException {
     try {
-      return restore.get(READ_TIMEOUT.micros(), TimeUnit.MICROSECONDS);
-    } catch (TimeoutException slow) {
+      return restoreResult.get(READ_TIMEOUT.micros(), TimeUnit.MICROSECONDS);
+    } catch (TimeoutException timeout) {
       Event.VIEW_LEFT_OUT.log(
           LOG, Level.WARN, "", "reading " + directory + " takes more than a second");
     } catch (ExecutionException fault) {
       Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault.getCause());
     }
-    return StateRestore.NOTHING;
+    return StateRestore.EMPTY;
   }
 
   /** Writes a snapshot each period from now on. */
   public void startWriting() {
     double jitter = 1 - JITTER + 2 * JITTER * random.nextDouble();
     try {
-      thread.schedule(
+      executor.schedule(
           () -> {
             writeCurrentState();
             startWriting();
@@ -145,49 +145,49 @@
 
   /** Writes a last snapshot, or none for null, then releases the directory. Returns at once. */
   public void close(LearnedState last) {
-    thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-    thread.execute(
+    executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+    executor.execute(
         () -> {
           if (last != null) {
-            write(last);
+            writeSnapshot(last);
           }
           releaseDirectory();
         });
-    thread.shutdown();
+    executor.shutdown();
   }
 
   /** Waits for the last snapshot, for a second at most. */
   public void awaitClosed() throws InterruptedException {
-    if (!thread.awaitTermination(LAST_WRITE_TIMEOUT.micros(), TimeUnit.MICROSECONDS)) {
-      failures.note(directory, "the last view did not reach the disk in time");
+    if (!executor.awaitTermination(LAST_WRITE_TIMEOUT.micros(), TimeUnit.MICROSECONDS)) {
+      failureLog.note(directory, "the last view did not reach the disk in time");
     }
   }
 
-  private StateRestore restore() {
+  private StateRestore readSnapshot() {
     try {
       if (!lockDirectory()) {
-        return StateRestore.NOTHING;
+        return StateRestore.EMPTY;
       }
-      SnapshotStore.Found found = findNewest();
-      found.rejected().stream()
+      SnapshotStore.LoadResult newest = loadNewest();
+      newest.rejectedFiles().stream()
           .limit(MAX_LOGGED_REJECTIONS)
           .forEach(file -> Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", file));
-      if (found.state() == null) {
-        return StateRestore.NOTHING;
+      if (newest.state() == null) {
+        return StateRestore.EMPTY;
       }
       StateRestore result =
-          StateRestore.of(
-              found.state(),
+          StateRestore.evaluate(
+              newest.state(),
               deployment,
               router,
               SystemClocks.unixMicros(),
               SystemClocks.monotonicMicros(),
               SystemClocks.bootId());
-      logRestore(found.name(), result);
+      logRestore(newest.fileName(), result);
       return result;
     } catch (IOException fault) {
       Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault);
-      return StateRestore.NOTHING;
+      return StateRestore.EMPTY;
     }
   }
 
@@ -202,15 +202,15 @@
         "",
         fileName,
         result.age().micros() / 1_000,
-        result.pendingCount(),
+        result.pendingEndpointCount(),
         String.format("%.4f", StateDecay.weight(result.age())));
   }
 
-  private SnapshotStore.Found findNewest() throws IOException {
-    SnapshotStore.Found found = store.newest();
-    sequence = Math.max(sequence, found.highestSequence());
-    sequenceKnown = true;
-    return found;
+  private SnapshotStore.LoadResult loadNewest() throws IOException {
+    SnapshotStore.LoadResult newest = store.loadNewest();
+    sequence = Math.max(sequence, newest.highestSequence());
+    sequenceInitialized = true;
+    return newest;
   }
 
   private boolean lockDirectory() throws IOException {
@@ -228,31 +228,31 @@
     try {
       LearnedState state = source.currentState();
       if (state != null) {
-        write(state);
+        writeSnapshot(state);
       }
     } catch (InterruptedException shutDown) {
       Thread.currentThread().interrupt();
     } catch (RuntimeException fault) {
-      failures.note(directory, String.valueOf(fault));
+      failureLog.note(directory, String.valueOf(fault));
     }
   }
 
   /** A directory that was removed and created again is locked again; numbers go on from there. */
   @SuppressWarnings("IllegalCatch") // Whatever fails, the directory must be released.
-  private void write(LearnedState state) {
+  private void writeSnapshot(LearnedState state) {
     try {
       if (!locked && !lockDirectory()) {
         return;
       }
-      if (!sequenceKnown) {
-        findNewest();
+      if (!sequenceInitialized) {
+        loadNewest();
       }
       store.store(state.withSequence(sequence + 1), maxBytes);
       sequence++;
     } catch (IOException | RuntimeException fault) {
-      failures.note(directory, String.valueOf(fault));
+      failureLog.note(directory, String.valueOf(fault));
       releaseDirectory();
-      sequenceKnown = false;
+      sequenceInitialized = false;
     }
   }
 
@@ -261,7 +261,7 @@
     try {
       directory.close();
     } catch (IOException fault) {
-      failures.note(directory, String.valueOf(fault));
+      failureLog.note(directory, String.valueOf(fault));
     }
   }
 }
--- a/router/src/test/java/basaltlever/ParserTest.java
+++ b/router/src/test/java/basaltlever/ParserTest.java
@@ -51,7 +51,7 @@
     for (int i = chance.nextInt(1, 12); i > 0; i--) {
       String query = "x".repeat(chance.nextInt(chance.nextInt(2) == 0 ? 9 : 3_000));
       sent.add(query);
-      MessageEncoder.query(all, query);
+      MessageEncoder.writeQuery(all, query);
     }
     List<String> got = new ArrayList<>();
     List<ByteBuf> parts = new ArrayList<>();
@@ -157,7 +157,7 @@
             && query.sessionHash != 0,
         "its fields");
     ByteBuf out = Unpooled.buffer();
-    MessageEncoder.query(out, text, query.timeoutStart, query.timeoutEnd, 77);
+    MessageEncoder.writeQuery(out, text, query.timeoutStart, query.timeoutEnd, 77);
     check(
         out.toString(5, out.readableBytes() - 6, StandardCharsets.UTF_8)
             .equals(statement.replace("d=480", "d=77")),
@@ -187,8 +187,8 @@
     }
     check(Query.isBlank(text(" ;\n ")) && !Query.isBlank(text("/* */")), "blank");
     check(
-        "SET".equals(Query.sessionCommand(text(" set x = 1")))
-            && Query.sessionCommand(text("SETTLE")) == null,
+        "SET".equals(Query.findSessionCommand(text(" set x = 1")))
+            && Query.findSessionCommand(text("SETTLE")) == null,
         "commands that do nothing");
   }
 
@@ -211,8 +211,8 @@
   @Example
   void anAnswerIsARowAnErrorOrNeither() throws ProtocolException {
     ByteBuf good = row("7");
-    MessageEncoder.parameterStatus(good, "caught_up_to", "1767225600123");
-    MessageEncoder.parameterStatus(good, "part", "replica");
+    MessageEncoder.writeParameterStatus(good, "caught_up_to", "1767225600123");
+    MessageEncoder.writeParameterStatus(good, "part", "replica");
     QueryResponse response = answer(good);
     check(
         response.isSingleRow()
@@ -224,11 +224,11 @@
     response.release();
     check(good.refCnt() == 0, "the buffer it was read into is free");
     ByteBuf error = Unpooled.buffer();
-    MessageEncoder.errorResponse(error, "ERROR", "25006", "no primary", null);
+    MessageEncoder.writeErrorResponse(error, "ERROR", "25006", "no primary", null);
     response = answer(error);
     check(!response.isSingleRow() && response.sqlState().equals("25006"), "an error");
     ByteBuf behind = row("7");
-    MessageEncoder.errorResponse(behind, "ERROR", "25006", "too late", null);
+    MessageEncoder.writeErrorResponse(behind, "ERROR", "25006", "too late", null);
     response = answer(behind);
     check(
         !response.isSingleRow() && response.sqlState() == null,
@@ -395,7 +395,7 @@
         "{\"instanceId\":\"n1\",\"hostPort\":\"127.0.0.1:5\",\"zone\":\"q\",\"cell\":1,"
             + "\"lifecycle\":\"in_service\",\"weight\":1.0,\"startedAtMs\":0,\"more\":[1,null]}";
     String shape = "{\"generation\":%s,\"reset\":%s,\"instances\":[%s]}";
-    list.takeUpdate(new Moment(0), EndpointList.parse(shape.formatted("7", "true", entry)), true);
+    list.applyUpdate(new Moment(0), EndpointList.parse(shape.formatted("7", "true", entry)), true);
     check(list.generation() == 7 && outside.told.equals(List.of("n1")), "taken");
     for (String bad :
         new String[] {
@@ -408,13 +408,13 @@
           "{"
         }) {
       try {
-        list.takeUpdate(new Moment(0), EndpointList.parse(bad), true);
+        list.applyUpdate(new Moment(0), EndpointList.parse(bad), true);
         check(false, "taken: " + bad);
       } catch (InvalidEndpointListException fault) {
         check(list.generation() == 7 && outside.told.size() == 1, "nothing of it is taken");
       }
     }
-    list.takeUpdate(new Moment(0), EndpointList.parse(shape.formatted("2", "true", "")), true);
+    list.applyUpdate(new Moment(0), EndpointList.parse(shape.formatted("2", "true", "")), true);
     check(list.generation() == 2, "a whole list may count anew");
   }
 
--- a/router/src/test/java/basaltlever/RulesTest.java
+++ b/router/src/test/java/basaltlever/RulesTest.java
@@ -213,7 +213,7 @@
                   .restore(
                       world.now,
                       node,
-                      StateDecay.aged(
+                      StateDecay.decay(
                           before.balancer.learnedState().endpointState(before.now, node),
                           StandIn.ms(1_000)));
             }
--- a/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
+++ b/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
@@ -99,7 +99,7 @@
 
     /** One bit of the newest file. */
     void flips() throws IOException {
-      List<String> all = SnapshotStore.names(this);
+      List<String> all = SnapshotStore.listFileNames(this);
       if (!all.isEmpty()) {
         byte[] bytes = bytes(names.get(all.get(0)));
         if (bytes.length == 0) {
@@ -184,8 +184,9 @@
   private static void store(DirectoryOperations disk, LearnedState view, Bug bug)
       throws IOException {
     if (bug == Bug.RENAME_FIRST) {
-      disk.write(SnapshotStore.fileName(view.sequence()), SnapshotCodec.write(view, 1 << 20));
-      for (String old : SnapshotStore.names(disk).subList(1, SnapshotStore.names(disk).size())) {
+      disk.write(SnapshotStore.fileName(view.sequence()), SnapshotCodec.encode(view, 1 << 20));
+      for (String old :
+          SnapshotStore.listFileNames(disk).subList(1, SnapshotStore.listFileNames(disk).size())) {
         disk.delete(old);
       }
       disk.sync(SnapshotStore.fileName(view.sequence()));
@@ -228,7 +229,7 @@
         disk.flips();
         kept--;
       }
-      SnapshotStore.Found found = new SnapshotStore(disk).newest();
+      SnapshotStore.LoadResult found = new SnapshotStore(disk).loadNewest();
       boolean sound =
           found.state() == null
               ? kept <= 0
@@ -237,7 +238,7 @@
       // And the next one must be found again, whatever the cut left behind.
       LearnedState next = KeptViews.view(found.highestSequence() + 1, 3);
       store(disk, next, bug);
-      sound &= next.equals(new SnapshotStore(disk).newest().state());
+      sound &= next.equals(new SnapshotStore(disk).loadNewest().state());
       broken += sound ? 0 : 1;
     }
     return broken;
@@ -258,13 +259,13 @@
   @Example
   void whatIsWrittenIsReadAndLittleIsLeftOutFirst() throws InvalidSnapshotException {
     LearnedState view = KeptViews.view(7, 500);
-    byte[] whole = SnapshotCodec.write(view, 1 << 20);
+    byte[] whole = SnapshotCodec.encode(view, 1 << 20);
     check(
-        SnapshotCodec.read(whole).groups().equals(view.groups())
-            && SnapshotCodec.read(whole).endpoints().containsAll(view.endpoints()),
+        SnapshotCodec.decode(whole).groups().equals(view.groups())
+            && SnapshotCodec.decode(whole).endpoints().containsAll(view.endpoints()),
         "all of it");
-    byte[] cut = SnapshotCodec.write(view, 32 << 10);
-    List<KnownEndpoint> kept = SnapshotCodec.read(cut).endpoints();
+    byte[] cut = SnapshotCodec.encode(view, 32 << 10);
+    List<KnownEndpoint> kept = SnapshotCodec.decode(cut).endpoints();
     check(
         cut.length <= 32 << 10 && kept.size() > 50 && kept.size() < 500, "bounded: " + kept.size());
     check(
@@ -281,7 +282,7 @@
    */
   @Example
   void olderAndNewerVersionsReadEachOther() throws Exception {
-    byte[] sound = SnapshotCodec.write(KeptViews.view(3, 1), 1 << 20);
+    byte[] sound = SnapshotCodec.encode(KeptViews.view(3, 1), 1 << 20);
     java.io.ByteArrayOutputStream record = new java.io.ByteArrayOutputStream();
     try (var out =
         new com.fasterxml.jackson.dataformat.cbor.CBORFactory().createGenerator(record)) {
@@ -306,7 +307,7 @@
         .putInt(0)
         .put(record.toByteArray())
         .put(sound, third, sound.length - third);
-    LearnedState read = SnapshotCodec.read(Resum.over(made.array()));
+    LearnedState read = SnapshotCodec.decode(Resum.over(made.array()));
     check(read.endpoints().size() == 1 && read.groups().size() == 2, "as many records");
     EndpointState node = read.endpoints().get(0).state();
     check(
@@ -325,7 +326,7 @@
 
   private static String fault(byte[] bytes) {
     try {
-      SnapshotCodec.read(bytes);
+      SnapshotCodec.decode(bytes);
       return "";
     } catch (InvalidSnapshotException fault) {
       return fault.getMessage();
@@ -339,8 +340,8 @@
   @Example
   void aMillionMutatedFilesAreEachReadOrRefused() throws InvalidSnapshotException {
     SplittableRandom chance = new SplittableRandom(815);
-    byte[] sound = SnapshotCodec.write(KeptViews.view(3, 1), 1 << 20);
-    byte[] other = SnapshotCodec.write(KeptViews.view(4, 1), 1 << 20);
+    byte[] sound = SnapshotCodec.encode(KeptViews.view(3, 1), 1 << 20);
+    byte[] other = SnapshotCodec.encode(KeptViews.view(4, 1), 1 << 20);
     int refused = 0;
     for (int i = 0; i < 1_000_000; i++) {
       byte[] bytes =
--- a/router/src/test/java/basaltlever/SnapshotWriterTest.java
+++ b/router/src/test/java/basaltlever/SnapshotWriterTest.java
@@ -60,7 +60,7 @@
   }
 
   private static LearnedState newest(Path folder) throws IOException {
-    return new SnapshotStore(new LockedDirectory(folder)).newest().state();
+    return new SnapshotStore(new LockedDirectory(folder)).loadNewest().state();
   }
 
   private interface Truth {
@@ -86,19 +86,20 @@
                 asked.incrementAndGet();
                 return view(SystemClocks.unixMicros());
               });
-      check(snapshotWriter.awaitRestore() == StateRestore.NOTHING, "none at first");
+      check(snapshotWriter.awaitRestore() == StateRestore.EMPTY, "none at first");
       snapshotWriter.startWriting();
       await("it writes each period", () -> asked.get() > 4);
       SnapshotWriter second = keeper(folder, () -> view(SystemClocks.unixMicros()));
-      check(second.awaitRestore() == StateRestore.NOTHING, "held by another: left alone");
+      check(second.awaitRestore() == StateRestore.EMPTY, "held by another: left alone");
       second.close(view(SystemClocks.unixMicros()));
       second.awaitClosed();
       snapshotWriter.close(view(SystemClocks.unixMicros()));
       snapshotWriter.awaitClosed();
-      check(SnapshotStore.names(new LockedDirectory(folder)).size() == 2, "two generations");
+      check(
+          SnapshotStore.listFileNames(new LockedDirectory(folder)).size() == 2, "two generations");
       SnapshotWriter next = keeper(folder, () -> null);
       StateRestore restore = next.awaitRestore();
-      check(restore.rejection().isEmpty() && restore.pendingCount() == 4, "recalled");
+      check(restore.rejection().isEmpty() && restore.pendingEndpointCount() == 4, "recalled");
       next.close(null);
       next.awaitClosed();
     } finally {
@@ -110,7 +111,7 @@
   void aFaultyFolderCostsNothingAndIsTakenAgainWhenItIsBack() throws Exception {
     Path folder = Files.createTempDirectory("view").resolve("mount");
     SnapshotWriter snapshotWriter = keeper(folder, () -> view(SystemClocks.unixMicros()));
-    check(snapshotWriter.awaitRestore() == StateRestore.NOTHING, "no folder, no view");
+    check(snapshotWriter.awaitRestore() == StateRestore.EMPTY, "no folder, no view");
     snapshotWriter.startWriting();
     Thread.sleep(300);
     Files.createDirectory(folder);
@@ -123,7 +124,8 @@
     Files.createDirectory(folder);
     await("kept again", () -> newest(folder) != null);
     byte[] bytes =
-        Files.readAllBytes(folder.resolve(SnapshotStore.names(new LockedDirectory(folder)).get(0)));
+        Files.readAllBytes(
+            folder.resolve(SnapshotStore.listFileNames(new LockedDirectory(folder)).get(0)));
     snapshotWriter.close(null);
     snapshotWriter.awaitClosed();
     bytes[60] ^= 4;
@@ -132,7 +134,7 @@
     Files.createDirectory(folder.resolve(SnapshotStore.fileName(901)));
     SnapshotWriter next = keeper(folder, () -> null);
     check(
-        next.awaitRestore().pendingCount() == 4,
+        next.awaitRestore().pendingEndpointCount() == 4,
         "past a broken one and a folder to the newest that is whole");
     next.close(view(SystemClocks.unixMicros()));
     next.awaitClosed();
@@ -192,7 +194,7 @@
   void aViewOfThousandsServesAShortListAndIsGone() {
     LearnedState view = KeptViews.view(9, 2_000);
     StateRestore restore =
-        StateRestore.of(
+        StateRestore.evaluate(
             view, "fleet", "n3", view.writtenAtMicros() + 9, view.monotonicMicros() + 9, "boot");
     basaltlever.core.StatementRouter<String> core = SocketWorld.core();
     EndpointList list = new EndpointList(core, List.of(), (node, address) -> {});
@@ -211,7 +213,7 @@
                   + "}");
     }
     try {
-      list.takeUpdate(
+      list.applyUpdate(
           new Moment(view.writtenAtMicros()),
           EndpointList.parse(
               "{\"generation\":50,\"reset\":true," + "\"instances\":[" + members + "]}"),
@@ -220,7 +222,7 @@
       throw new AssertionError(fault);
     }
     check(core.endpointCount() == 20, "no node but the listed");
-    check(restore.pendingCount() == 1_980, "and those were known again");
+    check(restore.pendingEndpointCount() == 1_980, "and those were known again");
   }
 
   private static long broken(SocketWorld world) {
@@ -265,7 +267,7 @@
           "with a view " + reached[1] + ", without one " + reached[0]);
       List<KnownEndpoint> kept = newest(folder).endpoints();
       check(
-          kept.size() == 3 && SnapshotCodec.write(newest(folder), 1 << 20).length < 1_500,
+          kept.size() == 3 && SnapshotCodec.encode(newest(folder), 1 << 20).length < 1_500,
           "three nodes, small");
     } finally {
       clear(folder);
--- a/router/src/test/java/basaltlever/SocketWorld.java
+++ b/router/src/test/java/basaltlever/SocketWorld.java
@@ -172,7 +172,7 @@
         }
       }
       ByteBuf out = Unpooled.buffer();
-      MessageEncoder.startupResponse(out);
+      MessageEncoder.writeStartupResponse(out);
       send(socket, out);
       while (in.readByte() == 'Q') {
         byte[] text = new byte[in.readInt() - 4];
@@ -197,7 +197,7 @@
                 + ",x1="
                 + (primary ? 1 : 0)
                 + ",utilization=0.2");
-        MessageEncoder.readyForQuery(out);
+        MessageEncoder.writeReadyForQuery(out);
         send(socket, out);
         return;
       }
@@ -217,7 +217,7 @@
             default -> null;
           };
       if (code != null) {
-        MessageEncoder.errorResponse(out, "ERROR", code, "as asked", null);
+        MessageEncoder.writeErrorResponse(out, "ERROR", code, "as asked", null);
       }
       switch (as) {
         case SILENT -> {
@@ -228,7 +228,7 @@
           return;
         }
         case FATAL -> {
-          MessageEncoder.errorResponse(out, "FATAL", "XX000", "as asked", null);
+          MessageEncoder.writeErrorResponse(out, "FATAL", "XX000", "as asked", null);
           send(socket, out);
           socket.close();
           return;
@@ -239,7 +239,7 @@
             send(socket, out.writeBytes(description(1)).writeBytes(data(1, id)));
             out.clear().writeBytes(data(1, id));
           } else {
-            MessageEncoder.parameterStatus(out, "more", "and more");
+            MessageEncoder.writeParameterStatus(out, "more", "and more");
           }
           while (true) {
             send(socket, out.duplicate());
@@ -256,12 +256,12 @@
         case LARGE -> row(out, id + "-" + "v".repeat(1 << 16));
         case TWO_ROWS -> {
           out.writeBytes(description(1)).writeBytes(data(1, id)).writeBytes(data(1, id));
-          MessageEncoder.commandComplete(out, "SELECT 2");
+          MessageEncoder.writeCommandComplete(out, "SELECT 2");
         }
         default -> {}
       }
       if (as == Mode.ERROR_AFTER_ROW) {
-        MessageEncoder.errorResponse(out, "ERROR", "25006", "as asked", null);
+        MessageEncoder.writeErrorResponse(out, "ERROR", "25006", "as asked", null);
       }
       if (as == Mode.CUT) {
         out.writerIndex(out.writerIndex() - 3);
@@ -269,12 +269,12 @@
         socket.close();
         return;
       }
-      MessageEncoder.parameterStatus(out, "part", primary ? "master" : "replica");
-      MessageEncoder.parameterStatus(out, "caught_up_to", "" + now);
-      MessageEncoder.readyForQuery(out);
+      MessageEncoder.writeParameterStatus(out, "part", primary ? "master" : "replica");
+      MessageEncoder.writeParameterStatus(out, "caught_up_to", "" + now);
+      MessageEncoder.writeReadyForQuery(out);
       if (as == Mode.TWICE) {
         row(out, "another");
-        MessageEncoder.readyForQuery(out);
+        MessageEncoder.writeReadyForQuery(out);
       } else if (as == Mode.NOISE_BEHIND) {
         out.writeBytes(new byte[] {'D', 0, 0});
       }
@@ -311,7 +311,7 @@
 
     public Client start() throws IOException {
       ByteBuf out = Unpooled.buffer();
-      MessageEncoder.startupMessage(out, "app", "shop");
+      MessageEncoder.writeStartupMessage(out, "app", "shop");
       send(socket, out);
       return this;
     }
@@ -322,7 +322,7 @@
 
     public Client ask(String query) throws IOException {
       ByteBuf out = Unpooled.buffer();
-      MessageEncoder.query(out, query);
+      MessageEncoder.writeQuery(out, query);
       send(socket, out);
       return this;
     }
@@ -586,7 +586,7 @@
 
   static void row(ByteBuf out, String value) {
     out.writeBytes(description(1)).writeBytes(data(1, value));
-    MessageEncoder.commandComplete(out, "SELECT 1");
+    MessageEncoder.writeCommandComplete(out, "SELECT 1");
   }
 
   public static ServerSocket listen(int port) {
--- a/router/src/test/java/basaltlever/StateRestoreTest.java
+++ b/router/src/test/java/basaltlever/StateRestoreTest.java
@@ -80,12 +80,12 @@
   }
 
   private static StateRestore after(LearnedState view, long age, long steadily, String boot) {
-    return StateRestore.of(
+    return StateRestore.evaluate(
         view, "fleet", "n3", view.writtenAtMicros() + age, view.monotonicMicros() + steadily, boot);
   }
 
   private static EndpointState aged(EndpointState node, long age) {
-    return after(view(node), age, age, "b1").of("s-1", "127.0.0.1:7001", 77, 41, true);
+    return after(view(node), age, age, "b1").takeEndpoint("s-1", "127.0.0.1:7001", 77, 41, true);
   }
 
   @Example
@@ -136,31 +136,37 @@
         after(view, HOUR, 5, "b2").age().micros() == HOUR,
         "another run of the machine: the system's clock");
     check(
-        !StateRestore.of(view, "other", "n3", 2_000 * HOUR, 0, "").rejection().isEmpty(),
+        !StateRestore.evaluate(view, "other", "n3", 2_000 * HOUR, 0, "").rejection().isEmpty(),
         "deployment");
     check(
-        !StateRestore.of(view, "fleet", "n4", 2_000 * HOUR, 0, "").rejection().isEmpty(), "router");
+        !StateRestore.evaluate(view, "fleet", "n4", 2_000 * HOUR, 0, "").rejection().isEmpty(),
+        "router");
   }
 
   @Example
   void anotherStartIdOrAddressIsNewAndAnOlderListDoesNotUndoADrain() {
     LearnedState view = view(drained(false));
-    check(after(view, 1, 1, "b1").of("s-2", "127.0.0.1:7001", 77, 40, false) == null, "id");
-    check(after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7002", 77, 40, false) == null, "address");
     check(
-        after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 78, 39, false) == null,
+        after(view, 1, 1, "b1").takeEndpoint("s-2", "127.0.0.1:7001", 77, 40, false) == null, "id");
+    check(
+        after(view, 1, 1, "b1").takeEndpoint("s-1", "127.0.0.1:7002", 77, 40, false) == null,
+        "address");
+    check(
+        after(view, 1, 1, "b1").takeEndpoint("s-1", "127.0.0.1:7001", 78, 39, false) == null,
         "a later start");
     check(
-        after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 76, 40, false) == null,
+        after(view, 1, 1, "b1").takeEndpoint("s-1", "127.0.0.1:7001", 76, 40, false) == null,
         "an earlier one, as new");
     check(
-        after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 76, 39, false) != null,
+        after(view, 1, 1, "b1").takeEndpoint("s-1", "127.0.0.1:7001", 76, 39, false) != null,
         "an older list");
     StateRestore restore = after(view, 1, 1, "b1");
-    check(restore.of("s-1", "127.0.0.1:7001", 77, 39, false).draining(), "told since: binds");
-    check(restore.of("s-1", "127.0.0.1:7001", 77, 39, false) == null, "once");
     check(
-        !after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 77, 40, false).draining(),
+        restore.takeEndpoint("s-1", "127.0.0.1:7001", 77, 39, false).draining(),
+        "told since: binds");
+    check(restore.takeEndpoint("s-1", "127.0.0.1:7001", 77, 39, false) == null, "once");
+    check(
+        !after(view, 1, 1, "b1").takeEndpoint("s-1", "127.0.0.1:7001", 77, 40, false).draining(),
         "as new a list");
   }
 
--- a/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
+++ b/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
@@ -18,22 +18,22 @@
  * in a row.
  */
 class EndpointListReaderTest {
-  private static final int LONG = 3_200;
+  private static final int LONG_LIST_ENTRIES = 3_200;
 
   private static final class RecordingListener implements EndpointListReader.Listener {
     final List<EndpointEntry> entries = new ArrayList<>();
     final List<EndpointUpdate> updates = new ArrayList<>();
 
     @Override
-    public void keepAlive() {}
+    public void onKeepAlive() {}
 
     @Override
-    public void entry(EndpointEntry entry) {
+    public void onEntry(EndpointEntry entry) {
       entries.add(entry);
     }
 
     @Override
-    public void update(EndpointUpdate update) {
+    public void onUpdate(EndpointUpdate update) {
       updates.add(update);
     }
   }
@@ -57,11 +57,11 @@
   private static String list(SplittableRandom random, int generation, int entries, int draining) {
     String separator = random.nextBoolean() ? "\n      " : "";
     StringBuilder text = new StringBuilder();
-    boolean namesFirst = random.nextBoolean();
+    boolean headFirst = random.nextBoolean();
     String head = "\"generation\":" + generation + "," + separator + "\"reset\":true";
     text.append('{')
         .append(separator)
-        .append(namesFirst ? head + "," : "")
+        .append(headFirst ? head + "," : "")
         .append("\"instances\": [")
         .append(separator);
     for (int i = 0; i < entries; i++) {
@@ -70,24 +70,25 @@
     }
     return text.append(separator)
         .append(']')
-        .append(namesFirst ? "" : "," + head)
+        .append(headFirst ? "" : "," + head)
         .append(separator)
         .append('}')
         .toString();
   }
 
   private static void read(
-      EndpointListReader reader, String text, SplittableRandom random, int largest)
+      EndpointListReader reader, String text, SplittableRandom random, int maxChunkBytes)
       throws InvalidEndpointListException {
-    for (int at = 0; at < text.length(); ) {
-      int size = Math.min(text.length() - at, 1 + random.nextInt(largest));
-      reader.read(Unpooled.copiedBuffer(text.substring(at, at + size), StandardCharsets.US_ASCII));
-      at += size;
+    for (int offset = 0; offset < text.length(); ) {
+      int size = Math.min(text.length() - offset, 1 + random.nextInt(maxChunkBytes));
+      reader.read(
+          Unpooled.copiedBuffer(text.substring(offset, offset + size), StandardCharsets.US_ASCII));
+      offset += size;
     }
   }
 
   @Property(tries = 80, seed = "3838", shrinking = ShrinkingMode.OFF)
-  void consecutiveListsAreReadAlikeHoweverTheyAreSplit(@ForAll long seed)
+  void consecutiveListsAreParsedIdenticallyHoweverTheyAreSplit(@ForAll long seed)
       throws InvalidEndpointListException {
     SplittableRandom random = new SplittableRandom(seed);
     RecordingListener listener = new RecordingListener();
@@ -130,18 +131,19 @@
   @Example
   void entryIsReportedBeforeItsListIsComplete() throws InvalidEndpointListException {
     SplittableRandom random = new SplittableRandom(1);
-    String list = list(random, 9, LONG, 7);
+    String list = list(random, 9, LONG_LIST_ENTRIES, 7);
     RecordingListener listener = new RecordingListener();
     EndpointListReader reader = new EndpointListReader(listener);
     read(reader, "HTTP/1.1 200 OK\r\n\r\n" + list.substring(0, list.length() / 2), random, 8_192);
     check(
-        listener.updates.isEmpty() && listener.entries.size() > LONG / 3,
+        listener.updates.isEmpty() && listener.entries.size() > LONG_LIST_ENTRIES / 3,
         "half of it: " + listener.entries.size());
     check(
         listener.entries.get(7).lifecycle() == EndpointLifecycle.DRAINING, "the drain is among it");
     read(reader, list.substring(list.length() / 2), random, 8_192);
     check(
-        listener.updates.size() == 1 && listener.updates.get(0).entries().size() == LONG,
+        listener.updates.size() == 1
+            && listener.updates.get(0).entries().size() == LONG_LIST_ENTRIES,
         "and the whole");
   }
 
--- a/router/src/test/java/basaltlever/golden/SnapshotGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/SnapshotGoldenTest.java
@@ -20,9 +20,9 @@
 
   @Example
   void aKeptStateIsReadAndWrittenWithTheSameBytes() throws Exception {
-    LearnedState recorded = SnapshotCodec.read(Golden.bytes("snapshot-7.view"));
+    LearnedState recorded = SnapshotCodec.decode(Golden.bytes("snapshot-7.view"));
     check(recorded.equals(KeptViews.view(7, 5)), "read as it was meant");
-    Golden.check("snapshot-7.view", SnapshotCodec.write(recorded, LARGEST));
+    Golden.check("snapshot-7.view", SnapshotCodec.encode(recorded, LARGEST));
   }
 
   @Example
--- a/router/src/test/java/basaltlever/net/ClientModel.java
+++ b/router/src/test/java/basaltlever/net/ClientModel.java
@@ -98,13 +98,13 @@
   ClientModel(InjectedFault injectedFault) {
     this.injectedFault = injectedFault;
     ByteBuf out = Unpooled.buffer();
-    MessageEncoder.startupMessage(out, "app", "shop");
+    MessageEncoder.writeStartupMessage(out, "app", "shop");
     unsentUnits.add(bytes(out));
-    MessageEncoder.query(out, "/* id=s1,c=view,d=900,cluster=1 */ SELECT 1");
+    MessageEncoder.writeQuery(out, "/* id=s1,c=view,d=900,cluster=1 */ SELECT 1");
     byte[] first = bytes(out);
     unsentUnits.add(java.util.Arrays.copyOf(first, 9));
     unsentUnits.add(java.util.Arrays.copyOfRange(first, 9, first.length));
-    MessageEncoder.query(out, "/* id=s2,c=view,d=900,cluster=1 */ SELECT 1");
+    MessageEncoder.writeQuery(out, "/* id=s2,c=view,d=900,cluster=1 */ SELECT 1");
     unsentUnits.add(bytes(out));
     descriptors.admitClient();
     connection = new ClientConnection(this, new MemoryBudget(1 << 20), true, 1, now, now);
--- a/router/src/test/java/basaltlever/net/ConnectionStartupTest.java
+++ b/router/src/test/java/basaltlever/net/ConnectionStartupTest.java
@@ -49,7 +49,7 @@
     @Override
     void write(ByteBuf out) {
       result.complete("written");
-      MessageEncoder.query(out, "SELECT 1");
+      MessageEncoder.writeQuery(out, "SELECT 1");
     }
 
     @Override
@@ -88,7 +88,7 @@
       try (Socket serverSide = server.accept()) {
         serverSide.getInputStream().read(new byte[200]);
         ByteBuf startupResponse = Unpooled.buffer();
-        MessageEncoder.startupResponse(startupResponse);
+        MessageEncoder.writeStartupResponse(startupResponse);
         serverSide.getOutputStream().write(ByteBufUtil.getBytes(startupResponse));
         check(query.result.get(2, TimeUnit.SECONDS).equals("written"), "it is out");
         serverSide.getInputStream().read(new byte[200]);
@@ -103,8 +103,8 @@
               query.onTimeout();
             });
         ByteBuf response = Unpooled.buffer();
-        MessageEncoder.errorResponse(response, "ERROR", "XX000", "as asked", null);
-        MessageEncoder.readyForQuery(response);
+        MessageEncoder.writeErrorResponse(response, "ERROR", "XX000", "as asked", null);
+        MessageEncoder.writeReadyForQuery(response);
         serverSide.getOutputStream().write(ByteBufUtil.getBytes(response));
         Thread.sleep(20);
         stallEnds.countDown();
@@ -141,7 +141,7 @@
         serverSide.getInputStream().read(new byte[200]);
         Thread.sleep(50);
         ByteBuf startupResponse = Unpooled.buffer();
-        MessageEncoder.startupResponse(startupResponse);
+        MessageEncoder.writeStartupResponse(startupResponse);
         serverSide.getOutputStream().write(ByteBufUtil.getBytes(startupResponse));
         check(query.result.get(2, TimeUnit.SECONDS).equals("written"), "it is out");
       }
@@ -241,7 +241,7 @@
             });
         stallStarted.await();
         ByteBuf startupResponse = Unpooled.buffer();
-        MessageEncoder.startupResponse(startupResponse);
+        MessageEncoder.writeStartupResponse(startupResponse);
         serverSide.getOutputStream().write(ByteBufUtil.getBytes(startupResponse));
         client.close();
         // For both to lie ready; the node's is first in line.
--- a/router/src/test/java/basaltlever/net/FloodTest.java
+++ b/router/src/test/java/basaltlever/net/FloodTest.java
@@ -104,7 +104,7 @@
               InetAddress.getLoopbackAddress(),
               ((InetSocketAddress) listener.localAddress()).getPort())) {
         ByteBuf out = Unpooled.buffer();
-        MessageEncoder.startupMessage(out, "app", "shop");
+        MessageEncoder.writeStartupMessage(out, "app", "shop");
         for (int i = 0; i < QUERIES; i++) {
           out.writeBytes(EMPTY_QUERY);
         }
--- a/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
+++ b/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
@@ -42,7 +42,7 @@
     @Override
     void write(ByteBuf out) {
       result.complete("written");
-      MessageEncoder.query(out, "SELECT 1");
+      MessageEncoder.writeQuery(out, "SELECT 1");
     }
 
     @Override
@@ -118,7 +118,7 @@
       try (Socket serverSide = server.accept()) {
         serverSide.getInputStream().read(new byte[200]);
         ByteBuf startupResponse = io.netty.buffer.Unpooled.buffer();
-        MessageEncoder.startupResponse(startupResponse);
+        MessageEncoder.writeStartupResponse(startupResponse);
         SocketWorld.send(serverSide, startupResponse);
         check(next.result.get(1, TimeUnit.SECONDS).equals("written"), next.result.get());
       }
