--- a/router/src/main/java/basaltlever/discovery/AgreedEndpoints.java
+++ b/router/src/main/java/basaltlever/discovery/AgreedEndpoints.java
@@ -17,11 +17,12 @@
 import org.slf4j.event.Level;
 
 /**
- * The endpoints of a router that belongs to a fleet: a list counts only as far as the membership
- * view of the fleet agrees with it.
+ * Tracks the endpoints of a router that belongs to a fleet. The lists are reported to the fleet's
+ * membership view, and the view determines the lifecycle and group under which each endpoint is
+ * published.
  */
 final class AgreedEndpoints {
-  /** Named after the list, whose events these are. */
+  /** Uses the logger of {@link EndpointList}, since the events concern the list. */
   private static final Logger LOG = LoggerFactory.getLogger(EndpointList.class);
 
   private static final long NEVER_PUBLISHED = -1;
@@ -30,13 +31,13 @@
   private final EndpointPublisher publisher;
   private final RateLimitedLog heldListLog;
 
-  /** The latest listed entry of each endpoint. */
+  /** The most recently listed entry of each endpoint. */
   private final Map<String, EndpointEntry> latestEntries = new LinkedHashMap<>();
 
-  /** The entry of each endpoint as published last. */
+  /** The last published entry of each endpoint. */
   private final Map<String, EndpointEntry> publishedEntries = new HashMap<>();
 
-  /** The use of each endpoint as published last. */
+  /** The last published use of each endpoint. */
   private final Map<String, MembershipView.EndpointUse> publishedUses = new HashMap<>();
 
   private long publishedRevision = NEVER_PUBLISHED;
@@ -47,19 +48,19 @@
     heldListLog = new RateLimitedLog(LOG, Event.LIST_HELD, clock);
   }
 
-  /** Adds an endpoint known from an earlier process, which is published as draining. */
+  /** Adds an endpoint from the snapshot of an earlier process, which is published as draining. */
   void addRestored(EndpointEntry entry) {
     latestEntries.put(entry.id(), entry);
     publishedUses.put(
         entry.id(), new MembershipView.EndpointUse(EndpointLifecycle.DRAINING, entry.group()));
   }
 
-  /** Reports an update to the membership view and publishes what the view makes of it. */
+  /** Reports an update to the membership view and publishes the resulting changes. */
   void applyUpdate(Moment now, EndpointUpdate update, boolean live) {
     Map<String, ListedEndpoint> listed = new LinkedHashMap<>();
     for (EndpointEntry entry : update.entries()) {
       listed.put(entry.id(), new ListedEndpoint(entry.lifecycle(), entry.group()));
-      // An entry of an endpoint that is gone may state no address: the previous entry stays.
+      // The entry of a removed endpoint may lack an address; the previous entry is retained then.
       if (entry.address() != null || !latestEntries.containsKey(entry.id())) {
         latestEntries.put(entry.id(), entry);
       }
@@ -71,7 +72,7 @@
     publish(now, update.generation(), live);
   }
 
-  /** Publishes what has changed in the membership view since the last time. */
+  /** Publishes the changes of the membership view since the last call. */
   void publishChanges(Moment now, long generation) {
     if (view.revision(now) != publishedRevision) {
       publish(now, generation, false);
@@ -108,7 +109,10 @@
     retainOnly(endpointIds);
   }
 
-  /** Also records the latest entry. One that was read anew is published even if it is equal. */
+  /**
+   * Returns whether the endpoint has to be published, and records its latest entry. An entry that
+   * was read again is published even if it is equal.
+   */
   @SuppressWarnings("ReferenceEquality")
   private boolean needsPublishing(String id, MembershipView.EndpointUse use) {
     EndpointEntry entry = latestEntries.get(id);
--- a/router/src/main/java/basaltlever/discovery/ChunkedResponseReader.java
+++ b/router/src/main/java/basaltlever/discovery/ChunkedResponseReader.java
@@ -5,12 +5,12 @@
 import java.util.function.Consumer;
 
 /**
- * Reads one HTTP/1.1 response as its bytes arrive and passes on the JSON objects of its body. A
- * line end between objects is passed on as an empty text: the service sends empty lines to keep a
- * watch alive.
+ * Reads one HTTP/1.1 response incrementally and emits the JSON objects of its body. A line end
+ * between objects is emitted as an empty text, since the service sends empty lines as keep-alives
+ * of a watch.
  */
 public final class ChunkedResponseReader {
-  /** For the status line and the headers together, and for each line within a chunked body. */
+  /** Limit for the status line and headers together, and for each line within a chunked body. */
   private static final int MAX_HEAD_BYTES = 8_192;
 
   private static final long MAX_BODY_BYTES = 1 << 28;
@@ -18,7 +18,7 @@
   private static final int DECIMAL = 10;
   private static final int HEXADECIMAL = 16;
 
-  /** The body ends with the connection. */
+  /** The body ends when the connection is closed. */
   private static final long UNKNOWN_LENGTH = -1;
 
   private enum State {
@@ -26,10 +26,10 @@
     HEADERS,
     CHUNK_SIZE,
     CHUNK_DATA,
-    /** The line end behind the data of a chunk. */
+    /** The line end after the data of a chunk. */
     CHUNK_END,
     TRAILERS,
-    /** A body that is not chunked. */
+    /** A body without chunked encoding. */
     PLAIN_BODY,
     COMPLETE
   }
@@ -39,30 +39,29 @@
   private State state = State.STATUS_LINE;
   private boolean chunked;
 
-  /** Bytes that are left of the body or of the current chunk. */
+  /** The remaining bytes of the body or of the current chunk. */
   private long remainingBytes = UNKNOWN_LENGTH;
 
   private int headBytes;
 
-  /** Creates a reader that passes on each outermost object of the body. */
+  /** Creates a reader that emits each outermost object of the body. */
   public ChunkedResponseReader(Consumer<String> objects) {
     this(objects::accept, null);
   }
 
   /**
-   * Creates a reader that passes on the entries of lists separately, as described at {@link
-   * JsonObjectSplitter}.
+   * Creates a reader that emits the entries of lists separately; see {@link JsonObjectSplitter}.
    */
   ChunkedResponseReader(TextSink objects, TextSink entries) {
     body = new JsonObjectSplitter(objects, entries);
   }
 
-  /** Whether the body has ended. */
+  /** Returns whether the body is complete. */
   public boolean isComplete() {
     return state == State.COMPLETE;
   }
 
-  /** Reads the bytes up to the end of the response; the buffer stays with the caller. */
+  /** Reads bytes up to the end of the response; the caller keeps ownership of the buffer. */
   public void read(ByteBuf in) throws InvalidEndpointListException {
     while (in.isReadable() && state != State.COMPLETE) {
       if (state == State.CHUNK_DATA || state == State.PLAIN_BODY) {
@@ -82,7 +81,8 @@
     }
     headBytes++;
     if (headBytes > MAX_HEAD_BYTES) {
-      throw new InvalidEndpointListException("the head of an answer is too long");
+      throw new InvalidEndpointListException(
+          "the headers or a chunk header of a response are too long");
     }
     line.append(next);
   }
@@ -95,17 +95,18 @@
       case CHUNK_END -> readChunkEnd(text);
       case TRAILERS -> readTrailer(text);
       case CHUNK_DATA, PLAIN_BODY, COMPLETE ->
-          throw new IllegalStateException("no line is read in " + state);
+          throw new IllegalStateException("no line is expected in state " + state);
     }
   }
 
   private void readStatusLine(String text) throws InvalidEndpointListException {
     String[] words = text.split(" ", 3);
     if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
-      throw new InvalidEndpointListException("an answer begins with no status line");
+      throw new InvalidEndpointListException(
+          "a response does not begin with an HTTP/1.x status line");
     }
     if (!words[1].equals("200")) {
-      throw new InvalidEndpointListException("a call ended with status " + words[1]);
+      throw new InvalidEndpointListException("a request was answered with status " + words[1]);
     }
     state = State.HEADERS;
   }
@@ -141,7 +142,7 @@
 
   private void readChunkEnd(String text) throws InvalidEndpointListException {
     if (!text.isEmpty()) {
-      throw new InvalidEndpointListException("a chunk is longer than stated");
+      throw new InvalidEndpointListException("a chunk is longer than its stated size");
     }
     state = State.CHUNK_SIZE;
   }
@@ -177,7 +178,7 @@
       valid = digit >= 0 && length <= MAX_BODY_BYTES;
     }
     if (!valid) {
-      throw new InvalidEndpointListException("an answer states a length of '" + text + "'");
+      throw new InvalidEndpointListException("a response states an invalid length '" + text + "'");
     }
     return length;
   }
--- a/router/src/main/java/basaltlever/discovery/EndpointEntry.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointEntry.java
@@ -8,15 +8,15 @@
 import java.util.Objects;
 
 /**
- * One endpoint of the endpoint list.
+ * An entry of the endpoint list.
  *
  * @param id the identifier of the endpoint
- * @param address null if the list states none
- * @param zone null if the list states none
- * @param group the replica group
- * @param weight the share of load relative to other endpoints
- * @param startedAtMillis when it started last, in Unix milliseconds; 0 if long ago
- * @param lifecycle its lifecycle as listed
+ * @param address its address; null if the list states none
+ * @param zone its zone; null if the list states none
+ * @param group the number of its replica group
+ * @param weight its share of the load relative to other endpoints
+ * @param startedAtMillis its last start in Unix milliseconds; 0 if that was long ago
+ * @param lifecycle its listed lifecycle
  */
 public record EndpointEntry(
     String id,
@@ -28,7 +28,7 @@
     EndpointLifecycle lifecycle) {
   private static final double MAX_NUMBER = 1e15;
 
-  /** Converts a parsed entry; throws if it is invalid. */
+  /** Converts the JSON fields of an entry; throws if one is invalid. */
   static EndpointEntry parse(Map<?, ?> fields) throws InvalidEndpointListException {
     if (!(fields.get("instanceId") instanceof String id)) {
       throw new InvalidEndpointListException("an entry of the list has no instanceId");
@@ -37,7 +37,7 @@
     InetSocketAddress address =
         fields.get("hostPort") instanceof String text ? Addresses.parse(text) : null;
     if (lifecycle != EndpointLifecycle.GONE && address == null) {
-      throw new InvalidEndpointListException("entry " + id + " has no hostPort");
+      throw new InvalidEndpointListException("entry " + id + " of the list has no valid hostPort");
     }
     return new EndpointEntry(
         id,
@@ -49,7 +49,9 @@
         lifecycle);
   }
 
-  /** Unknown states count as draining, so that an endpoint in one gets no new statements. */
+  /**
+   * Maps unknown states to draining, so that an endpoint in such a state gets no new statements.
+   */
   private static EndpointLifecycle parseLifecycle(Object text) {
     if ("in_service".equals(text)) {
       return EndpointLifecycle.READY;
@@ -69,12 +71,12 @@
         return number;
       }
     }
-    throw new InvalidEndpointListException("the list's " + name + " is no number");
+    throw new InvalidEndpointListException("the list's " + name + " is not a valid number");
   }
 
   /**
-   * Written out since the generated method of a record is linked at its first call, which would
-   * block the event loop.
+   * Replaces the record's generated method, which is linked at its first call and would block the
+   * event loop then.
    */
   @Override
   public boolean equals(Object other) {
@@ -93,16 +95,16 @@
     return id.hashCode();
   }
 
-  /** The same endpoint in another state. */
+  /** Returns a copy of this entry with another lifecycle. */
   EndpointEntry withLifecycle(EndpointLifecycle lifecycle) {
     return new EndpointEntry(id, address, zone, group, weight, startedAtMillis, lifecycle);
   }
 
   /**
-   * This entry with the address of the previous one if it states none itself, as entries of
-   * endpoints that are gone may.
+   * Returns this entry, with the address of the previous entry if it has none. Entries of removed
+   * endpoints may lack an address.
    *
-   * @param previous may be null
+   * @param previous the previous entry; may be null
    */
   EndpointEntry withAddressFrom(EndpointEntry previous) {
     if (address != null || previous == null || previous.address == null) {
--- a/router/src/main/java/basaltlever/discovery/EndpointList.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointList.java
@@ -20,19 +20,19 @@
 import java.util.function.Supplier;
 
 /**
- * The endpoint list of this router. It takes in full lists and updates, from the discovery service
- * or as stored by an earlier process, and publishes what they change to the statement router.
+ * The endpoint list of this router. It applies full lists and updates, from the discovery service
+ * or stored by an earlier process, and publishes the changes to the statement router.
  */
 public final class EndpointList {
-  /** Stands for "send the full list" when it is sent to the service. */
+  /** Requests the full list when it is sent to the service. */
   private static final long NO_GENERATION = 0;
 
   private final EndpointPublisher publisher;
 
-  /** Null if this router belongs to no fleet: then lists count as they are. */
+  /** Null if this router belongs to no fleet; lists are applied as received in that case. */
   private AgreedEndpoints agreedEndpoints;
 
-  /** The endpoints as published, without those that are gone; unused with a fleet. */
+  /** The published endpoints without the removed ones; unused with a fleet. */
   private final Map<String, EndpointEntry> currentEntries = new LinkedHashMap<>();
 
   private long generation = NO_GENERATION;
@@ -40,9 +40,9 @@
   /**
    * Creates an empty list.
    *
-   * @param core is told of the endpoints
+   * @param core the statement router that the endpoints are published to
    * @param zones the names of the zones, by index
-   * @param onAddress receives the address of each endpoint
+   * @param onAddress callback that receives the address of each endpoint
    */
   public EndpointList(
       StatementRouter<String> core,
@@ -51,30 +51,31 @@
     publisher = new EndpointPublisher(core, zones, onAddress, this::requestFullList);
   }
 
-  /** The generation after which to request updates; 0 requests the full list. */
+  /** Returns the generation after which to request updates; 0 requests the full list. */
   public long generation() {
     return generation;
   }
 
-  /** Makes the next call of the service request the full list. */
+  /** Makes the next request to the service ask for the full list. */
   public void requestFullList() {
     generation = NO_GENERATION;
   }
 
   /**
-   * Sets the stored state of an earlier process, which counts until a list from the service has
-   * come.
+   * Sets the stored state of an earlier process, which is used until a list from the service
+   * arrives.
    *
-   * @param onUnresponsive receives each endpoint that did not respond to the earlier process
+   * @param onUnresponsive callback that receives each endpoint that did not respond to the earlier
+   *     process
    */
   public void restoreFrom(StateRestore stored, Consumer<String> onUnresponsive) {
     publisher.restoreFrom(stored, onUnresponsive);
   }
 
   /**
-   * Publishes the endpoints of an earlier process before the first list, so that they are connected
-   * to and polled already. They drain until a list names them: nothing is sent to an endpoint only
-   * because a file names it.
+   * Publishes the endpoints of an earlier process before the first list, so that they can already
+   * be connected to and polled. They are draining until a list contains them: no statement is sent
+   * to an endpoint that is known only from a file.
    */
   public void publishRestored(Moment now) {
     publisher.beginBatch();
@@ -99,18 +100,19 @@
   }
 
   /**
-   * Takes in an update.
+   * Applies an update.
    *
-   * @param live whether it comes from the service, not from storage
+   * @param live whether the update comes from the service, not from storage
    * @throws InvalidEndpointListException before any change, if the update does not continue the
    *     current list
    */
   public void applyUpdate(Moment now, EndpointUpdate update, boolean live)
       throws InvalidEndpointListException {
     if (update.generation() < generation && !update.full()) {
-      // A service that lost its state counts from the start: its updates belong to another list.
+      // A service that lost its state restarts its generations, so its updates apply to another
+      // list.
       throw new InvalidEndpointListException(
-          "the list's generation went from " + generation + " back to " + update.generation());
+          "the list's generation decreased from " + generation + " to " + update.generation());
     }
     generation = update.generation();
     if (agreedEndpoints == null) {
@@ -136,8 +138,8 @@
   }
 
   /**
-   * Takes in entries of a list that is not complete yet: an endpoint that is draining or gone gets
-   * no more statements from here on. All other changes wait for the complete list.
+   * Applies entries of a list that is not complete yet: endpoints that are draining or gone get no
+   * more statements. All other changes are applied with the complete list.
    */
   public void applyIncompleteList(Moment now, List<EndpointEntry> entries) {
     if (agreedEndpoints != null) {
@@ -160,7 +162,10 @@
     }
   }
 
-  /** The entries that differ from the current ones, with those first that get no more load. */
+  /**
+   * Returns the entries that differ from the current ones, starting with the endpoints that get no
+   * more load.
+   */
   private List<EndpointEntry> findChanges(EndpointUpdate update) {
     List<EndpointEntry> changes = new ArrayList<>();
     List<EndpointEntry> ready = new ArrayList<>();
@@ -179,7 +184,7 @@
     return changes;
   }
 
-  /** Adds the current endpoints that a full list does not name as gone. */
+  /** Adds each current endpoint that is missing in a full list with the lifecycle GONE. */
   private void addUnlisted(EndpointUpdate update, List<EndpointEntry> changes) {
     Set<String> listed = new HashSet<>();
     for (EndpointEntry entry : update.entries()) {
@@ -200,12 +205,12 @@
     }
   }
 
-  /** Sets the offset between the clock of the servers, which states start times, and this one. */
+  /** Sets the offset between the clock of the listed start times and the router's clock. */
   public void setClockOffset(ClockOffset offset) {
     publisher.setClockOffset(offset);
   }
 
-  /** Publishes the start times again, after the clock offset has changed. */
+  /** Republishes the start times after a change of the clock offset. */
   public void publishStartTimes(Moment now) {
     publisher.beginBatch();
     for (EndpointEntry entry : currentEntries.values()) {
@@ -216,12 +221,12 @@
     publisher.endChanges(now);
   }
 
-  /** Makes all further lists count only as far as the fleet agrees with them. */
+  /** Applies all further lists through the fleet's membership view. */
   public void setMembershipView(MembershipView fleet, Supplier<Moment> clock) {
     agreedEndpoints = new AgreedEndpoints(fleet, publisher, clock);
   }
 
-  /** Publishes what has changed in the membership view; at the first call, all of it. */
+  /** Publishes the changes of the membership view; the first call publishes the complete view. */
   public void publishMembershipChanges(Moment now) {
     agreedEndpoints.publishChanges(now, generation);
   }
--- a/router/src/main/java/basaltlever/discovery/EndpointListReader.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointListReader.java
@@ -5,21 +5,21 @@
 import java.util.List;
 
 /**
- * Reads the messages of one discovery response as its bytes arrive.
+ * Reads the messages of one discovery response incrementally.
  *
- * <p>Each entry is parsed as soon as it is complete. So a long list never blocks the event loop in
- * one piece, and an entry can be acted on while others are still to come.
+ * <p>Each entry is parsed as soon as it is complete, so that parsing a long list does not block the
+ * event loop in one step, and an entry can be applied before the rest of the list has arrived.
  */
 public final class EndpointListReader {
-  /** Receives what is read, from within {@link #read}. */
+  /** Receives the parsed entries and messages during {@link #read}. */
   public interface Listener {
-    /** An empty line: the service keeps the response open. */
+    /** Called for an empty line, which the service sends to keep the response open. */
     void onKeepAlive();
 
-    /** One entry of a message that is not complete yet. */
+    /** Called for each entry of a message that is not complete yet. */
     void onEntry(EndpointEntry entry);
 
-    /** A complete message, with all of its entries. */
+    /** Called for each complete message, with all of its entries. */
     void onUpdate(EndpointUpdate update);
   }
 
@@ -27,20 +27,20 @@
   private final ChunkedResponseReader reader =
       new ChunkedResponseReader(this::readMessage, this::readEntry);
 
-  /** The entries of the message that is not complete yet. */
+  /** The entries of the incomplete message. */
   private List<EndpointEntry> entries = new ArrayList<>();
 
-  /** Creates a reader of one response. */
+  /** Creates a reader for one response. */
   public EndpointListReader(Listener listener) {
     this.listener = listener;
   }
 
-  /** Reads the next bytes of the response; the buffer stays with the caller. */
+  /** Reads the next bytes of the response; the caller keeps ownership of the buffer. */
   public void read(ByteBuf in) throws InvalidEndpointListException {
     reader.read(in);
   }
 
-  /** Whether the response has ended. */
+  /** Returns whether the response is complete. */
   public boolean isComplete() {
     return reader.isComplete();
   }
--- a/router/src/main/java/basaltlever/discovery/EndpointPublisher.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointPublisher.java
@@ -14,8 +14,8 @@
 import java.util.function.Consumer;
 
 /**
- * Passes listed endpoints on to the statement router, together with the state that an earlier
- * process stored about them.
+ * Publishes listed endpoints to the statement router, together with the state that an earlier
+ * process stored for them.
  */
 final class EndpointPublisher {
   private static final int UNKNOWN_ZONE = -1;
@@ -33,8 +33,10 @@
   /**
    * Creates a publisher.
    *
-   * @param onAddress receives the address of each endpoint, before the endpoint is published
-   * @param onFullListNeeded is run if the next response of the service has to be the full list
+   * @param onAddress callback that receives the address of each endpoint before the endpoint is
+   *     published
+   * @param onFullListNeeded callback that makes the next request to the service ask for the full
+   *     list
    */
   EndpointPublisher(
       StatementRouter<String> core,
@@ -56,21 +58,21 @@
     onUnresponsive = onUnresponsiveEndpoint;
   }
 
-  /** Endpoints known from an earlier process that were not listed since. */
+  /** Returns the endpoints of an earlier process that have not been listed since. */
   List<KnownEndpoint> restoredEndpoints() {
     return restore.pendingEndpoints();
   }
 
-  /** Begins a batch; each is ended by one of the methods below. */
+  /** Begins a batch, which {@link #endList} or {@link #endChanges} ends. */
   void beginBatch() {
     core.onListStarted();
   }
 
-  /** Ends a batch that comes from a list. */
+  /** Ends a batch that was caused by a list. */
   void endList(Moment now, boolean drainsUntilFullList, boolean live) {
     core.restore(now, restore.takeGroups());
     if (drainsUntilFullList) {
-      // Updates after this generation may not name the endpoint again.
+      // Updates after this generation may not contain the endpoint again.
       onFullListNeeded.run();
     }
     if (live) {
@@ -79,7 +81,7 @@
     core.onListFinished(now, false, live);
   }
 
-  /** Ends a batch that does not come from a list. */
+  /** Ends a batch that was not caused by a complete list. */
   void endChanges(Moment now) {
     core.onListFinished(now, false, false);
   }
@@ -138,7 +140,7 @@
         : clockOffset.started(new Moment(entry.startedAtMillis() * MICROS_PER_MILLI));
   }
 
-  /** Publishes an endpoint known from an earlier process as draining, before any list names it. */
+  /** Publishes an endpoint of an earlier process as draining before any list contains it. */
   void publishRestored(Moment now, KnownEndpoint known, InetSocketAddress address) {
     EndpointState stored = known.state();
     onAddress.accept(known.id(), address);
@@ -153,7 +155,7 @@
     reportUnresponsive(known.id(), stored);
   }
 
-  /** The entry of an endpoint known from an earlier process. */
+  /** Returns the entry of an endpoint of an earlier process. */
   static EndpointEntry restoredEntry(KnownEndpoint known, InetSocketAddress address) {
     EndpointState stored = known.state();
     return new EndpointEntry(
--- a/router/src/main/java/basaltlever/discovery/EndpointUpdate.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointUpdate.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 
 /**
- * One message of the discovery service: the full list, or the entries that changed.
+ * A message of the discovery service: the full list, or the changed entries.
  *
  * @param generation the version of the list after this message
- * @param full whether endpoints that are not named are no longer listed
+ * @param full whether endpoints that are missing in the message are no longer listed
  * @param entries the listed or changed endpoints
  */
 public record EndpointUpdate(long generation, boolean full, List<EndpointEntry> entries) {
-  /** Converts a parsed message; throws if any part of it is invalid. */
+  /** Converts the JSON fields of a message; throws if any part is invalid. */
   public static EndpointUpdate of(Map<?, ?> message) throws InvalidEndpointListException {
     if (!(message.get("instances") instanceof List<?> instances)) {
-      throw new InvalidEndpointListException("a list has no instances");
+      throw new InvalidEndpointListException("a message of the list has no instances");
     }
     List<EndpointEntry> entries = new ArrayList<>(instances.size());
     for (Object instance : instances) {
@@ -33,10 +33,10 @@
   }
 
   /**
-   * Parses a message whose entries were parsed before.
+   * Parses a message whose entries have been parsed already.
    *
-   * @param message the text without these entries
-   * @param entries is taken over
+   * @param message the text of the message without these entries
+   * @param entries the parsed entries; the update takes ownership of the list
    */
   static EndpointUpdate of(String message, List<EndpointEntry> entries)
       throws InvalidEndpointListException {
@@ -52,8 +52,8 @@
       }
     } catch (InvalidJsonException fault) {
       throw new InvalidEndpointListException(
-          "a line of the list is no JSON: " + fault.getMessage());
+          "a message of the list is not valid JSON: " + fault.getMessage());
     }
-    throw new InvalidEndpointListException("a line of the list is no object");
+    throw new InvalidEndpointListException("a message of the list is not a JSON object");
   }
 }
--- a/router/src/main/java/basaltlever/discovery/InvalidEndpointListException.java
+++ b/router/src/main/java/basaltlever/discovery/InvalidEndpointListException.java
@@ -1,10 +1,10 @@
 package basaltlever.discovery;
 
-/** The discovery service sent something that is not a valid endpoint list response. */
+/** Thrown if a response of the discovery service is not a valid endpoint list. */
 public final class InvalidEndpointListException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Creates one with a message that names what is invalid. */
+  /** Creates an exception with a message that names the invalid part. */
   public InvalidEndpointListException(String message) {
     super(message);
   }
--- a/router/src/main/java/basaltlever/discovery/JsonObjectSplitter.java
+++ b/router/src/main/java/basaltlever/discovery/JsonObjectSplitter.java
@@ -4,29 +4,29 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Splits a stream of JSON objects into the texts of the single objects, byte by byte.
+ * Splits a byte stream of JSON objects into the texts of the individual objects.
  *
- * <p>An object ends with its closing brace: it may be indented over several lines, and the last one
- * needs no line end. Optionally, the objects of a list directly within an outermost object are
- * passed on separately, each as soon as it is complete. An incomplete object is never passed on.
+ * <p>An object ends with its closing brace: it may span several lines, and the last object needs no
+ * line end. Optionally, the objects of a list directly within an outermost object are emitted
+ * separately, each as soon as it is complete. An incomplete object is never emitted.
  */
 final class JsonObjectSplitter {
   private static final int MAX_OBJECT_BYTES = 4 << 20;
 
-  /** Depth directly within a list of the outermost object. */
+  /** Depth of the elements of a list directly within the outermost object. */
   private static final int LIST_DEPTH = 2;
 
   private enum LexicalState {
-    /** Outside of strings. */
+    /** Outside a string. */
     STRUCTURE,
     STRING,
-    /** Behind a backslash within a string. */
+    /** After a backslash within a string. */
     ESCAPE
   }
 
   private final TextSink objectSink;
 
-  /** Null if the objects of lists stay within the text of the outermost object. */
+  /** Null if the objects of lists remain in the text of the outermost object. */
   private final TextSink entrySink;
 
   private final ByteArrayOutputStream objectBuffer = new ByteArrayOutputStream();
@@ -36,10 +36,10 @@
   /** The number of open braces and brackets. */
   private int depth;
 
-  /** Bytes of the current outermost object, including those of its entries. */
+  /** Size of the current outermost object in bytes, including its entries. */
   private int objectBytes;
 
-  /** Whether the value opened last directly within the outermost object is a list. */
+  /** Whether the last opened value directly within the outermost object is a list. */
   private boolean inList;
 
   private boolean inEntry;
@@ -49,9 +49,9 @@
    * Creates a splitter.
    *
    * @param objectSink receives each outermost object, and an empty text for each line end between
-   *     them
-   * @param entrySink receives the objects in lists directly within the outermost object, which then
-   *     are left out of its text; null to leave them there
+   *     objects
+   * @param entrySink receives the objects of lists directly within the outermost object, which are
+   *     then omitted from its text; null to keep them there
    */
   JsonObjectSplitter(TextSink objectSink, TextSink entrySink) {
     this.objectSink = objectSink;
@@ -65,14 +65,14 @@
     } else if (next == '\n') {
       objectSink.accept("");
     } else if (!isInlineWhitespace(next)) {
-      throw new InvalidEndpointListException("a list begins with no object");
+      throw new InvalidEndpointListException("a message of the list does not begin with an object");
     }
   }
 
   private void addToObject(byte next) throws InvalidEndpointListException {
     objectBytes++;
     if (objectBytes > MAX_OBJECT_BYTES) {
-      throw new InvalidEndpointListException("a list is too long");
+      throw new InvalidEndpointListException("a message of the list is too long");
     }
     inEntry |= opensEntry(next);
     if (inEntry) {
@@ -95,7 +95,10 @@
         && inList;
   }
 
-  /** The commas and white space between entries are left out together with the entries. */
+  /**
+   * Returns whether the byte is a comma or white space after an entry, which is omitted like the
+   * entries.
+   */
   private boolean isSeparatorOfEntries(byte next) {
     if (!afterEntry || lexicalState != LexicalState.STRUCTURE || depth != LIST_DEPTH) {
       return false;
--- a/router/src/main/java/basaltlever/discovery/TextSink.java
+++ b/router/src/main/java/basaltlever/discovery/TextSink.java
@@ -1,6 +1,6 @@
 package basaltlever.discovery;
 
-/** Receives the text of a JSON object, which may turn out to be invalid. */
+/** Receives the text of a JSON object and throws if it is invalid. */
 @FunctionalInterface
 interface TextSink {
   void accept(String text) throws InvalidEndpointListException;
--- a/router/src/main/java/basaltlever/discovery/package-info.java
+++ b/router/src/main/java/basaltlever/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** The endpoint list: HTTP responses in chunks, entries of the list, and what has changed in it. */
+/** The endpoint list: reading chunked HTTP responses, parsing entries, and publishing changes. */
 package basaltlever.discovery;
--- a/router/src/main/java/basaltlever/pg/MessageDecoder.java
+++ b/router/src/main/java/basaltlever/pg/MessageDecoder.java
@@ -6,13 +6,13 @@
  * Splits received bytes into messages.
  *
  * <p>A message is a slice of the buffer that it was read into. An incomplete message is buffered
- * until the rest has arrived, so bytes are copied only for messages that arrive in pieces.
+ * until the rest has arrived, so bytes are copied only for messages that arrive in several reads.
  */
 public final class MessageDecoder {
-  /** Bytes of the header: type and length. */
+  /** Size of the message header in bytes: type and length. */
   public static final int HEADER_BYTES = 5;
 
-  /** Bytes of the length, which counts itself. */
+  /** Size of the length field in bytes. The length includes itself. */
   private static final int LENGTH_BYTES = Integer.BYTES;
 
   private static final int TYPE_BYTES = 1;
@@ -21,7 +21,7 @@
   private int maxMessageBytes;
   private final MemoryBudget budget;
 
-  /** Owned here; null if there are no buffered bytes. */
+  /** Owned by this decoder; null if no bytes are buffered. */
   private ByteBuf buffered;
 
   private int reservedBytes;
@@ -29,15 +29,15 @@
   /**
    * Creates a decoder.
    *
-   * @param maxMessageBytes the greatest length that a message may state
-   * @param budget is charged with the capacity of the buffer
+   * @param maxMessageBytes the maximum length in a message header
+   * @param budget the budget that the capacity of the buffer is reserved from
    */
   public MessageDecoder(int maxMessageBytes, MemoryBudget budget) {
     this.maxMessageBytes = maxMessageBytes;
     this.budget = budget;
   }
 
-  /** Adds received bytes and takes over the ownership of their buffer. */
+  /** Adds received bytes and takes ownership of their buffer. */
   public void add(ByteBuf received) throws ProtocolException {
     if (buffered == null || !buffered.isReadable()) {
       release();
@@ -66,7 +66,7 @@
 
   /**
    * Moves the buffered bytes to a new buffer with space for the received ones. The old buffer is
-   * neither compacted nor overwritten, since slices of it may still be in use elsewhere.
+   * neither compacted nor overwritten, since slices of it may still be in use.
    */
   private void replaceBuffer(ByteBuf received) {
     int total = buffered.readableBytes() + received.readableBytes();
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Returns the next complete message with its header, or null. It is valid until the next call of
-   * this decoder.
+   * Returns the next complete message with its header, or null if there is none. The message is
+   * valid until the next call of this decoder.
    */
   public ByteBuf nextMessage() throws ProtocolException {
     if (bufferedBytes() < HEADER_BYTES) {
@@ -87,7 +87,10 @@
     return slice(buffered.getInt(buffered.readerIndex() + TYPE_BYTES), TYPE_BYTES);
   }
 
-  /** As {@link #nextMessage}, for the messages of the startup phase, which have no type byte. */
+  /**
+   * Returns the next complete message of the startup phase, which has no type byte, or null. See
+   * {@link #nextMessage}.
+   */
   public ByteBuf nextStartupMessage() throws ProtocolException {
     if (bufferedBytes() < LENGTH_BYTES) {
       return returnNoMessage();
@@ -107,7 +110,7 @@
     return buffered.readableBytes() < messageBytes ? null : buffered.readSlice(messageBytes);
   }
 
-  /** Returns null for "no message", and the buffer to its pool if all of it was consumed. */
+  /** Returns null, and releases the buffer if all of its bytes were consumed. */
   private ByteBuf returnNoMessage() {
     if (buffered != null && !buffered.isReadable()) {
       release();
@@ -115,17 +118,17 @@
     return null;
   }
 
-  /** The buffered bytes that are not yet part of a returned message. */
+  /** Returns the number of buffered bytes that are not part of a returned message. */
   public int bufferedBytes() {
     return buffered == null ? 0 : buffered.readableBytes();
   }
 
-  /** Sets the greatest length that a message may state from here on. */
+  /** Sets the maximum length in the headers of the messages that follow. */
   public void setMaxMessageBytes(int maxBytes) {
     maxMessageBytes = maxBytes;
   }
 
-  /** Drops the buffered bytes and returns them to the budget. */
+  /** Discards the buffered bytes and releases their share of the budget. */
   public void release() {
     if (buffered != null) {
       buffered.release();
--- a/router/src/main/java/basaltlever/pg/MessageEncoder.java
+++ b/router/src/main/java/basaltlever/pg/MessageEncoder.java
@@ -4,7 +4,7 @@
 import io.netty.buffer.ByteBufUtil;
 import java.nio.charset.StandardCharsets;
 
-/** Writes protocol messages into a buffer of the caller. */
+/** Writes protocol messages into a buffer that the caller provides. */
 public final class MessageEncoder {
   private static final int AUTHENTICATION_OK = 0;
   private static final byte TRANSACTION_STATUS_IDLE = 'I';
@@ -16,7 +16,7 @@
 
   private MessageEncoder() {}
 
-  /** StartupMessage, from a client. */
+  /** Writes a StartupMessage. */
   public static void writeStartupMessage(ByteBuf out, String user, String database) {
     int lengthIndex = out.writerIndex();
     out.writeInt(0).writeInt(ProtocolCodes.PROTOCOL_VERSION);
@@ -28,7 +28,7 @@
     endMessage(out, lengthIndex);
   }
 
-  /** The response to a startup message, from AuthenticationOk to ReadyForQuery. */
+  /** Writes the response to a StartupMessage, from AuthenticationOk to ReadyForQuery. */
   public static void writeStartupResponse(ByteBuf out) {
     out.writeByte(ProtocolCodes.AUTHENTICATION).writeInt(2 * Integer.BYTES);
     out.writeInt(AUTHENTICATION_OK);
@@ -43,8 +43,8 @@
   }
 
   /**
-   * NegotiateProtocolVersion: this side speaks an older minor version than was requested, and
-   * rejects no named protocol option.
+   * Writes a NegotiateProtocolVersion: the router supports only an older minor version than the
+   * client requested. It names no unrecognized protocol option.
    */
   public static void writeNegotiateProtocolVersion(ByteBuf out) {
     int rejectedOptions = 0;
@@ -52,7 +52,7 @@
     out.writeInt(ProtocolCodes.PROTOCOL_VERSION).writeInt(rejectedOptions);
   }
 
-  /** ParameterStatus. */
+  /** Writes a ParameterStatus. */
   public static void writeParameterStatus(ByteBuf out, String name, String value) {
     int lengthIndex = beginMessage(out, ProtocolCodes.PARAMETER_STATUS);
     writeString(out, name);
@@ -60,18 +60,18 @@
     endMessage(out, lengthIndex);
   }
 
-  /** ReadyForQuery, outside of a transaction. */
+  /** Writes a ReadyForQuery with the status of a session outside a transaction. */
   public static void writeReadyForQuery(ByteBuf out) {
     out.writeByte(ProtocolCodes.READY_FOR_QUERY).writeInt(Integer.BYTES + 1);
     out.writeByte(TRANSACTION_STATUS_IDLE);
   }
 
-  /** EmptyQueryResponse. */
+  /** Writes an EmptyQueryResponse. */
   public static void writeEmptyQueryResponse(ByteBuf out) {
     out.writeByte(ProtocolCodes.EMPTY_QUERY_RESPONSE).writeInt(Integer.BYTES);
   }
 
-  /** CommandComplete with its command tag. */
+  /** Writes a CommandComplete with its command tag. */
   public static void writeCommandComplete(ByteBuf out, String tag) {
     int lengthIndex = beginMessage(out, ProtocolCodes.COMMAND_COMPLETE);
     writeString(out, tag);
@@ -79,7 +79,7 @@
   }
 
   /**
-   * ErrorResponse.
+   * Writes an ErrorResponse.
    *
    * @param code the SQLSTATE
    * @param detail null to omit the field
@@ -98,7 +98,7 @@
     endMessage(out, lengthIndex);
   }
 
-  /** Query. */
+  /** Writes a Query. */
   public static void writeQuery(ByteBuf out, String text) {
     int lengthIndex = beginMessage(out, ProtocolCodes.QUERY);
     writeString(out, text);
@@ -106,10 +106,10 @@
   }
 
   /**
-   * Query with the text of a client in which the timeout is replaced.
+   * Writes a Query with a client's text in which the timeout is replaced.
    *
    * @param timeoutStart offset of the first digit of the timeout in the text
-   * @param timeoutEnd offset behind its last digit
+   * @param timeoutEnd offset after its last digit
    */
   public static void writeQuery(
       ByteBuf out, ByteBuf text, int timeoutStart, int timeoutEnd, long timeoutMillis) {
@@ -122,7 +122,7 @@
     endMessage(out, lengthIndex);
   }
 
-  /** Writes type and a placeholder of the length, and returns the index of the latter. */
+  /** Writes the type and a placeholder for the length, and returns the index of the placeholder. */
   private static int beginMessage(ByteBuf out, byte type) {
     out.writeByte(type);
     int lengthIndex = out.writerIndex();
@@ -130,7 +130,7 @@
     return lengthIndex;
   }
 
-  /** Ends a message: its length counts itself, but not the type. */
+  /** Sets the length of a message, which includes the length field but not the type byte. */
   private static void endMessage(ByteBuf out, int lengthIndex) {
     out.setInt(lengthIndex, out.writerIndex() - lengthIndex);
   }
--- a/router/src/main/java/basaltlever/pg/ProtocolCodes.java
+++ b/router/src/main/java/basaltlever/pg/ProtocolCodes.java
@@ -1,20 +1,20 @@
 package basaltlever.pg;
 
 /**
- * Request codes, message types and SQLSTATEs of version 3 of the PostgreSQL wire protocol, as far
- * as they are used here.
+ * The request codes, message types and SQLSTATEs of version 3 of the PostgreSQL wire protocol that
+ * the router uses.
  */
 public final class ProtocolCodes {
   /** Version 3.0 in a startup message. */
   public static final int PROTOCOL_VERSION = 196_608;
 
-  /** CancelRequest, in place of a version. */
+  /** Code of a CancelRequest, sent instead of a version. */
   public static final int CANCEL_REQUEST = 80_877_102;
 
-  /** SSLRequest, in place of a version. */
+  /** Code of an SSLRequest, sent instead of a version. */
   public static final int SSL_REQUEST = 80_877_103;
 
-  /** GSSENCRequest, in place of a version. */
+  /** Code of a GSSENCRequest, sent instead of a version. */
   public static final int GSS_ENCRYPTION_REQUEST = 80_877_104;
 
   /** Query, from a client. */
--- a/router/src/main/java/basaltlever/pg/Query.java
+++ b/router/src/main/java/basaltlever/pg/Query.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * What a client states about a statement in the comment in front of it. The comment is a list of
- * fields such as {@code id=9b1f,c=basket,d=480}.
+ * The attributes of a statement, which the client states in a comment before the statement. The
+ * comment is a list of fields such as {@code id=9b1f,c=basket,d=480}.
  */
 public final class Query {
   private static final String COMMENT_OPEN = "/*";
@@ -23,19 +23,19 @@
 
   private static final long MAX_TIMEOUT_MILLIS = 24 * 60 * 60 * 1_000;
 
-  /** Leaves room to add to it after the conversion to microseconds. */
+  /** Leaves headroom for additions after the conversion to microseconds. */
   private static final long MAX_COMMIT_MILLIS = Long.MAX_VALUE / 4_000;
 
   private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
   private static final long FNV_PRIME = 0x100000001b3L;
 
-  /** Commands that change only the session of a client. */
+  /** Commands that change only the state of the client's session. */
   private static final String[] SESSION_COMMANDS = {"SET", "RESET", "DISCARD"};
 
   /** Offset of the first digit of the timeout, in bytes of the text. */
   public final int timeoutStart;
 
-  /** Offset behind the last digit of the timeout, in bytes of the text. */
+  /** Offset after the last digit of the timeout, in bytes of the text. */
   public final int timeoutEnd;
 
   /** The identifier of the statement, as the client chose it. */
@@ -50,17 +50,19 @@
   /** The replica group. */
   public final int group;
 
-  /** When the session committed last, in Unix milliseconds; 0 if it did not. */
+  /** Time of the session's last commit in Unix milliseconds; 0 if there was none. */
   public final long lastCommitMillis;
 
-  /** Hash of the first quoted literal, which identifies the session; 0 if there is none. */
+  /**
+   * Hash of the statement's first quoted literal, which identifies the session; 0 if there is none.
+   */
   public final long sessionHash;
 
   /**
-   * Parses the fields of the comment. It was decoded as ISO-8859-1, so that its character offsets
-   * are byte offsets of the text.
+   * Parses the fields of the comment. The comment was decoded as ISO-8859-1, so that its character
+   * offsets are byte offsets in the text.
    *
-   * @param commentOffset of the comment in the text
+   * @param commentOffset offset of the comment in the text
    */
   private Query(String comment, int commentOffset, long sessionHash) throws ProtocolException {
     Map<String, String> fields = new HashMap<>();
@@ -92,7 +94,7 @@
     this.sessionHash = sessionHash;
   }
 
-  /** Parses the text of a query, without the zero byte that terminates it. */
+  /** Parses the text of a query without its terminating zero byte. */
   public static Query parse(ByteBuf text) throws ProtocolException {
     int commentStart = findCommentStart(text);
     int commentEnd = findCommentEnd(text, commentStart);
@@ -105,7 +107,7 @@
         comment, commentStart, computeSessionHash(text, commentEnd + COMMENT_DELIMITER_BYTES));
   }
 
-  /** The offset behind the mark that opens the comment. */
+  /** Returns the offset after the delimiter that opens the comment. */
   private static int findCommentStart(ByteBuf text) throws ProtocolException {
     int open = skipWhitespace(text, 0);
     int start = open + COMMENT_DELIMITER_BYTES;
@@ -117,7 +119,7 @@
     return start;
   }
 
-  /** The offset of the mark that closes the comment. */
+  /** Returns the offset of the delimiter that closes the comment. */
   private static int findCommentEnd(ByteBuf text, int start) throws ProtocolException {
     int limit =
         Math.min(text.readableBytes() - 1, start - COMMENT_DELIMITER_BYTES + MAX_COMMENT_BYTES);
@@ -170,7 +172,10 @@
     return number;
   }
 
-  /** The FNV-1a hash of the first quoted literal, never 0 if there is one. */
+  /**
+   * Returns the FNV-1a hash of the first quoted literal, or 0 if there is none. A hash of 0 is
+   * replaced by 1.
+   */
   private static long computeSessionHash(ByteBuf text, int from) {
     int open = text.indexOf(text.readerIndex() + from, text.writerIndex(), (byte) '\'');
     int close = open < 0 ? -1 : text.indexOf(open + 1, text.writerIndex(), (byte) '\'');
@@ -184,7 +189,7 @@
     return hash == 0 ? 1 : hash;
   }
 
-  /** Whether the text has no statement, only white space and semicolons. */
+  /** Returns whether the text contains only white space and semicolons. */
   public static boolean isBlank(ByteBuf text) {
     int offset = skipWhitespace(text, 0);
     while (offset < text.readableBytes() && byteAt(text, offset) == ';') {
@@ -194,8 +199,8 @@
   }
 
   /**
-   * Returns the first word of a command that changes only the session, such as SET, or null. It has
-   * no effect here, since statements of a session run on many connections.
+   * Returns the first word of a command that changes only the session, such as SET, or null. The
+   * router does not execute such a command, since statements of a session run on many connections.
    */
   public static String findSessionCommand(ByteBuf text) {
     int start = skipWhitespace(text, 0);
--- a/router/src/main/java/basaltlever/pg/QueryResponse.java
+++ b/router/src/main/java/basaltlever/pg/QueryResponse.java
@@ -9,16 +9,16 @@
 /**
  * The response of a server to one query, up to its ReadyForQuery.
  *
- * <p>A usable response is either exactly one row of one column or exactly one error. Everything
- * else is malformed, since it does not prove whether the statement took effect.
+ * <p>A usable response is either exactly one row of one column or exactly one error. Any other
+ * response is malformed, since it does not prove whether the statement took effect.
  */
 public final class QueryResponse {
   private static final int MAX_TEXT_BYTES = 1_024;
 
-  /** For all messages of a response together. */
+  /** Limit for the sum of all messages of a response. */
   private static final int MAX_RESPONSE_BYTES = 1 << 21;
 
-  /** What follows the name of a column in a RowDescription. */
+  /** Size of the fields after a column's name in a RowDescription. */
   private static final int COLUMN_DESCRIPTION_BYTES = 18;
 
   private static final int COLUMN_COUNT_BYTES = Short.BYTES;
@@ -29,14 +29,17 @@
   private static final char SQLSTATE_FIELD = 'C';
   private static final Pattern UNIX_MILLIS = Pattern.compile("[0-9]{1,15}");
 
-  /** The messages of a response that is one row, in their order. */
+  /** The message types of a response of one row, in order. */
   private static final byte[] ROW_SEQUENCE = {
     ProtocolCodes.ROW_DESCRIPTION, ProtocolCodes.DATA_ROW, ProtocolCodes.COMMAND_COMPLETE
   };
 
   private static final int DATA_ROW_INDEX = 1;
 
-  /** The messages of the row as they were read, each owned here until it is taken or released. */
+  /**
+   * The received messages of the row. Each is owned by this object until {@link #takeRow} or {@link
+   * #release}.
+   */
   private final List<ByteBuf> rowBuffers = new ArrayList<>(ROW_SEQUENCE.length);
 
   private int rowMessageCount;
@@ -68,7 +71,9 @@
       }
       case ProtocolCodes.EMPTY_QUERY_RESPONSE -> malformed = true;
       case ProtocolCodes.NOTICE_RESPONSE, ProtocolCodes.BACKEND_KEY_DATA -> {}
-      default -> throw ProtocolException.violation("a node sent a message of type " + type);
+      default ->
+          throw ProtocolException.violation(
+              "an endpoint sent a message of unexpected type " + type);
     }
     return false;
   }
@@ -104,7 +109,10 @@
     }
   }
 
-  /** Whether this is one complete row of one column: only then did the statement complete. */
+  /**
+   * Returns whether this is one complete row of one column, which alone proves that the statement
+   * completed.
+   */
   public boolean isSingleRow() {
     return !malformed
         && sqlState == null
@@ -113,39 +121,39 @@
   }
 
   /**
-   * Whether the response can't become one row or one error any more, so that it makes no sense to
-   * wait for its end.
+   * Returns whether the response can no longer become one row or one error, so that the caller can
+   * stop reading it.
    */
   public boolean isUnusable() {
     return malformed || responseBytes > MAX_RESPONSE_BYTES;
   }
 
   /**
-   * The SQLSTATE of the error if the response is nothing else, otherwise null: an error after a row
+   * Returns the SQLSTATE if the response is exactly one error, otherwise null: an error after a row
    * does not prove that the statement failed.
    */
   public String sqlState() {
     return malformed ? null : sqlState;
   }
 
-  /** The role that the server reported of itself, empty if it reported none. */
+  /** Returns the role that the server reported for itself; empty if it reported none. */
   public String role() {
     return role;
   }
 
-  /** The replication position in Unix milliseconds, 0 if the server reported none. */
+  /** Returns the replication position in Unix milliseconds; 0 if the server reported none. */
   public long positionMillis() {
     return positionMillis;
   }
 
-  /** The messages of the row; the caller has to release them. */
+  /** Removes and returns the messages of the row; the caller has to release them. */
   public List<ByteBuf> takeRow() {
     List<ByteBuf> buffers = List.copyOf(rowBuffers);
     rowBuffers.clear();
     return buffers;
   }
 
-  /** The value of the row as text; empty if there is no row or the value is too long. */
+  /** Returns the value of the row as text; empty if there is no row or the value is too long. */
   public String value() {
     if (!isSingleRow() || rowBuffers.size() <= DATA_ROW_INDEX) {
       return "";
@@ -158,7 +166,7 @@
         : data.toString(lengthIndex + VALUE_LENGTH_BYTES, length, StandardCharsets.UTF_8);
   }
 
-  /** Releases the messages that were not taken. */
+  /** Releases the messages that are still owned by this object. */
   public void release() {
     rowBuffers.forEach(ByteBuf::release);
     rowBuffers.clear();
@@ -178,20 +186,23 @@
         : isOneColumn(message, bodyStart + COLUMN_COUNT_BYTES);
   }
 
-  /** Whether the body is one non-empty, terminated string of printable ASCII. */
+  /** Returns whether the body is one non-empty, zero-terminated string of printable ASCII. */
   private static boolean isPrintableTag(ByteBuf message, int bodyStart, int bodyBytes) {
     return bodyBytes > 1
         && findTerminator(message, bodyStart) == message.writerIndex() - 1
         && message.forEachByte(bodyStart, bodyBytes - 1, b -> b >= ' ' && b < 127) < 0;
   }
 
-  /** Whether the message ends with the name and the description of the column at this index. */
+  /**
+   * Returns whether the rest of the message, from this index, is the name and description of one
+   * column.
+   */
   private static boolean isOneColumn(ByteBuf message, int nameStart) {
     int nameEnd = findTerminator(message, nameStart);
     return nameEnd >= 0 && message.writerIndex() - nameEnd - 1 == COLUMN_DESCRIPTION_BYTES;
   }
 
-  /** Returns a field of an ErrorResponse or NoticeResponse, or an empty text if it is missing. */
+  /** Returns a field of an ErrorResponse or NoticeResponse; empty if the field is missing. */
   public static String errorField(ByteBuf message, char type) {
     int fieldStart = message.readerIndex() + MessageDecoder.HEADER_BYTES;
     while (fieldStart < message.writerIndex() && message.getByte(fieldStart) != TERMINATOR) {
@@ -209,7 +220,7 @@
     return "";
   }
 
-  /** The index of the first zero byte from here on, or -1. */
+  /** Returns the index of the first zero byte at or after {@code from}, or -1. */
   private static int findTerminator(ByteBuf message, int from) {
     return message.indexOf(from, message.writerIndex(), TERMINATOR);
   }
--- a/router/src/main/java/basaltlever/snapshot/EndpointState.java
+++ b/router/src/main/java/basaltlever/snapshot/EndpointState.java
@@ -3,30 +3,31 @@
 import basaltlever.time.Span;
 
 /**
- * What a router has learned of one endpoint. All times are spans before the moment of the snapshot,
- * so that they mean the same on another process's clock; {@link #NEVER} stands for what has not
- * happened.
+ * The state that a router has learned about one endpoint. All times are durations before the time
+ * of the snapshot, so that they don't depend on the clock of a process; {@link #NEVER} marks events
+ * that have not happened.
  *
  * @param group the number of its replica group
- * @param listedStartMicros when it started, in microseconds of Unix time, as the endpoint list
- *     says; 0 where the list does not say
- * @param draining whether the endpoint list says that it is draining
- * @param primary whether it was taken for the primary of its group
- * @param sinceStart since its start, as listed or as observed by the router, whichever is later
- * @param sinceNotPrimary since it last reported itself not primary, or was lost as the primary;
- *     negative where that lies ahead of the snapshot
- * @param unresponsive whether it owed responses and sent none
- * @param downFor since when it could not be reached
- * @param failureRate share of its attempts that were lost or failed, 0 to 1
- * @param latencyStrain latency strain: the ratio of response time to the latency objective, beyond
- *     the usual ratio
- * @param capacity capacity: how many attempts may be in flight at it
- * @param consecutiveRejections how many times in a row it rejected an attempt as full
- * @param remainingBackoff how much longer it was to be left alone
- * @param lag its replication lag when last observed
- * @param slowStartSpent the part of its slow-start budget that was spent and not refilled yet, in
- *     typical attempts; 0 where it was not warming up
- * @param sinceSlowStartSpent since when the slow-start budget has been refilling
+ * @param listedStartMicros its start time in the endpoint list, in microseconds of Unix time; 0 if
+ *     the list states none
+ * @param draining whether it is draining in the endpoint list
+ * @param primary whether the router considered it the primary of its group
+ * @param sinceStart time since its start, as listed or as observed by the router, whichever is
+ *     later
+ * @param sinceNotPrimary time since it last reported that it is not the primary, or was lost as the
+ *     primary; negative if that is after the snapshot
+ * @param unresponsive whether it had pending requests and sent no response
+ * @param downFor for how long it was unreachable
+ * @param failureRate the fraction of its attempts that were lost or failed, 0 to 1
+ * @param latencyStrain the ratio of response time to the latency objective, in excess of the usual
+ *     ratio
+ * @param capacity how many attempts may be in flight to it
+ * @param consecutiveRejections the number of consecutive attempts that it rejected as full
+ * @param remainingBackoff the remaining time until its backoff ends
+ * @param lag its last observed replication lag
+ * @param slowStartSpent the part of its slow-start budget that was spent and not yet refilled, in
+ *     typical attempts; 0 if it was not warming up
+ * @param sinceSlowStartSpent for how long the slow-start budget has been refilling
  */
 public record EndpointState(
     int group,
@@ -45,19 +46,19 @@
     Span lag,
     double slowStartSpent,
     Span sinceSlowStartSpent) {
-  /** The span since something that has not happened. */
+  /** The time since an event that has not happened. */
   public static final Span NEVER = new Span(Long.MAX_VALUE / 8);
 
   private static final double NEGLIGIBLE_LEVEL = 0.05;
 
-  /** Whether it could not be reached. */
+  /** Returns whether the endpoint was unreachable. */
   public boolean isDown() {
     return downFor.isShorterThan(NEVER);
   }
 
   /**
-   * Whether nothing in it would make a restarted router more careful. Such states are left out
-   * first when a snapshot must stay small.
+   * Returns whether this state would not restrict a restarted router's use of the endpoint. Such
+   * states are omitted before others if a snapshot would exceed its maximum size.
    */
   public boolean isUnremarkable() {
     return !draining
@@ -72,7 +73,7 @@
     return failureRate < NEGLIGIBLE_LEVEL && latencyStrain < NEGLIGIBLE_LEVEL;
   }
 
-  /** A builder that starts from this state. */
+  /** Returns a builder that is initialized with this state. */
   public EndpointStateBuilder toBuilder() {
     return new EndpointStateBuilder(this);
   }
--- a/router/src/main/java/basaltlever/snapshot/EndpointStateBuilder.java
+++ b/router/src/main/java/basaltlever/snapshot/EndpointStateBuilder.java
@@ -3,8 +3,8 @@
 import basaltlever.time.Span;
 
 /**
- * Builds an {@link EndpointState} value by value. What is not set is as for an endpoint of which
- * nothing is known: healthy, of unlimited capacity, never seen to start or to fail.
+ * Builds an {@link EndpointState}. Values that are not set are those of an unknown endpoint:
+ * healthy, with unlimited capacity, and without an observed start or failure.
  */
 public final class EndpointStateBuilder {
   private int group;
@@ -24,7 +24,7 @@
   private double slowStartSpent;
   private Span sinceSlowStartSpent = EndpointState.NEVER;
 
-  /** Starts from an endpoint of which nothing is known. */
+  /** Creates a builder with the state of an unknown endpoint. */
   public EndpointStateBuilder() {}
 
   EndpointStateBuilder(EndpointState state) {
@@ -46,103 +46,103 @@
     sinceSlowStartSpent = state.sinceSlowStartSpent();
   }
 
-  /** The number of its replica group. */
+  /** Sets the number of its replica group. */
   public EndpointStateBuilder group(int value) {
     group = value;
     return this;
   }
 
-  /** When it started, as listed, in microseconds of Unix time; 0 where the list does not say. */
+  /** Sets its listed start time in microseconds of Unix time; 0 if the list states none. */
   public EndpointStateBuilder listedStartMicros(long value) {
     listedStartMicros = value;
     return this;
   }
 
-  /** Whether the endpoint list says that it is draining. */
+  /** Sets whether it is draining in the endpoint list. */
   public EndpointStateBuilder draining(boolean value) {
     draining = value;
     return this;
   }
 
-  /** Whether it was taken for the primary of its group. */
+  /** Sets whether the router considered it the primary of its group. */
   public EndpointStateBuilder primary(boolean value) {
     primary = value;
     return this;
   }
 
-  /** How long ago it started. */
+  /** Sets the time since its start. */
   public EndpointStateBuilder sinceStart(Span value) {
     sinceStart = value;
     return this;
   }
 
-  /** How long ago it last reported itself not primary. */
+  /** Sets the time since it last reported that it is not the primary. */
   public EndpointStateBuilder sinceNotPrimary(Span value) {
     sinceNotPrimary = value;
     return this;
   }
 
-  /** Whether it owed responses and sent none. */
+  /** Sets whether it had pending requests and sent no response. */
   public EndpointStateBuilder unresponsive(boolean value) {
     unresponsive = value;
     return this;
   }
 
-  /** Since when it could not be reached. */
+  /** Sets for how long it was unreachable. */
   public EndpointStateBuilder downFor(Span value) {
     downFor = value;
     return this;
   }
 
-  /** Share of its attempts that were lost or failed, 0 to 1. */
+  /** Sets the fraction of its attempts that were lost or failed, 0 to 1. */
   public EndpointStateBuilder failureRate(double value) {
     failureRate = value;
     return this;
   }
 
-  /** Ratio of response time to the latency objective, beyond the usual ratio. */
+  /** Sets the ratio of response time to the latency objective, in excess of the usual ratio. */
   public EndpointStateBuilder latencyStrain(double value) {
     latencyStrain = value;
     return this;
   }
 
-  /** How many attempts may be in flight at it. */
+  /** Sets how many attempts may be in flight to it. */
   public EndpointStateBuilder capacity(double value) {
     capacity = value;
     return this;
   }
 
-  /** How many times in a row it rejected an attempt as full. */
+  /** Sets the number of consecutive attempts that it rejected as full. */
   public EndpointStateBuilder consecutiveRejections(int value) {
     consecutiveRejections = value;
     return this;
   }
 
-  /** How much longer it was to be left alone. */
+  /** Sets the remaining time until its backoff ends. */
   public EndpointStateBuilder remainingBackoff(Span value) {
     remainingBackoff = value;
     return this;
   }
 
-  /** Its replication lag when last observed. */
+  /** Sets its last observed replication lag. */
   public EndpointStateBuilder lag(Span value) {
     lag = value;
     return this;
   }
 
-  /** The spent part of its slow-start budget, in typical attempts. */
+  /** Sets the spent part of its slow-start budget, in typical attempts. */
   public EndpointStateBuilder slowStartSpent(double value) {
     slowStartSpent = value;
     return this;
   }
 
-  /** Since when the slow-start budget has been refilling. */
+  /** Sets for how long the slow-start budget has been refilling. */
   public EndpointStateBuilder sinceSlowStartSpent(Span value) {
     sinceSlowStartSpent = value;
     return this;
   }
 
-  /** The state as built so far. */
+  /** Returns a state with the current values. */
   public EndpointState build() {
     return new EndpointState(
         group,
--- a/router/src/main/java/basaltlever/snapshot/KnownEndpoint.java
+++ b/router/src/main/java/basaltlever/snapshot/KnownEndpoint.java
@@ -1,10 +1,10 @@
 package basaltlever.snapshot;
 
 /**
- * An endpoint with what was learned of it.
+ * An endpoint with its learned state.
  *
  * @param id its name in the endpoint list
  * @param address its address in the endpoint list
- * @param state what was learned
+ * @param state its learned state
  */
 public record KnownEndpoint(String id, String address, EndpointState state) {}
--- a/router/src/main/java/basaltlever/snapshot/StateDecay.java
+++ b/router/src/main/java/basaltlever/snapshot/StateDecay.java
@@ -3,8 +3,8 @@
 import basaltlever.time.Span;
 
 /**
- * How much of a learned state still counts after a while. Its weight decays exponentially: slowly
- * for the health of an endpoint, quickly for the load that traffic put on it. Free of I/O;
+ * Reduces the weight of a learned state with its age. The weight decays exponentially: slowly for
+ * the health of an endpoint, quickly for the load that traffic put on it. The class does no I/O;
  * docs/restart.md gives the reasons.
  */
 public final class StateDecay {
@@ -14,7 +14,9 @@
   /** Time in which the weight of an endpoint's load falls to 1/e, as in a running router. */
   static final Span LOAD_DECAY = Span.ofMillis(15_000);
 
-  /** Health weight below which "down" and "silent" count only as a failure rate. */
+  /**
+   * Health weight below which the states down and unresponsive only contribute to the failure rate.
+   */
   private static final double MIN_STATUS_WEIGHT = 0.5;
 
   /** Keeps the division by a decayed weight finite. */
@@ -22,19 +24,19 @@
 
   private StateDecay() {}
 
-  /** The weight of what was learned that long ago, from 1 towards 0; 0 for a negative age. */
+  /** Returns the weight of state of the given age, from 1 towards 0; 0 for a negative age. */
   public static double weight(Span age, Span decay) {
     return age.micros() < 0 ? 0 : Math.exp(-age.over(decay));
   }
 
-  /** The weight of an endpoint's health, as the commands show it. */
+  /** Returns the weight of an endpoint's health, as the commands show it. */
   public static double weight(Span age) {
     return weight(age, HEALTH_DECAY);
   }
 
   /**
-   * The same state, that much later. Draining and a spent slow-start budget don't decay: they bind
-   * until they are over.
+   * Returns the state aged by the given time. Draining and a spent slow-start budget don't decay:
+   * they apply until they end.
    */
   public static EndpointState decay(EndpointState state, Span age) {
     double healthWeight = weight(age, HEALTH_DECAY);
@@ -56,7 +58,7 @@
         .build();
   }
 
-  /** The same state, that much later. */
+  /** Returns the state aged by the given time. */
   public static GroupState decay(GroupState state, Span age) {
     double loadWeight = weight(age, LOAD_DECAY);
     return new GroupState(
--- a/router/src/main/java/basaltlever/snapshot/StateRestore.java
+++ b/router/src/main/java/basaltlever/snapshot/StateRestore.java
@@ -7,18 +7,21 @@
 import java.util.Map;
 
 /**
- * A stored state offered to a restarted router: aged once, then handed out endpoint by endpoint as
- * the endpoint list names them. What was learned counts only for the same start of the same id at
- * the same address. Free of I/O.
+ * Restores a stored state in a restarted router. The state is aged once; the state of each endpoint
+ * is returned when the endpoint list contains the endpoint. It applies only to the same start of
+ * the same id at the same address. The class does no I/O.
  */
 public final class StateRestore {
-  /** For a router without a stored state. */
-  public static final StateRestore EMPTY = rejected("there is none");
+  /** The restore of a router without a stored state. */
+  public static final StateRestore EMPTY = rejected("there is no stored state");
 
-  /** How far the system clock may differ from the monotonic one before neither is trusted. */
+  /**
+   * Maximum difference between the ages by the system clock and by the monotonic clock. With a
+   * larger one the state is rejected.
+   */
   private static final Span CLOCK_TOLERANCE = Span.ofMillis(2_000);
 
-  /** The same as a share of the time that has passed. */
+  /** Additional tolerance as a fraction of the elapsed time. */
   private static final double CLOCK_TOLERANCE_RATIO = 0.001;
 
   private final String rejection;
@@ -41,13 +44,13 @@
   }
 
   /**
-   * Judges a stored state and ages it to now.
+   * Checks whether a stored state is usable and ages it to the current time.
    *
    * @param deployment the deployment of the restarted router
-   * @param router its name
-   * @param unixMicros microseconds of Unix time by the system clock
-   * @param monotonicMicros microseconds of the machine's monotonic clock
-   * @param bootId the current boot of the machine; empty where unknown
+   * @param router the name of the restarted router
+   * @param unixMicros system clock in microseconds of Unix time
+   * @param monotonicMicros the machine's monotonic clock in microseconds
+   * @param bootId identifier of the machine's current boot; empty if unknown
    */
   public static StateRestore evaluate(
       LearnedState stored,
@@ -58,11 +61,15 @@
       String bootId) {
     if (!stored.deployment().equals(deployment) || !stored.router().equals(router)) {
       return rejected(
-          "it is of deployment '" + stored.deployment() + "', router '" + stored.router() + "'");
+          "the state belongs to deployment '"
+              + stored.deployment()
+              + "', router '"
+              + stored.router()
+              + "'");
     }
     Span systemAge = new Span(unixMicros - stored.writtenAtMicros());
     if (systemAge.micros() < 0) {
-      return rejected("it was written in the future, by this machine's clock");
+      return rejected("the state was written in the future by this machine's clock");
     }
     if (bootId.isEmpty() || !bootId.equals(stored.bootId())) {
       return aged(stored, systemAge);
@@ -70,7 +77,7 @@
     Span monotonicAge = new Span(monotonicMicros - stored.monotonicMicros());
     return clocksAgree(systemAge, monotonicAge)
         ? aged(stored, monotonicAge)
-        : rejected("the clock was set since it was written");
+        : rejected("the system clock was adjusted after the state was written");
   }
 
   private static boolean clocksAgree(Span systemAge, Span monotonicAge) {
@@ -94,30 +101,33 @@
     return new StateRestore(reason, Span.NONE, 0, List.of(), List.of());
   }
 
-  /** Why the stored state counts for nothing; empty where it counts. */
+  /** Returns why the stored state was rejected; empty if it is usable. */
   public String rejection() {
     return rejection;
   }
 
-  /** How old the stored state is. */
+  /** Returns the age of the stored state. */
   public Span age() {
     return age;
   }
 
-  /** The number of endpoints that have not been listed yet. */
+  /** Returns the number of endpoints that have not been listed yet. */
   public int pendingEndpointCount() {
     return pending.size();
   }
 
-  /** The endpoints that have not been listed yet, in stored order: whom to poll first. */
+  /**
+   * Returns the endpoints that have not been listed yet, in stored order, which is the order of
+   * their first polls.
+   */
   public List<KnownEndpoint> pendingEndpoints() {
     return List.copyOf(pending.values());
   }
 
   /**
-   * Hands out, once, what is known of an endpoint as it is listed; null where nothing is. A list
-   * that the router did not request itself may be older than the stored state: then the stored
-   * start and draining are the later word.
+   * Removes and returns the state of a listed endpoint; null if there is none. A list that the
+   * router did not request itself may be older than the stored state; the stored start and draining
+   * take precedence then.
    *
    * @param version the version of the list
    * @param live whether the router requested the list itself
@@ -140,7 +150,7 @@
     return stored == listed || (olderList && stored > listed);
   }
 
-  /** Hands out, once, what is known of the replica groups. */
+  /** Removes and returns the states of the replica groups. */
   public List<GroupState> takeGroups() {
     List<GroupState> groups = pendingGroups;
     pendingGroups = List.of();
--- a/router/src/main/java/basaltlever/snapshot/package-info.java
+++ b/router/src/main/java/basaltlever/snapshot/package-info.java
@@ -1,2 +1,2 @@
-/** Records of what a router has learned, how they age and how they are restored. */
+/** The learned state of a router, its decay with age, and its restore after a restart. */
 package basaltlever.snapshot;
--- a/router/src/main/java/basaltlever/storage/DirectoryOperations.java
+++ b/router/src/main/java/basaltlever/storage/DirectoryOperations.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * The operations on a directory that storing files safely takes. Tests replace it by one that fails
- * between any two of them.
+ * The directory operations that are needed to store files durably. Tests use an implementation that
+ * fails between any two operations.
  */
 public interface DirectoryOperations {
-  /** The names of all files. */
+  /** Returns the names of all files. */
   List<String> list() throws IOException;
 
-  /** Reads a file; throws where it is longer than the given number of bytes. */
+  /** Reads a file; throws if it is longer than the given number of bytes. */
   byte[] read(String name, int maxBytes) throws IOException;
 
   /** Creates or replaces a file; its content may be lost until it is synced. */
@@ -20,12 +20,12 @@
   /** Makes a file's content durable. */
   void sync(String name) throws IOException;
 
-  /** Replaces the target, if there is one, atomically. */
+  /** Renames a file and atomically replaces the target if it exists. */
   void rename(String from, String to) throws IOException;
 
   /** Deletes a file, if it exists. */
   void delete(String name) throws IOException;
 
-  /** Makes all created, renamed and deleted names durable. */
+  /** Makes all created, renamed and deleted directory entries durable. */
   void syncDirectory() throws IOException;
 }
--- a/router/src/main/java/basaltlever/storage/InvalidSnapshotException.java
+++ b/router/src/main/java/basaltlever/storage/InvalidSnapshotException.java
@@ -1,6 +1,9 @@
 package basaltlever.storage;
 
-/** A file that holds no whole snapshot. The message says what is wrong, and where in the file. */
+/**
+ * Thrown if a file does not contain a complete valid snapshot. The message states the error and its
+ * position in the file.
+ */
 public final class InvalidSnapshotException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -8,12 +11,12 @@
     super(message);
   }
 
-  /** The file as a whole is wrong. */
+  /** Returns an exception for an error that concerns the complete file. */
   static InvalidSnapshotException forFile(String reason) {
     return new InvalidSnapshotException(reason);
   }
 
-  /** The part that begins at the given byte of the file is wrong. */
+  /** Returns an exception for an error in the part that begins at the given byte of the file. */
   static InvalidSnapshotException atOffset(int offset, String reason) {
     return new InvalidSnapshotException("byte " + offset + ": " + reason);
   }
--- a/router/src/main/java/basaltlever/storage/LockedDirectory.java
+++ b/router/src/main/java/basaltlever/storage/LockedDirectory.java
@@ -13,27 +13,30 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A directory of the file system that one process at a time writes to, by a lock file. */
+/**
+ * A directory of the file system with a lock file, by which only one process at a time writes to
+ * it.
+ */
 public final class LockedDirectory implements DirectoryOperations, AutoCloseable {
   private static final String LOCK_FILE = "lock";
   private static final int WRITE_CHUNK_BYTES = 1 << 16;
   private final Path path;
   private FileChannel lockChannel;
 
-  /** Does not lock it yet. */
+  /** Creates an instance without locking the directory. */
   public LockedDirectory(Path path) {
     this.path = path;
   }
 
-  /** Where it is. */
+  /** Returns the path of the directory. */
   public Path path() {
     return path;
   }
 
   /**
-   * Takes the lock. A directory that was removed and created again has to be locked again.
+   * Tries to acquire the lock. A directory that was removed and recreated has to be locked again.
    *
-   * @return false where another process holds the lock
+   * @return false if the lock is held elsewhere
    */
   public boolean tryLock() throws IOException {
     close();
@@ -44,7 +47,7 @@
     try {
       lock = channel.tryLock();
     } catch (OverlappingFileLockException heldByThisProcess) {
-      // Held within this process, which is the same to the caller.
+      // Another lock of this process has the same meaning to the caller.
     } finally {
       if (lock == null) {
         channel.close();
@@ -77,15 +80,15 @@
     return read(path.resolve(name), maxBytes);
   }
 
-  /** Reads a file; throws where it is a directory or longer than the given number of bytes. */
+  /** Reads a file; throws if it is a directory or longer than the given number of bytes. */
   public static byte[] read(Path file, int maxBytes) throws IOException {
     if (Files.isDirectory(file)) {
-      throw new IOException("it is a folder");
+      throw new IOException("the path is a directory");
     }
     try (var in = Files.newInputStream(file)) {
       byte[] bytes = in.readNBytes(maxBytes + 1);
       if (bytes.length > maxBytes) {
-        throw new IOException("it is larger than " + maxBytes + " bytes");
+        throw new IOException("the file is larger than " + maxBytes + " bytes");
       }
       return bytes;
     }
--- a/router/src/main/java/basaltlever/storage/RecordFields.java
+++ b/router/src/main/java/basaltlever/storage/RecordFields.java
@@ -10,7 +10,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The fields of one record, read within their bounds. */
+/** Reads the fields of one record and checks their bounds. */
 final class RecordFields {
   private static final CBORFactory CBOR = new CBORFactory();
 
@@ -22,7 +22,7 @@
     this.offset = offset;
   }
 
-  /** Reads the record at the file's position, and moves the position behind it. */
+  /** Reads the record at the buffer's position and advances the position to its end. */
   static RecordFields readNext(ByteBuffer file, int end) throws InvalidSnapshotException {
     int offset = file.position();
     int length = RecordFraming.readHeader(file, end);
@@ -31,28 +31,29 @@
     return new RecordFields(parse(file.array(), content, length, offset), offset);
   }
 
-  @SuppressWarnings("IllegalCatch") // The parser throws undeclared kinds on bytes that are no CBOR.
+  @SuppressWarnings("IllegalCatch") // The parser throws undeclared exceptions for invalid CBOR.
   private static Map<String, Object> parse(byte[] bytes, int from, int length, int offset)
       throws InvalidSnapshotException {
     try (JsonParser parser = CBOR.createParser(bytes, from, length)) {
       return parseMap(parser, offset);
     } catch (IOException | RuntimeException unreadable) {
       throw InvalidSnapshotException.atOffset(
-          offset, "the record can't be read: " + unreadable.getClass().getSimpleName());
+          offset, "the record can't be parsed: " + unreadable.getClass().getSimpleName());
     }
   }
 
   private static Map<String, Object> parseMap(JsonParser parser, int offset)
       throws IOException, InvalidSnapshotException {
     if (parser.nextToken() != JsonToken.START_OBJECT) {
-      throw InvalidSnapshotException.atOffset(offset, "the record is no map");
+      throw InvalidSnapshotException.atOffset(offset, "the record is not a CBOR map");
     }
     Map<String, Object> values = new HashMap<>();
     while (parser.nextToken() == JsonToken.FIELD_NAME) {
       String name = parser.currentName();
       JsonToken token = parser.nextToken();
       if (token == null) {
-        throw InvalidSnapshotException.atOffset(offset, "the record ends within its map");
+        throw InvalidSnapshotException.atOffset(
+            offset, "the record ends before the end of its map");
       }
       Object value = parseScalar(parser, token);
       if (value != null) {
@@ -62,7 +63,7 @@
     return values;
   }
 
-  /** The value, or null for one of a type that no known field has. */
+  /** Returns the value, or null if no field of the format has its type. */
   private static Object parseScalar(JsonParser parser, JsonToken token) throws IOException {
     switch (token) {
       case START_OBJECT, START_ARRAY -> parser.skipChildren();
@@ -85,7 +86,7 @@
     return null;
   }
 
-  /** A text; empty where it is missing. */
+  /** Returns a text; empty if it is missing. */
   String text(String name) throws InvalidSnapshotException {
     Object value = values.getOrDefault(name, "");
     if (value instanceof String text && text.length() <= SnapshotFormat.MAX_NAME_CHARS) {
@@ -94,12 +95,12 @@
     throw outOfBounds(name);
   }
 
-  /** Whether the flag is set; false where it is missing. */
+  /** Returns whether the flag is set; false if it is missing. */
   boolean flag(String name) {
     return Boolean.TRUE.equals(values.get(name));
   }
 
-  /** An integer from 0; 0 where it is missing. */
+  /** Returns a non-negative integer; 0 if it is missing. */
   long integer(String name) throws InvalidSnapshotException {
     if (values.getOrDefault(name, 0L) instanceof Long value && value >= 0) {
       return value;
@@ -107,7 +108,7 @@
     throw outOfBounds(name);
   }
 
-  /** A number within the bounds. */
+  /** Returns a number within the bounds. */
   double number(String name, double min, double max, double defaultValue)
       throws InvalidSnapshotException {
     if (values.getOrDefault(name, defaultValue) instanceof Number value
@@ -118,23 +119,24 @@
     throw outOfBounds(name);
   }
 
-  /** A share from 0 to 1; 0 where it is missing. */
+  /** Returns a fraction from 0 to 1; 0 if it is missing. */
   double share(String name) throws InvalidSnapshotException {
     return number(name, 0, 1, 0);
   }
 
-  /** A span that may be negative; zero where it is missing. */
+  /** Returns a time span, which may be negative; zero if it is missing. */
   Span span(String name) throws InvalidSnapshotException {
     return new Span((long) number(name, -SnapshotFormat.MAX_NUMBER, SnapshotFormat.MAX_NUMBER, 0));
   }
 
-  /** The span since an event that has not happened where it is missing. */
+  /** Returns the time since an event; {@link EndpointState#NEVER} if it is missing. */
   Span spanSince(String name) throws InvalidSnapshotException {
     return values.containsKey(name) ? span(name) : EndpointState.NEVER;
   }
 
-  /** The error for a field of this record that can't be used. */
+  /** Returns an exception for a field of this record with an invalid value. */
   private InvalidSnapshotException outOfBounds(String name) {
-    return InvalidSnapshotException.atOffset(offset, name + " is out of its bounds");
+    return InvalidSnapshotException.atOffset(
+        offset, name + " has an invalid type or is out of bounds");
   }
 }
--- a/router/src/main/java/basaltlever/storage/SnapshotDecoder.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotDecoder.java
@@ -16,7 +16,7 @@
 final class SnapshotDecoder {
   private final byte[] file;
 
-  /** Offset of the first byte behind all records, where the digest begins. */
+  /** Offset of the first byte after all records, where the digest begins. */
   private final int end;
 
   private final List<KnownEndpoint> endpoints = new ArrayList<>();
@@ -40,7 +40,7 @@
     if (!description.text(SnapshotFormat.KIND).equals(SnapshotFormat.KIND_SNAPSHOT)
         || description.integer(SnapshotFormat.RECORD_COUNT) != records) {
       throw InvalidSnapshotException.atOffset(
-          SnapshotFormat.HEADER_BYTES, "the first record does not describe what follows");
+          SnapshotFormat.HEADER_BYTES, "the first record does not match the records that follow");
     }
     return buildState(description);
   }
@@ -48,16 +48,20 @@
   private void checkHeader(ByteBuffer in) throws InvalidSnapshotException {
     if (file.length < SnapshotFormat.HEADER_BYTES + SnapshotFormat.DIGEST_BYTES) {
       throw InvalidSnapshotException.forFile(
-          "it ends after " + file.length + " bytes, before its head and its sum");
+          "the file has " + file.length + " bytes, too few for its header and digest");
     }
     if (in.getInt() != SnapshotFormat.MAGIC) {
-      throw InvalidSnapshotException.atOffset(0, "no view begins like this");
+      throw InvalidSnapshotException.atOffset(
+          0, "the file is not a snapshot: its magic number does not match");
     }
     int format = in.getInt();
     if (format != SnapshotFormat.FORMAT_VERSION) {
       throw InvalidSnapshotException.atOffset(
           Integer.BYTES,
-          "format " + format + ", where this program reads " + SnapshotFormat.FORMAT_VERSION);
+          "format "
+              + format
+              + " is not supported; this program reads format "
+              + SnapshotFormat.FORMAT_VERSION);
     }
   }
 
@@ -65,11 +69,11 @@
     byte[] stored = Arrays.copyOfRange(file, end, file.length);
     if (!MessageDigest.isEqual(RecordFraming.digest(file, end), stored)) {
       throw InvalidSnapshotException.atOffset(
-          findDamageOffset(), "the sum over the file does not fit");
+          findDamageOffset(), "the digest of the file does not match");
     }
   }
 
-  /** The first record whose own checksum does not fit, or else the digest. */
+  /** Returns the offset of the first invalid record, or of the digest if all records are valid. */
   private int findDamageOffset() {
     ByteBuffer in = ByteBuffer.wrap(file).position(SnapshotFormat.HEADER_BYTES);
     while (in.position() < end) {
@@ -88,7 +92,7 @@
       case SnapshotFormat.KIND_ENDPOINT -> endpoints.add(decodeEndpoint(record));
       case SnapshotFormat.KIND_GROUP -> groups.add(decodeGroup(record));
       default -> {
-        // A kind that a later release added.
+        // Ignores record kinds of later releases.
       }
     }
   }
--- a/router/src/main/java/basaltlever/storage/SnapshotEncoder.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotEncoder.java
@@ -15,11 +15,11 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Encodes one state as a snapshot file; see {@link SnapshotFormat}. */
+/** Encodes a learned state as a snapshot file; see {@link SnapshotFormat}. */
 final class SnapshotEncoder {
   private static final CBORFactory CBOR = new CBORFactory();
 
-  /** A usual record, so that its buffer need not grow. */
+  /** Initial buffer size, in which a typical record fits. */
   private static final int TYPICAL_RECORD_BYTES = 256;
 
   private SnapshotEncoder() {}
@@ -40,7 +40,10 @@
     return file.put(RecordFraming.digest(file.array(), file.position())).array();
   }
 
-  /** One record for each endpoint, those of which little was learned last, then the groups. */
+  /**
+   * Encodes one record for each endpoint, ending with unremarkable endpoints, and then for each
+   * group.
+   */
   private static List<byte[]> encodeRecords(LearnedState state) {
     List<KnownEndpoint> endpoints = new ArrayList<>(state.endpoints());
     endpoints.sort(Comparator.comparing(known -> known.state().isUnremarkable()));
@@ -57,7 +60,10 @@
     return records;
   }
 
-  /** As many of the first records as the file has room for, beside the largest description. */
+  /**
+   * Selects as many of the first records as fit into the file together with the largest possible
+   * description.
+   */
   private static List<byte[]> selectFitting(List<byte[]> records, int maxBytes) {
     int remainingBytes =
         maxBytes
@@ -136,14 +142,14 @@
     out.writeNumberField(SnapshotFormat.PRIMARY_CONGESTION, state.primaryCongestion());
   }
 
-  /** Flags that are not set are left out. */
+  /** Writes a flag; a flag that is not set is omitted. */
   private static void writeFlag(JsonGenerator out, String name, boolean set) throws IOException {
     if (set) {
       out.writeBooleanField(name, true);
     }
   }
 
-  /** Spans since what has not happened are left out. */
+  /** Writes the time since an event; an event that has not happened is omitted. */
   private static void writeSpanSince(JsonGenerator out, String name, Span span) throws IOException {
     if (span.isShorterThan(EndpointState.NEVER)) {
       out.writeNumberField(name, span.micros());
--- a/router/src/main/java/basaltlever/storage/SnapshotFormat.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotFormat.java
@@ -1,12 +1,13 @@
 package basaltlever.storage;
 
 /**
- * The file format of snapshots: a header of magic and format number, records, and the SHA-256 of
- * all before it. Each record is framed by its length and CRC32C and holds one CBOR map. The first
- * record describes the snapshot, each other one an endpoint or a replica group.
+ * The file format of snapshots: a header of magic number and format version, records, and the
+ * SHA-256 of all preceding bytes. Each record is framed by its length and CRC32C and contains one
+ * CBOR map. The first record describes the snapshot, each other record an endpoint or a replica
+ * group.
  *
- * <p>Readers ignore keys and kinds of record that they don't know and use defaults for missing
- * keys, so that releases read each other's files. Only another format number is rejected.
+ * <p>Readers ignore unknown keys and record kinds and use defaults for missing keys, so that
+ * releases can read each other's files. Only another format version is rejected.
  */
 final class SnapshotFormat {
   static final int MAGIC = 0x424C5657;
@@ -17,7 +18,7 @@
   static final int MAX_RECORD_BYTES = 4_096;
   static final int MAX_NAME_CHARS = 512;
 
-  /** Bound of all numbers; as microseconds, more than 300 years. */
+  /** Upper bound of all numbers; as microseconds, more than 300 years. */
   static final double MAX_NUMBER = 1e16;
 
   static final int MAX_CONSECUTIVE_REJECTIONS = 1_000;
--- a/router/src/main/java/basaltlever/storage/SnapshotStore.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotStore.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * The snapshots in a directory. Each is written to a temporary file, synced and renamed, and the
- * directory synced; only then is the third newest deleted. So after the first there are always two
- * whole ones, and the newest whole one counts.
+ * Stores snapshots in a directory. Each is written to a temporary file, synced and renamed, and the
+ * directory is synced; only then is the third newest snapshot deleted. So from the second snapshot
+ * on, there are always two complete ones, and the newest complete one is used.
  */
 public final class SnapshotStore {
   private static final String TEMPORARY_FILE = "view.new";
@@ -17,23 +17,25 @@
   private static final int SEQUENCE_DIGITS = 16;
   private static final int HEXADECIMAL = 16;
 
-  /** The first digit keeps sequence numbers far from overflow, so that the next one sorts last. */
+  /**
+   * The limit on the first digit prevents an overflow, so that the next sequence number sorts last.
+   */
   private static final String FILE_NAME_PATTERN = PREFIX + "[0-3][0-9a-f]{15}\\.blv";
 
   private static final int RETAINED_SNAPSHOTS = 2;
 
   private final DirectoryOperations directory;
 
-  /** Of the directory behind these operations. */
+  /** Creates a store that uses the given directory. */
   public SnapshotStore(DirectoryOperations directory) {
     this.directory = directory;
   }
 
   /**
-   * A file that holds no usable snapshot.
+   * A file that contains no usable snapshot.
    *
-   * @param fileName of the file
-   * @param reason what is wrong with it
+   * @param fileName name of the file
+   * @param reason why it is not usable
    */
   public record RejectedFile(String fileName, String reason) {
     @Override
@@ -43,12 +45,12 @@
   }
 
   /**
-   * The newest whole snapshot.
+   * The newest complete snapshot.
    *
-   * @param state its state; null where none is whole
-   * @param fileName of its file; empty where none is whole
-   * @param highestSequence the highest sequence number in any file name that was looked at
-   * @param rejectedFiles newer files that hold no whole snapshot
+   * @param state its state; null if no snapshot is complete
+   * @param fileName name of its file; empty if no snapshot is complete
+   * @param highestSequence the highest sequence number in the names of the files that were read
+   * @param rejectedFiles newer files that contain no complete snapshot
    */
   public record LoadResult(
       LearnedState state,
@@ -56,12 +58,12 @@
       long highestSequence,
       List<RejectedFile> rejectedFiles) {}
 
-  /** The file name of a snapshot. */
+  /** Returns the file name of a snapshot. */
   public static String fileName(long sequence) {
     return String.format("%s%016x.blv", PREFIX, sequence);
   }
 
-  /** The file names of all snapshots, the newest first. */
+  /** Returns the file names of all snapshots, newest first. */
   public static List<String> listFileNames(DirectoryOperations directory) throws IOException {
     return directory.list().stream()
         .filter(name -> name.matches(FILE_NAME_PATTERN))
@@ -74,7 +76,7 @@
     return Long.parseLong(fileName.substring(PREFIX.length(), end), HEXADECIMAL);
   }
 
-  /** Reads the newest whole snapshot. */
+  /** Reads the newest complete snapshot. */
   public LoadResult loadNewest() throws IOException {
     List<RejectedFile> rejected = new ArrayList<>();
     long highestSequence = 0;
@@ -93,12 +95,12 @@
     LearnedState state = SnapshotCodec.decode(directory.read(name, SnapshotCodec.MAX_FILE_BYTES));
     if (state.sequence() != parseSequence(name)) {
       throw InvalidSnapshotException.forFile(
-          "it is number " + state.sequence() + ", under another's name");
+          "its sequence number " + state.sequence() + " does not match the file name");
     }
     return state;
   }
 
-  /** Makes a snapshot of at most the given size durable, then deletes the outdated ones. */
+  /** Durably stores a snapshot of at most the given size, then deletes outdated snapshots. */
   public void store(LearnedState state, int maxBytes) throws IOException {
     directory.write(TEMPORARY_FILE, SnapshotCodec.encode(state, maxBytes));
     directory.sync(TEMPORARY_FILE);
--- a/router/src/main/java/basaltlever/storage/SnapshotWriter.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotWriter.java
@@ -21,28 +21,29 @@
 import org.slf4j.event.Level;
 
 /**
- * Reads the snapshot of a directory at start and writes one each period, on a thread of its own:
- * however slow the disk is, only that thread waits for it, and start and shutdown for a bounded
+ * Reads the newest snapshot of a directory at startup and writes a snapshot each period, on a
+ * dedicated thread. Only that thread waits for a slow disk; startup and shutdown wait for a bounded
  * time.
  */
 public final class SnapshotWriter {
   private static final Logger LOG = LoggerFactory.getLogger(SnapshotWriter.class);
 
-  /** A start does not wait any longer for the disk. */
+  /** Maximum time that startup waits for the disk. */
   private static final Span READ_TIMEOUT = Span.ofMillis(1_000);
 
-  /** Nor does a shutdown. */
+  /** Maximum time that shutdown waits for the disk. */
   private static final Span LAST_WRITE_TIMEOUT = Span.ofMillis(1_000);
 
-  /** Spreads the writes of routers that were started together, as a share of the period. */
+  /** Spreads the writes of routers that were started together; a fraction of the period. */
   private static final double JITTER = 0.25;
 
   private static final int MAX_LOGGED_REJECTIONS = 2;
 
-  /** Provides the state to be stored. */
+  /** Provides the state to store. */
   public interface Source {
     /**
-     * What the router has learned by now; null where it can't say. Called on the writer's thread.
+     * Returns the current learned state; null if it is not available. Called on the writer's
+     * thread.
      */
     LearnedState currentState() throws InterruptedException;
   }
@@ -64,15 +65,15 @@
   private long sequence;
 
   /**
-   * Starts to read the newest snapshot.
+   * Creates a writer and starts to read the newest snapshot.
    *
    * @param path the directory of the snapshots
    * @param deployment the deployment of the router
    * @param router the name of the router
-   * @param period the time between two snapshots, on average
-   * @param maxBytes the largest size of a snapshot
-   * @param random draws the jitter
-   * @param source provides the state to be stored
+   * @param period the average time between two snapshots
+   * @param maxBytes the maximum size of a snapshot
+   * @param random source of the jitter
+   * @param source provides the state to store
    */
   public SnapshotWriter(
       Path path,
@@ -103,20 +104,23 @@
     return worker;
   }
 
-  /** Waits, for a second at most, for what the directory's snapshot is worth; never fails. */
+  /**
+   * Returns the restore of the newest snapshot. It waits at most one second; after a timeout or
+   * failure it returns {@link StateRestore#EMPTY}.
+   */
   public StateRestore awaitRestore() throws InterruptedException {
     try {
       return restoreResult.get(READ_TIMEOUT.micros(), TimeUnit.MICROSECONDS);
     } catch (TimeoutException timeout) {
       Event.VIEW_LEFT_OUT.log(
-          LOG, Level.WARN, "", "reading " + directory + " takes more than a second");
+          LOG, Level.WARN, "", "reading the snapshot in " + directory + " took more than 1 s");
     } catch (ExecutionException fault) {
       Event.VIEW_LEFT_OUT.log(LOG, Level.WARN, "", fault.getCause());
     }
     return StateRestore.EMPTY;
   }
 
-  /** Writes a snapshot each period from now on. */
+  /** Starts to write a snapshot each period. */
   public void startWriting() {
     double jitter = 1 - JITTER + 2 * JITTER * random.nextDouble();
     try {
@@ -128,22 +132,25 @@
           period.times(jitter).micros(),
           TimeUnit.MICROSECONDS);
     } catch (RejectedExecutionException shutDown) {
-      // The last snapshot has been written.
+      // The executor was shut down; no further snapshot is scheduled.
     }
   }
 
-  /** Changes the period and the largest size of the snapshots to come. */
+  /** Changes the period and the maximum size of future snapshots. */
   public void reconfigure(Span newPeriod, int newMaxBytes) {
     period = newPeriod;
     maxBytes = newMaxBytes;
   }
 
-  /** The directory of the snapshots. */
+  /** Returns the directory of the snapshots. */
   public Path directoryPath() {
     return directory.path();
   }
 
-  /** Writes a last snapshot, or none for null, then releases the directory. Returns at once. */
+  /**
+   * Writes a last snapshot, or none if it is null, then releases the directory. Does not wait for
+   * the write.
+   */
   public void close(LearnedState last) {
     executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     executor.execute(
@@ -156,10 +163,10 @@
     executor.shutdown();
   }
 
-  /** Waits for the last snapshot, for a second at most. */
+  /** Waits at most one second until the last snapshot is written. */
   public void awaitClosed() throws InterruptedException {
     if (!executor.awaitTermination(LAST_WRITE_TIMEOUT.micros(), TimeUnit.MICROSECONDS)) {
-      failureLog.note(directory, "the last view did not reach the disk in time");
+      failureLog.note(directory, "the last snapshot was not written within 1 s of shutdown");
     }
   }
 
@@ -218,12 +225,15 @@
     if (!locked && !lockRefusalLogged) {
       lockRefusalLogged = true;
       Event.VIEW_FOLDER_HELD.log(
-          LOG, Level.WARN, "another process writes here; it is left alone", directory);
+          LOG,
+          Level.WARN,
+          "another process has locked the snapshot directory; this router does not use it",
+          directory);
     }
     return locked;
   }
 
-  @SuppressWarnings("IllegalCatch") // A fault of the source must not end the periodic writes.
+  @SuppressWarnings("IllegalCatch") // A failure of the source must not stop the periodic writes.
   private void writeCurrentState() {
     try {
       LearnedState state = source.currentState();
@@ -237,8 +247,11 @@
     }
   }
 
-  /** A directory that was removed and created again is locked again; numbers go on from there. */
-  @SuppressWarnings("IllegalCatch") // Whatever fails, the directory must be released.
+  /**
+   * Writes a snapshot. After a failure the directory is locked again and the sequence continues
+   * from its files, since the directory may have been removed and recreated.
+   */
+  @SuppressWarnings("IllegalCatch") // The directory must be released after any failure.
   private void writeSnapshot(LearnedState state) {
     try {
       if (!locked && !lockDirectory()) {
--- a/router/src/main/java/basaltlever/storage/package-info.java
+++ b/router/src/main/java/basaltlever/storage/package-info.java
@@ -1,2 +1,2 @@
-/** Stores snapshots of the learned state in files: format, generations, lock and writer. */
+/** Storage of learned state in snapshot files: format, retention, lock and writer. */
 package basaltlever.storage;
--- a/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
+++ b/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
@@ -14,8 +14,8 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Lists of thousands of entries as discovery may write them: in pieces, indented, cut off, several
- * in a row.
+ * Tests the reading of endpoint lists in the forms that the discovery service may send: thousands
+ * of entries, arbitrary pieces, indented, incomplete, several in a row.
  */
 class EndpointListReaderTest {
   private static final int LONG_LIST_ENTRIES = 3_200;
@@ -103,13 +103,14 @@
     }
     read(reader, "HTTP/1.1 200 OK\r\n\r\n" + body, random, 1 + random.nextInt(300));
     check(
-        listener.updates.size() == lists, "each list: " + listener.updates.size() + " of " + lists);
+        listener.updates.size() == lists,
+        "each list is reported once: " + listener.updates.size() + " of " + lists);
     int total = 0;
     for (int i = 0; i < lists; i++) {
       EndpointUpdate update = listener.updates.get(i);
       check(
           update.generation() == i + 5 && update.full() && update.entries().size() == sizes[i],
-          "list " + i);
+          "generation, reset flag and entry count of list " + i);
       check(
           update.equals(
               EndpointUpdate.of(
@@ -122,7 +123,7 @@
                               .map(EndpointEntry::lifecycle)
                               .toList()
                               .indexOf(EndpointLifecycle.DRAINING))))),
-          "the entries as a parser of whole texts reads them");
+          "the entries equal those of a parser of the complete text");
       total += sizes[i];
     }
     check(listener.entries.size() == total, "each entry is reported once");
@@ -137,14 +138,15 @@
     read(reader, "HTTP/1.1 200 OK\r\n\r\n" + list.substring(0, list.length() / 2), random, 8_192);
     check(
         listener.updates.isEmpty() && listener.entries.size() > LONG_LIST_ENTRIES / 3,
-        "half of it: " + listener.entries.size());
+        "entries are reported before their list is complete: " + listener.entries.size());
     check(
-        listener.entries.get(7).lifecycle() == EndpointLifecycle.DRAINING, "the drain is among it");
+        listener.entries.get(7).lifecycle() == EndpointLifecycle.DRAINING,
+        "the draining endpoint is reported early");
     read(reader, list.substring(list.length() / 2), random, 8_192);
     check(
         listener.updates.size() == 1
             && listener.updates.get(0).entries().size() == LONG_LIST_ENTRIES,
-        "and the whole");
+        "the complete list is reported with all entries");
   }
 
   @Example
@@ -162,9 +164,11 @@
         new EndpointListReader(listener)
             .read(
                 Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\n\r\n" + bad, StandardCharsets.US_ASCII));
-        check(false, "taken: " + bad);
+        check(false, "invalid list was accepted: " + bad);
       } catch (InvalidEndpointListException fault) {
-        check(listener.updates.isEmpty() && !fault.getMessage().isEmpty(), "it says what");
+        check(
+            listener.updates.isEmpty() && !fault.getMessage().isEmpty(),
+            "no update is reported, and the exception has a message");
       }
     }
   }
