--- a/lab/src/main/java/basaltlever/lab/KillState.java
+++ b/lab/src/main/java/basaltlever/lab/KillState.java
@@ -1,9 +1,9 @@
 package basaltlever.lab;
 
 import basaltlever.snapshot.EndpointState;
-import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.LearnedState;
 import basaltlever.snapshot.StateRestore;
+import basaltlever.snapshot.StoredEndpoint;
 import basaltlever.storage.LockedDirectory;
 import basaltlever.storage.SnapshotStore;
 import basaltlever.storage.SystemClocks;
@@ -161,7 +161,7 @@
     if (view == null) {
       return Left.LOST;
     }
-    List<KnownEndpoint> made = MadeViews.nodes(view.sequence(), NODES);
+    List<StoredEndpoint> made = MadeViews.nodes(view.sequence(), NODES);
     // Little-telling nodes may stand behind the others.
     if (view.endpoints().size() != NODES
         || !view.endpoints().containsAll(made)
@@ -176,7 +176,7 @@
             view.writtenAtMicros() + later,
             view.monotonicMicros() + later,
             SystemClocks.bootId());
-    for (KnownEndpoint known : made) {
+    for (StoredEndpoint known : made) {
       EndpointState aged =
           offered.takeEndpoint(
               known.id(), known.address(), known.state().listedStartMicros(), 0, true);
--- a/lab/src/main/java/basaltlever/lab/MadeViews.java
+++ b/lab/src/main/java/basaltlever/lab/MadeViews.java
@@ -1,8 +1,8 @@
 package basaltlever.lab;
 
 import basaltlever.snapshot.EndpointState;
-import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.LearnedState;
+import basaltlever.snapshot.StoredEndpoint;
 import basaltlever.storage.SystemClocks;
 import basaltlever.time.Span;
 import java.util.ArrayList;
@@ -19,12 +19,12 @@
 
   private MadeViews() {}
 
-  static List<KnownEndpoint> nodes(long number, int count) {
+  static List<StoredEndpoint> nodes(long number, int count) {
     SplittableRandom chance = new SplittableRandom(number);
-    List<KnownEndpoint> nodes = new ArrayList<>(count);
+    List<StoredEndpoint> nodes = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
       nodes.add(
-          new KnownEndpoint(
+          new StoredEndpoint(
               "node-" + i + "-" + chance.nextInt(1_000_000),
               "127.0.0.1:" + (1_024 + i),
               new EndpointState(
--- a/lab/src/main/java/basaltlever/lab/ViewCost.java
+++ b/lab/src/main/java/basaltlever/lab/ViewCost.java
@@ -5,9 +5,9 @@
 import basaltlever.core.StatementRouter;
 import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.snapshot.EndpointState;
-import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.LearnedState;
 import basaltlever.snapshot.StateRestore;
+import basaltlever.snapshot.StoredEndpoint;
 import basaltlever.storage.SnapshotCodec;
 import basaltlever.storage.SystemClocks;
 import basaltlever.time.Moment;
@@ -42,9 +42,9 @@
   int run() throws Exception {
     Moment now = new Moment(SystemClocks.unixMicros());
     StatementRouter<String> core = core(now);
-    List<KnownEndpoint> made = MadeViews.nodes(1, nodes);
+    List<StoredEndpoint> made = MadeViews.nodes(1, nodes);
     core.onListStarted();
-    for (KnownEndpoint known : made) {
+    for (StoredEndpoint known : made) {
       core.onEndpointListed(
           now,
           known.id(),
@@ -59,7 +59,7 @@
     Histogram held = new Histogram(3);
     LearnedState view = null;
     for (int i = 0; i < runs; i++) {
-      List<KnownEndpoint> out = new ArrayList<>();
+      List<StoredEndpoint> out = new ArrayList<>();
       boolean more = true;
       for (int from = 0; more; from += NODES_A_TURN) {
         long before = System.nanoTime();
@@ -68,7 +68,7 @@
                 now,
                 from,
                 NODES_A_TURN,
-                (id, learned) -> out.add(new KnownEndpoint(id, "127.0.0.1:1024", learned)));
+                (id, learned) -> out.add(new StoredEndpoint(id, "127.0.0.1:1024", learned)));
         if (!more) {
           view =
               new LearnedState(
@@ -104,7 +104,7 @@
     StatementRouter<String> fresh = core(now);
     before = System.nanoTime();
     fresh.onListStarted();
-    for (KnownEndpoint known : view.endpoints()) {
+    for (StoredEndpoint known : view.endpoints()) {
       fresh.onEndpointListed(
           now,
           known.id(),
--- a/router/src/main/java/basaltlever/cli/StateCommand.java
+++ b/router/src/main/java/basaltlever/cli/StateCommand.java
@@ -1,10 +1,10 @@
 package basaltlever.cli;
 
 import basaltlever.snapshot.EndpointState;
-import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.LearnedState;
 import basaltlever.snapshot.StateDecay;
 import basaltlever.snapshot.StateRestore;
+import basaltlever.snapshot.StoredEndpoint;
 import basaltlever.storage.InvalidSnapshotException;
 import basaltlever.storage.LockedDirectory;
 import basaltlever.storage.SnapshotCodec;
@@ -142,7 +142,7 @@
             : "counts for nothing: " + now.rejection());
     out.printf(
         "%-24s %-24s %6s %9s %7s  %s%n", "node", "address", "group", "age_s", "weight", "learned");
-    for (KnownEndpoint known : view.endpoints()) {
+    for (StoredEndpoint known : view.endpoints()) {
       out.printf(
           "%-24s %-24s %6d %9.1f %7.4f  %s%n",
           printable(known.id()),
@@ -209,7 +209,7 @@
       out.writeNumberField("age_ms", now.age().micros() / 1_000);
       out.writeNumberField("weight", weight);
       out.writeArrayFieldStart("nodes");
-      for (KnownEndpoint known : view.endpoints()) {
+      for (StoredEndpoint known : view.endpoints()) {
         endpoint(out, known, now, weight);
       }
       out.writeEndArray();
@@ -219,7 +219,7 @@
   }
 
   private static void endpoint(
-      JsonGenerator out, KnownEndpoint known, StateRestore now, double weight) throws IOException {
+      JsonGenerator out, StoredEndpoint known, StateRestore now, double weight) throws IOException {
     out.writeStartObject();
     out.writeStringField("id", known.id());
     out.writeStringField("address", known.address());
@@ -254,8 +254,8 @@
         a.sequence(),
         b.sequence(),
         new Span(b.writtenAtMicros() - a.writtenAtMicros()).micros() / 1e6);
-    Map<String, KnownEndpoint> before = byId(a);
-    Map<String, KnownEndpoint> after = byId(b);
+    Map<String, StoredEndpoint> before = byId(a);
+    Map<String, StoredEndpoint> after = byId(b);
     before.values().forEach(known -> difference(out, known, after.get(known.id())));
     after.values().stream()
         .filter(known -> !before.containsKey(known.id()))
@@ -263,14 +263,14 @@
     return ExitCode.OK;
   }
 
-  private static Map<String, KnownEndpoint> byId(LearnedState state) {
-    Map<String, KnownEndpoint> endpoints = new TreeMap<>();
+  private static Map<String, StoredEndpoint> byId(LearnedState state) {
+    Map<String, StoredEndpoint> endpoints = new TreeMap<>();
     state.endpoints().forEach(known -> endpoints.put(known.id(), known));
     return endpoints;
   }
 
   /** Prints in what an endpoint differs; the later one is null where it is gone. */
-  private static void difference(PrintStream out, KnownEndpoint before, KnownEndpoint after) {
+  private static void difference(PrintStream out, StoredEndpoint before, StoredEndpoint after) {
     Map<String, Object> learnedBefore = learned(before.state());
     if (after == null) {
       out.println("- " + printable(before.id()) + " " + learnedBefore);
--- a/router/src/main/java/basaltlever/discovery/EndpointList.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointList.java
@@ -4,8 +4,8 @@
 import basaltlever.core.StatementRouter;
 import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.membership.MembershipView;
-import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.StateRestore;
+import basaltlever.snapshot.StoredEndpoint;
 import basaltlever.time.ClockOffset;
 import basaltlever.time.Moment;
 import java.net.InetSocketAddress;
@@ -79,24 +79,24 @@
    */
   public void publishRestored(Moment now) {
     publisher.beginBatch();
-    for (KnownEndpoint known : publisher.restoredEndpoints()) {
-      InetSocketAddress address = Addresses.parse(known.address());
+    for (StoredEndpoint endpoint : publisher.restoredEndpoints()) {
+      InetSocketAddress address = Addresses.parse(endpoint.address());
       if (address != null) {
-        EndpointEntry entry = EndpointPublisher.restoredEntry(known, address);
+        EndpointEntry entry = EndpointPublisher.restoredEntry(endpoint, address);
         if (agreedEndpoints == null) {
           currentEntries.put(entry.id(), entry);
         } else {
           agreedEndpoints.addRestored(entry);
         }
-        publisher.publishRestored(now, known, address);
+        publisher.publishRestored(now, endpoint, address);
       }
     }
     publisher.endChanges(now);
   }
 
   /** Parses a message of the service. */
-  public static EndpointUpdate parse(String line) throws InvalidEndpointListException {
-    return EndpointUpdate.of(EndpointUpdate.parseObject(line));
+  public static EndpointUpdate parse(String message) throws InvalidEndpointListException {
+    return EndpointUpdate.parse(EndpointUpdate.parseObject(message));
   }
 
   /**
@@ -222,8 +222,8 @@
   }
 
   /** Applies all further lists through the fleet's membership view. */
-  public void setMembershipView(MembershipView fleet, Supplier<Moment> clock) {
-    agreedEndpoints = new AgreedEndpoints(fleet, publisher, clock);
+  public void setMembershipView(MembershipView view, Supplier<Moment> clock) {
+    agreedEndpoints = new AgreedEndpoints(view, publisher, clock);
   }
 
   /** Publishes the changes of the membership view; the first call publishes the complete view. */
--- a/router/src/main/java/basaltlever/discovery/EndpointListReader.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointListReader.java
@@ -58,6 +58,6 @@
     }
     List<EndpointEntry> parsed = entries;
     entries = new ArrayList<>();
-    listener.onUpdate(EndpointUpdate.of(text, parsed));
+    listener.onUpdate(EndpointUpdate.parse(text, parsed));
   }
 }
--- a/router/src/main/java/basaltlever/discovery/EndpointPublisher.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointPublisher.java
@@ -4,8 +4,8 @@
 import basaltlever.core.StatementRouter;
 import basaltlever.gateway.EndpointLifecycle;
 import basaltlever.snapshot.EndpointState;
-import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.StateRestore;
+import basaltlever.snapshot.StoredEndpoint;
 import basaltlever.time.ClockOffset;
 import basaltlever.time.Moment;
 import java.net.InetSocketAddress;
@@ -59,7 +59,7 @@
   }
 
   /** Returns the endpoints of an earlier process that have not been listed since. */
-  List<KnownEndpoint> restoredEndpoints() {
+  List<StoredEndpoint> restoredEndpoints() {
     return restore.pendingEndpoints();
   }
 
@@ -141,25 +141,25 @@
   }
 
   /** Publishes an endpoint of an earlier process as draining before any list contains it. */
-  void publishRestored(Moment now, KnownEndpoint known, InetSocketAddress address) {
-    EndpointState stored = known.state();
-    onAddress.accept(known.id(), address);
+  void publishRestored(Moment now, StoredEndpoint endpoint, InetSocketAddress address) {
+    EndpointState stored = endpoint.state();
+    onAddress.accept(endpoint.id(), address);
     core.onEndpointListed(
         now,
-        known.id(),
+        endpoint.id(),
         EndpointLifecycle.DRAINING,
         stored.group(),
         UNKNOWN_ZONE,
         DEFAULT_WEIGHT,
         stored.listedStartMicros() == 0 ? Moment.LONG_AGO : new Moment(stored.listedStartMicros()));
-    reportUnresponsive(known.id(), stored);
+    reportUnresponsive(endpoint.id(), stored);
   }
 
   /** Returns the entry of an endpoint of an earlier process. */
-  static EndpointEntry restoredEntry(KnownEndpoint known, InetSocketAddress address) {
-    EndpointState stored = known.state();
+  static EndpointEntry restoredEntry(StoredEndpoint endpoint, InetSocketAddress address) {
+    EndpointState stored = endpoint.state();
     return new EndpointEntry(
-        known.id(),
+        endpoint.id(),
         address,
         null,
         stored.group(),
--- a/router/src/main/java/basaltlever/discovery/EndpointUpdate.java
+++ b/router/src/main/java/basaltlever/discovery/EndpointUpdate.java
@@ -15,7 +15,7 @@
  */
 public record EndpointUpdate(long generation, boolean full, List<EndpointEntry> entries) {
   /** Converts the JSON fields of a message; throws if any part is invalid. */
-  public static EndpointUpdate of(Map<?, ?> message) throws InvalidEndpointListException {
+  public static EndpointUpdate parse(Map<?, ?> message) throws InvalidEndpointListException {
     if (!(message.get("instances") instanceof List<?> instances)) {
       throw new InvalidEndpointListException("a message of the list has no instances");
     }
@@ -38,9 +38,9 @@
    * @param message the text of the message without these entries
    * @param entries the parsed entries; the update takes ownership of the list
    */
-  static EndpointUpdate of(String message, List<EndpointEntry> entries)
+  static EndpointUpdate parse(String message, List<EndpointEntry> entries)
       throws InvalidEndpointListException {
-    EndpointUpdate rest = of(parseObject(message));
+    EndpointUpdate rest = parse(parseObject(message));
     entries.addAll(rest.entries);
     return new EndpointUpdate(rest.generation, rest.full, entries);
   }
--- a/router/src/main/java/basaltlever/net/Router.java
+++ b/router/src/main/java/basaltlever/net/Router.java
@@ -21,9 +21,9 @@
 import basaltlever.membership.MembershipView;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.settings.LeaseHolder;
-import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.LearnedState;
 import basaltlever.snapshot.StateRestore;
+import basaltlever.snapshot.StoredEndpoint;
 import basaltlever.storage.SnapshotWriter;
 import basaltlever.storage.SystemClocks;
 import basaltlever.time.Moment;
@@ -377,7 +377,7 @@
 
   private LearnedState exportStateOffLoop() throws InterruptedException {
     Promise<LearnedState> exported = loop.newPromise();
-    List<KnownEndpoint> endpoints = new ArrayList<>();
+    List<StoredEndpoint> endpoints = new ArrayList<>();
     loop.execute(() -> iteration.enqueue(now -> exportStep(now, 0, endpoints, exported)));
     return exported.await(EXPORT_TIMEOUT.micros(), TimeUnit.MICROSECONDS)
         ? exported.getNow()
@@ -389,7 +389,7 @@
    * apart.
    */
   private void exportStep(
-      Moment now, int from, List<KnownEndpoint> endpoints, Promise<LearnedState> exported) {
+      Moment now, int from, List<StoredEndpoint> endpoints, Promise<LearnedState> exported) {
     if (exportEndpoints(now, from, ENDPOINTS_PER_EXPORT_STEP, endpoints)) {
       loop.execute(
           () ->
@@ -400,7 +400,7 @@
     }
   }
 
-  private boolean exportEndpoints(Moment now, int from, int count, List<KnownEndpoint> endpoints) {
+  private boolean exportEndpoints(Moment now, int from, int count, List<StoredEndpoint> endpoints) {
     return core.collectEndpointStates(
         now,
         from,
@@ -408,12 +408,12 @@
         (endpoint, view) -> {
           ConnectionPool pool = pools.get(endpoint);
           if (pool != null && pool.address() != null) {
-            endpoints.add(new KnownEndpoint(endpoint, Addresses.text(pool.address()), view));
+            endpoints.add(new StoredEndpoint(endpoint, Addresses.text(pool.address()), view));
           }
         });
   }
 
-  private LearnedState learnedState(Moment now, List<KnownEndpoint> endpoints) {
+  private LearnedState learnedState(Moment now, List<StoredEndpoint> endpoints) {
     return new LearnedState(
         operator.deployment(),
         start.name(),
@@ -696,7 +696,7 @@
         now -> {
           try {
             if (start.hasStoredEndpointList()) {
-              list.applyUpdate(now, EndpointUpdate.of(start.takeStoredEndpointList()), false);
+              list.applyUpdate(now, EndpointUpdate.parse(start.takeStoredEndpointList()), false);
               return;
             }
           } catch (InvalidEndpointListException fault) {
@@ -844,7 +844,7 @@
     if (snapshotWriter != null && core != null) {
       iteration.enqueue(
           now -> {
-            List<KnownEndpoint> endpoints = new ArrayList<>();
+            List<StoredEndpoint> endpoints = new ArrayList<>();
             exportEndpoints(now, 0, Integer.MAX_VALUE / 2, endpoints);
             snapshotWriter.close(learnedState(now, endpoints));
             iteration.addEffect(() -> endOnceClientsLeft(Moment.NEVER));
--- a/router/src/main/java/basaltlever/snapshot/LearnedState.java
+++ b/router/src/main/java/basaltlever/snapshot/LearnedState.java
@@ -25,7 +25,7 @@
     long monotonicMicros,
     String bootId,
     long listVersion,
-    List<KnownEndpoint> endpoints,
+    List<StoredEndpoint> endpoints,
     List<GroupState> groups) {
   /** Returns this state with another sequence number. */
   public LearnedState withSequence(long next) {
--- a/router/src/main/java/basaltlever/snapshot/StateRestore.java
+++ b/router/src/main/java/basaltlever/snapshot/StateRestore.java
@@ -27,20 +27,20 @@
   private final String rejection;
   private final Span age;
   private final long listVersion;
-  private final Map<String, KnownEndpoint> pending = new LinkedHashMap<>();
+  private final Map<String, StoredEndpoint> pending = new LinkedHashMap<>();
   private List<GroupState> pendingGroups;
 
   private StateRestore(
       String rejection,
       Span age,
       long listVersion,
-      List<KnownEndpoint> endpoints,
+      List<StoredEndpoint> endpoints,
       List<GroupState> groups) {
     this.rejection = rejection;
     this.age = age;
     this.listVersion = listVersion;
     this.pendingGroups = groups;
-    endpoints.forEach(known -> pending.put(known.id(), known));
+    endpoints.forEach(endpoint -> pending.put(endpoint.id(), endpoint));
   }
 
   /**
@@ -87,10 +87,11 @@
   }
 
   private static StateRestore aged(LearnedState stored, Span age) {
-    List<KnownEndpoint> endpoints = new ArrayList<>(stored.endpoints().size());
-    for (KnownEndpoint known : stored.endpoints()) {
+    List<StoredEndpoint> endpoints = new ArrayList<>(stored.endpoints().size());
+    for (StoredEndpoint endpoint : stored.endpoints()) {
       endpoints.add(
-          new KnownEndpoint(known.id(), known.address(), StateDecay.decay(known.state(), age)));
+          new StoredEndpoint(
+              endpoint.id(), endpoint.address(), StateDecay.decay(endpoint.state(), age)));
     }
     List<GroupState> groups =
         stored.groups().stream().map(group -> StateDecay.decay(group, age)).toList();
@@ -120,7 +121,7 @@
    * Returns the endpoints that have not been listed yet, in stored order, which is the order of
    * their first polls.
    */
-  public List<KnownEndpoint> pendingEndpoints() {
+  public List<StoredEndpoint> pendingEndpoints() {
     return List.copyOf(pending.values());
   }
 
@@ -129,20 +130,24 @@
    * router did not request itself may be older than the stored state; the stored start and draining
    * take precedence then.
    *
-   * @param version the version of the list
-   * @param live whether the router requested the list itself
+   * @param currentListVersion the version of the list
+   * @param requestedList whether the router requested the list itself
    */
   public EndpointState takeEndpoint(
-      String id, String address, long listedStart, long version, boolean live) {
-    KnownEndpoint known = pending.get(id);
-    boolean olderList = !live && version < listVersion;
-    if (known == null
-        || !known.address().equals(address)
-        || !isSameStart(known.state().listedStartMicros(), listedStart, olderList)) {
+      String id,
+      String address,
+      long listedStartMicros,
+      long currentListVersion,
+      boolean requestedList) {
+    StoredEndpoint endpoint = pending.get(id);
+    boolean olderList = !requestedList && currentListVersion < listVersion;
+    if (endpoint == null
+        || !endpoint.address().equals(address)
+        || !isSameStart(endpoint.state().listedStartMicros(), listedStartMicros, olderList)) {
       return null;
     }
     pending.remove(id);
-    EndpointState state = known.state();
+    EndpointState state = endpoint.state();
     return state.draining() && !olderList ? state.toBuilder().draining(false).build() : state;
   }
 
--- a/router/src/main/java/basaltlever/snapshot/KnownEndpoint.java
+++ b/router/src/main/java/basaltlever/snapshot/StoredEndpoint.java
@@ -7,4 +7,4 @@
  * @param address its address in the endpoint list
  * @param state its learned state
  */
-public record KnownEndpoint(String id, String address, EndpointState state) {}
+public record StoredEndpoint(String id, String address, EndpointState state) {}
--- a/router/src/main/java/basaltlever/storage/SnapshotDecoder.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotDecoder.java
@@ -3,8 +3,8 @@
 import basaltlever.snapshot.EndpointState;
 import basaltlever.snapshot.EndpointStateBuilder;
 import basaltlever.snapshot.GroupState;
-import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.LearnedState;
+import basaltlever.snapshot.StoredEndpoint;
 import basaltlever.time.Span;
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
@@ -19,7 +19,7 @@
   /** Offset of the first byte after all records, where the digest begins. */
   private final int end;
 
-  private final List<KnownEndpoint> endpoints = new ArrayList<>();
+  private final List<StoredEndpoint> endpoints = new ArrayList<>();
   private final List<GroupState> groups = new ArrayList<>();
 
   SnapshotDecoder(byte[] file) {
@@ -102,15 +102,16 @@
         description.text(SnapshotFormat.DEPLOYMENT),
         description.text(SnapshotFormat.ROUTER),
         description.integer(SnapshotFormat.SEQUENCE),
-        description.integer(SnapshotFormat.WRITTEN_AT),
-        description.integer(SnapshotFormat.MONOTONIC),
+        description.integer(SnapshotFormat.WRITTEN_AT_MICROS),
+        description.integer(SnapshotFormat.MONOTONIC_MICROS),
         description.text(SnapshotFormat.BOOT_ID),
         description.integer(SnapshotFormat.LIST_VERSION),
         endpoints,
         groups);
   }
 
-  private static KnownEndpoint decodeEndpoint(RecordFields record) throws InvalidSnapshotException {
+  private static StoredEndpoint decodeEndpoint(RecordFields record)
+      throws InvalidSnapshotException {
     double max = SnapshotFormat.MAX_NUMBER;
     EndpointState state =
         new EndpointStateBuilder()
@@ -131,7 +132,7 @@
             .slowStartSpent(record.number(SnapshotFormat.SLOW_START_SPENT, 0, max, 0))
             .sinceSlowStartSpent(record.spanSince(SnapshotFormat.SINCE_SLOW_START_SPENT))
             .build();
-    return new KnownEndpoint(
+    return new StoredEndpoint(
         record.text(SnapshotFormat.ID), record.text(SnapshotFormat.ADDRESS), state);
   }
 
--- a/router/src/main/java/basaltlever/storage/SnapshotEncoder.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotEncoder.java
@@ -2,8 +2,8 @@
 
 import basaltlever.snapshot.EndpointState;
 import basaltlever.snapshot.GroupState;
-import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.LearnedState;
+import basaltlever.snapshot.StoredEndpoint;
 import basaltlever.time.Span;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
@@ -45,13 +45,13 @@
    * group.
    */
   private static List<byte[]> encodeRecords(LearnedState state) {
-    List<KnownEndpoint> endpoints = new ArrayList<>(state.endpoints());
-    endpoints.sort(Comparator.comparing(known -> known.state().isUnremarkable()));
+    List<StoredEndpoint> endpoints = new ArrayList<>(state.endpoints());
+    endpoints.sort(Comparator.comparing(endpoint -> endpoint.state().isUnremarkable()));
     List<byte[]> records = new ArrayList<>();
-    for (KnownEndpoint known : endpoints) {
-      if (known.id().length() <= SnapshotFormat.MAX_NAME_CHARS
-          && known.address().length() <= SnapshotFormat.MAX_NAME_CHARS) {
-        records.add(encodeRecord(out -> writeEndpoint(out, known)));
+    for (StoredEndpoint endpoint : endpoints) {
+      if (endpoint.id().length() <= SnapshotFormat.MAX_NAME_CHARS
+          && endpoint.address().length() <= SnapshotFormat.MAX_NAME_CHARS) {
+        records.add(encodeRecord(out -> writeEndpoint(out, endpoint)));
       }
     }
     for (GroupState group : state.groups()) {
@@ -105,18 +105,18 @@
     out.writeStringField(SnapshotFormat.DEPLOYMENT, state.deployment());
     out.writeStringField(SnapshotFormat.ROUTER, state.router());
     out.writeNumberField(SnapshotFormat.SEQUENCE, state.sequence());
-    out.writeNumberField(SnapshotFormat.WRITTEN_AT, state.writtenAtMicros());
-    out.writeNumberField(SnapshotFormat.MONOTONIC, state.monotonicMicros());
+    out.writeNumberField(SnapshotFormat.WRITTEN_AT_MICROS, state.writtenAtMicros());
+    out.writeNumberField(SnapshotFormat.MONOTONIC_MICROS, state.monotonicMicros());
     out.writeStringField(SnapshotFormat.BOOT_ID, state.bootId());
     out.writeNumberField(SnapshotFormat.LIST_VERSION, state.listVersion());
     out.writeNumberField(SnapshotFormat.RECORD_COUNT, records);
   }
 
-  private static void writeEndpoint(JsonGenerator out, KnownEndpoint known) throws IOException {
-    EndpointState state = known.state();
+  private static void writeEndpoint(JsonGenerator out, StoredEndpoint endpoint) throws IOException {
+    EndpointState state = endpoint.state();
     out.writeStringField(SnapshotFormat.KIND, SnapshotFormat.KIND_ENDPOINT);
-    out.writeStringField(SnapshotFormat.ID, known.id());
-    out.writeStringField(SnapshotFormat.ADDRESS, known.address());
+    out.writeStringField(SnapshotFormat.ID, endpoint.id());
+    out.writeStringField(SnapshotFormat.ADDRESS, endpoint.address());
     out.writeNumberField(SnapshotFormat.GROUP, state.group());
     out.writeNumberField(SnapshotFormat.LISTED_START, state.listedStartMicros());
     writeFlag(out, SnapshotFormat.DRAINING, state.draining());
--- a/router/src/main/java/basaltlever/storage/SnapshotFormat.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotFormat.java
@@ -35,8 +35,8 @@
 
   static final String ROUTER = "router";
   static final String SEQUENCE = "number";
-  static final String WRITTEN_AT = "written";
-  static final String MONOTONIC = "steady";
+  static final String WRITTEN_AT_MICROS = "written";
+  static final String MONOTONIC_MICROS = "steady";
   static final String BOOT_ID = "boot";
   static final String LIST_VERSION = "listed";
   static final String RECORD_COUNT = "records";
--- a/router/src/main/java/basaltlever/storage/SnapshotStore.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotStore.java
@@ -13,14 +13,14 @@
  */
 public final class SnapshotStore {
   private static final String TEMPORARY_FILE = "view.new";
-  private static final String PREFIX = "view-";
+  private static final String FILE_NAME_PREFIX = "view-";
   private static final int SEQUENCE_DIGITS = 16;
   private static final int HEXADECIMAL = 16;
 
   /**
    * The limit on the first digit prevents an overflow, so that the next sequence number sorts last.
    */
-  private static final String FILE_NAME_PATTERN = PREFIX + "[0-3][0-9a-f]{15}\\.blv";
+  private static final String FILE_NAME_PATTERN = FILE_NAME_PREFIX + "[0-3][0-9a-f]{15}\\.blv";
 
   private static final int RETAINED_SNAPSHOTS = 2;
 
@@ -60,7 +60,7 @@
 
   /** Returns the file name of a snapshot. */
   public static String fileName(long sequence) {
-    return String.format("%s%016x.blv", PREFIX, sequence);
+    return String.format("%s%016x.blv", FILE_NAME_PREFIX, sequence);
   }
 
   /** Returns the file names of all snapshots, newest first. */
@@ -72,8 +72,8 @@
   }
 
   private static long parseSequence(String fileName) {
-    int end = PREFIX.length() + SEQUENCE_DIGITS;
-    return Long.parseLong(fileName.substring(PREFIX.length(), end), HEXADECIMAL);
+    int end = FILE_NAME_PREFIX.length() + SEQUENCE_DIGITS;
+    return Long.parseLong(fileName.substring(FILE_NAME_PREFIX.length(), end), HEXADECIMAL);
   }
 
   /** Reads the newest complete snapshot. */
--- a/router/src/test/java/basaltlever/KeptViews.java
+++ b/router/src/test/java/basaltlever/KeptViews.java
@@ -3,8 +3,8 @@
 import basaltlever.snapshot.EndpointState;
 import basaltlever.snapshot.EndpointStateBuilder;
 import basaltlever.snapshot.GroupState;
-import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.LearnedState;
+import basaltlever.snapshot.StoredEndpoint;
 import basaltlever.time.Span;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,10 +17,11 @@
   /** The number gives all else, so that a mixture of two shows. */
   public static LearnedState view(long number, int nodes) {
     SplittableRandom chance = new SplittableRandom(number);
-    List<KnownEndpoint> known = new ArrayList<>();
+    List<StoredEndpoint> known = new ArrayList<>();
     for (int i = 0; i < nodes; i++) {
       known.add(
-          new KnownEndpoint("n-" + i + "-" + number, "127.0.0.1:" + (1_000 + i), state(i, chance)));
+          new StoredEndpoint(
+              "n-" + i + "-" + number, "127.0.0.1:" + (1_000 + i), state(i, chance)));
     }
     return new LearnedState(
         "fleet",
--- a/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
+++ b/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
@@ -3,8 +3,8 @@
 import static basaltlever.StandIn.check;
 
 import basaltlever.snapshot.EndpointState;
-import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.LearnedState;
+import basaltlever.snapshot.StoredEndpoint;
 import basaltlever.storage.DirectoryOperations;
 import basaltlever.storage.InvalidSnapshotException;
 import basaltlever.storage.SnapshotCodec;
@@ -265,7 +265,7 @@
             && SnapshotCodec.decode(whole).endpoints().containsAll(view.endpoints()),
         "all of it");
     byte[] cut = SnapshotCodec.encode(view, 32 << 10);
-    List<KnownEndpoint> kept = SnapshotCodec.decode(cut).endpoints();
+    List<StoredEndpoint> kept = SnapshotCodec.decode(cut).endpoints();
     check(
         cut.length <= 32 << 10 && kept.size() > 50 && kept.size() < 500, "bounded: " + kept.size());
     check(
--- a/router/src/test/java/basaltlever/SnapshotWriterTest.java
+++ b/router/src/test/java/basaltlever/SnapshotWriterTest.java
@@ -8,9 +8,9 @@
 import basaltlever.SocketWorld.Mode;
 import basaltlever.config.OperatorFile;
 import basaltlever.discovery.EndpointList;
-import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.LearnedState;
 import basaltlever.snapshot.StateRestore;
+import basaltlever.snapshot.StoredEndpoint;
 import basaltlever.storage.LockedDirectory;
 import basaltlever.storage.SnapshotCodec;
 import basaltlever.storage.SnapshotStore;
@@ -200,7 +200,7 @@
     EndpointList list = new EndpointList(core, List.of(), (node, address) -> {});
     list.restoreFrom(restore, node -> {});
     StringBuilder members = new StringBuilder();
-    for (KnownEndpoint known : view.endpoints().subList(0, 20)) {
+    for (StoredEndpoint known : view.endpoints().subList(0, 20)) {
       members
           .append(members.isEmpty() ? "" : ",")
           .append(
@@ -265,7 +265,7 @@
       check(
           reached[0] > 0 && reached[1] == 0,
           "with a view " + reached[1] + ", without one " + reached[0]);
-      List<KnownEndpoint> kept = newest(folder).endpoints();
+      List<StoredEndpoint> kept = newest(folder).endpoints();
       check(
           kept.size() == 3 && SnapshotCodec.encode(newest(folder), 1 << 20).length < 1_500,
           "three nodes, small");
--- a/router/src/test/java/basaltlever/StateRestoreTest.java
+++ b/router/src/test/java/basaltlever/StateRestoreTest.java
@@ -10,10 +10,10 @@
 import basaltlever.gateway.Role;
 import basaltlever.snapshot.EndpointState;
 import basaltlever.snapshot.EndpointStateBuilder;
-import basaltlever.snapshot.KnownEndpoint;
 import basaltlever.snapshot.LearnedState;
 import basaltlever.snapshot.StateDecay;
 import basaltlever.snapshot.StateRestore;
+import basaltlever.snapshot.StoredEndpoint;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.List;
@@ -75,7 +75,7 @@
         50 * HOUR,
         "b1",
         40,
-        List.of(new KnownEndpoint("s-1", "127.0.0.1:7001", node)),
+        List.of(new StoredEndpoint("s-1", "127.0.0.1:7001", node)),
         List.of());
   }
 
--- a/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
+++ b/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
@@ -113,7 +113,7 @@
           "generation, reset flag and entry count of list " + i);
       check(
           update.equals(
-              EndpointUpdate.of(
+              EndpointUpdate.parse(
                   EndpointUpdate.parseObject(
                       list(
                           new SplittableRandom(1),
