--- a/router/src/test/java/basaltlever/AdapterTest.java
+++ b/router/src/test/java/basaltlever/AdapterTest.java
@@ -69,8 +69,8 @@
   private String runExpectingFault() throws IOException {
     try {
       runAdapter();
-    } catch (MalformedFrameException fault) {
-      return fault.getMessage();
+    } catch (MalformedFrameException expected) {
+      return expected.getMessage();
     }
     return "";
   }
@@ -130,9 +130,9 @@
     ByteBuffer out = appendBatch(2_005_000).runAdapter();
     check(out.getInt(4) == 7 && out.get(8) == 2 && out.getShort(13) == 3, "the source comes first");
     check(out.get(15) == 6 && out.getInt(20) == 0x0a000001, "the member is polled");
-    int second = 8 + out.getInt(0) - 0;
+    int secondBatch = 8 + out.getInt(0) - 0;
     check(
-        out.get(second + 8 + 7) == 7 && out.getInt(second + 8 + 12) == 77,
+        out.get(secondBatch + 8 + 7) == 7 && out.getInt(secondBatch + 8 + 12) == 77,
         "then the write is sent");
   }
 
--- a/router/src/test/java/basaltlever/DiscoveryWatchTest.java
+++ b/router/src/test/java/basaltlever/DiscoveryWatchTest.java
@@ -24,18 +24,18 @@
 
   /** Every call is the test's to answer. */
   private static final class ScriptedDiscovery implements AutoCloseable {
-    final ServerSocket server = LoopbackCluster.listen(0);
+    final ServerSocket listener = LoopbackCluster.listen(0);
     final BlockingQueue<Socket> calls = new LinkedBlockingQueue<>();
     final LoopbackCluster world;
 
     ScriptedDiscovery() throws Exception {
       world = new LoopbackCluster(false);
-      Thread accepts =
+      Thread acceptThread =
           new Thread(
               () -> {
                 try {
                   while (true) {
-                    Socket call = server.accept();
+                    Socket call = listener.accept();
                     call.setTcpNoDelay(true);
                     call.getInputStream().read(new byte[4_096]);
                     calls.add(call);
@@ -44,18 +44,18 @@
                   // The test is over.
                 }
               });
-      accepts.setDaemon(true);
-      accepts.start();
+      acceptThread.setDaemon(true);
+      acceptThread.start();
       world.writeStartFile(
           text ->
               text.replaceAll(
                   "\"discovery\":\"[^\"]*\"",
-                  "\"discovery\":\"127.0.0.1:" + server.getLocalPort() + "\""));
+                  "\"discovery\":\"127.0.0.1:" + listener.getLocalPort() + "\""));
     }
 
     /** Starts the router, and answers its first call. */
     Socket startRouter() throws Exception {
-      Thread start =
+      Thread startThread =
           new Thread(
               () -> {
                 try {
@@ -64,10 +64,10 @@
                   throw new IllegalStateException(fault);
                 }
               });
-      start.start();
+      startThread.start();
       Socket call = calls.poll(5, TimeUnit.SECONDS);
       write(call, RESPONSE_HEAD + chunk(listJson(2)));
-      start.join();
+      startThread.join();
       return call;
     }
 
@@ -84,13 +84,13 @@
     }
 
     /** A replica that is told to drain gets nothing more, and would err. */
-    void checkServerIsDrained(int node) throws IOException {
-      world.servers.get(node).responseMode = LoopbackCluster.ResponseMode.ERROR;
+    void checkServerIsDrained(int index) throws IOException {
+      world.servers.get(index).responseMode = LoopbackCluster.ResponseMode.ERROR;
       try (Client client = new Client(world.port)) {
         client.sendStartup().readResponse();
         client.sendQuery("SET x = 1").readResponse();
         for (int i = 0; i < 12; i++) {
-          String id = "d" + node + (char) ('a' + i);
+          String id = "d" + index + (char) ('a' + i);
           client.sendQuery(statement(id, "view", 900)).readResponse();
           check(
               world
@@ -104,7 +104,7 @@
 
     @Override
     public void close() throws IOException {
-      server.close();
+      listener.close();
       for (Socket call : calls) {
         call.close();
       }
@@ -116,8 +116,8 @@
     return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
 
-  private static void write(Socket to, String text) throws IOException {
-    to.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+  private static void write(Socket socket, String text) throws IOException {
+    socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
   }
 
   private static void awaitProcessed(LoopbackCluster world) throws IOException {
@@ -154,10 +154,10 @@
   @Example
   void bytesWithoutCompleteLineDoNotKeepWatchAlive() throws Exception {
     try (ScriptedDiscovery discovery = new ScriptedDiscovery();
-        Socket dribbles = discovery.startRouter()) {
+        Socket first = discovery.startRouter()) {
       Socket second = null;
       for (int i = 0; i < 50 && second == null; i++) {
-        write(dribbles, chunk(" "));
+        write(first, chunk(" "));
         second = discovery.pollCall(100);
       }
       check(second != null, "asked for anew");
@@ -170,9 +170,9 @@
   void unansweredCallIsAbandonedAndRepeated() throws Exception {
     try (ScriptedDiscovery discovery = new ScriptedDiscovery();
         Socket silent = discovery.startRouter();
-        Socket mute = discovery.pollCall(3_900);
+        Socket unanswered = discovery.pollCall(3_900);
         Socket third = discovery.pollCall(2_650)) {
-      check(mute != null && third != null, "asked again");
+      check(unanswered != null && third != null, "asked again");
       discovery.world.servers.get(1).listedLifecycle = "terminating";
       write(third, RESPONSE_HEAD + chunk(discovery.listJson(3)));
       awaitProcessed(discovery.world);
@@ -212,7 +212,7 @@
   @Example
   void routerListensOnceFirstListArrived() throws Exception {
     try (ScriptedDiscovery discovery = new ScriptedDiscovery()) {
-      Thread start =
+      Thread startThread =
           new Thread(
               () -> {
                 try {
@@ -221,14 +221,14 @@
                   throw new IllegalStateException(fault);
                 }
               });
-      start.start();
+      startThread.start();
       try (Socket call = discovery.pollCall(5_000)) {
         Thread.sleep(800);
-        check(start.isAlive(), "it does not serve yet");
+        check(startThread.isAlive(), "it does not serve yet");
         discovery.world.servers.get(1).listedLifecycle = "terminating";
         write(call, RESPONSE_HEAD + chunk(discovery.listJson(2)));
-        start.join(1_000);
-        check(!start.isAlive(), "at once");
+        startThread.join(1_000);
+        check(!startThread.isAlive(), "at once");
         discovery.checkServerIsDrained(1);
       }
     }
@@ -237,16 +237,16 @@
   /** Of three starts the quickest: it waits for the members' first words, and no longer. */
   @Example
   void startupWaitsForOnePollOfEachEndpoint() throws Exception {
-    long least = Long.MAX_VALUE;
+    long shortestMillis = Long.MAX_VALUE;
     for (int i = 0; i < 3; i++) {
       try (ScriptedDiscovery discovery = new ScriptedDiscovery()) {
         // Where polls have a price a router without traffic asks nobody twice, and nothing has
         // changed.
-        String priced =
+        String startFileText =
             Files.readString(discovery.world.startFilePath)
                 .replace("\"Probe\":0.0", "\"Probe\":0.02");
-        Files.writeString(discovery.world.startFilePath, priced);
-        Thread answers =
+        Files.writeString(discovery.world.startFilePath, startFileText);
+        Thread discoveryThread =
             new Thread(
                 () -> {
                   try (Socket call = discovery.pollCall(5_000)) {
@@ -255,25 +255,25 @@
                         RESPONSE_HEAD
                             + chunk("{\"generation\":1,\"reset\":false,\"instances\":[]}\n"));
                     discovery.pollCall(2_500);
-                  } catch (IOException | InterruptedException over) {
+                  } catch (IOException | InterruptedException ended) {
                     // Seen in how long the start took.
                   }
                 });
-        answers.start();
-        long since = System.nanoTime();
+        discoveryThread.start();
+        long startNanos = System.nanoTime();
         discovery.world.router.start(discovery.world.startFilePath, null);
-        least = Math.min(least, (System.nanoTime() - since) / 1_000_000);
+        shortestMillis = Math.min(shortestMillis, (System.nanoTime() - startNanos) / 1_000_000);
       }
     }
-    check(least < 900, least + " ms");
+    check(shortestMillis < 900, shortestMillis + " ms");
   }
 
   @Example
   void routerServesWhenDiscoveryDoesNotRespond() throws Exception {
     try (ScriptedDiscovery discovery = new ScriptedDiscovery()) {
-      long since = System.nanoTime();
+      long startNanos = System.nanoTime();
       discovery.world.router.start(discovery.world.startFilePath, null);
-      check(System.nanoTime() - since < 4_000_000_000L, "by the list of its start file");
+      check(System.nanoTime() - startNanos < 4_000_000_000L, "by the list of its start file");
       try (Client client = new Client(discovery.world.port)) {
         client.sendStartup().readResponse();
         check(
@@ -289,15 +289,15 @@
     LoadBalancerHarness world =
         new LoadBalancerHarness(false, false, false, true, true).listEndpoints(2);
     for (int i = 0; i < 20; i++) {
-      int asked = world.watchRequests;
+      int requestsBefore = world.watchRequests;
       world.balancer.onListRequestFailed(world.now);
-      check(world.watchRequests == asked, "a watch that broke is followed by a pause");
-      while (world.watchRequests == asked) {
+      check(world.watchRequests == requestsBefore, "a watch that broke is followed by a pause");
+      while (world.watchRequests == requestsBefore) {
         world.advance(5);
       }
       world.advance(1_600);
       world.balancer.onListRequestFailed(world.now);
-      check(world.watchRequests == asked + 2, "a call that took 1.6 s to fail by none");
+      check(world.watchRequests == requestsBefore + 2, "a call that took 1.6 s to fail by none");
       world.listEndpoints(2);
     }
   }
@@ -310,15 +310,15 @@
     LoadBalancerHarness world =
         new LoadBalancerHarness(false, false, false, true, true).listEndpoints(2);
     for (int i = 0; i < 200; i++) {
-      int asked = world.watchRequests;
+      int requestsBefore = world.watchRequests;
       world.balancer.onListRequestFailed(world.now);
-      Moment failed = world.now;
-      while (world.watchRequests == asked) {
+      Moment failedAt = world.now;
+      while (world.watchRequests == requestsBefore) {
         world.advance(5);
       }
-      check(!world.now.since(failed).isLongerThan(ms(1_510)), "" + world.now.since(failed));
+      check(!world.now.since(failedAt).isLongerThan(ms(1_510)), "" + world.now.since(failedAt));
       check(
-          i < 9 || !world.now.since(failed).isShorterThan(ms(490)),
+          i < 9 || !world.now.since(failedAt).isShorterThan(ms(490)),
           "nor is it called without pause");
     }
   }
--- a/router/src/test/java/basaltlever/HoldTest.java
+++ b/router/src/test/java/basaltlever/HoldTest.java
@@ -24,7 +24,7 @@
  */
 class HoldTest {
   private static List<Integer> sentStatements(LoadBalancerHarness world) {
-    return world.sentAttempts.stream().map(LoadBalancerHarness.SentAttempt::statement).toList();
+    return world.attempts.stream().map(LoadBalancerHarness.SentAttempt::statement).toList();
   }
 
   @Example
@@ -33,10 +33,10 @@
     int first = world.receiveStatement(WRITE);
     int second = world.receiveStatement(FRESH);
     check(
-        world.polledEndpoints.containsAll(List.of(0, 1, 2)) && world.sentAttempts.isEmpty(),
+        world.polledEndpoints.containsAll(List.of(0, 1, 2)) && world.attempts.isEmpty(),
         "polls all, sends nothing");
     world.completePoll(1, Role.REPLICA, world.now);
-    check(world.sentAttempts.isEmpty(), "a replica releases nothing");
+    check(world.attempts.isEmpty(), "a replica releases nothing");
     world.completePoll(2, Role.PRIMARY, world.now);
     check(
         sentStatements(world).equals(List.of(first, second)) && world.lastAttempt().endpoint() == 2,
@@ -49,7 +49,7 @@
     int first = world.receiveStatement(WRITE);
     world.advance(10).endAttempt(world.lastAttempt(), AttemptOutcome.MISS, Role.REPLICA);
     int second = world.receiveStatement(WRITE);
-    check(world.sentAttempts.size() == 1, "nothing new goes to the old primary");
+    check(world.attempts.size() == 1, "nothing new goes to the old primary");
     world.advance(20).completePoll(1, Role.PRIMARY, world.now);
     check(
         sentStatements(world).equals(List.of(first, first, second))
@@ -64,9 +64,9 @@
     Moment before = world.now;
     world.advance(10).endAttempt(world.lastAttempt(), AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
     world.advance(10).completePoll(0, Role.PRIMARY, before);
-    check(world.sentAttempts.size() == 1, "the report is older than the loss");
+    check(world.attempts.size() == 1, "the report is older than the loss");
     world.advance(50).completePoll(0, Role.PRIMARY, world.now);
-    check(world.sentAttempts.size() == 2, "a newer one proves that it lives");
+    check(world.attempts.size() == 2, "a newer one proves that it lives");
   }
 
   @Example
@@ -75,7 +75,7 @@
     world.receiveStatement(FRESH);
     world.advance(10).endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA);
     world.receiveStatement(WRITE);
-    check(world.sentAttempts.size() == 1, "held");
+    check(world.attempts.size() == 1, "held");
   }
 
   /**
@@ -119,14 +119,14 @@
   @Example
   void holdRejectsUnsentStatementAndAbortsPossiblyExecutedOne() {
     LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
-    int maybe = world.receiveStatement(WRITE);
+    int resetWrite = world.receiveStatement(WRITE);
     world.endAttempt(world.lastAttempt(), AttemptOutcome.RESET, Role.UNKNOWN);
     check(
-        world.abortedStatements.equals(List.of(maybe)),
+        world.abortedStatements.equals(List.of(resetWrite)),
         "aborted at once, since it can't be sent again");
-    int never = world.receiveStatement(WRITE);
+    int heldWrite = world.receiveStatement(WRITE);
     world.advance(1_100);
-    check(world.rejectedStatements.equals(List.of(never)), "rejected before the client leaves");
+    check(world.rejectedStatements.equals(List.of(heldWrite)), "rejected before the client leaves");
   }
 
   /** Found on sockets: a primary that steps down says so to writes long before its reports do. */
@@ -138,9 +138,9 @@
     for (int i = 0; i < 5; i++) {
       world.advance(100).completePoll(0, Role.PRIMARY, world.now);
     }
-    check(world.sentAttempts.size() == 1, "each claim would cost one more execution");
+    check(world.attempts.size() == 1, "each claim would cost one more execution");
     world.advance(600).completePoll(0, Role.PRIMARY, world.now);
-    check(world.sentAttempts.size() == 2, "but not for good");
+    check(world.attempts.size() == 2, "but not for good");
   }
 
   /**
@@ -151,23 +151,23 @@
   void readIsSentToPrimaryWhenReplicasLagOrMissedIt() {
     LoadBalancerHarness world =
         new LoadBalancerHarness(true, true, true, false, true).discoverGroup(1_500);
-    int far = world.receiveStatement(BOUNDED);
+    int read = world.receiveStatement(BOUNDED);
     check(
-        world.lastAttempt().statement() == far && world.lastAttempt().endpoint() == 0,
+        world.lastAttempt().statement() == read && world.lastAttempt().endpoint() == 0,
         "no use in asking a replica");
     world = new LoadBalancerHarness(true, true, true, false, true).discoverGroup(20);
-    int missed = world.receiveStatement(BOUNDED);
-    SentAttempt kept = world.lastAttempt();
+    int missedRead = world.receiveStatement(BOUNDED);
+    SentAttempt replicaAttempt = world.lastAttempt();
     world.balancer.onPollEnded(
         world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, 1, Double.NaN);
-    world.listEndpoint(3 - kept.endpoint(), EndpointLifecycle.DRAINING, Moment.LONG_AGO);
-    world.advance(45).endAttempt(kept, AttemptOutcome.MISS, Role.REPLICA);
+    world.listEndpoint(3 - replicaAttempt.endpoint(), EndpointLifecycle.DRAINING, Moment.LONG_AGO);
+    world.advance(45).endAttempt(replicaAttempt, AttemptOutcome.MISS, Role.REPLICA);
     check(
-        world.sentAttempts.size() == 1 && world.rejectedStatements.isEmpty(),
+        world.attempts.size() == 1 && world.rejectedStatements.isEmpty(),
         "the primary is busy for now");
     world.advance(25).completePoll(0, Role.PRIMARY, world.now);
     check(
-        world.lastAttempt().statement() == missed && world.lastAttempt().endpoint() == 0,
+        world.lastAttempt().statement() == missedRead && world.lastAttempt().endpoint() == 0,
         "its turn after all");
   }
 
@@ -179,14 +179,14 @@
   void waitingReadIsSentWhenAttemptEndsUnderShortSlo() {
     LoadBalancerHarness world =
         new LoadBalancerHarness(false, false, false, false, true, 2, 7, 80).discoverGroup(20);
-    int last = -1;
-    while (last < 0 || sentStatements(world).contains(last)) {
-      last = world.receiveStatement(ANY);
+    int waitingRead = -1;
+    while (waitingRead < 0 || sentStatements(world).contains(waitingRead)) {
+      waitingRead = world.receiveStatement(ANY);
     }
     world.advance(22);
     check(world.rejectedStatements.isEmpty(), "it waits");
-    world.endAttempt(world.sentAttempts.get(0), AttemptOutcome.COMPLETED, Role.UNKNOWN);
-    check(world.lastAttempt().statement() == last, "placed at once");
+    world.endAttempt(world.attempts.get(0), AttemptOutcome.COMPLETED, Role.UNKNOWN);
+    check(world.lastAttempt().statement() == waitingRead, "placed at once");
   }
 
   /** Found on sockets: on a long day members are replaced all the time. */
@@ -212,10 +212,10 @@
     LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     world.receiveStatement(WRITE);
     world.advance(1_000).timeOutAttemptsPastDeadline();
-    int held = world.receiveStatement(WRITE);
+    int heldWrite = world.receiveStatement(WRITE);
     world.advance(100).completePoll(0, Role.PRIMARY, world.now);
     check(
-        world.sentAttempts.size() == 1 && world.lastAttempt().statement() != held,
+        world.attempts.size() == 1 && world.lastAttempt().statement() != heldWrite,
         "silent: its polls are not enough");
     world.advance(5_000).completePoll(0, Role.PRIMARY, world.now);
     int trial = world.receiveStatement(WRITE);
@@ -233,7 +233,7 @@
   void holdLastsHalfOfRemainingTimeUnlessLateAnswerHasHighValue() {
     LoadBalancerHarness world = LoadBalancerHarness.withDefaults().listEndpoints(3);
     world.receiveStatement(WRITE, 9, Moment.LONG_AGO, 2_000);
-    int late = world.receiveStatement(LATE_TOLERANT, 9, Moment.LONG_AGO, 2_000);
+    int lateTolerantWrite = world.receiveStatement(LATE_TOLERANT, 9, Moment.LONG_AGO, 2_000);
     world.advance(900);
     check(world.rejectedStatements.isEmpty(), "held for nearly half of its time");
     world.advance(100);
@@ -241,22 +241,23 @@
         world.rejectedStatements.equals(List.of(0)) && world.lastRetryAfter.equals(Span.NONE),
         "it may try elsewhere");
     world.advance(700).completePoll(0, Role.PRIMARY, world.now);
-    check(sentStatements(world).equals(List.of(late)), "held on for what late is worth");
+    check(
+        sentStatements(world).equals(List.of(lateTolerantWrite)), "held on for what late is worth");
   }
 
   @Example
   void deduplicatedStatementIsRetriedOnlyWithinItsWindow() {
     LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
-    int keyed = world.receiveStatement(DEDUPLICATED, 9, Moment.LONG_AGO, 5_000);
+    int write = world.receiveStatement(DEDUPLICATED, 9, Moment.LONG_AGO, 5_000);
     world.endAttempt(world.lastAttempt(), AttemptOutcome.RESET, Role.UNKNOWN);
     world.advance(100).completePoll(1, Role.PRIMARY, world.now);
     check(
-        world.sentAttempts.size() == 2 && world.lastAttempt().statement() == keyed,
+        world.attempts.size() == 2 && world.lastAttempt().statement() == write,
         "sent to the new primary");
     check(
-        world.lastAttempt().sendBy().equals(world.sentAttempts.get(0).sentAt().plus(ms(600))),
+        world.lastAttempt().sendBy().equals(world.attempts.get(0).sentAt().plus(ms(600))),
         "and not once its window is over, however late a connection stands");
-    check(!world.sentAttempts.get(0).sendBy().isBefore(Moment.NEVER), "the first has no window");
+    check(!world.attempts.get(0).sendBy().isBefore(Moment.NEVER), "the first has no window");
   }
 
   @Example
@@ -270,15 +271,15 @@
     world.advance(5);
     world.receiveStatement(BOUNDED);
     check(world.lastAttempt().endpoint() == 0, "outside of it, and replicas do not check");
-    LoadBalancerHarness checking =
+    LoadBalancerHarness checkingHarness =
         new LoadBalancerHarness(true, false, true, false, true).discoverGroup(20);
     for (int i = 0; i < 20; i++) {
-      checking.completePoll(0, Role.PRIMARY, checking.now);
+      checkingHarness.completePoll(0, Role.PRIMARY, checkingHarness.now);
     }
-    checking.advance(400).completePoll(1, Role.REPLICA, checking.now.minus(ms(500)));
-    checking.completePoll(2, Role.REPLICA, checking.now.minus(ms(450)));
-    checking.receiveStatement(BOUNDED);
-    check(checking.lastAttempt().endpoint() == 2, "the most advanced where replicas check");
+    checkingHarness.advance(400).completePoll(1, Role.REPLICA, checkingHarness.now.minus(ms(500)));
+    checkingHarness.completePoll(2, Role.REPLICA, checkingHarness.now.minus(ms(450)));
+    checkingHarness.receiveStatement(BOUNDED);
+    check(checkingHarness.lastAttempt().endpoint() == 2, "the most advanced where replicas check");
   }
 
   /**
@@ -289,22 +290,28 @@
   void endpointThatOnlyMissesPollsIsStillUsed() {
     LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     world.receiveStatement(ANY);
-    int node = world.lastAttempt().endpoint();
+    int endpoint = world.lastAttempt().endpoint();
     world.advance(300).endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA);
     for (int i = 0; i < 3; i++) {
       world.balancer.onPollEnded(
           world.now,
-          3 - node,
+          3 - endpoint,
           AttemptOutcome.NO_CONNECTION,
           Role.UNKNOWN,
           Moment.LONG_AGO,
           0,
           Double.NaN);
       world.balancer.onPollEnded(
-          world.now, node, AttemptOutcome.TIMED_OUT, Role.UNKNOWN, Moment.LONG_AGO, 0, Double.NaN);
+          world.now,
+          endpoint,
+          AttemptOutcome.TIMED_OUT,
+          Role.UNKNOWN,
+          Moment.LONG_AGO,
+          0,
+          Double.NaN);
     }
     world.receiveStatement(ANY);
-    check(world.lastAttempt().endpoint() == node, "it answered just before");
+    check(world.lastAttempt().endpoint() == endpoint, "it answered just before");
   }
 
   /** Found on kigali-cards: idle connections of 699 routers shut each other out of nodes. */
@@ -313,10 +320,10 @@
     LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     for (int i = 0; i < 2; i++) {
       world.receiveStatement(ANY);
-      int full = world.lastAttempt().endpoint();
+      int refusingEndpoint = world.lastAttempt().endpoint();
       world.advance(5).endAttempt(world.lastAttempt(), AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
       check(world.endpointsWithIdleClosed.isEmpty(), "it may be gone, or the path broke once");
-      world.advance(5).completePoll(full, Role.REPLICA, world.now);
+      world.advance(5).completePoll(refusingEndpoint, Role.REPLICA, world.now);
     }
     world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA);
     check(!world.endpointsWithIdleClosed.isEmpty(), "at its limit");
@@ -336,7 +343,7 @@
       world.receiveStatement(ANY);
       world.advance(5);
       SentAttempt broken =
-          world.sentAttempts.stream().filter(s -> s.statement() == first).findFirst().orElseThrow();
+          world.attempts.stream().filter(s -> s.statement() == first).findFirst().orElseThrow();
       if (i == 30 && world.endedAttempts.add(broken)) {
         world.endAttempt(broken, AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
         world.advance(5).completePoll(broken.endpoint(), Role.UNKNOWN, world.now);
@@ -356,7 +363,7 @@
     world.endAttempt(world.lastAttempt(), AttemptOutcome.ERROR, Role.UNKNOWN);
     world.endAttempt(world.lastAttempt(), AttemptOutcome.ERROR, Role.UNKNOWN);
     check(
-        world.sentAttempts.size() == 2 && world.rejectedStatements.equals(List.of(id)),
+        world.attempts.size() == 2 && world.rejectedStatements.equals(List.of(id)),
         "two executions, one answer");
   }
 
@@ -368,12 +375,12 @@
   void endpointThatLosesResponsesIsAvoidedDespiteSuccessfulPolls() {
     LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     world.receiveStatement(ANY);
-    int lossy = world.lastAttempt().endpoint();
+    int lossyEndpoint = world.lastAttempt().endpoint();
     world.advance(300).endAttempt(world.lastAttempt(), AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
     for (int i = 0; i < 10; i++) {
-      world.advance(300).completePoll(lossy, Role.REPLICA, world.now);
+      world.advance(300).completePoll(lossyEndpoint, Role.REPLICA, world.now);
       world.receiveStatement(ANY);
-      check(world.lastAttempt().endpoint() != lossy, "the other replica serves it");
+      check(world.lastAttempt().endpoint() != lossyEndpoint, "the other replica serves it");
       world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA);
     }
   }
@@ -387,24 +394,24 @@
     LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     long[] admitted = new long[3];
     for (int i = 0; i < 300; i++) {
-      boolean jammed = i >= 100 && i < 200;
+      boolean overloaded = i >= 100 && i < 200;
       world.advance(100);
-      for (int node = 0; node < 3; node++) {
-        Role role = node == 0 ? Role.PRIMARY : Role.REPLICA;
+      for (int endpoint = 0; endpoint < 3; endpoint++) {
+        Role role = endpoint == 0 ? Role.PRIMARY : Role.REPLICA;
         world.balancer.onPollEnded(
             world.now,
-            node,
+            endpoint,
             AttemptOutcome.COMPLETED,
             role,
             world.now,
-            jammed ? 1.1 : 0.5,
+            overloaded ? 1.1 : 0.5,
             Double.NaN);
       }
-      int before = world.sentAttempts.size();
+      int sentBefore = world.attempts.size();
       world.receiveStatement(ANY);
-      admitted[i / 100] += i % 100 > 50 ? world.sentAttempts.size() - before : 0;
-      AttemptOutcome outcome = jammed ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMPLETED;
-      world.endAttempts(s -> !jammed || world.isOlder(s, 290), outcome, Role.REPLICA);
+      admitted[i / 100] += i % 100 > 50 ? world.attempts.size() - sentBefore : 0;
+      AttemptOutcome outcome = overloaded ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMPLETED;
+      world.endAttempts(s -> !overloaded || world.isOlder(s, 290), outcome, Role.REPLICA);
     }
     check(admitted[0] == 49 && admitted[1] < 35 && admitted[2] == 49, Arrays.toString(admitted));
   }
@@ -413,10 +420,10 @@
   void failedWatchIsRequestedAgainWithinShortPause() {
     LoadBalancerHarness world =
         new LoadBalancerHarness(false, false, false, true, true).listEndpoints(2);
-    int asked = world.watchRequests;
+    int requestsBefore = world.watchRequests;
     world.balancer.onListRequestFailed(world.now);
     world.advance(2_500);
-    check(world.watchRequests > asked, "asked again");
+    check(world.watchRequests > requestsBefore, "asked again");
   }
 
   /** Found on ho-karachi: executions timed out for good while all reports told of free cores. */
@@ -428,11 +435,11 @@
       world.receiveStatement(ANY);
       world.endAttempts(s -> world.isOlder(s, 290), AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
     }
-    long out =
-        world.sentAttempts.stream()
+    long inFlight =
+        world.attempts.stream()
             .filter(s -> s.endpoint() != 0 && !world.endedAttempts.contains(s))
             .count();
-    check(out <= 6, "still out: " + out);
+    check(inFlight <= 6, "still out: " + inFlight);
   }
 
   /**
@@ -445,11 +452,9 @@
     world.completePoll(0, Role.PRIMARY, world.now);
     int id = world.receiveStatement(WRITE);
     world.endAttempt(world.lastAttempt(), AttemptOutcome.FULL, Role.UNKNOWN);
-    check(world.sentAttempts.size() == 1, "not sent back at once");
+    check(world.attempts.size() == 1, "not sent back at once");
     world.advance(400);
-    check(
-        world.sentAttempts.size() == 2 && world.lastAttempt().statement() == id,
-        "sent again later");
+    check(world.attempts.size() == 2 && world.lastAttempt().statement() == id, "sent again later");
   }
 
   /** Found on kigali-cards: retries made warm nodes seem strong, and cold ones got too much. */
@@ -464,24 +469,24 @@
         world.listEndpoint(1, EndpointLifecycle.READY, world.now);
       }
     }
-    long cold = world.sentAttempts.stream().skip(200).filter(s -> s.endpoint() == 1).count();
-    check(cold > 2 && cold < 70, "cold node got " + cold);
+    long coldAttempts = world.attempts.stream().skip(200).filter(s -> s.endpoint() == 1).count();
+    check(coldAttempts > 2 && coldAttempts < 70, "cold node got " + coldAttempts);
   }
 
   @Example
   void readOnUnresponsiveEndpointIsHedged() {
     LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     int id = world.receiveStatement(BOUNDED);
-    int stuck = world.lastAttempt().endpoint();
+    int unresponsiveEndpoint = world.lastAttempt().endpoint();
     for (int i = 0; i < 60; i++) {
       world.advance(10);
       world.completePoll(1, Role.REPLICA, world.now);
       world.completePoll(2, Role.REPLICA, world.now);
     }
     check(
-        world.sentAttempts.size() > 1
-            && world.sentAttempts.get(1).statement() == id
-            && world.sentAttempts.get(1).endpoint() != stuck,
+        world.attempts.size() > 1
+            && world.attempts.get(1).statement() == id
+            && world.attempts.get(1).endpoint() != unresponsiveEndpoint,
         "a copy elsewhere");
   }
 
@@ -495,7 +500,7 @@
     int id = world.receiveStatement(WRITE, 9, Moment.LONG_AGO, 500);
     world.advance(440).completePoll(1, Role.PRIMARY, world.now);
     check(
-        world.sentAttempts.isEmpty() && world.rejectedStatements.equals(List.of(id)),
+        world.attempts.isEmpty() && world.rejectedStatements.equals(List.of(id)),
         "rejected, since nothing ran");
   }
 
@@ -505,8 +510,8 @@
     LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     for (int i = 0; i < 120; i++) {
       world.advance(10);
-      for (int node = 0; node < 3; node++) {
-        world.completePoll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
+      for (int endpoint = 0; endpoint < 3; endpoint++) {
+        world.completePoll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
       }
       world.receiveStatement(ANY);
       world.endAttempts(s -> world.isOlder(s, 285), AttemptOutcome.COMPLETED, Role.REPLICA);
@@ -515,10 +520,10 @@
     for (int i = 0; i < 40; i++) {
       world.advance(50).completePoll(i % 3, i % 3 == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
     }
-    int before = world.sentAttempts.size();
+    int sentBefore = world.attempts.size();
     world.receiveStatement(ANY);
     world.completePoll(0, Role.PRIMARY, world.now);
-    check(world.sentAttempts.size() > before, "admitted");
+    check(world.attempts.size() > sentBefore, "admitted");
   }
 
   /**
@@ -534,9 +539,9 @@
     for (int i = 0; i < 8; i++) {
       world.receiveStatement(BOUNDED);
     }
-    long first = world.sentAttempts.stream().filter(s -> s.endpoint() == 1).count();
+    long readsOnFirstReplica = world.attempts.stream().filter(s -> s.endpoint() == 1).count();
     check(
-        first >= 2 && first <= 6 && world.sentAttempts.size() == 8,
+        readsOnFirstReplica >= 2 && readsOnFirstReplica <= 6 && world.attempts.size() == 8,
         "spread, not all on the seemingly newest");
   }
 }
--- a/router/src/test/java/basaltlever/LearnedStateFixtures.java
+++ b/router/src/test/java/basaltlever/LearnedStateFixtures.java
@@ -17,9 +17,9 @@
   /** The number gives all else, so that a mixture of two shows. */
   public static LearnedState createLearnedState(long number, int endpointCount) {
     SplittableRandom random = new SplittableRandom(number);
-    List<StoredEndpoint> known = new ArrayList<>();
+    List<StoredEndpoint> knownEndpoints = new ArrayList<>();
     for (int i = 0; i < endpointCount; i++) {
-      known.add(
+      knownEndpoints.add(
           new StoredEndpoint(
               "n-" + i + "-" + number, "127.0.0.1:" + (1_000 + i), createEndpointState(i, random)));
     }
@@ -31,7 +31,7 @@
         5_000 + number,
         "boot",
         41,
-        known,
+        knownEndpoints,
         List.of(
             new GroupState(0, random.nextDouble(), 0), new GroupState(1, 0, random.nextDouble())));
   }
--- a/router/src/test/java/basaltlever/LoadBalancerHarness.java
+++ b/router/src/test/java/basaltlever/LoadBalancerHarness.java
@@ -86,7 +86,7 @@
   Moment now = new Moment(1_000_000_000L);
   final LoadBalancer balancer;
   final HoldBudget holdBudget = new HoldBudget(10_000, 1 << 20);
-  final List<PlannedSwitchover.Phase> switchoverPhases = new ArrayList<>();
+  final List<PlannedSwitchover.Phase> phases = new ArrayList<>();
   int preparedConnections;
   final Settings settings;
   private final Span slo;
@@ -94,7 +94,7 @@
   final Replication replication;
   final AttemptLimits attemptLimits;
   final SlowStartPolicy slowStart = new SlowStartPolicy(0.2, ms(10_000), 2, ms(1_000));
-  final List<SentAttempt> sentAttempts = new ArrayList<>();
+  final List<SentAttempt> attempts = new ArrayList<>();
   final List<Integer> polledEndpoints = new ArrayList<>();
   final List<Integer> endpointsWithIdleClosed = new ArrayList<>();
   final List<Integer> removedEndpoints = new ArrayList<>();
@@ -356,14 +356,14 @@
   }
 
   /** A client leaves early; the statement is an unanswered one where there is any. */
-  int disconnectRandomClient(SplittableRandom random) {
-    int id = statements.isEmpty() ? receiveStatement(ANY) : random.nextInt(statements.size());
+  int disconnectRandomClient(SplittableRandom source) {
+    int id = statements.isEmpty() ? receiveStatement(ANY) : source.nextInt(statements.size());
     statements.get(id).answered = true;
     return id;
   }
 
   SentAttempt lastAttempt() {
-    return sentAttempts.get(sentAttempts.size() - 1);
+    return attempts.get(attempts.size() - 1);
   }
 
   void endAttempt(SentAttempt attempt, AttemptOutcome outcome, Role role) {
@@ -391,7 +391,7 @@
 
   /** Ends, once each, those executions that the test picks. */
   void endAttempts(Predicate<SentAttempt> selected, AttemptOutcome outcome, Role role) {
-    sentAttempts.stream()
+    attempts.stream()
         .filter(selected)
         .filter(endedAttempts::add)
         .toList()
@@ -412,9 +412,9 @@
 
   // ---- What the router does, with the rules checked.
 
-  public static void check(boolean holds, String rule) {
-    if (!holds) {
-      throw new AssertionError(rule);
+  public static void check(boolean condition, String message) {
+    if (!condition) {
+      throw new AssertionError(message);
     }
   }
 
@@ -443,7 +443,7 @@
     SentAttempt attempt =
         new SentAttempt(statement, sentStatement.attempts++, endpoint, timeout, now, sendBy);
     sentStatement.inFlight++;
-    sentAttempts.add(attempt);
+    attempts.add(attempt);
     if (random != null) {
       simulateAttempt(attempt, endpoints.get(endpoint), sentStatement);
     }
@@ -516,9 +516,9 @@
       return;
     }
     SimulatedEndpoint polledEndpoint = endpoints.get(endpoint);
-    Moment reported = now.minus(ms(random.nextInt(150)));
+    Moment reportedAt = now.minus(ms(random.nextInt(150)));
     boolean primary = polledEndpoint.primary;
-    Moment position = actualPosition(polledEndpoint).earlier(reported);
+    Moment position = actualPosition(polledEndpoint).earlier(reportedAt);
     schedule(
         random.nextInt(1, 10),
         () -> {
@@ -586,7 +586,7 @@
 
   @Override
   public void onSwitchoverPhaseChanged(int group, PlannedSwitchover.Phase phase, int target) {
-    switchoverPhases.add(phase);
+    phases.add(phase);
   }
 
   // ---- Nodes that answer by themselves.
@@ -625,8 +625,8 @@
     return endpoint.primary && endpoint.alive ? now : endpoint.position;
   }
 
-  private void schedule(double millis, Runnable action) {
-    scheduledActions.add(new ScheduledAction(now.plus(ms(millis)), nextSequence++, action));
+  private void schedule(double delayMillis, Runnable action) {
+    scheduledActions.add(new ScheduledAction(now.plus(ms(delayMillis)), nextSequence++, action));
   }
 
   private void simulateAttempt(
@@ -652,14 +652,16 @@
       durationMillis = remainingMillis;
       outcome = AttemptOutcome.TIMED_OUT;
     }
-    AttemptOutcome planned = outcome;
+    AttemptOutcome plannedOutcome = outcome;
     schedule(
         durationMillis,
         () -> {
           // A write that its node still holds when it loses the role ends in an error.
           boolean roleLost =
-              write && planned == AttemptOutcome.COMPLETED && !(endpoint.primary && endpoint.alive);
-          AttemptOutcome actualOutcome = roleLost ? AttemptOutcome.ERROR : planned;
+              write
+                  && plannedOutcome == AttemptOutcome.COMPLETED
+                  && !(endpoint.primary && endpoint.alive);
+          AttemptOutcome actualOutcome = roleLost ? AttemptOutcome.ERROR : plannedOutcome;
           boolean responds =
               actualOutcome == AttemptOutcome.COMPLETED
                   || actualOutcome == AttemptOutcome.MISS
--- a/router/src/test/java/basaltlever/RulesTest.java
+++ b/router/src/test/java/basaltlever/RulesTest.java
@@ -156,7 +156,7 @@
         if ((step + i) % statementInterval == 0) {
           world.receiveStatement(LoadBalancerHarness.ANY);
         }
-        if (!world.sentAttempts.isEmpty() && world.endedAttempts.add(world.lastAttempt())) {
+        if (!world.attempts.isEmpty() && world.endedAttempts.add(world.lastAttempt())) {
           warmSends += step >= 80 && step < 120 && world.lastAttempt().endpoint() == 2 ? 1 : 0;
           coldSends[Math.max(0, step - 120)] +=
               step >= 120 && world.lastAttempt().endpoint() == 1 ? 1 : 0;
@@ -239,7 +239,7 @@
         if ((step + i) % statementInterval == 0) {
           world.receiveStatement(LoadBalancerHarness.ANY);
         }
-        if (!world.sentAttempts.isEmpty() && world.endedAttempts.add(world.lastAttempt())) {
+        if (!world.attempts.isEmpty() && world.endedAttempts.add(world.lastAttempt())) {
           warmSends += step >= 40 && step < 80 && world.lastAttempt().endpoint() == 2 ? 1 : 0;
           coldSends[Math.max(0, step - 120)] +=
               step >= 120 && world.lastAttempt().endpoint() == 1 ? 1 : 0;
@@ -291,10 +291,10 @@
                 implausible[random.nextInt(implausible.length)],
                 Double.NaN);
         case 2 -> {
-          if (!world.sentAttempts.isEmpty()) {
-            int stepsBack = Math.min(world.sentAttempts.size(), 1 + random.nextInt(4));
+          if (!world.attempts.isEmpty()) {
+            int stepsBack = Math.min(world.attempts.size(), 1 + random.nextInt(4));
             LoadBalancerHarness.SentAttempt earlier =
-                world.sentAttempts.get(world.sentAttempts.size() - stepsBack);
+                world.attempts.get(world.attempts.size() - stepsBack);
             // Some of these ended before: a second outcome must be passed over.
             LoadBalancerHarness.check(
                 earlier.attempt() < world.statements.get(earlier.statement()).attempts, "unknown");
--- a/router/src/test/java/basaltlever/SingleAttemptTest.java
+++ b/router/src/test/java/basaltlever/SingleAttemptTest.java
@@ -26,17 +26,18 @@
  */
 @SuppressWarnings("ReferenceEquality") // Asks for the very same execution.
 class SingleAttemptTest {
-  private static LoadBalancerHarness createHarness(int nodes) {
-    LoadBalancerHarness world = LoadBalancerHarness.withSingleAttempts().listEndpoints(nodes);
-    for (int node = 0; node < nodes; node++) {
-      world.completePoll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
+  private static LoadBalancerHarness createHarness(int endpointCount) {
+    LoadBalancerHarness world =
+        LoadBalancerHarness.withSingleAttempts().listEndpoints(endpointCount);
+    for (int endpoint = 0; endpoint < endpointCount; endpoint++) {
+      world.completePoll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
     }
     return world;
   }
 
   private static void completeStatements(
-      LoadBalancerHarness world, int workload, int times, double millis) {
-    for (int i = 0; i < times; i++) {
+      LoadBalancerHarness world, int workload, int count, double millis) {
+    for (int i = 0; i < count; i++) {
       world.receiveStatement(workload);
       world
           .advance(millis)
@@ -95,43 +96,42 @@
   void failedTrialsBecomeLessFrequent() {
     LoadBalancerHarness world = createHarness(2);
     completeStatements(world, ANY, 80, 10);
-    int tried = 0;
+    int trials = 0;
     for (int i = 0; i < 400; i++) {
-      int before = world.sentAttempts.size();
+      int sentBefore = world.attempts.size();
       world.receiveStatement(ANY);
-      tried += world.sentAttempts.size() > before && world.lastAttempt().endpoint() == 1 ? 1 : 0;
+      trials += world.attempts.size() > sentBefore && world.lastAttempt().endpoint() == 1 ? 1 : 0;
       world.advance(25).endAttempts(s -> s.endpoint() == 0, AttemptOutcome.COMPLETED, Role.PRIMARY);
       world.endAttempts(
           s -> s.endpoint() == 1 && world.isOlder(s, 100), AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
       world.completePoll(1, Role.REPLICA, world.now);
     }
-    check(tried >= 3 && tried <= 14, "in 10 s it was tried " + tried + " times");
+    check(trials >= 3 && trials <= 14, "in 10 s it was tried " + trials + " times");
   }
 
   /** A list with nodes that are none of ours: each read sent there was lost. */
   @Example
   void endpointThatNeverRespondedReceivesNoStatements() {
     LoadBalancerHarness world = createHarness(2);
-    for (int node = 2; node < 8; node++) {
-      world.listEndpoint(node, EndpointLifecycle.READY, Moment.LONG_AGO);
+    for (int endpoint = 2; endpoint < 8; endpoint++) {
+      world.listEndpoint(endpoint, EndpointLifecycle.READY, Moment.LONG_AGO);
     }
     completeStatements(world, ANY, 40, 10);
     check(
-        world.sentAttempts.stream().allMatch(sent -> sent.endpoint() < 2),
-        "no ghost is sent anything");
+        world.attempts.stream().allMatch(sent -> sent.endpoint() < 2), "no ghost is sent anything");
     world.completePoll(5, Role.REPLICA, world.now);
     completeStatements(world, ANY, 40, 10);
     check(
-        world.sentAttempts.stream().anyMatch(sent -> sent.endpoint() == 5),
+        world.attempts.stream().anyMatch(sent -> sent.endpoint() == 5),
         "one that answered a poll is");
   }
 
   @Example
   void endpointGoneWithoutDrainIsUsedAndDrainedOneIsNot() {
     LoadBalancerHarness world = createHarness(3);
-    for (int node = 0; node < 3; node++) {
-      world.listEndpoint(node, EndpointLifecycle.GONE, Moment.LONG_AGO);
-      world.completePoll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
+    for (int endpoint = 0; endpoint < 3; endpoint++) {
+      world.listEndpoint(endpoint, EndpointLifecycle.GONE, Moment.LONG_AGO);
+      world.completePoll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
     }
     world.polledEndpoints.clear();
     for (int i = 0; i < 12; i++) {
@@ -142,42 +142,44 @@
         "as before: " + world.polledEndpoints);
     world.listEndpoint(0, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
     world.listEndpoint(0, EndpointLifecycle.GONE, Moment.LONG_AGO);
-    int sent = world.sentAttempts.size();
+    int sentBefore = world.attempts.size();
     world.completePoll(0, Role.PRIMARY, world.now);
     world.receiveStatement(WRITE);
     world.advance(300);
-    check(world.sentAttempts.size() == sent, "left out after its drain, it stays bound");
+    check(world.attempts.size() == sentBefore, "left out after its drain, it stays bound");
   }
 
   /** Spread by busyness, reports kept every replica from applying the log. */
   @Example
   void longRunningReadsUseOneReplicaThatOtherReadsAvoid() {
     LoadBalancerHarness world = createHarness(4);
-    Set<Integer> bearers = new HashSet<>();
-    Set<Integer> others = new HashSet<>();
+    Set<Integer> longRunningEndpoints = new HashSet<>();
+    Set<Integer> otherEndpoints = new HashSet<>();
     for (int i = 0; i < 60; i++) {
       world.receiveStatement(LONG_RUNNING, 0, Moment.LONG_AGO, 12_000);
       SentAttempt report = world.lastAttempt();
-      bearers.add(report.endpoint());
+      longRunningEndpoints.add(report.endpoint());
       world.receiveStatement(BOUNDED);
-      others.add(world.lastAttempt().endpoint());
+      otherEndpoints.add(world.lastAttempt().endpoint());
       world
           .advance(10)
           .endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
       world.advance(190).endAttempt(report, AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
-      for (int node = 0; node < 4; node++) {
-        world.completePoll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
+      for (int endpoint = 0; endpoint < 4; endpoint++) {
+        world.completePoll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
       }
     }
-    check(bearers.size() == 1 && !bearers.contains(0), "one bears all: " + bearers);
-    others.retainAll(bearers);
-    check(others.isEmpty(), "no other read meets them");
+    check(
+        longRunningEndpoints.size() == 1 && !longRunningEndpoints.contains(0),
+        "one bears all: " + longRunningEndpoints);
+    otherEndpoints.retainAll(longRunningEndpoints);
+    check(otherEndpoints.isEmpty(), "no other read meets them");
   }
 
   @Example
   void primaryWithQueuedStatementsReceivesNoReads() {
     LoadBalancerHarness world = createHarness(2);
-    for (double queue : new double[] {0, 3}) {
+    for (double queued : new double[] {0, 3}) {
       world.balancer.onPollEnded(
           world.now,
           1,
@@ -190,20 +192,20 @@
           .advance(600)
           .balancer
           .onPollEnded(
-              world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queue);
-      int before = world.sentAttempts.size();
+              world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queued);
+      int sentBefore = world.attempts.size();
       world.receiveStatement(ANY);
       world.balancer.onPollEnded(
-          world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queue);
+          world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queued);
       world.listEndpoint(1, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
       world.receiveStatement(ANY);
       world.balancer.onPollEnded(
-          world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queue);
+          world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queued);
       world.advance(25);
-      boolean primary =
-          world.sentAttempts.subList(before, world.sentAttempts.size()).stream()
+      boolean primaryUsed =
+          world.attempts.subList(sentBefore, world.attempts.size()).stream()
               .anyMatch(s -> s.endpoint() == 0);
-      check(primary == (queue == 0), "with " + queue + " waiting");
+      check(primaryUsed == (queued == 0), "with " + queued + " waiting");
       world.listEndpoint(1, EndpointLifecycle.READY, Moment.LONG_AGO);
       world.endAttempts(s -> true, AttemptOutcome.COMPLETED, Role.PRIMARY);
     }
@@ -237,11 +239,10 @@
     int read = world.receiveStatement(ANY);
     SentAttempt first = world.lastAttempt();
     world.advance(400);
-    check(
-        world.sentAttempts.stream().filter(s -> s.statement() == read).count() >= 2,
-        "a copy is out");
-    AttemptLimits one = new AttemptLimits(2, false, true, true, ms(1_000), ANSWER_SLACK);
-    world.balancer.applySettings(world.now, world.settingsWith(one, false));
+    check(world.attempts.stream().filter(s -> s.statement() == read).count() >= 2, "a copy is out");
+    AttemptLimits singleAttemptLimits =
+        new AttemptLimits(2, false, true, true, ms(1_000), ANSWER_SLACK);
+    world.balancer.applySettings(world.now, world.settingsWith(singleAttemptLimits, false));
     check(
         world.cancelledAttempts.stream()
             .anyMatch(s -> s.statement() == read && s.attempt() > first.attempt()),
@@ -253,10 +254,10 @@
     world.balancer.applySettings(world.now, world.settingsWith(world.attemptLimits, true));
     world.listEndpoint(1, EndpointLifecycle.GONE, Moment.LONG_AGO);
     world.listEndpoint(2, EndpointLifecycle.GONE, Moment.LONG_AGO);
-    int before = world.sentAttempts.size();
+    int sentBefore = world.attempts.size();
     completeStatements(world, ANY, 10, 10);
     check(
-        world.sentAttempts.subList(before, world.sentAttempts.size()).stream()
+        world.attempts.subList(sentBefore, world.attempts.size()).stream()
             .allMatch(s -> s.endpoint() == 0),
         "on the way back removals bind again");
   }
--- a/router/src/test/java/basaltlever/StalledRouterTest.java
+++ b/router/src/test/java/basaltlever/StalledRouterTest.java
@@ -12,11 +12,11 @@
 class StalledRouterTest {
   /** Takes reads until one finds no capacity, and returns that one. */
   private static int receiveReadsUntilOneWaits(LoadBalancerHarness world) {
-    int last = world.receiveStatement(ANY);
-    while (world.lastAttempt().statement() == last) {
-      last = world.receiveStatement(ANY);
+    int read = world.receiveStatement(ANY);
+    while (world.lastAttempt().statement() == read) {
+      read = world.receiveStatement(ANY);
     }
-    return last;
+    return read;
   }
 
   /**
@@ -26,21 +26,22 @@
   @Example
   void stallOfRouterDoesNotCountAsWaitForCapacity() {
     LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
-    int waits = receiveReadsUntilOneWaits(world);
+    int waitingRead = receiveReadsUntilOneWaits(world);
     world.now = world.now.plus(ms(100));
     world.balancer.onTimerFired(world.now);
-    check(!world.rejectedStatements.contains(waits), "it goes on waiting");
-    world.endAttempt(world.sentAttempts.get(0), AttemptOutcome.COMPLETED, Role.UNKNOWN);
-    check(world.lastAttempt().statement() == waits, "and gets the capacity that is there now");
+    check(!world.rejectedStatements.contains(waitingRead), "it goes on waiting");
+    world.endAttempt(world.attempts.get(0), AttemptOutcome.COMPLETED, Role.UNKNOWN);
+    check(
+        world.lastAttempt().statement() == waitingRead, "and gets the capacity that is there now");
   }
 
   /** The wait itself is no longer than before. */
   @Example
   void readWithoutCapacityIsRejectedWhenRouterRunsOnTime() {
     LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
-    int waits = receiveReadsUntilOneWaits(world);
+    int waitingRead = receiveReadsUntilOneWaits(world);
     world.advance(60);
-    check(world.rejectedStatements.contains(waits), "rejected, with time to try elsewhere");
+    check(world.rejectedStatements.contains(waitingRead), "rejected, with time to try elsewhere");
   }
 
   /**
@@ -52,10 +53,8 @@
     LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     int read = world.receiveStatement(ANY);
     world.advance(100);
-    world.endAttempt(world.sentAttempts.get(0), AttemptOutcome.NEVER_SENT, Role.UNKNOWN);
+    world.endAttempt(world.attempts.get(0), AttemptOutcome.NEVER_SENT, Role.UNKNOWN);
     check(world.rejectedStatements.isEmpty(), "not rejected");
-    check(
-        world.sentAttempts.size() == 2 && world.lastAttempt().statement() == read,
-        "sent once more");
+    check(world.attempts.size() == 2 && world.lastAttempt().statement() == read, "sent once more");
   }
 }
--- a/router/src/test/java/basaltlever/TerminationTest.java
+++ b/router/src/test/java/basaltlever/TerminationTest.java
@@ -26,8 +26,8 @@
   /** How long a connection may take, with some slack for the threads of this test. */
   private static final long CONNECT_TIMEOUT_WITH_SLACK_MILLIS = 250 + 80;
 
-  private static boolean isRejection(String answer) {
-    return answer.startsWith("error:53300");
+  private static boolean isRejection(String response) {
+    return response.startsWith("error:53300");
   }
 
   /** The router's loop has looked at all that was sent to it before. */
@@ -40,12 +40,12 @@
     }
   }
 
-  private static void awaitCondition(java.util.function.BooleanSupplier what)
+  private static void awaitCondition(java.util.function.BooleanSupplier condition)
       throws InterruptedException {
-    for (int i = 0; i < 400 && !what.getAsBoolean(); i++) {
+    for (int i = 0; i < 400 && !condition.getAsBoolean(); i++) {
       Thread.sleep(5);
     }
-    check(what.getAsBoolean(), "it never came to it");
+    check(condition.getAsBoolean(), "it never came to it");
   }
 
   @Example
@@ -57,15 +57,15 @@
       awaitCondition(() -> world.modesByStatement.containsKey("a1"));
       awaitProcessed(world);
       // A message that is too long, and far more of it than is read at once.
-      byte[] much = new byte[400_000];
-      much[0] = 'Q';
-      much[1] = 0x7f;
-      client.sendBytes(much);
+      byte[] oversizedMessage = new byte[400_000];
+      oversizedMessage[0] = 'Q';
+      oversizedMessage[1] = 0x7f;
+      client.sendBytes(oversizedMessage);
       check(client.readResponse().equals("row:a1"), "the answer before it");
       check(client.readResponse().equals("error:54000:closed"), "and the end");
       for (int i = 0; i < 3; i++) {
         // Written to a connection that was reset, the first of these fails or the next one does.
-        client.sendBytes(much);
+        client.sendBytes(oversizedMessage);
         awaitProcessed(world);
       }
     }
@@ -81,28 +81,30 @@
         // So that silence is told from what is usual.
         client.sendQuery(statement("warm" + i, "view", 900)).readResponse();
       }
-      world.servers.forEach(node -> node.statementTimes.clear());
-      for (LoopbackCluster.DatabaseServer node : world.servers) {
-        node.responseMode = node.primary ? ResponseMode.ROW : ResponseMode.NO_RESPONSE;
+      world.servers.forEach(server -> server.statementTimes.clear());
+      for (LoopbackCluster.DatabaseServer server : world.servers) {
+        server.responseMode = server.primary ? ResponseMode.ROW : ResponseMode.NO_RESPONSE;
       }
-      int before = world.receivedQueries.size();
-      long start = System.nanoTime();
+      int queriesBefore = world.receivedQueries.size();
+      long startNanos = System.nanoTime();
       client.sendQuery(statement("dl", "view", 1_500)).readResponse();
       List<Long> arrivals = new ArrayList<>();
-      world.servers.forEach(node -> arrivals.addAll(node.statementTimes));
+      world.servers.forEach(server -> arrivals.addAll(server.statementTimes));
       Collections.sort(arrivals);
       List<String> queries =
-          List.copyOf(world.receivedQueries).subList(before, world.receivedQueries.size());
+          List.copyOf(world.receivedQueries).subList(queriesBefore, world.receivedQueries.size());
       check(queries.size() > 1 && arrivals.size() == queries.size(), "more than one: " + queries);
       for (int i = 0; i < queries.size(); i++) {
-        long told = Long.parseLong(queries.get(i).replaceAll("(?s).*,d=(\\d+),.*", "$1"));
-        long passed = (arrivals.get(i) - start) / 1_000_000;
+        long remainingMillis =
+            Long.parseLong(queries.get(i).replaceAll("(?s).*,d=(\\d+),.*", "$1"));
+        long elapsedMillis = (arrivals.get(i) - startNanos) / 1_000_000;
         check(
-            told <= 1_500 - passed + 20,
-            "execution " + i + " was told " + told + " after " + passed + " ms");
+            remainingMillis <= 1_500 - elapsedMillis + 20,
+            "execution " + i + " was told " + remainingMillis + " after " + elapsedMillis + " ms");
       }
       check(
-          (arrivals.get(arrivals.size() - 1) - start) / 1_000_000 > 50, "the last one came later");
+          (arrivals.get(arrivals.size() - 1) - startNanos) / 1_000_000 > 50,
+          "the last one came later");
     }
   }
 
@@ -133,7 +135,7 @@
           world.servers.get(0).kill();
           Thread.sleep(150);
           client.sendQuery(statement("c1", "post", 2_000));
-          for (int sent = 0; sent < size; sent += 20_000) {
+          for (int sentBytes = 0; sentBytes < size; sentBytes += 20_000) {
             client.sendQuery(statement("c2", "post", 2_000) + " /* " + "z".repeat(20_000) + " */");
           }
         }
@@ -165,7 +167,7 @@
       world.servers.get(0).kill();
       Thread.sleep(150);
       client.sendQuery(statement("d1", "post", 1_000));
-      Thread sends =
+      Thread sender =
           new Thread(
               () -> {
                 try {
@@ -176,11 +178,11 @@
                             + "z".repeat(100_000)
                             + " */");
                   }
-                } catch (IOException end) {
+                } catch (IOException closed) {
                   // Nobody reads on for ever.
                 }
               });
-      sends.start();
+      sender.start();
       check(isRejection(client.readResponse()), "the one in hand");
       int rows = 0;
       String answer = client.readResponse();
@@ -191,7 +193,7 @@
       check(
           rows >= 8 && rows < 20 && world.modesByStatement.size() == rows + 1,
           "no more than was answered: " + rows);
-      sends.join();
+      sender.join();
     }
   }
 
@@ -235,29 +237,29 @@
         world.router.start(world.startFilePath, null);
         try (Client client = new Client(world.port)) {
           client.sendStartup().readResponse();
-          CountDownLatch welcomes = new CountDownLatch(1);
-          int before = 0;
-          for (LoopbackCluster.DatabaseServer node : world.servers) {
-            before += node.startupCount.get();
-            node.startupGate = welcomes;
-            for (Socket socket : new ArrayList<>(node.openSockets)) {
+          CountDownLatch startupGate = new CountDownLatch(1);
+          int startupSum = 0;
+          for (LoopbackCluster.DatabaseServer server : world.servers) {
+            startupSum += server.startupCount.get();
+            server.startupGate = startupGate;
+            for (Socket socket : new ArrayList<>(server.openSockets)) {
               socket.close();
             }
           }
           awaitProcessed(world);
           client.sendQuery(statement("g1", "view", 900));
-          int connects = before;
+          int startupsBefore = startupSum;
           awaitCondition(
               () ->
-                  world.servers.stream().mapToInt(node -> node.startupCount.get()).sum()
-                      > connects);
+                  world.servers.stream().mapToInt(server -> server.startupCount.get()).sum()
+                      > startupsBefore);
           client.close();
           awaitProcessed(world);
-          welcomes.countDown();
+          startupGate.countDown();
           Thread.sleep(120);
           check(!world.modesByStatement.containsKey("g1"), "cancel " + cancel);
         } finally {
-          world.servers.forEach(node -> node.startupGate = null);
+          world.servers.forEach(server -> server.startupGate = null);
         }
       }
     }
@@ -287,12 +289,12 @@
     try (LoopbackCluster world = new LoopbackCluster();
         Client client = new Client(world.port)) {
       client.sendStartup().readResponse();
-      world.servers.forEach(node -> node.responseMode = ResponseMode.NO_RESPONSE);
+      world.servers.forEach(server -> server.responseMode = ResponseMode.NO_RESPONSE);
       for (int i = 0; i < 5; i++) {
         client.sendQuery(statement("i" + i, "post", 60_000));
       }
       awaitProcessed(world);
-      long since = System.nanoTime();
+      long startNanos = System.nanoTime();
       world.router.drain();
       for (int i = 0; i < 5; i++) {
         String answer = client.readResponse();
@@ -300,7 +302,7 @@
             i == 0 ? answer.startsWith("error:") && !isRejection(answer) : isRejection(answer),
             i + ": " + answer);
       }
-      check(System.nanoTime() - since < 2_700_000_000L, "before it may be killed");
+      check(System.nanoTime() - startNanos < 2_700_000_000L, "before it may be killed");
       check(client.readResponse().equals("closed"), "by no reset");
       world.router.drain();
       world.router.awaitStop();
@@ -314,50 +316,50 @@
   @Example
   void routerThatFailedToBindStopsImmediatelyOnDrain() throws Exception {
     try (LoopbackCluster world = new LoopbackCluster(false);
-        ServerSocket taken = LoopbackCluster.listen(world.port)) {
+        ServerSocket boundListener = LoopbackCluster.listen(world.port)) {
       try {
         world.router.start(world.startFilePath, null);
         check(false, "its address is taken");
       } catch (InvalidSettingsException fault) {
         check(fault.getMessage().contains("can't be bound"), fault.getMessage());
       }
-      Thread ends =
+      Thread stopThread =
           new Thread(
               () -> {
                 world.router.drain();
                 try {
                   world.router.awaitStop();
-                } catch (InterruptedException given) {
+                } catch (InterruptedException interrupted) {
                   Thread.currentThread().interrupt();
                 }
               });
-      ends.setDaemon(true);
-      ends.start();
-      ends.join(2_000);
-      check(!ends.isAlive(), "nothing is owed to anybody");
-      check(!taken.isClosed(), "and the address was taken all the while");
+      stopThread.setDaemon(true);
+      stopThread.start();
+      stopThread.join(2_000);
+      check(!stopThread.isAlive(), "nothing is owed to anybody");
+      check(!boundListener.isClosed(), "and the address was taken all the while");
     }
   }
 
-  private static void reloadWorkloads(LoopbackCluster world, String classes, String needs)
+  private static void reloadWorkloads(LoopbackCluster world, String classes, String consistencies)
       throws Exception {
     world.writeStartFile(
         text ->
             text.replaceAll("(?s)\"Classes\":.*?\\}\\]", "\"Classes\":[" + classes + "]")
-                .replace("[\"bounded\",\"write\"]", needs)
+                .replace("[\"bounded\",\"write\"]", consistencies)
                 .replace("[500000,0]", "[500000,500000]"));
     world.router.reload();
     awaitProcessed(world);
   }
 
-  private static String workloadJson(String name, String repeat, double late) {
+  private static String workloadJson(String name, String repeat, double lateWorth) {
     return "{\"Name\":\""
         + name
         + "\",\"Repeat\":\""
         + repeat
         + "\",\"Slo\":400000,\"HardLimit\":2000000,"
         + "\"Worth\":1.0,\"LateWorth\":"
-        + late
+        + lateWorth
         + "}";
   }
 
@@ -365,12 +367,12 @@
   @Example
   void openStatementKeepsItsWorkloadAfterSettingsReplaceWorkloads() throws Exception {
     try (LoopbackCluster world = new LoopbackCluster();
-        Client out = new Client(world.port);
+        Client writer = new Client(world.port);
         Client other = new Client(world.port)) {
-      out.sendStartup().readResponse();
+      writer.sendStartup().readResponse();
       other.sendStartup().readResponse();
       world.servers.get(0).responseMode = ResponseMode.NO_RESPONSE;
-      out.sendQuery(statement("j1", "post", 1_200));
+      writer.sendQuery(statement("j1", "post", 1_200));
       awaitCondition(() -> world.modesByStatement.containsKey("j1"));
       reloadWorkloads(
           world,
@@ -382,7 +384,7 @@
       check(
           other.sendQuery(statement("j3", "post", 900)).readResponse().equals("row:j3"),
           "a read by now");
-      String answer = out.readResponse();
+      String answer = writer.readResponse();
       check(
           answer.startsWith("error:58000"),
           "a write when it was taken, and it may have run: " + answer);
@@ -393,19 +395,20 @@
   @Example
   void heldStatementOfRemovedWorkloadIsReleased() throws Exception {
     try (LoopbackCluster world = new LoopbackCluster();
-        Client held = new Client(world.port);
+        Client writer = new Client(world.port);
         Client other = new Client(world.port)) {
-      held.sendStartup().readResponse();
+      writer.sendStartup().readResponse();
       other.sendStartup().readResponse();
       reloadWorkloads(
           world,
           workloadJson("pay", "at_most_once", 0.9) + "," + workloadJson("view", "idempotent", 0),
           "[\"write\",\"bounded\"]");
       check(
-          held.sendQuery(statement("j3", "pay", 900)).readResponse().equals("row:j3"), "at first");
+          writer.sendQuery(statement("j3", "pay", 900)).readResponse().equals("row:j3"),
+          "at first");
       world.servers.get(0).kill();
       Thread.sleep(150);
-      held.sendQuery(statement("j4", "pay", 1_900));
+      writer.sendQuery(statement("j4", "pay", 1_900));
       awaitProcessed(world);
       reloadWorkloads(
           world,
@@ -419,7 +422,7 @@
           "the others as ever");
       world.servers.set(0, world.new DatabaseServer("s-0", true));
       world.publishList();
-      String answer = held.readResponse();
+      String answer = writer.readResponse();
       check(
           answer.equals("row:j4") && world.modesByStatement.get("j4").size() == 1,
           "released: " + answer);
@@ -442,13 +445,13 @@
           client.sendQuery(statement("n1", "list", 900)).readResponse().equals("error:08P01:"),
           "refused whole");
       for (int round = 0; round < 3; round++) {
-        StringBuilder many = new StringBuilder(workloadJson("view", "idempotent", 0));
-        StringBuilder needs = new StringBuilder("[\"any\"");
+        StringBuilder workloads = new StringBuilder(workloadJson("view", "idempotent", 0));
+        StringBuilder consistencies = new StringBuilder("[\"any\"");
         for (int i = 1; i < 120; i++) {
-          many.append(',').append(workloadJson("kind" + round + "x" + i, "idempotent", 0));
-          needs.append(",\"any\"");
+          workloads.append(',').append(workloadJson("kind" + round + "x" + i, "idempotent", 0));
+          consistencies.append(",\"any\"");
         }
-        reloadWorkloads(world, many.toString(), needs.append(']').toString());
+        reloadWorkloads(world, workloads.toString(), consistencies.append(']').toString());
         String answer =
             client.sendQuery(statement("o" + round, "kind" + round + "x7", 900)).readResponse();
         check(answer.equals(round < 2 ? "row:o" + round : "error:08P01:"), round + ": " + answer);
@@ -467,20 +470,20 @@
       client.sendStartup().readResponse();
       other.sendStartup().readResponse();
       world.servers.get(0).responseMode = ResponseMode.ENDLESS_PARAMETERS;
-      long since = System.nanoTime();
+      long startNanos = System.nanoTime();
       client.sendQuery(statement("k1", "post", 600));
       awaitCondition(() -> world.modesByStatement.containsKey("k1"));
       check(
           other.sendQuery(statement("k2", "view", 500)).readResponse().equals("row:k2"),
           "others go on meanwhile");
       check(client.readResponse().startsWith("error:58000"), "it may have run");
-      check(System.nanoTime() - since < 900_000_000L, "in its time");
+      check(System.nanoTime() - startNanos < 900_000_000L, "in its time");
       world.servers.get(0).responseMode = ResponseMode.ROW;
-      String next = "";
-      for (int i = 0; i < 60 && !next.equals("row:k3"); i++) {
-        next = client.sendQuery(statement("k3", "post", 900)).readResponse();
+      String answer = "";
+      for (int i = 0; i < 60 && !answer.equals("row:k3"); i++) {
+        answer = client.sendQuery(statement("k3", "post", 900)).readResponse();
       }
-      check(next.equals("row:k3"), "on another connection: " + next);
+      check(answer.equals("row:k3"), "on another connection: " + answer);
     }
   }
 
@@ -495,14 +498,14 @@
       for (ResponseMode mode :
           List.of(ResponseMode.ENDLESS_ROWS, ResponseMode.ENDLESS_PARAMETERS)) {
         world.servers.get(0).responseMode = mode;
-        long since = System.nanoTime();
+        long startNanos = System.nanoTime();
         check(
             client
                 .sendQuery(statement("m" + mode, "post", 7_000))
                 .readResponse()
                 .startsWith("error:58000"),
             "it may have run");
-        check(System.nanoTime() - since < 5_000_000_000L, "long before its time: " + mode);
+        check(System.nanoTime() - startNanos < 5_000_000_000L, "long before its time: " + mode);
         world.servers.get(0).responseMode = ResponseMode.ROW;
       }
     }
@@ -513,7 +516,7 @@
     try (LoopbackCluster world = new LoopbackCluster(false)) {
       world.writeStartFile(text -> text.replace("\"MaxOpen\":500", "\"MaxOpen\":2"));
       world.router.start(world.startFilePath, null);
-      world.servers.forEach(node -> node.responseMode = ResponseMode.NO_RESPONSE);
+      world.servers.forEach(server -> server.responseMode = ResponseMode.NO_RESPONSE);
       List<Client> clients = new ArrayList<>();
       try {
         for (int i = 0; i < 3; i++) {
@@ -526,15 +529,15 @@
           clients.get(i).sendQuery(statement(id, "post", 700));
           awaitProcessed(world);
         }
-        long since = System.nanoTime();
+        long startNanos = System.nanoTime();
         check(
             isRejection(clients.get(2).sendQuery(statement("l2", "post", 700)).readResponse()),
             "turned away");
-        check(System.nanoTime() - since < 400_000_000L, "at once");
+        check(System.nanoTime() - startNanos < 400_000_000L, "at once");
         for (int i = 0; i < 2; i++) {
           check(clients.get(i).readResponse().startsWith("error:"), "one end each");
         }
-        world.servers.forEach(node -> node.responseMode = ResponseMode.ROW);
+        world.servers.forEach(server -> server.responseMode = ResponseMode.ROW);
         check(
             clients
                 .get(2)
@@ -553,19 +556,20 @@
   /** Rule 1 at the rare moments: who has gone is owed nothing, and nothing begins for it. */
   @Property(tries = 3, seed = "34", shrinking = ShrinkingMode.OFF)
   void noAttemptStartsAfterClientDisconnects(@ForAll long seed) throws Exception {
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     List<String> faults = Collections.synchronizedList(new ArrayList<>());
     try (LoopbackCluster world = new LoopbackCluster()) {
       List<Thread> clients = new ArrayList<>();
       for (int c = 0; c < 10; c++) {
-        SplittableRandom own = chance.split();
+        SplittableRandom clientRandom = random.split();
         String name = Integer.toHexString(0xa0 + c);
         clients.add(
             new Thread(
                 () -> {
                   try {
                     for (int i = 0; i < 12; i++) {
-                      sendAndDisconnect(world, own, name + String.format("%04x", i), faults);
+                      sendAndDisconnect(
+                          world, clientRandom, name + String.format("%04x", i), faults);
                     }
                   } catch (Throwable fault) {
                     faults.add("" + fault);
@@ -575,9 +579,9 @@
       clients.forEach(Thread::start);
       for (int step = 0; step < 25; step++) {
         Thread.sleep(50);
-        LoopbackCluster.DatabaseServer node = world.servers.get(chance.nextInt(3));
-        node.responseMode =
-            chance.nextInt(3) > 0
+        LoopbackCluster.DatabaseServer server = world.servers.get(random.nextInt(3));
+        server.responseMode =
+            random.nextInt(3) > 0
                 ? ResponseMode.ROW
                 : List.of(
                         ResponseMode.NO_RESPONSE,
@@ -585,9 +589,9 @@
                         ResponseMode.FULL,
                         ResponseMode.TRUNCATED,
                         ResponseMode.ERROR)
-                    .get(chance.nextInt(5));
+                    .get(random.nextInt(5));
         for (Socket socket :
-            chance.nextInt(4) == 0 ? new ArrayList<>(node.openSockets) : List.<Socket>of()) {
+            random.nextInt(4) == 0 ? new ArrayList<>(server.openSockets) : List.<Socket>of()) {
           socket.close();
         }
       }
@@ -604,35 +608,35 @@
    */
   @Property(tries = 3, seed = "343", shrinking = ShrinkingMode.OFF)
   void drainingServerReceivesNoNewStatements(@ForAll long seed) throws Exception {
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     List<String> faults = Collections.synchronizedList(new ArrayList<>());
-    AtomicBoolean over = new AtomicBoolean();
-    int drainedGot = 0;
-    int inUse = 0;
+    AtomicBoolean finished = new AtomicBoolean();
+    int receivedAfterListChange = 0;
+    int serversInUse = 0;
     try (LoopbackCluster world = new LoopbackCluster()) {
       List<Thread> clients = new ArrayList<>();
       for (int c = 0; c < 8; c++) {
-        SplittableRandom own = chance.split();
+        SplittableRandom clientRandom = random.split();
         String name = Integer.toHexString(0xa0 + c);
         clients.add(
             new Thread(
                 () -> {
                   try (Client client = new Client(world.port)) {
                     client.sendStartup().readResponse();
-                    for (int i = 0; !over.get(); i++) {
+                    for (int i = 0; !finished.get(); i++) {
                       String id = name + String.format("%04x", i);
                       String answer =
                           client
                               .sendQuery(
                                   statement(
                                       id,
-                                      own.nextInt(4) == 0 ? "post" : "view",
-                                      200 + own.nextInt(700)))
+                                      clientRandom.nextInt(4) == 0 ? "post" : "view",
+                                      200 + clientRandom.nextInt(700)))
                               .readResponse();
                       if (!answer.startsWith("row:" + id) && !answer.startsWith("error:")) {
                         faults.add(id + " got " + answer);
                       }
-                      Thread.sleep(own.nextInt(8));
+                      Thread.sleep(clientRandom.nextInt(8));
                     }
                   } catch (Throwable fault) {
                     faults.add("" + fault);
@@ -643,74 +647,80 @@
       for (int round = 0; round < 6; round++) {
         // The primary, or whichever replica is in use just now: where one bears all, the other may
         // get nothing.
-        LoopbackCluster.DatabaseServer node =
-            chance.nextInt(3) == 0
+        LoopbackCluster.DatabaseServer server =
+            random.nextInt(3) == 0
                 ? world.servers.get(0)
                 : Collections.max(
                     world.servers.subList(1, 3),
                     Comparator.comparingLong(
-                        of -> of.statementTimes.stream().mapToLong(at -> at).max().orElse(0)));
-        long since = System.nanoTime() - 150_000_000L;
-        inUse += node.statementTimes.stream().anyMatch(at -> at > since) ? 1 : 0;
-        CountDownLatch comesUp = new CountDownLatch(1);
-        node.startupGate = comesUp;
-        for (Socket socket : new ArrayList<>(node.openSockets)) {
+                        replica ->
+                            replica.statementTimes.stream().mapToLong(at -> at).max().orElse(0)));
+        long recentSince = System.nanoTime() - 150_000_000L;
+        serversInUse += server.statementTimes.stream().anyMatch(at -> at > recentSince) ? 1 : 0;
+        CountDownLatch startupGate = new CountDownLatch(1);
+        server.startupGate = startupGate;
+        for (Socket socket : new ArrayList<>(server.openSockets)) {
           socket.close();
         }
-        node.responseMode =
-            List.of(ResponseMode.ROW, ResponseMode.FULL, ResponseMode.ERROR).get(chance.nextInt(3));
-        Thread.sleep(chance.nextInt(80));
-        node.listedLifecycle = "terminating";
+        server.responseMode =
+            List.of(ResponseMode.ROW, ResponseMode.FULL, ResponseMode.ERROR).get(random.nextInt(3));
+        Thread.sleep(random.nextInt(80));
+        server.listedLifecycle = "terminating";
         world.publishList();
-        long told = System.nanoTime();
-        Thread.sleep(chance.nextInt(160));
-        node.startupGate = null;
-        comesUp.countDown();
+        long listedAt = System.nanoTime();
+        Thread.sleep(random.nextInt(160));
+        server.startupGate = null;
+        startupGate.countDown();
         Thread.sleep(500);
-        drainedGot += (int) node.statementTimes.stream().filter(at -> at > told).count();
-        node.statementTimes.stream()
-            .filter(at -> at - told > CONNECT_TIMEOUT_WITH_SLACK_MILLIS * 1_000_000L)
+        receivedAfterListChange +=
+            (int) server.statementTimes.stream().filter(at -> at > listedAt).count();
+        server.statementTimes.stream()
+            .filter(at -> at - listedAt > CONNECT_TIMEOUT_WITH_SLACK_MILLIS * 1_000_000L)
             .forEach(
                 at ->
                     faults.add(
-                        node.id
+                        server.id
                             + " got one "
-                            + (at - told) / 1_000_000
+                            + (at - listedAt) / 1_000_000
                             + " ms after it was told to drain"));
-        node.responseMode = ResponseMode.ROW;
-        node.listedLifecycle = "in_service";
+        server.responseMode = ResponseMode.ROW;
+        server.listedLifecycle = "in_service";
         world.publishList();
         Thread.sleep(150);
       }
-      over.set(true);
+      finished.set(true);
       for (Thread client : clients) {
         client.join();
       }
-      check(inUse >= 3, "in use when it began to drain: " + inUse + " of 6");
+      check(serversInUse >= 3, "in use when it began to drain: " + serversInUse + " of 6");
     }
-    check(faults.isEmpty(), faults + ", " + drainedGot + " in their grace");
+    check(faults.isEmpty(), faults + ", " + receivedAfterListChange + " in their grace");
   }
 
   private static void sendAndDisconnect(
-      LoopbackCluster world, SplittableRandom chance, String id, List<String> faults)
+      LoopbackCluster world, SplittableRandom random, String id, List<String> faults)
       throws Exception {
-    long left;
+    long disconnectedAt;
     try (Client client = new Client(world.port)) {
       client.sendStartup();
-      int many = 1 + chance.nextInt(4);
-      for (int i = 0; i < many; i++) {
+      int statementCount = 1 + random.nextInt(4);
+      for (int i = 0; i < statementCount; i++) {
         client.sendQuery(
-            statement(id + (char) ('a' + i), chance.nextBoolean() ? "post" : "view", 1_500));
+            statement(id + (char) ('a' + i), random.nextBoolean() ? "post" : "view", 1_500));
       }
-      Thread.sleep(chance.nextInt(30));
-      left = System.nanoTime();
+      Thread.sleep(random.nextInt(30));
+      disconnectedAt = System.nanoTime();
     }
     Thread.sleep(150);
     for (char i = 'a'; i < 'e'; i++) {
-      long seen = world.lastReceivedAt.getOrDefault(id + i, left);
-      if (seen - left > 100_000_000L) {
+      long receivedAt = world.lastReceivedAt.getOrDefault(id + i, disconnectedAt);
+      if (receivedAt - disconnectedAt > 100_000_000L) {
         faults.add(
-            id + i + " began " + (seen - left) / 1_000_000 + " ms after its client had gone");
+            id
+                + i
+                + " began "
+                + (receivedAt - disconnectedAt) / 1_000_000
+                + " ms after its client had gone");
       }
     }
   }
