--- a/lab/src/main/java/basaltlever/lab/Fleet.java
+++ b/lab/src/main/java/basaltlever/lab/Fleet.java
@@ -80,7 +80,7 @@
   }
 
   private interface Serving {
-    void serve(Socket socket) throws IOException;
+    void handle(Socket socket) throws IOException;
   }
 
   private static final int SERVICE_MILLIS = 4;
@@ -186,7 +186,7 @@
             Socket socket = server.accept();
             socket.setTcpNoDelay(true);
             open.add(socket);
-            thread(() -> with.serve(socket));
+            thread(() -> with.handle(socket));
           }
         });
   }
--- a/lab/src/main/java/basaltlever/lab/fleet/FleetScale.java
+++ b/lab/src/main/java/basaltlever/lab/fleet/FleetScale.java
@@ -61,7 +61,7 @@
   @Parameter(names = "--seeds", description = "how many runs of each size")
   private int seeds = 1;
 
-  private record Due(long at, long order, Runnable what) {}
+  private record Due(long dueAt, long sequence, Runnable what) {}
 
   /** What is waited for until every router has it. */
   private record Awaited(long since, Histogram into, BooleanSupplier holds) {}
@@ -85,7 +85,7 @@
 
   private SplittableRandom chance;
   private final PriorityQueue<Due> due =
-      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+      new PriorityQueue<>(Comparator.comparingLong(Due::dueAt).thenComparingLong(Due::sequence));
   private final List<Instance> routers = new ArrayList<>();
   private final List<Awaited> awaited = new ArrayList<>();
   private VersionRegister register;
@@ -177,9 +177,9 @@
     after(4_000_000, this::move);
     after(2_000_000, this::trouble);
     long ends = seconds * 1_000_000L;
-    while (!due.isEmpty() && due.peek().at <= ends) {
+    while (!due.isEmpty() && due.peek().dueAt <= ends) {
       Due next = due.poll();
-      now = next.at;
+      now = next.dueAt;
       next.what.run();
     }
   }
--- a/router/src/test/java/basaltlever/AdapterTest.java
+++ b/router/src/test/java/basaltlever/AdapterTest.java
@@ -1,6 +1,6 @@
 package basaltlever;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.adapter.Adapter;
 import basaltlever.adapter.MalformedFrameException;
@@ -16,7 +16,7 @@
  * Frames in, frames out: what the wire page promises, and one plain message for what it does not.
  */
 class AdapterTest {
-  private static final String START =
+  private static final String SETTINGS =
       """
       Balancers=2
       Zone=0
@@ -45,12 +45,12 @@
   private final ByteArrayOutputStream input = new ByteArrayOutputStream();
   private int records;
 
-  private ByteBuffer record(int code, int length) {
+  private ByteBuffer appendRecord(int code, int length) {
     records++;
     return fields.put((byte) code).putInt(length);
   }
 
-  private AdapterTest batch(long clock) {
+  private AdapterTest appendBatch(long clock) {
     ByteBuffer header = ByteBuffer.allocate(20).order(ByteOrder.LITTLE_ENDIAN);
     header.putInt(fields.position()).putLong(clock).putInt(records).putInt(7);
     input.writeBytes(header.array());
@@ -60,30 +60,30 @@
     return this;
   }
 
-  private ByteBuffer run() throws IOException, MalformedFrameException {
+  private ByteBuffer runAdapter() throws IOException, MalformedFrameException {
     ByteArrayOutputStream output = new ByteArrayOutputStream();
     new Adapter(new ByteArrayInputStream(input.toByteArray()), output).run();
     return ByteBuffer.wrap(output.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
   }
 
-  private String fault() throws IOException {
+  private String runExpectingFault() throws IOException {
     try {
-      run();
+      runAdapter();
     } catch (MalformedFrameException fault) {
       return fault.getMessage();
     }
     return "";
   }
 
-  private AdapterTest spawn(String settings) {
+  private AdapterTest appendSpawn(String settings) {
     byte[] text = settings.getBytes(StandardCharsets.UTF_8);
-    record(12, 2).putShort((short) 3);
-    record(1, 12 + text.length).putLong(42).putInt(text.length).put(text);
+    appendRecord(12, 2).putShort((short) 3);
+    appendRecord(1, 12 + text.length).putLong(42).putInt(text.length).put(text);
     return this;
   }
 
-  private AdapterTest list() {
-    record(11, 8 + 28)
+  private AdapterTest appendList() {
+    appendRecord(11, 8 + 28)
         .putInt(5)
         .putInt(1)
         .put((byte) 3)
@@ -95,17 +95,17 @@
         .putLong(0)
         .put((byte) 0)
         .putShort((short) 4);
-    record(2, 13).put((byte) 2).putLong(1).putInt(5);
+    appendRecord(2, 13).put((byte) 2).putLong(1).putInt(5);
     return this;
   }
 
-  private AdapterTest incoming(long leaves) {
-    record(3, 39)
+  private AdapterTest appendStatement(long clientDeadline) {
+    appendRecord(3, 39)
         .putInt(77)
         .put((byte) 0)
         .putInt(0)
         .putLong(9)
-        .putLong(leaves)
+        .putLong(clientDeadline)
         .putInt(0)
         .putFloat(4)
         .putFloat(0)
@@ -114,10 +114,10 @@
   }
 
   @Example
-  void aWriteIsSentOnceThePrimaryAnswersItsPoll() throws Exception {
-    spawn(START).list().incoming(3_000_000).batch(2_000_000);
-    record(12, 2).putShort((short) 3);
-    record(8, 13 + 12)
+  void writeIsSentAfterPrimaryRespondsToPoll() throws Exception {
+    appendSpawn(SETTINGS).appendList().appendStatement(3_000_000).appendBatch(2_000_000);
+    appendRecord(12, 2).putShort((short) 3);
+    appendRecord(8, 13 + 12)
         .putInt(0x0a000001)
         .putShort((short) 80)
         .putShort((short) 0)
@@ -126,8 +126,8 @@
         .putFloat(0.9f)
         .putFloat(1)
         .putFloat(0.5f);
-    record(200, 3).put(new byte[3]);
-    ByteBuffer out = batch(2_005_000).run();
+    appendRecord(200, 3).put(new byte[3]);
+    ByteBuffer out = appendBatch(2_005_000).runAdapter();
     check(out.getInt(4) == 7 && out.get(8) == 2 && out.getShort(13) == 3, "the source comes first");
     check(out.get(15) == 6 && out.getInt(20) == 0x0a000001, "the member is polled");
     int second = 8 + out.getInt(0) - 0;
@@ -137,41 +137,51 @@
   }
 
   @Example
-  void aKilledInstanceStartsAnewInTheSameBatch() throws Exception {
-    spawn(START).list().batch(2_000_000);
-    record(12, 2).putShort((short) 3);
-    record(10, 0);
-    spawn(START).list().incoming(3_000_000).batch(2_005_000).run();
+  void killedInstanceCanRestartInSameBatch() throws Exception {
+    appendSpawn(SETTINGS).appendList().appendBatch(2_000_000);
+    appendRecord(12, 2).putShort((short) 3);
+    appendRecord(10, 0);
+    appendSpawn(SETTINGS)
+        .appendList()
+        .appendStatement(3_000_000)
+        .appendBatch(2_005_000)
+        .runAdapter();
   }
 
   @Example
-  void malformedFramesAreNamed() throws Exception {
-    record(12, 2).putShort((short) 9);
-    record(7, 4).putInt(1);
-    check(batch(1).fault().contains("instance 9, which is not running"), "unknown instance");
+  void malformedFramesAreReportedWithTheirCause() throws Exception {
+    appendRecord(12, 2).putShort((short) 9);
+    appendRecord(7, 4).putInt(1);
+    check(
+        appendBatch(1).runExpectingFault().contains("instance 9, which is not running"),
+        "unknown instance");
     input.reset();
-    record(3, 4_000).putInt(1);
-    check(batch(1).fault().contains("reaches past its batch"), "length that disagrees");
+    appendRecord(3, 4_000).putInt(1);
+    check(
+        appendBatch(1).runExpectingFault().contains("reaches past its batch"),
+        "length that disagrees");
     input.reset();
-    spawn(START);
-    record(2, 13).put((byte) 3).putLong(1).putInt(9);
-    check(batch(1).fault().contains("list 9 was never given"), "unknown list");
+    appendSpawn(SETTINGS);
+    appendRecord(2, 13).put((byte) 3).putLong(1).putInt(9);
+    check(appendBatch(1).runExpectingFault().contains("list 9 was never given"), "unknown list");
     input.reset();
-    spawn(START.replace("Rules.Fall=1000000", "Rules.Fall=soon"));
-    check(batch(1).fault().contains("Rules.Fall can't be read: soon"), "unreadable setting");
+    appendSpawn(SETTINGS.replace("Rules.Fall=1000000", "Rules.Fall=soon"));
+    check(
+        appendBatch(1).runExpectingFault().contains("Rules.Fall can't be read: soon"),
+        "unreadable setting");
     input.reset();
-    spawn(START.replace("Zone=0", ""));
-    check(batch(1).fault().contains("Zone is missing"), "missing setting");
+    appendSpawn(SETTINGS.replace("Zone=0", ""));
+    check(appendBatch(1).runExpectingFault().contains("Zone is missing"), "missing setting");
     input.reset();
     input.write(1);
-    check(fault().contains("ends inside"), "truncated");
+    check(runExpectingFault().contains("ends inside"), "truncated");
   }
 
   @Example
-  void anExceptionInTheDecisionsIsReportedAsBroken() throws Exception {
-    spawn(START).list();
-    record(3, 39).putInt(77).put((byte) 250).put(new byte[34]);
-    ByteBuffer out = batch(2_000_000).run();
+  void exceptionInDecisionsIsReportedWithItsCause() throws Exception {
+    appendSpawn(SETTINGS).appendList();
+    appendRecord(3, 39).putInt(77).put((byte) 250).put(new byte[34]);
+    ByteBuffer out = appendBatch(2_000_000).runAdapter();
     String text = StandardCharsets.UTF_8.decode(out).toString();
     check(text.contains("ArrayIndexOutOfBounds"), "its cause is told");
   }
--- a/router/src/test/java/basaltlever/DeferredAcceptTest.java
+++ b/router/src/test/java/basaltlever/DeferredAcceptTest.java
@@ -1,9 +1,9 @@
 package basaltlever;
 
-import static basaltlever.SocketWorld.statement;
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
+import static basaltlever.LoopbackCluster.statement;
 
-import basaltlever.SocketWorld.Client;
+import basaltlever.LoopbackCluster.Client;
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.Example;
@@ -22,14 +22,16 @@
   @Example
   void silentConnectionsDoNotDelayAClientWithAStatement() throws Exception {
     List<Client> silent = new ArrayList<>();
-    try (SocketWorld world = new SocketWorld()) {
+    try (LoopbackCluster world = new LoopbackCluster()) {
       long connectingSince = System.nanoTime();
       for (int i = 0; i < SILENT_CONNECTIONS; i++) {
         silent.add(new Client(world.port));
       }
-      try (Client client = new Client(world.port).start()) {
-        client.answer();
-        check(client.ask(statement("a1", "view", 900)).answer().equals("row:a1"), "served");
+      try (Client client = new Client(world.port).sendStartup()) {
+        client.readResponse();
+        check(
+            client.sendQuery(statement("a1", "view", 900)).readResponse().equals("row:a1"),
+            "served");
       }
       boolean deferred =
           System.nanoTime() - connectingSince < SHORTER_THAN_DEFERRAL_MILLIS * 1_000_000;
@@ -44,12 +46,13 @@
   /** Guards against: a listener that ends resets who has connected and is kept back. */
   @Example
   void aDeferredConnectionIsServedWhenTheRouterShutsDown() throws Exception {
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Client client = new Client(world.port)) {
       world.router.drain();
       Thread.sleep(SHORTER_THAN_DEFERRAL_MILLIS);
-      check(client.start().answer().isEmpty(), "welcomed");
-      check(client.ask(statement("a1", "view", 900)).answer().equals("row:a1"), "served");
+      check(client.sendStartup().readResponse().isEmpty(), "welcomed");
+      check(
+          client.sendQuery(statement("a1", "view", 900)).readResponse().equals("row:a1"), "served");
     }
   }
 }
--- a/router/src/test/java/basaltlever/DiscoveryWatchTest.java
+++ b/router/src/test/java/basaltlever/DiscoveryWatchTest.java
@@ -1,10 +1,10 @@
 package basaltlever;
 
-import static basaltlever.SocketWorld.statement;
-import static basaltlever.StandIn.check;
-import static basaltlever.StandIn.ms;
+import static basaltlever.LoadBalancerHarness.check;
+import static basaltlever.LoadBalancerHarness.ms;
+import static basaltlever.LoopbackCluster.statement;
 
-import basaltlever.SocketWorld.Client;
+import basaltlever.LoopbackCluster.Client;
 import basaltlever.time.Moment;
 import java.io.IOException;
 import java.net.ServerSocket;
@@ -19,16 +19,17 @@
 
 /** The list that goes quiet: a discovery that each test scripts byte by byte. */
 class DiscoveryWatchTest {
-  private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+  private static final String RESPONSE_HEAD =
+      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
   /** Every call is the test's to answer. */
-  private static final class Discovery implements AutoCloseable {
-    final ServerSocket server = SocketWorld.listen(0);
+  private static final class ScriptedDiscovery implements AutoCloseable {
+    final ServerSocket server = LoopbackCluster.listen(0);
     final BlockingQueue<Socket> calls = new LinkedBlockingQueue<>();
-    final SocketWorld world;
+    final LoopbackCluster cluster;
 
-    Discovery() throws Exception {
-      world = new SocketWorld(false);
+    ScriptedDiscovery() throws Exception {
+      cluster = new LoopbackCluster(false);
       Thread accepts =
           new Thread(
               () -> {
@@ -45,7 +46,7 @@
               });
       accepts.setDaemon(true);
       accepts.start();
-      world.writeStart(
+      cluster.writeStartFile(
           text ->
               text.replaceAll(
                   "\"discovery\":\"[^\"]*\"",
@@ -53,47 +54,50 @@
     }
 
     /** Starts the router, and answers its first call. */
-    Socket starts() throws Exception {
+    Socket startRouter() throws Exception {
       Thread start =
           new Thread(
               () -> {
                 try {
-                  world.router.start(world.file, null);
+                  cluster.router.start(cluster.startFilePath, null);
                 } catch (Exception fault) {
                   throw new IllegalStateException(fault);
                 }
               });
       start.start();
       Socket call = calls.poll(5, TimeUnit.SECONDS);
-      write(call, HEAD + chunk(list(2)));
+      write(call, RESPONSE_HEAD + chunk(listJson(2)));
       start.join();
       return call;
     }
 
-    Socket next(long withinMillis) throws InterruptedException {
+    Socket pollCall(long withinMillis) throws InterruptedException {
       return calls.poll(withinMillis, TimeUnit.MILLISECONDS);
     }
 
-    String list(int generation) {
+    String listJson(int generation) {
       return "{\"generation\":"
           + generation
           + ",\"reset\":true,\"instances\":"
-          + world.entries()
+          + cluster.instancesJson()
           + "}\n";
     }
 
     /** A replica that is told to drain gets nothing more, and would err. */
-    void checkDrained(int node) throws IOException {
-      world.nodes.get(node).mode = SocketWorld.Mode.ERROR;
-      try (Client client = new Client(world.port)) {
-        client.start().answer();
-        client.ask("SET x = 1").answer();
+    void checkServerIsDrained(int node) throws IOException {
+      cluster.servers.get(node).responseMode = LoopbackCluster.ResponseMode.ERROR;
+      try (Client client = new Client(cluster.port)) {
+        client.sendStartup().readResponse();
+        client.sendQuery("SET x = 1").readResponse();
         for (int i = 0; i < 12; i++) {
           String id = "d" + node + (char) ('a' + i);
-          client.ask(statement(id, "view", 900)).answer();
+          client.sendQuery(statement(id, "view", 900)).readResponse();
           check(
-              world.ran.getOrDefault(id, List.of()).equals(List.of(SocketWorld.Mode.ROW)),
-              "one execution, at another: " + world.ran.get(id));
+              cluster
+                  .modesByStatement
+                  .getOrDefault(id, List.of())
+                  .equals(List.of(LoopbackCluster.ResponseMode.ROW)),
+              "one execution, at another: " + cluster.modesByStatement.get(id));
         }
       }
     }
@@ -104,7 +108,7 @@
       for (Socket call : calls) {
         call.close();
       }
-      world.close();
+      cluster.close();
     }
   }
 
@@ -116,45 +120,45 @@
     to.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static void settles(SocketWorld world) throws IOException {
-    try (Client client = new Client(world.port)) {
-      client.start().answer();
+  private static void awaitProcessed(LoopbackCluster cluster) throws IOException {
+    try (Client client = new Client(cluster.port)) {
+      client.sendStartup().readResponse();
       for (int i = 0; i < 3; i++) {
-        client.ask("SET x = 1").answer();
+        client.sendQuery("SET x = 1").readResponse();
       }
     }
   }
 
   /** 6 s after it fell silent what it missed counts as told: the new one needs some of them. */
   @Example
-  void aSilentWatchIsAskedForAnewInHalfOfTheTimeAndHeardUntilThen() throws Exception {
-    try (Discovery discovery = new Discovery();
-        Socket silent = discovery.starts()) {
-      try (Socket second = discovery.next(3_900)) {
+  void silentWatchIsReplacedAndStillReadUntilThen() throws Exception {
+    try (ScriptedDiscovery discovery = new ScriptedDiscovery();
+        Socket silent = discovery.startRouter()) {
+      try (Socket second = discovery.pollCall(3_900)) {
         check(second != null, "asked for anew");
-        discovery.world.nodes.get(1).listed = "terminating";
-        write(silent, chunk(discovery.list(3)));
-        settles(discovery.world);
-        discovery.checkDrained(1);
-        discovery.world.nodes.get(1).listed = "in_service";
-        discovery.world.nodes.get(2).listed = "terminating";
-        discovery.world.nodes.get(1).mode = SocketWorld.Mode.ROW;
-        write(second, HEAD + chunk(discovery.list(4)));
-        settles(discovery.world);
+        discovery.cluster.servers.get(1).listedLifecycle = "terminating";
+        write(silent, chunk(discovery.listJson(3)));
+        awaitProcessed(discovery.cluster);
+        discovery.checkServerIsDrained(1);
+        discovery.cluster.servers.get(1).listedLifecycle = "in_service";
+        discovery.cluster.servers.get(2).listedLifecycle = "terminating";
+        discovery.cluster.servers.get(1).responseMode = LoopbackCluster.ResponseMode.ROW;
+        write(second, RESPONSE_HEAD + chunk(discovery.listJson(4)));
+        awaitProcessed(discovery.cluster);
         check(silent.getInputStream().read() < 0, "one watch is enough");
-        discovery.checkDrained(2);
+        discovery.checkServerIsDrained(2);
       }
     }
   }
 
   @Example
-  void bytesThatNeverMakeALineAreNoSignOfLife() throws Exception {
-    try (Discovery discovery = new Discovery();
-        Socket dribbles = discovery.starts()) {
+  void bytesWithoutCompleteLineDoNotKeepWatchAlive() throws Exception {
+    try (ScriptedDiscovery discovery = new ScriptedDiscovery();
+        Socket dribbles = discovery.startRouter()) {
       Socket second = null;
       for (int i = 0; i < 50 && second == null; i++) {
         write(dribbles, chunk(" "));
-        second = discovery.next(100);
+        second = discovery.pollCall(100);
       }
       check(second != null, "asked for anew");
       second.close();
@@ -163,42 +167,42 @@
 
   /** All three within the 6 s: behind a call that was given up no pause is left. */
   @Example
-  void aCallThatIsNotAnsweredIsGivenUpAndAnother() throws Exception {
-    try (Discovery discovery = new Discovery();
-        Socket silent = discovery.starts();
-        Socket mute = discovery.next(3_900);
-        Socket third = discovery.next(2_650)) {
+  void unansweredCallIsAbandonedAndRepeated() throws Exception {
+    try (ScriptedDiscovery discovery = new ScriptedDiscovery();
+        Socket silent = discovery.startRouter();
+        Socket mute = discovery.pollCall(3_900);
+        Socket third = discovery.pollCall(2_650)) {
       check(mute != null && third != null, "asked again");
-      discovery.world.nodes.get(1).listed = "terminating";
-      write(third, HEAD + chunk(discovery.list(3)));
-      settles(discovery.world);
-      discovery.checkDrained(1);
+      discovery.cluster.servers.get(1).listedLifecycle = "terminating";
+      write(third, RESPONSE_HEAD + chunk(discovery.listJson(3)));
+      awaitProcessed(discovery.cluster);
+      discovery.checkServerIsDrained(1);
       check(silent.getInputStream().read() < 0, "the silent one is let go");
     }
   }
 
   @Example
-  void anIndentedListInPiecesIsTakenWithItsLastBrace() throws Exception {
-    try (Discovery discovery = new Discovery();
-        Socket watch = discovery.starts()) {
-      discovery.world.nodes.get(1).listed = "terminating";
-      String list = discovery.list(3).trim().replace(",", ",\n  ").replace("{", "{\n ");
+  void indentedListInPiecesIsAppliedAtItsLastBrace() throws Exception {
+    try (ScriptedDiscovery discovery = new ScriptedDiscovery();
+        Socket watch = discovery.startRouter()) {
+      discovery.cluster.servers.get(1).listedLifecycle = "terminating";
+      String list = discovery.listJson(3).trim().replace(",", ",\n  ").replace("{", "{\n ");
       for (int at = 0; at < list.length(); at += 7) {
         write(watch, chunk(list.substring(at, Math.min(list.length(), at + 7))));
       }
-      settles(discovery.world);
-      discovery.checkDrained(1);
+      awaitProcessed(discovery.cluster);
+      discovery.checkServerIsDrained(1);
     }
   }
 
   @Example
-  void whatAWatchSaysRightBeforeItEndsIsHeard() throws Exception {
-    try (Discovery discovery = new Discovery();
-        Socket watch = discovery.starts()) {
-      discovery.world.nodes.get(1).listed = "terminating";
-      write(watch, chunk(discovery.list(3)) + "0\r\n\r\n");
-      settles(discovery.world);
-      discovery.checkDrained(1);
+  void listReceivedRightBeforeWatchEndsIsApplied() throws Exception {
+    try (ScriptedDiscovery discovery = new ScriptedDiscovery();
+        Socket watch = discovery.startRouter()) {
+      discovery.cluster.servers.get(1).listedLifecycle = "terminating";
+      write(watch, chunk(discovery.listJson(3)) + "0\r\n\r\n");
+      awaitProcessed(discovery.cluster);
+      discovery.checkServerIsDrained(1);
     }
   }
 
@@ -206,56 +210,58 @@
    * From its first moment a process is held to what discovery knows, whatever its start file says.
    */
   @Example
-  void aProcessListensOnceItsFirstListHasCome() throws Exception {
-    try (Discovery discovery = new Discovery()) {
+  void routerListensOnceFirstListArrived() throws Exception {
+    try (ScriptedDiscovery discovery = new ScriptedDiscovery()) {
       Thread start =
           new Thread(
               () -> {
                 try {
-                  discovery.world.router.start(discovery.world.file, null);
+                  discovery.cluster.router.start(discovery.cluster.startFilePath, null);
                 } catch (Exception fault) {
                   throw new IllegalStateException(fault);
                 }
               });
       start.start();
-      try (Socket call = discovery.next(5_000)) {
+      try (Socket call = discovery.pollCall(5_000)) {
         Thread.sleep(800);
         check(start.isAlive(), "it does not serve yet");
-        discovery.world.nodes.get(1).listed = "terminating";
-        write(call, HEAD + chunk(discovery.list(2)));
+        discovery.cluster.servers.get(1).listedLifecycle = "terminating";
+        write(call, RESPONSE_HEAD + chunk(discovery.listJson(2)));
         start.join(1_000);
         check(!start.isAlive(), "at once");
-        discovery.checkDrained(1);
+        discovery.checkServerIsDrained(1);
       }
     }
   }
 
   /** Of three starts the quickest: it waits for the members' first words, and no longer. */
   @Example
-  void aStartWaitsForOneLookAtEachMemberAndNotForItsLongest() throws Exception {
+  void startupWaitsForOnePollOfEachEndpoint() throws Exception {
     long least = Long.MAX_VALUE;
     for (int i = 0; i < 3; i++) {
-      try (Discovery discovery = new Discovery()) {
+      try (ScriptedDiscovery discovery = new ScriptedDiscovery()) {
         // Where polls have a price a router without traffic asks nobody twice, and nothing has
         // changed.
         String priced =
-            Files.readString(discovery.world.file).replace("\"Probe\":0.0", "\"Probe\":0.02");
-        Files.writeString(discovery.world.file, priced);
+            Files.readString(discovery.cluster.startFilePath)
+                .replace("\"Probe\":0.0", "\"Probe\":0.02");
+        Files.writeString(discovery.cluster.startFilePath, priced);
         Thread answers =
             new Thread(
                 () -> {
-                  try (Socket call = discovery.next(5_000)) {
+                  try (Socket call = discovery.pollCall(5_000)) {
                     write(
                         call,
-                        HEAD + chunk("{\"generation\":1,\"reset\":false,\"instances\":[]}\n"));
-                    discovery.next(2_500);
+                        RESPONSE_HEAD
+                            + chunk("{\"generation\":1,\"reset\":false,\"instances\":[]}\n"));
+                    discovery.pollCall(2_500);
                   } catch (IOException | InterruptedException over) {
                     // Seen in how long the start took.
                   }
                 });
         answers.start();
         long since = System.nanoTime();
-        discovery.world.router.start(discovery.world.file, null);
+        discovery.cluster.router.start(discovery.cluster.startFilePath, null);
         least = Math.min(least, (System.nanoTime() - since) / 1_000_000);
       }
     }
@@ -263,33 +269,36 @@
   }
 
   @Example
-  void aProcessServesThoughDiscoverySaysNothing() throws Exception {
-    try (Discovery discovery = new Discovery()) {
+  void routerServesWhenDiscoveryDoesNotRespond() throws Exception {
+    try (ScriptedDiscovery discovery = new ScriptedDiscovery()) {
       long since = System.nanoTime();
-      discovery.world.router.start(discovery.world.file, null);
+      discovery.cluster.router.start(discovery.cluster.startFilePath, null);
       check(System.nanoTime() - since < 4_000_000_000L, "by the list of its start file");
-      try (Client client = new Client(discovery.world.port)) {
-        client.start().answer();
-        check(client.ask(statement("e1", "post", 900)).answer().equals("row:e1"), "it serves");
+      try (Client client = new Client(discovery.cluster.port)) {
+        client.sendStartup().readResponse();
+        check(
+            client.sendQuery(statement("e1", "post", 900)).readResponse().equals("row:e1"),
+            "it serves");
       }
     }
   }
 
   /** A call that took as long to fail as a pause lasts is followed by the next one at once. */
   @Example
-  void aPauseCountsFromTheStartOfTheCallThatFailed() {
-    StandIn world = new StandIn(false, false, false, true, true).list(2);
+  void retryPauseCountsFromStartOfFailedCall() {
+    LoadBalancerHarness harness =
+        new LoadBalancerHarness(false, false, false, true, true).listEndpoints(2);
     for (int i = 0; i < 20; i++) {
-      int asked = world.watches;
-      world.balancer.onListRequestFailed(world.now);
-      check(world.watches == asked, "a watch that broke is followed by a pause");
-      while (world.watches == asked) {
-        world.later(5);
+      int asked = harness.watchRequests;
+      harness.balancer.onListRequestFailed(harness.now);
+      check(harness.watchRequests == asked, "a watch that broke is followed by a pause");
+      while (harness.watchRequests == asked) {
+        harness.advance(5);
       }
-      world.later(1_600);
-      world.balancer.onListRequestFailed(world.now);
-      check(world.watches == asked + 2, "a call that took 1.6 s to fail by none");
-      world.list(2);
+      harness.advance(1_600);
+      harness.balancer.onListRequestFailed(harness.now);
+      check(harness.watchRequests == asked + 2, "a call that took 1.6 s to fail by none");
+      harness.listEndpoints(2);
     }
   }
 
@@ -298,17 +307,18 @@
    */
   @Example
   void pausesBetweenFailedCallsStayShort() {
-    StandIn world = new StandIn(false, false, false, true, true).list(2);
+    LoadBalancerHarness harness =
+        new LoadBalancerHarness(false, false, false, true, true).listEndpoints(2);
     for (int i = 0; i < 200; i++) {
-      int asked = world.watches;
-      world.balancer.onListRequestFailed(world.now);
-      Moment failed = world.now;
-      while (world.watches == asked) {
-        world.later(5);
+      int asked = harness.watchRequests;
+      harness.balancer.onListRequestFailed(harness.now);
+      Moment failed = harness.now;
+      while (harness.watchRequests == asked) {
+        harness.advance(5);
       }
-      check(!world.now.since(failed).isLongerThan(ms(1_510)), "" + world.now.since(failed));
+      check(!harness.now.since(failed).isLongerThan(ms(1_510)), "" + harness.now.since(failed));
       check(
-          i < 9 || !world.now.since(failed).isShorterThan(ms(490)),
+          i < 9 || !harness.now.since(failed).isShorterThan(ms(490)),
           "nor is it called without pause");
     }
   }
--- a/router/src/test/java/basaltlever/HoldBudgetTest.java
+++ b/router/src/test/java/basaltlever/HoldBudgetTest.java
@@ -1,10 +1,9 @@
 package basaltlever;
 
-import static basaltlever.StandIn.FRESH;
-import static basaltlever.StandIn.WRITE;
-import static basaltlever.StandIn.check;
-import static basaltlever.StandIn.ms;
-import static basaltlever.StandIn.plain;
+import static basaltlever.LoadBalancerHarness.FRESH;
+import static basaltlever.LoadBalancerHarness.WRITE;
+import static basaltlever.LoadBalancerHarness.check;
+import static basaltlever.LoadBalancerHarness.ms;
 
 import basaltlever.gateway.Role;
 import basaltlever.gateway.Workload;
@@ -26,7 +25,7 @@
 
 /** How much is held, who goes where there is no room, and in which order the rest is released. */
 class HoldBudgetTest {
-  private static final Workload[] WORKLOADS = StandIn.plain().workloads;
+  private static final Workload[] WORKLOADS = LoadBalancerHarness.withDefaults().workloads;
 
   private static Statement statement(int id, int workload, long session, int bytes) {
     return new Statement(
@@ -46,7 +45,7 @@
   }
 
   @Example
-  void theMostImportantGoFirstAndSessionsKeepTheirOrder() {
+  void releaseOrderFollowsPriorityAndSessionOrder() {
     HoldQueue holdQueue = new HoldBudget(100, 1 << 20).createQueue(WORKLOADS.length);
     holdQueue.add(statement(1, FRESH, 5, 10));
     holdQueue.add(statement(2, WRITE, 5, 10));
@@ -64,7 +63,7 @@
   }
 
   @Example
-  void aFloodOfOneGroupTakesNoRoomFromAnother() {
+  void floodOfOneGroupDoesNotRejectStatementsOfAnother() {
     HoldBudget budget = new HoldBudget(100, 1 << 20);
     HoldQueue quiet = budget.createQueue(WORKLOADS.length);
     HoldQueue flood = budget.createQueue(WORKLOADS.length);
@@ -92,7 +91,7 @@
 
   /** Against a plain list, gone through each time. */
   @Property(tries = 150, seed = "31", shrinking = ShrinkingMode.OFF)
-  void bothBoundsHoldAndOrderIsThatOfAPlainList(@ForAll long seed) {
+  void limitsAndReleaseOrderMatchListModel(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     HoldBudget budget = new HoldBudget(chance.nextInt(2, 40), chance.nextInt(1_000, 20_000));
     int most = 40;
@@ -167,26 +166,26 @@
    * served in order.
    */
   @Example
-  void beyondItsBudgetTheLeastImportantIsRejectedAtOnceWithWhenToComeBack() {
-    StandIn world = StandIn.plain().list(3);
-    world.holds.setLimits(8, 1 << 20);
+  void leastImportantStatementBeyondBudgetIsRejectedWithRetryAfter() {
+    LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().listEndpoints(3);
+    harness.holdBudget.setLimits(8, 1 << 20);
     List<Integer> reads = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      reads.add(world.take(FRESH, 0, Moment.LONG_AGO, 1_000));
+      reads.add(harness.receiveStatement(FRESH, 0, Moment.LONG_AGO, 1_000));
     }
     check(
-        world.rejected.equals(reads.subList(3, 4)),
-        "a workload has three quarters of its group's: " + world.rejected);
-    int write = world.take(WRITE, 0, Moment.LONG_AGO, 1_000);
-    int another = world.take(WRITE, 0, Moment.LONG_AGO, 1_000);
+        harness.rejectedStatements.equals(reads.subList(3, 4)),
+        "a workload has three quarters of its group's: " + harness.rejectedStatements);
+    int write = harness.receiveStatement(WRITE, 0, Moment.LONG_AGO, 1_000);
+    int another = harness.receiveStatement(WRITE, 0, Moment.LONG_AGO, 1_000);
     check(
-        world.rejected.equals(List.of(reads.get(3), reads.get(2))),
-        "the latest read: " + world.rejected);
-    check(!world.advice.isShorterThan(ms(700)), "told when to come back");
-    world.poll(0, Role.PRIMARY, world.now);
+        harness.rejectedStatements.equals(List.of(reads.get(3), reads.get(2))),
+        "the latest read: " + harness.rejectedStatements);
+    check(!harness.lastRetryAfter.isShorterThan(ms(700)), "told when to come back");
+    harness.completePoll(0, Role.PRIMARY, harness.now);
     check(
-        world.sent.stream()
-            .map(StandIn.Sent::statement)
+        harness.sentAttempts.stream()
+            .map(LoadBalancerHarness.SentAttempt::statement)
             .toList()
             .equals(List.of(write, another, reads.get(0), reads.get(1))),
         "the most important first");
--- a/router/src/test/java/basaltlever/KnownRedTest.java
+++ b/router/src/test/java/basaltlever/KnownRedTest.java
@@ -1,6 +1,6 @@
 package basaltlever;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -11,7 +11,7 @@
 
 /** What passes over tests that are known to fail passes over nothing else. */
 class KnownRedTest {
-  private static final String RED = "basaltlever.ATest#isRed";
+  private static final String FAILING_TEST = "basaltlever.ATest#isRed";
   private static final String REPORT =
       """
         <?xml version="1.0" encoding="UTF-8"?>
@@ -28,13 +28,13 @@
   private static final String FAILURE =
       "<failure message=\"x\" type=\"y\"><![CDATA[at z]]></failure>";
 
-  private static String judged(String known, String red, String other)
+  private static String runScript(String known, String red, String other)
       throws IOException, InterruptedException {
-    return judged(known, red, other, "ATest");
+    return runScript(known, red, other, "ATest");
   }
 
   /** The classes are those that were to run, whatever became of them. */
-  private static String judged(String known, String red, String other, String... classes)
+  private static String runScript(String known, String red, String other, String... classes)
       throws IOException, InterruptedException {
     Path above = Files.createTempDirectory("known");
     Path folder = Files.createDirectory(above.resolve("surefire-reports"));
@@ -70,56 +70,59 @@
     }
   }
 
-  private static final String ENTRY = RED + " | mvn test, seed 5 | what was seen | 34\n";
+  private static final String ENTRY = FAILING_TEST + " | mvn test, seed 5 | what was seen | 34\n";
 
   @Example
-  void itPassesOverExactlyTheListedTestsAndPrintsTheirResults() throws Exception {
+  void onlyListedFailuresAreIgnoredAndResultsArePrinted() throws Exception {
     check(
-        judged(ENTRY, FAILURE, "").equals("0 known red: " + RED + " failed (issue 34)\n"),
+        runScript(ENTRY, FAILURE, "")
+            .equals("0 known red: " + FAILING_TEST + " failed (issue 34)\n"),
         "it failed");
-    String passed = judged(ENTRY, "", "");
-    check(passed.startsWith("0 known red: " + RED + " passed (issue 34)\n"), passed);
-    check(passed.contains(RED + " passed this time"), passed);
-    String other = judged(ENTRY, FAILURE, "<error type=\"y\">at z</error>");
+    String passed = runScript(ENTRY, "", "");
+    check(passed.startsWith("0 known red: " + FAILING_TEST + " passed (issue 34)\n"), passed);
+    check(passed.contains(FAILING_TEST + " passed this time"), passed);
+    String other = runScript(ENTRY, FAILURE, "<error type=\"y\">at z</error>");
     check(
         other.startsWith("1 ") && other.contains("failed and not known: basaltlever.ATest#isOther"),
         other);
-    check(judged("\n", "", "").equals("0 "), "none is known");
-    check(judged("\n", FAILURE, "").startsWith("1 "), "and one fails");
+    check(runScript("\n", "", "").equals("0 "), "none is known");
+    check(runScript("\n", FAILURE, "").startsWith("1 "), "and one fails");
   }
 
   @Example
-  void anEntryMayTakeSeveralLinesAndThereMayBeManyEntries() throws Exception {
-    String spread = RED + " | mvn test,\n  seed 5 | what was\n  seen | 34\n";
-    check(judged(spread, FAILURE, "").startsWith("0 known red: " + RED + " failed"), "spread");
+  void multiLineAndMultipleEntriesAreAccepted() throws Exception {
+    String spread = FAILING_TEST + " | mvn test,\n  seed 5 | what was\n  seen | 34\n";
+    check(
+        runScript(spread, FAILURE, "").startsWith("0 known red: " + FAILING_TEST + " failed"),
+        "spread");
     StringBuilder many = new StringBuilder(ENTRY);
     for (String name : List.of("isOther", "isGreen", "isLast")) {
       many.append("basaltlever.ATest#").append(name).append(" | mvn test | seen | 35\n");
     }
-    String said = judged(many.toString(), FAILURE, FAILURE);
+    String said = runScript(many.toString(), FAILURE, FAILURE);
     check(said.startsWith("0 ") && said.contains("#isLast passed"), said);
   }
 
   @Example
-  void aClassWithoutAReportIsNoPass() throws Exception {
-    String said = judged(ENTRY, FAILURE, "", "ATest", "BrokeOffTest");
+  void testClassWithoutReportFails() throws Exception {
+    String said = runScript(ENTRY, FAILURE, "", "ATest", "BrokeOffTest");
     check(said.startsWith("1 ") && said.contains("basaltlever.BrokeOffTest has no report"), said);
   }
 
   @Example
-  void aFaultyEntryIsNoExcuse() throws Exception {
+  void malformedEntryIsRejected() throws Exception {
     for (String bad :
         List.of(
-            RED + "\n",
-            RED + " | cause | 34\n",
-            RED + " | | seen | 34\n",
-            RED + " | mvn test | | 34\n",
-            RED + " | mvn test | seen | \n",
-            RED + " | mvn test | seen | 34 | more\n",
+            FAILING_TEST + "\n",
+            FAILING_TEST + " | cause | 34\n",
+            FAILING_TEST + " | | seen | 34\n",
+            FAILING_TEST + " | mvn test | | 34\n",
+            FAILING_TEST + " | mvn test | seen | \n",
+            FAILING_TEST + " | mvn test | seen | 34 | more\n",
             "basaltlever.ATest | mvn test | seen | 34\n",
             "basaltlever.ATest#isGone | mvn test | seen | 34\n",
             ENTRY.repeat(2))) {
-      String said = judged(bad, FAILURE, "");
+      String said = runScript(bad, FAILURE, "");
       check(said.startsWith("2 ") && said.contains("known-red: "), bad + " got " + said);
     }
   }
--- a/router/src/test/java/basaltlever/SocketWorld.java
+++ b/router/src/test/java/basaltlever/LoopbackCluster.java
@@ -1,6 +1,6 @@
 package basaltlever;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.config.InvalidSettingsException;
 import basaltlever.config.StartFile;
@@ -34,127 +34,129 @@
  * Nodes and discovery on loopback sockets, blocking and one thread a connection, for a whole
  * router.
  */
-public final class SocketWorld implements AutoCloseable {
+public final class LoopbackCluster implements AutoCloseable {
   /** What a node does with a statement. */
-  enum Mode {
+  enum ResponseMode {
     ROW,
-    SLOWLY,
+    BYTE_BY_BYTE,
     LARGE,
     NOT_PRIMARY,
     BEHIND,
     ERROR,
     FULL,
-    OTHER,
-    SILENT,
-    BREAKS,
+    OTHER_ERROR,
+    NO_RESPONSE,
+    DISCONNECT,
     GARBAGE,
     TWO_ROWS,
     TWO_COLUMNS,
     ERROR_AFTER_ROW,
-    FATAL,
-    CUT,
-    TWICE,
-    NOISE_BEHIND,
+    FATAL_ERROR,
+    TRUNCATED,
+    TWO_RESPONSES,
+    TRAILING_GARBAGE,
     WRONG_LENGTH,
     HUGE,
-    ENDLESS,
+    ENDLESS_PARAMETERS,
     ENDLESS_ROWS;
 
     /** True where a good answer comes, whatever comes behind it. */
-    boolean completes() {
-      return List.of(ROW, SLOWLY, LARGE, HUGE, TWICE, NOISE_BEHIND).contains(this);
+    boolean hasValidResponse() {
+      return List.of(ROW, BYTE_BY_BYTE, LARGE, HUGE, TWO_RESPONSES, TRAILING_GARBAGE)
+          .contains(this);
     }
 
     /** True where it proves that nothing ran. */
-    boolean provesNotRun() {
+    boolean provesNotExecuted() {
       return this == NOT_PRIMARY || this == BEHIND || this == FULL;
     }
   }
 
   /** Carries nothing out. */
-  public static final class Silent implements basaltlever.core.Effects<String> {
-    public final List<String> told = new ArrayList<>();
+  public static final class RecordingEffects implements basaltlever.core.Effects<String> {
+    public final List<String> calls = new ArrayList<>();
 
     @Override
-    public void startAttempt(long ticket, int execution, String node, Span timeout, Moment sendBy) {
-      told.add("execute");
+    public void startAttempt(
+        long ticket, int attempt, String endpoint, Span timeout, Moment sendBy) {
+      calls.add("execute");
     }
 
     @Override
-    public void cancel(long ticket, int execution) {
-      told.add("cancel");
+    public void cancel(long ticket, int attempt) {
+      calls.add("cancel");
     }
 
     @Override
-    public void reject(long ticket, Span comeBackAfter, RejectReason reason) {
-      told.add("reject");
+    public void reject(long ticket, Span retryAfter, RejectReason reason) {
+      calls.add("reject");
     }
 
     @Override
     public void abort(long ticket) {
-      told.add("abort");
+      calls.add("abort");
     }
 
     @Override
-    public void poll(String node) {}
+    public void poll(String endpoint) {}
 
     @Override
-    public void closeIdleConnections(String node) {}
+    public void closeIdleConnections(String endpoint) {}
 
     @Override
-    public void onEndpointRemoved(String node) {
-      told.add("forget " + node);
+    public void onEndpointRemoved(String endpoint) {
+      calls.add("forget " + endpoint);
     }
 
     @Override
     public void watchEndpointList() {
-      told.add("watch");
+      calls.add("watch");
     }
 
     @Override
-    public void setTimer(Span fromNow) {}
+    public void setTimer(Span delay) {}
 
     @Override
-    public void openConnections(String node, int connections) {}
+    public void openConnections(String endpoint, int connections) {}
 
     @Override
     public void onSwitchoverPhaseChanged(int group, PlannedSwitchover.Phase phase, String target) {}
 
     @Override
-    public void onPrimaryChanged(int group, String node, boolean found) {}
+    public void onPrimaryChanged(int group, String endpoint, boolean found) {}
   }
 
   /** One node: a primary or a replica that is never behind. */
-  final class Node {
-    final ServerSocket server = listen(0);
+  final class DatabaseServer {
+    final ServerSocket listener = listen(0);
     final String id;
     final boolean primary;
-    volatile Mode mode = Mode.ROW;
-    volatile String listed = "in_service";
+    volatile ResponseMode responseMode = ResponseMode.ROW;
+    volatile String listedLifecycle = "in_service";
     volatile boolean ignoresPolls;
 
     /** Where set, who connects is welcomed only once it is open. */
-    volatile java.util.concurrent.CountDownLatch welcomes;
+    volatile java.util.concurrent.CountDownLatch startupGate;
 
-    final AtomicInteger connects = new AtomicInteger();
+    final AtomicInteger startupCount = new AtomicInteger();
 
     /** What each connection began with, behind its length. */
-    final Queue<byte[]> startups = new java.util.concurrent.ConcurrentLinkedQueue<>();
+    final Queue<byte[]> startupMessages = new java.util.concurrent.ConcurrentLinkedQueue<>();
 
-    final List<Socket> open = Collections.synchronizedList(new ArrayList<>());
+    final List<Socket> openSockets = Collections.synchronizedList(new ArrayList<>());
 
     /** When it got each of its statements. */
-    final Queue<Long> gotAt = new java.util.concurrent.ConcurrentLinkedQueue<>();
+    final Queue<Long> statementTimes = new java.util.concurrent.ConcurrentLinkedQueue<>();
 
-    Node(String id, boolean primary) {
+    DatabaseServer(String id, boolean primary) {
       this.id = id;
       this.primary = primary;
-      accept(server, this::serve);
+      acceptConnections(listener, this::serve);
     }
 
     private void serve(Socket socket) throws IOException {
-      open.add(socket);
-      if (server.isClosed()) {
+      openSockets.add(socket);
+      if (listener.isClosed()) {
         // Accepted in the moment of death: dies() may have gone through the open ones before.
         socket.close();
         return;
@@ -162,11 +164,11 @@
       DataInputStream in = new DataInputStream(socket.getInputStream());
       byte[] startup = new byte[in.readInt() - 4];
       in.readFully(startup);
-      startups.add(startup);
-      connects.incrementAndGet();
-      if (welcomes != null) {
+      startupMessages.add(startup);
+      startupCount.incrementAndGet();
+      if (startupGate != null) {
         try {
-          welcomes.await();
+          startupGate.await();
         } catch (InterruptedException e) {
           return;
         }
@@ -177,18 +179,18 @@
       while (in.readByte() == 'Q') {
         byte[] text = new byte[in.readInt() - 4];
         in.readFully(text);
-        answer(socket, new String(text, 0, text.length - 1, StandardCharsets.UTF_8));
+        respond(socket, new String(text, 0, text.length - 1, StandardCharsets.UTF_8));
       }
     }
 
-    private void answer(Socket socket, String query) throws IOException {
+    private void respond(Socket socket, String query) throws IOException {
       long now = System.currentTimeMillis();
       ByteBuf out = Unpooled.buffer();
       if (query.equals("SHOW gauges")) {
         if (ignoresPolls) {
           return;
         }
-        row(
+        writeRow(
             out,
             "x0="
                 + now / 1_000
@@ -201,43 +203,45 @@
         send(socket, out);
         return;
       }
-      Mode as = mode;
+      ResponseMode response = responseMode;
       String id = query.replaceAll("(?s).*id=(\\w+),.*", "$1");
-      seen.add(query);
-      gotAt.add(System.nanoTime());
-      seenAt.put(id, System.nanoTime());
-      ran.computeIfAbsent(id, i -> Collections.synchronizedList(new ArrayList<>())).add(as);
+      receivedQueries.add(query);
+      statementTimes.add(System.nanoTime());
+      lastReceivedAt.put(id, System.nanoTime());
+      modesByStatement
+          .computeIfAbsent(id, i -> Collections.synchronizedList(new ArrayList<>()))
+          .add(response);
       String code =
-          switch (as) {
+          switch (response) {
             case NOT_PRIMARY -> "25006";
             case BEHIND -> "72000";
             case ERROR -> "XX000";
             case FULL -> "53300";
-            case OTHER -> "42P01";
+            case OTHER_ERROR -> "42P01";
             default -> null;
           };
       if (code != null) {
         MessageEncoder.errorResponse(out, "ERROR", code, "as asked", null);
       }
-      switch (as) {
-        case SILENT -> {
+      switch (response) {
+        case NO_RESPONSE -> {
           return;
         }
-        case BREAKS -> {
+        case DISCONNECT -> {
           socket.close();
           return;
         }
-        case FATAL -> {
+        case FATAL_ERROR -> {
           MessageEncoder.errorResponse(out, "FATAL", "XX000", "as asked", null);
           send(socket, out);
           socket.close();
           return;
         }
-        case ENDLESS, ENDLESS_ROWS -> {
+        case ENDLESS_PARAMETERS, ENDLESS_ROWS -> {
           // Until the other side has had enough.
-          if (as == Mode.ENDLESS_ROWS) {
-            send(socket, out.writeBytes(description(1)).writeBytes(data(1, id)));
-            out.clear().writeBytes(data(1, id));
+          if (response == ResponseMode.ENDLESS_ROWS) {
+            send(socket, out.writeBytes(rowDescription(1)).writeBytes(dataRow(1, id)));
+            out.clear().writeBytes(dataRow(1, id));
           } else {
             MessageEncoder.parameterStatus(out, "more", "and more");
           }
@@ -246,24 +250,25 @@
           }
         }
         case GARBAGE -> out.writeBytes("this is no message".getBytes(StandardCharsets.UTF_8));
-        case TWO_COLUMNS -> out.writeBytes(description(2)).writeBytes(data(2, id));
-        case ROW, SLOWLY, ERROR_AFTER_ROW, CUT, TWICE, NOISE_BEHIND -> row(out, id);
+        case TWO_COLUMNS -> out.writeBytes(rowDescription(2)).writeBytes(dataRow(2, id));
+        case ROW, BYTE_BY_BYTE, ERROR_AFTER_ROW, TRUNCATED, TWO_RESPONSES, TRAILING_GARBAGE ->
+            writeRow(out, id);
         case WRONG_LENGTH -> {
-          row(out, id);
+          writeRow(out, id);
           out.setInt(out.indexOf(0, out.writerIndex(), (byte) 'D') + 7, id.length() + 1);
         }
-        case HUGE -> row(out, id + "-" + "v".repeat(400_000));
-        case LARGE -> row(out, id + "-" + "v".repeat(1 << 16));
+        case HUGE -> writeRow(out, id + "-" + "v".repeat(400_000));
+        case LARGE -> writeRow(out, id + "-" + "v".repeat(1 << 16));
         case TWO_ROWS -> {
-          out.writeBytes(description(1)).writeBytes(data(1, id)).writeBytes(data(1, id));
+          out.writeBytes(rowDescription(1)).writeBytes(dataRow(1, id)).writeBytes(dataRow(1, id));
           MessageEncoder.commandComplete(out, "SELECT 2");
         }
         default -> {}
       }
-      if (as == Mode.ERROR_AFTER_ROW) {
+      if (response == ResponseMode.ERROR_AFTER_ROW) {
         MessageEncoder.errorResponse(out, "ERROR", "25006", "as asked", null);
       }
-      if (as == Mode.CUT) {
+      if (response == ResponseMode.TRUNCATED) {
         out.writerIndex(out.writerIndex() - 3);
         send(socket, out);
         socket.close();
@@ -272,22 +277,22 @@
       MessageEncoder.parameterStatus(out, "part", primary ? "master" : "replica");
       MessageEncoder.parameterStatus(out, "caught_up_to", "" + now);
       MessageEncoder.readyForQuery(out);
-      if (as == Mode.TWICE) {
-        row(out, "another");
+      if (response == ResponseMode.TWO_RESPONSES) {
+        writeRow(out, "another");
         MessageEncoder.readyForQuery(out);
-      } else if (as == Mode.NOISE_BEHIND) {
+      } else if (response == ResponseMode.TRAILING_GARBAGE) {
         out.writeBytes(new byte[] {'D', 0, 0});
       }
-      while (as == Mode.SLOWLY && out.isReadable()) {
+      while (response == ResponseMode.BYTE_BY_BYTE && out.isReadable()) {
         socket.getOutputStream().write(out.readByte());
       }
       send(socket, out);
     }
 
-    void dies() throws IOException {
-      server.close();
-      synchronized (open) {
-        for (Socket socket : open) {
+    void kill() throws IOException {
+      listener.close();
+      synchronized (openSockets) {
+        for (Socket socket : openSockets) {
           if (!socket.isClosed()) {
             socket.setSoLinger(true, 0);
           }
@@ -309,7 +314,7 @@
       in = new DataInputStream(new java.io.BufferedInputStream(socket.getInputStream()));
     }
 
-    public Client start() throws IOException {
+    public Client sendStartup() throws IOException {
       ByteBuf out = Unpooled.buffer();
       MessageEncoder.startupMessage(out, "app", "shop");
       send(socket, out);
@@ -320,7 +325,7 @@
       socket.getOutputStream().write(bytes);
     }
 
-    public Client ask(String query) throws IOException {
+    public Client sendQuery(String query) throws IOException {
       ByteBuf out = Unpooled.buffer();
       MessageEncoder.query(out, query);
       send(socket, out);
@@ -330,31 +335,33 @@
     /**
      * All up to ReadyForQuery in short: row:VALUE, error:CODE:DETAIL, other letters as they are.
      */
-    public String answer() throws IOException {
-      StringBuilder told = new StringBuilder();
+    public String readResponse() throws IOException {
+      StringBuilder summary = new StringBuilder();
       while (true) {
         int type = in.read();
         if (type < 0) {
-          return told + "closed";
+          return summary + "closed";
         }
         byte[] body = new byte[in.readInt() - 4];
         in.readFully(body);
-        ByteBuf whole =
+        ByteBuf message =
             Unpooled.buffer().writeByte(type).writeInt(body.length + 4).writeBytes(body);
         switch (type) {
           case 'Z' -> {
-            return told.toString();
+            return summary.toString();
           }
           case 'D' ->
-              told.append("row:")
+              summary
+                  .append("row:")
                   .append(new String(body, 6, body.length - 6, StandardCharsets.UTF_8));
           case 'E' ->
-              told.append("error:")
-                  .append(QueryResponse.errorField(whole, 'C'))
+              summary
+                  .append("error:")
+                  .append(QueryResponse.errorField(message, 'C'))
                   .append(':')
-                  .append(QueryResponse.errorField(whole, 'D'));
+                  .append(QueryResponse.errorField(message, 'D'));
           case 'T', 'C', 'R', 'S', 'K' -> {}
-          default -> told.append((char) type);
+          default -> summary.append((char) type);
         }
       }
     }
@@ -365,56 +372,56 @@
     }
   }
 
-  interface Serving {
-    void serve(Socket socket) throws IOException;
+  interface ConnectionHandler {
+    void handle(Socket socket) throws IOException;
   }
 
-  final List<Node> nodes = new ArrayList<>();
-  final List<String> seen = Collections.synchronizedList(new ArrayList<>());
-  final Map<String, List<Mode>> ran = new ConcurrentHashMap<>();
+  final List<DatabaseServer> servers = new ArrayList<>();
+  final List<String> receivedQueries = Collections.synchronizedList(new ArrayList<>());
+  final Map<String, List<ResponseMode>> modesByStatement = new ConcurrentHashMap<>();
 
   /** When each was last seen by a node. */
-  final Map<String, Long> seenAt = new ConcurrentHashMap<>();
+  final Map<String, Long> lastReceivedAt = new ConcurrentHashMap<>();
 
-  ServerSocket discovery = listen(0);
-  volatile String asked = "";
+  ServerSocket discoveryListener = listen(0);
+  volatile String discoveryRequest = "";
   final int port;
   final Router router = new Router();
-  final AtomicInteger calls = new AtomicInteger();
-  volatile boolean refusesCalls;
-  private final boolean serves;
-  private volatile Socket watch;
+  final AtomicInteger discoveryCalls = new AtomicInteger();
+  volatile boolean rejectsDiscoveryCalls;
+  private final boolean startsRouter;
+  private volatile Socket watchSocket;
 
   /**
    * Routers here count the descriptors of the whole process: what is left open narrows the next
    * one's.
    */
-  private final List<Socket> watches = Collections.synchronizedList(new ArrayList<>());
+  private final List<Socket> discoverySockets = Collections.synchronizedList(new ArrayList<>());
 
-  final Path file = Files.createTempFile("start", ".json");
+  final Path startFilePath = Files.createTempFile("start", ".json");
 
   /** A router with its primary and two replicas, serving. */
-  SocketWorld() throws Exception {
+  LoopbackCluster() throws Exception {
     this(true);
   }
 
   /** Else the router is the caller's to start, with the file. */
-  SocketWorld(boolean serves) throws Exception {
-    this.serves = serves;
+  LoopbackCluster(boolean startsRouter) throws Exception {
+    this.startsRouter = startsRouter;
     for (int i = 0; i < 3; i++) {
-      nodes.add(new Node("s-" + i, i == 0));
+      servers.add(new DatabaseServer("s-" + i, i == 0));
     }
-    accept(discovery, this::follow);
+    acceptConnections(discoveryListener, this::serveDiscovery);
     try (ServerSocket free = listen(0)) {
       port = free.getLocalPort();
     }
-    writeStart();
-    if (serves) {
-      router.start(file, null);
+    writeStartFile();
+    if (startsRouter) {
+      router.start(startFilePath, null);
     }
   }
 
-  static String startFile(int listen, int discovery, String known) {
+  static String startFile(int listen, int discovery, String knownInstances) {
     return """
     {"name":"n3","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"8c1f30d27a5be964",
      "limits":{"cores":1.0,"memory_mb":192,"sockets":200},
@@ -430,47 +437,48 @@
        "ProgressTold":true,"SessionMarks":"carried"},
       "Rules":{"AnswerSlack":20000,"Cold":9000000,"ColdFrom":0.2,"FallMultiple":4.0,"Fall":1000000,
        "MustAskIn":10000000}}}"""
-        .formatted(listen, discovery, known);
+        .formatted(listen, discovery, knownInstances);
   }
 
   /** One that carries nothing out. */
-  public static basaltlever.core.StatementRouter<String> core() {
+  public static basaltlever.core.StatementRouter<String> createStatementRouter() {
     try {
       return new basaltlever.core.StatementRouter<>(
-          new Silent(),
-          values().loadBalancerFactory(1, new Moment(0), values().defaultHoldBudget()));
+          new RecordingEffects(),
+          createStartValues()
+              .loadBalancerFactory(1, new Moment(0), createStartValues().defaultHoldBudget()));
     } catch (InvalidSettingsException fault) {
       throw new AssertionError(fault);
     }
   }
 
-  public static StartValues values() throws InvalidSettingsException {
+  public static StartValues createStartValues() throws InvalidSettingsException {
     return StartFile.of(startFile(1, 2, "[]")).startValues();
   }
 
-  String entries() {
-    return nodes.stream()
+  String instancesJson() {
+    return servers.stream()
         .map(
             n ->
                 "{\"instanceId\":\""
                     + n.id
                     + "\",\"hostPort\":\"127.0.0.1:"
-                    + n.server.getLocalPort()
+                    + n.listener.getLocalPort()
                     + "\",\"zone\":\"a\",\"cell\":1,\"lifecycle\":\""
-                    + n.listed
+                    + n.listedLifecycle
                     + "\",\"weight\":1,\"startedAtMs\":0}")
         .toList()
         .toString();
   }
 
-  private void follow(Socket socket) throws IOException {
-    calls.incrementAndGet();
-    watches.add(socket);
+  private void serveDiscovery(Socket socket) throws IOException {
+    discoveryCalls.incrementAndGet();
+    discoverySockets.add(socket);
     byte[] head = new byte[4_096];
-    asked =
+    discoveryRequest =
         new String(
             head, 0, Math.max(0, socket.getInputStream().read(head)), StandardCharsets.US_ASCII);
-    if (refusesCalls) {
+    if (rejectsDiscoveryCalls) {
       send(
           socket,
           Unpooled.copiedBuffer(
@@ -478,57 +486,58 @@
       socket.close();
       return;
     }
-    watch = socket;
+    watchSocket = socket;
     send(
         socket,
         Unpooled.copiedBuffer(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", StandardCharsets.UTF_8));
-    tell();
+    publishList();
   }
 
   /** Writes the list as it is now to the open watch. */
-  void tell() throws IOException {
+  void publishList() throws IOException {
     String line =
         "{\"generation\":"
-            + (2 + calls.get())
+            + (2 + discoveryCalls.get())
             + ",\"reset\":true,\"instances\":"
-            + entries()
+            + instancesJson()
             + "}\n";
     send(
-        watch,
+        watchSocket,
         Unpooled.copiedBuffer(
             Integer.toHexString(line.length()) + "\r\n" + line + "\r\n", StandardCharsets.UTF_8));
   }
 
   /** To another address, in the start file as well; the open watch stays open. */
   void moveDiscovery() throws IOException {
-    discovery.close();
-    discovery = listen(0);
-    accept(discovery, this::follow);
-    writeStart();
+    discoveryListener.close();
+    discoveryListener = listen(0);
+    acceptConnections(discoveryListener, this::serveDiscovery);
+    writeStartFile();
   }
 
   /**
    * As many descriptors for each router, whatever the routers and stand-ins before it left open
    * here.
    */
-  private void writeStart() throws IOException {
-    writeStart(text -> text);
+  private void writeStartFile() throws IOException {
+    writeStartFile(text -> text);
   }
 
-  void writeStart(java.util.function.UnaryOperator<String> changed) throws IOException {
+  void writeStartFile(java.util.function.UnaryOperator<String> edit) throws IOException {
     Files.writeString(
-        file,
-        changed.apply(
-            startFile(port, discovery.getLocalPort(), entries())
-                .replace("\"sockets\":200", "\"sockets\":" + (steadyDescriptors() + 140))));
+        startFilePath,
+        edit.apply(
+            startFile(port, discoveryListener.getLocalPort(), instancesJson())
+                .replace(
+                    "\"sockets\":200", "\"sockets\":" + (awaitStableDescriptorCount() + 140))));
   }
 
   /**
    * Counted while earlier stand-ins still close theirs, a router would be left far more than was
    * meant.
    */
-  private static int steadyDescriptors() {
+  private static int awaitStableDescriptorCount() {
     int before = -1;
     for (int i = 0; i < 50; i++) {
       String[] open = new java.io.File("/proc/self/fd").list();
@@ -542,8 +551,8 @@
     return before;
   }
 
-  void breakWatch() throws IOException {
-    watch.close();
+  void closeWatch() throws IOException {
+    watchSocket.close();
   }
 
   public static String statement(String id, String workload, int millis) {
@@ -557,7 +566,7 @@
         + " WHERE id = 'k'";
   }
 
-  static byte[] description(int columns) {
+  static byte[] rowDescription(int columns) {
     ByteBuf out = Unpooled.buffer().writeByte('T').writeInt(6 + columns * 22).writeShort(columns);
     for (int i = 0; i < columns; i++) {
       out.writeBytes("doc\0".getBytes(StandardCharsets.UTF_8))
@@ -571,7 +580,7 @@
     return ByteBufUtil.getBytes(out);
   }
 
-  static byte[] data(int columns, String value) {
+  static byte[] dataRow(int columns, String value) {
     byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
     ByteBuf out =
         Unpooled.buffer()
@@ -584,8 +593,8 @@
     return ByteBufUtil.getBytes(out);
   }
 
-  static void row(ByteBuf out, String value) {
-    out.writeBytes(description(1)).writeBytes(data(1, value));
+  static void writeRow(ByteBuf out, String value) {
+    out.writeBytes(rowDescription(1)).writeBytes(dataRow(1, value));
     MessageEncoder.commandComplete(out, "SELECT 1");
   }
 
@@ -597,27 +606,27 @@
     }
   }
 
-  private static void accept(ServerSocket server, Serving with) {
-    thread(
+  private static void acceptConnections(ServerSocket server, ConnectionHandler handler) {
+    startThread(
         () -> {
           while (true) {
             Socket socket = server.accept();
             socket.setTcpNoDelay(true);
-            thread(() -> with.serve(socket));
+            startThread(() -> handler.handle(socket));
           }
         });
   }
 
-  private interface Step {
+  private interface IoAction {
     void run() throws IOException;
   }
 
-  private static void thread(Step step) {
+  private static void startThread(IoAction action) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                step.run();
+                action.run();
               } catch (IOException e) {
                 // The other side has gone, or this one was told to end.
               }
@@ -635,17 +644,17 @@
     router.drain();
     try {
       router.awaitStop();
-      check(!serves || router.activeBuffers() == 0, "a buffer was not released");
+      check(!startsRouter || router.activeBuffers() == 0, "a buffer was not released");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    discovery.close();
-    for (Socket open : List.copyOf(watches)) {
+    discoveryListener.close();
+    for (Socket open : List.copyOf(discoverySockets)) {
       open.close();
     }
-    Files.delete(file);
-    for (Node node : nodes) {
-      node.dies();
+    Files.delete(startFilePath);
+    for (DatabaseServer node : servers) {
+      node.kill();
     }
   }
 }
--- a/router/src/test/java/basaltlever/OperatorTest.java
+++ b/router/src/test/java/basaltlever/OperatorTest.java
@@ -1,6 +1,6 @@
 package basaltlever;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.config.InvalidSettingsException;
 import basaltlever.config.OperatorFile;
--- a/router/src/test/java/basaltlever/ParserTest.java
+++ b/router/src/test/java/basaltlever/ParserTest.java
@@ -1,6 +1,6 @@
 package basaltlever;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.core.LoadReportFormat;
 import basaltlever.core.StatementRouter;
@@ -37,7 +37,7 @@
 
   private static ByteBuf row(String value) {
     ByteBuf out = Unpooled.buffer();
-    SocketWorld.row(out, value);
+    LoopbackCluster.writeRow(out, value);
     return out;
   }
 
@@ -239,9 +239,9 @@
           Unpooled.buffer(),
           row("1").writeBytes(row("2")),
           Unpooled.buffer()
-              .writeBytes(SocketWorld.description(2))
-              .writeBytes(SocketWorld.data(2, "1")),
-          Unpooled.buffer().writeBytes(SocketWorld.data(1, "1")),
+              .writeBytes(LoopbackCluster.rowDescription(2))
+              .writeBytes(LoopbackCluster.dataRow(2, "1")),
+          Unpooled.buffer().writeBytes(LoopbackCluster.dataRow(1, "1")),
           spoilt(6, 2),
           spoilt(10, 'x'),
           spoilt(35, 2),
@@ -386,17 +386,18 @@
 
   @Example
   void listsAreTakenWholeOrNotAtAll() throws Exception {
-    SocketWorld.Silent outside = new SocketWorld.Silent();
+    LoopbackCluster.RecordingEffects outside = new LoopbackCluster.RecordingEffects();
     StatementRouter<String> core =
-        new StatementRouter<>(outside, SocketWorld.values().loadBalancerFactory(1, new Moment(0)));
+        new StatementRouter<>(
+            outside, LoopbackCluster.createStartValues().loadBalancerFactory(1, new Moment(0)));
     EndpointList list =
-        new EndpointList(core, List.of("a", "b"), (node, address) -> outside.told.add(node));
+        new EndpointList(core, List.of("a", "b"), (node, address) -> outside.calls.add(node));
     String entry =
         "{\"instanceId\":\"n1\",\"hostPort\":\"127.0.0.1:5\",\"zone\":\"q\",\"cell\":1,"
             + "\"lifecycle\":\"in_service\",\"weight\":1.0,\"startedAtMs\":0,\"more\":[1,null]}";
     String shape = "{\"generation\":%s,\"reset\":%s,\"instances\":[%s]}";
     list.takeUpdate(new Moment(0), EndpointList.parse(shape.formatted("7", "true", entry)), true);
-    check(list.generation() == 7 && outside.told.equals(List.of("n1")), "taken");
+    check(list.generation() == 7 && outside.calls.equals(List.of("n1")), "taken");
     for (String bad :
         new String[] {
           shape.formatted("6", "false", entry),
@@ -411,7 +412,7 @@
         list.takeUpdate(new Moment(0), EndpointList.parse(bad), true);
         check(false, "taken: " + bad);
       } catch (InvalidEndpointListException fault) {
-        check(list.generation() == 7 && outside.told.size() == 1, "nothing of it is taken");
+        check(list.generation() == 7 && outside.calls.size() == 1, "nothing of it is taken");
       }
     }
     list.takeUpdate(new Moment(0), EndpointList.parse(shape.formatted("2", "true", "")), true);
@@ -420,9 +421,10 @@
 
   @Example
   void nothingIsKeptOfMembersThatAreGone() throws Exception {
-    SocketWorld.Silent outside = new SocketWorld.Silent();
+    LoopbackCluster.RecordingEffects outside = new LoopbackCluster.RecordingEffects();
     StatementRouter<String> core =
-        new StatementRouter<>(outside, SocketWorld.values().loadBalancerFactory(1, new Moment(0)));
+        new StatementRouter<>(
+            outside, LoopbackCluster.createStartValues().loadBalancerFactory(1, new Moment(0)));
     List<Integer> known = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
       Moment now = new Moment(i * 1_000_000L);
@@ -433,7 +435,8 @@
       known.add(core.endpointCount());
     }
     check(
-        known.get(199) < 30 && outside.told.contains("forget n150"), "as many as lately: " + known);
+        known.get(199) < 30 && outside.calls.contains("forget n150"),
+        "as many as lately: " + known);
   }
 
   @Example
--- a/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
+++ b/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
@@ -1,11 +1,11 @@
 package basaltlever;
 
-import static basaltlever.StandIn.ANY;
-import static basaltlever.StandIn.FRESH;
-import static basaltlever.StandIn.LATE;
-import static basaltlever.StandIn.WRITE;
-import static basaltlever.StandIn.check;
-import static basaltlever.StandIn.ms;
+import static basaltlever.LoadBalancerHarness.ANY;
+import static basaltlever.LoadBalancerHarness.FRESH;
+import static basaltlever.LoadBalancerHarness.LATE_TOLERANT;
+import static basaltlever.LoadBalancerHarness.WRITE;
+import static basaltlever.LoadBalancerHarness.check;
+import static basaltlever.LoadBalancerHarness.ms;
 
 import basaltlever.gateway.AttemptOutcome;
 import basaltlever.gateway.EndpointLifecycle;
@@ -27,8 +27,8 @@
  * goes wrong.
  */
 class PlannedSwitchoverTest {
-  private static StandIn announced(double inMillis) {
-    StandIn world = StandIn.plain().steady(20);
+  private static LoadBalancerHarness announced(double inMillis) {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     check(
         world.balancer.onSwitchoverAnnounced(
             world.now, 2, 1, 1, world.now.plus(ms(inMillis)), false),
@@ -36,76 +36,81 @@
     return world;
   }
 
-  private static Phase last(StandIn world) {
-    return world.phases.get(world.phases.size() - 1);
+  private static Phase last(LoadBalancerHarness world) {
+    return world.switchoverPhases.get(world.switchoverPhases.size() - 1);
   }
 
   /** Lets time go by with all members answering as they are. */
-  private static void polls(StandIn world, double millis, int primary) {
+  private static void polls(LoadBalancerHarness world, double millis, int primary) {
     for (Moment end = world.now.plus(ms(millis)); world.now.isBefore(end); ) {
-      world.later(50);
+      world.advance(50);
       for (int node = 0; node < 3; node++) {
-        world.poll(node, node == primary ? Role.PRIMARY : Role.REPLICA, world.now);
+        world.completePoll(node, node == primary ? Role.PRIMARY : Role.REPLICA, world.now);
       }
     }
   }
 
   @Example
   void aPlannedChangeHoldsAtItsTimeAndReleasesToItsTargetOnceThatClaims() {
-    StandIn world = announced(5_000);
+    LoadBalancerHarness world = announced(5_000);
     polls(world, 2_500, 0);
-    check(world.phases.equals(List.of(Phase.CREATED)), "not yet: " + world.phases);
+    check(
+        world.switchoverPhases.equals(List.of(Phase.CREATED)),
+        "not yet: " + world.switchoverPhases);
     polls(world, 1_000, 0);
     check(
-        last(world) == Phase.PREPARATION && world.prepared >= 0,
-        "prepared before: " + world.phases);
-    int early = world.take(WRITE);
+        last(world) == Phase.PREPARATION && world.preparedConnections >= 0,
+        "prepared before: " + world.switchoverPhases);
+    int early = world.receiveStatement(WRITE);
     check(
-        world.last().statement() == early && world.last().node() == 0,
+        world.lastAttempt().statement() == early && world.lastAttempt().endpoint() == 0,
         "the old primary serves until then");
-    world.end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
+    world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
     polls(world, 1_600, 0);
-    check(last(world) == Phase.IN_PROGRESS, "" + world.phases);
-    int sent = world.sent.size();
-    int first = world.take(WRITE);
-    int second = world.take(FRESH);
-    world.poll(0, Role.PRIMARY, world.now);
-    check(world.sent.size() == sent, "held, whatever the old primary still says");
-    int read = world.take(ANY);
-    check(world.last().statement() == read, "other reads go on");
-    world.later(100).poll(0, Role.REPLICA, world.now);
-    world.poll(1, Role.PRIMARY, world.now);
+    check(last(world) == Phase.IN_PROGRESS, "" + world.switchoverPhases);
+    int sent = world.sentAttempts.size();
+    int first = world.receiveStatement(WRITE);
+    int second = world.receiveStatement(FRESH);
+    world.completePoll(0, Role.PRIMARY, world.now);
+    check(world.sentAttempts.size() == sent, "held, whatever the old primary still says");
+    int read = world.receiveStatement(ANY);
+    check(world.lastAttempt().statement() == read, "other reads go on");
+    world.advance(100).completePoll(0, Role.REPLICA, world.now);
+    world.completePoll(1, Role.PRIMARY, world.now);
     List<Integer> released =
-        world.sent.subList(world.sent.size() - 2, world.sent.size()).stream()
-            .map(StandIn.Sent::statement)
+        world
+            .sentAttempts
+            .subList(world.sentAttempts.size() - 2, world.sentAttempts.size())
+            .stream()
+            .map(LoadBalancerHarness.SentAttempt::statement)
             .toList();
     check(
-        released.equals(List.of(first, second)) && world.last().node() == 1,
+        released.equals(List.of(first, second)) && world.lastAttempt().endpoint() == 1,
         "released in order: " + released);
     polls(world, 100, 1);
-    check(last(world) == Phase.POST, "" + world.phases);
+    check(last(world) == Phase.POST, "" + world.switchoverPhases);
     polls(world, 5_500, 1);
-    check(last(world) == Phase.COMPLETED, "" + world.phases);
+    check(last(world) == Phase.COMPLETED, "" + world.switchoverPhases);
   }
 
   @Example
   void aChangeThatNeverComesOrIsTakenBackReleasesToTheOldPrimary() {
     for (boolean takenBack : new boolean[] {true, false}) {
-      StandIn world = announced(1_000);
+      LoadBalancerHarness world = announced(1_000);
       polls(world, 1_200, 0);
-      check(last(world) == Phase.IN_PROGRESS, "" + world.phases);
-      int held = world.take(WRITE, 9, Moment.LONG_AGO, 9_000);
-      int before = world.sent.size();
+      check(last(world) == Phase.IN_PROGRESS, "" + world.switchoverPhases);
+      int held = world.receiveStatement(WRITE, 9, Moment.LONG_AGO, 9_000);
+      int before = world.sentAttempts.size();
       if (takenBack) {
         check(
             world.balancer.onSwitchoverAnnounced(world.now, 1, 1, 1, world.now, true),
             "taken back");
       }
       polls(world, takenBack ? 100 : 3_200, 0);
-      check(last(world) == Phase.CALLED_OFF, "" + world.phases);
+      check(last(world) == Phase.CALLED_OFF, "" + world.switchoverPhases);
       check(
-          world.sent.subList(before, world.sent.size()).stream()
-              .anyMatch(sent -> sent.statement() == held && sent.node() == 0),
+          world.sentAttempts.subList(before, world.sentAttempts.size()).stream()
+              .anyMatch(sent -> sent.statement() == held && sent.endpoint() == 0),
           "released to who still is one");
     }
   }
@@ -115,44 +120,46 @@
    */
   @Example
   void aChangeThatTakesThePlaceOfOneInProgressGoesOnHolding() {
-    StandIn world = announced(1_000);
+    LoadBalancerHarness world = announced(1_000);
     polls(world, 1_200, 0);
-    check(last(world) == Phase.IN_PROGRESS, "" + world.phases);
+    check(last(world) == Phase.IN_PROGRESS, "" + world.switchoverPhases);
     check(
         world.balancer.onSwitchoverAnnounced(world.now, 1, 2, 2, world.now, false), "a later one");
-    int held = world.take(WRITE);
-    int sent = world.sent.size();
+    int held = world.receiveStatement(WRITE);
+    int sent = world.sentAttempts.size();
     polls(world, 300, 0);
-    check(last(world) == Phase.IN_PROGRESS && world.sent.size() == sent, "held: " + world.phases);
-    world.poll(0, Role.REPLICA, world.now);
-    world.later(20).poll(2, Role.PRIMARY, world.now);
     check(
-        world.last().statement() == held && world.last().node() == 2,
+        last(world) == Phase.IN_PROGRESS && world.sentAttempts.size() == sent,
+        "held: " + world.switchoverPhases);
+    world.completePoll(0, Role.REPLICA, world.now);
+    world.advance(20).completePoll(2, Role.PRIMARY, world.now);
+    check(
+        world.lastAttempt().statement() == held && world.lastAttempt().endpoint() == 2,
         "released to the later target");
   }
 
   @Example
   void aTargetThatDiesOrDrainsOrAnotherThatTakesOverEndsIt() {
-    StandIn world = announced(1_000);
-    world.relist(1, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
+    LoadBalancerHarness world = announced(1_000);
+    world.listEndpoint(1, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
     check(last(world) == Phase.CALLED_OFF, "the target drains");
     world = announced(1_000);
     polls(world, 1_200, 0);
-    world.take(WRITE);
-    world.later(700).poll(0, Role.REPLICA, world.now);
-    int held = world.take(WRITE);
+    world.receiveStatement(WRITE);
+    world.advance(700).completePoll(0, Role.REPLICA, world.now);
+    int held = world.receiveStatement(WRITE);
     world.balancer.onPollEnded(
         world.now, 1, AttemptOutcome.NO_CONNECTION, Role.UNKNOWN, Moment.LONG_AGO, 0, Double.NaN);
     check(last(world) == Phase.CALLED_OFF, "the target died");
-    world.later(20).poll(2, Role.PRIMARY, world.now);
+    world.advance(20).completePoll(2, Role.PRIMARY, world.now);
     check(
-        world.last().statement() == held && world.last().node() == 2,
+        world.lastAttempt().statement() == held && world.lastAttempt().endpoint() == 2,
         "whoever proves it gets the held");
   }
 
   @Example
   void whatIsNoAnnouncementChangesNothing() {
-    StandIn world = announced(5_000);
+    LoadBalancerHarness world = announced(5_000);
     Moment at = world.now.plus(ms(4_000));
     check(
         !world.balancer.onSwitchoverAnnounced(world.now, 1, 1, 2, at, false),
@@ -198,19 +205,19 @@
    */
   @Example
   void aReplacedPrimaryThatComesBackIsNotBelievedWhileItsSuccessorStands() {
-    StandIn world = StandIn.plain().steady(20);
-    world.take(WRITE);
-    world.later(20).end(world.last(), AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
-    world.later(300).poll(1, Role.PRIMARY, world.now);
-    world.end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
-    world.later(900).poll(0, Role.PRIMARY, world.now);
-    world.take(WRITE);
-    check(world.last().node() == 1, "its successor stands");
-    world.end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
-    world.later(50).poll(0, Role.REPLICA, world.now);
-    world.later(900).poll(0, Role.PRIMARY, world.now);
-    world.take(WRITE);
-    check(world.last().node() == 0, "it was a replica since, and claims later");
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    world.receiveStatement(WRITE);
+    world.advance(20).endAttempt(world.lastAttempt(), AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
+    world.advance(300).completePoll(1, Role.PRIMARY, world.now);
+    world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
+    world.advance(900).completePoll(0, Role.PRIMARY, world.now);
+    world.receiveStatement(WRITE);
+    check(world.lastAttempt().endpoint() == 1, "its successor stands");
+    world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
+    world.advance(50).completePoll(0, Role.REPLICA, world.now);
+    world.advance(900).completePoll(0, Role.PRIMARY, world.now);
+    world.receiveStatement(WRITE);
+    check(world.lastAttempt().endpoint() == 0, "it was a replica since, and claims later");
   }
 
   /**
@@ -219,45 +226,51 @@
    */
   @Example
   void aMissedWriteIsBelievedOverTheRoleInTheSameAnswer() {
-    StandIn world = StandIn.plain().steady(20);
-    world.take(WRITE);
-    world.later(5).end(world.last(), AttemptOutcome.MISS, Role.PRIMARY);
-    check(world.sent.size() == 1, "held until somebody proves to be primary");
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    world.receiveStatement(WRITE);
+    world.advance(5).endAttempt(world.lastAttempt(), AttemptOutcome.MISS, Role.PRIMARY);
+    check(world.sentAttempts.size() == 1, "held until somebody proves to be primary");
   }
 
   @Example
   void aStatementOutlivesThreeChangesWithinItsTime() {
-    StandIn world = StandIn.plain().steady(20);
-    int write = world.take(LATE, 9, Moment.LONG_AGO, 1_900);
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
+    int write = world.receiveStatement(LATE_TOLERANT, 9, Moment.LONG_AGO, 1_900);
     for (int primary : new int[] {1, 2, 0}) {
-      world.later(20).end(world.last(), AttemptOutcome.MISS, Role.REPLICA);
-      world.later(400).poll(primary, Role.PRIMARY, world.now);
+      world.advance(20).endAttempt(world.lastAttempt(), AttemptOutcome.MISS, Role.REPLICA);
+      world.advance(400).completePoll(primary, Role.PRIMARY, world.now);
       check(
-          world.last().statement() == write && world.last().node() == primary,
+          world.lastAttempt().statement() == write && world.lastAttempt().endpoint() == primary,
           "released to " + primary);
     }
-    world.later(20).end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
+    world
+        .advance(20)
+        .endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
     check(
-        world.fates.get(write).answered && world.rejected.isEmpty() && world.aborted.isEmpty(),
+        world.statements.get(write).answered
+            && world.rejectedStatements.isEmpty()
+            && world.abortedStatements.isEmpty(),
         "completed once");
   }
 
   @Example
   void aClientThatLeavesWhileHeldLeavesNothingBehind() {
-    StandIn world = StandIn.plain().list(3);
-    int left = world.take(WRITE);
-    int stays = world.take(WRITE);
-    world.fates.get(left).answered = true;
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().listEndpoints(3);
+    int left = world.receiveStatement(WRITE);
+    int stays = world.receiveStatement(WRITE);
+    world.statements.get(left).answered = true;
     world.balancer.onClientDisconnected(world.now, left);
-    check(world.holds.heldStatements() == 1, "its place is free at once");
-    world.poll(0, Role.PRIMARY, world.now);
-    check(world.sent.size() == 1 && world.last().statement() == stays, "nothing is sent for it");
+    check(world.holdBudget.heldStatements() == 1, "its place is free at once");
+    world.completePoll(0, Role.PRIMARY, world.now);
+    check(
+        world.sentAttempts.size() == 1 && world.lastAttempt().statement() == stays,
+        "nothing is sent for it");
   }
 
   /** Every group at once, each with its own record. */
   @Example
   void allGroupsMayChangeAtOnce() {
-    StandIn world = StandIn.plain();
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults();
     world.balancer.onListStarted();
     for (int node = 0; node < 30; node++) {
       world.balancer.onEndpointListed(
@@ -265,39 +278,41 @@
     }
     world.balancer.onListFinished(world.now, true, true);
     for (int node = 0; node < 30; node++) {
-      world.poll(node, node % 3 == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
+      world.completePoll(node, node % 3 == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
     }
     for (int group = 0; group < 10; group++) {
       world.balancer.onSwitchoverAnnounced(
           world.now, 3 * group, 1, 3 * group + 1, world.now.plus(ms(50)), false);
     }
-    world.later(100);
+    world.advance(100);
     check(
-        world.phases.stream().filter(Phase.IN_PROGRESS::equals).count() == 10,
-        "all are held: " + world.phases);
+        world.switchoverPhases.stream().filter(Phase.IN_PROGRESS::equals).count() == 10,
+        "all are held: " + world.switchoverPhases);
     for (int group = 0; group < 10; group++) {
-      world.poll(3 * group, Role.REPLICA, world.now);
-      world.poll(3 * group + 1, Role.PRIMARY, world.now);
+      world.completePoll(3 * group, Role.REPLICA, world.now);
+      world.completePoll(3 * group + 1, Role.PRIMARY, world.now);
     }
     for (int node = 0; node < 30; node++) {
-      world.poll(node, node % 3 == 1 ? Role.PRIMARY : Role.REPLICA, world.now);
+      world.completePoll(node, node % 3 == 1 ? Role.PRIMARY : Role.REPLICA, world.now);
     }
-    check(world.phases.stream().filter(Phase.POST::equals).count() == 10, "" + world.phases);
+    check(
+        world.switchoverPhases.stream().filter(Phase.POST::equals).count() == 10,
+        "" + world.switchoverPhases);
   }
 
   @Property(tries = 120, seed = "99", shrinking = ShrinkingMode.OFF)
   void theRulesHoldThroughPlannedChangesToo(
       @ForAll boolean check, @ForAll boolean tokens, @ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    StandIn world = new StandIn(check, true, tokens, true, true, 2, seed);
-    world.holds.setLimits(chance.nextInt(1, 12), 2_000);
+    LoadBalancerHarness world = new LoadBalancerHarness(check, true, tokens, true, true, 2, seed);
+    world.holdBudget.setLimits(chance.nextInt(1, 12), 2_000);
     int nodes = 3 + chance.nextInt(3);
-    world.playWith(chance.split(), nodes);
+    world.simulateEndpoints(chance.split(), nodes);
     List<int[]> notes = new ArrayList<>();
     for (int step = 0; step < 700; step++) {
-      world.run(chance.nextInt(1, 20));
+      world.runFor(chance.nextInt(1, 20));
       for (int n = chance.nextInt(3); n > 0; n--) {
-        world.take(
+        world.receiveStatement(
             chance.nextInt(6), chance.nextInt(5), Moment.LONG_AGO, 100 + chance.nextInt(1_500));
       }
       if (chance.nextInt(25) == 0) {
@@ -319,8 +334,8 @@
             world.now, 0, old[0], old[1], world.now, chance.nextBoolean());
       }
     }
-    world.run(4_000);
-    check(world.holds.heldStatements() <= 12, "held beyond its budget");
+    world.runFor(4_000);
+    check(world.holdBudget.heldStatements() <= 12, "held beyond its budget");
   }
 
   /**
--- a/router/src/test/java/basaltlever/ProcessTest.java
+++ b/router/src/test/java/basaltlever/ProcessTest.java
@@ -1,9 +1,9 @@
 package basaltlever;
 
-import static basaltlever.SocketWorld.statement;
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
+import static basaltlever.LoopbackCluster.statement;
 
-import basaltlever.SocketWorld.Client;
+import basaltlever.LoopbackCluster.Client;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -64,19 +64,20 @@
   @Example
   void aRouterMakesHardlyAnyClassesOfItsOwnWhileItServes() throws Exception {
     Path log = Files.createTempFile("classes", ".log");
-    try (SocketWorld world = new SocketWorld(false)) {
-      Process process = start(List.of("-Xlog:class+load:file=" + log), world.file, "serve");
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
+      Process process =
+          start(List.of("-Xlog:class+load:file=" + log), world.startFilePath, "serve");
       try (Client client = connect(world.port, process)) {
-        client.start().answer();
-        for (SocketWorld.Mode mode :
+        client.sendStartup().readResponse();
+        for (LoopbackCluster.ResponseMode mode :
             List.of(
-                SocketWorld.Mode.ROW,
-                SocketWorld.Mode.ERROR,
-                SocketWorld.Mode.GARBAGE,
-                SocketWorld.Mode.BREAKS)) {
-          world.nodes.forEach(node -> node.mode = mode);
-          client.ask(statement("c" + mode, "view", 900)).answer();
-          client.ask(statement("d" + mode, "post", 900)).answer();
+                LoopbackCluster.ResponseMode.ROW,
+                LoopbackCluster.ResponseMode.ERROR,
+                LoopbackCluster.ResponseMode.GARBAGE,
+                LoopbackCluster.ResponseMode.DISCONNECT)) {
+          world.servers.forEach(node -> node.responseMode = mode);
+          client.sendQuery(statement("c" + mode, "view", 900)).readResponse();
+          client.sendQuery(statement("d" + mode, "post", 900)).readResponse();
         }
         process.destroy();
         check(process.waitFor(10, TimeUnit.SECONDS), "it ends");
@@ -103,17 +104,18 @@
 
   @Example
   void itServesAStatementAndEndsOnASignalWithZero() throws Exception {
-    try (SocketWorld world = new SocketWorld(false)) {
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
       for (int i = 0; i < 2; i++) {
-        Process process = start(world.file, "serve");
+        Process process = start(world.startFilePath, "serve");
         try (Client client = connect(world.port, process)) {
           check(
-              client.start().ask("").answer().isEmpty() && client.answer().equals("I"),
+              client.sendStartup().sendQuery("").readResponse().isEmpty()
+                  && client.readResponse().equals("I"),
               "it serves");
-          String answer = client.ask(statement("a" + i, "view", 1_800)).answer();
+          String answer = client.sendQuery(statement("a" + i, "view", 1_800)).readResponse();
           check(answer.equals("row:a" + i), "a statement: " + answer);
           process.destroy();
-          check(client.answer().equals("closed"), "closed once idle");
+          check(client.readResponse().equals("closed"), "closed once idle");
           check(
               process.waitFor(10, TimeUnit.SECONDS) && process.exitValue() == 0,
               "exit 0, and the next start works at once");
@@ -126,16 +128,22 @@
 
   @Example
   void theSignalToReadTheStartFileAgainEndsNothing() throws Exception {
-    try (SocketWorld world = new SocketWorld(false)) {
-      Process process = start(world.file, "serve");
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
+      Process process = start(world.startFilePath, "serve");
       try (Client client = connect(world.port, process)) {
-        client.start().answer();
-        check(client.ask(statement("b1", "view", 1_800)).answer().equals("row:b1"), "at first");
+        client.sendStartup().readResponse();
+        check(
+            client.sendQuery(statement("b1", "view", 1_800)).readResponse().equals("row:b1"),
+            "at first");
         world.moveDiscovery();
         new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor();
         Thread.sleep(700);
-        check(process.isAlive() && world.calls.get() == 2, "it lives, and asks at the new address");
-        check(client.ask(statement("b2", "view", 1_800)).answer().equals("row:b2"), "it serves on");
+        check(
+            process.isAlive() && world.discoveryCalls.get() == 2,
+            "it lives, and asks at the new address");
+        check(
+            client.sendQuery(statement("b2", "view", 1_800)).readResponse().equals("row:b2"),
+            "it serves on");
       } finally {
         process.destroyForcibly();
       }
@@ -149,14 +157,17 @@
   @Example
   void theSignalToReadAgainIsHeardBeforeAnythingIsSetUp() throws Exception {
     Path log = Files.createTempFile("classes", ".log");
-    try (SocketWorld world = new SocketWorld(false)) {
-      Process process = start(List.of("-Xlog:class+load:file=" + log), world.file, "serve");
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
+      Process process =
+          start(List.of("-Xlog:class+load:file=" + log), world.startFilePath, "serve");
       try {
         awaitLine(log, "basaltlever.net.Router ", process);
         signal(process, "HUP");
         try (Client client = connect(world.port, process)) {
-          client.start().answer();
-          check(client.ask(statement("e1", "view", 1_800)).answer().equals("row:e1"), "it serves");
+          client.sendStartup().readResponse();
+          check(
+              client.sendQuery(statement("e1", "view", 1_800)).readResponse().equals("row:e1"),
+              "it serves");
         }
       } finally {
         process.destroyForcibly();
@@ -169,7 +180,7 @@
   @Example
   void aRouterThatCanHearNoReloadSaysSo() throws Exception {
     Path log = Files.createTempFile("router", ".log");
-    try (SocketWorld world = new SocketWorld(false)) {
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
       for (boolean deaf : new boolean[] {true, false}) {
         ProcessBuilder builder =
             new ProcessBuilder(
@@ -180,10 +191,10 @@
                     System.getProperty("java.home") + "/bin/java",
                     System.getProperty("java.class.path"))
                 .redirectError(log.toFile());
-        builder.environment().put("GW_CONFIG", world.file.toString());
+        builder.environment().put("GW_CONFIG", world.startFilePath.toString());
         Process process = builder.start();
         try (Client client = connect(world.port, process)) {
-          client.start().answer();
+          client.sendStartup().readResponse();
           boolean said = Files.readString(log).contains("event=signal_ignored signal=HUP");
           check(said == deaf, "deaf " + deaf + ", said " + said);
         } finally {
@@ -203,20 +214,22 @@
 
   @Example
   void aSignalToEndInTheMiddleOfAReloadLosesNothing() throws Exception {
-    try (SocketWorld world = new SocketWorld(false)) {
-      Process process = start(world.file, "serve");
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
+      Process process = start(world.startFilePath, "serve");
       try (Client client = connect(world.port, process)) {
-        client.start().answer();
-        check(client.ask(statement("c1", "view", 1_800)).answer().equals("row:c1"), "at first");
-        world.nodes.get(0).mode = SocketWorld.Mode.SILENT;
-        client.ask(statement("c2", "post", 900));
-        for (int i = 0; i < 100 && !world.ran.containsKey("c2"); i++) {
+        client.sendStartup().readResponse();
+        check(
+            client.sendQuery(statement("c1", "view", 1_800)).readResponse().equals("row:c1"),
+            "at first");
+        world.servers.get(0).responseMode = LoopbackCluster.ResponseMode.NO_RESPONSE;
+        client.sendQuery(statement("c2", "post", 900));
+        for (int i = 0; i < 100 && !world.modesByStatement.containsKey("c2"); i++) {
           Thread.sleep(10);
         }
         world.moveDiscovery();
         signal(process, "HUP", "HUP", "TERM", "HUP", "TERM");
-        check(client.answer().startsWith("error:58000"), "what may have run is told as that");
-        check(client.answer().equals("closed"), "then its connection ends");
+        check(client.readResponse().startsWith("error:58000"), "what may have run is told as that");
+        check(client.readResponse().equals("closed"), "then its connection ends");
         check(process.waitFor(10, TimeUnit.SECONDS) && process.exitValue() == 0, "exit 0");
       } finally {
         process.destroyForcibly();
@@ -226,14 +239,14 @@
 
   @Example
   void aSignalToEndDuringStartIsHeardAtOnce() throws Exception {
-    try (SocketWorld world = new SocketWorld(false);
-        ServerSocket mute = SocketWorld.listen(0)) {
-      world.writeStart(
+    try (LoopbackCluster world = new LoopbackCluster(false);
+        ServerSocket mute = LoopbackCluster.listen(0)) {
+      world.writeStartFile(
           text ->
               text.replaceAll(
                   "\"discovery\":\"[^\"]*\"",
                   "\"discovery\":\"127.0.0.1:" + mute.getLocalPort() + "\""));
-      Process process = start(world.file, "serve");
+      Process process = start(world.startFilePath, "serve");
       try (Socket call = mute.accept()) {
         // It waits for its first list now, and listens for nobody yet.
         long since = System.nanoTime();
--- a/router/src/test/java/basaltlever/RouterTest.java
+++ b/router/src/test/java/basaltlever/RouterTest.java
@@ -1,10 +1,10 @@
 package basaltlever;
 
-import static basaltlever.SocketWorld.statement;
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
+import static basaltlever.LoopbackCluster.statement;
 
-import basaltlever.SocketWorld.Client;
-import basaltlever.SocketWorld.Mode;
+import basaltlever.LoopbackCluster.Client;
+import basaltlever.LoopbackCluster.ResponseMode;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.ArrayList;
@@ -28,18 +28,26 @@
 
   @Example
   void aStatementSentRightBehindTheStartIsCompleted() throws Exception {
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Client client = new Client(world.port)) {
-      client.start().ask("").ask(statement("a1", "view", 1_500)).ask("SET x = 1");
-      client.ask(statement("a2", "post", 1_500));
+      client
+          .sendStartup()
+          .sendQuery("")
+          .sendQuery(statement("a1", "view", 1_500))
+          .sendQuery("SET x = 1");
+      client.sendQuery(statement("a2", "post", 1_500));
       check(
-          client.answer().isEmpty() && client.answer().equals("I"),
+          client.readResponse().isEmpty() && client.readResponse().equals("I"),
           "the start, and an empty query");
       check(
-          client.answer().equals("row:a1") && client.answer().isEmpty(), "a read, then a command");
-      check(client.answer().equals("row:a2"), "a write, in its order");
+          client.readResponse().equals("row:a1") && client.readResponse().isEmpty(),
+          "a read, then a command");
+      check(client.readResponse().equals("row:a2"), "a write, in its order");
       String sent =
-          world.seen.stream().filter(text -> text.contains("id=a2")).findFirst().orElse("");
+          world.receivedQueries.stream()
+              .filter(text -> text.contains("id=a2"))
+              .findFirst()
+              .orElse("");
       int wait = Integer.parseInt(sent.replaceAll("(?s).*,d=([0-9]+),.*", "$1"));
       check(
           wait <= 1_500 && wait > 500 && sent.equals(statement("a2", "post", wait)),
@@ -49,27 +57,27 @@
 
   @Example
   void eachOutcomeOfAWriteIsToldAsWhatIsProven() throws Exception {
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Client client = new Client(world.port)) {
-      client.start().answer();
-      for (Mode mode : Mode.values()) {
-        world.nodes.get(0).mode = mode;
+      client.sendStartup().readResponse();
+      for (ResponseMode mode : ResponseMode.values()) {
+        world.servers.get(0).responseMode = mode;
         String id = "b" + mode.ordinal();
         long start = System.nanoTime();
-        String answer = client.ask(statement(id, "post", 700)).answer();
-        List<Mode> runs = world.ran.getOrDefault(id, List.of());
+        String answer = client.sendQuery(statement(id, "post", 700)).readResponse();
+        List<ResponseMode> runs = world.modesByStatement.getOrDefault(id, List.of());
         check(System.nanoTime() - start < 1_500_000_000L, mode + ": answered in time");
-        if (mode.completes()) {
+        if (mode.hasValidResponse()) {
           check(answer.startsWith("row:" + id) && runs.size() == 1, mode + ": " + answer);
-        } else if (mode.provesNotRun()) {
+        } else if (mode.provesNotExecuted()) {
           check(rejected(answer), mode + " is harmless: " + answer);
         } else {
           check(aborted(answer) && runs.size() == 1, mode + " may have run: " + answer + runs);
         }
-        world.nodes.get(0).mode = Mode.ROW;
+        world.servers.get(0).responseMode = ResponseMode.ROW;
         String next = "";
         for (int i = 0; i < 90 && !next.equals("row:bb"); i++) {
-          next = client.ask(statement("bb", "post", 900)).answer();
+          next = client.sendQuery(statement("bb", "post", 900)).readResponse();
           Thread.sleep(100);
         }
       }
@@ -78,19 +86,23 @@
 
   @Example
   void whatNeverReachedANodeIsRejectedAndAReadGoesElsewhere() throws Exception {
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Client client = new Client(world.port)) {
-      client.start().answer();
-      check(client.ask(statement("c1", "post", 900)).answer().equals("row:c1"), "at first");
-      world.nodes.get(0).dies();
+      client.sendStartup().readResponse();
+      check(
+          client.sendQuery(statement("c1", "post", 900)).readResponse().equals("row:c1"),
+          "at first");
+      world.servers.get(0).kill();
       // A write that crosses the end of an open connection may have run: this is about later ones.
       Thread.sleep(150);
-      String answer = client.ask(statement("c2", "post", 600)).answer();
+      String answer = client.sendQuery(statement("c2", "post", 600)).readResponse();
       check(rejected(answer), "refused, never sent: " + answer);
-      check(client.ask(statement("c3", "view", 900)).answer().equals("row:c3"), "replicas go on");
-      world.nodes.get(1).mode = Mode.BREAKS;
+      check(
+          client.sendQuery(statement("c3", "view", 900)).readResponse().equals("row:c3"),
+          "replicas go on");
+      world.servers.get(1).responseMode = ResponseMode.DISCONNECT;
       for (int i = 0; i < 6; i++) {
-        answer = client.ask(statement("c4" + i, "view", 1_500)).answer();
+        answer = client.sendQuery(statement("c4" + i, "view", 1_500)).readResponse();
         check(answer.equals("row:c4" + i), "a read may run again: " + answer);
       }
     }
@@ -98,114 +110,136 @@
 
   @Example
   void anIdleConnectionThatTheNodeClosesCostsNothing() throws Exception {
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Client client = new Client(world.port)) {
-      client.start().answer();
-      check(client.ask(statement("d1", "post", 900)).answer().equals("row:d1"), "at first");
-      for (SocketWorld.Node node : world.nodes) {
-        for (java.net.Socket socket : new ArrayList<>(node.open)) {
+      client.sendStartup().readResponse();
+      check(
+          client.sendQuery(statement("d1", "post", 900)).readResponse().equals("row:d1"),
+          "at first");
+      for (LoopbackCluster.DatabaseServer node : world.servers) {
+        for (java.net.Socket socket : new ArrayList<>(node.openSockets)) {
           socket.close();
         }
       }
       Thread.sleep(150);
       check(
-          client.ask(statement("d2", "post", 900)).answer().equals("row:d2"),
+          client.sendQuery(statement("d2", "post", 900)).readResponse().equals("row:d2"),
           "on a new connection");
       Thread.sleep(2_300);
       check(
-          client.ask(statement("d3", "post", 900)).answer().equals("row:d3"), "past the idle time");
+          client.sendQuery(statement("d3", "post", 900)).readResponse().equals("row:d3"),
+          "past the idle time");
     }
   }
 
   @Example
   void nothingNewGoesToANodeThatDrainsAndABrokenWatchIsAskedForAgain() throws Exception {
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Client client = new Client(world.port)) {
-      client.start().answer();
-      client.ask(statement("e1", "view", 900)).answer();
-      world.refusesCalls = true;
-      world.breakWatch();
+      client.sendStartup().readResponse();
+      client.sendQuery(statement("e1", "view", 900)).readResponse();
+      world.rejectsDiscoveryCalls = true;
+      world.closeWatch();
       Thread.sleep(700);
-      check(world.calls.get() >= 2, "asked again, and told no");
-      world.refusesCalls = false;
-      world.nodes.get(1).listed = "terminating";
+      check(world.discoveryCalls.get() >= 2, "asked again, and told no");
+      world.rejectsDiscoveryCalls = false;
+      world.servers.get(1).listedLifecycle = "terminating";
       Thread.sleep(1_600);
-      world.nodes.get(1).mode = Mode.ERROR;
-      int before = world.seen.size();
+      world.servers.get(1).responseMode = ResponseMode.ERROR;
+      int before = world.receivedQueries.size();
       for (int i = 0; i < 12; i++) {
-        check(client.ask(statement("e2" + i, "view", 900)).answer().equals("row:e2" + i), "served");
+        check(
+            client.sendQuery(statement("e2" + i, "view", 900)).readResponse().equals("row:e2" + i),
+            "served");
       }
-      check(world.seen.size() == before + 12, "one execution each, none at the node that drains");
+      check(
+          world.receivedQueries.size() == before + 12,
+          "one execution each, none at the node that drains");
     }
   }
 
   @Example
   void aNodeThatMovesUnderItsNameIsFoundAtItsNewAddress() throws Exception {
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Client client = new Client(world.port)) {
-      client.start().answer();
-      check(client.ask(statement("j1", "post", 900)).answer().equals("row:j1"), "at first");
-      SocketWorld.Node old = world.nodes.get(0);
-      old.mode = Mode.ERROR;
-      world.nodes.set(0, world.new Node("s-0", true));
-      world.tell();
+      client.sendStartup().readResponse();
+      check(
+          client.sendQuery(statement("j1", "post", 900)).readResponse().equals("row:j1"),
+          "at first");
+      LoopbackCluster.DatabaseServer old = world.servers.get(0);
+      old.responseMode = ResponseMode.ERROR;
+      world.servers.set(0, world.new DatabaseServer("s-0", true));
+      world.publishList();
       Thread.sleep(200);
       check(
-          client.ask(statement("j2", "post", 900)).answer().equals("row:j2"),
+          client.sendQuery(statement("j2", "post", 900)).readResponse().equals("row:j2"),
           "not on an old connection");
-      old.dies();
+      old.kill();
       check(
-          client.ask(statement("j3", "post", 900)).answer().equals("row:j3"),
+          client.sendQuery(statement("j3", "post", 900)).readResponse().equals("row:j3"),
           "the old one is not missed");
     }
   }
 
   @Example
   void aReloadFollowsDiscoveryAndAFaultyFileChangesNothing() throws Exception {
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Client client = new Client(world.port)) {
-      client.start().answer();
-      check(client.ask(statement("k1", "post", 900)).answer().equals("row:k1"), "at first");
-      Files.writeString(world.file, "{\"discovery\":\"nowhere\"}");
+      client.sendStartup().readResponse();
+      check(
+          client.sendQuery(statement("k1", "post", 900)).readResponse().equals("row:k1"),
+          "at first");
+      Files.writeString(world.startFilePath, "{\"discovery\":\"nowhere\"}");
       world.router.reload();
       Thread.sleep(200);
-      check(world.calls.get() == 1, "a faulty file is left alone");
-      world.nodes.get(0).mode = Mode.SILENT;
-      client.ask(statement("k2", "post", 900));
+      check(world.discoveryCalls.get() == 1, "a faulty file is left alone");
+      world.servers.get(0).responseMode = ResponseMode.NO_RESPONSE;
+      client.sendQuery(statement("k2", "post", 900));
       Thread.sleep(100);
-      world.nodes.set(2, world.new Node("s-9", false));
+      world.servers.set(2, world.new DatabaseServer("s-9", false));
       world.moveDiscovery();
       world.router.reload();
       world.router.reload();
       Thread.sleep(400);
       check(
-          world.calls.get() == 2 && world.asked.contains("since=0 "),
-          "the whole list: " + world.asked);
-      check(aborted(client.answer()), "what was open is answered");
-      world.nodes.get(0).mode = Mode.ROW;
-      world.nodes.get(1).mode = Mode.ERROR;
-      client.ask(statement("k3", "view", 900)).answer();
+          world.discoveryCalls.get() == 2 && world.discoveryRequest.contains("since=0 "),
+          "the whole list: " + world.discoveryRequest);
+      check(aborted(client.readResponse()), "what was open is answered");
+      world.servers.get(0).responseMode = ResponseMode.ROW;
+      world.servers.get(1).responseMode = ResponseMode.ERROR;
+      client.sendQuery(statement("k3", "view", 900)).readResponse();
       check(
-          client.ask(statement("k4", "view", 900)).answer().equals("row:k4"), "by the new member");
+          client.sendQuery(statement("k4", "view", 900)).readResponse().equals("row:k4"),
+          "by the new member");
     }
   }
 
   /** Found on sockets: every spoilt answer began a hold, and spoilt ones were passed on. */
   @Example
   void aSpoiltAnswerIsNoSignOfALossAndWhatComesBehindAGoodOneIsNeverServed() throws Exception {
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Client client = new Client(world.port)) {
-      client.start().answer();
-      check(client.ask(statement("l1", "post", 900)).answer().equals("row:l1"), "at first");
-      SocketWorld.Node primary = world.nodes.get(0);
+      client.sendStartup().readResponse();
+      check(
+          client.sendQuery(statement("l1", "post", 900)).readResponse().equals("row:l1"),
+          "at first");
+      LoopbackCluster.DatabaseServer primary = world.servers.get(0);
       primary.ignoresPolls = true;
-      for (Mode mode : List.of(Mode.GARBAGE, Mode.WRONG_LENGTH, Mode.TWICE, Mode.NOISE_BEHIND)) {
-        primary.mode = mode;
-        String answer = client.ask(statement("l2", "post", 900)).answer();
-        check(mode.completes() ? answer.equals("row:l2") : aborted(answer), mode + ": " + answer);
-        primary.mode = Mode.ROW;
+      for (ResponseMode mode :
+          List.of(
+              ResponseMode.GARBAGE,
+              ResponseMode.WRONG_LENGTH,
+              ResponseMode.TWO_RESPONSES,
+              ResponseMode.TRAILING_GARBAGE)) {
+        primary.responseMode = mode;
+        String answer = client.sendQuery(statement("l2", "post", 900)).readResponse();
+        check(
+            mode.hasValidResponse() ? answer.equals("row:l2") : aborted(answer),
+            mode + ": " + answer);
+        primary.responseMode = ResponseMode.ROW;
         check(
-            client.ask(statement("l3", "post", 900)).answer().equals("row:l3"), "no hold: " + mode);
+            client.sendQuery(statement("l3", "post", 900)).readResponse().equals("row:l3"),
+            "no hold: " + mode);
       }
     }
   }
@@ -214,24 +248,24 @@
   void whoSaysNothingOrHalfOfSomethingIsSentAwayAndSoAreTheLongIdleWhereTheyAreMany()
       throws Exception {
     List<Client> many = new ArrayList<>();
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Client used = new Client(world.port);
         Client silent = new Client(world.port);
         Client mute = new Client(world.port);
         Client half = new Client(world.port)) {
       long start = System.nanoTime();
-      used.start().ask("").answer();
-      mute.start().answer();
-      check(half.start().answer().isEmpty(), "the start");
-      SocketWorld.send(
+      used.sendStartup().sendQuery("").readResponse();
+      mute.sendStartup().readResponse();
+      check(half.sendStartup().readResponse().isEmpty(), "the start");
+      LoopbackCluster.send(
           half.socket,
           io.netty.buffer.Unpooled.buffer().writeByte('Q').writeInt(90).writeByte('/'));
-      check(used.answer().equals("I"), "it serves");
-      check(silent.answer().equals("error:08P01:closed"), "no start");
-      check(mute.answer().equals("closed"), "no query");
-      check(half.answer().equals("error:08P01:closed"), "half a query");
+      check(used.readResponse().equals("I"), "it serves");
+      check(silent.readResponse().equals("error:08P01:closed"), "no start");
+      check(mute.readResponse().equals("closed"), "no query");
+      check(half.readResponse().equals("error:08P01:closed"), "half a query");
       check(System.nanoTime() - start < 3_000_000_000L, "within 3 s");
-      String stays = used.ask(statement("m1", "view", 900)).answer();
+      String stays = used.sendQuery(statement("m1", "view", 900)).readResponse();
       check(
           stays.equals("row:m1"),
           "few may stay: "
@@ -239,13 +273,16 @@
               + "; descriptors: "
               + new java.io.File("/proc/self/fd").list().length);
       for (int i = 0; i < 20; i++) {
-        many.add(new Client(world.port).start().ask(statement("m2" + i, "view", 1_900)));
+        many.add(
+            new Client(world.port).sendStartup().sendQuery(statement("m2" + i, "view", 1_900)));
       }
       for (Client client : many) {
-        check(client.answer().isEmpty() && !client.answer().endsWith("closed"), "each asks once");
+        check(
+            client.readResponse().isEmpty() && !client.readResponse().endsWith("closed"),
+            "each asks once");
       }
       Thread.sleep(2_500);
-      check(many.get(0).answer().equals("closed"), "the longest idle");
+      check(many.get(0).readResponse().equals("closed"), "the longest idle");
     } finally {
       for (Client client : many) {
         client.close();
@@ -255,7 +292,7 @@
 
   @Example
   void badInputCostsItsConnectionAtMost() throws Exception {
-    try (SocketWorld world = new SocketWorld()) {
+    try (LoopbackCluster world = new LoopbackCluster()) {
       int[][] starts = {
         {8, 80877103},
         {8, 80877104},
@@ -276,21 +313,21 @@
       };
       for (int i = 0; i < starts.length; i++) {
         try (Client client = new Client(world.port)) {
-          SocketWorld.send(
+          LoopbackCluster.send(
               client.socket,
               io.netty.buffer.Unpooled.buffer().writeInt(starts[i][0]).writeInt(starts[i][1]));
-          String got = told[i].equals("N") ? "" + (char) client.in.read() : client.answer();
+          String got = told[i].equals("N") ? "" + (char) client.in.read() : client.readResponse();
           check(got.equals(told[i]), "start " + i + " got " + got);
         }
       }
       try (Client client = new Client(world.port)) {
-        client.start().answer();
+        client.sendStartup().readResponse();
         for (String bad : new String[] {"SELECT 1", "/* id=1 */", statement("1", "nowhere", 5)}) {
           check(
-              client.ask(bad).answer().equals("error:08P01:"),
+              client.sendQuery(bad).readResponse().equals("error:08P01:"),
               "an error, and the connection lives");
         }
-        SocketWorld.send(
+        LoopbackCluster.send(
             client.socket,
             io.netty.buffer.Unpooled.buffer()
                 .writeByte('P')
@@ -299,37 +336,43 @@
                 .writeInt(4)
                 .writeByte('S')
                 .writeInt(4));
-        check(client.answer().equals("error:0A000:"), "one error up to the next Sync");
-        check(client.ask(statement("f1", "view", 900)).answer().equals("row:f1"), "and it serves");
+        check(client.readResponse().equals("error:0A000:"), "one error up to the next Sync");
+        check(
+            client.sendQuery(statement("f1", "view", 900)).readResponse().equals("row:f1"),
+            "and it serves");
         String large = statement("f2", "view", 900) + " /* " + "z".repeat(140_000) + " */";
-        check(client.ask(large).answer().equals("row:f2"), "a large one");
-        check(client.ask("z".repeat(300_000)).answer().equals("error:54000:closed"), "too large");
+        check(client.sendQuery(large).readResponse().equals("row:f2"), "a large one");
+        check(
+            client.sendQuery("z".repeat(300_000)).readResponse().equals("error:54000:closed"),
+            "too large");
       } catch (IOException reset) {
         check(
             reset.getMessage().contains("reset") || reset.getMessage().contains("Broken"),
             "closed on it");
       }
       try (Client client = new Client(world.port)) {
-        check(client.start().answer().isEmpty(), "others are served as before");
-        check(client.ask(statement("f3", "post", 900)).answer().equals("row:f3"), "in full");
+        check(client.sendStartup().readResponse().isEmpty(), "others are served as before");
+        check(
+            client.sendQuery(statement("f3", "post", 900)).readResponse().equals("row:f3"),
+            "in full");
       }
     }
   }
 
   @Example
   void aClientThatReadsSlowlyGetsAllItsLargeAnswersInOrder() throws Exception {
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Client client = new Client(world.port)) {
-      client.start().answer();
-      world.nodes.forEach(node -> node.mode = Mode.LARGE);
+      client.sendStartup().readResponse();
+      world.servers.forEach(node -> node.responseMode = ResponseMode.LARGE);
       for (int i = 0; i < 120; i++) {
-        client.ask(statement("h" + i, i % 3 == 0 ? "post" : "view", 1_500));
+        client.sendQuery(statement("h" + i, i % 3 == 0 ? "post" : "view", 1_500));
       }
       Thread.sleep(500);
-      int before = world.seen.size();
+      int before = world.receivedQueries.size();
       check(before < 120, "it stops taking statements while answers are not read: " + before);
       for (int i = 0; i < 120; i++) {
-        String answer = client.answer();
+        String answer = client.readResponse();
         check(
             answer.startsWith("row:h" + i + "-") && answer.length() > 65_536,
             "in its order, whole");
@@ -340,13 +383,15 @@
   @Example
   void whereDescriptorsRunOutTheLongestIdleMakeRoom() throws Exception {
     List<Client> many = new ArrayList<>();
-    try (SocketWorld world = new SocketWorld()) {
+    try (LoopbackCluster world = new LoopbackCluster()) {
       for (int i = 0; i < 150; i++) {
-        many.add(new Client(world.port).start());
-        check(many.get(i).answer().isEmpty(), "admitted: " + i);
+        many.add(new Client(world.port).sendStartup());
+        check(many.get(i).readResponse().isEmpty(), "admitted: " + i);
       }
-      check(many.get(0).answer().equals("error:53300:250closed"), "the longest idle is told to go");
-      String answer = many.get(149).ask(statement("i1", "view", 900)).answer();
+      check(
+          many.get(0).readResponse().equals("error:53300:250closed"),
+          "the longest idle is told to go");
+      String answer = many.get(149).sendQuery(statement("i1", "view", 900)).readResponse();
       check(answer.equals("row:i1"), "the latest is served: " + answer);
     } finally {
       for (Client client : many) {
@@ -361,17 +406,22 @@
   @Example
   void clientsThatAskOnceAndStayAreClosedAsOthersComeAndNoStatementIsLost() throws Exception {
     List<Client> once = new ArrayList<>();
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Client used = new Client(world.port)) {
-      check(used.start().answer().isEmpty(), "the start");
+      check(used.sendStartup().readResponse().isEmpty(), "the start");
       for (int i = 0; i < 90; i++) {
-        Client client = new Client(world.port).start().ask(statement("o" + i, "view", 900));
+        Client client =
+            new Client(world.port).sendStartup().sendQuery(statement("o" + i, "view", 900));
         once.add(client);
-        check(client.answer().isEmpty() && client.answer().equals("row:o" + i), "each is answered");
-        check(used.ask(statement("p" + i, "view", 900)).answer().equals("row:p" + i), "used: kept");
+        check(
+            client.readResponse().isEmpty() && client.readResponse().equals("row:o" + i),
+            "each is answered");
+        check(
+            used.sendQuery(statement("p" + i, "view", 900)).readResponse().equals("row:p" + i),
+            "used: kept");
       }
       long start = System.nanoTime();
-      check(once.get(20).answer().equals("closed"), "the longest idle");
+      check(once.get(20).readResponse().equals("closed"), "the longest idle");
       check(System.nanoTime() - start < 200_000_000L, "at once");
     } finally {
       for (Client client : once) {
@@ -384,16 +434,18 @@
   @Example
   void connectionsThatSayNothingMakeRoomBeforeThoseThatAsked() throws Exception {
     List<Client> silent = new ArrayList<>();
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Client used = new Client(world.port)) {
-      check(used.start().answer().isEmpty(), "the start");
-      check(used.ask(statement("n1", "view", 900)).answer().equals("row:n1"), "in use");
+      check(used.sendStartup().readResponse().isEmpty(), "the start");
+      check(used.sendQuery(statement("n1", "view", 900)).readResponse().equals("row:n1"), "in use");
       for (int i = 0; i < 300; i++) {
         silent.add(new Client(world.port));
       }
-      check(used.ask(statement("n2", "view", 900)).answer().equals("row:n2"), "still here");
       check(
-          silent.get(0).answer().equals("error:53300:250closed"),
+          used.sendQuery(statement("n2", "view", 900)).readResponse().equals("row:n2"),
+          "still here");
+      check(
+          silent.get(0).readResponse().equals("error:53300:250closed"),
           "the oldest that said nothing made room");
     } finally {
       for (Client client : silent) {
@@ -404,26 +456,28 @@
 
   @Example
   void aDrainingRouterAnswersAllItTookAndStops() throws Exception {
-    SocketWorld world = new SocketWorld();
+    LoopbackCluster world = new LoopbackCluster();
     try (Client idle = new Client(world.port);
         Client client = new Client(world.port)) {
-      idle.start().answer();
-      client.start().answer();
-      for (SocketWorld.Node node : world.nodes) {
-        node.mode = Mode.SILENT;
+      idle.sendStartup().readResponse();
+      client.sendStartup().readResponse();
+      for (LoopbackCluster.DatabaseServer node : world.servers) {
+        node.responseMode = ResponseMode.NO_RESPONSE;
       }
-      client.ask(statement("g1", "post", 1_200));
+      client.sendQuery(statement("g1", "post", 1_200));
       Thread.sleep(100);
       world.router.drain();
       Thread.sleep(100);
-      world.nodes.forEach(node -> node.mode = Mode.ROW);
+      world.servers.forEach(node -> node.responseMode = ResponseMode.ROW);
       try (Client late = new Client(world.port)) {
-        check(late.start().answer().isEmpty(), "new clients are still served for a while");
-        String answer = late.ask(statement("g2", "view", 900)).answer();
+        check(
+            late.sendStartup().readResponse().isEmpty(),
+            "new clients are still served for a while");
+        String answer = late.sendQuery(statement("g2", "view", 900)).readResponse();
         check(answer.equals("row:g2"), "in full: " + answer);
       }
-      check(idle.answer().equals("closed"), "an idle connection is closed");
-      check(aborted(client.answer()), "what was taken gets its answer");
+      check(idle.readResponse().equals("closed"), "an idle connection is closed");
+      check(aborted(client.readResponse()), "what was taken gets its answer");
       long start = System.nanoTime();
       world.router.awaitStop();
       check(System.nanoTime() - start < 2_000_000_000L, "then it stops");
@@ -439,7 +493,7 @@
   void theRulesHoldOnSockets(@ForAll long seed) throws Exception {
     SplittableRandom chance = new SplittableRandom(seed);
     List<String> faults = Collections.synchronizedList(new ArrayList<>());
-    try (SocketWorld world = new SocketWorld()) {
+    try (LoopbackCluster world = new LoopbackCluster()) {
       List<Thread> clients = new ArrayList<>();
       for (int c = 0; c < 12; c++) {
         SplittableRandom own = chance.split();
@@ -457,10 +511,12 @@
       clients.forEach(Thread::start);
       for (int step = 0; step < 30; step++) {
         Thread.sleep(50);
-        world.nodes.get(chance.nextInt(3)).mode =
-            chance.nextInt(3) > 0 ? Mode.ROW : Mode.values()[chance.nextInt(Mode.values().length)];
+        world.servers.get(chance.nextInt(3)).responseMode =
+            chance.nextInt(3) > 0
+                ? ResponseMode.ROW
+                : ResponseMode.values()[chance.nextInt(ResponseMode.values().length)];
         if (chance.nextInt(10) == 0) {
-          world.breakWatch();
+          world.closeWatch();
         }
       }
       for (Thread client : clients) {
@@ -470,27 +526,29 @@
     check(faults.isEmpty(), faults.toString());
   }
 
-  private static void converse(SocketWorld world, SplittableRandom chance, String name)
+  private static void converse(LoopbackCluster world, SplittableRandom chance, String name)
       throws IOException {
-    Client client = new Client(world.port).start();
-    client.answer();
+    Client client = new Client(world.port).sendStartup();
+    client.readResponse();
     for (int i = 0; i < 25; i++) {
       String id = name + String.format("%04x", i);
       boolean write = chance.nextInt(3) == 0;
       int wait = chance.nextInt(20, 700);
       long start = System.nanoTime();
-      client.ask(statement(id, write ? "post" : "view", wait));
+      client.sendQuery(statement(id, write ? "post" : "view", wait));
       if (chance.nextInt(12) == 0) {
         client.close();
-        client = new Client(world.port).start();
-        client.answer();
+        client = new Client(world.port).sendStartup();
+        client.readResponse();
         continue;
       }
-      String answer = client.answer();
+      String answer = client.readResponse();
       check((System.nanoTime() - start) / 1_000_000 < wait + 400, "rule 1: late");
       check(answer.startsWith("row:" + id) || answer.startsWith("error:"), "no answer: " + answer);
       long maybe =
-          world.ran.getOrDefault(id, List.of()).stream().filter(m -> !m.provesNotRun()).count();
+          world.modesByStatement.getOrDefault(id, List.of()).stream()
+              .filter(m -> !m.provesNotExecuted())
+              .count();
       check(!write || maybe <= 1, "rule 2: run twice");
       check(!write || !rejected(answer) || maybe == 0, "rule 2: rejected what may have run");
     }
--- a/router/src/test/java/basaltlever/RulesTest.java
+++ b/router/src/test/java/basaltlever/RulesTest.java
@@ -1,7 +1,7 @@
 package basaltlever;
 
-import static basaltlever.StandIn.check;
-import static basaltlever.StandIn.ms;
+import static basaltlever.LoadBalancerHarness.check;
+import static basaltlever.LoadBalancerHarness.ms;
 
 import basaltlever.config.WorkloadSlots;
 import basaltlever.gateway.AttemptOutcome;
@@ -19,8 +19,8 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Seeded random runs over every mix of start values; {@link StandIn} checks the five rules at each
- * act.
+ * Seeded random runs over every mix of start values; {@link LoadBalancerHarness} checks the five
+ * rules at each act.
  */
 class RulesTest {
   @Property(tries = 150, seed = "4711", shrinking = ShrinkingMode.OFF)
@@ -32,13 +32,14 @@
       @ForAll boolean copies,
       @ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    StandIn world =
-        new StandIn(check, positions, tokens, asked, copies, seed % 2 == 0 ? 2 : 300, seed);
-    world.playWith(chance.split(), 3 + chance.nextInt(3));
+    LoadBalancerHarness world =
+        new LoadBalancerHarness(
+            check, positions, tokens, asked, copies, seed % 2 == 0 ? 2 : 300, seed);
+    world.simulateEndpoints(chance.split(), 3 + chance.nextInt(3));
     for (int step = 0; step < 800; step++) {
-      world.run(chance.nextInt(1, 20));
+      world.runFor(chance.nextInt(1, 20));
       for (int n = chance.nextInt(3); n > 0; n--) {
-        world.take(
+        world.receiveStatement(
             chance.nextInt(6),
             chance.nextInt(5),
             chance.nextInt(3) == 0 ? Moment.LONG_AGO : world.now.minus(ms(chance.nextInt(400))),
@@ -48,7 +49,7 @@
         upset(world, chance);
       }
     }
-    world.run(4_000);
+    world.runFor(4_000);
   }
 
   /**
@@ -62,14 +63,15 @@
       @ForAll boolean copies,
       @ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    StandIn world = new StandIn(check, positions, true, asked, copies, 2, seed);
-    world.playWith(chance.split(), 3);
+    LoadBalancerHarness world =
+        new LoadBalancerHarness(check, positions, true, asked, copies, 2, seed);
+    world.simulateEndpoints(chance.split(), 3);
     Workload[] kinds = Arrays.copyOf(world.workloads, 6);
     List<Integer> named = new ArrayList<>(List.of(0, 1, 2, 3, 4, 5));
     for (int step = 0; step < 800; step++) {
-      world.run(chance.nextInt(1, 20));
+      world.runFor(chance.nextInt(1, 20));
       for (int n = chance.nextInt(3); n > 0; n--) {
-        world.take(
+        world.receiveStatement(
             named.get(chance.nextInt(named.size())),
             chance.nextInt(5),
             chance.nextInt(3) == 0 ? Moment.LONG_AGO : world.now.minus(ms(chance.nextInt(400))),
@@ -88,43 +90,43 @@
           next[place] = gone ? WorkloadSlots.REMOVED : kinds[chance.nextInt(kinds.length)];
           named.addAll(gone ? List.of() : List.of(place));
         }
-        world.agree(next);
+        world.applyWorkloads(next);
       }
     }
-    world.run(4_000);
+    world.runFor(4_000);
   }
 
-  static void upset(StandIn world, SplittableRandom chance) {
-    int id = chance.nextInt(world.members.size());
-    StandIn.Member member = world.members.get(id);
+  static void upset(LoadBalancerHarness world, SplittableRandom chance) {
+    int id = chance.nextInt(world.endpoints.size());
+    LoadBalancerHarness.SimulatedEndpoint member = world.endpoints.get(id);
     switch (chance.nextInt(7)) {
       case 0 -> {
         member.alive = !member.alive;
         if (member.alive) {
           member.startedAt = world.now;
           member.primary = false;
-          member.sends.clear();
+          member.attemptTimes.clear();
         }
       }
-      case 1 -> member.hangs = !member.hangs;
-      case 2 -> member.failing = chance.nextBoolean() ? 0 : 0.7;
+      case 1 -> member.hanging = !member.hanging;
+      case 2 -> member.errorRate = chance.nextBoolean() ? 0 : 0.7;
       case 3, 4 -> {
-        if (member.alive && !member.hangs) {
-          world.members.forEach(
+        if (member.alive && !member.hanging) {
+          world.endpoints.forEach(
               other -> {
                 other.position = other.primary && other.alive ? world.now : other.position;
                 other.primary = false;
               });
           member.primary = true;
           member.wasPrimary = true;
-          member.toldReplica = false;
+          member.reportedAsReplica = false;
         }
       }
       case 5 -> {
         member.listedReady = !member.listedReady;
-        world.listAll();
+        world.listAllEndpoints();
       }
-      default -> world.listAll();
+      default -> world.listAllEndpoints();
     }
   }
 
@@ -137,31 +139,34 @@
     long[] cold = new long[120];
     long warm = 0;
     for (int router = 0; router < 150; router++) {
-      StandIn world = new StandIn(true, true, true, false, true, 150, chance.nextLong()).steady(20);
+      LoadBalancerHarness world =
+          new LoadBalancerHarness(true, true, true, false, true, 150, chance.nextLong())
+              .discoverGroup(20);
       int every = router % 10 == 0 ? 2 : 20;
       for (int i = chance.nextInt(every), step = 0; step < 240; step++) {
-        world.later(50).poll(0, Role.PRIMARY, world.now);
-        world.poll(1, Role.REPLICA, world.now);
-        world.poll(2, Role.REPLICA, world.now);
+        world.advance(50).completePoll(0, Role.PRIMARY, world.now);
+        world.completePoll(1, Role.REPLICA, world.now);
+        world.completePoll(2, Role.REPLICA, world.now);
         if (step == 120) {
-          world.relist(1, EndpointLifecycle.READY, world.now);
+          world.listEndpoint(1, EndpointLifecycle.READY, world.now);
         }
         if ((step + i) % every == 0) {
-          world.take(StandIn.ANY);
+          world.receiveStatement(LoadBalancerHarness.ANY);
         }
-        if (!world.sent.isEmpty() && world.ended.add(world.last())) {
-          warm += step >= 80 && step < 120 && world.last().node() == 2 ? 1 : 0;
-          cold[Math.max(0, step - 120)] += step >= 120 && world.last().node() == 1 ? 1 : 0;
-          world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
+        if (!world.sentAttempts.isEmpty() && world.endedAttempts.add(world.lastAttempt())) {
+          warm += step >= 80 && step < 120 && world.lastAttempt().endpoint() == 2 ? 1 : 0;
+          cold[Math.max(0, step - 120)] +=
+              step >= 120 && world.lastAttempt().endpoint() == 1 ? 1 : 0;
+          world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
         }
       }
     }
     for (int from = 0; from + 20 <= 60; from++) {
       long inWindow = Arrays.stream(cold, from, from + 20).sum();
-      StandIn.check(
+      LoadBalancerHarness.check(
           inWindow <= 2 * 0.2 * warm / 2.0, "cold node got " + inWindow + " of " + warm / 2);
     }
-    StandIn.check(Arrays.stream(cold).sum() > 5, "it warms up by what it gets");
+    LoadBalancerHarness.check(Arrays.stream(cold).sum() > 5, "it warms up by what it gets");
   }
 
   /**
@@ -170,8 +175,9 @@
    */
   @Property(tries = 6, seed = "1730", shrinking = ShrinkingMode.OFF)
   void routersThatRestartTogetherPushNoColdNodeOver(@ForAll long seed) {
-    StandIn.check(coldSends(seed, true) <= 1, "with views the cold node was pushed over");
-    StandIn.check(
+    LoadBalancerHarness.check(
+        coldSends(seed, true) <= 1, "with views the cold node was pushed over");
+    LoadBalancerHarness.check(
         coldSends(seed, false) > 1, "the case shows nothing: it was safe without views as well");
   }
 
@@ -181,12 +187,14 @@
     long[] cold = new long[60];
     long warm = 0;
     for (int router = 0; router < 150; router++) {
-      StandIn world = new StandIn(true, true, true, false, true, 150, chance.nextLong()).steady(20);
+      LoadBalancerHarness world =
+          new LoadBalancerHarness(true, true, true, false, true, 150, chance.nextLong())
+              .discoverGroup(20);
       int every = router % 10 == 0 ? 2 : 20;
       for (int i = chance.nextInt(every), step = 0; step < 160; step++) {
-        world.later(50).poll(0, Role.PRIMARY, world.now);
+        world.advance(50).completePoll(0, Role.PRIMARY, world.now);
         if (step < 80 || step > 105) {
-          world.poll(1, Role.REPLICA, world.now);
+          world.completePoll(1, Role.REPLICA, world.now);
         } else {
           world.balancer.onPollEnded(
               world.now,
@@ -197,11 +205,11 @@
               0,
               Double.NaN);
         }
-        world.poll(2, Role.REPLICA, world.now);
+        world.completePoll(2, Role.REPLICA, world.now);
         if (step == 120) {
-          StandIn before = world;
-          world = new StandIn(true, true, true, false, true, 150, chance.nextLong());
-          world.now = before.now.plus(StandIn.ms(1_000));
+          LoadBalancerHarness before = world;
+          world = new LoadBalancerHarness(true, true, true, false, true, 150, chance.nextLong());
+          world.now = before.now.plus(LoadBalancerHarness.ms(1_000));
           world.balancer.onListStarted();
           for (int node = 0; node < 3; node++) {
             world.balancer.onEndpointListed(
@@ -215,21 +223,22 @@
                       node,
                       StateDecay.aged(
                           before.balancer.learnedState().endpointState(before.now, node),
-                          StandIn.ms(1_000)));
+                          LoadBalancerHarness.ms(1_000)));
             }
           }
           world.balancer.onListFinished(world.now, true, true);
           for (int node = 0; node < 3; node++) {
-            world.poll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
+            world.completePoll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
           }
         }
         if ((step + i) % every == 0) {
-          world.take(StandIn.ANY);
+          world.receiveStatement(LoadBalancerHarness.ANY);
         }
-        if (!world.sent.isEmpty() && world.ended.add(world.last())) {
-          warm += step >= 40 && step < 80 && world.last().node() == 2 ? 1 : 0;
-          cold[Math.max(0, step - 120)] += step >= 120 && world.last().node() == 1 ? 1 : 0;
-          world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
+        if (!world.sentAttempts.isEmpty() && world.endedAttempts.add(world.lastAttempt())) {
+          warm += step >= 40 && step < 80 && world.lastAttempt().endpoint() == 2 ? 1 : 0;
+          cold[Math.max(0, step - 120)] +=
+              step >= 120 && world.lastAttempt().endpoint() == 1 ? 1 : 0;
+          world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
         }
       }
     }
@@ -246,14 +255,15 @@
   @Property(tries = 100, seed = "815", shrinking = ShrinkingMode.OFF)
   void nonsenseBreaksNothing(@ForAll boolean check, @ForAll boolean tokens, @ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    StandIn world =
-        new StandIn(check, true, tokens, true, true, chance.nextBoolean() ? 2 : 500, seed);
-    world.list(seed % 2 == 0 ? 1 : 3).later(60_000).list(3);
+    LoadBalancerHarness world =
+        new LoadBalancerHarness(
+            check, true, tokens, true, true, chance.nextBoolean() ? 2 : 500, seed);
+    world.listEndpoints(seed % 2 == 0 ? 1 : 3).advance(60_000).listEndpoints(3);
     AttemptOutcome[] endings = AttemptOutcome.values();
     double[] odd = {Double.NaN, Double.POSITIVE_INFINITY, -3, 0.5, 1e300};
     for (int step = 0; step < 600; step++) {
-      world.later(chance.nextInt(10));
-      world.timeOutWhoseClientLeft();
+      world.advance(chance.nextInt(10));
+      world.timeOutAttemptsPastDeadline();
       if (chance.nextInt(20) == 0) {
         world.balancer.onListRequestFailed(world.now);
       }
@@ -262,7 +272,9 @@
               ? new Moment(chance.nextLong() / 8)
               : world.now.plus(ms(chance.nextInt(2_000) - 1_500));
       switch (chance.nextInt(4)) {
-        case 0 -> world.take(chance.nextInt(6), chance.nextInt(3), world.now.minus(ms(50)), 400);
+        case 0 ->
+            world.receiveStatement(
+                chance.nextInt(6), chance.nextInt(3), world.now.minus(ms(50)), 400);
         case 1 ->
             world.balancer.onPollEnded(
                 world.now,
@@ -273,24 +285,26 @@
                 odd[chance.nextInt(odd.length)],
                 Double.NaN);
         case 2 -> {
-          if (!world.sent.isEmpty()) {
-            int back = Math.min(world.sent.size(), 1 + chance.nextInt(4));
-            StandIn.Sent old = world.sent.get(world.sent.size() - back);
+          if (!world.sentAttempts.isEmpty()) {
+            int back = Math.min(world.sentAttempts.size(), 1 + chance.nextInt(4));
+            LoadBalancerHarness.SentAttempt old =
+                world.sentAttempts.get(world.sentAttempts.size() - back);
             // Some of these ended before: a second outcome must be passed over.
-            StandIn.check(old.execution() < world.fates.get(old.statement()).executions, "unknown");
-            if (!world.ended.add(old)) {
-              StandIn.check(
+            LoadBalancerHarness.check(
+                old.attempt() < world.statements.get(old.statement()).attempts, "unknown");
+            if (!world.endedAttempts.add(old)) {
+              LoadBalancerHarness.check(
                   !world.balancer.onAttemptEnded(
                       world.now,
                       old.statement(),
-                      old.execution(),
+                      old.attempt(),
                       AttemptOutcome.MISS,
                       Role.REPLICA,
                       when,
                       false),
                   "an outcome counted twice");
             } else {
-              world.end(
+              world.endAttempt(
                   old,
                   endings[chance.nextInt(endings.length)],
                   Role.values()[chance.nextInt(3)],
@@ -298,15 +312,16 @@
             }
           }
         }
-        default -> world.balancer.onClientDisconnected(world.now, world.leave(chance));
+        default ->
+            world.balancer.onClientDisconnected(world.now, world.disconnectRandomClient(chance));
       }
     }
     for (int i = 0; i < 100; i++) {
-      world.later(5);
-      world.timeOutWhoseClientLeft();
+      world.advance(5);
+      world.timeOutAttemptsPastDeadline();
     }
-    world.endThose(open -> true, AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
-    StandIn.check(
-        world.fates.stream().allMatch(fate -> fate.answered), "a statement without an answer");
+    world.endAttempts(open -> true, AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
+    LoadBalancerHarness.check(
+        world.statements.stream().allMatch(fate -> fate.answered), "a statement without an answer");
   }
 }
--- a/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
+++ b/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
@@ -1,6 +1,6 @@
 package basaltlever;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.snapshot.EndpointState;
 import basaltlever.snapshot.KnownEndpoint;
@@ -203,7 +203,7 @@
     int broken = 0;
     SplittableRandom seeds = new SplittableRandom(20261201);
     Cut measured = new Cut(seeds.split(), Bug.NONE);
-    store(measured, KeptViews.view(1, 3), Bug.NONE);
+    store(measured, LearnedStateFixtures.createLearnedState(1, 3), Bug.NONE);
     long steps = measured.steps;
     for (int i = 0; i < cuts; i++) {
       Cut disk = new Cut(seeds.split(), bug);
@@ -213,12 +213,12 @@
       // gone too.
       int whole = i % 4;
       for (long number = 1; number <= whole; number++) {
-        store(disk, KeptViews.view(number, 3), bug);
+        store(disk, LearnedStateFixtures.createLearnedState(number, 3), bug);
         kept = number;
       }
       disk.left = i / 4 * 7_919L % (steps + 4);
       try {
-        store(disk, KeptViews.view(whole + 1, 3), bug);
+        store(disk, LearnedStateFixtures.createLearnedState(whole + 1, 3), bug);
         kept = whole + 1L;
       } catch (PowerCut cut) {
         // As planned.
@@ -232,10 +232,12 @@
       boolean sound =
           found.state() == null
               ? kept <= 0
-              : found.state().equals(KeptViews.view(found.state().sequence(), 3))
+              : found
+                      .state()
+                      .equals(LearnedStateFixtures.createLearnedState(found.state().sequence(), 3))
                   && found.state().sequence() >= kept;
       // And the next one must be found again, whatever the cut left behind.
-      LearnedState next = KeptViews.view(found.highestSequence() + 1, 3);
+      LearnedState next = LearnedStateFixtures.createLearnedState(found.highestSequence() + 1, 3);
       store(disk, next, bug);
       sound &= next.equals(new SnapshotStore(disk).newest().state());
       broken += sound ? 0 : 1;
@@ -257,7 +259,7 @@
 
   @Example
   void whatIsWrittenIsReadAndLittleIsLeftOutFirst() throws InvalidSnapshotException {
-    LearnedState view = KeptViews.view(7, 500);
+    LearnedState view = LearnedStateFixtures.createLearnedState(7, 500);
     byte[] whole = SnapshotCodec.write(view, 1 << 20);
     check(
         SnapshotCodec.read(whole).groups().equals(view.groups())
@@ -281,7 +283,7 @@
    */
   @Example
   void olderAndNewerVersionsReadEachOther() throws Exception {
-    byte[] sound = SnapshotCodec.write(KeptViews.view(3, 1), 1 << 20);
+    byte[] sound = SnapshotCodec.write(LearnedStateFixtures.createLearnedState(3, 1), 1 << 20);
     java.io.ByteArrayOutputStream record = new java.io.ByteArrayOutputStream();
     try (var out =
         new com.fasterxml.jackson.dataformat.cbor.CBORFactory().createGenerator(record)) {
@@ -339,8 +341,8 @@
   @Example
   void aMillionMutatedFilesAreEachReadOrRefused() throws InvalidSnapshotException {
     SplittableRandom chance = new SplittableRandom(815);
-    byte[] sound = SnapshotCodec.write(KeptViews.view(3, 1), 1 << 20);
-    byte[] other = SnapshotCodec.write(KeptViews.view(4, 1), 1 << 20);
+    byte[] sound = SnapshotCodec.write(LearnedStateFixtures.createLearnedState(3, 1), 1 << 20);
+    byte[] other = SnapshotCodec.write(LearnedStateFixtures.createLearnedState(4, 1), 1 << 20);
     int refused = 0;
     for (int i = 0; i < 1_000_000; i++) {
       byte[] bytes =
--- a/router/src/test/java/basaltlever/SnapshotWriterTest.java
+++ b/router/src/test/java/basaltlever/SnapshotWriterTest.java
@@ -1,11 +1,11 @@
 package basaltlever;
 
-import static basaltlever.SocketWorld.statement;
-import static basaltlever.StandIn.check;
-import static basaltlever.StandIn.ms;
+import static basaltlever.LoadBalancerHarness.check;
+import static basaltlever.LoadBalancerHarness.ms;
+import static basaltlever.LoopbackCluster.statement;
 
-import basaltlever.SocketWorld.Client;
-import basaltlever.SocketWorld.Mode;
+import basaltlever.LoopbackCluster.Client;
+import basaltlever.LoopbackCluster.ResponseMode;
 import basaltlever.config.OperatorFile;
 import basaltlever.discovery.EndpointList;
 import basaltlever.snapshot.KnownEndpoint;
@@ -31,7 +31,7 @@
 /** A folder of the file system, with its keeper and with a whole router. */
 class SnapshotWriterTest {
   private static LearnedState view(long writtenAt) {
-    LearnedState view = KeptViews.view(1, 4);
+    LearnedState view = LearnedStateFixtures.createLearnedState(1, 4);
     return new LearnedState(
         "fleet",
         "n3",
@@ -168,8 +168,8 @@
     Path ini =
         Files.writeString(
             folder.resolve("operator.ini"), "[state]\nfolder = " + a + "\nperiod_ms = 100\n");
-    try (SocketWorld world = new SocketWorld(false)) {
-      world.router.start(world.file, OperatorFile.read(ini));
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
+      world.router.start(world.startFilePath, OperatorFile.read(ini));
       await("kept in a", () -> newest(a) != null);
       Files.writeString(ini, "[state]\nfolder = " + b + "\nperiod_ms = 1\n");
       world.router.reload();
@@ -190,11 +190,11 @@
   /** The list has 20 of 2,000: they are known again, and the rest is not kept for anybody. */
   @Example
   void aViewOfThousandsServesAShortListAndIsGone() {
-    LearnedState view = KeptViews.view(9, 2_000);
+    LearnedState view = LearnedStateFixtures.createLearnedState(9, 2_000);
     StateRestore restore =
         StateRestore.of(
             view, "fleet", "n3", view.writtenAtMicros() + 9, view.monotonicMicros() + 9, "boot");
-    basaltlever.core.StatementRouter<String> core = SocketWorld.core();
+    basaltlever.core.StatementRouter<String> core = LoopbackCluster.createStatementRouter();
     EndpointList list = new EndpointList(core, List.of(), (node, address) -> {});
     list.restoreFrom(restore, node -> {});
     StringBuilder members = new StringBuilder();
@@ -223,8 +223,11 @@
     check(restore.pendingCount() == 1_980, "and those were known again");
   }
 
-  private static long broken(SocketWorld world) {
-    return world.ran.values().stream().flatMap(List::stream).filter(Mode.BREAKS::equals).count();
+  private static long broken(LoopbackCluster world) {
+    return world.modesByStatement.values().stream()
+        .flatMap(List::stream)
+        .filter(ResponseMode.DISCONNECT::equals)
+        .count();
   }
 
   /** The nodes' own record of what reached them judges, not the router. */
@@ -234,24 +237,24 @@
     try {
       int[] reached = new int[2];
       for (int with = 0; with < 2; with++) {
-        try (SocketWorld world = new SocketWorld(false)) {
-          world.nodes.get(1).mode = Mode.BREAKS;
+        try (LoopbackCluster world = new LoopbackCluster(false)) {
+          world.servers.get(1).responseMode = ResponseMode.DISCONNECT;
           String ini = with == 0 ? "" : "[state]\nfolder = " + folder + "\nperiod_ms = 200\n";
           for (int life = 0; life < 2; life++) {
             basaltlever.net.Router router = life == 0 ? world.router : new basaltlever.net.Router();
-            router.start(world.file, OperatorTest.file(ini));
+            router.start(world.startFilePath, OperatorTest.file(ini));
             long before = broken(world);
             // At once, so that each replica gets some, and no more than one of them has room for.
             List<Client> clients = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-              clients.add(new Client(world.port).start());
-              clients.get(i).answer();
+              clients.add(new Client(world.port).sendStartup());
+              clients.get(i).readResponse();
             }
             for (int i = 0; i < 6; i++) {
-              clients.get(i).ask(statement("r" + life + i, "view", 900));
+              clients.get(i).sendQuery(statement("r" + life + i, "view", 900));
             }
             for (Client client : clients) {
-              check(client.answer().startsWith("row:"), "served by another");
+              check(client.readResponse().startsWith("row:"), "served by another");
               client.close();
             }
             reached[with] = (int) (broken(world) - before);
@@ -272,11 +275,13 @@
     }
   }
 
-  private static void serves(SocketWorld world, String id) throws Exception {
-    try (Client client = new Client(world.port).start()) {
-      client.answer();
+  private static void serves(LoopbackCluster world, String id) throws Exception {
+    try (Client client = new Client(world.port).sendStartup()) {
+      client.readResponse();
       long start = System.nanoTime();
-      check(client.ask(statement(id, "view", 1_500)).answer().equals("row:" + id), "served " + id);
+      check(
+          client.sendQuery(statement(id, "view", 1_500)).readResponse().equals("row:" + id),
+          "served " + id);
       check(System.nanoTime() - start < 700_000_000L, "without waiting for the disk");
     }
   }
@@ -290,9 +295,10 @@
     Path folder = Files.createTempDirectory("view");
     Path aside = folder.resolve("view.new");
     Files.createSymbolicLink(aside, Path.of("/dev/full"));
-    try (SocketWorld world = new SocketWorld(false)) {
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
       world.router.start(
-          world.file, OperatorTest.file("[state]\nfolder = " + folder + "\nperiod_ms = 100\n"));
+          world.startFilePath,
+          OperatorTest.file("[state]\nfolder = " + folder + "\nperiod_ms = 100\n"));
       Thread.sleep(400);
       serves(world, "full");
       check(newest(folder) == null, "nothing is kept on a full disk");
@@ -334,35 +340,42 @@
     Path folder = Files.createTempDirectory("view");
     OperatorFile operator =
         OperatorTest.file("[state]\nfolder = " + folder + "\nperiod_ms = 100\n");
-    try (SocketWorld world = new SocketWorld(false)) {
+    try (LoopbackCluster world = new LoopbackCluster(false)) {
       basaltlever.net.Router first = new basaltlever.net.Router();
-      first.start(world.file, operator);
+      first.start(world.startFilePath, operator);
       await("kept", () -> newest(folder) != null && newest(folder).endpoints().size() == 3);
       first.drain();
       first.awaitStop();
-      String start = Files.readString(world.file).replaceAll("(?s)\"known\":.*?]\\},", "");
+      String start = Files.readString(world.startFilePath).replaceAll("(?s)\"known\":.*?]\\},", "");
       check(!start.contains("known"), "no list at start");
-      Files.writeString(world.file, start);
-      world.refusesCalls = true;
-      int connections = world.nodes.get(0).open.size();
-      world.router.start(world.file, operator);
-      check(world.nodes.get(0).open.size() > connections, "connected to before it is listed");
-      try (Client client = new Client(world.port).start()) {
-        client.answer();
+      Files.writeString(world.startFilePath, start);
+      world.rejectsDiscoveryCalls = true;
+      int connections = world.servers.get(0).openSockets.size();
+      world.router.start(world.startFilePath, operator);
+      check(
+          world.servers.get(0).openSockets.size() > connections,
+          "connected to before it is listed");
+      try (Client client = new Client(world.port).sendStartup()) {
+        client.readResponse();
         check(
-            client.ask(statement("early", "post", 400)).answer().startsWith("error:53300"),
+            client
+                .sendQuery(statement("early", "post", 400))
+                .readResponse()
+                .startsWith("error:53300"),
             "held, not sent");
-        world.refusesCalls = false;
+        world.rejectsDiscoveryCalls = false;
         long back = System.nanoTime();
         String answer = "";
         for (int i = 0;
             !answer.startsWith("row:") && System.nanoTime() - back < 2_500_000_000L;
             i++) {
-          answer = client.ask(statement("f" + i, "view", 1_900)).answer();
+          answer = client.sendQuery(statement("f" + i, "view", 1_900)).readResponse();
         }
         check(answer.startsWith("row:"), "served once listed, a pause of 1.5 s later at most");
       }
-      check(!world.ran.containsKey("early"), "nothing went to a node on the word of a file");
+      check(
+          !world.modesByStatement.containsKey("early"),
+          "nothing went to a node on the word of a file");
     } finally {
       clear(folder);
     }
--- a/router/src/test/java/basaltlever/StartTest.java
+++ b/router/src/test/java/basaltlever/StartTest.java
@@ -1,6 +1,6 @@
 package basaltlever;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.config.InvalidSettingsException;
 import basaltlever.config.StartFile;
@@ -13,7 +13,7 @@
 
 /** The start file: what is read, and one line for each faulty key. */
 class StartTest {
-  private static final String SOUND = SocketWorld.startFile(5432, 8500, "[]");
+  private static final String SOUND = LoopbackCluster.startFile(5432, 8500, "[]");
 
   private static String faults(String text) {
     try {
@@ -68,12 +68,12 @@
   void onSocketsTheListIsWatchedEvenWhereItIsPushed() throws InvalidSettingsException {
     String pushed =
         SOUND.replace("\"on_request\"", "\"pushed\"").replace(",\n   \"MustAskIn\":10000000", "");
-    SocketWorld.Silent outside = new SocketWorld.Silent();
+    LoopbackCluster.RecordingEffects outside = new LoopbackCluster.RecordingEffects();
     StatementRouter<String> core =
         new StatementRouter<>(
             outside, StartFile.of(pushed).startValues().loadBalancerFactory(1, new Moment(0)));
     core.onTimerFired(new Moment(0));
-    check(outside.told.equals(List.of("watch")), "asked for at once");
+    check(outside.calls.equals(List.of("watch")), "asked for at once");
   }
 
   @Example
--- a/router/src/test/java/basaltlever/StateRestoreTest.java
+++ b/router/src/test/java/basaltlever/StateRestoreTest.java
@@ -1,9 +1,9 @@
 package basaltlever;
 
-import static basaltlever.StandIn.BOUNDED;
-import static basaltlever.StandIn.WRITE;
-import static basaltlever.StandIn.check;
-import static basaltlever.StandIn.ms;
+import static basaltlever.LoadBalancerHarness.BOUNDED;
+import static basaltlever.LoadBalancerHarness.WRITE;
+import static basaltlever.LoadBalancerHarness.check;
+import static basaltlever.LoadBalancerHarness.ms;
 
 import basaltlever.gateway.AttemptOutcome;
 import basaltlever.gateway.EndpointLifecycle;
@@ -165,8 +165,8 @@
   }
 
   /** A fresh router of three members, before it has heard anything else. */
-  private static StandIn fresh(EndpointState... views) {
-    StandIn world = StandIn.plain();
+  private static LoadBalancerHarness fresh(EndpointState... views) {
+    LoadBalancerHarness world = LoadBalancerHarness.withDefaults();
     world.balancer.onListStarted();
     for (int i = 0; i < 3; i++) {
       world.balancer.onEndpointListed(
@@ -182,13 +182,15 @@
   @Example
   void aPrimaryOfTheViewIsAskedFirstAndNotBelieved() {
     EndpointState was = new EndpointStateBuilder().primary(true).capacity(1e9).build();
-    StandIn world = fresh(null, null, was);
-    check(world.polled.equals(List.of(2, 0, 1)), "asked first, and each once: " + world.polled);
-    world.take(WRITE);
-    check(world.sent.isEmpty(), "held: a role from a file is no proof");
-    world.poll(0, Role.PRIMARY, world.now);
+    LoadBalancerHarness world = fresh(null, null, was);
     check(
-        world.sent.size() == 1 && world.last().node() == 0,
+        world.polledEndpoints.equals(List.of(2, 0, 1)),
+        "asked first, and each once: " + world.polledEndpoints);
+    world.receiveStatement(WRITE);
+    check(world.sentAttempts.isEmpty(), "held: a role from a file is no proof");
+    world.completePoll(0, Role.PRIMARY, world.now);
+    check(
+        world.sentAttempts.size() == 1 && world.lastAttempt().endpoint() == 0,
         "it has died since: another is believed");
   }
 
@@ -201,16 +203,16 @@
             only(false, false, true, 0, 0),
             only(false, false, false, 0.9, 0),
             only(false, false, false, 0, 300))) {
-      StandIn world = fresh(null, view, null);
-      world.poll(0, Role.PRIMARY, world.now);
-      world.poll(2, Role.REPLICA, world.now);
+      LoadBalancerHarness world = fresh(null, view, null);
+      world.completePoll(0, Role.PRIMARY, world.now);
+      world.completePoll(2, Role.REPLICA, world.now);
       if (!view.isDown()) {
-        world.poll(1, Role.REPLICA, world.now);
+        world.completePoll(1, Role.REPLICA, world.now);
       }
       for (int i = 0; i < 6; i++) {
-        world.take(BOUNDED);
-        check(world.last().node() != 1, "sent to the bad one: " + view);
-        world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
+        world.receiveStatement(BOUNDED);
+        check(world.lastAttempt().endpoint() != 1, "sent to the bad one: " + view);
+        world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
       }
     }
   }
@@ -219,17 +221,17 @@
   void aColdBudgetThatWasSpentIsNotSpentAgain() {
     int[] sent = new int[2];
     for (int with = 0; with < 2; with++) {
-      StandIn world = fresh(null, with == 1 ? drained(true) : null, null);
+      LoadBalancerHarness world = fresh(null, with == 1 ? drained(true) : null, null);
       if (with == 0) {
-        world.relist(1, EndpointLifecycle.READY, world.now.minus(ms(500)));
+        world.listEndpoint(1, EndpointLifecycle.READY, world.now.minus(ms(500)));
       }
-      world.poll(0, Role.REPLICA, Moment.LONG_AGO);
+      world.completePoll(0, Role.REPLICA, Moment.LONG_AGO);
       for (int step = 0; step < 400; step++) {
-        world.later(10).poll(1, Role.REPLICA, world.now);
-        world.take(BOUNDED);
-        if (!world.sent.isEmpty() && world.ended.add(world.last())) {
-          sent[with] += world.last().node() == 1 ? 1 : 0;
-          world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
+        world.advance(10).completePoll(1, Role.REPLICA, world.now);
+        world.receiveStatement(BOUNDED);
+        if (!world.sentAttempts.isEmpty() && world.endedAttempts.add(world.lastAttempt())) {
+          sent[with] += world.lastAttempt().endpoint() == 1 ? 1 : 0;
+          world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
         }
       }
     }
@@ -244,25 +246,29 @@
   void theRulesHoldWithAnyView(
       @ForAll boolean positions, @ForAll boolean tokens, @ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    StandIn world = new StandIn(chance.nextBoolean(), positions, tokens, true, true, 2, seed);
-    world.playWith(chance.split(), 4);
+    LoadBalancerHarness world =
+        new LoadBalancerHarness(chance.nextBoolean(), positions, tokens, true, true, 2, seed);
+    world.simulateEndpoints(chance.split(), 4);
     world.balancer.onListStarted();
     for (int i = 0; i < 4; i++) {
       world
           .balancer
           .learnedState()
-          .restore(world.now, i, KeptViews.view(seed & 0xFFFF, 4).endpoints().get(i).state());
+          .restore(
+              world.now,
+              i,
+              LearnedStateFixtures.createLearnedState(seed & 0xFFFF, 4).endpoints().get(i).state());
     }
-    world.listAll();
+    world.listAllEndpoints();
     for (int step = 0; step < 500; step++) {
-      world.run(chance.nextInt(1, 20));
-      world.take(
+      world.runFor(chance.nextInt(1, 20));
+      world.receiveStatement(
           chance.nextInt(6), chance.nextInt(5), Moment.LONG_AGO, 100 + chance.nextInt(1_500));
       if (chance.nextInt(25) == 0) {
         RulesTest.upset(world, chance);
       }
     }
-    world.run(4_000);
+    world.runFor(4_000);
     for (int i = 0; i < 4; i++) {
       check(
           world.balancer.learnedState().endpointState(world.now, i) != null,
--- a/router/src/test/java/basaltlever/WireGoldenTest.java
+++ b/router/src/test/java/basaltlever/WireGoldenTest.java
@@ -72,7 +72,9 @@
   /** A write is rejected until the router has found the primary. */
   private static void awaitPrimary(Socket client) throws IOException, InterruptedException {
     for (int i = 0; i < TRIES; i++) {
-      client.getOutputStream().write(message('Q', SocketWorld.statement(FIRST + i, "post", 900)));
+      client
+          .getOutputStream()
+          .write(message('Q', LoopbackCluster.statement(FIRST + i, "post", 900)));
       if (shown(answer(client.getInputStream())).contains(FIRST)) {
         return;
       }
@@ -85,7 +87,7 @@
   void clientsAndServersGetTheRecordedBytes() throws Exception {
     StringBuilder told = new StringBuilder();
     TreeSet<String> atServers = new TreeSet<>();
-    try (SocketWorld world = new SocketWorld();
+    try (LoopbackCluster world = new LoopbackCluster();
         Socket client = new Socket("127.0.0.1", world.port)) {
       client.setSoTimeout(PATIENCE_MS);
       client.getOutputStream().write(ByteBuffer.allocate(8).putInt(8).putInt(SSL_REQUEST).array());
@@ -98,24 +100,24 @@
             "",
             "SELECT 1",
             "/* id=nonsense */ SELECT 1",
-            SocketWorld.statement("g1", "post", 900),
-            SocketWorld.statement("g2", "view", 900),
-            SocketWorld.statement("g3", "unheard", 900)
+            LoopbackCluster.statement("g1", "post", 900),
+            LoopbackCluster.statement("g2", "view", 900),
+            LoopbackCluster.statement("g3", "unheard", 900)
           }) {
         client.getOutputStream().write(message('Q', query));
         told.append(query).append(": ").append(shown(answer(client.getInputStream()))).append('\n');
       }
-      world.nodes.get(0).mode = SocketWorld.Mode.ERROR;
-      client.getOutputStream().write(message('Q', SocketWorld.statement("g4", "post", 900)));
+      world.servers.get(0).responseMode = LoopbackCluster.ResponseMode.ERROR;
+      client.getOutputStream().write(message('Q', LoopbackCluster.statement("g4", "post", 900)));
       told.append("error: ").append(shown(answer(client.getInputStream()))).append('\n');
       client.getOutputStream().write(message('P', "unsupported"));
       client.getOutputStream().write(ByteBuffer.allocate(5).put((byte) 'S').putInt(4).array());
       told.append("extended: ").append(shown(answer(client.getInputStream()))).append('\n');
-      world.seen.stream()
+      world.receivedQueries.stream()
           .filter(query -> !query.contains("id=" + FIRST))
           .forEach(query -> atServers.add("query: " + query));
-      world.nodes.forEach(
-          node -> node.startups.forEach(start -> atServers.add("startup: " + shown(start))));
+      world.servers.forEach(
+          node -> node.startupMessages.forEach(start -> atServers.add("startup: " + shown(start))));
     }
     atServers.forEach(line -> told.append(line.replaceAll("d=\\d+", "d=N")).append('\n'));
     Golden.check("wire.txt", told.toString());
--- a/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
+++ b/router/src/test/java/basaltlever/discovery/EndpointListReaderTest.java
@@ -1,6 +1,6 @@
 package basaltlever.discovery;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.gateway.EndpointLifecycle;
 import io.netty.buffer.Unpooled;
--- a/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
+++ b/router/src/test/java/basaltlever/endpoints/SlowStartFleetTest.java
@@ -1,6 +1,6 @@
 package basaltlever.endpoints;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.balancer.LoadBalancer;
 import basaltlever.gateway.AttemptLimits;
--- a/router/src/test/java/basaltlever/fleet/StoredVersionTest.java
+++ b/router/src/test/java/basaltlever/fleet/StoredVersionTest.java
@@ -1,6 +1,6 @@
 package basaltlever.fleet;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.config.FleetSettings;
 import basaltlever.membership.HeartbeatReport;
--- a/router/src/test/java/basaltlever/fleet/TypedMessagesTest.java
+++ b/router/src/test/java/basaltlever/fleet/TypedMessagesTest.java
@@ -1,6 +1,6 @@
 package basaltlever.fleet;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.membership.DrainMark;
 import basaltlever.membership.GroupAssignment;
--- a/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/FleetGoldenTest.java
@@ -1,6 +1,6 @@
 package basaltlever.golden;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.cli.Main;
 import basaltlever.config.FleetSettings;
--- a/router/src/test/java/basaltlever/golden/SnapshotGoldenTest.java
+++ b/router/src/test/java/basaltlever/golden/SnapshotGoldenTest.java
@@ -1,8 +1,8 @@
 package basaltlever.golden;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
-import basaltlever.KeptViews;
+import basaltlever.LearnedStateFixtures;
 import basaltlever.cli.Main;
 import basaltlever.snapshot.LearnedState;
 import basaltlever.storage.SnapshotCodec;
@@ -21,7 +21,7 @@
   @Example
   void aKeptStateIsReadAndWrittenWithTheSameBytes() throws Exception {
     LearnedState recorded = SnapshotCodec.read(Golden.bytes("snapshot-7.view"));
-    check(recorded.equals(KeptViews.view(7, 5)), "read as it was meant");
+    check(recorded.equals(LearnedStateFixtures.createLearnedState(7, 5)), "read as it was meant");
     Golden.check("snapshot-7.view", SnapshotCodec.write(recorded, LARGEST));
   }
 
--- a/router/src/test/java/basaltlever/net/AnswerDeadlineTest.java
+++ b/router/src/test/java/basaltlever/net/AnswerDeadlineTest.java
@@ -1,9 +1,9 @@
 package basaltlever.net;
 
-import static basaltlever.SocketWorld.statement;
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
+import static basaltlever.LoopbackCluster.statement;
 
-import basaltlever.SocketWorld.Client;
+import basaltlever.LoopbackCluster.Client;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
@@ -46,12 +46,12 @@
       throws Exception {
     try (StallableRouter router = new StallableRouter();
         Client client = new Client(router.port)) {
-      client.start().answer();
+      client.sendStartup().readResponse();
       for (int i = 0; i < 3; i++) {
         stall.accept(router, 400L);
         Thread.sleep(40);
         long sent = System.nanoTime();
-        String answer = client.ask(statement("a" + i, "list", 600)).answer();
+        String answer = client.sendQuery(statement("a" + i, "list", 600)).readResponse();
         long took = millisSince(sent);
         check(answer.startsWith("error:58000") && took <= 600 + SLACK_MILLIS, answer + took);
       }
@@ -119,10 +119,11 @@
   void deadlineGuardConsultsCoreBeforeItAborts() throws Exception {
     try (StallableRouter router = new StallableRouter();
         Client client = new Client(router.port)) {
-      client.start().answer();
+      client.sendStartup().readResponse();
       router.forwardsRejections = true;
       long sent = System.nanoTime();
-      String answer = client.ask(statement("g1", "list", STATEMENT_TIMEOUT_MILLIS)).answer();
+      String answer =
+          client.sendQuery(statement("g1", "list", STATEMENT_TIMEOUT_MILLIS)).readResponse();
       check(answer.startsWith("error:53300"), "nothing was sent, so it is rejected: " + answer);
       // Its time counts from when it may have come, which a slow start of the loop puts earlier.
       check(
@@ -136,17 +137,17 @@
   void faultInCoreAbortsStatementImmediately() throws Exception {
     try (StallableRouter router = new StallableRouter();
         Client client = new Client(router.port)) {
-      client.start().answer();
+      client.sendStartup().readResponse();
       router.throwsFaults = true;
       long sent = System.nanoTime();
-      String answer = client.ask(statement("f1", "list", 5_000)).answer();
+      String answer = client.sendQuery(statement("f1", "list", 5_000)).readResponse();
       check(
           answer.startsWith("error:58000") && millisSince(sent) < 2_500,
           answer + millisSince(sent));
       check(
           router.loop.submit(router.executor::openStatements).sync().getNow().equals(0),
           "none is open");
-      check(client.ask("").answer().equals("I"), "and its connection goes on");
+      check(client.sendQuery("").readResponse().equals("I"), "and its connection goes on");
     }
   }
 
@@ -163,7 +164,9 @@
           .sync();
       long since = System.nanoTime();
       try (Client client = new Client(router.port)) {
-        check(client.start().answer().isEmpty() && millisSince(since) < 400, "accepted at once");
+        check(
+            client.sendStartup().readResponse().isEmpty() && millisSince(since) < 400,
+            "accepted at once");
       }
     }
   }
@@ -176,7 +179,7 @@
     List<Client> waiting = new ArrayList<>();
     try (StallableRouter router = new StallableRouter()) {
       try (Client first = new Client(router.port)) {
-        first.start().answer();
+        first.sendStartup().readResponse();
       }
       CountDownLatch closed = new CountDownLatch(1);
       CountDownLatch stallEnds = new CountDownLatch(1);
@@ -190,12 +193,12 @@
             router.acceptHandler.closeWhenQueueIsEmpty(closed::countDown);
           });
       for (int i = 0; i < 60; i++) {
-        waiting.add(new Client(router.port).start());
+        waiting.add(new Client(router.port).sendStartup());
       }
       stallEnds.countDown();
       check(closed.await(2, TimeUnit.SECONDS), "it is closed");
       for (Client client : waiting) {
-        check(client.answer().isEmpty(), "each is welcomed");
+        check(client.readResponse().isEmpty(), "each is welcomed");
       }
       // The runtime closes the socket itself in the loop's next look; a timer runs behind one.
       router.loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).sync();
@@ -219,7 +222,7 @@
   void clientsAreNotDisconnectedWhileSystemStillAcceptsConnections() throws Exception {
     try (StallableRouter router = new StallableRouter(140);
         Client client = new Client(router.port)) {
-      check(client.start().answer().isEmpty(), "it serves");
+      check(client.sendStartup().readResponse().isEmpty(), "it serves");
       java.util.concurrent.CompletableFuture<String> reconnectResult =
           new java.util.concurrent.CompletableFuture<>();
       router.loop.execute(
@@ -242,16 +245,16 @@
     List<Client> incompleteClients = new ArrayList<>();
     try (StallableRouter router = new StallableRouter(8)) {
       for (int i = 0; i < 6; i++) {
-        incompleteClients.add(new Client(router.port).start());
-        incompleteClients.get(i).answer();
+        incompleteClients.add(new Client(router.port).sendStartup());
+        incompleteClients.get(i).readResponse();
         incompleteClients.get(i).sendBytes(new byte[] {'Q', 0, 0, 0, 90, '/'});
       }
       Thread.sleep(50);
       long since = System.nanoTime();
       try (Client newClient = new Client(router.port)) {
-        check(newClient.start().answer().isEmpty(), "admitted");
+        check(newClient.sendStartup().readResponse().isEmpty(), "admitted");
         check(
-            incompleteClients.get(0).answer().equals("error:53300:closed")
+            incompleteClients.get(0).readResponse().equals("error:53300:closed")
                 && millisSince(since) < 1_000,
             "in its place");
       }
@@ -271,10 +274,13 @@
     try (StallableRouter router = new StallableRouter()) {
       try (Client first = new Client(router.port)) {
         // Loading classes holds up the loop for longer than any stall here.
-        first.start().ask(statement("w", "list", 100)).ask(statement("x", "list", 100));
-        first.answer();
-        first.answer();
-        first.answer();
+        first
+            .sendStartup()
+            .sendQuery(statement("w", "list", 100))
+            .sendQuery(statement("x", "list", 100));
+        first.readResponse();
+        first.readResponse();
+        first.readResponse();
       }
       List<Thread> threads = new ArrayList<>();
       for (int c = 0; c < 8; c++) {
@@ -283,16 +289,17 @@
             new Thread(
                 () -> {
                   try (Client client = new Client(router.port)) {
-                    client.start().answer();
+                    client.sendStartup().readResponse();
                     for (int i = 0; i < 3; i++) {
                       int timeoutMillis = 200 + clientRandom.nextInt(300);
                       int statements = 1 + clientRandom.nextInt(3);
                       long sent = System.nanoTime();
                       for (int k = 0; k < statements; k++) {
-                        client.ask(statement("s" + clientRandom.nextLong(), "list", timeoutMillis));
+                        client.sendQuery(
+                            statement("s" + clientRandom.nextLong(), "list", timeoutMillis));
                       }
                       for (int k = 0; k < statements; k++) {
-                        String answer = client.answer();
+                        String answer = client.readResponse();
                         long took = millisSince(sent);
                         if (!answer.startsWith("error:58000")
                             || took > timeoutMillis + 120 + SLACK_MILLIS) {
--- a/router/src/test/java/basaltlever/net/ClientEndTest.java
+++ b/router/src/test/java/basaltlever/net/ClientEndTest.java
@@ -1,9 +1,9 @@
 package basaltlever.net;
 
-import static basaltlever.SocketWorld.statement;
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
+import static basaltlever.LoopbackCluster.statement;
 
-import basaltlever.SocketWorld.Client;
+import basaltlever.LoopbackCluster.Client;
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.Example;
@@ -23,19 +23,20 @@
     List<Client> idleClients = new ArrayList<>();
     try (StallableRouter router = new StallableRouter(40)) {
       for (int i = 0; i < 10; i++) {
-        idleClients.add(new Client(router.port).start().ask(""));
+        idleClients.add(new Client(router.port).sendStartup().sendQuery(""));
         check(
-            idleClients.get(i).answer().isEmpty() && idleClients.get(i).answer().equals("I"),
+            idleClients.get(i).readResponse().isEmpty()
+                && idleClients.get(i).readResponse().equals("I"),
             "it rests");
       }
       try (Client another = new Client(router.port)) {
-        check(another.start().answer().isEmpty(), "it has asked nothing yet");
+        check(another.sendStartup().readResponse().isEmpty(), "it has asked nothing yet");
         router.stallOutsideIteration(100);
         Thread.sleep(20);
-        another.ask("");
-        idleClients.get(0).ask(statement("r1", "list", WAIT_MILLIS));
-        check(another.answer().equals("I"), "one more asks, and one has to go for it");
-        String answer = idleClients.get(0).answer();
+        another.sendQuery("");
+        idleClients.get(0).sendQuery(statement("r1", "list", WAIT_MILLIS));
+        check(another.readResponse().equals("I"), "one more asks, and one has to go for it");
+        String answer = idleClients.get(0).readResponse();
         check(
             answer.startsWith("error:58000"),
             "the longest idle had sent a statement by then: " + answer);
@@ -55,17 +56,19 @@
   void timeInTheListenQueueCountsTowardsTheTimeout() throws Exception {
     try (StallableRouter router = new StallableRouter(100)) {
       try (Client first = new Client(router.port)) {
-        first.start().ask(statement("q0", "list", 100));
-        check(first.answer().isEmpty() && first.answer().startsWith("error:58000"), "a first one");
+        first.sendStartup().sendQuery(statement("q0", "list", 100));
+        check(
+            first.readResponse().isEmpty() && first.readResponse().startsWith("error:58000"),
+            "a first one");
       }
       router.failsAccept = true;
       long sentAt = System.nanoTime();
       try (Client client = new Client(router.port)) {
-        client.start().ask(statement("q1", "list", WAIT_MILLIS));
+        client.sendStartup().sendQuery(statement("q1", "list", WAIT_MILLIS));
         Thread.sleep(WAIT_MILLIS / 2);
         router.failsAccept = false;
         check(
-            client.answer().isEmpty() && client.answer().startsWith("error:58000"),
+            client.readResponse().isEmpty() && client.readResponse().startsWith("error:58000"),
             "the guard's answer");
         long elapsedMillis = (System.nanoTime() - sentAt) / 1_000_000;
         check(elapsedMillis <= WAIT_MILLIS + SLACK_MILLIS, "in its time: " + elapsedMillis);
--- a/router/src/test/java/basaltlever/net/DiscoveryWatchReadTest.java
+++ b/router/src/test/java/basaltlever/net/DiscoveryWatchReadTest.java
@@ -1,8 +1,8 @@
 package basaltlever.net;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
-import basaltlever.SocketWorld;
+import basaltlever.LoopbackCluster;
 import basaltlever.core.StatementRouter;
 import basaltlever.discovery.EndpointList;
 import basaltlever.log.Counter;
@@ -51,9 +51,9 @@
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-    try (ServerSocket discovery = SocketWorld.listen(0)) {
+    try (ServerSocket discovery = LoopbackCluster.listen(0)) {
       LoopIteration iteration = StallableRouter.newIteration(loop);
-      StatementRouter<String> core = SocketWorld.core();
+      StatementRouter<String> core = LoopbackCluster.createStatementRouter();
       EndpointList list = new EndpointList(core, List.of("a"), (node, address) -> {});
       DiscoveryWatch watch =
           new DiscoveryWatch(
@@ -64,7 +64,7 @@
               core);
       loop.submit(watch::start).sync();
       try (Socket call = discovery.accept()) {
-        SocketWorld.send(
+        LoopbackCluster.send(
             call, Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\n\r\n", StandardCharsets.US_ASCII));
         for (int i = 1; i <= WARM_UP; i++) {
           call.getOutputStream().write(listChange(i));
--- a/router/src/test/java/basaltlever/net/ListenerSocketTest.java
+++ b/router/src/test/java/basaltlever/net/ListenerSocketTest.java
@@ -1,6 +1,6 @@
 package basaltlever.net;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
+++ b/router/src/test/java/basaltlever/net/SystemCallFaultsTest.java
@@ -1,8 +1,8 @@
 package basaltlever.net;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
-import basaltlever.SocketWorld;
+import basaltlever.LoopbackCluster;
 import basaltlever.core.StatementRouter;
 import basaltlever.discovery.EndpointList;
 import basaltlever.gateway.AttemptOutcome;
@@ -79,7 +79,7 @@
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-    try (ServerSocket server = SocketWorld.listen(0)) {
+    try (ServerSocket server = LoopbackCluster.listen(0)) {
       Bootstrap bootstrap = bootstrapFailing(loop, new AtomicInteger(3));
       LoopIteration iteration = StallableRouter.newIteration(loop);
       Descriptors descriptors = new Descriptors(64);
@@ -119,7 +119,7 @@
         serverSide.getInputStream().read(new byte[200]);
         ByteBuf startupResponse = io.netty.buffer.Unpooled.buffer();
         MessageEncoder.startupResponse(startupResponse);
-        SocketWorld.send(serverSide, startupResponse);
+        LoopbackCluster.send(serverSide, startupResponse);
         check(next.result.get(1, TimeUnit.SECONDS).equals("written"), next.result.get());
       }
     } finally {
@@ -132,15 +132,16 @@
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     SingleThreadEventLoop loop = (SingleThreadEventLoop) group.next();
-    try (ServerSocket discovery = SocketWorld.listen(0)) {
-      SocketWorld.Silent effects = new SocketWorld.Silent();
+    try (ServerSocket discovery = LoopbackCluster.listen(0)) {
+      LoopbackCluster.RecordingEffects effects = new LoopbackCluster.RecordingEffects();
       LoopIteration iteration = StallableRouter.newIteration(loop);
       Moment now = iteration.clock().now();
       StatementRouter<String> core =
           new StatementRouter<>(
               effects,
-              SocketWorld.values()
-                  .loadBalancerFactory(1, now, SocketWorld.values().defaultHoldBudget()));
+              LoopbackCluster.createStartValues()
+                  .loadBalancerFactory(
+                      1, now, LoopbackCluster.createStartValues().defaultHoldBudget()));
       EndpointList list = new EndpointList(core, List.of(), (node, address) -> {});
       DiscoveryWatch watch =
           new DiscoveryWatch(
@@ -151,11 +152,11 @@
               core);
       loop.submit(watch::start).sync();
       // The decisions hear that it failed, and ask again within a second and a half.
-      for (int i = 0; i < 40 && !effects.told.contains("watch"); i++) {
+      for (int i = 0; i < 40 && !effects.calls.contains("watch"); i++) {
         Thread.sleep(50);
         loop.submit(() -> core.onTimerFired(iteration.clock().now())).sync();
       }
-      check(effects.told.contains("watch"), "nobody asks any more");
+      check(effects.calls.contains("watch"), "nobody asks any more");
       loop.submit(watch::start).sync();
       discovery.setSoTimeout(1_000);
       try (Socket call = discovery.accept()) {
--- a/router/src/test/java/basaltlever/pg/ArrivalTimesTest.java
+++ b/router/src/test/java/basaltlever/pg/ArrivalTimesTest.java
@@ -1,6 +1,6 @@
 package basaltlever.pg;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.time.Moment;
 import java.util.ArrayList;
--- a/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
+++ b/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
@@ -1,6 +1,6 @@
 package basaltlever.settings;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import basaltlever.gateway.AttemptLimits;
 import basaltlever.gateway.DrainPolicy;
--- a/router/src/test/java/basaltlever/time/ClockOffsetTest.java
+++ b/router/src/test/java/basaltlever/time/ClockOffsetTest.java
@@ -1,6 +1,6 @@
 package basaltlever.time;
 
-import static basaltlever.StandIn.check;
+import static basaltlever.LoadBalancerHarness.check;
 
 import java.util.SplittableRandom;
 import net.jqwik.api.Example;
