--- a/router/src/test/java/basaltlever/AdapterTest.java
+++ b/router/src/test/java/basaltlever/AdapterTest.java
@@ -13,7 +13,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Frames in, frames out: what the wire page promises, and one plain message for what it does not.
+ * Tests the adapter's frames: valid batches produce the documented output, and malformed ones fail
+ * with a message that names the cause.
  */
 class AdapterTest {
   private static final String SETTINGS =
@@ -69,8 +70,8 @@
   private String runExpectingFault() throws IOException {
     try {
       runAdapter();
-    } catch (MalformedFrameException fault) {
-      return fault.getMessage();
+    } catch (MalformedFrameException expected) {
+      return expected.getMessage();
     }
     return "";
   }
@@ -128,12 +129,15 @@
         .putFloat(0.5f);
     appendRecord(200, 3).put(new byte[3]);
     ByteBuffer out = appendBatch(2_005_000).runAdapter();
-    check(out.getInt(4) == 7 && out.get(8) == 2 && out.getShort(13) == 3, "the source comes first");
-    check(out.get(15) == 6 && out.getInt(20) == 0x0a000001, "the member is polled");
-    int second = 8 + out.getInt(0) - 0;
     check(
-        out.get(second + 8 + 7) == 7 && out.getInt(second + 8 + 12) == 77,
-        "then the write is sent");
+        out.getInt(4) == 7 && out.get(8) == 2 && out.getShort(13) == 3,
+        "expected the record of instance 3 first");
+    check(
+        out.get(15) == 6 && out.getInt(20) == 0x0a000001, "expected a poll of the listed endpoint");
+    int secondBatch = 8 + out.getInt(0) - 0;
+    check(
+        out.get(secondBatch + 8 + 7) == 7 && out.getInt(secondBatch + 8 + 12) == 77,
+        "expected the write to be sent after the poll");
   }
 
   @Example
@@ -154,27 +158,31 @@
     appendRecord(7, 4).putInt(1);
     check(
         appendBatch(1).runExpectingFault().contains("instance 9, which is not running"),
-        "unknown instance");
+        "expected an error for an unknown instance");
     input.reset();
     appendRecord(3, 4_000).putInt(1);
     check(
         appendBatch(1).runExpectingFault().contains("reaches past its batch"),
-        "length that disagrees");
+        "expected an error for a record that is longer than its batch");
     input.reset();
     appendSpawn(SETTINGS);
     appendRecord(2, 13).put((byte) 3).putLong(1).putInt(9);
-    check(appendBatch(1).runExpectingFault().contains("list 9 was never given"), "unknown list");
+    check(
+        appendBatch(1).runExpectingFault().contains("list 9 was never given"),
+        "expected an error for an unknown list");
     input.reset();
     appendSpawn(SETTINGS.replace("Rules.Fall=1000000", "Rules.Fall=soon"));
     check(
         appendBatch(1).runExpectingFault().contains("Rules.Fall can't be read: soon"),
-        "unreadable setting");
+        "expected an error for an unreadable setting");
     input.reset();
     appendSpawn(SETTINGS.replace("Zone=0", ""));
-    check(appendBatch(1).runExpectingFault().contains("Zone is missing"), "missing setting");
+    check(
+        appendBatch(1).runExpectingFault().contains("Zone is missing"),
+        "expected an error for a missing setting");
     input.reset();
     input.write(1);
-    check(runExpectingFault().contains("ends inside"), "truncated");
+    check(runExpectingFault().contains("ends inside"), "expected an error for a truncated header");
   }
 
   @Example
@@ -183,6 +191,8 @@
     appendRecord(3, 39).putInt(77).put((byte) 250).put(new byte[34]);
     ByteBuffer out = appendBatch(2_000_000).runAdapter();
     String text = StandardCharsets.UTF_8.decode(out).toString();
-    check(text.contains("ArrayIndexOutOfBounds"), "its cause is told");
+    check(
+        text.contains("ArrayIndexOutOfBounds"),
+        "expected the cause of the exception in the output");
   }
 }
--- a/router/src/test/java/basaltlever/DiscoveryWatchTest.java
+++ b/router/src/test/java/basaltlever/DiscoveryWatchTest.java
@@ -17,45 +17,48 @@
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
 
-/** The list that goes quiet: a discovery that each test scripts byte by byte. */
+/**
+ * Tests the watch of the endpoint list against a discovery server that each test scripts byte by
+ * byte.
+ */
 class DiscoveryWatchTest {
   private static final String RESPONSE_HEAD =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  /** Every call is the test's to answer. */
+  /** Accepts discovery calls and leaves every response to the test. */
   private static final class ScriptedDiscovery implements AutoCloseable {
-    final ServerSocket server = LoopbackCluster.listen(0);
+    final ServerSocket listener = LoopbackCluster.listen(0);
     final BlockingQueue<Socket> calls = new LinkedBlockingQueue<>();
     final LoopbackCluster cluster;
 
     ScriptedDiscovery() throws Exception {
       cluster = new LoopbackCluster(false);
-      Thread accepts =
+      Thread acceptThread =
           new Thread(
               () -> {
                 try {
                   while (true) {
-                    Socket call = server.accept();
+                    Socket call = listener.accept();
                     call.setTcpNoDelay(true);
                     call.getInputStream().read(new byte[4_096]);
                     calls.add(call);
                   }
                 } catch (IOException closed) {
-                  // The test is over.
+                  // The listener was closed at the end of the test.
                 }
               });
-      accepts.setDaemon(true);
-      accepts.start();
+      acceptThread.setDaemon(true);
+      acceptThread.start();
       cluster.writeStartFile(
           text ->
               text.replaceAll(
                   "\"discovery\":\"[^\"]*\"",
-                  "\"discovery\":\"127.0.0.1:" + server.getLocalPort() + "\""));
+                  "\"discovery\":\"127.0.0.1:" + listener.getLocalPort() + "\""));
     }
 
-    /** Starts the router, and answers its first call. */
+    /** Starts the router and answers its first call with the list. */
     Socket startRouter() throws Exception {
-      Thread start =
+      Thread startThread =
           new Thread(
               () -> {
                 try {
@@ -64,10 +67,10 @@
                   throw new IllegalStateException(fault);
                 }
               });
-      start.start();
+      startThread.start();
       Socket call = calls.poll(5, TimeUnit.SECONDS);
       write(call, RESPONSE_HEAD + chunk(listJson(2)));
-      start.join();
+      startThread.join();
       return call;
     }
 
@@ -83,28 +86,32 @@
           + "}\n";
     }
 
-    /** A replica that is told to drain gets nothing more, and would err. */
-    void checkServerIsDrained(int node) throws IOException {
-      cluster.servers.get(node).responseMode = LoopbackCluster.ResponseMode.ERROR;
+    /**
+     * Checks that a draining replica receives no statements; it would respond to them with an
+     * error.
+     */
+    void checkServerIsDrained(int index) throws IOException {
+      cluster.servers.get(index).responseMode = LoopbackCluster.ResponseMode.ERROR;
       try (Client client = new Client(cluster.port)) {
         client.sendStartup().readResponse();
         client.sendQuery("SET x = 1").readResponse();
         for (int i = 0; i < 12; i++) {
-          String id = "d" + node + (char) ('a' + i);
+          String id = "d" + index + (char) ('a' + i);
           client.sendQuery(statement(id, "view", 900)).readResponse();
           check(
               cluster
                   .modesByStatement
                   .getOrDefault(id, List.of())
                   .equals(List.of(LoopbackCluster.ResponseMode.ROW)),
-              "one execution, at another: " + cluster.modesByStatement.get(id));
+              "expected exactly one attempt, on another server: "
+                  + cluster.modesByStatement.get(id));
         }
       }
     }
 
     @Override
     public void close() throws IOException {
-      server.close();
+      listener.close();
       for (Socket call : calls) {
         call.close();
       }
@@ -116,8 +123,8 @@
     return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
 
-  private static void write(Socket to, String text) throws IOException {
-    to.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+  private static void write(Socket socket, String text) throws IOException {
+    socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
   }
 
   private static void awaitProcessed(LoopbackCluster cluster) throws IOException {
@@ -129,13 +136,16 @@
     }
   }
 
-  /** 6 s after it fell silent what it missed counts as told: the new one needs some of them. */
+  /**
+   * List changes count as received 6 s after the watch fell silent. The new watch is requested
+   * after half of that time, since it needs part of the rest to respond.
+   */
   @Example
   void silentWatchIsReplacedAndStillReadUntilThen() throws Exception {
     try (ScriptedDiscovery discovery = new ScriptedDiscovery();
         Socket silent = discovery.startRouter()) {
       try (Socket second = discovery.pollCall(3_900)) {
-        check(second != null, "asked for anew");
+        check(second != null, "expected a new watch request");
         discovery.cluster.servers.get(1).listedLifecycle = "terminating";
         write(silent, chunk(discovery.listJson(3)));
         awaitProcessed(discovery.cluster);
@@ -145,7 +155,7 @@
         discovery.cluster.servers.get(1).responseMode = LoopbackCluster.ResponseMode.ROW;
         write(second, RESPONSE_HEAD + chunk(discovery.listJson(4)));
         awaitProcessed(discovery.cluster);
-        check(silent.getInputStream().read() < 0, "one watch is enough");
+        check(silent.getInputStream().read() < 0, "expected the silent watch to be closed");
         discovery.checkServerIsDrained(2);
       }
     }
@@ -154,30 +164,32 @@
   @Example
   void bytesWithoutCompleteLineDoNotKeepWatchAlive() throws Exception {
     try (ScriptedDiscovery discovery = new ScriptedDiscovery();
-        Socket dribbles = discovery.startRouter()) {
+        Socket first = discovery.startRouter()) {
       Socket second = null;
       for (int i = 0; i < 50 && second == null; i++) {
-        write(dribbles, chunk(" "));
+        write(first, chunk(" "));
         second = discovery.pollCall(100);
       }
-      check(second != null, "asked for anew");
+      check(second != null, "expected a new watch request");
       second.close();
     }
   }
 
-  /** All three within the 6 s: behind a call that was given up no pause is left. */
+  /**
+   * All three calls fall within the 6 s: the call after an abandoned one follows without a pause.
+   */
   @Example
   void unansweredCallIsAbandonedAndRepeated() throws Exception {
     try (ScriptedDiscovery discovery = new ScriptedDiscovery();
         Socket silent = discovery.startRouter();
-        Socket mute = discovery.pollCall(3_900);
+        Socket unanswered = discovery.pollCall(3_900);
         Socket third = discovery.pollCall(2_650)) {
-      check(mute != null && third != null, "asked again");
+      check(unanswered != null && third != null, "expected two more calls after the silent one");
       discovery.cluster.servers.get(1).listedLifecycle = "terminating";
       write(third, RESPONSE_HEAD + chunk(discovery.listJson(3)));
       awaitProcessed(discovery.cluster);
       discovery.checkServerIsDrained(1);
-      check(silent.getInputStream().read() < 0, "the silent one is let go");
+      check(silent.getInputStream().read() < 0, "expected the silent watch to be closed");
     }
   }
 
@@ -207,12 +219,12 @@
   }
 
   /**
-   * From its first moment a process is held to what discovery knows, whatever its start file says.
+   * A router must follow the list of discovery from the start, whatever its start file contains.
    */
   @Example
   void routerListensOnceFirstListArrived() throws Exception {
     try (ScriptedDiscovery discovery = new ScriptedDiscovery()) {
-      Thread start =
+      Thread startThread =
           new Thread(
               () -> {
                 try {
@@ -221,32 +233,35 @@
                   throw new IllegalStateException(fault);
                 }
               });
-      start.start();
+      startThread.start();
       try (Socket call = discovery.pollCall(5_000)) {
         Thread.sleep(800);
-        check(start.isAlive(), "it does not serve yet");
+        check(startThread.isAlive(), "expected the router not to serve before its first list");
         discovery.cluster.servers.get(1).listedLifecycle = "terminating";
         write(call, RESPONSE_HEAD + chunk(discovery.listJson(2)));
-        start.join(1_000);
-        check(!start.isAlive(), "at once");
+        startThread.join(1_000);
+        check(!startThread.isAlive(), "expected startup to finish within 1 s of the first list");
         discovery.checkServerIsDrained(1);
       }
     }
   }
 
-  /** Of three starts the quickest: it waits for the members' first words, and no longer. */
+  /**
+   * Measures the fastest of three starts: startup waits for the first poll response of each
+   * endpoint and no longer.
+   */
   @Example
   void startupWaitsForOnePollOfEachEndpoint() throws Exception {
-    long least = Long.MAX_VALUE;
+    long shortestMillis = Long.MAX_VALUE;
     for (int i = 0; i < 3; i++) {
       try (ScriptedDiscovery discovery = new ScriptedDiscovery()) {
-        // Where polls have a price a router without traffic asks nobody twice, and nothing has
-        // changed.
-        String priced =
+        // Where polls have a cost, a router without traffic polls no endpoint twice as long as
+        // nothing changes.
+        String startFileText =
             Files.readString(discovery.cluster.startFilePath)
                 .replace("\"Probe\":0.0", "\"Probe\":0.02");
-        Files.writeString(discovery.cluster.startFilePath, priced);
-        Thread answers =
+        Files.writeString(discovery.cluster.startFilePath, startFileText);
+        Thread discoveryThread =
             new Thread(
                 () -> {
                   try (Socket call = discovery.pollCall(5_000)) {
@@ -255,71 +270,76 @@
                         RESPONSE_HEAD
                             + chunk("{\"generation\":1,\"reset\":false,\"instances\":[]}\n"));
                     discovery.pollCall(2_500);
-                  } catch (IOException | InterruptedException over) {
-                    // Seen in how long the start took.
+                  } catch (IOException | InterruptedException ended) {
+                    // A failure here shows in the duration of the start.
                   }
                 });
-        answers.start();
-        long since = System.nanoTime();
+        discoveryThread.start();
+        long startNanos = System.nanoTime();
         discovery.cluster.router.start(discovery.cluster.startFilePath, null);
-        least = Math.min(least, (System.nanoTime() - since) / 1_000_000);
+        shortestMillis = Math.min(shortestMillis, (System.nanoTime() - startNanos) / 1_000_000);
       }
     }
-    check(least < 900, least + " ms");
+    check(shortestMillis < 900, shortestMillis + " ms, expected startup within 900 ms");
   }
 
   @Example
   void routerServesWhenDiscoveryDoesNotRespond() throws Exception {
     try (ScriptedDiscovery discovery = new ScriptedDiscovery()) {
-      long since = System.nanoTime();
+      long startNanos = System.nanoTime();
       discovery.cluster.router.start(discovery.cluster.startFilePath, null);
-      check(System.nanoTime() - since < 4_000_000_000L, "by the list of its start file");
+      check(
+          System.nanoTime() - startNanos < 4_000_000_000L,
+          "expected startup within 4 s with the list of the start file");
       try (Client client = new Client(discovery.cluster.port)) {
         client.sendStartup().readResponse();
         check(
             client.sendQuery(statement("e1", "post", 900)).readResponse().equals("row:e1"),
-            "it serves");
+            "expected the statement to be served");
       }
     }
   }
 
-  /** A call that took as long to fail as a pause lasts is followed by the next one at once. */
+  /** A call that takes as long to fail as a pause lasts is followed by the next one immediately. */
   @Example
   void retryPauseCountsFromStartOfFailedCall() {
     LoadBalancerHarness harness =
         new LoadBalancerHarness(false, false, false, true, true).listEndpoints(2);
     for (int i = 0; i < 20; i++) {
-      int asked = harness.watchRequests;
+      int requestsBefore = harness.watchRequests;
       harness.balancer.onListRequestFailed(harness.now);
-      check(harness.watchRequests == asked, "a watch that broke is followed by a pause");
-      while (harness.watchRequests == asked) {
+      check(harness.watchRequests == requestsBefore, "expected a pause after a watch that failed");
+      while (harness.watchRequests == requestsBefore) {
         harness.advance(5);
       }
       harness.advance(1_600);
       harness.balancer.onListRequestFailed(harness.now);
-      check(harness.watchRequests == asked + 2, "a call that took 1.6 s to fail by none");
+      check(
+          harness.watchRequests == requestsBefore + 2,
+          "expected no pause after a call that failed after 1.6 s");
       harness.listEndpoints(2);
     }
   }
 
   /**
-   * However long discovery was down: 6 s after its return, and a failed call, news counts as told.
+   * However long discovery was down, list changes count as received 6 s after its return, one
+   * failed call included, so pauses stay short.
    */
   @Example
   void pausesBetweenFailedCallsStayShort() {
     LoadBalancerHarness harness =
         new LoadBalancerHarness(false, false, false, true, true).listEndpoints(2);
     for (int i = 0; i < 200; i++) {
-      int asked = harness.watchRequests;
+      int requestsBefore = harness.watchRequests;
       harness.balancer.onListRequestFailed(harness.now);
-      Moment failed = harness.now;
-      while (harness.watchRequests == asked) {
+      Moment failedAt = harness.now;
+      while (harness.watchRequests == requestsBefore) {
         harness.advance(5);
       }
-      check(!harness.now.since(failed).isLongerThan(ms(1_510)), "" + harness.now.since(failed));
+      check(!harness.now.since(failedAt).isLongerThan(ms(1_510)), "" + harness.now.since(failedAt));
       check(
-          i < 9 || !harness.now.since(failed).isShorterThan(ms(490)),
-          "nor is it called without pause");
+          i < 9 || !harness.now.since(failedAt).isShorterThan(ms(490)),
+          "expected a pause of at least 490 ms from the tenth failure on");
     }
   }
 }
--- a/router/src/test/java/basaltlever/HoldBudgetTest.java
+++ b/router/src/test/java/basaltlever/HoldBudgetTest.java
@@ -23,7 +23,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** How much is held, who goes where there is no room, and in which order the rest is released. */
+/**
+ * Tests the hold budget: how much is held, which statements are rejected when it is full, and the
+ * order of release.
+ */
 class HoldBudgetTest {
   private static final Workload[] WORKLOADS = LoadBalancerHarness.withDefaults().workloads;
 
@@ -59,111 +62,124 @@
     check(order.equals(List.of(3, 1, 2, 4)), "" + order);
     check(
         holdQueue.isEmpty() && holdQueue.textBytes() == 0 && holdQueue.size(WRITE) == 0,
-        "nothing is left behind");
+        "expected an empty queue");
   }
 
   @Example
   void floodOfOneGroupDoesNotRejectStatementsOfAnother() {
     HoldBudget budget = new HoldBudget(100, 1 << 20);
-    HoldQueue quiet = budget.createQueue(WORKLOADS.length);
-    HoldQueue flood = budget.createQueue(WORKLOADS.length);
+    HoldQueue first = budget.createQueue(WORKLOADS.length);
+    HoldQueue flooded = budget.createQueue(WORKLOADS.length);
     for (int i = 0; i < 30; i++) {
-      quiet.add(statement(i, WRITE, 0, 100));
-      check(budget.nextToReject(quiet, WRITE) == null, "room");
+      first.add(statement(i, WRITE, 0, 100));
+      check(
+          budget.nextToReject(first, WRITE) == null,
+          "expected no rejection within the share of the group");
     }
     for (int i = 100; i < 5_000; i++) {
       Statement next = statement(i, i % 3 == 0 ? WRITE : FRESH, 0, 100);
-      flood.add(next);
-      for (Statement over = budget.nextToReject(flood, next.workloadIndex());
-          over != null;
-          over = budget.nextToReject(flood, next.workloadIndex())) {
+      flooded.add(next);
+      for (Statement rejected = budget.nextToReject(flooded, next.workloadIndex());
+          rejected != null;
+          rejected = budget.nextToReject(flooded, next.workloadIndex())) {
         check(
-            flood.size() > 50 || flood.size(FRESH) > 37 || flood.size(WRITE) > 37,
-            "only what is beyond");
-        flood.remove(over);
+            flooded.size() > 50 || flooded.size(FRESH) > 37 || flooded.size(WRITE) > 37,
+            "expected rejections only beyond the share of the group or workload");
+        flooded.remove(rejected);
       }
     }
-    check(quiet.size() == 30 && flood.size() == 50, quiet.size() + " and " + flood.size());
     check(
-        flood.last().workloadIndex() == FRESH && flood.size(WRITE) == 37,
-        "the least important went: " + flood.size(WRITE));
+        first.size() == 30 && flooded.size() == 50,
+        first.size()
+            + " held of the first group (expected 30), and of the second (expected 50) "
+            + flooded.size());
+    check(
+        flooded.last().workloadIndex() == FRESH && flooded.size(WRITE) == 37,
+        "expected the least important statements to be rejected, writes held: "
+            + flooded.size(WRITE));
   }
 
-  /** Against a plain list, gone through each time. */
+  /** Compares the queues with plain lists that are searched in full. */
   @Property(tries = 150, seed = "31", shrinking = ShrinkingMode.OFF)
   void limitsAndReleaseOrderMatchListModel(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    HoldBudget budget = new HoldBudget(chance.nextInt(2, 40), chance.nextInt(1_000, 20_000));
-    int most = 40;
-    List<HoldQueue> groups =
+    SplittableRandom random = new SplittableRandom(seed);
+    HoldBudget budget = new HoldBudget(random.nextInt(2, 40), random.nextInt(1_000, 20_000));
+    int limit = 40;
+    List<HoldQueue> queues =
         List.of(
             budget.createQueue(WORKLOADS.length),
             budget.createQueue(WORKLOADS.length),
             budget.createQueue(WORKLOADS.length));
-    List<List<Statement>> plain = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
+    List<List<Statement>> expectedHeld =
+        List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
     for (int id = 0; id < 400; id++) {
-      int group = chance.nextInt(3);
-      HoldQueue holdQueue = groups.get(group);
-      if (chance.nextInt(3) == 0 && !holdQueue.isEmpty()) {
-        Statement gone =
-            chance.nextBoolean()
+      int group = random.nextInt(3);
+      HoldQueue holdQueue = queues.get(group);
+      if (random.nextInt(3) == 0 && !holdQueue.isEmpty()) {
+        Statement removed =
+            random.nextBoolean()
                 ? holdQueue.first()
-                : plain.get(group).get(chance.nextInt(plain.get(group).size()));
-        holdQueue.remove(gone);
-        plain.get(group).remove(gone);
-        if (chance.nextBoolean()) {
-          // Sent, missed, and back: before those of its session that came after it.
-          holdQueue.add(gone);
-          plain.get(group).add(gone);
+                : expectedHeld.get(group).get(random.nextInt(expectedHeld.get(group).size()));
+        holdQueue.remove(removed);
+        expectedHeld.get(group).remove(removed);
+        if (random.nextBoolean()) {
+          // A statement that was sent and missed is held again, ahead of later ones of its session.
+          holdQueue.add(removed);
+          expectedHeld.get(group).add(removed);
         }
       } else {
         Statement next =
-            statement(id, 3 + chance.nextInt(3), chance.nextInt(4), chance.nextInt(3_000));
+            statement(id, 3 + random.nextInt(3), random.nextInt(4), random.nextInt(3_000));
         holdQueue.add(next);
-        plain.get(group).add(next);
+        expectedHeld.get(group).add(next);
       }
-      for (Statement over = budget.nextToReject(holdQueue, WRITE);
-          over != null;
-          over = budget.nextToReject(holdQueue, WRITE)) {
-        int in =
-            groups.get(0).last() == over || plain.get(0).contains(over)
+      for (Statement rejected = budget.nextToReject(holdQueue, WRITE);
+          rejected != null;
+          rejected = budget.nextToReject(holdQueue, WRITE)) {
+        int rejectedGroup =
+            queues.get(0).last() == rejected || expectedHeld.get(0).contains(rejected)
                 ? 0
-                : plain.get(1).contains(over) ? 1 : 2;
-        groups.get(in).remove(over);
-        check(plain.get(in).remove(over), "it was held");
+                : expectedHeld.get(1).contains(rejected) ? 1 : 2;
+        queues.get(rejectedGroup).remove(rejected);
+        check(
+            expectedHeld.get(rejectedGroup).remove(rejected),
+            "expected only held statements to be rejected");
       }
-      check(budget.heldStatements() <= most, "too many");
+      check(budget.heldStatements() <= limit, "expected no more held statements than the limit");
       for (int g = 0; g < 3; g++) {
-        HoldQueue own = groups.get(g);
+        HoldQueue queue = queues.get(g);
         check(
-            own.size() == plain.get(g).size()
-                && own.textBytes() == plain.get(g).stream().mapToLong(one -> one.textBytes()).sum(),
-            "counted wrongly");
-        Map<Long, Integer> latest = new HashMap<>();
-        List<Statement> out = new ArrayList<>();
-        double rank = Double.MAX_VALUE;
-        for (Statement next = own.first(); next != null; next = own.first()) {
+            queue.size() == expectedHeld.get(g).size()
+                && queue.textBytes()
+                    == expectedHeld.get(g).stream()
+                        .mapToLong(statement -> statement.textBytes())
+                        .sum(),
+            "expected size and text bytes to match the list");
+        Map<Long, Integer> latestIdBySession = new HashMap<>();
+        List<Statement> released = new ArrayList<>();
+        double lastPriority = Double.MAX_VALUE;
+        for (Statement next = queue.first(); next != null; next = queue.first()) {
           check(
-              next.holdPriority() <= rank
+              next.holdPriority() <= lastPriority
                   && next.holdPriority() <= next.workload().priorityWeight() + 9,
-              "by rank");
-          rank = next.holdPriority();
+              "expected release by descending priority");
+          lastPriority = next.holdPriority();
           check(
-              next.session() == 0 || latest.getOrDefault(next.session(), -1) < next.id(),
-              "a session's order is broken");
-          latest.put(next.session(), next.id());
-          out.add(next);
-          own.remove(next);
+              next.session() == 0 || latestIdBySession.getOrDefault(next.session(), -1) < next.id(),
+              "expected the statements of a session in order");
+          latestIdBySession.put(next.session(), next.id());
+          released.add(next);
+          queue.remove(next);
         }
-        out.sort((a, b) -> Integer.compare(a.id(), b.id()));
-        out.forEach(own::add);
+        released.sort((a, b) -> Integer.compare(a.id(), b.id()));
+        released.forEach(queue::add);
       }
     }
   }
 
   /**
-   * Through the decisions: what goes is rejected at once, told when to come back, and the rest is
-   * served in order.
+   * Tests the budget through the load balancer: a statement beyond it is rejected immediately with
+   * a retry-after, and the others are served in order.
    */
   @Example
   void leastImportantStatementBeyondBudgetIsRejectedWithRetryAfter() {
@@ -175,19 +191,22 @@
     }
     check(
         harness.rejectedStatements.equals(reads.subList(3, 4)),
-        "a workload has three quarters of its group's: " + harness.rejectedStatements);
+        "expected a workload to be limited to three quarters of its group's share: "
+            + harness.rejectedStatements);
     int write = harness.receiveStatement(WRITE, 0, Moment.LONG_AGO, 1_000);
     int another = harness.receiveStatement(WRITE, 0, Moment.LONG_AGO, 1_000);
     check(
         harness.rejectedStatements.equals(List.of(reads.get(3), reads.get(2))),
-        "the latest read: " + harness.rejectedStatements);
-    check(!harness.lastRetryAfter.isShorterThan(ms(700)), "told when to come back");
+        "expected the latest read to be rejected: " + harness.rejectedStatements);
+    check(
+        !harness.lastRetryAfter.isShorterThan(ms(700)),
+        "expected a retry-after of at least 700 ms");
     harness.completePoll(0, Role.PRIMARY, harness.now);
     check(
-        harness.sentAttempts.stream()
+        harness.attempts.stream()
             .map(LoadBalancerHarness.SentAttempt::statement)
             .toList()
             .equals(List.of(write, another, reads.get(0), reads.get(1))),
-        "the most important first");
+        "expected the most important statements first");
   }
 }
--- a/router/src/test/java/basaltlever/HoldTest.java
+++ b/router/src/test/java/basaltlever/HoldTest.java
@@ -20,11 +20,12 @@
 import net.jqwik.api.Example;
 
 /**
- * Plain cases: transitions of the hold, where statements go, and one case for each failure found.
+ * Tests the transitions of the hold and the routing of statements, with one case for each failure
+ * found.
  */
 class HoldTest {
   private static List<Integer> sentStatements(LoadBalancerHarness harness) {
-    return harness.sentAttempts.stream().map(LoadBalancerHarness.SentAttempt::statement).toList();
+    return harness.attempts.stream().map(LoadBalancerHarness.SentAttempt::statement).toList();
   }
 
   @Example
@@ -33,15 +34,15 @@
     int first = harness.receiveStatement(WRITE);
     int second = harness.receiveStatement(FRESH);
     check(
-        harness.polledEndpoints.containsAll(List.of(0, 1, 2)) && harness.sentAttempts.isEmpty(),
-        "polls all, sends nothing");
+        harness.polledEndpoints.containsAll(List.of(0, 1, 2)) && harness.attempts.isEmpty(),
+        "expected polls of all endpoints and no attempt");
     harness.completePoll(1, Role.REPLICA, harness.now);
-    check(harness.sentAttempts.isEmpty(), "a replica releases nothing");
+    check(harness.attempts.isEmpty(), "expected no release after the response of a replica");
     harness.completePoll(2, Role.PRIMARY, harness.now);
     check(
         sentStatements(harness).equals(List.of(first, second))
             && harness.lastAttempt().endpoint() == 2,
-        "released in order");
+        "expected release to the primary in order");
   }
 
   @Example
@@ -50,12 +51,12 @@
     int first = harness.receiveStatement(WRITE);
     harness.advance(10).endAttempt(harness.lastAttempt(), AttemptOutcome.MISS, Role.REPLICA);
     int second = harness.receiveStatement(WRITE);
-    check(harness.sentAttempts.size() == 1, "nothing new goes to the old primary");
+    check(harness.attempts.size() == 1, "expected no new attempt on the old primary");
     harness.advance(20).completePoll(1, Role.PRIMARY, harness.now);
     check(
         sentStatements(harness).equals(List.of(first, first, second))
             && harness.lastAttempt().endpoint() == 1,
-        "in order");
+        "expected release to the new primary in order");
   }
 
   @Example
@@ -67,9 +68,11 @@
         .advance(10)
         .endAttempt(harness.lastAttempt(), AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
     harness.advance(10).completePoll(0, Role.PRIMARY, before);
-    check(harness.sentAttempts.size() == 1, "the report is older than the loss");
+    check(
+        harness.attempts.size() == 1,
+        "expected a report older than the connection failure not to end the hold");
     harness.advance(50).completePoll(0, Role.PRIMARY, harness.now);
-    check(harness.sentAttempts.size() == 2, "a newer one proves that it lives");
+    check(harness.attempts.size() == 2, "expected a newer report to end the hold");
   }
 
   @Example
@@ -78,21 +81,22 @@
     harness.receiveStatement(FRESH);
     harness.advance(10).endAttempt(harness.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA);
     harness.receiveStatement(WRITE);
-    check(harness.sentAttempts.size() == 1, "held");
+    check(harness.attempts.size() == 1, "expected the write to be held");
   }
 
   /**
-   * A start waited a second for its second look at the members, where the first took longer than
-   * 100 ms.
+   * Guards against a startup delay: startup waited 1 s for the second poll of the endpoints if the
+   * first took longer than 100 ms.
    */
   @Example
   void pollRequestedDuringPollIsSentWhenItEnds() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().listEndpoints(3);
     harness.advance(20).listEndpoints(3).advance(200);
-    check(harness.polledEndpoints.size() == 3, "one at a time");
+    check(harness.polledEndpoints.size() == 3, "expected one poll per endpoint at a time");
     harness.completePoll(1, Role.REPLICA, harness.now);
     check(
-        harness.polledEndpoints.equals(List.of(0, 1, 2, 1)), "at once: " + harness.polledEndpoints);
+        harness.polledEndpoints.equals(List.of(0, 1, 2, 1)),
+        "expected the requested poll as soon as the first ended: " + harness.polledEndpoints);
   }
 
   @Example
@@ -101,9 +105,10 @@
     harness.receiveStatement(FRESH);
     harness.advance(150).polledEndpoints.clear();
     harness.endAttempt(harness.lastAttempt(), AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
-    check(harness.polledEndpoints.contains(0), "polled at once");
+    check(harness.polledEndpoints.contains(0), "expected an immediate poll");
     int next = harness.receiveStatement(WRITE);
-    check(harness.lastAttempt().statement() == next, "no hold");
+    check(
+        harness.lastAttempt().statement() == next, "expected the write to be sent without a hold");
   }
 
   @Example
@@ -114,26 +119,31 @@
       harness.advance(20).completePoll(0, Role.PRIMARY, harness.now);
     }
     int next = harness.receiveStatement(WRITE);
-    check(harness.lastAttempt().statement() != next, "held");
+    check(harness.lastAttempt().statement() != next, "expected the write to be held");
     harness.endAttempt(harness.lastAttempt(), AttemptOutcome.COMPLETED, Role.PRIMARY, harness.now);
     harness.completePoll(0, Role.PRIMARY, harness.now);
-    check(harness.lastAttempt().statement() == next, "an answer makes it primary again");
+    check(harness.lastAttempt().statement() == next, "expected a response to end the hold");
   }
 
   @Example
   void holdRejectsUnsentStatementAndAbortsPossiblyExecutedOne() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
-    int maybe = harness.receiveStatement(WRITE);
+    int resetWrite = harness.receiveStatement(WRITE);
     harness.endAttempt(harness.lastAttempt(), AttemptOutcome.RESET, Role.UNKNOWN);
     check(
-        harness.abortedStatements.equals(List.of(maybe)),
-        "aborted at once, since it can't be sent again");
-    int never = harness.receiveStatement(WRITE);
+        harness.abortedStatements.equals(List.of(resetWrite)),
+        "expected an immediate abort, since the write can't be retried");
+    int heldWrite = harness.receiveStatement(WRITE);
     harness.advance(1_100);
-    check(harness.rejectedStatements.equals(List.of(never)), "rejected before the client leaves");
+    check(
+        harness.rejectedStatements.equals(List.of(heldWrite)),
+        "expected a rejection before the client's deadline");
   }
 
-  /** Found on sockets: a primary that steps down says so to writes long before its reports do. */
+  /**
+   * Found with real sockets: a primary that steps down refuses writes long before its reports show
+   * the new role.
+   */
   @Example
   void primaryClaimAfterMissedWriteIsIgnoredForSomeTime() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
@@ -142,163 +152,181 @@
     for (int i = 0; i < 5; i++) {
       harness.advance(100).completePoll(0, Role.PRIMARY, harness.now);
     }
-    check(harness.sentAttempts.size() == 1, "each claim would cost one more execution");
+    check(
+        harness.attempts.size() == 1,
+        "expected no retry on a new claim, since each would cost an attempt");
     harness.advance(600).completePoll(0, Role.PRIMARY, harness.now);
-    check(harness.sentAttempts.size() == 2, "but not for good");
+    check(harness.attempts.size() == 2, "expected a later claim to be accepted");
   }
 
   /**
-   * Found on sockets: reads were kept a while by replicas far behind, then rejected, the primary
-   * idle.
+   * Found with real sockets: reads waited at replicas that lagged far behind and were then rejected
+   * while the primary was idle.
    */
   @Example
   void readIsSentToPrimaryWhenReplicasLagOrMissedIt() {
     LoadBalancerHarness harness =
         new LoadBalancerHarness(true, true, true, false, true).discoverGroup(1_500);
-    int far = harness.receiveStatement(BOUNDED);
+    int read = harness.receiveStatement(BOUNDED);
     check(
-        harness.lastAttempt().statement() == far && harness.lastAttempt().endpoint() == 0,
-        "no use in asking a replica");
+        harness.lastAttempt().statement() == read && harness.lastAttempt().endpoint() == 0,
+        "expected the read on the primary");
     harness = new LoadBalancerHarness(true, true, true, false, true).discoverGroup(20);
-    int missed = harness.receiveStatement(BOUNDED);
-    SentAttempt kept = harness.lastAttempt();
+    int missedRead = harness.receiveStatement(BOUNDED);
+    SentAttempt replicaAttempt = harness.lastAttempt();
     harness.balancer.onPollEnded(
         harness.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, harness.now, 1, Double.NaN);
-    harness.listEndpoint(3 - kept.endpoint(), EndpointLifecycle.DRAINING, Moment.LONG_AGO);
-    harness.advance(45).endAttempt(kept, AttemptOutcome.MISS, Role.REPLICA);
+    harness.listEndpoint(
+        3 - replicaAttempt.endpoint(), EndpointLifecycle.DRAINING, Moment.LONG_AGO);
+    harness.advance(45).endAttempt(replicaAttempt, AttemptOutcome.MISS, Role.REPLICA);
     check(
-        harness.sentAttempts.size() == 1 && harness.rejectedStatements.isEmpty(),
-        "the primary is busy for now");
+        harness.attempts.size() == 1 && harness.rejectedStatements.isEmpty(),
+        "expected the read to wait for the busy primary");
     harness.advance(25).completePoll(0, Role.PRIMARY, harness.now);
     check(
-        harness.lastAttempt().statement() == missed && harness.lastAttempt().endpoint() == 0,
-        "its turn after all");
+        harness.lastAttempt().statement() == missedRead && harness.lastAttempt().endpoint() == 0,
+        "expected the read on the primary afterwards");
   }
 
-  /**
-   * Found on sockets: where the SLO time is short, patience was over before room was looked for
-   * again.
-   */
+  /** Found with real sockets: with a short SLO time, waits ended before a second capacity check. */
   @Example
   void waitingReadIsSentWhenAttemptEndsUnderShortSlo() {
     LoadBalancerHarness harness =
         new LoadBalancerHarness(false, false, false, false, true, 2, 7, 80).discoverGroup(20);
-    int last = -1;
-    while (last < 0 || sentStatements(harness).contains(last)) {
-      last = harness.receiveStatement(ANY);
+    int waitingRead = -1;
+    while (waitingRead < 0 || sentStatements(harness).contains(waitingRead)) {
+      waitingRead = harness.receiveStatement(ANY);
     }
     harness.advance(22);
-    check(harness.rejectedStatements.isEmpty(), "it waits");
-    harness.endAttempt(harness.sentAttempts.get(0), AttemptOutcome.COMPLETED, Role.UNKNOWN);
-    check(harness.lastAttempt().statement() == last, "placed at once");
+    check(harness.rejectedStatements.isEmpty(), "expected the read to wait");
+    harness.endAttempt(harness.attempts.get(0), AttemptOutcome.COMPLETED, Role.UNKNOWN);
+    check(
+        harness.lastAttempt().statement() == waitingRead,
+        "expected the read to be sent when an attempt ended");
   }
 
-  /** Found on sockets: on a long day members are replaced all the time. */
+  /**
+   * Found with real sockets: over a long day endpoints are replaced continuously, so the state of
+   * gone endpoints must not accumulate.
+   */
   @Example
   void goneEndpointIsRemovedAfterDrainExpiresAndCanReturn() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
     harness.listEndpoint(2, EndpointLifecycle.GONE, Moment.LONG_AGO);
     harness.advance(8_000).listEndpoint(1, EndpointLifecycle.READY, Moment.LONG_AGO);
-    check(harness.removedEndpoints.isEmpty(), "its drain is still known");
+    check(harness.removedEndpoints.isEmpty(), "expected the drain to be retained");
     harness.advance(16_000).listEndpoint(1, EndpointLifecycle.READY, Moment.LONG_AGO);
-    check(harness.removedEndpoints.equals(List.of(2)), "forgotten");
+    check(harness.removedEndpoints.equals(List.of(2)), "expected the gone endpoint to be removed");
     harness.polledEndpoints.clear();
     harness.listEndpoint(2, EndpointLifecycle.READY, Moment.LONG_AGO);
-    check(harness.polledEndpoints.contains(2), "and there again");
+    check(harness.polledEndpoints.contains(2), "expected the returning endpoint to be polled");
   }
 
   /**
-   * Found on sockets: a group that only writes held for good after its primary had once been
-   * silent.
+   * Found with real sockets: a group without reads held its writes forever after its primary had
+   * once been unresponsive.
    */
   @Example
   void unresponsivePrimaryIsProbedByWriteWithoutReads() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
     harness.receiveStatement(WRITE);
     harness.advance(1_000).timeOutAttemptsPastDeadline();
-    int held = harness.receiveStatement(WRITE);
+    int heldWrite = harness.receiveStatement(WRITE);
     harness.advance(100).completePoll(0, Role.PRIMARY, harness.now);
     check(
-        harness.sentAttempts.size() == 1 && harness.lastAttempt().statement() != held,
-        "silent: its polls are not enough");
+        harness.attempts.size() == 1 && harness.lastAttempt().statement() != heldWrite,
+        "expected polls alone not to end the hold");
     harness.advance(5_000).completePoll(0, Role.PRIMARY, harness.now);
     int trial = harness.receiveStatement(WRITE);
     int next = harness.receiveStatement(WRITE);
-    check(harness.lastAttempt().statement() == trial, "one trial");
+    check(harness.lastAttempt().statement() == trial, "expected a single trial write");
     harness.endAttempt(harness.lastAttempt(), AttemptOutcome.COMPLETED, Role.PRIMARY);
     harness.advance(20);
-    check(harness.lastAttempt().statement() == next, "its answer ends the hold");
+    check(
+        harness.lastAttempt().statement() == next,
+        "expected the response to the trial to end the hold");
   }
 
   /**
-   * Found on sockets: writes held to their end cost more than those whose clients could try again.
+   * Found with real sockets: writes held until their deadline cost more than writes whose clients
+   * could still retry.
    */
   @Example
   void holdLastsHalfOfRemainingTimeUnlessLateAnswerHasHighValue() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().listEndpoints(3);
     harness.receiveStatement(WRITE, 9, Moment.LONG_AGO, 2_000);
-    int late = harness.receiveStatement(LATE_TOLERANT, 9, Moment.LONG_AGO, 2_000);
+    int lateTolerantWrite = harness.receiveStatement(LATE_TOLERANT, 9, Moment.LONG_AGO, 2_000);
     harness.advance(900);
-    check(harness.rejectedStatements.isEmpty(), "held for nearly half of its time");
+    check(
+        harness.rejectedStatements.isEmpty(),
+        "expected the write to be held for nearly half of its time");
     harness.advance(100);
     check(
         harness.rejectedStatements.equals(List.of(0)) && harness.lastRetryAfter.equals(Span.NONE),
-        "it may try elsewhere");
+        "expected a rejection without a retry-after, so that the client can retry elsewhere");
     harness.advance(700).completePoll(0, Role.PRIMARY, harness.now);
-    check(sentStatements(harness).equals(List.of(late)), "held on for what late is worth");
+    check(
+        sentStatements(harness).equals(List.of(lateTolerantWrite)),
+        "expected the write with the high late value to be held longer");
   }
 
   @Example
   void deduplicatedStatementIsRetriedOnlyWithinItsWindow() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
-    int keyed = harness.receiveStatement(DEDUPLICATED, 9, Moment.LONG_AGO, 5_000);
+    int write = harness.receiveStatement(DEDUPLICATED, 9, Moment.LONG_AGO, 5_000);
     harness.endAttempt(harness.lastAttempt(), AttemptOutcome.RESET, Role.UNKNOWN);
     harness.advance(100).completePoll(1, Role.PRIMARY, harness.now);
     check(
-        harness.sentAttempts.size() == 2 && harness.lastAttempt().statement() == keyed,
-        "sent to the new primary");
+        harness.attempts.size() == 2 && harness.lastAttempt().statement() == write,
+        "expected a retry on the new primary");
+    check(
+        harness.lastAttempt().sendBy().equals(harness.attempts.get(0).sentAt().plus(ms(600))),
+        "expected no send after the window, however late a connection is established");
     check(
-        harness.lastAttempt().sendBy().equals(harness.sentAttempts.get(0).sentAt().plus(ms(600))),
-        "and not once its window is over, however late a connection stands");
-    check(!harness.sentAttempts.get(0).sendBy().isBefore(Moment.NEVER), "the first has no window");
+        !harness.attempts.get(0).sendBy().isBefore(Moment.NEVER),
+        "expected no bound for the first attempt");
   }
 
   @Example
   void boundedReadsUseFreshReplicasElsePrimary() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(299);
     harness.receiveStatement(BOUNDED);
-    check(harness.lastAttempt().endpoint() != 0, "inside the bound");
+    check(harness.lastAttempt().endpoint() != 0, "expected a replica within the staleness bound");
     check(
         harness.lastAttempt().sendBy().equals(harness.now.plus(ms(1))),
-        "not sent once the proof is too old");
+        "expected no send once the reported position is too old");
     harness.advance(5);
     harness.receiveStatement(BOUNDED);
-    check(harness.lastAttempt().endpoint() == 0, "outside of it, and replicas do not check");
-    LoadBalancerHarness checking =
+    check(
+        harness.lastAttempt().endpoint() == 0,
+        "expected the primary outside the bound, since replicas do not check");
+    LoadBalancerHarness checkingHarness =
         new LoadBalancerHarness(true, false, true, false, true).discoverGroup(20);
     for (int i = 0; i < 20; i++) {
-      checking.completePoll(0, Role.PRIMARY, checking.now);
+      checkingHarness.completePoll(0, Role.PRIMARY, checkingHarness.now);
     }
-    checking.advance(400).completePoll(1, Role.REPLICA, checking.now.minus(ms(500)));
-    checking.completePoll(2, Role.REPLICA, checking.now.minus(ms(450)));
-    checking.receiveStatement(BOUNDED);
-    check(checking.lastAttempt().endpoint() == 2, "the most advanced where replicas check");
+    checkingHarness.advance(400).completePoll(1, Role.REPLICA, checkingHarness.now.minus(ms(500)));
+    checkingHarness.completePoll(2, Role.REPLICA, checkingHarness.now.minus(ms(450)));
+    checkingHarness.receiveStatement(BOUNDED);
+    check(
+        checkingHarness.lastAttempt().endpoint() == 2,
+        "expected the most advanced replica where replicas check freshness");
   }
 
   /**
-   * Found on ho-karachi: polls went unanswered, and routers that poll rarely did without sound
-   * nodes.
+   * Found on ho-karachi: polls went unanswered, and routers that poll rarely stopped using healthy
+   * endpoints.
    */
   @Example
   void endpointThatOnlyMissesPollsIsStillUsed() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
     harness.receiveStatement(ANY);
-    int node = harness.lastAttempt().endpoint();
+    int endpoint = harness.lastAttempt().endpoint();
     harness.advance(300).endAttempt(harness.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA);
     for (int i = 0; i < 3; i++) {
       harness.balancer.onPollEnded(
           harness.now,
-          3 - node,
+          3 - endpoint,
           AttemptOutcome.NO_CONNECTION,
           Role.UNKNOWN,
           Moment.LONG_AGO,
@@ -306,7 +334,7 @@
           Double.NaN);
       harness.balancer.onPollEnded(
           harness.now,
-          node,
+          endpoint,
           AttemptOutcome.TIMED_OUT,
           Role.UNKNOWN,
           Moment.LONG_AGO,
@@ -314,55 +342,58 @@
           Double.NaN);
     }
     harness.receiveStatement(ANY);
-    check(harness.lastAttempt().endpoint() == node, "it answered just before");
+    check(
+        harness.lastAttempt().endpoint() == endpoint, "expected the endpoint that responded last");
   }
 
-  /** Found on kigali-cards: idle connections of 699 routers shut each other out of nodes. */
+  /**
+   * Found on kigali-cards: idle connections of 699 routers used up the connection limits of
+   * endpoints, so that other routers could not connect.
+   */
   @Example
   void idleConnectionsAreClosedWhenResponsiveEndpointRefusesNewOnes() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
     for (int i = 0; i < 2; i++) {
       harness.receiveStatement(ANY);
-      int full = harness.lastAttempt().endpoint();
+      int refusingEndpoint = harness.lastAttempt().endpoint();
       harness
           .advance(5)
           .endAttempt(harness.lastAttempt(), AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
-      check(harness.endpointsWithIdleClosed.isEmpty(), "it may be gone, or the path broke once");
-      harness.advance(5).completePoll(full, Role.REPLICA, harness.now);
+      check(
+          harness.endpointsWithIdleClosed.isEmpty(),
+          "expected no close, since the endpoint may be gone or the path failed once");
+      harness.advance(5).completePoll(refusingEndpoint, Role.REPLICA, harness.now);
     }
     harness.endAttempt(harness.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA);
-    check(!harness.endpointsWithIdleClosed.isEmpty(), "at its limit");
+    check(
+        !harness.endpointsWithIdleClosed.isEmpty(),
+        "expected idle connections to be closed at the endpoint's limit");
   }
 
-  /**
-   * Found on sockets: after one connection in a hundred broke, every second execution opened a new
-   * one.
-   */
+  /** Found with real sockets: after 1 % of connections broke, every second attempt opened one. */
   @Example
   void singleRefusedConnectionDoesNotCloseIdleConnections() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
     for (int i = 0; i < 40; i++) {
-      // Three at once, so that some need a connection of their own each time.
+      // Three concurrent reads, so that some need their own connection each time.
       int first = harness.receiveStatement(ANY);
       harness.receiveStatement(ANY);
       harness.receiveStatement(ANY);
       harness.advance(5);
       SentAttempt broken =
-          harness.sentAttempts.stream()
-              .filter(s -> s.statement() == first)
-              .findFirst()
-              .orElseThrow();
+          harness.attempts.stream().filter(s -> s.statement() == first).findFirst().orElseThrow();
       if (i == 30 && harness.endedAttempts.add(broken)) {
         harness.endAttempt(broken, AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
         harness.advance(5).completePoll(broken.endpoint(), Role.UNKNOWN, harness.now);
       }
       harness.advance(30).endAttempts(s -> true, AttemptOutcome.COMPLETED, Role.UNKNOWN);
     }
-    check(harness.endpointsWithIdleClosed.isEmpty(), "kept");
+    check(harness.endpointsWithIdleClosed.isEmpty(), "expected idle connections to stay open");
   }
 
   /**
-   * Found on ho-karachi: statements that err anywhere got five executions, and all nodes the blame.
+   * Found on ho-karachi: statements that fail on every endpoint got five attempts, and all
+   * endpoints counted as faulty.
    */
   @Example
   void readFailingOnTwoEndpointsIsRejected() {
@@ -371,55 +402,57 @@
     harness.endAttempt(harness.lastAttempt(), AttemptOutcome.ERROR, Role.UNKNOWN);
     harness.endAttempt(harness.lastAttempt(), AttemptOutcome.ERROR, Role.UNKNOWN);
     check(
-        harness.sentAttempts.size() == 2 && harness.rejectedStatements.equals(List.of(id)),
-        "two executions, one answer");
+        harness.attempts.size() == 2 && harness.rejectedStatements.equals(List.of(id)),
+        "expected two attempts and one rejection");
   }
 
   /**
-   * Found on kigali-cards at full size: a path loses answers for this router alone, while polls
-   * pass.
+   * Found on kigali-cards at full size: a network path lost responses to one router only, while
+   * polls succeeded.
    */
   @Example
   void endpointThatLosesResponsesIsAvoidedDespiteSuccessfulPolls() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
     harness.receiveStatement(ANY);
-    int lossy = harness.lastAttempt().endpoint();
+    int lossyEndpoint = harness.lastAttempt().endpoint();
     harness.advance(300).endAttempt(harness.lastAttempt(), AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
     for (int i = 0; i < 10; i++) {
-      harness.advance(300).completePoll(lossy, Role.REPLICA, harness.now);
+      harness.advance(300).completePoll(lossyEndpoint, Role.REPLICA, harness.now);
       harness.receiveStatement(ANY);
-      check(harness.lastAttempt().endpoint() != lossy, "the other replica serves it");
+      check(
+          harness.lastAttempt().endpoint() != lossyEndpoint,
+          "expected the read on the other replica");
       harness.endAttempt(harness.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA);
     }
   }
 
   /**
-   * Found on kochi-hire at full size: hundreds of routers each sent on into nodes jammed for
-   * seconds.
+   * Found on kochi-hire at full size: hundreds of routers kept sending to endpoints that were
+   * overloaded for seconds.
    */
   @Example
   void overloadedGroupReceivesFewerStatementsUntilItRecovers() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
     long[] admitted = new long[3];
     for (int i = 0; i < 300; i++) {
-      boolean jammed = i >= 100 && i < 200;
+      boolean overloaded = i >= 100 && i < 200;
       harness.advance(100);
-      for (int node = 0; node < 3; node++) {
-        Role role = node == 0 ? Role.PRIMARY : Role.REPLICA;
+      for (int endpoint = 0; endpoint < 3; endpoint++) {
+        Role role = endpoint == 0 ? Role.PRIMARY : Role.REPLICA;
         harness.balancer.onPollEnded(
             harness.now,
-            node,
+            endpoint,
             AttemptOutcome.COMPLETED,
             role,
             harness.now,
-            jammed ? 1.1 : 0.5,
+            overloaded ? 1.1 : 0.5,
             Double.NaN);
       }
-      int before = harness.sentAttempts.size();
+      int sentBefore = harness.attempts.size();
       harness.receiveStatement(ANY);
-      admitted[i / 100] += i % 100 > 50 ? harness.sentAttempts.size() - before : 0;
-      AttemptOutcome outcome = jammed ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMPLETED;
-      harness.endAttempts(s -> !jammed || harness.isOlder(s, 290), outcome, Role.REPLICA);
+      admitted[i / 100] += i % 100 > 50 ? harness.attempts.size() - sentBefore : 0;
+      AttemptOutcome outcome = overloaded ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMPLETED;
+      harness.endAttempts(s -> !overloaded || harness.isOlder(s, 290), outcome, Role.REPLICA);
     }
     check(admitted[0] == 49 && admitted[1] < 35 && admitted[2] == 49, Arrays.toString(admitted));
   }
@@ -428,13 +461,13 @@
   void failedWatchIsRequestedAgainWithinShortPause() {
     LoadBalancerHarness harness =
         new LoadBalancerHarness(false, false, false, true, true).listEndpoints(2);
-    int asked = harness.watchRequests;
+    int requestsBefore = harness.watchRequests;
     harness.balancer.onListRequestFailed(harness.now);
     harness.advance(2_500);
-    check(harness.watchRequests > asked, "asked again");
+    check(harness.watchRequests > requestsBefore, "expected a new watch request within 2.5 s");
   }
 
-  /** Found on ho-karachi: executions timed out for good while all reports told of free cores. */
+  /** Found on ho-karachi: attempts kept timing out while all reports showed free cores. */
   @Example
   void capacityShrinksOnTimeoutsDespiteLowReportedUtilization() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
@@ -443,31 +476,31 @@
       harness.receiveStatement(ANY);
       harness.endAttempts(s -> harness.isOlder(s, 290), AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
     }
-    long out =
-        harness.sentAttempts.stream()
+    long inFlight =
+        harness.attempts.stream()
             .filter(s -> s.endpoint() != 0 && !harness.endedAttempts.contains(s))
             .count();
-    check(out <= 6, "still out: " + out);
+    check(inFlight <= 6, "expected at most 6 attempts in flight, got " + inFlight);
   }
 
-  /**
-   * Found on kigali-cards: hanging nodes whose queues had filled burnt every execution of a
-   * statement.
-   */
+  /** Found on kigali-cards: hanging endpoints with full queues used up a statement's attempts. */
   @Example
   void endpointAtCapacityIsRetriedAfterBackoff() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().listEndpoints(1);
     harness.completePoll(0, Role.PRIMARY, harness.now);
     int id = harness.receiveStatement(WRITE);
     harness.endAttempt(harness.lastAttempt(), AttemptOutcome.FULL, Role.UNKNOWN);
-    check(harness.sentAttempts.size() == 1, "not sent back at once");
+    check(harness.attempts.size() == 1, "expected no immediate retry");
     harness.advance(400);
     check(
-        harness.sentAttempts.size() == 2 && harness.lastAttempt().statement() == id,
-        "sent again later");
+        harness.attempts.size() == 2 && harness.lastAttempt().statement() == id,
+        "expected a retry after the backoff");
   }
 
-  /** Found on kigali-cards: retries made warm nodes seem strong, and cold ones got too much. */
+  /**
+   * Found on kigali-cards: retries inflated the estimated capacity of warm endpoints, and cold ones
+   * received too much.
+   */
   @Example
   void restartedEndpointReceivesSlowStartShare() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
@@ -479,30 +512,30 @@
         harness.listEndpoint(1, EndpointLifecycle.READY, harness.now);
       }
     }
-    long cold = harness.sentAttempts.stream().skip(200).filter(s -> s.endpoint() == 1).count();
-    check(cold > 2 && cold < 70, "cold node got " + cold);
+    long coldAttempts = harness.attempts.stream().skip(200).filter(s -> s.endpoint() == 1).count();
+    check(
+        coldAttempts > 2 && coldAttempts < 70,
+        "expected 3 to 69 attempts on the cold endpoint, got " + coldAttempts);
   }
 
   @Example
   void readOnUnresponsiveEndpointIsHedged() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
     int id = harness.receiveStatement(BOUNDED);
-    int stuck = harness.lastAttempt().endpoint();
+    int unresponsiveEndpoint = harness.lastAttempt().endpoint();
     for (int i = 0; i < 60; i++) {
       harness.advance(10);
       harness.completePoll(1, Role.REPLICA, harness.now);
       harness.completePoll(2, Role.REPLICA, harness.now);
     }
     check(
-        harness.sentAttempts.size() > 1
-            && harness.sentAttempts.get(1).statement() == id
-            && harness.sentAttempts.get(1).endpoint() != stuck,
-        "a copy elsewhere");
+        harness.attempts.size() > 1
+            && harness.attempts.get(1).statement() == id
+            && harness.attempts.get(1).endpoint() != unresponsiveEndpoint,
+        "expected a hedged attempt on another endpoint");
   }
 
-  /**
-   * Found on kochi-hire: a long queue in order sent each write when its client was about to leave.
-   */
+  /** Found on kochi-hire: a long queue served in order sent writes just before their deadlines. */
   @Example
   void writeWithTooLittleTimeLeftIsRejectedUnsent() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
@@ -510,18 +543,18 @@
     int id = harness.receiveStatement(WRITE, 9, Moment.LONG_AGO, 500);
     harness.advance(440).completePoll(1, Role.PRIMARY, harness.now);
     check(
-        harness.sentAttempts.isEmpty() && harness.rejectedStatements.equals(List.of(id)),
-        "rejected, since nothing ran");
+        harness.attempts.isEmpty() && harness.rejectedStatements.equals(List.of(id)),
+        "expected a rejection, since nothing was executed");
   }
 
-  /** Found on ho-karachi: with slow answers remembered, nothing was admitted to correct it. */
+  /** Found on ho-karachi: after slow responses nothing was admitted to correct the latency. */
   @Example
   void readsAreAdmittedAgainAfterSlowResponses() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
     for (int i = 0; i < 120; i++) {
       harness.advance(10);
-      for (int node = 0; node < 3; node++) {
-        harness.completePoll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, harness.now);
+      for (int endpoint = 0; endpoint < 3; endpoint++) {
+        harness.completePoll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, harness.now);
       }
       harness.receiveStatement(ANY);
       harness.endAttempts(s -> harness.isOlder(s, 285), AttemptOutcome.COMPLETED, Role.REPLICA);
@@ -532,14 +565,15 @@
           .advance(50)
           .completePoll(i % 3, i % 3 == 0 ? Role.PRIMARY : Role.REPLICA, harness.now);
     }
-    int before = harness.sentAttempts.size();
+    int sentBefore = harness.attempts.size();
     harness.receiveStatement(ANY);
     harness.completePoll(0, Role.PRIMARY, harness.now);
-    check(harness.sentAttempts.size() > before, "admitted");
+    check(harness.attempts.size() > sentBefore, "expected the read to be admitted");
   }
 
   /**
-   * Found on kochi-hire: with frozen reports one replica, called the most advanced, got all reads.
+   * Found on kochi-hire: with frozen reports, the replica that seemed the most advanced received
+   * all reads.
    */
   @Example
   void staleReportsSpreadReadsOverReplicas() {
@@ -551,9 +585,9 @@
     for (int i = 0; i < 8; i++) {
       harness.receiveStatement(BOUNDED);
     }
-    long first = harness.sentAttempts.stream().filter(s -> s.endpoint() == 1).count();
+    long readsOnFirstReplica = harness.attempts.stream().filter(s -> s.endpoint() == 1).count();
     check(
-        first >= 2 && first <= 6 && harness.sentAttempts.size() == 8,
-        "spread, not all on the seemingly newest");
+        readsOnFirstReplica >= 2 && readsOnFirstReplica <= 6 && harness.attempts.size() == 8,
+        "expected reads on both replicas, not only on the seemingly newest");
   }
 }
--- a/router/src/test/java/basaltlever/KnownRedTest.java
+++ b/router/src/test/java/basaltlever/KnownRedTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** What passes over tests that are known to fail passes over nothing else. */
+/** Tests the script that ignores failures of tests listed as known to fail, and no others. */
 class KnownRedTest {
   private static final String FAILING_TEST = "basaltlever.ATest#isRed";
   private static final String REPORT =
@@ -28,41 +28,43 @@
   private static final String FAILURE =
       "<failure message=\"x\" type=\"y\"><![CDATA[at z]]></failure>";
 
-  private static String runScript(String known, String red, String other)
+  private static String runScript(String entries, String failingResult, String otherResult)
       throws IOException, InterruptedException {
-    return runScript(known, red, other, "ATest");
+    return runScript(entries, failingResult, otherResult, "ATest");
   }
 
-  /** The classes are those that were to run, whatever became of them. */
-  private static String runScript(String known, String red, String other, String... classes)
+  /** Runs the script with the given compiled test classes, each of which should have a report. */
+  private static String runScript(
+      String entries, String failingResult, String otherResult, String... classes)
       throws IOException, InterruptedException {
-    Path above = Files.createTempDirectory("known");
-    Path folder = Files.createDirectory(above.resolve("surefire-reports"));
-    Path built = Files.createDirectories(above.resolve("test-classes/basaltlever"));
+    Path parent = Files.createTempDirectory("known");
+    Path reports = Files.createDirectory(parent.resolve("surefire-reports"));
+    Path testClasses = Files.createDirectories(parent.resolve("test-classes/basaltlever"));
     try {
       for (String name : classes) {
-        Files.createFile(built.resolve(name + ".class"));
+        Files.createFile(testClasses.resolve(name + ".class"));
       }
-      Files.writeString(folder.resolve("KNOWN-RED.txt"), known);
+      Files.writeString(reports.resolve("KNOWN-RED.txt"), entries);
       Files.writeString(
-          folder.resolve("TEST-basaltlever.ATest.xml"), REPORT.formatted(1, red, other));
+          reports.resolve("TEST-basaltlever.ATest.xml"),
+          REPORT.formatted(1, failingResult, otherResult));
       Path script = Path.of("").toAbsolutePath();
       while (!Files.exists(script.resolve(".ci/known-red"))) {
         script = script.getParent();
       }
-      Process judge =
+      Process process =
           new ProcessBuilder(
                   List.of(
                       "bash",
                       script.resolve(".ci/known-red").toString(),
-                      folder.resolve("KNOWN-RED.txt").toString(),
-                      folder.toString()))
+                      reports.resolve("KNOWN-RED.txt").toString(),
+                      reports.toString()))
               .redirectErrorStream(true)
               .start();
-      String said = new String(judge.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-      return judge.waitFor() + " " + said;
+      String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+      return process.waitFor() + " " + output;
     } finally {
-      try (var files = Files.walk(above)) {
+      try (var files = Files.walk(parent)) {
         for (Path file : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
           Files.delete(file);
         }
@@ -77,7 +79,7 @@
     check(
         runScript(ENTRY, FAILURE, "")
             .equals("0 known red: " + FAILING_TEST + " failed (issue 34)\n"),
-        "it failed");
+        "expected the listed failure to be printed and ignored");
     String passed = runScript(ENTRY, "", "");
     check(passed.startsWith("0 known red: " + FAILING_TEST + " passed (issue 34)\n"), passed);
     check(passed.contains(FAILING_TEST + " passed this time"), passed);
@@ -85,33 +87,38 @@
     check(
         other.startsWith("1 ") && other.contains("failed and not known: basaltlever.ATest#isOther"),
         other);
-    check(runScript("\n", "", "").equals("0 "), "none is known");
-    check(runScript("\n", FAILURE, "").startsWith("1 "), "and one fails");
+    check(runScript("\n", "", "").equals("0 "), "expected success without entries and failures");
+    check(
+        runScript("\n", FAILURE, "").startsWith("1 "),
+        "expected an unlisted failure to fail the build");
   }
 
   @Example
   void multiLineAndMultipleEntriesAreAccepted() throws Exception {
-    String spread = FAILING_TEST + " | mvn test,\n  seed 5 | what was\n  seen | 34\n";
+    String multiLineEntry = FAILING_TEST + " | mvn test,\n  seed 5 | what was\n  seen | 34\n";
     check(
-        runScript(spread, FAILURE, "").startsWith("0 known red: " + FAILING_TEST + " failed"),
-        "spread");
-    StringBuilder many = new StringBuilder(ENTRY);
+        runScript(multiLineEntry, FAILURE, "")
+            .startsWith("0 known red: " + FAILING_TEST + " failed"),
+        "expected an entry over several lines to be accepted");
+    StringBuilder entries = new StringBuilder(ENTRY);
     for (String name : List.of("isOther", "isGreen", "isLast")) {
-      many.append("basaltlever.ATest#").append(name).append(" | mvn test | seen | 35\n");
+      entries.append("basaltlever.ATest#").append(name).append(" | mvn test | seen | 35\n");
     }
-    String said = runScript(many.toString(), FAILURE, FAILURE);
-    check(said.startsWith("0 ") && said.contains("#isLast passed"), said);
+    String output = runScript(entries.toString(), FAILURE, FAILURE);
+    check(output.startsWith("0 ") && output.contains("#isLast passed"), output);
   }
 
   @Example
   void testClassWithoutReportFails() throws Exception {
-    String said = runScript(ENTRY, FAILURE, "", "ATest", "BrokeOffTest");
-    check(said.startsWith("1 ") && said.contains("basaltlever.BrokeOffTest has no report"), said);
+    String output = runScript(ENTRY, FAILURE, "", "ATest", "BrokeOffTest");
+    check(
+        output.startsWith("1 ") && output.contains("basaltlever.BrokeOffTest has no report"),
+        output);
   }
 
   @Example
   void malformedEntryIsRejected() throws Exception {
-    for (String bad :
+    for (String entry :
         List.of(
             FAILING_TEST + "\n",
             FAILING_TEST + " | cause | 34\n",
@@ -122,8 +129,8 @@
             "basaltlever.ATest | mvn test | seen | 34\n",
             "basaltlever.ATest#isGone | mvn test | seen | 34\n",
             ENTRY.repeat(2))) {
-      String said = runScript(bad, FAILURE, "");
-      check(said.startsWith("2 ") && said.contains("known-red: "), bad + " got " + said);
+      String output = runScript(entry, FAILURE, "");
+      check(output.startsWith("2 ") && output.contains("known-red: "), entry + " got " + output);
     }
   }
 }
--- a/router/src/test/java/basaltlever/LearnedStateFixtures.java
+++ b/router/src/test/java/basaltlever/LearnedStateFixtures.java
@@ -10,16 +10,16 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Learned states for tests. */
+/** Creates learned states for tests. */
 public final class LearnedStateFixtures {
   private LearnedStateFixtures() {}
 
-  /** The number gives all else, so that a mixture of two shows. */
+  /** Derives all values from {@code number}, so that a mixture of two states is detected. */
   public static LearnedState createLearnedState(long number, int endpointCount) {
     SplittableRandom random = new SplittableRandom(number);
-    List<KnownEndpoint> known = new ArrayList<>();
+    List<KnownEndpoint> knownEndpoints = new ArrayList<>();
     for (int i = 0; i < endpointCount; i++) {
-      known.add(
+      knownEndpoints.add(
           new KnownEndpoint(
               "n-" + i + "-" + number, "127.0.0.1:" + (1_000 + i), createEndpointState(i, random)));
     }
@@ -31,12 +31,12 @@
         5_000 + number,
         "boot",
         41,
-        known,
+        knownEndpoints,
         List.of(
             new GroupState(0, random.nextDouble(), 0), new GroupState(1, 0, random.nextDouble())));
   }
 
-  /** Draws from the source of chance in the order of the record's components. */
+  /** Draws random values in the order of the record's components. */
   private static EndpointState createEndpointState(int number, SplittableRandom random) {
     return new EndpointStateBuilder()
         .group(number % 3)
--- a/router/src/test/java/basaltlever/LoadBalancerHarness.java
+++ b/router/src/test/java/basaltlever/LoadBalancerHarness.java
@@ -34,8 +34,8 @@
 import java.util.function.Predicate;
 
 /**
- * Stands in for the harness of one router: records what it does, checks the rules at each act, and
- * can play nodes.
+ * Drives one load balancer: records its decisions, checks the rules at each of them, and can
+ * simulate endpoints.
  */
 public final class LoadBalancerHarness implements DecisionSink {
   static final int ANY = 0;
@@ -53,7 +53,10 @@
 
   private record ScheduledAction(Moment dueAt, int sequence, Runnable action) {}
 
-  /** The truth about one node, which the router sees only through polls, answers and the list. */
+  /**
+   * The actual state of an endpoint, which the load balancer observes only through polls, responses
+   * and the list.
+   */
   static final class SimulatedEndpoint {
     boolean alive = true;
     boolean hanging;
@@ -71,7 +74,7 @@
   static final class StatementRecord {
     Moment clientDeadline;
 
-    /** As they were when it was taken. */
+    /** The workload in force when the statement was received. */
     Workload workload;
 
     long session;
@@ -86,7 +89,7 @@
   Moment now = new Moment(1_000_000_000L);
   final LoadBalancer balancer;
   final HoldBudget holdBudget = new HoldBudget(10_000, 1 << 20);
-  final List<PlannedSwitchover.Phase> switchoverPhases = new ArrayList<>();
+  final List<PlannedSwitchover.Phase> phases = new ArrayList<>();
   int preparedConnections;
   final Settings settings;
   private final Span slo;
@@ -94,7 +97,7 @@
   final Replication replication;
   final AttemptLimits attemptLimits;
   final SlowStartPolicy slowStart = new SlowStartPolicy(0.2, ms(10_000), 2, ms(1_000));
-  final List<SentAttempt> sentAttempts = new ArrayList<>();
+  final List<SentAttempt> attempts = new ArrayList<>();
   final List<Integer> polledEndpoints = new ArrayList<>();
   final List<Integer> endpointsWithIdleClosed = new ArrayList<>();
   final List<Integer> removedEndpoints = new ArrayList<>();
@@ -115,7 +118,7 @@
   private final Map<Long, Moment> lastCommitBySession = new HashMap<>();
   private int nextSequence;
 
-  /** With a source of chance the nodes answer by themselves. */
+  /** If set, simulated endpoints respond to attempts and polls. */
   private SplittableRandom random;
 
   static Span ms(double millis) {
@@ -195,10 +198,7 @@
         0);
   }
 
-  /**
-   * With one workload more, that any member may answer and that takes long, where the last is not
-   * 0.
-   */
+  /** Adds a workload of long-running reads if {@code longMillis} is not 0. */
   LoadBalancerHarness(
       boolean replicasCheckFreshness,
       boolean positionsInResponses,
@@ -250,8 +250,8 @@
   }
 
   /**
-   * As after the move: answers tell positions, replicas check, one execution out, removals do not
-   * bind.
+   * Returns a harness in which responses carry positions, replicas check freshness, one attempt may
+   * be in flight and removals are not binding.
    */
   static LoadBalancerHarness withSingleAttempts() {
     LoadBalancerHarness harness =
@@ -271,7 +271,7 @@
         settings.poolSettings());
   }
 
-  /** Settings with other workloads at their places: all that was taken before ends by its own. */
+  /** Applies settings with other workloads; statements received before keep theirs. */
   void applyWorkloads(Workload[] nextWorkloads) {
     workloads = nextWorkloads;
     balancer.applySettings(
@@ -290,7 +290,7 @@
     return new LoadBalancerHarness(false, false, false, false, true);
   }
 
-  // ---- Driving by hand.
+  // Events that the test triggers.
 
   LoadBalancerHarness listEndpoints(int count) {
     balancer.onListStarted();
@@ -319,7 +319,10 @@
     balancer.onPollEnded(now, endpoint, AttemptOutcome.COMPLETED, role, position, 0.5, Double.NaN);
   }
 
-  /** Three members, node 0 primary, the replicas shown at the given age. */
+  /**
+   * Lists three endpoints; endpoint 0 reports as primary, the others as replicas with the given
+   * lag.
+   */
   LoadBalancerHarness discoverGroup(double lagMillis) {
     listEndpoints(3);
     completePoll(0, Role.PRIMARY, now);
@@ -355,15 +358,18 @@
     return id;
   }
 
-  /** A client leaves early; the statement is an unanswered one where there is any. */
-  int disconnectRandomClient(SplittableRandom random) {
-    int id = statements.isEmpty() ? receiveStatement(ANY) : random.nextInt(statements.size());
+  /**
+   * Marks a random statement as answered, as for a client that disconnects early, and returns its
+   * id.
+   */
+  int disconnectRandomClient(SplittableRandom source) {
+    int id = statements.isEmpty() ? receiveStatement(ANY) : source.nextInt(statements.size());
     statements.get(id).answered = true;
     return id;
   }
 
   SentAttempt lastAttempt() {
-    return sentAttempts.get(sentAttempts.size() - 1);
+    return attempts.get(attempts.size() - 1);
   }
 
   void endAttempt(SentAttempt attempt, AttemptOutcome outcome, Role role) {
@@ -379,7 +385,9 @@
     }
     boolean first = outcome == AttemptOutcome.COMPLETED && !statement.answered;
     if (first) {
-      check(!now.isAfter(statement.clientDeadline.plus(ANSWER_SLACK)), "answered late");
+      check(
+          !now.isAfter(statement.clientDeadline.plus(ANSWER_SLACK)),
+          "expected a response within the client's deadline");
       statement.answered = true;
     }
     if (role == Role.REPLICA && attempt.endpoint < endpoints.size()) {
@@ -389,16 +397,16 @@
         now, attempt.statement, attempt.attempt, outcome, role, position, statement.answered);
   }
 
-  /** Ends, once each, those executions that the test picks. */
+  /** Ends the selected attempts, each of them once. */
   void endAttempts(Predicate<SentAttempt> selected, AttemptOutcome outcome, Role role) {
-    sentAttempts.stream()
+    attempts.stream()
         .filter(selected)
         .filter(endedAttempts::add)
         .toList()
         .forEach(s -> endAttempt(s, outcome, role));
   }
 
-  /** What is still out when its client leaves times out then. */
+  /** Times out the attempts in flight whose client deadline has passed. */
   void timeOutAttemptsPastDeadline() {
     endAttempts(
         s -> !now.isBefore(statements.get(s.statement).clientDeadline),
@@ -410,11 +418,11 @@
     return now.since(attempt.sentAt).isLongerThan(ms(millis));
   }
 
-  // ---- What the router does, with the rules checked.
+  // Decisions of the load balancer, checked against the rules.
 
-  public static void check(boolean holds, String rule) {
-    if (!holds) {
-      throw new AssertionError(rule);
+  public static void check(boolean condition, String message) {
+    if (!condition) {
+      throw new AssertionError(message);
     }
   }
 
@@ -422,20 +430,24 @@
   public void startAttempt(int statement, int endpoint, Span timeout, Moment sendBy) {
     StatementRecord sentStatement = statements.get(statement);
     Workload workload = sentStatement.workload;
-    check(!sentStatement.answered, "rule 1: sent after the final answer");
-    check(sentStatement.attempts < attemptLimits.maxAttempts(), "too many executions");
-    check(attemptLimits.hedgingEnabled() || sentStatement.inFlight == 0, "two at once");
+    check(!sentStatement.answered, "rule 1: expected no attempt after the final response");
+    check(
+        sentStatement.attempts < attemptLimits.maxAttempts(),
+        "expected no more attempts than the limit");
+    check(
+        attemptLimits.hedgingEnabled() || sentStatement.inFlight == 0,
+        "expected one attempt in flight with hedging disabled");
     if (workload.idempotency() == Idempotency.NON_IDEMPOTENT) {
       check(
           !sentStatement.mayHaveExecuted && sentStatement.inFlight == 0,
-          "rule 2: non-idempotent sent again");
+          "rule 2: expected no retry of a non-idempotent statement that may have been executed");
     } else if (workload.idempotency() == Idempotency.DEDUPLICATED
         && (sentStatement.mayHaveExecuted || sentStatement.inFlight > 0)) {
       check(
           now.isBefore(sentStatement.firstUncertainSentAt.plus(workload.deduplicationWindow()))
               && !sendBy.isAfter(
                   sentStatement.firstUncertainSentAt.plus(workload.deduplicationWindow())),
-          "rule 2: sent again outside its window, now or once a connection stands");
+          "rule 2: expected retries only within the window, also on a late connection");
     }
     if (endpoint < endpoints.size()) {
       checkEndpoint(endpoints.get(endpoint), sentStatement, workload);
@@ -443,7 +455,7 @@
     SentAttempt attempt =
         new SentAttempt(statement, sentStatement.attempts++, endpoint, timeout, now, sendBy);
     sentStatement.inFlight++;
-    sentAttempts.add(attempt);
+    attempts.add(attempt);
     if (random != null) {
       simulateAttempt(attempt, endpoints.get(endpoint), sentStatement);
     }
@@ -451,14 +463,16 @@
 
   private void checkEndpoint(
       SimulatedEndpoint endpoint, StatementRecord statement, Workload workload) {
-    check(endpoint.listedReady, "rule 3: sent to a node known to drain or be gone");
+    check(
+        endpoint.listedReady,
+        "rule 3: expected no attempt on an endpoint known to drain or be gone");
     if (!replication.replicasCheckFreshness()
         && !(endpoint.wasPrimary && !endpoint.reportedAsReplica)) {
       Moment requiredPosition =
           workload.consistency() == ReadConsistency.BOUNDED
               ? now.minus(workload.maxStaleness())
               : statement.requiredPosition;
-      check(!actualPosition(endpoint).isBefore(requiredPosition), "rule 5: stale read");
+      check(!actualPosition(endpoint).isBefore(requiredPosition), "rule 5: expected no stale read");
     }
     Span age = now.since(endpoint.startedAt);
     if (age.isShorterThan(slowStart.warmUpTime())
@@ -474,24 +488,28 @@
                   + (1 - slowStart.initialShare()) * age.over(slowStart.warmUpTime()));
       check(
           recent <= Math.max(2, slowStart.overloadFactor() * capacity),
-          "rule 4: cold node pushed over");
+          "rule 4: expected no overload of a cold endpoint");
     }
   }
 
   @Override
   public void cancel(int statement, int attempt) {
-    check(attempt < statements.get(statement).attempts, "cancelled what was never sent");
+    check(
+        attempt < statements.get(statement).attempts,
+        "expected cancellation only of attempts that were sent");
     cancelledAttempts.add(new SentAttempt(statement, attempt, -1, Span.NONE, now, now));
   }
 
   @Override
   public void reject(int statement, Span retryAfter, RejectReason reason) {
     StatementRecord rejectedStatement = statements.get(statement);
-    check(!retryAfter.isLongerThan(attemptLimits.maxRetryAfter()), "advice too long");
+    check(
+        !retryAfter.isLongerThan(attemptLimits.maxRetryAfter()),
+        "expected a retry-after within the limit");
     check(
         rejectedStatement.workload.idempotency() == Idempotency.IDEMPOTENT
             || (!rejectedStatement.mayHaveExecuted && rejectedStatement.inFlight == 0),
-        "rule 2: rejected what may have run");
+        "rule 2: expected no rejection of a non-idempotent statement that may have been executed");
     markAnswered(rejectedStatement);
     lastRetryAfter = retryAfter;
     rejectedStatements.add(statement);
@@ -504,8 +522,10 @@
   }
 
   private void markAnswered(StatementRecord statement) {
-    check(!statement.answered, "rule 1: answered twice");
-    check(!now.isAfter(statement.clientDeadline.plus(ANSWER_SLACK)), "rule 1: answered late");
+    check(!statement.answered, "rule 1: expected a single response");
+    check(
+        !now.isAfter(statement.clientDeadline.plus(ANSWER_SLACK)),
+        "rule 1: expected a response within the client's deadline");
     statement.answered = true;
   }
 
@@ -516,9 +536,9 @@
       return;
     }
     SimulatedEndpoint polledEndpoint = endpoints.get(endpoint);
-    Moment reported = now.minus(ms(random.nextInt(150)));
+    Moment reportedAt = now.minus(ms(random.nextInt(150)));
     boolean primary = polledEndpoint.primary;
-    Moment position = actualPosition(polledEndpoint).earlier(reported);
+    Moment position = actualPosition(polledEndpoint).earlier(reportedAt);
     schedule(
         random.nextInt(1, 10),
         () -> {
@@ -572,7 +592,7 @@
 
   @Override
   public void setTimer(Span delay) {
-    check(delay.micros() > 0, "woken in the past");
+    check(delay.micros() > 0, "expected a positive timer delay");
     schedule(Math.max(1, delay.micros() / 1_000.0), () -> balancer.onTimerFired(now));
   }
 
@@ -586,10 +606,10 @@
 
   @Override
   public void onSwitchoverPhaseChanged(int group, PlannedSwitchover.Phase phase, int target) {
-    switchoverPhases.add(phase);
+    phases.add(phase);
   }
 
-  // ---- Nodes that answer by themselves.
+  // Simulated endpoints.
 
   static final double ENDPOINT_STATEMENTS_PER_SECOND = 100;
 
@@ -625,8 +645,8 @@
     return endpoint.primary && endpoint.alive ? now : endpoint.position;
   }
 
-  private void schedule(double millis, Runnable action) {
-    scheduledActions.add(new ScheduledAction(now.plus(ms(millis)), nextSequence++, action));
+  private void schedule(double delayMillis, Runnable action) {
+    scheduledActions.add(new ScheduledAction(now.plus(ms(delayMillis)), nextSequence++, action));
   }
 
   private void simulateAttempt(
@@ -652,14 +672,16 @@
       durationMillis = remainingMillis;
       outcome = AttemptOutcome.TIMED_OUT;
     }
-    AttemptOutcome planned = outcome;
+    AttemptOutcome plannedOutcome = outcome;
     schedule(
         durationMillis,
         () -> {
-          // A write that its node still holds when it loses the role ends in an error.
+          // A write in progress when its endpoint loses the primary role ends in an error.
           boolean roleLost =
-              write && planned == AttemptOutcome.COMPLETED && !(endpoint.primary && endpoint.alive);
-          AttemptOutcome actualOutcome = roleLost ? AttemptOutcome.ERROR : planned;
+              write
+                  && plannedOutcome == AttemptOutcome.COMPLETED
+                  && !(endpoint.primary && endpoint.alive);
+          AttemptOutcome actualOutcome = roleLost ? AttemptOutcome.ERROR : plannedOutcome;
           boolean responds =
               actualOutcome == AttemptOutcome.COMPLETED
                   || actualOutcome == AttemptOutcome.MISS
@@ -680,7 +702,10 @@
         });
   }
 
-  /** Lets the clock run, in the order in which things fall due, and moves the replicas along. */
+  /**
+   * Advances the clock, runs scheduled actions in the order of their due times, and updates the
+   * positions of the replicas.
+   */
   void runFor(double millis) {
     Moment end = now.plus(ms(millis));
     while (!scheduledActions.isEmpty() && !scheduledActions.peek().dueAt.isAfter(end)) {
@@ -702,7 +727,7 @@
       check(
           statements.get(i).answered
               || !now.isAfter(statements.get(i).clientDeadline.plus(ANSWER_SLACK)),
-          "rule 1: no answer in time");
+          "rule 1: expected a response to every statement by its deadline");
     }
   }
 }
--- a/router/src/test/java/basaltlever/LoopbackCluster.java
+++ b/router/src/test/java/basaltlever/LoopbackCluster.java
@@ -31,11 +31,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Nodes and discovery on loopback sockets, blocking and one thread a connection, for a whole
- * router.
+ * Runs a router with database servers and discovery on loopback sockets, with blocking I/O and one
+ * thread per connection.
  */
 public final class LoopbackCluster implements AutoCloseable {
-  /** What a node does with a statement. */
+  /** The response of a server to a statement. */
   enum ResponseMode {
     ROW,
     BYTE_BY_BYTE,
@@ -60,19 +60,19 @@
     ENDLESS_PARAMETERS,
     ENDLESS_ROWS;
 
-    /** True where a good answer comes, whatever comes behind it. */
+    /** Returns true if a valid response is sent, whatever follows it. */
     boolean hasValidResponse() {
       return List.of(ROW, BYTE_BY_BYTE, LARGE, HUGE, TWO_RESPONSES, TRAILING_GARBAGE)
           .contains(this);
     }
 
-    /** True where it proves that nothing ran. */
+    /** Returns true if the response proves that the statement was not executed. */
     boolean provesNotExecuted() {
       return this == NOT_PRIMARY || this == BEHIND || this == FULL;
     }
   }
 
-  /** Carries nothing out. */
+  /** Records the calls without carrying them out. */
   public static final class RecordingEffects implements basaltlever.core.Effects<String> {
     public final List<String> calls = new ArrayList<>();
 
@@ -126,7 +126,7 @@
     public void onPrimaryChanged(int group, String endpoint, boolean found) {}
   }
 
-  /** One node: a primary or a replica that is never behind. */
+  /** A simulated server: a primary or a replica without lag. */
   final class DatabaseServer {
     final ServerSocket listener = listen(0);
     final String id;
@@ -135,17 +135,17 @@
     volatile String listedLifecycle = "in_service";
     volatile boolean ignoresPolls;
 
-    /** Where set, who connects is welcomed only once it is open. */
+    /** If set, startup messages are answered once this latch is open. */
     volatile java.util.concurrent.CountDownLatch startupGate;
 
     final AtomicInteger startupCount = new AtomicInteger();
 
-    /** What each connection began with, behind its length. */
+    /** The startup message of each connection, without its length prefix. */
     final Queue<byte[]> startupMessages = new java.util.concurrent.ConcurrentLinkedQueue<>();
 
     final List<Socket> openSockets = Collections.synchronizedList(new ArrayList<>());
 
-    /** When it got each of its statements. */
+    /** The arrival time of each statement, from {@link System#nanoTime()}. */
     final Queue<Long> statementTimes = new java.util.concurrent.ConcurrentLinkedQueue<>();
 
     DatabaseServer(String id, boolean primary) {
@@ -157,7 +157,7 @@
     private void serve(Socket socket) throws IOException {
       openSockets.add(socket);
       if (listener.isClosed()) {
-        // Accepted in the moment of death: dies() may have gone through the open ones before.
+        // Accepted while the server is killed: kill() may have closed the open sockets before.
         socket.close();
         return;
       }
@@ -238,7 +238,7 @@
           return;
         }
         case ENDLESS_PARAMETERS, ENDLESS_ROWS -> {
-          // Until the other side has had enough.
+          // Writes until the router closes the connection.
           if (response == ResponseMode.ENDLESS_ROWS) {
             send(socket, out.writeBytes(rowDescription(1)).writeBytes(dataRow(1, id)));
             out.clear().writeBytes(dataRow(1, id));
@@ -302,7 +302,7 @@
     }
   }
 
-  /** A client on one connection, blocking. */
+  /** A blocking client with one connection. */
   public static final class Client implements AutoCloseable {
     final Socket socket;
     final DataInputStream in;
@@ -333,7 +333,8 @@
     }
 
     /**
-     * All up to ReadyForQuery in short: row:VALUE, error:CODE:DETAIL, other letters as they are.
+     * Reads up to ReadyForQuery and returns a summary: row:VALUE, error:CODE:DETAIL, and the type
+     * letter of any other message.
      */
     public String readResponse() throws IOException {
       StringBuilder summary = new StringBuilder();
@@ -380,7 +381,7 @@
   final List<String> receivedQueries = Collections.synchronizedList(new ArrayList<>());
   final Map<String, List<ResponseMode>> modesByStatement = new ConcurrentHashMap<>();
 
-  /** When each was last seen by a node. */
+  /** The time at which a server last received each statement, from {@link System#nanoTime()}. */
   final Map<String, Long> lastReceivedAt = new ConcurrentHashMap<>();
 
   ServerSocket discoveryListener = listen(0);
@@ -393,19 +394,22 @@
   private volatile Socket watchSocket;
 
   /**
-   * Routers here count the descriptors of the whole process: what is left open narrows the next
-   * one's.
+   * Closed with the cluster: routers count the descriptors of the whole process, so open sockets
+   * would reduce the limit of the next one.
    */
   private final List<Socket> discoverySockets = Collections.synchronizedList(new ArrayList<>());
 
   final Path startFilePath = Files.createTempFile("start", ".json");
 
-  /** A router with its primary and two replicas, serving. */
+  /** Starts a primary, two replicas and a router. */
   LoopbackCluster() throws Exception {
     this(true);
   }
 
-  /** Else the router is the caller's to start, with the file. */
+  /**
+   * Leaves starting the router to the caller, with the start file, unless {@code startsRouter} is
+   * set.
+   */
   LoopbackCluster(boolean startsRouter) throws Exception {
     this.startsRouter = startsRouter;
     for (int i = 0; i < 3; i++) {
@@ -440,7 +444,7 @@
         .formatted(listen, discovery, knownInstances);
   }
 
-  /** One that carries nothing out. */
+  /** Creates a statement router whose effects are recorded and not carried out. */
   public static basaltlever.core.StatementRouter<String> createStatementRouter() {
     try {
       return new basaltlever.core.StatementRouter<>(
@@ -494,7 +498,7 @@
     publishList();
   }
 
-  /** Writes the list as it is now to the open watch. */
+  /** Sends the current list to the open watch. */
   void publishList() throws IOException {
     String line =
         "{\"generation\":"
@@ -508,7 +512,7 @@
             Integer.toHexString(line.length()) + "\r\n" + line + "\r\n", StandardCharsets.UTF_8));
   }
 
-  /** To another address, in the start file as well; the open watch stays open. */
+  /** Moves discovery to another address, also in the start file; the open watch stays open. */
   void moveDiscovery() throws IOException {
     discoveryListener.close();
     discoveryListener = listen(0);
@@ -517,8 +521,8 @@
   }
 
   /**
-   * As many descriptors for each router, whatever the routers and stand-ins before it left open
-   * here.
+   * Gives each router the same number of descriptors, whatever earlier routers and servers left
+   * open in this process.
    */
   private void writeStartFile() throws IOException {
     writeStartFile(text -> text);
@@ -534,8 +538,8 @@
   }
 
   /**
-   * Counted while earlier stand-ins still close theirs, a router would be left far more than was
-   * meant.
+   * Waits for a stable count: if earlier servers still closed their sockets after it, the router
+   * would have far more descriptors than intended.
    */
   private static int awaitStableDescriptorCount() {
     int before = -1;
@@ -628,7 +632,7 @@
               try {
                 action.run();
               } catch (IOException e) {
-                // The other side has gone, or this one was told to end.
+                // The peer disconnected, or this side was closed.
               }
             });
     thread.setDaemon(true);
@@ -644,7 +648,7 @@
     router.drain();
     try {
       router.awaitStop();
-      check(!startsRouter || router.activeBuffers() == 0, "a buffer was not released");
+      check(!startsRouter || router.activeBuffers() == 0, "expected all buffers to be released");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -653,8 +657,8 @@
       open.close();
     }
     Files.delete(startFilePath);
-    for (DatabaseServer node : servers) {
-      node.kill();
+    for (DatabaseServer server : servers) {
+      server.kill();
     }
   }
 }
--- a/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
+++ b/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
@@ -37,7 +37,7 @@
   }
 
   private static Phase last(LoadBalancerHarness world) {
-    return world.switchoverPhases.get(world.switchoverPhases.size() - 1);
+    return world.phases.get(world.phases.size() - 1);
   }
 
   /** Lets time go by with all members answering as they are. */
@@ -54,43 +54,38 @@
   void aPlannedChangeHoldsAtItsTimeAndReleasesToItsTargetOnceThatClaims() {
     LoadBalancerHarness world = announced(5_000);
     polls(world, 2_500, 0);
-    check(
-        world.switchoverPhases.equals(List.of(Phase.CREATED)),
-        "not yet: " + world.switchoverPhases);
+    check(world.phases.equals(List.of(Phase.CREATED)), "not yet: " + world.phases);
     polls(world, 1_000, 0);
     check(
         last(world) == Phase.PREPARATION && world.preparedConnections >= 0,
-        "prepared before: " + world.switchoverPhases);
+        "prepared before: " + world.phases);
     int early = world.receiveStatement(WRITE);
     check(
         world.lastAttempt().statement() == early && world.lastAttempt().endpoint() == 0,
         "the old primary serves until then");
     world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
     polls(world, 1_600, 0);
-    check(last(world) == Phase.IN_PROGRESS, "" + world.switchoverPhases);
-    int sent = world.sentAttempts.size();
+    check(last(world) == Phase.IN_PROGRESS, "" + world.phases);
+    int sent = world.attempts.size();
     int first = world.receiveStatement(WRITE);
     int second = world.receiveStatement(FRESH);
     world.completePoll(0, Role.PRIMARY, world.now);
-    check(world.sentAttempts.size() == sent, "held, whatever the old primary still says");
+    check(world.attempts.size() == sent, "held, whatever the old primary still says");
     int read = world.receiveStatement(ANY);
     check(world.lastAttempt().statement() == read, "other reads go on");
     world.advance(100).completePoll(0, Role.REPLICA, world.now);
     world.completePoll(1, Role.PRIMARY, world.now);
     List<Integer> released =
-        world
-            .sentAttempts
-            .subList(world.sentAttempts.size() - 2, world.sentAttempts.size())
-            .stream()
+        world.attempts.subList(world.attempts.size() - 2, world.attempts.size()).stream()
             .map(LoadBalancerHarness.SentAttempt::statement)
             .toList();
     check(
         released.equals(List.of(first, second)) && world.lastAttempt().endpoint() == 1,
         "released in order: " + released);
     polls(world, 100, 1);
-    check(last(world) == Phase.POST, "" + world.switchoverPhases);
+    check(last(world) == Phase.POST, "" + world.phases);
     polls(world, 5_500, 1);
-    check(last(world) == Phase.COMPLETED, "" + world.switchoverPhases);
+    check(last(world) == Phase.COMPLETED, "" + world.phases);
   }
 
   @Example
@@ -98,18 +93,18 @@
     for (boolean takenBack : new boolean[] {true, false}) {
       LoadBalancerHarness world = announced(1_000);
       polls(world, 1_200, 0);
-      check(last(world) == Phase.IN_PROGRESS, "" + world.switchoverPhases);
+      check(last(world) == Phase.IN_PROGRESS, "" + world.phases);
       int held = world.receiveStatement(WRITE, 9, Moment.LONG_AGO, 9_000);
-      int before = world.sentAttempts.size();
+      int before = world.attempts.size();
       if (takenBack) {
         check(
             world.balancer.onSwitchoverAnnounced(world.now, 1, 1, 1, world.now, true),
             "taken back");
       }
       polls(world, takenBack ? 100 : 3_200, 0);
-      check(last(world) == Phase.CALLED_OFF, "" + world.switchoverPhases);
+      check(last(world) == Phase.CALLED_OFF, "" + world.phases);
       check(
-          world.sentAttempts.subList(before, world.sentAttempts.size()).stream()
+          world.attempts.subList(before, world.attempts.size()).stream()
               .anyMatch(sent -> sent.statement() == held && sent.endpoint() == 0),
           "released to who still is one");
     }
@@ -122,15 +117,14 @@
   void aChangeThatTakesThePlaceOfOneInProgressGoesOnHolding() {
     LoadBalancerHarness world = announced(1_000);
     polls(world, 1_200, 0);
-    check(last(world) == Phase.IN_PROGRESS, "" + world.switchoverPhases);
+    check(last(world) == Phase.IN_PROGRESS, "" + world.phases);
     check(
         world.balancer.onSwitchoverAnnounced(world.now, 1, 2, 2, world.now, false), "a later one");
     int held = world.receiveStatement(WRITE);
-    int sent = world.sentAttempts.size();
+    int sent = world.attempts.size();
     polls(world, 300, 0);
     check(
-        last(world) == Phase.IN_PROGRESS && world.sentAttempts.size() == sent,
-        "held: " + world.switchoverPhases);
+        last(world) == Phase.IN_PROGRESS && world.attempts.size() == sent, "held: " + world.phases);
     world.completePoll(0, Role.REPLICA, world.now);
     world.advance(20).completePoll(2, Role.PRIMARY, world.now);
     check(
@@ -229,7 +223,7 @@
     LoadBalancerHarness world = LoadBalancerHarness.withDefaults().discoverGroup(20);
     world.receiveStatement(WRITE);
     world.advance(5).endAttempt(world.lastAttempt(), AttemptOutcome.MISS, Role.PRIMARY);
-    check(world.sentAttempts.size() == 1, "held until somebody proves to be primary");
+    check(world.attempts.size() == 1, "held until somebody proves to be primary");
   }
 
   @Example
@@ -263,7 +257,7 @@
     check(world.holdBudget.heldStatements() == 1, "its place is free at once");
     world.completePoll(0, Role.PRIMARY, world.now);
     check(
-        world.sentAttempts.size() == 1 && world.lastAttempt().statement() == stays,
+        world.attempts.size() == 1 && world.lastAttempt().statement() == stays,
         "nothing is sent for it");
   }
 
@@ -286,8 +280,8 @@
     }
     world.advance(100);
     check(
-        world.switchoverPhases.stream().filter(Phase.IN_PROGRESS::equals).count() == 10,
-        "all are held: " + world.switchoverPhases);
+        world.phases.stream().filter(Phase.IN_PROGRESS::equals).count() == 10,
+        "all are held: " + world.phases);
     for (int group = 0; group < 10; group++) {
       world.completePoll(3 * group, Role.REPLICA, world.now);
       world.completePoll(3 * group + 1, Role.PRIMARY, world.now);
@@ -295,9 +289,7 @@
     for (int node = 0; node < 30; node++) {
       world.completePoll(node, node % 3 == 1 ? Role.PRIMARY : Role.REPLICA, world.now);
     }
-    check(
-        world.switchoverPhases.stream().filter(Phase.POST::equals).count() == 10,
-        "" + world.switchoverPhases);
+    check(world.phases.stream().filter(Phase.POST::equals).count() == 10, "" + world.phases);
   }
 
   @Property(tries = 120, seed = "99", shrinking = ShrinkingMode.OFF)
--- a/router/src/test/java/basaltlever/RulesTest.java
+++ b/router/src/test/java/basaltlever/RulesTest.java
@@ -153,7 +153,7 @@
         if ((step + i) % every == 0) {
           world.receiveStatement(LoadBalancerHarness.ANY);
         }
-        if (!world.sentAttempts.isEmpty() && world.endedAttempts.add(world.lastAttempt())) {
+        if (!world.attempts.isEmpty() && world.endedAttempts.add(world.lastAttempt())) {
           warm += step >= 80 && step < 120 && world.lastAttempt().endpoint() == 2 ? 1 : 0;
           cold[Math.max(0, step - 120)] +=
               step >= 120 && world.lastAttempt().endpoint() == 1 ? 1 : 0;
@@ -234,7 +234,7 @@
         if ((step + i) % every == 0) {
           world.receiveStatement(LoadBalancerHarness.ANY);
         }
-        if (!world.sentAttempts.isEmpty() && world.endedAttempts.add(world.lastAttempt())) {
+        if (!world.attempts.isEmpty() && world.endedAttempts.add(world.lastAttempt())) {
           warm += step >= 40 && step < 80 && world.lastAttempt().endpoint() == 2 ? 1 : 0;
           cold[Math.max(0, step - 120)] +=
               step >= 120 && world.lastAttempt().endpoint() == 1 ? 1 : 0;
@@ -285,10 +285,9 @@
                 odd[chance.nextInt(odd.length)],
                 Double.NaN);
         case 2 -> {
-          if (!world.sentAttempts.isEmpty()) {
-            int back = Math.min(world.sentAttempts.size(), 1 + chance.nextInt(4));
-            LoadBalancerHarness.SentAttempt old =
-                world.sentAttempts.get(world.sentAttempts.size() - back);
+          if (!world.attempts.isEmpty()) {
+            int back = Math.min(world.attempts.size(), 1 + chance.nextInt(4));
+            LoadBalancerHarness.SentAttempt old = world.attempts.get(world.attempts.size() - back);
             // Some of these ended before: a second outcome must be passed over.
             LoadBalancerHarness.check(
                 old.attempt() < world.statements.get(old.statement()).attempts, "unknown");
--- a/router/src/test/java/basaltlever/SingleAttemptTest.java
+++ b/router/src/test/java/basaltlever/SingleAttemptTest.java
@@ -21,22 +21,24 @@
 import net.jqwik.api.Example;
 
 /**
- * Where one execution may be out and only drains bind: one case for each failure found on
- * hq-booking-db and fon-fiyat-ist (docs/incidents/2026-12-01-move.md).
+ * Tests settings under which one attempt may be in flight and only drains are binding, not
+ * removals. Each case guards against a failure found on hq-booking-db and fon-fiyat-ist
+ * (docs/incidents/2026-12-01-move.md).
  */
-@SuppressWarnings("ReferenceEquality") // Asks for the very same execution.
+@SuppressWarnings("ReferenceEquality") // Compares attempts by identity.
 class SingleAttemptTest {
-  private static LoadBalancerHarness createHarness(int nodes) {
-    LoadBalancerHarness harness = LoadBalancerHarness.withSingleAttempts().listEndpoints(nodes);
-    for (int node = 0; node < nodes; node++) {
-      harness.completePoll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, harness.now);
+  private static LoadBalancerHarness createHarness(int endpointCount) {
+    LoadBalancerHarness harness =
+        LoadBalancerHarness.withSingleAttempts().listEndpoints(endpointCount);
+    for (int endpoint = 0; endpoint < endpointCount; endpoint++) {
+      harness.completePoll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, harness.now);
     }
     return harness;
   }
 
   private static void completeStatements(
-      LoadBalancerHarness harness, int workload, int times, double millis) {
-    for (int i = 0; i < times; i++) {
+      LoadBalancerHarness harness, int workload, int count, double millis) {
+    for (int i = 0; i < count; i++) {
       harness.receiveStatement(workload);
       harness
           .advance(millis)
@@ -60,17 +62,18 @@
     check(
         harness.cancelledAttempts.size() >= 1
             && harness.cancelledAttempts.get(0).statement() == read,
-        "called off");
-    check(harness.lastAttempt() == first, "nothing more is out before its end");
+        "expected the first attempt to be cancelled");
+    check(harness.lastAttempt() == first, "expected no second attempt before the first ended");
     harness.endAttempt(first, AttemptOutcome.CANCELLED, Role.UNKNOWN);
     check(
         harness.lastAttempt().statement() == read
             && harness.lastAttempt().endpoint() != first.endpoint(),
-        "another node");
+        "expected the retry on another endpoint");
   }
 
   /**
-   * Called off in the next look, no trial ever ended a silence: sound nodes stayed left for 30 s.
+   * Guards against cancelling trials at the next check: no trial could succeed, and healthy
+   * endpoints stayed unused for 30 s.
    */
   @Example
   void trialOfUnresponsiveEndpointHasItsOwnTimeout() {
@@ -84,24 +87,28 @@
     int trial = harness.receiveStatement(ANY);
     check(
         harness.lastAttempt().endpoint() == 1 && harness.lastAttempt().statement() == trial,
-        "its trial");
+        "expected the trial on the unresponsive endpoint");
     harness.advance(15);
-    check(harness.cancelledAttempts.isEmpty(), "not called off for a silence from before it");
+    check(
+        harness.cancelledAttempts.isEmpty(),
+        "expected no cancellation for silence that preceded the trial");
     harness.endAttempt(harness.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA, harness.now);
     harness.receiveStatement(ANY);
-    check(harness.lastAttempt().endpoint() == 1, "an answer ends the silence");
+    check(
+        harness.lastAttempt().endpoint() == 1,
+        "expected the endpoint to be used again after its response");
   }
 
   @Example
   void failedTrialsBecomeLessFrequent() {
     LoadBalancerHarness harness = createHarness(2);
     completeStatements(harness, ANY, 80, 10);
-    int tried = 0;
+    int trials = 0;
     for (int i = 0; i < 400; i++) {
-      int before = harness.sentAttempts.size();
+      int sentBefore = harness.attempts.size();
       harness.receiveStatement(ANY);
-      tried +=
-          harness.sentAttempts.size() > before && harness.lastAttempt().endpoint() == 1 ? 1 : 0;
+      trials +=
+          harness.attempts.size() > sentBefore && harness.lastAttempt().endpoint() == 1 ? 1 : 0;
       harness
           .advance(25)
           .endAttempts(s -> s.endpoint() == 0, AttemptOutcome.COMPLETED, Role.PRIMARY);
@@ -111,33 +118,37 @@
           Role.UNKNOWN);
       harness.completePoll(1, Role.REPLICA, harness.now);
     }
-    check(tried >= 3 && tried <= 14, "in 10 s it was tried " + tried + " times");
+    check(
+        trials >= 3 && trials <= 14, "expected 3 to 14 trials in 10 s, tried " + trials + " times");
   }
 
-  /** A list with nodes that are none of ours: each read sent there was lost. */
+  /**
+   * Guards against a list with endpoints that are not part of the deployment: each read sent there
+   * was lost.
+   */
   @Example
   void endpointThatNeverRespondedReceivesNoStatements() {
     LoadBalancerHarness harness = createHarness(2);
-    for (int node = 2; node < 8; node++) {
-      harness.listEndpoint(node, EndpointLifecycle.READY, Moment.LONG_AGO);
+    for (int endpoint = 2; endpoint < 8; endpoint++) {
+      harness.listEndpoint(endpoint, EndpointLifecycle.READY, Moment.LONG_AGO);
     }
     completeStatements(harness, ANY, 40, 10);
     check(
-        harness.sentAttempts.stream().allMatch(sent -> sent.endpoint() < 2),
-        "no ghost is sent anything");
+        harness.attempts.stream().allMatch(sent -> sent.endpoint() < 2),
+        "expected no statements for endpoints that never responded");
     harness.completePoll(5, Role.REPLICA, harness.now);
     completeStatements(harness, ANY, 40, 10);
     check(
-        harness.sentAttempts.stream().anyMatch(sent -> sent.endpoint() == 5),
-        "one that answered a poll is");
+        harness.attempts.stream().anyMatch(sent -> sent.endpoint() == 5),
+        "expected statements for the endpoint that responded to a poll");
   }
 
   @Example
   void endpointGoneWithoutDrainIsUsedAndDrainedOneIsNot() {
     LoadBalancerHarness harness = createHarness(3);
-    for (int node = 0; node < 3; node++) {
-      harness.listEndpoint(node, EndpointLifecycle.GONE, Moment.LONG_AGO);
-      harness.completePoll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, harness.now);
+    for (int endpoint = 0; endpoint < 3; endpoint++) {
+      harness.listEndpoint(endpoint, EndpointLifecycle.GONE, Moment.LONG_AGO);
+      harness.completePoll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, harness.now);
     }
     harness.polledEndpoints.clear();
     for (int i = 0; i < 12; i++) {
@@ -146,45 +157,52 @@
     check(
         harness.lastAttempt().endpoint() == 0
             && harness.polledEndpoints.containsAll(List.of(0, 1, 2)),
-        "as before: " + harness.polledEndpoints);
+        "expected the write on the primary and polls of all endpoints: " + harness.polledEndpoints);
     harness.listEndpoint(0, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
     harness.listEndpoint(0, EndpointLifecycle.GONE, Moment.LONG_AGO);
-    int sent = harness.sentAttempts.size();
+    int sentBefore = harness.attempts.size();
     harness.completePoll(0, Role.PRIMARY, harness.now);
     harness.receiveStatement(WRITE);
     harness.advance(300);
-    check(harness.sentAttempts.size() == sent, "left out after its drain, it stays bound");
+    check(
+        harness.attempts.size() == sentBefore,
+        "expected no statement for an endpoint that was removed after its drain");
   }
 
-  /** Spread by busyness, reports kept every replica from applying the log. */
+  /**
+   * Guards against spreading long report queries by load: they kept every replica from applying the
+   * log.
+   */
   @Example
   void longRunningReadsUseOneReplicaThatOtherReadsAvoid() {
     LoadBalancerHarness harness = createHarness(4);
-    Set<Integer> bearers = new HashSet<>();
-    Set<Integer> others = new HashSet<>();
+    Set<Integer> longRunningEndpoints = new HashSet<>();
+    Set<Integer> otherEndpoints = new HashSet<>();
     for (int i = 0; i < 60; i++) {
       harness.receiveStatement(LONG_RUNNING, 0, Moment.LONG_AGO, 12_000);
       SentAttempt report = harness.lastAttempt();
-      bearers.add(report.endpoint());
+      longRunningEndpoints.add(report.endpoint());
       harness.receiveStatement(BOUNDED);
-      others.add(harness.lastAttempt().endpoint());
+      otherEndpoints.add(harness.lastAttempt().endpoint());
       harness
           .advance(10)
           .endAttempt(harness.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA, harness.now);
       harness.advance(190).endAttempt(report, AttemptOutcome.COMPLETED, Role.REPLICA, harness.now);
-      for (int node = 0; node < 4; node++) {
-        harness.completePoll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, harness.now);
+      for (int endpoint = 0; endpoint < 4; endpoint++) {
+        harness.completePoll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, harness.now);
       }
     }
-    check(bearers.size() == 1 && !bearers.contains(0), "one bears all: " + bearers);
-    others.retainAll(bearers);
-    check(others.isEmpty(), "no other read meets them");
+    check(
+        longRunningEndpoints.size() == 1 && !longRunningEndpoints.contains(0),
+        "expected one replica to serve all long-running reads: " + longRunningEndpoints);
+    otherEndpoints.retainAll(longRunningEndpoints);
+    check(otherEndpoints.isEmpty(), "expected no other reads on that replica");
   }
 
   @Example
   void primaryWithQueuedStatementsReceivesNoReads() {
     LoadBalancerHarness harness = createHarness(2);
-    for (double queue : new double[] {0, 3}) {
+    for (double queued : new double[] {0, 3}) {
       harness.balancer.onPollEnded(
           harness.now,
           1,
@@ -203,33 +221,39 @@
               Role.PRIMARY,
               harness.now,
               Double.NaN,
-              queue);
-      int before = harness.sentAttempts.size();
+              queued);
+      int sentBefore = harness.attempts.size();
       harness.receiveStatement(ANY);
       harness.balancer.onPollEnded(
-          harness.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, harness.now, Double.NaN, queue);
+          harness.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, harness.now, Double.NaN, queued);
       harness.listEndpoint(1, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
       harness.receiveStatement(ANY);
       harness.balancer.onPollEnded(
-          harness.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, harness.now, Double.NaN, queue);
+          harness.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, harness.now, Double.NaN, queued);
       harness.advance(25);
-      boolean primary =
-          harness.sentAttempts.subList(before, harness.sentAttempts.size()).stream()
+      boolean primaryUsed =
+          harness.attempts.subList(sentBefore, harness.attempts.size()).stream()
               .anyMatch(s -> s.endpoint() == 0);
-      check(primary == (queue == 0), "with " + queue + " waiting");
+      check(
+          primaryUsed == (queued == 0), "expected reads only without queue, " + queued + " queued");
       harness.listEndpoint(1, EndpointLifecycle.READY, Moment.LONG_AGO);
       harness.endAttempts(s -> true, AttemptOutcome.COMPLETED, Role.PRIMARY);
     }
   }
 
-  /** Writes whose answers got lost waited for them until their clients left. */
+  /**
+   * Guards against writes whose responses were lost and that waited for them until their clients
+   * disconnected.
+   */
   @Example
   void deduplicatedWriteTimesOutEarlyEnoughToRetryWithinWindow() {
     LoadBalancerHarness harness = createHarness(2);
     completeStatements(harness, DEDUPLICATED, 120, 10);
     int write = harness.receiveStatement(DEDUPLICATED);
     SentAttempt first = harness.lastAttempt();
-    check(first.timeout().micros() > 0 && first.timeout().isShorterThan(ms(300)), "it ends early");
+    check(
+        first.timeout().micros() > 0 && first.timeout().isShorterThan(ms(300)),
+        "expected a timeout of less than 300 ms");
     harness
         .advance(first.timeout().micros() / 1e3)
         .endAttempt(first, AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
@@ -237,9 +261,11 @@
         harness.lastAttempt() != first
             && harness.lastAttempt().statement() == write
             && harness.lastAttempt().endpoint() == 0,
-        "again");
+        "expected the write to be sent again to the primary");
     completeStatements(harness, WRITE, 1, 10);
-    check(harness.lastAttempt().timeout().micros() == 0, "one that can't run again waits");
+    check(
+        harness.lastAttempt().timeout().micros() == 0,
+        "expected no timeout for a write that can't be retried");
   }
 
   @Example
@@ -251,27 +277,28 @@
     SentAttempt first = harness.lastAttempt();
     harness.advance(400);
     check(
-        harness.sentAttempts.stream().filter(s -> s.statement() == read).count() >= 2,
-        "a copy is out");
-    AttemptLimits one = new AttemptLimits(2, false, true, true, ms(1_000), ANSWER_SLACK);
-    harness.balancer.applySettings(harness.now, harness.settingsWith(one, false));
+        harness.attempts.stream().filter(s -> s.statement() == read).count() >= 2,
+        "expected a hedged attempt");
+    AttemptLimits singleAttemptLimits =
+        new AttemptLimits(2, false, true, true, ms(1_000), ANSWER_SLACK);
+    harness.balancer.applySettings(harness.now, harness.settingsWith(singleAttemptLimits, false));
     check(
         harness.cancelledAttempts.stream()
             .anyMatch(s -> s.statement() == read && s.attempt() > first.attempt()),
-        "the later one is called off");
+        "expected the later attempt to be cancelled");
     check(
         harness.cancelledAttempts.stream()
             .noneMatch(s -> s.statement() == read && s.attempt() == 0),
-        "the first goes on");
+        "expected the first attempt to continue");
     harness.endAttempt(first, AttemptOutcome.COMPLETED, Role.REPLICA, harness.now);
     harness.balancer.applySettings(harness.now, harness.settingsWith(harness.attemptLimits, true));
     harness.listEndpoint(1, EndpointLifecycle.GONE, Moment.LONG_AGO);
     harness.listEndpoint(2, EndpointLifecycle.GONE, Moment.LONG_AGO);
-    int before = harness.sentAttempts.size();
+    int sentBefore = harness.attempts.size();
     completeStatements(harness, ANY, 10, 10);
     check(
-        harness.sentAttempts.subList(before, harness.sentAttempts.size()).stream()
+        harness.attempts.subList(sentBefore, harness.attempts.size()).stream()
             .allMatch(s -> s.endpoint() == 0),
-        "on the way back removals bind again");
+        "expected removals to be binding again after the settings are reverted");
   }
 }
--- a/router/src/test/java/basaltlever/StalledRouterTest.java
+++ b/router/src/test/java/basaltlever/StalledRouterTest.java
@@ -8,54 +8,59 @@
 import basaltlever.gateway.Role;
 import net.jqwik.api.Example;
 
-/** What the decisions make of time in which their own process was held up. */
+/** Tests decisions after an interval in which the router's own process was stalled. */
 class StalledRouterTest {
-  /** Takes reads until one finds no capacity, and returns that one. */
+  /** Receives reads until one finds no capacity and returns the id of that read. */
   private static int receiveReadsUntilOneWaits(LoadBalancerHarness harness) {
-    int last = harness.receiveStatement(ANY);
-    while (harness.lastAttempt().statement() == last) {
-      last = harness.receiveStatement(ANY);
+    int read = harness.receiveStatement(ANY);
+    while (harness.lastAttempt().statement() == read) {
+      read = harness.receiveStatement(ANY);
     }
-    return last;
+    return read;
   }
 
   /**
-   * Guards against: in a burst beside load reads were rejected with most of their time left, since
-   * the time in which their own router did not run counted as a wait for capacity.
+   * Guards against rejecting reads with most of their time left: in a burst under load, the time in
+   * which the router did not run counted as a wait for capacity.
    */
   @Example
   void stallOfRouterDoesNotCountAsWaitForCapacity() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
-    int waits = receiveReadsUntilOneWaits(harness);
+    int waitingRead = receiveReadsUntilOneWaits(harness);
     harness.now = harness.now.plus(ms(100));
     harness.balancer.onTimerFired(harness.now);
-    check(!harness.rejectedStatements.contains(waits), "it goes on waiting");
-    harness.endAttempt(harness.sentAttempts.get(0), AttemptOutcome.COMPLETED, Role.UNKNOWN);
-    check(harness.lastAttempt().statement() == waits, "and gets the capacity that is there now");
+    check(!harness.rejectedStatements.contains(waitingRead), "expected the read to keep waiting");
+    harness.endAttempt(harness.attempts.get(0), AttemptOutcome.COMPLETED, Role.UNKNOWN);
+    check(
+        harness.lastAttempt().statement() == waitingRead,
+        "expected the read to be sent once capacity is free");
   }
 
-  /** The wait itself is no longer than before. */
+  /** The wait for capacity is not extended where the router runs on time. */
   @Example
   void readWithoutCapacityIsRejectedWhenRouterRunsOnTime() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
-    int waits = receiveReadsUntilOneWaits(harness);
+    int waitingRead = receiveReadsUntilOneWaits(harness);
     harness.advance(60);
-    check(harness.rejectedStatements.contains(waits), "rejected, with time to try elsewhere");
+    check(
+        harness.rejectedStatements.contains(waitingRead),
+        "expected a rejection that leaves time to retry elsewhere");
   }
 
   /**
-   * Guards against: an attempt whose connection came up too late, since its router was held up, was
-   * never sent, and the read was rejected at once though connections stood ready by then.
+   * Guards against rejecting a read whose attempt was never sent: its connection was established
+   * too late because the router was stalled, and the read was rejected immediately although
+   * connections were ready by then.
    */
   @Example
   void readWhoseAttemptWasNeverSentIsRetried() {
     LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().discoverGroup(20);
     int read = harness.receiveStatement(ANY);
     harness.advance(100);
-    harness.endAttempt(harness.sentAttempts.get(0), AttemptOutcome.NEVER_SENT, Role.UNKNOWN);
-    check(harness.rejectedStatements.isEmpty(), "not rejected");
+    harness.endAttempt(harness.attempts.get(0), AttemptOutcome.NEVER_SENT, Role.UNKNOWN);
+    check(harness.rejectedStatements.isEmpty(), "expected no rejection");
     check(
-        harness.sentAttempts.size() == 2 && harness.lastAttempt().statement() == read,
-        "sent once more");
+        harness.attempts.size() == 2 && harness.lastAttempt().statement() == read,
+        "expected a second attempt for the read");
   }
 }
--- a/router/src/test/java/basaltlever/StateRestoreTest.java
+++ b/router/src/test/java/basaltlever/StateRestoreTest.java
@@ -187,10 +187,10 @@
         world.polledEndpoints.equals(List.of(2, 0, 1)),
         "asked first, and each once: " + world.polledEndpoints);
     world.receiveStatement(WRITE);
-    check(world.sentAttempts.isEmpty(), "held: a role from a file is no proof");
+    check(world.attempts.isEmpty(), "held: a role from a file is no proof");
     world.completePoll(0, Role.PRIMARY, world.now);
     check(
-        world.sentAttempts.size() == 1 && world.lastAttempt().endpoint() == 0,
+        world.attempts.size() == 1 && world.lastAttempt().endpoint() == 0,
         "it has died since: another is believed");
   }
 
@@ -229,7 +229,7 @@
       for (int step = 0; step < 400; step++) {
         world.advance(10).completePoll(1, Role.REPLICA, world.now);
         world.receiveStatement(BOUNDED);
-        if (!world.sentAttempts.isEmpty() && world.endedAttempts.add(world.lastAttempt())) {
+        if (!world.attempts.isEmpty() && world.endedAttempts.add(world.lastAttempt())) {
           sent[with] += world.lastAttempt().endpoint() == 1 ? 1 : 0;
           world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
         }
--- a/router/src/test/java/basaltlever/TerminationTest.java
+++ b/router/src/test/java/basaltlever/TerminationTest.java
@@ -21,16 +21,19 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** What is owed in the instant in which something ends (docs/endings.md), each in its bad order. */
+/**
+ * Tests the guarantees at the end of connections, statements and processes (docs/endings.md), each
+ * in its worst order of events.
+ */
 class TerminationTest {
-  /** How long a connection may take, with some slack for the threads of this test. */
+  /** The connect timeout, with some slack for the threads of this test. */
   private static final long CONNECT_TIMEOUT_WITH_SLACK_MILLIS = 250 + 80;
 
-  private static boolean isRejection(String answer) {
-    return answer.startsWith("error:53300");
+  private static boolean isRejection(String response) {
+    return response.startsWith("error:53300");
   }
 
-  /** The router's loop has looked at all that was sent to it before. */
+  /** Waits until the router's event loop has processed all that was sent to it before. */
   private static void awaitProcessed(LoopbackCluster cluster) throws IOException {
     try (Client client = new Client(cluster.port)) {
       client.sendStartup().readResponse();
@@ -40,12 +43,12 @@
     }
   }
 
-  private static void awaitCondition(java.util.function.BooleanSupplier what)
+  private static void awaitCondition(java.util.function.BooleanSupplier condition)
       throws InterruptedException {
-    for (int i = 0; i < 400 && !what.getAsBoolean(); i++) {
+    for (int i = 0; i < 400 && !condition.getAsBoolean(); i++) {
       Thread.sleep(5);
     }
-    check(what.getAsBoolean(), "it never came to it");
+    check(condition.getAsBoolean(), "expected the condition within 2 s");
   }
 
   @Example
@@ -53,56 +56,74 @@
     try (LoopbackCluster cluster = new LoopbackCluster();
         Client client = new Client(cluster.port)) {
       client.sendStartup().sendQuery(statement("a1", "view", 900));
-      check(client.readResponse().isEmpty(), "the start");
+      check(client.readResponse().isEmpty(), "expected the response to the startup message");
       awaitCondition(() -> cluster.modesByStatement.containsKey("a1"));
       awaitProcessed(cluster);
-      // A message that is too long, and far more of it than is read at once.
-      byte[] much = new byte[400_000];
-      much[0] = 'Q';
-      much[1] = 0x7f;
-      client.sendBytes(much);
-      check(client.readResponse().equals("row:a1"), "the answer before it");
-      check(client.readResponse().equals("error:54000:closed"), "and the end");
+      // A message that is too long, with far more bytes than one read takes.
+      byte[] oversizedMessage = new byte[400_000];
+      oversizedMessage[0] = 'Q';
+      oversizedMessage[1] = 0x7f;
+      client.sendBytes(oversizedMessage);
+      check(
+          client.readResponse().equals("row:a1"),
+          "expected the response to the statement before it");
+      check(
+          client.readResponse().equals("error:54000:closed"),
+          "expected an error and the close of the connection");
       for (int i = 0; i < 3; i++) {
-        // Written to a connection that was reset, the first of these fails or the next one does.
-        client.sendBytes(much);
+        // On a connection that was reset, the first or the second of these writes fails.
+        client.sendBytes(oversizedMessage);
         awaitProcessed(cluster);
       }
     }
   }
 
-  /** The first servers say nothing; what the later ones are told is what is left by then. */
+  /**
+   * The first servers do not respond, and the later ones must receive the time that remains by
+   * then.
+   */
   @Example
   void laterAttemptsSendRemainingTimeToServer() throws Exception {
     try (LoopbackCluster cluster = new LoopbackCluster();
         Client client = new Client(cluster.port)) {
       client.sendStartup().readResponse();
       for (int i = 0; i < 200; i++) {
-        // So that silence is told from what is usual.
+        // Establishes the usual latency, by which a missing response is detected.
         client.sendQuery(statement("warm" + i, "view", 900)).readResponse();
       }
-      cluster.servers.forEach(node -> node.statementTimes.clear());
-      for (LoopbackCluster.DatabaseServer node : cluster.servers) {
-        node.responseMode = node.primary ? ResponseMode.ROW : ResponseMode.NO_RESPONSE;
+      cluster.servers.forEach(server -> server.statementTimes.clear());
+      for (LoopbackCluster.DatabaseServer server : cluster.servers) {
+        server.responseMode = server.primary ? ResponseMode.ROW : ResponseMode.NO_RESPONSE;
       }
-      int before = cluster.receivedQueries.size();
-      long start = System.nanoTime();
+      int queriesBefore = cluster.receivedQueries.size();
+      long startNanos = System.nanoTime();
       client.sendQuery(statement("dl", "view", 1_500)).readResponse();
       List<Long> arrivals = new ArrayList<>();
-      cluster.servers.forEach(node -> arrivals.addAll(node.statementTimes));
+      cluster.servers.forEach(server -> arrivals.addAll(server.statementTimes));
       Collections.sort(arrivals);
       List<String> queries =
-          List.copyOf(cluster.receivedQueries).subList(before, cluster.receivedQueries.size());
-      check(queries.size() > 1 && arrivals.size() == queries.size(), "more than one: " + queries);
+          List.copyOf(cluster.receivedQueries)
+              .subList(queriesBefore, cluster.receivedQueries.size());
+      check(
+          queries.size() > 1 && arrivals.size() == queries.size(),
+          "expected more than one attempt: " + queries);
       for (int i = 0; i < queries.size(); i++) {
-        long told = Long.parseLong(queries.get(i).replaceAll("(?s).*,d=(\\d+),.*", "$1"));
-        long passed = (arrivals.get(i) - start) / 1_000_000;
+        long remainingMillis =
+            Long.parseLong(queries.get(i).replaceAll("(?s).*,d=(\\d+),.*", "$1"));
+        long elapsedMillis = (arrivals.get(i) - startNanos) / 1_000_000;
         check(
-            told <= 1_500 - passed + 20,
-            "execution " + i + " was told " + told + " after " + passed + " ms");
+            remainingMillis <= 1_500 - elapsedMillis + 20,
+            "attempt "
+                + i
+                + " received a remaining time of "
+                + remainingMillis
+                + " ms after "
+                + elapsedMillis
+                + " ms");
       }
       check(
-          (arrivals.get(arrivals.size() - 1) - start) / 1_000_000 > 50, "the last one came later");
+          (arrivals.get(arrivals.size() - 1) - startNanos) / 1_000_000 > 50,
+          "expected the last attempt after 50 ms");
     }
   }
 
@@ -111,16 +132,20 @@
     try (LoopbackCluster cluster = new LoopbackCluster();
         Client client = new Client(cluster.port)) {
       client.sendStartup().sendQuery(statement("b1", "view", 900));
-      check(client.readResponse().isEmpty() && client.readResponse().equals("row:b1"), "at first");
+      check(
+          client.readResponse().isEmpty() && client.readResponse().equals("row:b1"),
+          "expected a row for the first statement");
       cluster.router.drain();
-      check(client.readResponse().equals("closed"), "it ends while its client rests");
+      check(client.readResponse().equals("closed"), "expected the idle connection to be closed");
       client.sendQuery(statement("b2", "view", 900));
       cluster.router.awaitStop();
-      check(!cluster.modesByStatement.containsKey("b2"), "its client sends it again elsewhere");
+      check(
+          !cluster.modesByStatement.containsKey("b2"),
+          "expected the statement not to be sent, since its client retries elsewhere");
     }
   }
 
-  /** Above all it must be seen to have gone, though it sent more than anybody reads. */
+  /** The disconnect must be detected although the client sent more than the router reads. */
   @Example
   void pipelinedStatementsOfDisconnectedClientAreNotStarted() throws Exception {
     for (int size : new int[] {20_000, 400_000, 1_500_000}) {
@@ -129,11 +154,11 @@
           client.sendStartup().readResponse();
           check(
               client.sendQuery(statement("c0", "post", 900)).readResponse().equals("row:c0"),
-              "at first");
+              "expected a row for the first statement");
           cluster.servers.get(0).kill();
           Thread.sleep(150);
           client.sendQuery(statement("c1", "post", 2_000));
-          for (int sent = 0; sent < size; sent += 20_000) {
+          for (int sentBytes = 0; sentBytes < size; sentBytes += 20_000) {
             client.sendQuery(statement("c2", "post", 2_000) + " /* " + "z".repeat(20_000) + " */");
           }
         }
@@ -146,11 +171,14 @@
           for (int i = 0; i < 40 && !answer.equals("row:c3"); i++) {
             answer = other.sendQuery(statement("c3", "post", 900)).readResponse();
           }
-          check(answer.equals("row:c3"), "the hold is over: " + answer);
+          check(answer.equals("row:c3"), "expected the hold to end: " + answer);
         }
         check(
-            !cluster.modesByStatement.containsKey("c1"), "nobody waits for what was held: " + size);
-        check(!cluster.modesByStatement.containsKey("c2"), "nor for what came behind it: " + size);
+            !cluster.modesByStatement.containsKey("c1"),
+            "expected the held statement not to be sent, bytes behind it: " + size);
+        check(
+            !cluster.modesByStatement.containsKey("c2"),
+            "expected the pipelined statements not to be sent, bytes: " + size);
       }
     }
   }
@@ -162,11 +190,11 @@
       client.sendStartup().readResponse();
       check(
           client.sendQuery(statement("d0", "post", 900)).readResponse().equals("row:d0"),
-          "at first");
+          "expected a row for the first statement");
       cluster.servers.get(0).kill();
       Thread.sleep(150);
       client.sendQuery(statement("d1", "post", 1_000));
-      Thread sends =
+      Thread sender =
           new Thread(
               () -> {
                 try {
@@ -177,27 +205,32 @@
                             + "z".repeat(100_000)
                             + " */");
                   }
-                } catch (IOException end) {
-                  // Nobody reads on for ever.
+                } catch (IOException closed) {
+                  // The router stops reading beyond its limit and closes the connection.
                 }
               });
-      sends.start();
-      check(isRejection(client.readResponse()), "the one in hand");
+      sender.start();
+      check(isRejection(client.readResponse()), "expected a rejection of the held statement");
       int rows = 0;
       String answer = client.readResponse();
       for (; answer.startsWith("row:"); answer = client.readResponse()) {
-        check(answer.equals("row:d2" + (char) ('a' + rows++)), "in their order: " + answer);
+        check(
+            answer.equals("row:d2" + (char) ('a' + rows++)),
+            "expected responses in order: " + answer);
       }
-      check(answer.equals("error:53300:closed"), "then what is wrong: " + answer);
+      check(
+          answer.equals("error:53300:closed"),
+          "expected a rejection and the close of the connection: " + answer);
       check(
           rows >= 8 && rows < 20 && cluster.modesByStatement.size() == rows + 1,
-          "no more than was answered: " + rows);
-      sends.join();
+          "expected 8 to 19 rows and no attempt without a response, rows: " + rows);
+      sender.join();
     }
   }
 
   /**
-   * Found by reading: the rest of the half went before the next answer, and that one was spoilt.
+   * Found in a code review: the rest of the partial message preceded the next response and
+   * corrupted it.
    */
   @Example
   void partialMessageOnIdleServerConnectionClosesOnlyThatConnection() throws Exception {
@@ -207,23 +240,24 @@
       for (int i = 0; i < 3; i++) {
         check(
             client.sendQuery(statement("e" + i, "post", 900)).readResponse().equals("row:e" + i),
-            "at first");
+            "expected a row for the first statement");
         for (Socket socket : new ArrayList<>(cluster.servers.get(0).openSockets)) {
           try {
             socket.getOutputStream().write(new byte[] {'S', 0, 0});
           } catch (IOException closed) {
-            // One that was ended already.
+            // The connection was closed already.
           }
         }
         awaitProcessed(cluster);
         String answer = client.sendQuery(statement("f" + i, "post", 900)).readResponse();
-        check(answer.equals("row:f" + i), "on another connection: " + answer);
+        check(answer.equals("row:f" + i), "expected a row on another connection: " + answer);
       }
     }
   }
 
   /**
-   * Where executions may not be called off, and its connection comes up after its client has gone.
+   * Covers settings with and without cancellation; the connection is established after the client
+   * disconnected.
    */
   @Example
   void attemptAwaitingConnectionIsNotSentAfterClientDisconnects() throws Exception {
@@ -236,29 +270,31 @@
         cluster.router.start(cluster.startFilePath, null);
         try (Client client = new Client(cluster.port)) {
           client.sendStartup().readResponse();
-          CountDownLatch welcomes = new CountDownLatch(1);
-          int before = 0;
-          for (LoopbackCluster.DatabaseServer node : cluster.servers) {
-            before += node.startupCount.get();
-            node.startupGate = welcomes;
-            for (Socket socket : new ArrayList<>(node.openSockets)) {
+          CountDownLatch startupGate = new CountDownLatch(1);
+          int startupSum = 0;
+          for (LoopbackCluster.DatabaseServer server : cluster.servers) {
+            startupSum += server.startupCount.get();
+            server.startupGate = startupGate;
+            for (Socket socket : new ArrayList<>(server.openSockets)) {
               socket.close();
             }
           }
           awaitProcessed(cluster);
           client.sendQuery(statement("g1", "view", 900));
-          int connects = before;
+          int startupsBefore = startupSum;
           awaitCondition(
               () ->
-                  cluster.servers.stream().mapToInt(node -> node.startupCount.get()).sum()
-                      > connects);
+                  cluster.servers.stream().mapToInt(server -> server.startupCount.get()).sum()
+                      > startupsBefore);
           client.close();
           awaitProcessed(cluster);
-          welcomes.countDown();
+          startupGate.countDown();
           Thread.sleep(120);
-          check(!cluster.modesByStatement.containsKey("g1"), "cancel " + cancel);
+          check(
+              !cluster.modesByStatement.containsKey("g1"),
+              "expected the statement not to be sent, setting Cancel: " + cancel);
         } finally {
-          cluster.servers.forEach(node -> node.startupGate = null);
+          cluster.servers.forEach(server -> server.startupGate = null);
         }
       }
     }
@@ -269,16 +305,18 @@
     try (LoopbackCluster cluster = new LoopbackCluster();
         Client idle = new Client(cluster.port)) {
       idle.sendStartup().sendQuery("").readResponse();
-      check(idle.readResponse().equals("I"), "it rests");
+      check(idle.readResponse().equals("I"), "expected an idle session");
       cluster.router.drain();
       Thread.sleep(420);
       try (Client late = new Client(cluster.port)) {
         late.sendStartup().readResponse();
-        check(idle.readResponse().equals("closed"), "the listener is closed by now");
+        check(
+            idle.readResponse().equals("closed"),
+            "expected the idle connection to be closed with the listener");
         check(
             late.sendQuery(statement("h1", "view", 900)).readResponse().equals("row:h1"),
-            "its first statement");
-        check(late.readResponse().equals("closed"), "and no more");
+            "expected the first statement to be served");
+        check(late.readResponse().equals("closed"), "expected the close after the first statement");
       }
     }
   }
@@ -288,90 +326,94 @@
     try (LoopbackCluster cluster = new LoopbackCluster();
         Client client = new Client(cluster.port)) {
       client.sendStartup().readResponse();
-      cluster.servers.forEach(node -> node.responseMode = ResponseMode.NO_RESPONSE);
+      cluster.servers.forEach(server -> server.responseMode = ResponseMode.NO_RESPONSE);
       for (int i = 0; i < 5; i++) {
         client.sendQuery(statement("i" + i, "post", 60_000));
       }
       awaitProcessed(cluster);
-      long since = System.nanoTime();
+      long startNanos = System.nanoTime();
       cluster.router.drain();
       for (int i = 0; i < 5; i++) {
         String answer = client.readResponse();
         check(
             i == 0 ? answer.startsWith("error:") && !isRejection(answer) : isRejection(answer),
-            i + ": " + answer);
+            i + ": expected an error, got " + answer);
       }
-      check(System.nanoTime() - since < 2_700_000_000L, "before it may be killed");
-      check(client.readResponse().equals("closed"), "by no reset");
+      check(
+          System.nanoTime() - startNanos < 2_700_000_000L,
+          "expected all responses within 2.7 s, before the process may be killed");
+      check(client.readResponse().equals("closed"), "expected a close without a reset");
       cluster.router.drain();
       cluster.router.awaitStop();
     }
   }
 
   /**
-   * A signal to end finds a process that could not listen: nobody would ever tell it that all is
-   * answered.
+   * Guards against a router that failed to bind and never stops, since no event reports that all
+   * statements are answered.
    */
   @Example
   void routerThatFailedToBindStopsImmediatelyOnDrain() throws Exception {
     try (LoopbackCluster cluster = new LoopbackCluster(false);
-        ServerSocket taken = LoopbackCluster.listen(cluster.port)) {
+        ServerSocket boundListener = LoopbackCluster.listen(cluster.port)) {
       try {
         cluster.router.start(cluster.startFilePath, null);
-        check(false, "its address is taken");
+        check(false, "expected the bind to fail");
       } catch (InvalidSettingsException fault) {
         check(fault.getMessage().contains("can't be bound"), fault.getMessage());
       }
-      Thread ends =
+      Thread stopThread =
           new Thread(
               () -> {
                 cluster.router.drain();
                 try {
                   cluster.router.awaitStop();
-                } catch (InterruptedException given) {
+                } catch (InterruptedException interrupted) {
                   Thread.currentThread().interrupt();
                 }
               });
-      ends.setDaemon(true);
-      ends.start();
-      ends.join(2_000);
-      check(!ends.isAlive(), "nothing is owed to anybody");
-      check(!taken.isClosed(), "and the address was taken all the while");
+      stopThread.setDaemon(true);
+      stopThread.start();
+      stopThread.join(2_000);
+      check(!stopThread.isAlive(), "expected the router to stop, since no statement is open");
+      check(!boundListener.isClosed(), "expected the address to stay in use throughout");
     }
   }
 
-  private static void reloadWorkloads(LoopbackCluster cluster, String classes, String needs)
+  private static void reloadWorkloads(LoopbackCluster cluster, String classes, String consistencies)
       throws Exception {
     cluster.writeStartFile(
         text ->
             text.replaceAll("(?s)\"Classes\":.*?\\}\\]", "\"Classes\":[" + classes + "]")
-                .replace("[\"bounded\",\"write\"]", needs)
+                .replace("[\"bounded\",\"write\"]", consistencies)
                 .replace("[500000,0]", "[500000,500000]"));
     cluster.router.reload();
     awaitProcessed(cluster);
   }
 
-  private static String workloadJson(String name, String repeat, double late) {
+  private static String workloadJson(String name, String repeat, double lateWorth) {
     return "{\"Name\":\""
         + name
         + "\",\"Repeat\":\""
         + repeat
         + "\",\"Slo\":400000,\"HardLimit\":2000000,"
         + "\"Worth\":1.0,\"LateWorth\":"
-        + late
+        + lateWorth
         + "}";
   }
 
-  /** A write that is out while settings give its name to a read, and take another's away. */
+  /**
+   * A write is in flight while settings give its workload name to a read and remove another name.
+   */
   @Example
   void openStatementKeepsItsWorkloadAfterSettingsReplaceWorkloads() throws Exception {
     try (LoopbackCluster cluster = new LoopbackCluster();
-        Client out = new Client(cluster.port);
+        Client writer = new Client(cluster.port);
         Client other = new Client(cluster.port)) {
-      out.sendStartup().readResponse();
+      writer.sendStartup().readResponse();
       other.sendStartup().readResponse();
       cluster.servers.get(0).responseMode = ResponseMode.NO_RESPONSE;
-      out.sendQuery(statement("j1", "post", 1_200));
+      writer.sendQuery(statement("j1", "post", 1_200));
       awaitCondition(() -> cluster.modesByStatement.containsKey("j1"));
       reloadWorkloads(
           cluster,
@@ -379,34 +421,35 @@
           "[\"write\",\"bounded\"]");
       check(
           other.sendQuery(statement("j2", "view", 900)).readResponse().equals("error:08P01:"),
-          "a name that has gone");
+          "expected an error for the removed workload");
       check(
           other.sendQuery(statement("j3", "post", 900)).readResponse().equals("row:j3"),
-          "a read by now");
-      String answer = out.readResponse();
+          "expected the name to be served as a read");
+      String answer = writer.readResponse();
       check(
           answer.startsWith("error:58000"),
-          "a write when it was taken, and it may have run: " + answer);
-      check(cluster.modesByStatement.get("j1").size() == 1, "and ran once");
+          "expected the error of a write that may have been executed: " + answer);
+      check(cluster.modesByStatement.get("j1").size() == 1, "expected one attempt");
     }
   }
 
   @Example
   void heldStatementOfRemovedWorkloadIsReleased() throws Exception {
     try (LoopbackCluster cluster = new LoopbackCluster();
-        Client held = new Client(cluster.port);
+        Client writer = new Client(cluster.port);
         Client other = new Client(cluster.port)) {
-      held.sendStartup().readResponse();
+      writer.sendStartup().readResponse();
       other.sendStartup().readResponse();
       reloadWorkloads(
           cluster,
           workloadJson("pay", "at_most_once", 0.9) + "," + workloadJson("view", "idempotent", 0),
           "[\"write\",\"bounded\"]");
       check(
-          held.sendQuery(statement("j3", "pay", 900)).readResponse().equals("row:j3"), "at first");
+          writer.sendQuery(statement("j3", "pay", 900)).readResponse().equals("row:j3"),
+          "expected a row for the first statement");
       cluster.servers.get(0).kill();
       Thread.sleep(150);
-      held.sendQuery(statement("j4", "pay", 1_900));
+      writer.sendQuery(statement("j4", "pay", 1_900));
       awaitProcessed(cluster);
       reloadWorkloads(
           cluster,
@@ -414,19 +457,19 @@
           "[\"write\",\"bounded\"]");
       check(
           other.sendQuery(statement("j5", "pay", 900)).readResponse().equals("error:08P01:"),
-          "gone by now");
+          "expected an error for the removed workload");
       check(
           other.sendQuery(statement("j6", "view", 900)).readResponse().equals("row:j6"),
-          "the others as ever");
+          "expected the other workload to be served");
       cluster.servers.set(0, cluster.new DatabaseServer("s-0", true));
       cluster.publishList();
-      String answer = held.readResponse();
+      String answer = writer.readResponse();
       check(
           answer.equals("row:j4") && cluster.modesByStatement.get("j4").size() == 1,
-          "released: " + answer);
+          "expected the held statement to be released and sent once: " + answer);
       check(
           other.sendQuery(statement("j7", "post", 900)).readResponse().equals("row:j7"),
-          "its successor");
+          "expected the new workload to be served");
     }
   }
 
@@ -441,22 +484,24 @@
           "[\"bounded\",\"any\"]");
       check(
           client.sendQuery(statement("n1", "list", 900)).readResponse().equals("error:08P01:"),
-          "refused whole");
+          "expected the settings to be refused entirely");
       for (int round = 0; round < 3; round++) {
-        StringBuilder many = new StringBuilder(workloadJson("view", "idempotent", 0));
-        StringBuilder needs = new StringBuilder("[\"any\"");
+        StringBuilder workloads = new StringBuilder(workloadJson("view", "idempotent", 0));
+        StringBuilder consistencies = new StringBuilder("[\"any\"");
         for (int i = 1; i < 120; i++) {
-          many.append(',').append(workloadJson("kind" + round + "x" + i, "idempotent", 0));
-          needs.append(",\"any\"");
+          workloads.append(',').append(workloadJson("kind" + round + "x" + i, "idempotent", 0));
+          consistencies.append(",\"any\"");
         }
-        reloadWorkloads(cluster, many.toString(), needs.append(']').toString());
+        reloadWorkloads(cluster, workloads.toString(), consistencies.append(']').toString());
         String answer =
             client.sendQuery(statement("o" + round, "kind" + round + "x7", 900)).readResponse();
-        check(answer.equals(round < 2 ? "row:o" + round : "error:08P01:"), round + ": " + answer);
+        check(
+            answer.equals(round < 2 ? "row:o" + round : "error:08P01:"),
+            round + ": expected only the third change to be refused, got " + answer);
       }
       check(
           client.sendQuery(statement("p1", "kind1x7", 900)).readResponse().equals("row:p1"),
-          "the last ones hold");
+          "expected the last accepted settings to stay in force");
     }
   }
 
@@ -468,25 +513,28 @@
       client.sendStartup().readResponse();
       other.sendStartup().readResponse();
       cluster.servers.get(0).responseMode = ResponseMode.ENDLESS_PARAMETERS;
-      long since = System.nanoTime();
+      long startNanos = System.nanoTime();
       client.sendQuery(statement("k1", "post", 600));
       awaitCondition(() -> cluster.modesByStatement.containsKey("k1"));
       check(
           other.sendQuery(statement("k2", "view", 500)).readResponse().equals("row:k2"),
-          "others go on meanwhile");
-      check(client.readResponse().startsWith("error:58000"), "it may have run");
-      check(System.nanoTime() - since < 900_000_000L, "in its time");
+          "expected other statements to be served meanwhile");
+      check(
+          client.readResponse().startsWith("error:58000"),
+          "expected the error of a write that may have been executed");
+      check(System.nanoTime() - startNanos < 900_000_000L, "expected the error by the deadline");
       cluster.servers.get(0).responseMode = ResponseMode.ROW;
-      String next = "";
-      for (int i = 0; i < 60 && !next.equals("row:k3"); i++) {
-        next = client.sendQuery(statement("k3", "post", 900)).readResponse();
+      String answer = "";
+      for (int i = 0; i < 60 && !answer.equals("row:k3"); i++) {
+        answer = client.sendQuery(statement("k3", "post", 900)).readResponse();
       }
-      check(next.equals("row:k3"), "on another connection: " + next);
+      check(answer.equals("row:k3"), "expected a row on another connection: " + answer);
     }
   }
 
   /**
-   * Its end might never come: a second row is one too many, and so is what no row could take up.
+   * Such a response may never end: a second row is invalid, and so are more bytes than a row can
+   * have.
    */
   @Example
   void responseThatCannotBecomeValidEndsAttemptBeforeDeadline() throws Exception {
@@ -496,14 +544,16 @@
       for (ResponseMode mode :
           List.of(ResponseMode.ENDLESS_ROWS, ResponseMode.ENDLESS_PARAMETERS)) {
         cluster.servers.get(0).responseMode = mode;
-        long since = System.nanoTime();
+        long startNanos = System.nanoTime();
         check(
             client
                 .sendQuery(statement("m" + mode, "post", 7_000))
                 .readResponse()
                 .startsWith("error:58000"),
-            "it may have run");
-        check(System.nanoTime() - since < 5_000_000_000L, "long before its time: " + mode);
+            "expected the error of a write that may have been executed");
+        check(
+            System.nanoTime() - startNanos < 5_000_000_000L,
+            "expected the error well before the deadline: " + mode);
         cluster.servers.get(0).responseMode = ResponseMode.ROW;
       }
     }
@@ -514,7 +564,7 @@
     try (LoopbackCluster cluster = new LoopbackCluster(false)) {
       cluster.writeStartFile(text -> text.replace("\"MaxOpen\":500", "\"MaxOpen\":2"));
       cluster.router.start(cluster.startFilePath, null);
-      cluster.servers.forEach(node -> node.responseMode = ResponseMode.NO_RESPONSE);
+      cluster.servers.forEach(server -> server.responseMode = ResponseMode.NO_RESPONSE);
       List<Client> clients = new ArrayList<>();
       try {
         for (int i = 0; i < 3; i++) {
@@ -527,22 +577,24 @@
           clients.get(i).sendQuery(statement(id, "post", 700));
           awaitProcessed(cluster);
         }
-        long since = System.nanoTime();
+        long startNanos = System.nanoTime();
         check(
             isRejection(clients.get(2).sendQuery(statement("l2", "post", 700)).readResponse()),
-            "turned away");
-        check(System.nanoTime() - since < 400_000_000L, "at once");
+            "expected a rejection beyond MaxOpen");
+        check(System.nanoTime() - startNanos < 400_000_000L, "expected the rejection within 0.4 s");
         for (int i = 0; i < 2; i++) {
-          check(clients.get(i).readResponse().startsWith("error:"), "one end each");
+          check(
+              clients.get(i).readResponse().startsWith("error:"),
+              "expected one error for each open statement");
         }
-        cluster.servers.forEach(node -> node.responseMode = ResponseMode.ROW);
+        cluster.servers.forEach(server -> server.responseMode = ResponseMode.ROW);
         check(
             clients
                 .get(2)
                 .sendQuery(statement("l3", "view", 900))
                 .readResponse()
                 .startsWith("row:l3"),
-            "room again");
+            "expected a row once the open statements ended");
       } finally {
         for (Client client : clients) {
           client.close();
@@ -551,22 +603,23 @@
     }
   }
 
-  /** Rule 1 at the rare moments: who has gone is owed nothing, and nothing begins for it. */
+  /** Rule 1 under random faults: no attempt starts for a client that has disconnected. */
   @Property(tries = 3, seed = "34", shrinking = ShrinkingMode.OFF)
   void noAttemptStartsAfterClientDisconnects(@ForAll long seed) throws Exception {
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     List<String> faults = Collections.synchronizedList(new ArrayList<>());
     try (LoopbackCluster cluster = new LoopbackCluster()) {
       List<Thread> clients = new ArrayList<>();
       for (int c = 0; c < 10; c++) {
-        SplittableRandom own = chance.split();
+        SplittableRandom clientRandom = random.split();
         String name = Integer.toHexString(0xa0 + c);
         clients.add(
             new Thread(
                 () -> {
                   try {
                     for (int i = 0; i < 12; i++) {
-                      sendAndDisconnect(cluster, own, name + String.format("%04x", i), faults);
+                      sendAndDisconnect(
+                          cluster, clientRandom, name + String.format("%04x", i), faults);
                     }
                   } catch (Throwable fault) {
                     faults.add("" + fault);
@@ -576,9 +629,9 @@
       clients.forEach(Thread::start);
       for (int step = 0; step < 25; step++) {
         Thread.sleep(50);
-        LoopbackCluster.DatabaseServer node = cluster.servers.get(chance.nextInt(3));
-        node.responseMode =
-            chance.nextInt(3) > 0
+        LoopbackCluster.DatabaseServer server = cluster.servers.get(random.nextInt(3));
+        server.responseMode =
+            random.nextInt(3) > 0
                 ? ResponseMode.ROW
                 : List.of(
                         ResponseMode.NO_RESPONSE,
@@ -586,9 +639,9 @@
                         ResponseMode.FULL,
                         ResponseMode.TRUNCATED,
                         ResponseMode.ERROR)
-                    .get(chance.nextInt(5));
+                    .get(random.nextInt(5));
         for (Socket socket :
-            chance.nextInt(4) == 0 ? new ArrayList<>(node.openSockets) : List.<Socket>of()) {
+            random.nextInt(4) == 0 ? new ArrayList<>(server.openSockets) : List.<Socket>of()) {
           socket.close();
         }
       }
@@ -600,40 +653,40 @@
   }
 
   /**
-   * Rule 3: what waits for a connection, for room or for another try while its member begins to
-   * drain.
+   * Rule 3: statements wait for a connection, for capacity or for a retry while their server begins
+   * to drain.
    */
   @Property(tries = 3, seed = "343", shrinking = ShrinkingMode.OFF)
   void drainingServerReceivesNoNewStatements(@ForAll long seed) throws Exception {
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     List<String> faults = Collections.synchronizedList(new ArrayList<>());
-    AtomicBoolean over = new AtomicBoolean();
-    int drainedGot = 0;
-    int inUse = 0;
+    AtomicBoolean finished = new AtomicBoolean();
+    int receivedAfterListChange = 0;
+    int serversInUse = 0;
     try (LoopbackCluster cluster = new LoopbackCluster()) {
       List<Thread> clients = new ArrayList<>();
       for (int c = 0; c < 8; c++) {
-        SplittableRandom own = chance.split();
+        SplittableRandom clientRandom = random.split();
         String name = Integer.toHexString(0xa0 + c);
         clients.add(
             new Thread(
                 () -> {
                   try (Client client = new Client(cluster.port)) {
                     client.sendStartup().readResponse();
-                    for (int i = 0; !over.get(); i++) {
+                    for (int i = 0; !finished.get(); i++) {
                       String id = name + String.format("%04x", i);
                       String answer =
                           client
                               .sendQuery(
                                   statement(
                                       id,
-                                      own.nextInt(4) == 0 ? "post" : "view",
-                                      200 + own.nextInt(700)))
+                                      clientRandom.nextInt(4) == 0 ? "post" : "view",
+                                      200 + clientRandom.nextInt(700)))
                               .readResponse();
                       if (!answer.startsWith("row:" + id) && !answer.startsWith("error:")) {
                         faults.add(id + " got " + answer);
                       }
-                      Thread.sleep(own.nextInt(8));
+                      Thread.sleep(clientRandom.nextInt(8));
                     }
                   } catch (Throwable fault) {
                     faults.add("" + fault);
@@ -642,76 +695,86 @@
       }
       clients.forEach(Thread::start);
       for (int round = 0; round < 6; round++) {
-        // The primary, or whichever replica is in use just now: where one bears all, the other may
-        // get nothing.
-        LoopbackCluster.DatabaseServer node =
-            chance.nextInt(3) == 0
+        // The primary or the replica that was used last: one replica may serve all reads while the
+        // other serves none.
+        LoopbackCluster.DatabaseServer server =
+            random.nextInt(3) == 0
                 ? cluster.servers.get(0)
                 : Collections.max(
                     cluster.servers.subList(1, 3),
                     Comparator.comparingLong(
-                        of -> of.statementTimes.stream().mapToLong(at -> at).max().orElse(0)));
-        long since = System.nanoTime() - 150_000_000L;
-        inUse += node.statementTimes.stream().anyMatch(at -> at > since) ? 1 : 0;
-        CountDownLatch comesUp = new CountDownLatch(1);
-        node.startupGate = comesUp;
-        for (Socket socket : new ArrayList<>(node.openSockets)) {
+                        replica ->
+                            replica.statementTimes.stream().mapToLong(at -> at).max().orElse(0)));
+        long recentSince = System.nanoTime() - 150_000_000L;
+        serversInUse += server.statementTimes.stream().anyMatch(at -> at > recentSince) ? 1 : 0;
+        CountDownLatch startupGate = new CountDownLatch(1);
+        server.startupGate = startupGate;
+        for (Socket socket : new ArrayList<>(server.openSockets)) {
           socket.close();
         }
-        node.responseMode =
-            List.of(ResponseMode.ROW, ResponseMode.FULL, ResponseMode.ERROR).get(chance.nextInt(3));
-        Thread.sleep(chance.nextInt(80));
-        node.listedLifecycle = "terminating";
+        server.responseMode =
+            List.of(ResponseMode.ROW, ResponseMode.FULL, ResponseMode.ERROR).get(random.nextInt(3));
+        Thread.sleep(random.nextInt(80));
+        server.listedLifecycle = "terminating";
         cluster.publishList();
-        long told = System.nanoTime();
-        Thread.sleep(chance.nextInt(160));
-        node.startupGate = null;
-        comesUp.countDown();
+        long listedAt = System.nanoTime();
+        Thread.sleep(random.nextInt(160));
+        server.startupGate = null;
+        startupGate.countDown();
         Thread.sleep(500);
-        drainedGot += (int) node.statementTimes.stream().filter(at -> at > told).count();
-        node.statementTimes.stream()
-            .filter(at -> at - told > CONNECT_TIMEOUT_WITH_SLACK_MILLIS * 1_000_000L)
+        receivedAfterListChange +=
+            (int) server.statementTimes.stream().filter(at -> at > listedAt).count();
+        server.statementTimes.stream()
+            .filter(at -> at - listedAt > CONNECT_TIMEOUT_WITH_SLACK_MILLIS * 1_000_000L)
             .forEach(
                 at ->
                     faults.add(
-                        node.id
-                            + " got one "
-                            + (at - told) / 1_000_000
-                            + " ms after it was told to drain"));
-        node.responseMode = ResponseMode.ROW;
-        node.listedLifecycle = "in_service";
+                        server.id
+                            + " received a statement "
+                            + (at - listedAt) / 1_000_000
+                            + " ms after the list showed it as draining"));
+        server.responseMode = ResponseMode.ROW;
+        server.listedLifecycle = "in_service";
         cluster.publishList();
         Thread.sleep(150);
       }
-      over.set(true);
+      finished.set(true);
       for (Thread client : clients) {
         client.join();
       }
-      check(inUse >= 3, "in use when it began to drain: " + inUse + " of 6");
+      check(
+          serversInUse >= 3,
+          "expected at least 3 servers in use when they began to drain: " + serversInUse + " of 6");
     }
-    check(faults.isEmpty(), faults + ", " + drainedGot + " in their grace");
+    check(
+        faults.isEmpty(),
+        faults + ", " + receivedAfterListChange + " statements received after the list change");
   }
 
   private static void sendAndDisconnect(
-      LoopbackCluster cluster, SplittableRandom chance, String id, List<String> faults)
+      LoopbackCluster cluster, SplittableRandom random, String id, List<String> faults)
       throws Exception {
-    long left;
+    long disconnectedAt;
     try (Client client = new Client(cluster.port)) {
       client.sendStartup();
-      int many = 1 + chance.nextInt(4);
-      for (int i = 0; i < many; i++) {
+      int statementCount = 1 + random.nextInt(4);
+      for (int i = 0; i < statementCount; i++) {
         client.sendQuery(
-            statement(id + (char) ('a' + i), chance.nextBoolean() ? "post" : "view", 1_500));
+            statement(id + (char) ('a' + i), random.nextBoolean() ? "post" : "view", 1_500));
       }
-      Thread.sleep(chance.nextInt(30));
-      left = System.nanoTime();
+      Thread.sleep(random.nextInt(30));
+      disconnectedAt = System.nanoTime();
     }
     Thread.sleep(150);
     for (char i = 'a'; i < 'e'; i++) {
-      long seen = cluster.lastReceivedAt.getOrDefault(id + i, left);
-      if (seen - left > 100_000_000L) {
+      long receivedAt = cluster.lastReceivedAt.getOrDefault(id + i, disconnectedAt);
+      if (receivedAt - disconnectedAt > 100_000_000L) {
         faults.add(
-            id + i + " began " + (seen - left) / 1_000_000 + " ms after its client had gone");
+            id
+                + i
+                + " started "
+                + (receivedAt - disconnectedAt) / 1_000_000
+                + " ms after its client disconnected");
       }
     }
   }
