--- a/router/src/test/java/basaltlever/DiscoveryWatchTest.java
+++ b/router/src/test/java/basaltlever/DiscoveryWatchTest.java
@@ -17,19 +17,22 @@
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
 
-/** The list that goes quiet: a discovery that each test scripts byte by byte. */
+/**
+ * Tests the watch of the endpoint list against a discovery server that each test scripts byte by
+ * byte.
+ */
 class DiscoveryWatchTest {
   private static final String RESPONSE_HEAD =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  /** Every call is the test's to answer. */
+  /** Accepts discovery calls and leaves every response to the test. */
   private static final class ScriptedDiscovery implements AutoCloseable {
     final ServerSocket listener = LoopbackCluster.listen(0);
     final BlockingQueue<Socket> calls = new LinkedBlockingQueue<>();
-    final LoopbackCluster world;
+    final LoopbackCluster cluster;
 
     ScriptedDiscovery() throws Exception {
-      world = new LoopbackCluster(false);
+      cluster = new LoopbackCluster(false);
       Thread acceptThread =
           new Thread(
               () -> {
@@ -41,25 +44,25 @@
                     calls.add(call);
                   }
                 } catch (IOException closed) {
-                  // The test is over.
+                  // The listener was closed at the end of the test.
                 }
               });
       acceptThread.setDaemon(true);
       acceptThread.start();
-      world.writeStartFile(
+      cluster.writeStartFile(
           text ->
               text.replaceAll(
                   "\"discovery\":\"[^\"]*\"",
                   "\"discovery\":\"127.0.0.1:" + listener.getLocalPort() + "\""));
     }
 
-    /** Starts the router, and answers its first call. */
+    /** Starts the router and answers its first call with the list. */
     Socket startRouter() throws Exception {
       Thread startThread =
           new Thread(
               () -> {
                 try {
-                  world.router.start(world.startFilePath, null);
+                  cluster.router.start(cluster.startFilePath, null);
                 } catch (Exception fault) {
                   throw new IllegalStateException(fault);
                 }
@@ -79,25 +82,29 @@
       return "{\"generation\":"
           + generation
           + ",\"reset\":true,\"instances\":"
-          + world.instancesJson()
+          + cluster.instancesJson()
           + "}\n";
     }
 
-    /** A replica that is told to drain gets nothing more, and would err. */
+    /**
+     * Checks that a draining replica receives no statements; it would respond to them with an
+     * error.
+     */
     void checkServerIsDrained(int index) throws IOException {
-      world.servers.get(index).responseMode = LoopbackCluster.ResponseMode.ERROR;
-      try (Client client = new Client(world.port)) {
+      cluster.servers.get(index).responseMode = LoopbackCluster.ResponseMode.ERROR;
+      try (Client client = new Client(cluster.port)) {
         client.sendStartup().readResponse();
         client.sendQuery("SET x = 1").readResponse();
         for (int i = 0; i < 12; i++) {
           String id = "d" + index + (char) ('a' + i);
           client.sendQuery(statement(id, "view", 900)).readResponse();
           check(
-              world
+              cluster
                   .modesByStatement
                   .getOrDefault(id, List.of())
                   .equals(List.of(LoopbackCluster.ResponseMode.ROW)),
-              "one execution, at another: " + world.modesByStatement.get(id));
+              "expected exactly one attempt, on another server: "
+                  + cluster.modesByStatement.get(id));
         }
       }
     }
@@ -108,7 +115,7 @@
       for (Socket call : calls) {
         call.close();
       }
-      world.close();
+      cluster.close();
     }
   }
 
@@ -120,8 +127,8 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static void awaitProcessed(LoopbackCluster world) throws IOException {
-    try (Client client = new Client(world.port)) {
+  private static void awaitProcessed(LoopbackCluster cluster) throws IOException {
+    try (Client client = new Client(cluster.port)) {
       client.sendStartup().readResponse();
       for (int i = 0; i < 3; i++) {
         client.sendQuery("SET x = 1").readResponse();
@@ -129,23 +136,26 @@
     }
   }
 
-  /** 6 s after it fell silent what it missed counts as told: the new one needs some of them. */
+  /**
+   * List changes count as received 6 s after the watch fell silent. The new watch is requested
+   * after half of that time, since it needs part of the rest to respond.
+   */
   @Example
   void silentWatchIsReplacedAndStillReadUntilThen() throws Exception {
     try (ScriptedDiscovery discovery = new ScriptedDiscovery();
         Socket silent = discovery.startRouter()) {
       try (Socket second = discovery.pollCall(3_900)) {
-        check(second != null, "asked for anew");
-        discovery.world.servers.get(1).listedLifecycle = "terminating";
+        check(second != null, "expected a new watch request");
+        discovery.cluster.servers.get(1).listedLifecycle = "terminating";
         write(silent, chunk(discovery.listJson(3)));
-        awaitProcessed(discovery.world);
+        awaitProcessed(discovery.cluster);
         discovery.checkServerIsDrained(1);
-        discovery.world.servers.get(1).listedLifecycle = "in_service";
-        discovery.world.servers.get(2).listedLifecycle = "terminating";
-        discovery.world.servers.get(1).responseMode = LoopbackCluster.ResponseMode.ROW;
+        discovery.cluster.servers.get(1).listedLifecycle = "in_service";
+        discovery.cluster.servers.get(2).listedLifecycle = "terminating";
+        discovery.cluster.servers.get(1).responseMode = LoopbackCluster.ResponseMode.ROW;
         write(second, RESPONSE_HEAD + chunk(discovery.listJson(4)));
-        awaitProcessed(discovery.world);
-        check(silent.getInputStream().read() < 0, "one watch is enough");
+        awaitProcessed(discovery.cluster);
+        check(silent.getInputStream().read() < 0, "expected the silent watch to be closed");
         discovery.checkServerIsDrained(2);
       }
     }
@@ -160,24 +170,26 @@
         write(first, chunk(" "));
         second = discovery.pollCall(100);
       }
-      check(second != null, "asked for anew");
+      check(second != null, "expected a new watch request");
       second.close();
     }
   }
 
-  /** All three within the 6 s: behind a call that was given up no pause is left. */
+  /**
+   * All three calls fall within the 6 s: the call after an abandoned one follows without a pause.
+   */
   @Example
   void unansweredCallIsAbandonedAndRepeated() throws Exception {
     try (ScriptedDiscovery discovery = new ScriptedDiscovery();
         Socket silent = discovery.startRouter();
         Socket unanswered = discovery.pollCall(3_900);
         Socket third = discovery.pollCall(2_650)) {
-      check(unanswered != null && third != null, "asked again");
-      discovery.world.servers.get(1).listedLifecycle = "terminating";
+      check(unanswered != null && third != null, "expected two more calls after the silent one");
+      discovery.cluster.servers.get(1).listedLifecycle = "terminating";
       write(third, RESPONSE_HEAD + chunk(discovery.listJson(3)));
-      awaitProcessed(discovery.world);
+      awaitProcessed(discovery.cluster);
       discovery.checkServerIsDrained(1);
-      check(silent.getInputStream().read() < 0, "the silent one is let go");
+      check(silent.getInputStream().read() < 0, "expected the silent watch to be closed");
     }
   }
 
@@ -185,12 +197,12 @@
   void indentedListInPiecesIsAppliedAtItsLastBrace() throws Exception {
     try (ScriptedDiscovery discovery = new ScriptedDiscovery();
         Socket watch = discovery.startRouter()) {
-      discovery.world.servers.get(1).listedLifecycle = "terminating";
+      discovery.cluster.servers.get(1).listedLifecycle = "terminating";
       String list = discovery.listJson(3).trim().replace(",", ",\n  ").replace("{", "{\n ");
       for (int at = 0; at < list.length(); at += 7) {
         write(watch, chunk(list.substring(at, Math.min(list.length(), at + 7))));
       }
-      awaitProcessed(discovery.world);
+      awaitProcessed(discovery.cluster);
       discovery.checkServerIsDrained(1);
     }
   }
@@ -199,15 +211,15 @@
   void listReceivedRightBeforeWatchEndsIsApplied() throws Exception {
     try (ScriptedDiscovery discovery = new ScriptedDiscovery();
         Socket watch = discovery.startRouter()) {
-      discovery.world.servers.get(1).listedLifecycle = "terminating";
+      discovery.cluster.servers.get(1).listedLifecycle = "terminating";
       write(watch, chunk(discovery.listJson(3)) + "0\r\n\r\n");
-      awaitProcessed(discovery.world);
+      awaitProcessed(discovery.cluster);
       discovery.checkServerIsDrained(1);
     }
   }
 
   /**
-   * From its first moment a process is held to what discovery knows, whatever its start file says.
+   * A router must follow the list of discovery from the start, whatever its start file contains.
    */
   @Example
   void routerListensOnceFirstListArrived() throws Exception {
@@ -216,7 +228,7 @@
           new Thread(
               () -> {
                 try {
-                  discovery.world.router.start(discovery.world.startFilePath, null);
+                  discovery.cluster.router.start(discovery.cluster.startFilePath, null);
                 } catch (Exception fault) {
                   throw new IllegalStateException(fault);
                 }
@@ -224,28 +236,31 @@
       startThread.start();
       try (Socket call = discovery.pollCall(5_000)) {
         Thread.sleep(800);
-        check(startThread.isAlive(), "it does not serve yet");
-        discovery.world.servers.get(1).listedLifecycle = "terminating";
+        check(startThread.isAlive(), "expected the router not to serve before its first list");
+        discovery.cluster.servers.get(1).listedLifecycle = "terminating";
         write(call, RESPONSE_HEAD + chunk(discovery.listJson(2)));
         startThread.join(1_000);
-        check(!startThread.isAlive(), "at once");
+        check(!startThread.isAlive(), "expected startup to finish within 1 s of the first list");
         discovery.checkServerIsDrained(1);
       }
     }
   }
 
-  /** Of three starts the quickest: it waits for the members' first words, and no longer. */
+  /**
+   * Measures the fastest of three starts: startup waits for the first poll response of each
+   * endpoint and no longer.
+   */
   @Example
   void startupWaitsForOnePollOfEachEndpoint() throws Exception {
     long shortestMillis = Long.MAX_VALUE;
     for (int i = 0; i < 3; i++) {
       try (ScriptedDiscovery discovery = new ScriptedDiscovery()) {
-        // Where polls have a price a router without traffic asks nobody twice, and nothing has
-        // changed.
+        // Where polls have a cost, a router without traffic polls no endpoint twice as long as
+        // nothing changes.
         String startFileText =
-            Files.readString(discovery.world.startFilePath)
+            Files.readString(discovery.cluster.startFilePath)
                 .replace("\"Probe\":0.0", "\"Probe\":0.02");
-        Files.writeString(discovery.world.startFilePath, startFileText);
+        Files.writeString(discovery.cluster.startFilePath, startFileText);
         Thread discoveryThread =
             new Thread(
                 () -> {
@@ -256,70 +271,75 @@
                             + chunk("{\"generation\":1,\"reset\":false,\"instances\":[]}\n"));
                     discovery.pollCall(2_500);
                   } catch (IOException | InterruptedException ended) {
-                    // Seen in how long the start took.
+                    // A failure here shows in the duration of the start.
                   }
                 });
         discoveryThread.start();
         long startNanos = System.nanoTime();
-        discovery.world.router.start(discovery.world.startFilePath, null);
+        discovery.cluster.router.start(discovery.cluster.startFilePath, null);
         shortestMillis = Math.min(shortestMillis, (System.nanoTime() - startNanos) / 1_000_000);
       }
     }
-    check(shortestMillis < 900, shortestMillis + " ms");
+    check(shortestMillis < 900, shortestMillis + " ms, expected startup within 900 ms");
   }
 
   @Example
   void routerServesWhenDiscoveryDoesNotRespond() throws Exception {
     try (ScriptedDiscovery discovery = new ScriptedDiscovery()) {
       long startNanos = System.nanoTime();
-      discovery.world.router.start(discovery.world.startFilePath, null);
-      check(System.nanoTime() - startNanos < 4_000_000_000L, "by the list of its start file");
-      try (Client client = new Client(discovery.world.port)) {
+      discovery.cluster.router.start(discovery.cluster.startFilePath, null);
+      check(
+          System.nanoTime() - startNanos < 4_000_000_000L,
+          "expected startup within 4 s with the list of the start file");
+      try (Client client = new Client(discovery.cluster.port)) {
         client.sendStartup().readResponse();
         check(
             client.sendQuery(statement("e1", "post", 900)).readResponse().equals("row:e1"),
-            "it serves");
+            "expected the statement to be served");
       }
     }
   }
 
-  /** A call that took as long to fail as a pause lasts is followed by the next one at once. */
+  /** A call that takes as long to fail as a pause lasts is followed by the next one immediately. */
   @Example
   void retryPauseCountsFromStartOfFailedCall() {
-    LoadBalancerHarness world =
+    LoadBalancerHarness harness =
         new LoadBalancerHarness(false, false, false, true, true).listEndpoints(2);
     for (int i = 0; i < 20; i++) {
-      int requestsBefore = world.watchRequests;
-      world.balancer.onListRequestFailed(world.now);
-      check(world.watchRequests == requestsBefore, "a watch that broke is followed by a pause");
-      while (world.watchRequests == requestsBefore) {
-        world.advance(5);
+      int requestsBefore = harness.watchRequests;
+      harness.balancer.onListRequestFailed(harness.now);
+      check(harness.watchRequests == requestsBefore, "expected a pause after a watch that failed");
+      while (harness.watchRequests == requestsBefore) {
+        harness.advance(5);
       }
-      world.advance(1_600);
-      world.balancer.onListRequestFailed(world.now);
-      check(world.watchRequests == requestsBefore + 2, "a call that took 1.6 s to fail by none");
-      world.listEndpoints(2);
+      harness.advance(1_600);
+      harness.balancer.onListRequestFailed(harness.now);
+      check(
+          harness.watchRequests == requestsBefore + 2,
+          "expected no pause after a call that failed after 1.6 s");
+      harness.listEndpoints(2);
     }
   }
 
   /**
-   * However long discovery was down: 6 s after its return, and a failed call, news counts as told.
+   * However long discovery was down, list changes count as received 6 s after its return, one
+   * failed call included, so pauses stay short.
    */
   @Example
   void pausesBetweenFailedCallsStayShort() {
-    LoadBalancerHarness world =
+    LoadBalancerHarness harness =
         new LoadBalancerHarness(false, false, false, true, true).listEndpoints(2);
     for (int i = 0; i < 200; i++) {
-      int requestsBefore = world.watchRequests;
-      world.balancer.onListRequestFailed(world.now);
-      Moment failedAt = world.now;
-      while (world.watchRequests == requestsBefore) {
-        world.advance(5);
+      int requestsBefore = harness.watchRequests;
+      harness.balancer.onListRequestFailed(harness.now);
+      Moment failedAt = harness.now;
+      while (harness.watchRequests == requestsBefore) {
+        harness.advance(5);
       }
-      check(!world.now.since(failedAt).isLongerThan(ms(1_510)), "" + world.now.since(failedAt));
+      check(!harness.now.since(failedAt).isLongerThan(ms(1_510)), "" + harness.now.since(failedAt));
       check(
-          i < 9 || !world.now.since(failedAt).isShorterThan(ms(490)),
-          "nor is it called without pause");
+          i < 9 || !harness.now.since(failedAt).isShorterThan(ms(490)),
+          "expected a pause of at least 490 ms from the tenth failure on");
     }
   }
 }
--- a/router/src/test/java/basaltlever/HoldBudgetTest.java
+++ b/router/src/test/java/basaltlever/HoldBudgetTest.java
@@ -23,7 +23,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** How much is held, who goes where there is no room, and in which order the rest is released. */
+/**
+ * Tests the hold budget: how much is held, which statements are rejected when it is full, and the
+ * order of release.
+ */
 class HoldBudgetTest {
   private static final Workload[] WORKLOADS = LoadBalancerHarness.withDefaults().workloads;
 
@@ -59,7 +62,7 @@
     check(order.equals(List.of(3, 1, 2, 4)), "" + order);
     check(
         holdQueue.isEmpty() && holdQueue.textBytes() == 0 && holdQueue.size(WRITE) == 0,
-        "nothing is left behind");
+        "expected an empty queue");
   }
 
   @Example
@@ -69,7 +72,9 @@
     HoldQueue flooded = budget.createQueue(WORKLOADS.length);
     for (int i = 0; i < 30; i++) {
       first.add(statement(i, WRITE, 0, 100));
-      check(budget.nextToReject(first, WRITE) == null, "room");
+      check(
+          budget.nextToReject(first, WRITE) == null,
+          "expected no rejection within the share of the group");
     }
     for (int i = 100; i < 5_000; i++) {
       Statement next = statement(i, i % 3 == 0 ? WRITE : FRESH, 0, 100);
@@ -79,17 +84,22 @@
           rejected = budget.nextToReject(flooded, next.workloadIndex())) {
         check(
             flooded.size() > 50 || flooded.size(FRESH) > 37 || flooded.size(WRITE) > 37,
-            "only what is beyond");
+            "expected rejections only beyond the share of the group or workload");
         flooded.remove(rejected);
       }
     }
-    check(first.size() == 30 && flooded.size() == 50, first.size() + " and " + flooded.size());
+    check(
+        first.size() == 30 && flooded.size() == 50,
+        first.size()
+            + " held of the first group (expected 30), and of the second (expected 50) "
+            + flooded.size());
     check(
         flooded.last().workloadIndex() == FRESH && flooded.size(WRITE) == 37,
-        "the least important went: " + flooded.size(WRITE));
+        "expected the least important statements to be rejected, writes held: "
+            + flooded.size(WRITE));
   }
 
-  /** Against a plain list, gone through each time. */
+  /** Compares the queues with plain lists that are searched in full. */
   @Property(tries = 150, seed = "31", shrinking = ShrinkingMode.OFF)
   void limitsAndReleaseOrderMatchListModel(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -113,7 +123,7 @@
         holdQueue.remove(removed);
         expectedHeld.get(group).remove(removed);
         if (random.nextBoolean()) {
-          // Sent, missed, and back: before those of its session that came after it.
+          // A statement that was sent and missed is held again, ahead of later ones of its session.
           holdQueue.add(removed);
           expectedHeld.get(group).add(removed);
         }
@@ -131,9 +141,11 @@
                 ? 0
                 : expectedHeld.get(1).contains(rejected) ? 1 : 2;
         queues.get(rejectedGroup).remove(rejected);
-        check(expectedHeld.get(rejectedGroup).remove(rejected), "it was held");
+        check(
+            expectedHeld.get(rejectedGroup).remove(rejected),
+            "expected only held statements to be rejected");
       }
-      check(budget.heldStatements() <= limit, "too many");
+      check(budget.heldStatements() <= limit, "expected no more held statements than the limit");
       for (int g = 0; g < 3; g++) {
         HoldQueue queue = queues.get(g);
         check(
@@ -142,7 +154,7 @@
                     == expectedHeld.get(g).stream()
                         .mapToLong(statement -> statement.textBytes())
                         .sum(),
-            "counted wrongly");
+            "expected size and text bytes to match the list");
         Map<Long, Integer> latestIdBySession = new HashMap<>();
         List<Statement> released = new ArrayList<>();
         double lastPriority = Double.MAX_VALUE;
@@ -150,11 +162,11 @@
           check(
               next.holdPriority() <= lastPriority
                   && next.holdPriority() <= next.workload().priorityWeight() + 9,
-              "by rank");
+              "expected release by descending priority");
           lastPriority = next.holdPriority();
           check(
               next.session() == 0 || latestIdBySession.getOrDefault(next.session(), -1) < next.id(),
-              "a session's order is broken");
+              "expected the statements of a session in order");
           latestIdBySession.put(next.session(), next.id());
           released.add(next);
           queue.remove(next);
@@ -166,32 +178,35 @@
   }
 
   /**
-   * Through the decisions: what goes is rejected at once, told when to come back, and the rest is
-   * served in order.
+   * Tests the budget through the load balancer: a statement beyond it is rejected immediately with
+   * a retry-after, and the others are served in order.
    */
   @Example
   void leastImportantStatementBeyondBudgetIsRejectedWithRetryAfter() {
-    LoadBalancerHarness world = LoadBalancerHarness.withDefaults().listEndpoints(3);
-    world.holdBudget.setLimits(8, 1 << 20);
+    LoadBalancerHarness harness = LoadBalancerHarness.withDefaults().listEndpoints(3);
+    harness.holdBudget.setLimits(8, 1 << 20);
     List<Integer> reads = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      reads.add(world.receiveStatement(FRESH, 0, Moment.LONG_AGO, 1_000));
+      reads.add(harness.receiveStatement(FRESH, 0, Moment.LONG_AGO, 1_000));
     }
     check(
-        world.rejectedStatements.equals(reads.subList(3, 4)),
-        "a workload has three quarters of its group's: " + world.rejectedStatements);
-    int write = world.receiveStatement(WRITE, 0, Moment.LONG_AGO, 1_000);
-    int another = world.receiveStatement(WRITE, 0, Moment.LONG_AGO, 1_000);
+        harness.rejectedStatements.equals(reads.subList(3, 4)),
+        "expected a workload to be limited to three quarters of its group's share: "
+            + harness.rejectedStatements);
+    int write = harness.receiveStatement(WRITE, 0, Moment.LONG_AGO, 1_000);
+    int another = harness.receiveStatement(WRITE, 0, Moment.LONG_AGO, 1_000);
+    check(
+        harness.rejectedStatements.equals(List.of(reads.get(3), reads.get(2))),
+        "expected the latest read to be rejected: " + harness.rejectedStatements);
     check(
-        world.rejectedStatements.equals(List.of(reads.get(3), reads.get(2))),
-        "the latest read: " + world.rejectedStatements);
-    check(!world.lastRetryAfter.isShorterThan(ms(700)), "told when to come back");
-    world.completePoll(0, Role.PRIMARY, world.now);
+        !harness.lastRetryAfter.isShorterThan(ms(700)),
+        "expected a retry-after of at least 700 ms");
+    harness.completePoll(0, Role.PRIMARY, harness.now);
     check(
-        world.attempts.stream()
+        harness.attempts.stream()
             .map(LoadBalancerHarness.SentAttempt::statement)
             .toList()
             .equals(List.of(write, another, reads.get(0), reads.get(1))),
-        "the most important first");
+        "expected the most important statements first");
   }
 }
--- a/router/src/test/java/basaltlever/KnownRedTest.java
+++ b/router/src/test/java/basaltlever/KnownRedTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** What passes over tests that are known to fail passes over nothing else. */
+/** Tests the script that ignores failures of tests listed as known to fail, and no others. */
 class KnownRedTest {
   private static final String FAILING_TEST = "basaltlever.ATest#isRed";
   private static final String REPORT =
@@ -33,7 +33,7 @@
     return runScript(entries, failingResult, otherResult, "ATest");
   }
 
-  /** The classes are those that were to run, whatever became of them. */
+  /** Runs the script with the given compiled test classes, each of which should have a report. */
   private static String runScript(
       String entries, String failingResult, String otherResult, String... classes)
       throws IOException, InterruptedException {
@@ -79,7 +79,7 @@
     check(
         runScript(ENTRY, FAILURE, "")
             .equals("0 known red: " + FAILING_TEST + " failed (issue 34)\n"),
-        "it failed");
+        "expected the listed failure to be printed and ignored");
     String passed = runScript(ENTRY, "", "");
     check(passed.startsWith("0 known red: " + FAILING_TEST + " passed (issue 34)\n"), passed);
     check(passed.contains(FAILING_TEST + " passed this time"), passed);
@@ -87,8 +87,10 @@
     check(
         other.startsWith("1 ") && other.contains("failed and not known: basaltlever.ATest#isOther"),
         other);
-    check(runScript("\n", "", "").equals("0 "), "none is known");
-    check(runScript("\n", FAILURE, "").startsWith("1 "), "and one fails");
+    check(runScript("\n", "", "").equals("0 "), "expected success without entries and failures");
+    check(
+        runScript("\n", FAILURE, "").startsWith("1 "),
+        "expected an unlisted failure to fail the build");
   }
 
   @Example
@@ -97,7 +99,7 @@
     check(
         runScript(multiLineEntry, FAILURE, "")
             .startsWith("0 known red: " + FAILING_TEST + " failed"),
-        "spread");
+        "expected an entry over several lines to be accepted");
     StringBuilder entries = new StringBuilder(ENTRY);
     for (String name : List.of("isOther", "isGreen", "isLast")) {
       entries.append("basaltlever.ATest#").append(name).append(" | mvn test | seen | 35\n");
--- a/router/src/test/java/basaltlever/LearnedStateFixtures.java
+++ b/router/src/test/java/basaltlever/LearnedStateFixtures.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Learned states for tests. */
+/** Creates learned states for tests. */
 public final class LearnedStateFixtures {
   private LearnedStateFixtures() {}
 
-  /** The number gives all else, so that a mixture of two shows. */
+  /** Derives all values from {@code number}, so that a mixture of two states is detected. */
   public static LearnedState createLearnedState(long number, int endpointCount) {
     SplittableRandom random = new SplittableRandom(number);
     List<StoredEndpoint> knownEndpoints = new ArrayList<>();
@@ -36,7 +36,7 @@
             new GroupState(0, random.nextDouble(), 0), new GroupState(1, 0, random.nextDouble())));
   }
 
-  /** Draws from the source of chance in the order of the record's components. */
+  /** Draws random values in the order of the record's components. */
   private static EndpointState createEndpointState(int number, SplittableRandom random) {
     return new EndpointStateBuilder()
         .group(number % 3)
--- a/router/src/test/java/basaltlever/SingleAttemptTest.java
+++ b/router/src/test/java/basaltlever/SingleAttemptTest.java
@@ -21,244 +21,284 @@
 import net.jqwik.api.Example;
 
 /**
- * Where one execution may be out and only drains bind: one case for each failure found on
- * hq-booking-db and fon-fiyat-ist (docs/incidents/2026-12-01-move.md).
+ * Tests settings under which one attempt may be in flight and only drains are binding, not
+ * removals. Each case guards against a failure found on hq-booking-db and fon-fiyat-ist
+ * (docs/incidents/2026-12-01-move.md).
  */
-@SuppressWarnings("ReferenceEquality") // Asks for the very same execution.
+@SuppressWarnings("ReferenceEquality") // Compares attempts by identity.
 class SingleAttemptTest {
   private static LoadBalancerHarness createHarness(int endpointCount) {
-    LoadBalancerHarness world =
+    LoadBalancerHarness harness =
         LoadBalancerHarness.withSingleAttempts().listEndpoints(endpointCount);
     for (int endpoint = 0; endpoint < endpointCount; endpoint++) {
-      world.completePoll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
+      harness.completePoll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, harness.now);
     }
-    return world;
+    return harness;
   }
 
   private static void completeStatements(
-      LoadBalancerHarness world, int workload, int count, double millis) {
+      LoadBalancerHarness harness, int workload, int count, double millis) {
     for (int i = 0; i < count; i++) {
-      world.receiveStatement(workload);
-      world
+      harness.receiveStatement(workload);
+      harness
           .advance(millis)
           .endAttempt(
-              world.lastAttempt(),
+              harness.lastAttempt(),
               AttemptOutcome.COMPLETED,
-              world.lastAttempt().endpoint() == 0 ? Role.PRIMARY : Role.REPLICA,
-              world.now);
+              harness.lastAttempt().endpoint() == 0 ? Role.PRIMARY : Role.REPLICA,
+              harness.now);
     }
   }
 
   @Example
   void readOnUnresponsiveEndpointIsCancelledBeforeRetryElsewhere() {
-    LoadBalancerHarness world = createHarness(3);
-    completeStatements(world, ANY, 80, 10);
-    int read = world.receiveStatement(ANY);
-    SentAttempt first = world.lastAttempt();
-    for (int i = 0; i < 40 && world.cancelledAttempts.isEmpty(); i++) {
-      world.advance(5);
+    LoadBalancerHarness harness = createHarness(3);
+    completeStatements(harness, ANY, 80, 10);
+    int read = harness.receiveStatement(ANY);
+    SentAttempt first = harness.lastAttempt();
+    for (int i = 0; i < 40 && harness.cancelledAttempts.isEmpty(); i++) {
+      harness.advance(5);
     }
     check(
-        world.cancelledAttempts.size() >= 1 && world.cancelledAttempts.get(0).statement() == read,
-        "called off");
-    check(world.lastAttempt() == first, "nothing more is out before its end");
-    world.endAttempt(first, AttemptOutcome.CANCELLED, Role.UNKNOWN);
+        harness.cancelledAttempts.size() >= 1
+            && harness.cancelledAttempts.get(0).statement() == read,
+        "expected the first attempt to be cancelled");
+    check(harness.lastAttempt() == first, "expected no second attempt before the first ended");
+    harness.endAttempt(first, AttemptOutcome.CANCELLED, Role.UNKNOWN);
     check(
-        world.lastAttempt().statement() == read
-            && world.lastAttempt().endpoint() != first.endpoint(),
-        "another node");
+        harness.lastAttempt().statement() == read
+            && harness.lastAttempt().endpoint() != first.endpoint(),
+        "expected the retry on another endpoint");
   }
 
   /**
-   * Called off in the next look, no trial ever ended a silence: sound nodes stayed left for 30 s.
+   * Guards against cancelling trials at the next check: no trial could succeed, and healthy
+   * endpoints stayed unused for 30 s.
    */
   @Example
   void trialOfUnresponsiveEndpointHasItsOwnTimeout() {
-    LoadBalancerHarness world = createHarness(2);
-    completeStatements(world, ANY, 80, 10);
-    world.receiveStatement(ANY);
-    SentAttempt first = world.lastAttempt();
-    world.advance(250).endAttempt(first, AttemptOutcome.CANCELLED, Role.UNKNOWN);
-    world.advance(700).completePoll(1, Role.REPLICA, world.now);
-    world.cancelledAttempts.clear();
-    int trial = world.receiveStatement(ANY);
+    LoadBalancerHarness harness = createHarness(2);
+    completeStatements(harness, ANY, 80, 10);
+    harness.receiveStatement(ANY);
+    SentAttempt first = harness.lastAttempt();
+    harness.advance(250).endAttempt(first, AttemptOutcome.CANCELLED, Role.UNKNOWN);
+    harness.advance(700).completePoll(1, Role.REPLICA, harness.now);
+    harness.cancelledAttempts.clear();
+    int trial = harness.receiveStatement(ANY);
     check(
-        world.lastAttempt().endpoint() == 1 && world.lastAttempt().statement() == trial,
-        "its trial");
-    world.advance(15);
-    check(world.cancelledAttempts.isEmpty(), "not called off for a silence from before it");
-    world.endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
-    world.receiveStatement(ANY);
-    check(world.lastAttempt().endpoint() == 1, "an answer ends the silence");
+        harness.lastAttempt().endpoint() == 1 && harness.lastAttempt().statement() == trial,
+        "expected the trial on the unresponsive endpoint");
+    harness.advance(15);
+    check(
+        harness.cancelledAttempts.isEmpty(),
+        "expected no cancellation for silence that preceded the trial");
+    harness.endAttempt(harness.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA, harness.now);
+    harness.receiveStatement(ANY);
+    check(
+        harness.lastAttempt().endpoint() == 1,
+        "expected the endpoint to be used again after its response");
   }
 
   @Example
   void failedTrialsBecomeLessFrequent() {
-    LoadBalancerHarness world = createHarness(2);
-    completeStatements(world, ANY, 80, 10);
+    LoadBalancerHarness harness = createHarness(2);
+    completeStatements(harness, ANY, 80, 10);
     int trials = 0;
     for (int i = 0; i < 400; i++) {
-      int sentBefore = world.attempts.size();
-      world.receiveStatement(ANY);
-      trials += world.attempts.size() > sentBefore && world.lastAttempt().endpoint() == 1 ? 1 : 0;
-      world.advance(25).endAttempts(s -> s.endpoint() == 0, AttemptOutcome.COMPLETED, Role.PRIMARY);
-      world.endAttempts(
-          s -> s.endpoint() == 1 && world.isOlder(s, 100), AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
-      world.completePoll(1, Role.REPLICA, world.now);
+      int sentBefore = harness.attempts.size();
+      harness.receiveStatement(ANY);
+      trials +=
+          harness.attempts.size() > sentBefore && harness.lastAttempt().endpoint() == 1 ? 1 : 0;
+      harness
+          .advance(25)
+          .endAttempts(s -> s.endpoint() == 0, AttemptOutcome.COMPLETED, Role.PRIMARY);
+      harness.endAttempts(
+          s -> s.endpoint() == 1 && harness.isOlder(s, 100),
+          AttemptOutcome.TIMED_OUT,
+          Role.UNKNOWN);
+      harness.completePoll(1, Role.REPLICA, harness.now);
     }
-    check(trials >= 3 && trials <= 14, "in 10 s it was tried " + trials + " times");
+    check(
+        trials >= 3 && trials <= 14, "expected 3 to 14 trials in 10 s, tried " + trials + " times");
   }
 
-  /** A list with nodes that are none of ours: each read sent there was lost. */
+  /**
+   * Guards against a list with endpoints that are not part of the deployment: each read sent there
+   * was lost.
+   */
   @Example
   void endpointThatNeverRespondedReceivesNoStatements() {
-    LoadBalancerHarness world = createHarness(2);
+    LoadBalancerHarness harness = createHarness(2);
     for (int endpoint = 2; endpoint < 8; endpoint++) {
-      world.listEndpoint(endpoint, EndpointLifecycle.READY, Moment.LONG_AGO);
+      harness.listEndpoint(endpoint, EndpointLifecycle.READY, Moment.LONG_AGO);
     }
-    completeStatements(world, ANY, 40, 10);
+    completeStatements(harness, ANY, 40, 10);
     check(
-        world.attempts.stream().allMatch(sent -> sent.endpoint() < 2), "no ghost is sent anything");
-    world.completePoll(5, Role.REPLICA, world.now);
-    completeStatements(world, ANY, 40, 10);
+        harness.attempts.stream().allMatch(sent -> sent.endpoint() < 2),
+        "expected no statements for endpoints that never responded");
+    harness.completePoll(5, Role.REPLICA, harness.now);
+    completeStatements(harness, ANY, 40, 10);
     check(
-        world.attempts.stream().anyMatch(sent -> sent.endpoint() == 5),
-        "one that answered a poll is");
+        harness.attempts.stream().anyMatch(sent -> sent.endpoint() == 5),
+        "expected statements for the endpoint that responded to a poll");
   }
 
   @Example
   void endpointGoneWithoutDrainIsUsedAndDrainedOneIsNot() {
-    LoadBalancerHarness world = createHarness(3);
+    LoadBalancerHarness harness = createHarness(3);
     for (int endpoint = 0; endpoint < 3; endpoint++) {
-      world.listEndpoint(endpoint, EndpointLifecycle.GONE, Moment.LONG_AGO);
-      world.completePoll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
+      harness.listEndpoint(endpoint, EndpointLifecycle.GONE, Moment.LONG_AGO);
+      harness.completePoll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, harness.now);
     }
-    world.polledEndpoints.clear();
+    harness.polledEndpoints.clear();
     for (int i = 0; i < 12; i++) {
-      completeStatements(world, WRITE, 1, 200);
+      completeStatements(harness, WRITE, 1, 200);
     }
     check(
-        world.lastAttempt().endpoint() == 0 && world.polledEndpoints.containsAll(List.of(0, 1, 2)),
-        "as before: " + world.polledEndpoints);
-    world.listEndpoint(0, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
-    world.listEndpoint(0, EndpointLifecycle.GONE, Moment.LONG_AGO);
-    int sentBefore = world.attempts.size();
-    world.completePoll(0, Role.PRIMARY, world.now);
-    world.receiveStatement(WRITE);
-    world.advance(300);
-    check(world.attempts.size() == sentBefore, "left out after its drain, it stays bound");
+        harness.lastAttempt().endpoint() == 0
+            && harness.polledEndpoints.containsAll(List.of(0, 1, 2)),
+        "expected the write on the primary and polls of all endpoints: " + harness.polledEndpoints);
+    harness.listEndpoint(0, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
+    harness.listEndpoint(0, EndpointLifecycle.GONE, Moment.LONG_AGO);
+    int sentBefore = harness.attempts.size();
+    harness.completePoll(0, Role.PRIMARY, harness.now);
+    harness.receiveStatement(WRITE);
+    harness.advance(300);
+    check(
+        harness.attempts.size() == sentBefore,
+        "expected no statement for an endpoint that was removed after its drain");
   }
 
-  /** Spread by busyness, reports kept every replica from applying the log. */
+  /**
+   * Guards against spreading long report queries by load: they kept every replica from applying the
+   * log.
+   */
   @Example
   void longRunningReadsUseOneReplicaThatOtherReadsAvoid() {
-    LoadBalancerHarness world = createHarness(4);
+    LoadBalancerHarness harness = createHarness(4);
     Set<Integer> longRunningEndpoints = new HashSet<>();
     Set<Integer> otherEndpoints = new HashSet<>();
     for (int i = 0; i < 60; i++) {
-      world.receiveStatement(LONG_RUNNING, 0, Moment.LONG_AGO, 12_000);
-      SentAttempt report = world.lastAttempt();
+      harness.receiveStatement(LONG_RUNNING, 0, Moment.LONG_AGO, 12_000);
+      SentAttempt report = harness.lastAttempt();
       longRunningEndpoints.add(report.endpoint());
-      world.receiveStatement(BOUNDED);
-      otherEndpoints.add(world.lastAttempt().endpoint());
-      world
+      harness.receiveStatement(BOUNDED);
+      otherEndpoints.add(harness.lastAttempt().endpoint());
+      harness
           .advance(10)
-          .endAttempt(world.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
-      world.advance(190).endAttempt(report, AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
+          .endAttempt(harness.lastAttempt(), AttemptOutcome.COMPLETED, Role.REPLICA, harness.now);
+      harness.advance(190).endAttempt(report, AttemptOutcome.COMPLETED, Role.REPLICA, harness.now);
       for (int endpoint = 0; endpoint < 4; endpoint++) {
-        world.completePoll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
+        harness.completePoll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, harness.now);
       }
     }
     check(
         longRunningEndpoints.size() == 1 && !longRunningEndpoints.contains(0),
-        "one bears all: " + longRunningEndpoints);
+        "expected one replica to serve all long-running reads: " + longRunningEndpoints);
     otherEndpoints.retainAll(longRunningEndpoints);
-    check(otherEndpoints.isEmpty(), "no other read meets them");
+    check(otherEndpoints.isEmpty(), "expected no other reads on that replica");
   }
 
   @Example
   void primaryWithQueuedStatementsReceivesNoReads() {
-    LoadBalancerHarness world = createHarness(2);
+    LoadBalancerHarness harness = createHarness(2);
     for (double queued : new double[] {0, 3}) {
-      world.balancer.onPollEnded(
-          world.now,
+      harness.balancer.onPollEnded(
+          harness.now,
           1,
           AttemptOutcome.COMPLETED,
           Role.REPLICA,
-          world.now.minus(ms(2_000)),
+          harness.now.minus(ms(2_000)),
           Double.NaN,
           0);
-      world
+      harness
           .advance(600)
           .balancer
           .onPollEnded(
-              world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queued);
-      int sentBefore = world.attempts.size();
-      world.receiveStatement(ANY);
-      world.balancer.onPollEnded(
-          world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queued);
-      world.listEndpoint(1, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
-      world.receiveStatement(ANY);
-      world.balancer.onPollEnded(
-          world.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, world.now, Double.NaN, queued);
-      world.advance(25);
+              harness.now,
+              0,
+              AttemptOutcome.COMPLETED,
+              Role.PRIMARY,
+              harness.now,
+              Double.NaN,
+              queued);
+      int sentBefore = harness.attempts.size();
+      harness.receiveStatement(ANY);
+      harness.balancer.onPollEnded(
+          harness.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, harness.now, Double.NaN, queued);
+      harness.listEndpoint(1, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
+      harness.receiveStatement(ANY);
+      harness.balancer.onPollEnded(
+          harness.now, 0, AttemptOutcome.COMPLETED, Role.PRIMARY, harness.now, Double.NaN, queued);
+      harness.advance(25);
       boolean primaryUsed =
-          world.attempts.subList(sentBefore, world.attempts.size()).stream()
+          harness.attempts.subList(sentBefore, harness.attempts.size()).stream()
               .anyMatch(s -> s.endpoint() == 0);
-      check(primaryUsed == (queued == 0), "with " + queued + " waiting");
-      world.listEndpoint(1, EndpointLifecycle.READY, Moment.LONG_AGO);
-      world.endAttempts(s -> true, AttemptOutcome.COMPLETED, Role.PRIMARY);
+      check(
+          primaryUsed == (queued == 0), "expected reads only without queue, " + queued + " queued");
+      harness.listEndpoint(1, EndpointLifecycle.READY, Moment.LONG_AGO);
+      harness.endAttempts(s -> true, AttemptOutcome.COMPLETED, Role.PRIMARY);
     }
   }
 
-  /** Writes whose answers got lost waited for them until their clients left. */
+  /**
+   * Guards against writes whose responses were lost and that waited for them until their clients
+   * disconnected.
+   */
   @Example
   void deduplicatedWriteTimesOutEarlyEnoughToRetryWithinWindow() {
-    LoadBalancerHarness world = createHarness(2);
-    completeStatements(world, DEDUPLICATED, 120, 10);
-    int write = world.receiveStatement(DEDUPLICATED);
-    SentAttempt first = world.lastAttempt();
-    check(first.timeout().micros() > 0 && first.timeout().isShorterThan(ms(300)), "it ends early");
-    world
+    LoadBalancerHarness harness = createHarness(2);
+    completeStatements(harness, DEDUPLICATED, 120, 10);
+    int write = harness.receiveStatement(DEDUPLICATED);
+    SentAttempt first = harness.lastAttempt();
+    check(
+        first.timeout().micros() > 0 && first.timeout().isShorterThan(ms(300)),
+        "expected a timeout of less than 300 ms");
+    harness
         .advance(first.timeout().micros() / 1e3)
         .endAttempt(first, AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
     check(
-        world.lastAttempt() != first
-            && world.lastAttempt().statement() == write
-            && world.lastAttempt().endpoint() == 0,
-        "again");
-    completeStatements(world, WRITE, 1, 10);
-    check(world.lastAttempt().timeout().micros() == 0, "one that can't run again waits");
+        harness.lastAttempt() != first
+            && harness.lastAttempt().statement() == write
+            && harness.lastAttempt().endpoint() == 0,
+        "expected the write to be sent again to the primary");
+    completeStatements(harness, WRITE, 1, 10);
+    check(
+        harness.lastAttempt().timeout().micros() == 0,
+        "expected no timeout for a write that can't be retried");
   }
 
   @Example
   void disablingHedgingCancelsLaterAttemptOnly() {
-    LoadBalancerHarness world =
+    LoadBalancerHarness harness =
         new LoadBalancerHarness(true, true, true, false, true, 2, 7, 1_000).discoverGroup(20);
-    completeStatements(world, ANY, 120, 10);
-    int read = world.receiveStatement(ANY);
-    SentAttempt first = world.lastAttempt();
-    world.advance(400);
-    check(world.attempts.stream().filter(s -> s.statement() == read).count() >= 2, "a copy is out");
+    completeStatements(harness, ANY, 120, 10);
+    int read = harness.receiveStatement(ANY);
+    SentAttempt first = harness.lastAttempt();
+    harness.advance(400);
+    check(
+        harness.attempts.stream().filter(s -> s.statement() == read).count() >= 2,
+        "expected a hedged attempt");
     AttemptLimits singleAttemptLimits =
         new AttemptLimits(2, false, true, true, ms(1_000), ANSWER_SLACK);
-    world.balancer.applySettings(world.now, world.settingsWith(singleAttemptLimits, false));
+    harness.balancer.applySettings(harness.now, harness.settingsWith(singleAttemptLimits, false));
     check(
-        world.cancelledAttempts.stream()
+        harness.cancelledAttempts.stream()
             .anyMatch(s -> s.statement() == read && s.attempt() > first.attempt()),
-        "the later one is called off");
+        "expected the later attempt to be cancelled");
     check(
-        world.cancelledAttempts.stream().noneMatch(s -> s.statement() == read && s.attempt() == 0),
-        "the first goes on");
-    world.endAttempt(first, AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
-    world.balancer.applySettings(world.now, world.settingsWith(world.attemptLimits, true));
-    world.listEndpoint(1, EndpointLifecycle.GONE, Moment.LONG_AGO);
-    world.listEndpoint(2, EndpointLifecycle.GONE, Moment.LONG_AGO);
-    int sentBefore = world.attempts.size();
-    completeStatements(world, ANY, 10, 10);
+        harness.cancelledAttempts.stream()
+            .noneMatch(s -> s.statement() == read && s.attempt() == 0),
+        "expected the first attempt to continue");
+    harness.endAttempt(first, AttemptOutcome.COMPLETED, Role.REPLICA, harness.now);
+    harness.balancer.applySettings(harness.now, harness.settingsWith(harness.attemptLimits, true));
+    harness.listEndpoint(1, EndpointLifecycle.GONE, Moment.LONG_AGO);
+    harness.listEndpoint(2, EndpointLifecycle.GONE, Moment.LONG_AGO);
+    int sentBefore = harness.attempts.size();
+    completeStatements(harness, ANY, 10, 10);
     check(
-        world.attempts.subList(sentBefore, world.attempts.size()).stream()
+        harness.attempts.subList(sentBefore, harness.attempts.size()).stream()
             .allMatch(s -> s.endpoint() == 0),
-        "on the way back removals bind again");
+        "expected removals to be binding again after the settings are reverted");
   }
 }
