--- a/router/src/test/java/basaltlever/ParserTest.java
+++ b/router/src/test/java/basaltlever/ParserTest.java
@@ -31,48 +31,49 @@
 
 /** Every parser on whole messages cut anywhere, on nonsense, and on what each page promises. */
 class ParserTest {
-  private static ByteBuf text(String text) {
+  private static ByteBuf utf8Buffer(String text) {
     return Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
   }
 
-  private static ByteBuf row(String value) {
+  private static ByteBuf rowResponse(String value) {
     ByteBuf out = Unpooled.buffer();
     SocketWorld.row(out, value);
     return out;
   }
 
   @Property(tries = 200, seed = "97", shrinking = ShrinkingMode.OFF)
-  void framesAreTheSameHoweverTheyAreCut(@ForAll long seed) throws ProtocolException {
-    SplittableRandom chance = new SplittableRandom(seed);
+  void messagesSplitAtAnyByteDecodeUnchanged(@ForAll long seed) throws ProtocolException {
+    SplittableRandom random = new SplittableRandom(seed);
     MemoryBudget budget = new MemoryBudget(1 << 20);
     MessageDecoder decoder = new MessageDecoder(1 << 16, budget);
-    ByteBuf all = Unpooled.buffer();
+    ByteBuf unread = Unpooled.buffer();
     List<String> sent = new ArrayList<>();
-    for (int i = chance.nextInt(1, 12); i > 0; i--) {
-      String query = "x".repeat(chance.nextInt(chance.nextInt(2) == 0 ? 9 : 3_000));
+    for (int i = random.nextInt(1, 12); i > 0; i--) {
+      String query = "x".repeat(random.nextInt(random.nextInt(2) == 0 ? 9 : 3_000));
       sent.add(query);
-      MessageEncoder.query(all, query);
+      MessageEncoder.query(unread, query);
     }
-    List<String> got = new ArrayList<>();
+    List<String> decoded = new ArrayList<>();
     List<ByteBuf> parts = new ArrayList<>();
-    while (all.isReadable()) {
-      ByteBuf part = all.readBytes(Math.min(all.readableBytes(), chance.nextInt(1, 1_500)));
+    while (unread.isReadable()) {
+      ByteBuf part = unread.readBytes(Math.min(unread.readableBytes(), random.nextInt(1, 1_500)));
       parts.add(part);
       decoder.add(part);
       for (ByteBuf m = decoder.nextMessage(); m != null; m = decoder.nextMessage()) {
-        got.add(m.toString(m.readerIndex() + 5, m.readableBytes() - 6, StandardCharsets.UTF_8));
+        decoded.add(m.toString(m.readerIndex() + 5, m.readableBytes() - 6, StandardCharsets.UTF_8));
       }
     }
     decoder.release();
-    check(got.equals(sent), "the messages as they were sent");
+    check(decoded.equals(sent), "the messages as they were sent");
     check(
         budget.reservedBytes() == 0 && parts.stream().allMatch(p -> p.refCnt() == 0),
         "all released");
   }
 
   @Property(tries = 500, seed = "98", shrinking = ShrinkingMode.OFF)
-  void nonsenseEndsInAFaultOrNothing(@ForAll byte[] bytes, @ForAll long seed) throws Exception {
-    SplittableRandom chance = new SplittableRandom(seed);
+  void randomInputIsParsedOrRejectedWithADeclaredException(@ForAll byte[] bytes, @ForAll long seed)
+      throws Exception {
+    SplittableRandom random = new SplittableRandom(seed);
     MessageDecoder decoder = new MessageDecoder(1 << 12, new MemoryBudget(1 << 16));
     QueryResponse response = new QueryResponse();
     try {
@@ -88,14 +89,14 @@
         "no row out of nothing");
     response.release();
     decoder.release();
-    String like = "/* id=1,c=basket,d=480,cluster=2 */ SELECT 'x'";
-    int cut = chance.nextInt(like.length());
-    String spoilt =
-        like.substring(0, cut)
+    String validStatement = "/* id=1,c=basket,d=480,cluster=2 */ SELECT 'x'";
+    int cut = random.nextInt(validStatement.length());
+    String corruptStatement =
+        validStatement.substring(0, cut)
             + new String(bytes, StandardCharsets.ISO_8859_1)
-            + like.substring(chance.nextInt(cut, like.length()));
+            + validStatement.substring(random.nextInt(cut, validStatement.length()));
     try {
-      Query query = Query.parse(text(spoilt));
+      Query query = Query.parse(utf8Buffer(corruptStatement));
       check(
           query.timeoutStart < query.timeoutEnd && query.timeoutMillis >= 0,
           "the wait has a place");
@@ -103,7 +104,7 @@
       check(!expected.getMessage().isEmpty(), "a fault says what");
     }
     try {
-      Json.read(spoilt.substring(chance.nextInt(spoilt.length())));
+      Json.read(corruptStatement.substring(random.nextInt(corruptStatement.length())));
     } catch (InvalidJsonException expected) {
       check(expected.getMessage().contains("at character"), "a fault says where");
     }
@@ -111,7 +112,7 @@
       new ChunkedResponseReader(line -> {}).read(Unpooled.copiedBuffer(bytes));
       new ChunkedResponseReader(line -> {})
           .read(
-              text(
+              utf8Buffer(
                   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                       + new String(bytes, StandardCharsets.ISO_8859_1)));
     } catch (InvalidEndpointListException expected) {
@@ -120,34 +121,34 @@
   }
 
   @Example
-  void lengthsThatCannotBeAreFaults() throws ProtocolException {
+  void invalidMessageLengthsAreRejected() throws ProtocolException {
     for (int length : new int[] {-1, 0, 3, Integer.MIN_VALUE, Integer.MAX_VALUE, 5_000}) {
       MessageDecoder decoder = new MessageDecoder(4_096, new MemoryBudget(1 << 16));
       decoder.add(Unpooled.buffer().writeByte('Q').writeInt(length).writeByte(0));
       try {
         decoder.nextMessage();
         check(false, "a length of " + length);
-      } catch (ProtocolException fault) {
-        check(fault.getMessage().contains("" + length), "the length is named");
+      } catch (ProtocolException exception) {
+        check(exception.getMessage().contains("" + length), "the length is named");
       }
       decoder.release();
     }
-    MessageDecoder small = new MessageDecoder(4_096, new MemoryBudget(8));
+    MessageDecoder smallBudgetDecoder = new MessageDecoder(4_096, new MemoryBudget(8));
     try {
-      small.add(Unpooled.buffer(64).writeZero(64));
+      smallBudgetDecoder.add(Unpooled.buffer(64).writeZero(64));
       check(false, "more than the budget holds");
-    } catch (ProtocolException fault) {
-      check(fault.sqlState.equals("53300"), "turned away as too much");
+    } catch (ProtocolException exception) {
+      check(exception.sqlState.equals("53300"), "turned away as too much");
     }
-    small.release();
+    smallBudgetDecoder.release();
   }
 
   @Example
-  void theCommentIsReadAndOnlyItsWaitIsWritten() throws ProtocolException {
+  void queryCommentIsParsedAndOnlyItsTimeoutIsRewritten() throws ProtocolException {
     String statement =
         "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT doc FROM items"
             + " WHERE id = '7f3a9c21e0b4d655'";
-    ByteBuf text = text(statement);
+    ByteBuf text = utf8Buffer(statement);
     Query query = Query.parse(text);
     check(
         query.workload.equals("basket")
@@ -163,7 +164,7 @@
             .equals(statement.replace("d=480", "d=77")),
         "unchanged but for the wait");
     check(out.getInt(1) == out.readableBytes() - 1, "its length");
-    for (String bad :
+    for (String invalid :
         new String[] {
           "SELECT 1",
           "/* id=1,c=a,d=5 SELECT",
@@ -179,22 +180,22 @@
           "/* id=,c=a,d=5 */"
         }) {
       try {
-        Query.parse(text(bad));
-        check(false, "taken: " + bad);
-      } catch (ProtocolException fault) {
-        check(fault.sqlState.equals("08P01"), "the protocol's own error");
+        Query.parse(utf8Buffer(invalid));
+        check(false, "taken: " + invalid);
+      } catch (ProtocolException exception) {
+        check(exception.sqlState.equals("08P01"), "the protocol's own error");
       }
     }
-    check(Query.isBlank(text(" ;\n ")) && !Query.isBlank(text("/* */")), "blank");
+    check(Query.isBlank(utf8Buffer(" ;\n ")) && !Query.isBlank(utf8Buffer("/* */")), "blank");
     check(
-        "SET".equals(Query.sessionCommand(text(" set x = 1")))
-            && Query.sessionCommand(text("SETTLE")) == null,
+        "SET".equals(Query.sessionCommand(utf8Buffer(" set x = 1")))
+            && Query.sessionCommand(utf8Buffer("SETTLE")) == null,
         "commands that do nothing");
   }
 
-  private static QueryResponse answer(ByteBuf all) throws ProtocolException {
+  private static QueryResponse decodeResponse(ByteBuf messages) throws ProtocolException {
     MessageDecoder decoder = new MessageDecoder(1 << 16, new MemoryBudget(1 << 20));
-    decoder.add(all);
+    decoder.add(messages);
     QueryResponse response = new QueryResponse();
     for (ByteBuf m = decoder.nextMessage(); m != null; m = decoder.nextMessage()) {
       response.add(m);
@@ -204,16 +205,16 @@
   }
 
   /** A good row of one letter but for the byte at that place. */
-  private static ByteBuf spoilt(int place, int to) {
-    return row("1").setByte(place, to);
+  private static ByteBuf rowResponseWithByte(int index, int value) {
+    return rowResponse("1").setByte(index, value);
   }
 
   @Example
-  void anAnswerIsARowAnErrorOrNeither() throws ProtocolException {
-    ByteBuf good = row("7");
-    MessageEncoder.parameterStatus(good, "caught_up_to", "1767225600123");
-    MessageEncoder.parameterStatus(good, "part", "replica");
-    QueryResponse response = answer(good);
+  void responseIsClassifiedAsSingleRowErrorOrNeither() throws ProtocolException {
+    ByteBuf row = rowResponse("7");
+    MessageEncoder.parameterStatus(row, "caught_up_to", "1767225600123");
+    MessageEncoder.parameterStatus(row, "part", "replica");
+    QueryResponse response = decodeResponse(row);
     check(
         response.isSingleRow()
             && response.value().equals("7")
@@ -222,43 +223,43 @@
             && response.sqlState() == null,
         "a row");
     response.release();
-    check(good.refCnt() == 0, "the buffer it was read into is free");
+    check(row.refCnt() == 0, "the buffer it was read into is free");
     ByteBuf error = Unpooled.buffer();
     MessageEncoder.errorResponse(error, "ERROR", "25006", "no primary", null);
-    response = answer(error);
+    response = decodeResponse(error);
     check(!response.isSingleRow() && response.sqlState().equals("25006"), "an error");
-    ByteBuf behind = row("7");
-    MessageEncoder.errorResponse(behind, "ERROR", "25006", "too late", null);
-    response = answer(behind);
+    ByteBuf rowThenError = rowResponse("7");
+    MessageEncoder.errorResponse(rowThenError, "ERROR", "25006", "too late", null);
+    response = decodeResponse(rowThenError);
     check(
         !response.isSingleRow() && response.sqlState() == null,
         "an error behind a row proves nothing");
     response.release();
-    for (ByteBuf none :
+    for (ByteBuf unclassifiable :
         new ByteBuf[] {
           Unpooled.buffer(),
-          row("1").writeBytes(row("2")),
+          rowResponse("1").writeBytes(rowResponse("2")),
           Unpooled.buffer()
               .writeBytes(SocketWorld.description(2))
               .writeBytes(SocketWorld.data(2, "1")),
           Unpooled.buffer().writeBytes(SocketWorld.data(1, "1")),
-          spoilt(6, 2),
-          spoilt(10, 'x'),
-          spoilt(35, 2),
-          spoilt(39, 2),
-          spoilt(39, 0),
-          spoilt(36, 255),
-          spoilt(54, 'x'),
-          spoilt(50, 1)
+          rowResponseWithByte(6, 2),
+          rowResponseWithByte(10, 'x'),
+          rowResponseWithByte(35, 2),
+          rowResponseWithByte(39, 2),
+          rowResponseWithByte(39, 0),
+          rowResponseWithByte(36, 255),
+          rowResponseWithByte(54, 'x'),
+          rowResponseWithByte(50, 1)
         }) {
-      response = answer(none);
+      response = decodeResponse(unclassifiable);
       check(!response.isSingleRow() && response.sqlState() == null, "neither");
       response.release();
     }
   }
 
   @Example
-  void loadReportsAreReadByNameAndRoundedDown() {
+  void loadReportValuesAreReadByNameAndPositionsRoundedDown() {
     LoadReportFormat loadReport = new LoadReportFormat(List.of("x0", "x1", "utilization"), 0);
     double[] values = loadReport.parseValues("utilization=0.61,x0=1767225600.123, odd, x9=4,x1=1");
     Moment position =
@@ -276,27 +277,27 @@
   }
 
   @Property(tries = 200, seed = "99", shrinking = ShrinkingMode.OFF)
-  void linesOfAWatchAreTheSameHoweverTheyAreCut(@ForAll long seed)
+  void watchResponseSplitAtAnyByteYieldsTheSameObjects(@ForAll long seed)
       throws InvalidEndpointListException {
-    SplittableRandom chance = new SplittableRandom(seed);
-    List<String> got = new ArrayList<>();
-    ChunkedResponseReader reader = new ChunkedResponseReader(got::add);
+    SplittableRandom random = new SplittableRandom(seed);
+    List<String> delivered = new ArrayList<>();
+    ChunkedResponseReader reader = new ChunkedResponseReader(delivered::add);
     List<String> sent = new ArrayList<>();
     StringBuilder body = new StringBuilder();
     int lines = 0;
-    for (int i = chance.nextInt(1, 9); i > 0; i--) {
+    for (int i = random.nextInt(1, 9); i > 0; i--) {
       StringBuilder object = new StringBuilder();
-      object(chance, object, 3);
+      appendRandomObject(random, object, 3);
       sent.add(object.toString());
-      body.append(chance.nextBoolean() ? "" : "  ")
+      body.append(random.nextBoolean() ? "" : "  ")
           .append(object)
-          .append(chance.nextBoolean() ? " " : "");
-      for (int blank = chance.nextInt(3); blank > 0; blank--) {
-        body.append(chance.nextBoolean() ? "\n" : "\r\n");
+          .append(random.nextBoolean() ? " " : "");
+      for (int blank = random.nextInt(3); blank > 0; blank--) {
+        body.append(random.nextBoolean() ? "\n" : "\r\n");
         lines++;
       }
     }
-    boolean chunked = chance.nextBoolean();
+    boolean chunked = random.nextBoolean();
     StringBuilder out =
         new StringBuilder("HTTP/1.1 200 OK\r\n")
             .append(
@@ -304,10 +305,10 @@
                     ? "Transfer-Encoding: chunked\r\n\r\n"
                     : "Content-Length: " + body.length() + "\r\n\r\n");
     for (int at = 0; chunked && at < body.length(); ) {
-      int size = Math.min(body.length() - at, chance.nextInt(1, 300));
-      out.append(chance.nextBoolean() ? "" : "00")
+      int size = Math.min(body.length() - at, random.nextInt(1, 300));
+      out.append(random.nextBoolean() ? "" : "00")
           .append(Integer.toHexString(size))
-          .append(chance.nextBoolean() ? "" : " ;more=1")
+          .append(random.nextBoolean() ? "" : " ;more=1")
           .append("\r\n")
           .append(body, at, at + size)
           .append("\r\n");
@@ -315,33 +316,33 @@
     }
     out.append(chunked ? "0\r\n\r\n" : body);
     for (int at = 0; at < out.length(); ) {
-      int size = Math.min(out.length() - at, chance.nextInt(1, 200));
-      reader.read(text(out.substring(at, at + size)));
+      int size = Math.min(out.length() - at, random.nextInt(1, 200));
+      reader.read(utf8Buffer(out.substring(at, at + size)));
       at += size;
     }
-    int blanks = lines;
+    int lineBreaks = lines;
     check(
-        got.stream().filter(String::isEmpty).count() == blanks,
+        delivered.stream().filter(String::isEmpty).count() == lineBreaks,
         "each line between objects, none within");
-    got.removeIf(String::isEmpty);
-    check(got.equals(sent) && reader.isComplete(), "the objects as they were sent");
+    delivered.removeIf(String::isEmpty);
+    check(delivered.equals(sent) && reader.isComplete(), "the objects as they were sent");
   }
 
   /** An object over some lines, with strings that hold what ends one elsewhere. */
-  private static void object(SplittableRandom chance, StringBuilder out, int depth) {
+  private static void appendRandomObject(SplittableRandom random, StringBuilder out, int depth) {
     String[] strings = {"a", "}", "{", "]\\\"}", "\\\\", "q\\n\\\\\\\"{"};
     out.append('{');
-    for (int i = chance.nextInt(4); i > 0; i--) {
-      out.append("\n  ".substring(0, chance.nextInt(4)))
+    for (int i = random.nextInt(4); i > 0; i--) {
+      out.append("\n  ".substring(0, random.nextInt(4)))
           .append('"')
-          .append(strings[chance.nextInt(6)])
+          .append(strings[random.nextInt(6)])
           .append("\": ");
-      if (depth > 0 && chance.nextBoolean()) {
+      if (depth > 0 && random.nextBoolean()) {
         out.append("[ ");
-        object(chance, out, depth - 1);
+        appendRandomObject(random, out, depth - 1);
         out.append("\n ]");
       } else {
-        out.append('"').append(strings[chance.nextInt(6)]).append('"');
+        out.append('"').append(strings[random.nextInt(6)]).append('"');
       }
       out.append(i > 1 ? "," : "\n\n");
     }
@@ -349,21 +350,22 @@
   }
 
   @Example
-  void anObjectIsHandedOnWithItsLastBraceAndNoneThatBreaksOff()
+  void objectIsDeliveredAtItsClosingBraceAndIncompleteObjectIsNot()
       throws InvalidEndpointListException {
-    List<String> got = new ArrayList<>();
-    ChunkedResponseReader reader = new ChunkedResponseReader(got::add);
-    reader.read(text("HTTP/1.1 200 OK\r\n\r\n{\n \"a\": [\n  {}\n ]\n"));
-    check(got.isEmpty(), "lines within are no sign of life: " + got);
-    reader.read(text("}"));
-    check(got.equals(List.of("{\n \"a\": [\n  {}\n ]\n}")), "at once, with no line behind it");
-    reader.read(text("{\"a\":"));
-    check(got.size() == 1 && !reader.isComplete(), "half of one");
+    List<String> delivered = new ArrayList<>();
+    ChunkedResponseReader reader = new ChunkedResponseReader(delivered::add);
+    reader.read(utf8Buffer("HTTP/1.1 200 OK\r\n\r\n{\n \"a\": [\n  {}\n ]\n"));
+    check(delivered.isEmpty(), "lines within are no sign of life: " + delivered);
+    reader.read(utf8Buffer("}"));
+    check(
+        delivered.equals(List.of("{\n \"a\": [\n  {}\n ]\n}")), "at once, with no line behind it");
+    reader.read(utf8Buffer("{\"a\":"));
+    check(delivered.size() == 1 && !reader.isComplete(), "half of one");
   }
 
   @Example
-  void answersOfDiscoveryThatAreNoneAreFaults() {
-    for (String bad :
+  void malformedDiscoveryResponsesAreRejected() {
+    for (String malformed :
         new String[] {
           "HTTP/1.1 503 Busy\r\n",
           "SSH-2.0\r\n",
@@ -376,77 +378,80 @@
           "HTTP/1.1 200 OK\r\nX: " + "z".repeat(9_000)
         }) {
       try {
-        new ChunkedResponseReader(line -> {}).read(text(bad));
-        check(false, "taken: " + bad);
-      } catch (InvalidEndpointListException fault) {
-        check(!fault.getMessage().isEmpty(), "it says what");
+        new ChunkedResponseReader(line -> {}).read(utf8Buffer(malformed));
+        check(false, "taken: " + malformed);
+      } catch (InvalidEndpointListException exception) {
+        check(!exception.getMessage().isEmpty(), "it says what");
       }
     }
   }
 
   @Example
-  void listsAreTakenWholeOrNotAtAll() throws Exception {
-    SocketWorld.Silent outside = new SocketWorld.Silent();
+  void endpointListUpdateIsAppliedCompletelyOrRejected() throws Exception {
+    SocketWorld.Silent effects = new SocketWorld.Silent();
     StatementRouter<String> core =
-        new StatementRouter<>(outside, SocketWorld.values().loadBalancerFactory(1, new Moment(0)));
+        new StatementRouter<>(effects, SocketWorld.values().loadBalancerFactory(1, new Moment(0)));
     EndpointList list =
-        new EndpointList(core, List.of("a", "b"), (node, address) -> outside.told.add(node));
+        new EndpointList(
+            core, List.of("a", "b"), (endpoint, address) -> effects.told.add(endpoint));
     String entry =
         "{\"instanceId\":\"n1\",\"hostPort\":\"127.0.0.1:5\",\"zone\":\"q\",\"cell\":1,"
             + "\"lifecycle\":\"in_service\",\"weight\":1.0,\"startedAtMs\":0,\"more\":[1,null]}";
-    String shape = "{\"generation\":%s,\"reset\":%s,\"instances\":[%s]}";
-    list.takeUpdate(new Moment(0), EndpointList.parse(shape.formatted("7", "true", entry)), true);
-    check(list.generation() == 7 && outside.told.equals(List.of("n1")), "taken");
-    for (String bad :
+    String template = "{\"generation\":%s,\"reset\":%s,\"instances\":[%s]}";
+    list.takeUpdate(
+        new Moment(0), EndpointList.parse(template.formatted("7", "true", entry)), true);
+    check(list.generation() == 7 && effects.told.equals(List.of("n1")), "taken");
+    for (String invalid :
         new String[] {
-          shape.formatted("6", "false", entry),
-          shape.formatted("8", "false", "4"),
-          shape.formatted("8", "false", entry + "," + entry.replace("127.0.0.1:5", "somewhere")),
-          shape.formatted("8", "false", entry.replace("\"cell\":1", "\"cell\":\"x\"")),
+          template.formatted("6", "false", entry),
+          template.formatted("8", "false", "4"),
+          template.formatted("8", "false", entry + "," + entry.replace("127.0.0.1:5", "somewhere")),
+          template.formatted("8", "false", entry.replace("\"cell\":1", "\"cell\":\"x\"")),
           "{}",
           "[]",
           "{"
         }) {
       try {
-        list.takeUpdate(new Moment(0), EndpointList.parse(bad), true);
-        check(false, "taken: " + bad);
-      } catch (InvalidEndpointListException fault) {
-        check(list.generation() == 7 && outside.told.size() == 1, "nothing of it is taken");
+        list.takeUpdate(new Moment(0), EndpointList.parse(invalid), true);
+        check(false, "taken: " + invalid);
+      } catch (InvalidEndpointListException exception) {
+        check(list.generation() == 7 && effects.told.size() == 1, "nothing of it is taken");
       }
     }
-    list.takeUpdate(new Moment(0), EndpointList.parse(shape.formatted("2", "true", "")), true);
+    list.takeUpdate(new Moment(0), EndpointList.parse(template.formatted("2", "true", "")), true);
     check(list.generation() == 2, "a whole list may count anew");
   }
 
   @Example
-  void nothingIsKeptOfMembersThatAreGone() throws Exception {
-    SocketWorld.Silent outside = new SocketWorld.Silent();
+  void stateOfRemovedEndpointsIsDiscarded() throws Exception {
+    SocketWorld.Silent effects = new SocketWorld.Silent();
     StatementRouter<String> core =
-        new StatementRouter<>(outside, SocketWorld.values().loadBalancerFactory(1, new Moment(0)));
-    List<Integer> known = new ArrayList<>();
+        new StatementRouter<>(effects, SocketWorld.values().loadBalancerFactory(1, new Moment(0)));
+    List<Integer> endpointCounts = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
       Moment now = new Moment(i * 1_000_000L);
       core.onListStarted();
       core.onEndpointListed(now, "n" + i, EndpointLifecycle.READY, 0, 0, 1, Moment.LONG_AGO);
       core.onListFinished(now, true, true);
       core.onTimerFired(now);
-      known.add(core.endpointCount());
+      endpointCounts.add(core.endpointCount());
     }
     check(
-        known.get(199) < 30 && outside.told.contains("forget n150"), "as many as lately: " + known);
+        endpointCounts.get(199) < 30 && effects.told.contains("forget n150"),
+        "as many as lately: " + endpointCounts);
   }
 
   @Example
-  void jsonIsReadExactlyAndItsFaultsHaveAPlace() throws InvalidJsonException {
-    Object read = Json.read(" {\"a\":[1,-2.5e3,true,null,\"\\u00e9\\n\"],\"b\":{}} ");
+  void jsonIsParsedExactlyAndErrorsNameThePosition() throws InvalidJsonException {
+    Object parsed = Json.read(" {\"a\":[1,-2.5e3,true,null,\"\\u00e9\\n\"],\"b\":{}} ");
     check(
-        read instanceof Map<?, ?> map
+        parsed instanceof Map<?, ?> map
             && map.get("a").toString().equals("[1, -2.5E+3, true, null, é\n]"),
         "all kinds");
     check(
         Json.read("1767225600123456789").toString().equals("1767225600123456789"),
         "no digit is lost");
-    for (String bad :
+    for (String malformed :
         new String[] {
           "",
           "{",
@@ -463,10 +468,10 @@
           "\"\\u12"
         }) {
       try {
-        Json.read(bad);
-        check(false, "taken: " + bad);
-      } catch (InvalidJsonException fault) {
-        check(fault.getMessage().contains("at character"), "a place");
+        Json.read(malformed);
+        check(false, "taken: " + malformed);
+      } catch (InvalidJsonException exception) {
+        check(exception.getMessage().contains("at character"), "a place");
       }
     }
   }
--- a/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
+++ b/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
@@ -27,50 +27,50 @@
  * goes wrong.
  */
 class PlannedSwitchoverTest {
-  private static StandIn announced(double inMillis) {
+  private static StandIn worldWithAnnouncement(double delayMillis) {
     StandIn world = StandIn.plain().steady(20);
     check(
         world.balancer.onSwitchoverAnnounced(
-            world.now, 2, 1, 1, world.now.plus(ms(inMillis)), false),
+            world.now, 2, 1, 1, world.now.plus(ms(delayMillis)), false),
         "it stands");
     return world;
   }
 
-  private static Phase last(StandIn world) {
+  private static Phase lastPhase(StandIn world) {
     return world.phases.get(world.phases.size() - 1);
   }
 
   /** Lets time go by with all members answering as they are. */
-  private static void polls(StandIn world, double millis, int primary) {
+  private static void pollFor(StandIn world, double millis, int primary) {
     for (Moment end = world.now.plus(ms(millis)); world.now.isBefore(end); ) {
       world.later(50);
-      for (int node = 0; node < 3; node++) {
-        world.poll(node, node == primary ? Role.PRIMARY : Role.REPLICA, world.now);
+      for (int endpoint = 0; endpoint < 3; endpoint++) {
+        world.poll(endpoint, endpoint == primary ? Role.PRIMARY : Role.REPLICA, world.now);
       }
     }
   }
 
   @Example
-  void aPlannedChangeHoldsAtItsTimeAndReleasesToItsTargetOnceThatClaims() {
-    StandIn world = announced(5_000);
-    polls(world, 2_500, 0);
+  void statementsAreHeldAtTheAnnouncedTimeAndReleasedWhenTheTargetReportsPrimary() {
+    StandIn world = worldWithAnnouncement(5_000);
+    pollFor(world, 2_500, 0);
     check(world.phases.equals(List.of(Phase.CREATED)), "not yet: " + world.phases);
-    polls(world, 1_000, 0);
+    pollFor(world, 1_000, 0);
     check(
-        last(world) == Phase.PREPARATION && world.prepared >= 0,
+        lastPhase(world) == Phase.PREPARATION && world.prepared >= 0,
         "prepared before: " + world.phases);
-    int early = world.take(WRITE);
+    int earlyWrite = world.take(WRITE);
     check(
-        world.last().statement() == early && world.last().node() == 0,
+        world.last().statement() == earlyWrite && world.last().node() == 0,
         "the old primary serves until then");
     world.end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
-    polls(world, 1_600, 0);
-    check(last(world) == Phase.IN_PROGRESS, "" + world.phases);
-    int sent = world.sent.size();
-    int first = world.take(WRITE);
-    int second = world.take(FRESH);
+    pollFor(world, 1_600, 0);
+    check(lastPhase(world) == Phase.IN_PROGRESS, "" + world.phases);
+    int sentBefore = world.sent.size();
+    int heldWrite = world.take(WRITE);
+    int heldRead = world.take(FRESH);
     world.poll(0, Role.PRIMARY, world.now);
-    check(world.sent.size() == sent, "held, whatever the old primary still says");
+    check(world.sent.size() == sentBefore, "held, whatever the old primary still says");
     int read = world.take(ANY);
     check(world.last().statement() == read, "other reads go on");
     world.later(100).poll(0, Role.REPLICA, world.now);
@@ -80,31 +80,31 @@
             .map(StandIn.Sent::statement)
             .toList();
     check(
-        released.equals(List.of(first, second)) && world.last().node() == 1,
+        released.equals(List.of(heldWrite, heldRead)) && world.last().node() == 1,
         "released in order: " + released);
-    polls(world, 100, 1);
-    check(last(world) == Phase.POST, "" + world.phases);
-    polls(world, 5_500, 1);
-    check(last(world) == Phase.COMPLETED, "" + world.phases);
+    pollFor(world, 100, 1);
+    check(lastPhase(world) == Phase.POST, "" + world.phases);
+    pollFor(world, 5_500, 1);
+    check(lastPhase(world) == Phase.COMPLETED, "" + world.phases);
   }
 
   @Example
-  void aChangeThatNeverComesOrIsTakenBackReleasesToTheOldPrimary() {
-    for (boolean takenBack : new boolean[] {true, false}) {
-      StandIn world = announced(1_000);
-      polls(world, 1_200, 0);
-      check(last(world) == Phase.IN_PROGRESS, "" + world.phases);
+  void overdueOrWithdrawnSwitchoverReleasesHeldStatementsToTheOldPrimary() {
+    for (boolean withdrawn : new boolean[] {true, false}) {
+      StandIn world = worldWithAnnouncement(1_000);
+      pollFor(world, 1_200, 0);
+      check(lastPhase(world) == Phase.IN_PROGRESS, "" + world.phases);
       int held = world.take(WRITE, 9, Moment.LONG_AGO, 9_000);
-      int before = world.sent.size();
-      if (takenBack) {
+      int sentBefore = world.sent.size();
+      if (withdrawn) {
         check(
             world.balancer.onSwitchoverAnnounced(world.now, 1, 1, 1, world.now, true),
             "taken back");
       }
-      polls(world, takenBack ? 100 : 3_200, 0);
-      check(last(world) == Phase.CALLED_OFF, "" + world.phases);
+      pollFor(world, withdrawn ? 100 : 3_200, 0);
+      check(lastPhase(world) == Phase.CALLED_OFF, "" + world.phases);
       check(
-          world.sent.subList(before, world.sent.size()).stream()
+          world.sent.subList(sentBefore, world.sent.size()).stream()
               .anyMatch(sent -> sent.statement() == held && sent.node() == 0),
           "released to who still is one");
     }
@@ -114,16 +114,18 @@
    * The old primary's claim called the later change off: nobody remembered whom it was to replace.
    */
   @Example
-  void aChangeThatTakesThePlaceOfOneInProgressGoesOnHolding() {
-    StandIn world = announced(1_000);
-    polls(world, 1_200, 0);
-    check(last(world) == Phase.IN_PROGRESS, "" + world.phases);
+  void announcementReplacingOneInProgressContinuesTheHold() {
+    StandIn world = worldWithAnnouncement(1_000);
+    pollFor(world, 1_200, 0);
+    check(lastPhase(world) == Phase.IN_PROGRESS, "" + world.phases);
     check(
         world.balancer.onSwitchoverAnnounced(world.now, 1, 2, 2, world.now, false), "a later one");
     int held = world.take(WRITE);
-    int sent = world.sent.size();
-    polls(world, 300, 0);
-    check(last(world) == Phase.IN_PROGRESS && world.sent.size() == sent, "held: " + world.phases);
+    int sentBefore = world.sent.size();
+    pollFor(world, 300, 0);
+    check(
+        lastPhase(world) == Phase.IN_PROGRESS && world.sent.size() == sentBefore,
+        "held: " + world.phases);
     world.poll(0, Role.REPLICA, world.now);
     world.later(20).poll(2, Role.PRIMARY, world.now);
     check(
@@ -132,18 +134,18 @@
   }
 
   @Example
-  void aTargetThatDiesOrDrainsOrAnotherThatTakesOverEndsIt() {
-    StandIn world = announced(1_000);
+  void switchoverIsCalledOffWhenItsTargetFailsOrDrainsAndHeldStatementsGoToTheNewPrimary() {
+    StandIn world = worldWithAnnouncement(1_000);
     world.relist(1, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
-    check(last(world) == Phase.CALLED_OFF, "the target drains");
-    world = announced(1_000);
-    polls(world, 1_200, 0);
+    check(lastPhase(world) == Phase.CALLED_OFF, "the target drains");
+    world = worldWithAnnouncement(1_000);
+    pollFor(world, 1_200, 0);
     world.take(WRITE);
     world.later(700).poll(0, Role.REPLICA, world.now);
     int held = world.take(WRITE);
     world.balancer.onPollEnded(
         world.now, 1, AttemptOutcome.NO_CONNECTION, Role.UNKNOWN, Moment.LONG_AGO, 0, Double.NaN);
-    check(last(world) == Phase.CALLED_OFF, "the target died");
+    check(lastPhase(world) == Phase.CALLED_OFF, "the target died");
     world.later(20).poll(2, Role.PRIMARY, world.now);
     check(
         world.last().statement() == held && world.last().node() == 2,
@@ -151,8 +153,8 @@
   }
 
   @Example
-  void whatIsNoAnnouncementChangesNothing() {
-    StandIn world = announced(5_000);
+  void invalidAnnouncementsAreIgnored() {
+    StandIn world = worldWithAnnouncement(5_000);
     Moment at = world.now.plus(ms(4_000));
     check(
         !world.balancer.onSwitchoverAnnounced(world.now, 1, 1, 2, at, false),
@@ -197,7 +199,7 @@
    * successor should.
    */
   @Example
-  void aReplacedPrimaryThatComesBackIsNotBelievedWhileItsSuccessorStands() {
+  void primaryClaimOfAReplacedPrimaryIsIgnoredUntilItHasReportedReplica() {
     StandIn world = StandIn.plain().steady(20);
     world.take(WRITE);
     world.later(20).end(world.last(), AttemptOutcome.NO_CONNECTION, Role.UNKNOWN);
@@ -218,7 +220,7 @@
    * at once.
    */
   @Example
-  void aMissedWriteIsBelievedOverTheRoleInTheSameAnswer() {
+  void rejectedWriteOverridesThePrimaryRoleInTheSameResponse() {
     StandIn world = StandIn.plain().steady(20);
     world.take(WRITE);
     world.later(5).end(world.last(), AttemptOutcome.MISS, Role.PRIMARY);
@@ -226,7 +228,7 @@
   }
 
   @Example
-  void aStatementOutlivesThreeChangesWithinItsTime() {
+  void statementSurvivesThreePrimaryChangesWithinItsDeadline() {
     StandIn world = StandIn.plain().steady(20);
     int write = world.take(LATE, 9, Moment.LONG_AGO, 1_900);
     for (int primary : new int[] {1, 2, 0}) {
@@ -243,29 +245,30 @@
   }
 
   @Example
-  void aClientThatLeavesWhileHeldLeavesNothingBehind() {
+  void disconnectedClientFreesItsHeldStatement() {
     StandIn world = StandIn.plain().list(3);
-    int left = world.take(WRITE);
-    int stays = world.take(WRITE);
-    world.fates.get(left).answered = true;
-    world.balancer.onClientDisconnected(world.now, left);
+    int disconnected = world.take(WRITE);
+    int connected = world.take(WRITE);
+    world.fates.get(disconnected).answered = true;
+    world.balancer.onClientDisconnected(world.now, disconnected);
     check(world.holds.heldStatements() == 1, "its place is free at once");
     world.poll(0, Role.PRIMARY, world.now);
-    check(world.sent.size() == 1 && world.last().statement() == stays, "nothing is sent for it");
+    check(
+        world.sent.size() == 1 && world.last().statement() == connected, "nothing is sent for it");
   }
 
   /** Every group at once, each with its own record. */
   @Example
-  void allGroupsMayChangeAtOnce() {
+  void allGroupsCanSwitchOverConcurrently() {
     StandIn world = StandIn.plain();
     world.balancer.onListStarted();
-    for (int node = 0; node < 30; node++) {
+    for (int endpoint = 0; endpoint < 30; endpoint++) {
       world.balancer.onEndpointListed(
-          world.now, node, EndpointLifecycle.READY, node / 3, 0, 1, Moment.LONG_AGO);
+          world.now, endpoint, EndpointLifecycle.READY, endpoint / 3, 0, 1, Moment.LONG_AGO);
     }
     world.balancer.onListFinished(world.now, true, true);
-    for (int node = 0; node < 30; node++) {
-      world.poll(node, node % 3 == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
+    for (int endpoint = 0; endpoint < 30; endpoint++) {
+      world.poll(endpoint, endpoint % 3 == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
     }
     for (int group = 0; group < 10; group++) {
       world.balancer.onSwitchoverAnnounced(
@@ -279,44 +282,44 @@
       world.poll(3 * group, Role.REPLICA, world.now);
       world.poll(3 * group + 1, Role.PRIMARY, world.now);
     }
-    for (int node = 0; node < 30; node++) {
-      world.poll(node, node % 3 == 1 ? Role.PRIMARY : Role.REPLICA, world.now);
+    for (int endpoint = 0; endpoint < 30; endpoint++) {
+      world.poll(endpoint, endpoint % 3 == 1 ? Role.PRIMARY : Role.REPLICA, world.now);
     }
     check(world.phases.stream().filter(Phase.POST::equals).count() == 10, "" + world.phases);
   }
 
   @Property(tries = 120, seed = "99", shrinking = ShrinkingMode.OFF)
-  void theRulesHoldThroughPlannedChangesToo(
+  void rulesHoldDuringRandomSwitchovers(
       @ForAll boolean check, @ForAll boolean tokens, @ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     StandIn world = new StandIn(check, true, tokens, true, true, 2, seed);
-    world.holds.setLimits(chance.nextInt(1, 12), 2_000);
-    int nodes = 3 + chance.nextInt(3);
-    world.playWith(chance.split(), nodes);
-    List<int[]> notes = new ArrayList<>();
+    world.holds.setLimits(random.nextInt(1, 12), 2_000);
+    int endpoints = 3 + random.nextInt(3);
+    world.playWith(random.split(), endpoints);
+    List<int[]> announcements = new ArrayList<>();
     for (int step = 0; step < 700; step++) {
-      world.run(chance.nextInt(1, 20));
-      for (int n = chance.nextInt(3); n > 0; n--) {
+      world.run(random.nextInt(1, 20));
+      for (int n = random.nextInt(3); n > 0; n--) {
         world.take(
-            chance.nextInt(6), chance.nextInt(5), Moment.LONG_AGO, 100 + chance.nextInt(1_500));
+            random.nextInt(6), random.nextInt(5), Moment.LONG_AGO, 100 + random.nextInt(1_500));
       }
-      if (chance.nextInt(25) == 0) {
-        RulesTest.upset(world, chance);
+      if (random.nextInt(25) == 0) {
+        RulesTest.injectRandomFault(world, random);
       }
-      if (chance.nextInt(30) == 0) {
-        notes.add(new int[] {notes.size() + 1, chance.nextInt(nodes)});
+      if (random.nextInt(30) == 0) {
+        announcements.add(new int[] {announcements.size() + 1, random.nextInt(endpoints)});
         world.balancer.onSwitchoverAnnounced(
             world.now,
-            chance.nextInt(nodes),
-            notes.size(),
-            notes.get(notes.size() - 1)[1],
-            world.now.plus(ms(chance.nextInt(1_500) - 200)),
+            random.nextInt(endpoints),
+            announcements.size(),
+            announcements.get(announcements.size() - 1)[1],
+            world.now.plus(ms(random.nextInt(1_500) - 200)),
             false);
       }
-      if (!notes.isEmpty() && chance.nextInt(30) == 0) {
-        int[] old = notes.get(chance.nextInt(notes.size()));
+      if (!announcements.isEmpty() && random.nextInt(30) == 0) {
+        int[] earlier = announcements.get(random.nextInt(announcements.size()));
         world.balancer.onSwitchoverAnnounced(
-            world.now, 0, old[0], old[1], world.now, chance.nextBoolean());
+            world.now, 0, earlier[0], earlier[1], world.now, random.nextBoolean());
       }
     }
     world.run(4_000);
@@ -328,35 +331,35 @@
    * bounded.
    */
   @Property(tries = 300, seed = "7", shrinking = ShrinkingMode.OFF)
-  void phasesOnlyGoForwardAndAHoldEnds(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+  void phasesNeverGoBackAndHoldDurationIsBounded(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
     List<Phase> entered = new ArrayList<>();
     PlannedSwitchover switchover = new PlannedSwitchover((phase, target) -> entered.add(phase));
     Moment now = new Moment(1_000_000_000L);
-    Moment held = Moment.NEVER;
+    Moment heldSince = Moment.NEVER;
     long number = 0;
     for (int step = 0; step < 300; step++) {
-      int from = entered.size();
-      now = now.plus(ms(chance.nextInt(200)));
-      if (chance.nextInt(40) == 0) {
+      int enteredBefore = entered.size();
+      now = now.plus(ms(random.nextInt(200)));
+      if (random.nextInt(40) == 0) {
         switchover.onAnnouncement(
-            now, ++number, chance.nextInt(3), now.plus(ms(chance.nextInt(3_000) - 500)), false);
-        held = Moment.NEVER;
-      } else if (chance.nextInt(60) == 0) {
+            now, ++number, random.nextInt(3), now.plus(ms(random.nextInt(3_000) - 500)), false);
+        heldSince = Moment.NEVER;
+      } else if (random.nextInt(60) == 0) {
         switchover.onAnnouncement(now, number, 0, now, true);
       }
       switchover.advance(
           now,
-          chance.nextInt(20) == 0 ? chance.nextInt(3) : PlannedSwitchover.UNKNOWN_ENDPOINT,
-          chance.nextInt(80) != 0);
-      for (int i = Math.max(1, from); i < entered.size(); i++) {
+          random.nextInt(20) == 0 ? random.nextInt(3) : PlannedSwitchover.UNKNOWN_ENDPOINT,
+          random.nextInt(80) != 0);
+      for (int i = Math.max(1, enteredBefore); i < entered.size(); i++) {
         check(
             entered.get(i) == Phase.CREATED
                 || entered.get(i).ordinal() > entered.get(i - 1).ordinal(),
             "it went back: " + entered);
       }
-      held = switchover.isHoldingStatements() ? held.earlier(now) : Moment.NEVER;
-      check(!now.since(held).isLongerThan(ms(3_000 + 400)), "held for longer than a bound");
+      heldSince = switchover.isHoldingStatements() ? heldSince.earlier(now) : Moment.NEVER;
+      check(!now.since(heldSince).isLongerThan(ms(3_000 + 400)), "held for longer than a bound");
       check(
           switchover.nextStepAt().isAfter(now)
               || switchover.nextStepAt().equals(now)
--- a/router/src/test/java/basaltlever/ProcessTest.java
+++ b/router/src/test/java/basaltlever/ProcessTest.java
@@ -19,11 +19,11 @@
  * classes.
  */
 class ProcessTest {
-  private static Process start(Path file, String... arguments) throws IOException {
-    return start(List.of(), file, arguments);
+  private static Process start(Path startFile, String... arguments) throws IOException {
+    return start(List.of(), startFile, arguments);
   }
 
-  private static Process start(List<String> flags, Path file, String... arguments)
+  private static Process start(List<String> flags, Path startFile, String... arguments)
       throws IOException {
     String jar = System.getProperty("basaltlever.jar");
     List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java"));
@@ -34,14 +34,14 @@
             : List.of("-cp", System.getProperty("java.class.path"), "basaltlever.cli.Main"));
     command.addAll(List.of(arguments));
     ProcessBuilder builder = new ProcessBuilder(command).inheritIO();
-    builder.environment().put("GW_CONFIG", file.toString());
+    builder.environment().put("GW_CONFIG", startFile.toString());
     return builder.start();
   }
 
   /** Until a line of the file says so. */
-  private static void awaitLine(Path file, String what, Process process) throws Exception {
+  private static void awaitLine(Path file, String text, Process process) throws Exception {
     while (process.isAlive()
-        && Files.readAllLines(file).stream().noneMatch(line -> line.contains(what))) {
+        && Files.readAllLines(file).stream().noneMatch(line -> line.contains(text))) {
       Thread.sleep(1);
     }
   }
@@ -62,7 +62,7 @@
    * first time.
    */
   @Example
-  void aRouterMakesHardlyAnyClassesOfItsOwnWhileItServes() throws Exception {
+  void servingStatementsLoadsFewGeneratedClasses() throws Exception {
     Path log = Files.createTempFile("classes", ".log");
     try (SocketWorld world = new SocketWorld(false)) {
       Process process = start(List.of("-Xlog:class+load:file=" + log), world.file, "serve");
@@ -74,7 +74,7 @@
                 SocketWorld.Mode.ERROR,
                 SocketWorld.Mode.GARBAGE,
                 SocketWorld.Mode.BREAKS)) {
-          world.nodes.forEach(node -> node.mode = mode);
+          world.nodes.forEach(server -> server.mode = mode);
           client.ask(statement("c" + mode, "view", 900)).answer();
           client.ask(statement("d" + mode, "post", 900)).answer();
         }
@@ -86,23 +86,25 @@
       List<String> loaded = Files.readAllLines(log);
       check(loaded.size() > 500, "what it loads is told");
       check(
-          count(loaded, "LambdaForm$MH") <= 20,
-          "texts and the like: " + count(loaded, "LambdaForm$MH"));
+          countLinesContaining(loaded, "LambdaForm$MH") <= 20,
+          "texts and the like: " + countLinesContaining(loaded, "LambdaForm$MH"));
       check(
-          count(loaded, "jdk.jfr.internal.handlers") == 0,
+          countLinesContaining(loaded, "jdk.jfr.internal.handlers") == 0,
           "events for recordings that nobody makes");
-      check(count(loaded, "jcommander.JCommander") == 0, "a command line that says nothing");
+      check(
+          countLinesContaining(loaded, "jcommander.JCommander") == 0,
+          "a command line that says nothing");
     } finally {
       Files.delete(log);
     }
   }
 
-  private static long count(List<String> loaded, String what) {
-    return loaded.stream().filter(line -> line.contains(what)).count();
+  private static long countLinesContaining(List<String> lines, String text) {
+    return lines.stream().filter(line -> line.contains(text)).count();
   }
 
   @Example
-  void itServesAStatementAndEndsOnASignalWithZero() throws Exception {
+  void routerServesStatementsAndExitsWithZeroOnSigterm() throws Exception {
     try (SocketWorld world = new SocketWorld(false)) {
       for (int i = 0; i < 2; i++) {
         Process process = start(world.file, "serve");
@@ -125,7 +127,7 @@
   }
 
   @Example
-  void theSignalToReadTheStartFileAgainEndsNothing() throws Exception {
+  void sighupReloadsTheStartFileWithoutInterruption() throws Exception {
     try (SocketWorld world = new SocketWorld(false)) {
       Process process = start(world.file, "serve");
       try (Client client = connect(world.port, process)) {
@@ -147,13 +149,13 @@
    * to it.
    */
   @Example
-  void theSignalToReadAgainIsHeardBeforeAnythingIsSetUp() throws Exception {
+  void sighupDuringStartupDoesNotEndTheProcess() throws Exception {
     Path log = Files.createTempFile("classes", ".log");
     try (SocketWorld world = new SocketWorld(false)) {
       Process process = start(List.of("-Xlog:class+load:file=" + log), world.file, "serve");
       try {
         awaitLine(log, "basaltlever.net.Router ", process);
-        signal(process, "HUP");
+        sendSignals(process, "HUP");
         try (Client client = connect(world.port, process)) {
           client.start().answer();
           check(client.ask(statement("e1", "view", 1_800)).answer().equals("row:e1"), "it serves");
@@ -167,15 +169,15 @@
   }
 
   @Example
-  void aRouterThatCanHearNoReloadSaysSo() throws Exception {
+  void ignoredSighupIsLogged() throws Exception {
     Path log = Files.createTempFile("router", ".log");
     try (SocketWorld world = new SocketWorld(false)) {
-      for (boolean deaf : new boolean[] {true, false}) {
+      for (boolean sighupIgnored : new boolean[] {true, false}) {
         ProcessBuilder builder =
             new ProcessBuilder(
                     "sh",
                     "-c",
-                    (deaf ? "trap '' HUP; " : "")
+                    (sighupIgnored ? "trap '' HUP; " : "")
                         + "exec \"$0\" -cp \"$1\" basaltlever.cli.Main serve",
                     System.getProperty("java.home") + "/bin/java",
                     System.getProperty("java.class.path"))
@@ -184,8 +186,8 @@
         Process process = builder.start();
         try (Client client = connect(world.port, process)) {
           client.start().answer();
-          boolean said = Files.readString(log).contains("event=signal_ignored signal=HUP");
-          check(said == deaf, "deaf " + deaf + ", said " + said);
+          boolean logged = Files.readString(log).contains("event=signal_ignored signal=HUP");
+          check(logged == sighupIgnored, "deaf " + sighupIgnored + ", said " + logged);
         } finally {
           process.destroyForcibly().waitFor();
         }
@@ -195,14 +197,14 @@
     }
   }
 
-  private static void signal(Process process, String... names) throws Exception {
+  private static void sendSignals(Process process, String... names) throws Exception {
     for (String name : names) {
       new ProcessBuilder("kill", "-" + name, "" + process.pid()).start().waitFor();
     }
   }
 
   @Example
-  void aSignalToEndInTheMiddleOfAReloadLosesNothing() throws Exception {
+  void sigtermDuringReloadAnswersOpenStatementsAndExitsWithZero() throws Exception {
     try (SocketWorld world = new SocketWorld(false)) {
       Process process = start(world.file, "serve");
       try (Client client = connect(world.port, process)) {
@@ -214,7 +216,7 @@
           Thread.sleep(10);
         }
         world.moveDiscovery();
-        signal(process, "HUP", "HUP", "TERM", "HUP", "TERM");
+        sendSignals(process, "HUP", "HUP", "TERM", "HUP", "TERM");
         check(client.answer().startsWith("error:58000"), "what may have run is told as that");
         check(client.answer().equals("closed"), "then its connection ends");
         check(process.waitFor(10, TimeUnit.SECONDS) && process.exitValue() == 0, "exit 0");
@@ -225,21 +227,21 @@
   }
 
   @Example
-  void aSignalToEndDuringStartIsHeardAtOnce() throws Exception {
+  void sigtermDuringStartupExitsWithoutDelay() throws Exception {
     try (SocketWorld world = new SocketWorld(false);
-        ServerSocket mute = SocketWorld.listen(0)) {
+        ServerSocket unresponsive = SocketWorld.listen(0)) {
       world.writeStart(
           text ->
               text.replaceAll(
                   "\"discovery\":\"[^\"]*\"",
-                  "\"discovery\":\"127.0.0.1:" + mute.getLocalPort() + "\""));
+                  "\"discovery\":\"127.0.0.1:" + unresponsive.getLocalPort() + "\""));
       Process process = start(world.file, "serve");
-      try (Socket call = mute.accept()) {
+      try (Socket discoveryRequest = unresponsive.accept()) {
         // It waits for its first list now, and listens for nobody yet.
-        long since = System.nanoTime();
-        signal(process, "TERM");
+        long signalledAt = System.nanoTime();
+        sendSignals(process, "TERM");
         check(process.waitFor(10, TimeUnit.SECONDS) && process.exitValue() == 0, "exit 0");
-        check(System.nanoTime() - since < 1_500_000_000L, "nothing is owed to anybody");
+        check(System.nanoTime() - signalledAt < 1_500_000_000L, "nothing is owed to anybody");
       } finally {
         process.destroyForcibly();
       }
@@ -247,7 +249,7 @@
   }
 
   @Example
-  void mistakesOfTheUserEndWithTwo() throws Exception {
+  void invalidCommandLineExitsWithStatusTwo() throws Exception {
     for (String[] arguments :
         new String[][] {{}, {"nonsense"}, {"serve"}, {"check"}, {"version", "x"}}) {
       Process process = start(Path.of("target/nowhere"), arguments);
--- a/router/src/test/java/basaltlever/RouterTest.java
+++ b/router/src/test/java/basaltlever/RouterTest.java
@@ -18,16 +18,16 @@
 
 /** A whole router on loopback between stand-ins of clients, nodes and discovery. */
 class RouterTest {
-  private static boolean rejected(String answer) {
+  private static boolean isRejected(String answer) {
     return answer.startsWith("error:53300") || answer.startsWith("error:57P03");
   }
 
-  private static boolean aborted(String answer) {
-    return answer.startsWith("error:") && !rejected(answer);
+  private static boolean isAborted(String answer) {
+    return answer.startsWith("error:") && !isRejected(answer);
   }
 
   @Example
-  void aStatementSentRightBehindTheStartIsCompleted() throws Exception {
+  void statementsPipelinedBehindTheStartupMessageAreAnsweredInOrder() throws Exception {
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       client.start().ask("").ask(statement("a1", "view", 1_500)).ask("SET x = 1");
@@ -40,15 +40,17 @@
       check(client.answer().equals("row:a2"), "a write, in its order");
       String sent =
           world.seen.stream().filter(text -> text.contains("id=a2")).findFirst().orElse("");
-      int wait = Integer.parseInt(sent.replaceAll("(?s).*,d=([0-9]+),.*", "$1"));
+      int timeoutMillis = Integer.parseInt(sent.replaceAll("(?s).*,d=([0-9]+),.*", "$1"));
       check(
-          wait <= 1_500 && wait > 500 && sent.equals(statement("a2", "post", wait)),
+          timeoutMillis <= 1_500
+              && timeoutMillis > 500
+              && sent.equals(statement("a2", "post", timeoutMillis)),
           "only d is new");
     }
   }
 
   @Example
-  void eachOutcomeOfAWriteIsToldAsWhatIsProven() throws Exception {
+  void failedWriteIsReportedByWhetherItMayHaveRun() throws Exception {
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       client.start().answer();
@@ -62,9 +64,9 @@
         if (mode.completes()) {
           check(answer.startsWith("row:" + id) && runs.size() == 1, mode + ": " + answer);
         } else if (mode.provesNotRun()) {
-          check(rejected(answer), mode + " is harmless: " + answer);
+          check(isRejected(answer), mode + " is harmless: " + answer);
         } else {
-          check(aborted(answer) && runs.size() == 1, mode + " may have run: " + answer + runs);
+          check(isAborted(answer) && runs.size() == 1, mode + " may have run: " + answer + runs);
         }
         world.nodes.get(0).mode = Mode.ROW;
         String next = "";
@@ -77,7 +79,7 @@
   }
 
   @Example
-  void whatNeverReachedANodeIsRejectedAndAReadGoesElsewhere() throws Exception {
+  void unsentWriteIsRejectedAndFailedReadIsRetriedOnAnotherEndpoint() throws Exception {
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       client.start().answer();
@@ -86,7 +88,7 @@
       // A write that crosses the end of an open connection may have run: this is about later ones.
       Thread.sleep(150);
       String answer = client.ask(statement("c2", "post", 600)).answer();
-      check(rejected(answer), "refused, never sent: " + answer);
+      check(isRejected(answer), "refused, never sent: " + answer);
       check(client.ask(statement("c3", "view", 900)).answer().equals("row:c3"), "replicas go on");
       world.nodes.get(1).mode = Mode.BREAKS;
       for (int i = 0; i < 6; i++) {
@@ -97,13 +99,13 @@
   }
 
   @Example
-  void anIdleConnectionThatTheNodeClosesCostsNothing() throws Exception {
+  void statementSucceedsAfterTheServerClosedIdleConnections() throws Exception {
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       client.start().answer();
       check(client.ask(statement("d1", "post", 900)).answer().equals("row:d1"), "at first");
-      for (SocketWorld.Node node : world.nodes) {
-        for (java.net.Socket socket : new ArrayList<>(node.open)) {
+      for (SocketWorld.Node server : world.nodes) {
+        for (java.net.Socket socket : new ArrayList<>(server.open)) {
           socket.close();
         }
       }
@@ -118,7 +120,7 @@
   }
 
   @Example
-  void nothingNewGoesToANodeThatDrainsAndABrokenWatchIsAskedForAgain() throws Exception {
+  void drainingEndpointGetsNoNewStatementsAndBrokenWatchIsRetried() throws Exception {
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       client.start().answer();
@@ -140,20 +142,20 @@
   }
 
   @Example
-  void aNodeThatMovesUnderItsNameIsFoundAtItsNewAddress() throws Exception {
+  void statementsFollowAnEndpointToItsNewAddress() throws Exception {
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       client.start().answer();
       check(client.ask(statement("j1", "post", 900)).answer().equals("row:j1"), "at first");
-      SocketWorld.Node old = world.nodes.get(0);
-      old.mode = Mode.ERROR;
+      SocketWorld.Node oldServer = world.nodes.get(0);
+      oldServer.mode = Mode.ERROR;
       world.nodes.set(0, world.new Node("s-0", true));
       world.tell();
       Thread.sleep(200);
       check(
           client.ask(statement("j2", "post", 900)).answer().equals("row:j2"),
           "not on an old connection");
-      old.dies();
+      oldServer.dies();
       check(
           client.ask(statement("j3", "post", 900)).answer().equals("row:j3"),
           "the old one is not missed");
@@ -161,7 +163,7 @@
   }
 
   @Example
-  void aReloadFollowsDiscoveryAndAFaultyFileChangesNothing() throws Exception {
+  void reloadFollowsTheDiscoveryAddressAndIgnoresAnInvalidFile() throws Exception {
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       client.start().answer();
@@ -181,7 +183,7 @@
       check(
           world.calls.get() == 2 && world.asked.contains("since=0 "),
           "the whole list: " + world.asked);
-      check(aborted(client.answer()), "what was open is answered");
+      check(isAborted(client.answer()), "what was open is answered");
       world.nodes.get(0).mode = Mode.ROW;
       world.nodes.get(1).mode = Mode.ERROR;
       client.ask(statement("k3", "view", 900)).answer();
@@ -192,7 +194,7 @@
 
   /** Found on sockets: every spoilt answer began a hold, and spoilt ones were passed on. */
   @Example
-  void aSpoiltAnswerIsNoSignOfALossAndWhatComesBehindAGoodOneIsNeverServed() throws Exception {
+  void malformedResponseStartsNoHoldAndBytesBehindAResponseAreNeverForwarded() throws Exception {
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       client.start().answer();
@@ -202,7 +204,7 @@
       for (Mode mode : List.of(Mode.GARBAGE, Mode.WRONG_LENGTH, Mode.TWICE, Mode.NOISE_BEHIND)) {
         primary.mode = mode;
         String answer = client.ask(statement("l2", "post", 900)).answer();
-        check(mode.completes() ? answer.equals("row:l2") : aborted(answer), mode + ": " + answer);
+        check(mode.completes() ? answer.equals("row:l2") : isAborted(answer), mode + ": " + answer);
         primary.mode = Mode.ROW;
         check(
             client.ask(statement("l3", "post", 900)).answer().equals("row:l3"), "no hold: " + mode);
@@ -211,31 +213,30 @@
   }
 
   @Example
-  void whoSaysNothingOrHalfOfSomethingIsSentAwayAndSoAreTheLongIdleWhereTheyAreMany()
-      throws Exception {
+  void silentOrIncompleteClientsAreClosedAndIdleClientsOnlyWhenManyAreConnected() throws Exception {
     List<Client> many = new ArrayList<>();
     try (SocketWorld world = new SocketWorld();
-        Client used = new Client(world.port);
+        Client active = new Client(world.port);
         Client silent = new Client(world.port);
-        Client mute = new Client(world.port);
-        Client half = new Client(world.port)) {
+        Client withoutQuery = new Client(world.port);
+        Client withPartialQuery = new Client(world.port)) {
       long start = System.nanoTime();
-      used.start().ask("").answer();
-      mute.start().answer();
-      check(half.start().answer().isEmpty(), "the start");
+      active.start().ask("").answer();
+      withoutQuery.start().answer();
+      check(withPartialQuery.start().answer().isEmpty(), "the start");
       SocketWorld.send(
-          half.socket,
+          withPartialQuery.socket,
           io.netty.buffer.Unpooled.buffer().writeByte('Q').writeInt(90).writeByte('/'));
-      check(used.answer().equals("I"), "it serves");
+      check(active.answer().equals("I"), "it serves");
       check(silent.answer().equals("error:08P01:closed"), "no start");
-      check(mute.answer().equals("closed"), "no query");
-      check(half.answer().equals("error:08P01:closed"), "half a query");
+      check(withoutQuery.answer().equals("closed"), "no query");
+      check(withPartialQuery.answer().equals("error:08P01:closed"), "half a query");
       check(System.nanoTime() - start < 3_000_000_000L, "within 3 s");
-      String stays = used.ask(statement("m1", "view", 900)).answer();
+      String firstAnswer = active.ask(statement("m1", "view", 900)).answer();
       check(
-          stays.equals("row:m1"),
+          firstAnswer.equals("row:m1"),
           "few may stay: "
-              + stays
+              + firstAnswer
               + "; descriptors: "
               + new java.io.File("/proc/self/fd").list().length);
       for (int i = 0; i < 20; i++) {
@@ -254,7 +255,7 @@
   }
 
   @Example
-  void badInputCostsItsConnectionAtMost() throws Exception {
+  void invalidInputAffectsOnlyItsOwnConnection() throws Exception {
     try (SocketWorld world = new SocketWorld()) {
       int[][] starts = {
         {8, 80877103},
@@ -265,7 +266,7 @@
         {1 << 30, 196608},
         {5, 0}
       };
-      String[] told = {
+      String[] expected = {
         "N",
         "N",
         "closed",
@@ -279,15 +280,17 @@
           SocketWorld.send(
               client.socket,
               io.netty.buffer.Unpooled.buffer().writeInt(starts[i][0]).writeInt(starts[i][1]));
-          String got = told[i].equals("N") ? "" + (char) client.in.read() : client.answer();
-          check(got.equals(told[i]), "start " + i + " got " + got);
+          String received =
+              expected[i].equals("N") ? "" + (char) client.in.read() : client.answer();
+          check(received.equals(expected[i]), "start " + i + " got " + received);
         }
       }
       try (Client client = new Client(world.port)) {
         client.start().answer();
-        for (String bad : new String[] {"SELECT 1", "/* id=1 */", statement("1", "nowhere", 5)}) {
+        for (String invalid :
+            new String[] {"SELECT 1", "/* id=1 */", statement("1", "nowhere", 5)}) {
           check(
-              client.ask(bad).answer().equals("error:08P01:"),
+              client.ask(invalid).answer().equals("error:08P01:"),
               "an error, and the connection lives");
         }
         SocketWorld.send(
@@ -317,11 +320,11 @@
   }
 
   @Example
-  void aClientThatReadsSlowlyGetsAllItsLargeAnswersInOrder() throws Exception {
+  void slowReaderReceivesAllLargeAnswersInOrder() throws Exception {
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       client.start().answer();
-      world.nodes.forEach(node -> node.mode = Mode.LARGE);
+      world.nodes.forEach(server -> server.mode = Mode.LARGE);
       for (int i = 0; i < 120; i++) {
         client.ask(statement("h" + i, i % 3 == 0 ? "post" : "view", 1_500));
       }
@@ -338,7 +341,7 @@
   }
 
   @Example
-  void whereDescriptorsRunOutTheLongestIdleMakeRoom() throws Exception {
+  void longestIdleClientsAreClosedWhenDescriptorsRunOut() throws Exception {
     List<Client> many = new ArrayList<>();
     try (SocketWorld world = new SocketWorld()) {
       for (int i = 0; i < 150; i++) {
@@ -359,22 +362,24 @@
    * Found on sockets (an incident): a new connection for each statement, all kept by their clients.
    */
   @Example
-  void clientsThatAskOnceAndStayAreClosedAsOthersComeAndNoStatementIsLost() throws Exception {
-    List<Client> once = new ArrayList<>();
+  void clientsIdleAfterOneStatementAreClosedForNewClientsWithoutLosingStatements()
+      throws Exception {
+    List<Client> idleClients = new ArrayList<>();
     try (SocketWorld world = new SocketWorld();
-        Client used = new Client(world.port)) {
-      check(used.start().answer().isEmpty(), "the start");
+        Client active = new Client(world.port)) {
+      check(active.start().answer().isEmpty(), "the start");
       for (int i = 0; i < 90; i++) {
         Client client = new Client(world.port).start().ask(statement("o" + i, "view", 900));
-        once.add(client);
+        idleClients.add(client);
         check(client.answer().isEmpty() && client.answer().equals("row:o" + i), "each is answered");
-        check(used.ask(statement("p" + i, "view", 900)).answer().equals("row:p" + i), "used: kept");
+        check(
+            active.ask(statement("p" + i, "view", 900)).answer().equals("row:p" + i), "used: kept");
       }
       long start = System.nanoTime();
-      check(once.get(20).answer().equals("closed"), "the longest idle");
+      check(idleClients.get(20).answer().equals("closed"), "the longest idle");
       check(System.nanoTime() - start < 200_000_000L, "at once");
     } finally {
-      for (Client client : once) {
+      for (Client client : idleClients) {
         client.close();
       }
     }
@@ -385,13 +390,13 @@
   void connectionsThatSayNothingMakeRoomBeforeThoseThatAsked() throws Exception {
     List<Client> silent = new ArrayList<>();
     try (SocketWorld world = new SocketWorld();
-        Client used = new Client(world.port)) {
-      check(used.start().answer().isEmpty(), "the start");
-      check(used.ask(statement("n1", "view", 900)).answer().equals("row:n1"), "in use");
+        Client active = new Client(world.port)) {
+      check(active.start().answer().isEmpty(), "the start");
+      check(active.ask(statement("n1", "view", 900)).answer().equals("row:n1"), "in use");
       for (int i = 0; i < 300; i++) {
         silent.add(new Client(world.port));
       }
-      check(used.ask(statement("n2", "view", 900)).answer().equals("row:n2"), "still here");
+      check(active.ask(statement("n2", "view", 900)).answer().equals("row:n2"), "still here");
       check(
           silent.get(0).answer().equals("error:53300:250closed"),
           "the oldest that said nothing made room");
@@ -403,27 +408,27 @@
   }
 
   @Example
-  void aDrainingRouterAnswersAllItTookAndStops() throws Exception {
+  void drainingRouterAnswersAcceptedStatementsAndStops() throws Exception {
     SocketWorld world = new SocketWorld();
     try (Client idle = new Client(world.port);
         Client client = new Client(world.port)) {
       idle.start().answer();
       client.start().answer();
-      for (SocketWorld.Node node : world.nodes) {
-        node.mode = Mode.SILENT;
+      for (SocketWorld.Node server : world.nodes) {
+        server.mode = Mode.SILENT;
       }
       client.ask(statement("g1", "post", 1_200));
       Thread.sleep(100);
       world.router.drain();
       Thread.sleep(100);
-      world.nodes.forEach(node -> node.mode = Mode.ROW);
+      world.nodes.forEach(server -> server.mode = Mode.ROW);
       try (Client late = new Client(world.port)) {
         check(late.start().answer().isEmpty(), "new clients are still served for a while");
         String answer = late.ask(statement("g2", "view", 900)).answer();
         check(answer.equals("row:g2"), "in full: " + answer);
       }
       check(idle.answer().equals("closed"), "an idle connection is closed");
-      check(aborted(client.answer()), "what was taken gets its answer");
+      check(isAborted(client.answer()), "what was taken gets its answer");
       long start = System.nanoTime();
       world.router.awaitStop();
       check(System.nanoTime() - start < 2_000_000_000L, "then it stops");
@@ -436,30 +441,30 @@
    * Rules 1 and 2 on sockets: one answer in time each, and no effect twice or behind a rejection.
    */
   @Property(tries = 3, seed = "271", shrinking = ShrinkingMode.OFF)
-  void theRulesHoldOnSockets(@ForAll long seed) throws Exception {
-    SplittableRandom chance = new SplittableRandom(seed);
-    List<String> faults = Collections.synchronizedList(new ArrayList<>());
+  void rulesHoldOnRealSockets(@ForAll long seed) throws Exception {
+    SplittableRandom random = new SplittableRandom(seed);
+    List<String> failures = Collections.synchronizedList(new ArrayList<>());
     try (SocketWorld world = new SocketWorld()) {
       List<Thread> clients = new ArrayList<>();
       for (int c = 0; c < 12; c++) {
-        SplittableRandom own = chance.split();
+        SplittableRandom clientRandom = random.split();
         String name = Integer.toHexString(0xa0 + c);
         clients.add(
             new Thread(
                 () -> {
                   try {
-                    converse(world, own, name);
-                  } catch (Throwable fault) {
-                    faults.add(fault.toString());
+                    runRandomClient(world, clientRandom, name);
+                  } catch (Throwable failure) {
+                    failures.add(failure.toString());
                   }
                 }));
       }
       clients.forEach(Thread::start);
       for (int step = 0; step < 30; step++) {
         Thread.sleep(50);
-        world.nodes.get(chance.nextInt(3)).mode =
-            chance.nextInt(3) > 0 ? Mode.ROW : Mode.values()[chance.nextInt(Mode.values().length)];
-        if (chance.nextInt(10) == 0) {
+        world.nodes.get(random.nextInt(3)).mode =
+            random.nextInt(3) > 0 ? Mode.ROW : Mode.values()[random.nextInt(Mode.values().length)];
+        if (random.nextInt(10) == 0) {
           world.breakWatch();
         }
       }
@@ -467,32 +472,33 @@
         client.join();
       }
     }
-    check(faults.isEmpty(), faults.toString());
+    check(failures.isEmpty(), failures.toString());
   }
 
-  private static void converse(SocketWorld world, SplittableRandom chance, String name)
+  private static void runRandomClient(SocketWorld world, SplittableRandom random, String name)
       throws IOException {
     Client client = new Client(world.port).start();
     client.answer();
     for (int i = 0; i < 25; i++) {
       String id = name + String.format("%04x", i);
-      boolean write = chance.nextInt(3) == 0;
-      int wait = chance.nextInt(20, 700);
+      boolean write = random.nextInt(3) == 0;
+      int timeoutMillis = random.nextInt(20, 700);
       long start = System.nanoTime();
-      client.ask(statement(id, write ? "post" : "view", wait));
-      if (chance.nextInt(12) == 0) {
+      client.ask(statement(id, write ? "post" : "view", timeoutMillis));
+      if (random.nextInt(12) == 0) {
         client.close();
         client = new Client(world.port).start();
         client.answer();
         continue;
       }
       String answer = client.answer();
-      check((System.nanoTime() - start) / 1_000_000 < wait + 400, "rule 1: late");
+      check((System.nanoTime() - start) / 1_000_000 < timeoutMillis + 400, "rule 1: late");
       check(answer.startsWith("row:" + id) || answer.startsWith("error:"), "no answer: " + answer);
-      long maybe =
+      long possibleRuns =
           world.ran.getOrDefault(id, List.of()).stream().filter(m -> !m.provesNotRun()).count();
-      check(!write || maybe <= 1, "rule 2: run twice");
-      check(!write || !rejected(answer) || maybe == 0, "rule 2: rejected what may have run");
+      check(!write || possibleRuns <= 1, "rule 2: run twice");
+      check(
+          !write || !isRejected(answer) || possibleRuns == 0, "rule 2: rejected what may have run");
     }
     client.close();
   }
--- a/router/src/test/java/basaltlever/RulesTest.java
+++ b/router/src/test/java/basaltlever/RulesTest.java
@@ -24,28 +24,28 @@
  */
 class RulesTest {
   @Property(tries = 150, seed = "4711", shrinking = ShrinkingMode.OFF)
-  void theRulesHoldThroughFailures(
+  void rulesHoldDuringRandomFailures(
       @ForAll boolean check,
       @ForAll boolean positions,
       @ForAll boolean tokens,
-      @ForAll boolean asked,
+      @ForAll boolean onRequest,
       @ForAll boolean copies,
       @ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     StandIn world =
-        new StandIn(check, positions, tokens, asked, copies, seed % 2 == 0 ? 2 : 300, seed);
-    world.playWith(chance.split(), 3 + chance.nextInt(3));
+        new StandIn(check, positions, tokens, onRequest, copies, seed % 2 == 0 ? 2 : 300, seed);
+    world.playWith(random.split(), 3 + random.nextInt(3));
     for (int step = 0; step < 800; step++) {
-      world.run(chance.nextInt(1, 20));
-      for (int n = chance.nextInt(3); n > 0; n--) {
+      world.run(random.nextInt(1, 20));
+      for (int n = random.nextInt(3); n > 0; n--) {
         world.take(
-            chance.nextInt(6),
-            chance.nextInt(5),
-            chance.nextInt(3) == 0 ? Moment.LONG_AGO : world.now.minus(ms(chance.nextInt(400))),
-            100 + chance.nextInt(1_500));
+            random.nextInt(6),
+            random.nextInt(5),
+            random.nextInt(3) == 0 ? Moment.LONG_AGO : world.now.minus(ms(random.nextInt(400))),
+            100 + random.nextInt(1_500));
       }
-      if (chance.nextInt(25) == 0) {
-        upset(world, chance);
+      if (random.nextInt(25) == 0) {
+        injectRandomFault(world, random);
       }
     }
     world.run(4_000);
@@ -55,38 +55,41 @@
    * Settings that rename, add and remove workloads while statements of them are open, held and out.
    */
   @Property(tries = 80, seed = "3412", shrinking = ShrinkingMode.OFF)
-  void whatWasTakenEndsByItsOwnTermsThroughSettingsWithOtherWorkloads(
+  void openStatementsRetainTheirWorkloadWhenSettingsChangeTheWorkloads(
       @ForAll boolean check,
       @ForAll boolean positions,
-      @ForAll boolean asked,
+      @ForAll boolean onRequest,
       @ForAll boolean copies,
       @ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    StandIn world = new StandIn(check, positions, true, asked, copies, 2, seed);
-    world.playWith(chance.split(), 3);
-    Workload[] kinds = Arrays.copyOf(world.workloads, 6);
-    List<Integer> named = new ArrayList<>(List.of(0, 1, 2, 3, 4, 5));
+    SplittableRandom random = new SplittableRandom(seed);
+    StandIn world = new StandIn(check, positions, true, onRequest, copies, 2, seed);
+    world.playWith(random.split(), 3);
+    Workload[] initialWorkloads = Arrays.copyOf(world.workloads, 6);
+    List<Integer> usableWorkloads = new ArrayList<>(List.of(0, 1, 2, 3, 4, 5));
     for (int step = 0; step < 800; step++) {
-      world.run(chance.nextInt(1, 20));
-      for (int n = chance.nextInt(3); n > 0; n--) {
+      world.run(random.nextInt(1, 20));
+      for (int n = random.nextInt(3); n > 0; n--) {
         world.take(
-            named.get(chance.nextInt(named.size())),
-            chance.nextInt(5),
-            chance.nextInt(3) == 0 ? Moment.LONG_AGO : world.now.minus(ms(chance.nextInt(400))),
-            100 + chance.nextInt(1_500));
+            usableWorkloads.get(random.nextInt(usableWorkloads.size())),
+            random.nextInt(5),
+            random.nextInt(3) == 0 ? Moment.LONG_AGO : world.now.minus(ms(random.nextInt(400))),
+            100 + random.nextInt(1_500));
       }
-      if (chance.nextInt(25) == 0) {
-        upset(world, chance);
+      if (random.nextInt(25) == 0) {
+        injectRandomFault(world, random);
       }
-      if (chance.nextInt(20) == 0) {
+      if (random.nextInt(20) == 0) {
         Workload[] next =
             Arrays.copyOf(
-                world.workloads, Math.min(14, world.workloads.length + chance.nextInt(2)));
-        named.clear();
-        for (int place = 0; place < next.length; place++) {
-          boolean gone = place > 0 && chance.nextInt(4) == 0;
-          next[place] = gone ? WorkloadSlots.REMOVED : kinds[chance.nextInt(kinds.length)];
-          named.addAll(gone ? List.of() : List.of(place));
+                world.workloads, Math.min(14, world.workloads.length + random.nextInt(2)));
+        usableWorkloads.clear();
+        for (int slot = 0; slot < next.length; slot++) {
+          boolean removed = slot > 0 && random.nextInt(4) == 0;
+          next[slot] =
+              removed
+                  ? WorkloadSlots.REMOVED
+                  : initialWorkloads[random.nextInt(initialWorkloads.length)];
+          usableWorkloads.addAll(removed ? List.of() : List.of(slot));
         }
         world.agree(next);
       }
@@ -94,34 +97,34 @@
     world.run(4_000);
   }
 
-  static void upset(StandIn world, SplittableRandom chance) {
-    int id = chance.nextInt(world.members.size());
-    StandIn.Member member = world.members.get(id);
-    switch (chance.nextInt(7)) {
+  static void injectRandomFault(StandIn world, SplittableRandom random) {
+    int id = random.nextInt(world.members.size());
+    StandIn.Member endpoint = world.members.get(id);
+    switch (random.nextInt(7)) {
       case 0 -> {
-        member.alive = !member.alive;
-        if (member.alive) {
-          member.startedAt = world.now;
-          member.primary = false;
-          member.sends.clear();
+        endpoint.alive = !endpoint.alive;
+        if (endpoint.alive) {
+          endpoint.startedAt = world.now;
+          endpoint.primary = false;
+          endpoint.sends.clear();
         }
       }
-      case 1 -> member.hangs = !member.hangs;
-      case 2 -> member.failing = chance.nextBoolean() ? 0 : 0.7;
+      case 1 -> endpoint.hangs = !endpoint.hangs;
+      case 2 -> endpoint.failing = random.nextBoolean() ? 0 : 0.7;
       case 3, 4 -> {
-        if (member.alive && !member.hangs) {
+        if (endpoint.alive && !endpoint.hangs) {
           world.members.forEach(
               other -> {
                 other.position = other.primary && other.alive ? world.now : other.position;
                 other.primary = false;
               });
-          member.primary = true;
-          member.wasPrimary = true;
-          member.toldReplica = false;
+          endpoint.primary = true;
+          endpoint.wasPrimary = true;
+          endpoint.toldReplica = false;
         }
       }
       case 5 -> {
-        member.listedReady = !member.listedReady;
+        endpoint.listedReady = !endpoint.listedReady;
         world.listAll();
       }
       default -> world.listAll();
@@ -132,36 +135,37 @@
    * Found on kigali-cards at full size: each router's single execution at once toppled a cold node.
    */
   @Property(tries = 10, seed = "1729", shrinking = ShrinkingMode.OFF)
-  void manyUnevenRoutersTogetherPushNoColdNodeOver(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    long[] cold = new long[120];
-    long warm = 0;
+  void unevenRoutersTogetherDoNotOverloadAColdEndpoint(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    long[] coldSends = new long[120];
+    long warmSends = 0;
     for (int router = 0; router < 150; router++) {
-      StandIn world = new StandIn(true, true, true, false, true, 150, chance.nextLong()).steady(20);
-      int every = router % 10 == 0 ? 2 : 20;
-      for (int i = chance.nextInt(every), step = 0; step < 240; step++) {
+      StandIn world = new StandIn(true, true, true, false, true, 150, random.nextLong()).steady(20);
+      int statementInterval = router % 10 == 0 ? 2 : 20;
+      for (int i = random.nextInt(statementInterval), step = 0; step < 240; step++) {
         world.later(50).poll(0, Role.PRIMARY, world.now);
         world.poll(1, Role.REPLICA, world.now);
         world.poll(2, Role.REPLICA, world.now);
         if (step == 120) {
           world.relist(1, EndpointLifecycle.READY, world.now);
         }
-        if ((step + i) % every == 0) {
+        if ((step + i) % statementInterval == 0) {
           world.take(StandIn.ANY);
         }
         if (!world.sent.isEmpty() && world.ended.add(world.last())) {
-          warm += step >= 80 && step < 120 && world.last().node() == 2 ? 1 : 0;
-          cold[Math.max(0, step - 120)] += step >= 120 && world.last().node() == 1 ? 1 : 0;
+          warmSends += step >= 80 && step < 120 && world.last().node() == 2 ? 1 : 0;
+          coldSends[Math.max(0, step - 120)] += step >= 120 && world.last().node() == 1 ? 1 : 0;
           world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
         }
       }
     }
     for (int from = 0; from + 20 <= 60; from++) {
-      long inWindow = Arrays.stream(cold, from, from + 20).sum();
+      long inWindow = Arrays.stream(coldSends, from, from + 20).sum();
       StandIn.check(
-          inWindow <= 2 * 0.2 * warm / 2.0, "cold node got " + inWindow + " of " + warm / 2);
+          inWindow <= 2 * 0.2 * warmSends / 2.0,
+          "cold node got " + inWindow + " of " + warmSends / 2);
     }
-    StandIn.check(Arrays.stream(cold).sum() > 5, "it warms up by what it gets");
+    StandIn.check(Arrays.stream(coldSends).sum() > 5, "it warms up by what it gets");
   }
 
   /**
@@ -169,21 +173,23 @@
    * budget. Without the views they would take it for warm.
    */
   @Property(tries = 6, seed = "1730", shrinking = ShrinkingMode.OFF)
-  void routersThatRestartTogetherPushNoColdNodeOver(@ForAll long seed) {
-    StandIn.check(coldSends(seed, true) <= 1, "with views the cold node was pushed over");
+  void routersRestartedTogetherDoNotOverloadAColdEndpoint(@ForAll long seed) {
     StandIn.check(
-        coldSends(seed, false) > 1, "the case shows nothing: it was safe without views as well");
+        peakColdEndpointLoad(seed, true) <= 1, "with views the cold node was pushed over");
+    StandIn.check(
+        peakColdEndpointLoad(seed, false) > 1,
+        "the case shows nothing: it was safe without views as well");
   }
 
   /** The fullest window of a second on the cold node after the restart, over what topples it. */
-  private static double coldSends(long seed, boolean withViews) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    long[] cold = new long[60];
-    long warm = 0;
+  private static double peakColdEndpointLoad(long seed, boolean withSnapshots) {
+    SplittableRandom random = new SplittableRandom(seed);
+    long[] coldSends = new long[60];
+    long warmSends = 0;
     for (int router = 0; router < 150; router++) {
-      StandIn world = new StandIn(true, true, true, false, true, 150, chance.nextLong()).steady(20);
-      int every = router % 10 == 0 ? 2 : 20;
-      for (int i = chance.nextInt(every), step = 0; step < 160; step++) {
+      StandIn world = new StandIn(true, true, true, false, true, 150, random.nextLong()).steady(20);
+      int statementInterval = router % 10 == 0 ? 2 : 20;
+      for (int i = random.nextInt(statementInterval), step = 0; step < 160; step++) {
         world.later(50).poll(0, Role.PRIMARY, world.now);
         if (step < 80 || step > 105) {
           world.poll(1, Role.REPLICA, world.now);
@@ -200,105 +206,107 @@
         world.poll(2, Role.REPLICA, world.now);
         if (step == 120) {
           StandIn before = world;
-          world = new StandIn(true, true, true, false, true, 150, chance.nextLong());
+          world = new StandIn(true, true, true, false, true, 150, random.nextLong());
           world.now = before.now.plus(StandIn.ms(1_000));
           world.balancer.onListStarted();
-          for (int node = 0; node < 3; node++) {
+          for (int endpoint = 0; endpoint < 3; endpoint++) {
             world.balancer.onEndpointListed(
-                world.now, node, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
-            if (withViews) {
+                world.now, endpoint, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
+            if (withSnapshots) {
               world
                   .balancer
                   .learnedState()
                   .restore(
                       world.now,
-                      node,
+                      endpoint,
                       StateDecay.aged(
-                          before.balancer.learnedState().endpointState(before.now, node),
+                          before.balancer.learnedState().endpointState(before.now, endpoint),
                           StandIn.ms(1_000)));
             }
           }
           world.balancer.onListFinished(world.now, true, true);
-          for (int node = 0; node < 3; node++) {
-            world.poll(node, node == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
+          for (int endpoint = 0; endpoint < 3; endpoint++) {
+            world.poll(endpoint, endpoint == 0 ? Role.PRIMARY : Role.REPLICA, world.now);
           }
         }
-        if ((step + i) % every == 0) {
+        if ((step + i) % statementInterval == 0) {
           world.take(StandIn.ANY);
         }
         if (!world.sent.isEmpty() && world.ended.add(world.last())) {
-          warm += step >= 40 && step < 80 && world.last().node() == 2 ? 1 : 0;
-          cold[Math.max(0, step - 120)] += step >= 120 && world.last().node() == 1 ? 1 : 0;
+          warmSends += step >= 40 && step < 80 && world.last().node() == 2 ? 1 : 0;
+          coldSends[Math.max(0, step - 120)] += step >= 120 && world.last().node() == 1 ? 1 : 0;
           world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
         }
       }
     }
-    double fullest = 0;
+    double peakSends = 0;
     for (int from = 0; from + 20 <= 40; from++) {
-      fullest = Math.max(fullest, (double) Arrays.stream(cold, from, from + 20).sum());
+      peakSends = Math.max(peakSends, (double) Arrays.stream(coldSends, from, from + 20).sum());
     }
-    return fullest / (2 * 0.2 * warm / 2.0);
+    return peakSends / (2 * 0.2 * warmSends / 2.0);
   }
 
   /**
    * Nothing crashes on reports that no sound node gives, and each statement gets its one answer.
    */
   @Property(tries = 100, seed = "815", shrinking = ShrinkingMode.OFF)
-  void nonsenseBreaksNothing(@ForAll boolean check, @ForAll boolean tokens, @ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+  void implausibleReportsCauseNoFailureAndNoMissingAnswer(
+      @ForAll boolean check, @ForAll boolean tokens, @ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
     StandIn world =
-        new StandIn(check, true, tokens, true, true, chance.nextBoolean() ? 2 : 500, seed);
+        new StandIn(check, true, tokens, true, true, random.nextBoolean() ? 2 : 500, seed);
     world.list(seed % 2 == 0 ? 1 : 3).later(60_000).list(3);
-    AttemptOutcome[] endings = AttemptOutcome.values();
-    double[] odd = {Double.NaN, Double.POSITIVE_INFINITY, -3, 0.5, 1e300};
+    AttemptOutcome[] outcomes = AttemptOutcome.values();
+    double[] implausible = {Double.NaN, Double.POSITIVE_INFINITY, -3, 0.5, 1e300};
     for (int step = 0; step < 600; step++) {
-      world.later(chance.nextInt(10));
+      world.later(random.nextInt(10));
       world.timeOutWhoseClientLeft();
-      if (chance.nextInt(20) == 0) {
+      if (random.nextInt(20) == 0) {
         world.balancer.onListRequestFailed(world.now);
       }
-      Moment when =
-          chance.nextInt(9) == 0
-              ? new Moment(chance.nextLong() / 8)
-              : world.now.plus(ms(chance.nextInt(2_000) - 1_500));
-      switch (chance.nextInt(4)) {
-        case 0 -> world.take(chance.nextInt(6), chance.nextInt(3), world.now.minus(ms(50)), 400);
+      Moment time =
+          random.nextInt(9) == 0
+              ? new Moment(random.nextLong() / 8)
+              : world.now.plus(ms(random.nextInt(2_000) - 1_500));
+      switch (random.nextInt(4)) {
+        case 0 -> world.take(random.nextInt(6), random.nextInt(3), world.now.minus(ms(50)), 400);
         case 1 ->
             world.balancer.onPollEnded(
                 world.now,
-                chance.nextInt(3),
-                endings[chance.nextInt(endings.length)],
-                Role.values()[chance.nextInt(3)],
-                when,
-                odd[chance.nextInt(odd.length)],
+                random.nextInt(3),
+                outcomes[random.nextInt(outcomes.length)],
+                Role.values()[random.nextInt(3)],
+                time,
+                implausible[random.nextInt(implausible.length)],
                 Double.NaN);
         case 2 -> {
           if (!world.sent.isEmpty()) {
-            int back = Math.min(world.sent.size(), 1 + chance.nextInt(4));
-            StandIn.Sent old = world.sent.get(world.sent.size() - back);
+            int stepsBack = Math.min(world.sent.size(), 1 + random.nextInt(4));
+            StandIn.Sent earlier = world.sent.get(world.sent.size() - stepsBack);
             // Some of these ended before: a second outcome must be passed over.
-            StandIn.check(old.execution() < world.fates.get(old.statement()).executions, "unknown");
-            if (!world.ended.add(old)) {
+            StandIn.check(
+                earlier.execution() < world.fates.get(earlier.statement()).executions, "unknown");
+            if (!world.ended.add(earlier)) {
               StandIn.check(
                   !world.balancer.onAttemptEnded(
                       world.now,
-                      old.statement(),
-                      old.execution(),
+                      earlier.statement(),
+                      earlier.execution(),
                       AttemptOutcome.MISS,
                       Role.REPLICA,
-                      when,
+                      time,
                       false),
                   "an outcome counted twice");
             } else {
               world.end(
-                  old,
-                  endings[chance.nextInt(endings.length)],
-                  Role.values()[chance.nextInt(3)],
-                  when);
+                  earlier,
+                  outcomes[random.nextInt(outcomes.length)],
+                  Role.values()[random.nextInt(3)],
+                  time);
             }
           }
         }
-        default -> world.balancer.onClientDisconnected(world.now, world.leave(chance));
+        default -> world.balancer.onClientDisconnected(world.now, world.leave(random));
       }
     }
     for (int i = 0; i < 100; i++) {
--- a/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
+++ b/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
@@ -28,7 +28,7 @@
     NONE,
     NO_SYNC,
     RENAME_FIRST,
-    NO_FOLDER_SYNC,
+    NO_DIRECTORY_SYNC,
     NO_CHECKSUM
   }
 
@@ -40,9 +40,9 @@
    * What is written is in the cache; power cuts after a number of steps, and of each unsynced file
    * any sectors have reached the disk, and of the names' unsynced changes any part, in any order.
    */
-  private static final class Cut implements DirectoryOperations {
+  private static final class SimulatedDisk implements DirectoryOperations {
     private static final int SECTOR = 64;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Bug bug;
     private final Map<Integer, byte[]> cached = new HashMap<>();
     private final Map<Integer, byte[]> durable = new HashMap<>();
@@ -50,25 +50,25 @@
     private final Map<String, Integer> durableNames = new TreeMap<>();
     private final List<Runnable> pending = new ArrayList<>();
     private int inodes;
-    private long left = Long.MAX_VALUE;
+    private long stepsUntilPowerCut = Long.MAX_VALUE;
     private long steps;
 
-    Cut(SplittableRandom chance, Bug bug) {
-      this.chance = chance;
+    SimulatedDisk(SplittableRandom random, Bug bug) {
+      this.random = random;
       this.bug = bug;
     }
 
-    private void step() throws PowerCut {
+    private void countStep() throws PowerCut {
       steps++;
-      if (left-- <= 0) {
+      if (stepsUntilPowerCut-- <= 0) {
         throw new PowerCut();
       }
     }
 
     /** The power comes back: what is there now is all there is. */
-    void restarts() {
+    void restorePower() {
       for (Runnable change : pending) {
-        if (chance.nextBoolean()) {
+        if (random.nextBoolean()) {
           change.run();
         }
       }
@@ -79,12 +79,12 @@
             byte[] now =
                 Arrays.copyOf(
                     old,
-                    chance.nextBoolean()
+                    random.nextBoolean()
                         ? bytes.length
                         : Math.max(
-                            old.length, bytes.length == 0 ? 0 : chance.nextInt(bytes.length)));
+                            old.length, bytes.length == 0 ? 0 : random.nextInt(bytes.length)));
             for (int at = 0; at < Math.min(bytes.length, now.length); at += SECTOR) {
-              if (chance.nextBoolean()) {
+              if (random.nextBoolean()) {
                 System.arraycopy(
                     bytes, at, now, at, Math.min(SECTOR, Math.min(bytes.length, now.length) - at));
               }
@@ -94,49 +94,49 @@
       cached.clear();
       names.clear();
       names.putAll(durableNames);
-      left = Long.MAX_VALUE;
+      stepsUntilPowerCut = Long.MAX_VALUE;
     }
 
     /** One bit of the newest file. */
-    void flips() throws IOException {
+    void flipBitOfNewestFile() throws IOException {
       List<String> all = SnapshotStore.names(this);
       if (!all.isEmpty()) {
-        byte[] bytes = bytes(names.get(all.get(0)));
+        byte[] bytes = content(names.get(all.get(0)));
         if (bytes.length == 0) {
           return;
         }
-        int place = chance.nextInt(bytes.length);
-        bytes[place] = (byte) (bytes[place] ^ 1 << chance.nextInt(8));
+        int index = random.nextInt(bytes.length);
+        bytes[index] = (byte) (bytes[index] ^ 1 << random.nextInt(8));
       }
     }
 
-    private byte[] bytes(int inode) {
+    private byte[] content(int inode) {
       return cached.getOrDefault(inode, durable.getOrDefault(inode, new byte[0]));
     }
 
     @Override
     public List<String> list() throws IOException {
-      step();
+      countStep();
       return List.copyOf(names.keySet());
     }
 
     @Override
     public byte[] read(String name, int most) throws IOException {
-      step();
-      byte[] bytes = bytes(names.get(name)).clone();
-      return bug == Bug.NO_CHECKSUM ? Resum.over(bytes) : bytes;
+      countStep();
+      byte[] bytes = content(names.get(name)).clone();
+      return bug == Bug.NO_CHECKSUM ? Checksums.recompute(bytes) : bytes;
     }
 
     @Override
     public void write(String name, byte[] bytes) throws IOException {
-      step();
+      countStep();
       int inode = names.computeIfAbsent(name, n -> ++inodes);
       pending.add(() -> durableNames.put(name, inode));
       // Each byte is a step of its own.
-      int length = (int) Math.min(bytes.length, left);
+      int length = (int) Math.min(bytes.length, stepsUntilPowerCut);
       cached.put(inode, Arrays.copyOf(bytes, length));
       steps += length;
-      left -= length;
+      stepsUntilPowerCut -= length;
       if (length < bytes.length) {
         throw new PowerCut();
       }
@@ -144,16 +144,16 @@
 
     @Override
     public void sync(String name) throws IOException {
-      step();
+      countStep();
       if (bug != Bug.NO_SYNC) {
-        durable.put(names.get(name), bytes(names.get(name)));
+        durable.put(names.get(name), content(names.get(name)));
         cached.remove(names.get(name));
       }
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-      step();
+      countStep();
       int inode = names.remove(from);
       names.put(to, inode);
       pending.add(
@@ -165,15 +165,15 @@
 
     @Override
     public void delete(String name) throws IOException {
-      step();
+      countStep();
       names.remove(name);
       pending.add(() -> durableNames.remove(name));
     }
 
     @Override
     public void syncDirectory() throws IOException {
-      step();
-      if (bug != Bug.NO_FOLDER_SYNC) {
+      countStep();
+      if (bug != Bug.NO_DIRECTORY_SYNC) {
         pending.forEach(Runnable::run);
         pending.clear();
       }
@@ -181,17 +181,18 @@
   }
 
   /** Stores with one order of steps turned round. */
-  private static void store(DirectoryOperations disk, LearnedState view, Bug bug)
+  private static void storeWithBug(DirectoryOperations disk, LearnedState snapshot, Bug bug)
       throws IOException {
     if (bug == Bug.RENAME_FIRST) {
-      disk.write(SnapshotStore.fileName(view.sequence()), SnapshotCodec.write(view, 1 << 20));
+      disk.write(
+          SnapshotStore.fileName(snapshot.sequence()), SnapshotCodec.write(snapshot, 1 << 20));
       for (String old : SnapshotStore.names(disk).subList(1, SnapshotStore.names(disk).size())) {
         disk.delete(old);
       }
-      disk.sync(SnapshotStore.fileName(view.sequence()));
+      disk.sync(SnapshotStore.fileName(snapshot.sequence()));
       disk.syncDirectory();
     } else {
-      new SnapshotStore(disk).store(view, 1 << 20);
+      new SnapshotStore(disk).store(snapshot, 1 << 20);
     }
   }
 
@@ -199,79 +200,82 @@
    * How many of the cuts left something else than a whole view, or one older than the last that was
    * kept.
    */
-  private static int broken(Bug bug, int cuts) throws IOException {
-    int broken = 0;
+  private static int countFailedRecoveries(Bug bug, int cuts) throws IOException {
+    int failures = 0;
     SplittableRandom seeds = new SplittableRandom(20261201);
-    Cut measured = new Cut(seeds.split(), Bug.NONE);
-    store(measured, KeptViews.view(1, 3), Bug.NONE);
+    SimulatedDisk measured = new SimulatedDisk(seeds.split(), Bug.NONE);
+    storeWithBug(measured, KeptViews.view(1, 3), Bug.NONE);
     long steps = measured.steps;
     for (int i = 0; i < cuts; i++) {
-      Cut disk = new Cut(seeds.split(), bug);
-      long kept = 0;
+      SimulatedDisk disk = new SimulatedDisk(seeds.split(), bug);
+      long durableSequence = 0;
       // Each byte and each operation of one of four writes, in turn; between them the power may
       // have
       // gone too.
-      int whole = i % 4;
-      for (long number = 1; number <= whole; number++) {
-        store(disk, KeptViews.view(number, 3), bug);
-        kept = number;
+      int completeWrites = i % 4;
+      for (long number = 1; number <= completeWrites; number++) {
+        storeWithBug(disk, KeptViews.view(number, 3), bug);
+        durableSequence = number;
       }
-      disk.left = i / 4 * 7_919L % (steps + 4);
+      disk.stepsUntilPowerCut = i / 4 * 7_919L % (steps + 4);
       try {
-        store(disk, KeptViews.view(whole + 1, 3), bug);
-        kept = whole + 1L;
+        storeWithBug(disk, KeptViews.view(completeWrites + 1, 3), bug);
+        durableSequence = completeWrites + 1L;
       } catch (PowerCut cut) {
         // As planned.
       }
-      disk.restarts();
+      disk.restorePower();
       if (i % 8 >= 6) {
-        disk.flips();
-        kept--;
+        disk.flipBitOfNewestFile();
+        durableSequence--;
       }
       SnapshotStore.Found found = new SnapshotStore(disk).newest();
-      boolean sound =
+      boolean recovered =
           found.state() == null
-              ? kept <= 0
+              ? durableSequence <= 0
               : found.state().equals(KeptViews.view(found.state().sequence(), 3))
-                  && found.state().sequence() >= kept;
+                  && found.state().sequence() >= durableSequence;
       // And the next one must be found again, whatever the cut left behind.
       LearnedState next = KeptViews.view(found.highestSequence() + 1, 3);
-      store(disk, next, bug);
-      sound &= next.equals(new SnapshotStore(disk).newest().state());
-      broken += sound ? 0 : 1;
+      storeWithBug(disk, next, bug);
+      recovered &= next.equals(new SnapshotStore(disk).newest().state());
+      failures += recovered ? 0 : 1;
     }
-    return broken;
+    return failures;
   }
 
   @Example
-  void noPowerCutLeavesACorruptOrAnOlderView() throws IOException {
-    check(broken(Bug.NONE, 16_000) == 0, "a cut was not survived");
+  void powerCutNeverLeavesACorruptOrOutdatedSnapshot() throws IOException {
+    check(countFailedRecoveries(Bug.NONE, 16_000) == 0, "a cut was not survived");
   }
 
   @Example
-  void thePlantedBugsAreCaught() throws IOException {
-    for (Bug bug : new Bug[] {Bug.NO_SYNC, Bug.RENAME_FIRST, Bug.NO_FOLDER_SYNC, Bug.NO_CHECKSUM}) {
-      check(broken(bug, 3_000) > 0, bug + " was not caught");
+  void eachPlantedBugIsDetected() throws IOException {
+    for (Bug bug :
+        new Bug[] {Bug.NO_SYNC, Bug.RENAME_FIRST, Bug.NO_DIRECTORY_SYNC, Bug.NO_CHECKSUM}) {
+      check(countFailedRecoveries(bug, 3_000) > 0, bug + " was not caught");
     }
   }
 
   @Example
-  void whatIsWrittenIsReadAndLittleIsLeftOutFirst() throws InvalidSnapshotException {
-    LearnedState view = KeptViews.view(7, 500);
-    byte[] whole = SnapshotCodec.write(view, 1 << 20);
+  void encodedSnapshotIsReadBackAndUnremarkableEndpointsAreOmittedFirst()
+      throws InvalidSnapshotException {
+    LearnedState snapshot = KeptViews.view(7, 500);
+    byte[] complete = SnapshotCodec.write(snapshot, 1 << 20);
     check(
-        SnapshotCodec.read(whole).groups().equals(view.groups())
-            && SnapshotCodec.read(whole).endpoints().containsAll(view.endpoints()),
+        SnapshotCodec.read(complete).groups().equals(snapshot.groups())
+            && SnapshotCodec.read(complete).endpoints().containsAll(snapshot.endpoints()),
         "all of it");
-    byte[] cut = SnapshotCodec.write(view, 32 << 10);
-    List<KnownEndpoint> kept = SnapshotCodec.read(cut).endpoints();
+    byte[] truncated = SnapshotCodec.write(snapshot, 32 << 10);
+    List<KnownEndpoint> endpoints = SnapshotCodec.read(truncated).endpoints();
     check(
-        cut.length <= 32 << 10 && kept.size() > 50 && kept.size() < 500, "bounded: " + kept.size());
+        truncated.length <= 32 << 10 && endpoints.size() > 50 && endpoints.size() < 500,
+        "bounded: " + endpoints.size());
     check(
-        kept.stream().noneMatch(known -> known.state().isUnremarkable())
-            || view.endpoints().stream()
-                .filter(known -> !known.state().isUnremarkable())
-                .allMatch(kept::contains),
+        endpoints.stream().noneMatch(endpoint -> endpoint.state().isUnremarkable())
+            || snapshot.endpoints().stream()
+                .filter(endpoint -> !endpoint.state().isUnremarkable())
+                .allMatch(endpoints::contains),
         "what says little goes first");
   }
 
@@ -280,8 +284,8 @@
    * format is refused.
    */
   @Example
-  void olderAndNewerVersionsReadEachOther() throws Exception {
-    byte[] sound = SnapshotCodec.write(KeptViews.view(3, 1), 1 << 20);
+  void unknownFieldsAreSkippedMissingFieldsDefaultAndOtherFormatsAreRejected() throws Exception {
+    byte[] valid = SnapshotCodec.write(KeptViews.view(3, 1), 1 << 20);
     java.io.ByteArrayOutputStream record = new java.io.ByteArrayOutputStream();
     try (var out =
         new com.fasterxml.jackson.dataformat.cbor.CBORFactory().createGenerator(record)) {
@@ -296,39 +300,40 @@
     }
     // In the place of the second record, the first node's, so that the count in the head still
     // fits.
-    java.nio.ByteBuffer in = java.nio.ByteBuffer.wrap(sound);
+    java.nio.ByteBuffer in = java.nio.ByteBuffer.wrap(valid);
     int second = 16 + in.getInt(8);
     int third = second + 8 + in.getInt(second);
-    java.nio.ByteBuffer made =
-        java.nio.ByteBuffer.allocate(sound.length - (third - second) + 8 + record.size());
-    made.put(sound, 0, second)
+    java.nio.ByteBuffer modified =
+        java.nio.ByteBuffer.allocate(valid.length - (third - second) + 8 + record.size());
+    modified
+        .put(valid, 0, second)
         .putInt(record.size())
         .putInt(0)
         .put(record.toByteArray())
-        .put(sound, third, sound.length - third);
-    LearnedState read = SnapshotCodec.read(Resum.over(made.array()));
+        .put(valid, third, valid.length - third);
+    LearnedState read = SnapshotCodec.read(Checksums.recompute(modified.array()));
     check(read.endpoints().size() == 1 && read.groups().size() == 2, "as many records");
-    EndpointState node = read.endpoints().get(0).state();
+    EndpointState endpoint = read.endpoints().get(0).state();
     check(
         read.endpoints().get(0).id().equals("later")
-            && !node.unresponsive()
-            && !node.isDown()
-            && node.failureRate() == 0
-            && node.capacity() > 1e9
-            && node.sinceStart().equals(EndpointState.NEVER),
+            && !endpoint.unresponsive()
+            && !endpoint.isDown()
+            && endpoint.failureRate() == 0
+            && endpoint.capacity() > 1e9
+            && endpoint.sinceStart().equals(EndpointState.NEVER),
         "nothing of it makes for more care");
-    made.putInt(4, 2);
+    modified.putInt(4, 2);
     check(
-        fault(made.array()).equals("byte 4: format 2, where this program reads 1"),
-        fault(made.array()));
+        errorMessage(modified.array()).equals("byte 4: format 2, where this program reads 1"),
+        errorMessage(modified.array()));
   }
 
-  private static String fault(byte[] bytes) {
+  private static String errorMessage(byte[] bytes) {
     try {
       SnapshotCodec.read(bytes);
       return "";
-    } catch (InvalidSnapshotException fault) {
-      return fault.getMessage();
+    } catch (InvalidSnapshotException exception) {
+      return exception.getMessage();
     }
   }
 
@@ -337,37 +342,37 @@
    * by construction.
    */
   @Example
-  void aMillionMutatedFilesAreEachReadOrRefused() throws InvalidSnapshotException {
-    SplittableRandom chance = new SplittableRandom(815);
-    byte[] sound = SnapshotCodec.write(KeptViews.view(3, 1), 1 << 20);
+  void eachOfAMillionMutatedFilesIsReadOrRejected() throws InvalidSnapshotException {
+    SplittableRandom random = new SplittableRandom(815);
+    byte[] valid = SnapshotCodec.write(KeptViews.view(3, 1), 1 << 20);
     byte[] other = SnapshotCodec.write(KeptViews.view(4, 1), 1 << 20);
-    int refused = 0;
+    int rejected = 0;
     for (int i = 0; i < 1_000_000; i++) {
       byte[] bytes =
-          i % 2 == 0 ? sound.clone() : Arrays.copyOf(sound, chance.nextInt(sound.length + 40));
-      for (int n = chance.nextInt(4); n >= 0 && bytes.length > 0; n--) {
-        int at = chance.nextInt(bytes.length);
+          i % 2 == 0 ? valid.clone() : Arrays.copyOf(valid, random.nextInt(valid.length + 40));
+      for (int n = random.nextInt(4); n >= 0 && bytes.length > 0; n--) {
+        int at = random.nextInt(bytes.length);
         bytes[at] =
-            chance.nextInt(3) == 0 && at < other.length ? other[at] : (byte) chance.nextInt();
+            random.nextInt(3) == 0 && at < other.length ? other[at] : (byte) random.nextInt();
       }
-      if (Arrays.equals(bytes, sound)) {
+      if (Arrays.equals(bytes, valid)) {
         continue;
       }
       // The reader behind the sums sees the same: these are laid anew over whatever is there.
-      byte[] summed = i % 4 < 2 ? bytes : Resum.over(bytes);
-      String told = fault(summed);
-      check(i % 4 >= 2 || !told.isEmpty(), "taken though mutated");
+      byte[] mutated = i % 4 < 2 ? bytes : Checksums.recompute(bytes);
+      String message = errorMessage(mutated);
+      check(i % 4 >= 2 || !message.isEmpty(), "taken though mutated");
       check(
-          told.isEmpty() || told.startsWith("byte ") || told.startsWith("it ends"),
-          "no place: " + told);
-      refused += told.isEmpty() ? 0 : 1;
+          message.isEmpty() || message.startsWith("byte ") || message.startsWith("it ends"),
+          "no place: " + message);
+      rejected += message.isEmpty() ? 0 : 1;
     }
-    check(refused > 700_000, "few were refused: " + refused);
+    check(rejected > 700_000, "few were refused: " + rejected);
   }
 
   /** Lays a mutated file's sums anew, so that what stands behind them is put to the test. */
-  private static final class Resum {
-    static byte[] over(byte[] bytes) {
+  private static final class Checksums {
+    static byte[] recompute(byte[] bytes) {
       if (bytes.length < 60) {
         return bytes;
       }
--- a/router/src/test/java/basaltlever/SnapshotWriterTest.java
+++ b/router/src/test/java/basaltlever/SnapshotWriterTest.java
@@ -30,8 +30,8 @@
 
 /** A folder of the file system, with its keeper and with a whole router. */
 class SnapshotWriterTest {
-  private static LearnedState view(long writtenAt) {
-    LearnedState view = KeptViews.view(1, 4);
+  private static LearnedState snapshot(long writtenAt) {
+    LearnedState example = KeptViews.view(1, 4);
     return new LearnedState(
         "fleet",
         "n3",
@@ -40,16 +40,16 @@
         SystemClocks.monotonicMicros(),
         SystemClocks.bootId(),
         41,
-        view.endpoints(),
-        view.groups());
+        example.endpoints(),
+        example.groups());
   }
 
-  private static SnapshotWriter keeper(Path folder, SnapshotWriter.Source source) {
+  private static SnapshotWriter createWriter(Path folder, SnapshotWriter.Source source) {
     return new SnapshotWriter(
         folder, "fleet", "n3", ms(100), 1 << 20, new SplittableRandom(3), source);
   }
 
-  private static void clear(Path folder) throws IOException {
+  private static void deleteRecursively(Path folder) throws IOException {
     if (Files.exists(folder)) {
       try (Stream<Path> files = Files.walk(folder)) {
         for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
@@ -63,65 +63,65 @@
     return new SnapshotStore(new LockedDirectory(folder)).newest().state();
   }
 
-  private interface Truth {
-    boolean holds() throws Exception;
+  private interface Condition {
+    boolean isMet() throws Exception;
   }
 
-  private static void await(String what, Truth truth) throws Exception {
-    for (int i = 0; i < 300 && !truth.holds(); i++) {
+  private static void awaitCondition(String expectation, Condition condition) throws Exception {
+    for (int i = 0; i < 300 && !condition.isMet(); i++) {
       Thread.sleep(20);
     }
-    check(truth.holds(), what);
+    check(condition.isMet(), expectation);
   }
 
   @Example
-  void aViewComesBackAndOnlyTwoGenerationsStay() throws Exception {
+  void snapshotIsRestoredAndOnlyTwoGenerationsRemain() throws Exception {
     Path folder = Files.createTempDirectory("view");
     try {
-      AtomicInteger asked = new AtomicInteger();
+      AtomicInteger snapshotRequests = new AtomicInteger();
       SnapshotWriter snapshotWriter =
-          keeper(
+          createWriter(
               folder,
               () -> {
-                asked.incrementAndGet();
-                return view(SystemClocks.unixMicros());
+                snapshotRequests.incrementAndGet();
+                return snapshot(SystemClocks.unixMicros());
               });
       check(snapshotWriter.awaitRestore() == StateRestore.NOTHING, "none at first");
       snapshotWriter.startWriting();
-      await("it writes each period", () -> asked.get() > 4);
-      SnapshotWriter second = keeper(folder, () -> view(SystemClocks.unixMicros()));
-      check(second.awaitRestore() == StateRestore.NOTHING, "held by another: left alone");
-      second.close(view(SystemClocks.unixMicros()));
-      second.awaitClosed();
-      snapshotWriter.close(view(SystemClocks.unixMicros()));
+      awaitCondition("it writes each period", () -> snapshotRequests.get() > 4);
+      SnapshotWriter competing = createWriter(folder, () -> snapshot(SystemClocks.unixMicros()));
+      check(competing.awaitRestore() == StateRestore.NOTHING, "held by another: left alone");
+      competing.close(snapshot(SystemClocks.unixMicros()));
+      competing.awaitClosed();
+      snapshotWriter.close(snapshot(SystemClocks.unixMicros()));
       snapshotWriter.awaitClosed();
       check(SnapshotStore.names(new LockedDirectory(folder)).size() == 2, "two generations");
-      SnapshotWriter next = keeper(folder, () -> null);
+      SnapshotWriter next = createWriter(folder, () -> null);
       StateRestore restore = next.awaitRestore();
       check(restore.rejection().isEmpty() && restore.pendingCount() == 4, "recalled");
       next.close(null);
       next.awaitClosed();
     } finally {
-      clear(folder);
+      deleteRecursively(folder);
     }
   }
 
   @Example
-  void aFaultyFolderCostsNothingAndIsTakenAgainWhenItIsBack() throws Exception {
+  void writerResumesWhenAMissingDirectoryReturns() throws Exception {
     Path folder = Files.createTempDirectory("view").resolve("mount");
-    SnapshotWriter snapshotWriter = keeper(folder, () -> view(SystemClocks.unixMicros()));
+    SnapshotWriter snapshotWriter = createWriter(folder, () -> snapshot(SystemClocks.unixMicros()));
     check(snapshotWriter.awaitRestore() == StateRestore.NOTHING, "no folder, no view");
     snapshotWriter.startWriting();
     Thread.sleep(300);
     Files.createDirectory(folder);
-    await("kept once it is there", () -> newest(folder) != null);
-    clear(folder);
+    awaitCondition("kept once it is there", () -> newest(folder) != null);
+    deleteRecursively(folder);
     Thread.sleep(300);
     Files.writeString(folder, "no folder");
     Thread.sleep(300);
     Files.delete(folder);
     Files.createDirectory(folder);
-    await("kept again", () -> newest(folder) != null);
+    awaitCondition("kept again", () -> newest(folder) != null);
     byte[] bytes =
         Files.readAllBytes(folder.resolve(SnapshotStore.names(new LockedDirectory(folder)).get(0)));
     snapshotWriter.close(null);
@@ -130,21 +130,21 @@
     Files.write(folder.resolve(SnapshotStore.fileName(900)), bytes);
     Files.write(folder.resolve("view-ffffffffffffffff.blv"), bytes);
     Files.createDirectory(folder.resolve(SnapshotStore.fileName(901)));
-    SnapshotWriter next = keeper(folder, () -> null);
+    SnapshotWriter next = createWriter(folder, () -> null);
     check(
         next.awaitRestore().pendingCount() == 4,
         "past a broken one and a folder to the newest that is whole");
-    next.close(view(SystemClocks.unixMicros()));
+    next.close(snapshot(SystemClocks.unixMicros()));
     next.awaitClosed();
     check(newest(folder).sequence() == 902, "numbers go on");
-    clear(folder.getParent());
+    deleteRecursively(folder.getParent());
   }
 
   @Example
-  void aStuckSourceOrDiskHoldsUpNeitherStartNorEnd() throws Exception {
+  void blockedSourceDelaysNeitherStartNorClose() throws Exception {
     Path folder = Files.createTempDirectory("view");
     SnapshotWriter snapshotWriter =
-        keeper(
+        createWriter(
             folder,
             () -> {
               Thread.sleep(60_000);
@@ -154,14 +154,14 @@
     snapshotWriter.startWriting();
     Thread.sleep(200);
     long start = System.nanoTime();
-    snapshotWriter.close(view(SystemClocks.unixMicros()));
+    snapshotWriter.close(snapshot(SystemClocks.unixMicros()));
     snapshotWriter.awaitClosed();
     check(System.nanoTime() - start < 1_500_000_000L, "bounded");
-    clear(folder);
+    deleteRecursively(folder);
   }
 
   @Example
-  void aReloadSwapsTheFolderAndAFaultyFileChangesNothing() throws Exception {
+  void reloadChangesTheDirectoryAndIgnoresAnInvalidFile() throws Exception {
     Path folder = Files.createTempDirectory("view");
     Path a = Files.createDirectory(folder.resolve("a"));
     Path b = Files.createDirectory(folder.resolve("b"));
@@ -170,77 +170,83 @@
             folder.resolve("operator.ini"), "[state]\nfolder = " + a + "\nperiod_ms = 100\n");
     try (SocketWorld world = new SocketWorld(false)) {
       world.router.start(world.file, OperatorFile.read(ini));
-      await("kept in a", () -> newest(a) != null);
+      awaitCondition("kept in a", () -> newest(a) != null);
       Files.writeString(ini, "[state]\nfolder = " + b + "\nperiod_ms = 1\n");
       world.router.reload();
       long before = newest(a).sequence();
-      await("still in a", () -> newest(a).sequence() > before);
+      awaitCondition("still in a", () -> newest(a).sequence() > before);
       check(newest(b) == null, "not yet in b");
       Files.writeString(ini, "[state]\nfolder = " + b + "\nperiod_ms = 100\n");
       world.router.reload();
-      await("now in b", () -> newest(b) != null);
+      awaitCondition("now in b", () -> newest(b) != null);
       long last = newest(a).sequence();
       Thread.sleep(300);
       check(newest(a).sequence() == last && new LockedDirectory(a).tryLock(), "a is let go");
     } finally {
-      clear(folder);
+      deleteRecursively(folder);
     }
   }
 
   /** The list has 20 of 2,000: they are known again, and the rest is not kept for anybody. */
   @Example
-  void aViewOfThousandsServesAShortListAndIsGone() {
-    LearnedState view = KeptViews.view(9, 2_000);
+  void shortListRestoresOnlyItsEndpointsFromALargeSnapshot() {
+    LearnedState snapshot = KeptViews.view(9, 2_000);
     StateRestore restore =
         StateRestore.of(
-            view, "fleet", "n3", view.writtenAtMicros() + 9, view.monotonicMicros() + 9, "boot");
+            snapshot,
+            "fleet",
+            "n3",
+            snapshot.writtenAtMicros() + 9,
+            snapshot.monotonicMicros() + 9,
+            "boot");
     basaltlever.core.StatementRouter<String> core = SocketWorld.core();
-    EndpointList list = new EndpointList(core, List.of(), (node, address) -> {});
-    list.restoreFrom(restore, node -> {});
-    StringBuilder members = new StringBuilder();
-    for (KnownEndpoint known : view.endpoints().subList(0, 20)) {
-      members
-          .append(members.isEmpty() ? "" : ",")
+    EndpointList list = new EndpointList(core, List.of(), (endpoint, address) -> {});
+    list.restoreFrom(restore, endpoint -> {});
+    StringBuilder instances = new StringBuilder();
+    for (KnownEndpoint endpoint : snapshot.endpoints().subList(0, 20)) {
+      instances
+          .append(instances.isEmpty() ? "" : ",")
           .append(
               "{\"instanceId\":\""
-                  + known.id()
+                  + endpoint.id()
                   + "\",\"hostPort\":\""
-                  + known.address()
+                  + endpoint.address()
                   + "\",\"lifecycle\":\"in_service\",\"startedAtMs\":"
-                  + known.state().listedStartMicros() / 1_000
+                  + endpoint.state().listedStartMicros() / 1_000
                   + "}");
     }
     try {
       list.takeUpdate(
-          new Moment(view.writtenAtMicros()),
+          new Moment(snapshot.writtenAtMicros()),
           EndpointList.parse(
-              "{\"generation\":50,\"reset\":true," + "\"instances\":[" + members + "]}"),
+              "{\"generation\":50,\"reset\":true," + "\"instances\":[" + instances + "]}"),
           true);
-    } catch (basaltlever.discovery.InvalidEndpointListException fault) {
-      throw new AssertionError(fault);
+    } catch (basaltlever.discovery.InvalidEndpointListException exception) {
+      throw new AssertionError(exception);
     }
     check(core.endpointCount() == 20, "no node but the listed");
     check(restore.pendingCount() == 1_980, "and those were known again");
   }
 
-  private static long broken(SocketWorld world) {
+  private static long countBrokenStatements(SocketWorld world) {
     return world.ran.values().stream().flatMap(List::stream).filter(Mode.BREAKS::equals).count();
   }
 
   /** The nodes' own record of what reached them judges, not the router. */
   @Example
-  void aRouterThatComesBackSparesTheNodeThatWasFailing() throws Exception {
+  void restartedRouterAvoidsTheEndpointThatWasFailing() throws Exception {
     Path folder = Files.createTempDirectory("view");
     try {
       int[] reached = new int[2];
-      for (int with = 0; with < 2; with++) {
+      for (int withSnapshot = 0; withSnapshot < 2; withSnapshot++) {
         try (SocketWorld world = new SocketWorld(false)) {
           world.nodes.get(1).mode = Mode.BREAKS;
-          String ini = with == 0 ? "" : "[state]\nfolder = " + folder + "\nperiod_ms = 200\n";
-          for (int life = 0; life < 2; life++) {
-            basaltlever.net.Router router = life == 0 ? world.router : new basaltlever.net.Router();
-            router.start(world.file, OperatorTest.file(ini));
-            long before = broken(world);
+          String ini =
+              withSnapshot == 0 ? "" : "[state]\nfolder = " + folder + "\nperiod_ms = 200\n";
+          for (int run = 0; run < 2; run++) {
+            basaltlever.net.Router router = run == 0 ? world.router : new basaltlever.net.Router();
+            router.start(world.file, OperatorTest.readOperatorFile(ini));
+            long before = countBrokenStatements(world);
             // At once, so that each replica gets some, and no more than one of them has room for.
             List<Client> clients = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
@@ -248,13 +254,13 @@
               clients.get(i).answer();
             }
             for (int i = 0; i < 6; i++) {
-              clients.get(i).ask(statement("r" + life + i, "view", 900));
+              clients.get(i).ask(statement("r" + run + i, "view", 900));
             }
             for (Client client : clients) {
               check(client.answer().startsWith("row:"), "served by another");
               client.close();
             }
-            reached[with] = (int) (broken(world) - before);
+            reached[withSnapshot] = (int) (countBrokenStatements(world) - before);
             router.drain();
             router.awaitStop();
           }
@@ -263,16 +269,16 @@
       check(
           reached[0] > 0 && reached[1] == 0,
           "with a view " + reached[1] + ", without one " + reached[0]);
-      List<KnownEndpoint> kept = newest(folder).endpoints();
+      List<KnownEndpoint> stored = newest(folder).endpoints();
       check(
-          kept.size() == 3 && SnapshotCodec.write(newest(folder), 1 << 20).length < 1_500,
+          stored.size() == 3 && SnapshotCodec.write(newest(folder), 1 << 20).length < 1_500,
           "three nodes, small");
     } finally {
-      clear(folder);
+      deleteRecursively(folder);
     }
   }
 
-  private static void serves(SocketWorld world, String id) throws Exception {
+  private static void checkServedPromptly(SocketWorld world, String id) throws Exception {
     try (Client client = new Client(world.port).start()) {
       client.answer();
       long start = System.nanoTime();
@@ -286,42 +292,43 @@
    * then a pipe.
    */
   @Example
-  void aFullDiskAndOneThatHangsDisturbNothingThatIsServed() throws Exception {
+  void fullOrHangingDiskDoesNotDelayStatements() throws Exception {
     Path folder = Files.createTempDirectory("view");
-    Path aside = folder.resolve("view.new");
-    Files.createSymbolicLink(aside, Path.of("/dev/full"));
+    Path temporaryFile = folder.resolve("view.new");
+    Files.createSymbolicLink(temporaryFile, Path.of("/dev/full"));
     try (SocketWorld world = new SocketWorld(false)) {
       world.router.start(
-          world.file, OperatorTest.file("[state]\nfolder = " + folder + "\nperiod_ms = 100\n"));
+          world.file,
+          OperatorTest.readOperatorFile("[state]\nfolder = " + folder + "\nperiod_ms = 100\n"));
       Thread.sleep(400);
-      serves(world, "full");
+      checkServedPromptly(world, "full");
       check(newest(folder) == null, "nothing is kept on a full disk");
-      Files.delete(aside);
-      await("kept once there is room", () -> newest(folder) != null);
+      Files.delete(temporaryFile);
+      awaitCondition("kept once there is room", () -> newest(folder) != null);
       boolean piped = false;
       while (!piped) {
         // Between two writes, when the name is free.
-        piped = new ProcessBuilder("mkfifo", aside.toString()).start().waitFor() == 0;
+        piped = new ProcessBuilder("mkfifo", temporaryFile.toString()).start().waitFor() == 0;
       }
-      await(
+      awaitCondition(
           "the next write hangs",
           () -> {
             long before = newest(folder).sequence();
             Thread.sleep(300);
             return newest(folder).sequence() == before;
           });
-      serves(world, "hangs");
+      checkServedPromptly(world, "hangs");
       long start = System.nanoTime();
       world.router.drain();
       world.router.awaitStop();
       check(
           System.nanoTime() - start < 3_000_000_000L,
           "an end is not held up by more than its bound");
-      try (var reader = Files.newInputStream(aside)) {
+      try (var reader = Files.newInputStream(temporaryFile)) {
         check(reader.read() >= 0, "the writer was waiting on the pipe");
       }
     } finally {
-      clear(folder);
+      deleteRecursively(folder);
     }
   }
 
@@ -330,14 +337,15 @@
    * is listed.
    */
   @Example
-  void whoWasKnownIsPolledBeforeAnyListAndSentNothing() throws Exception {
+  void restoredEndpointsArePolledButSentNothingBeforeTheFirstList() throws Exception {
     Path folder = Files.createTempDirectory("view");
     OperatorFile operator =
-        OperatorTest.file("[state]\nfolder = " + folder + "\nperiod_ms = 100\n");
+        OperatorTest.readOperatorFile("[state]\nfolder = " + folder + "\nperiod_ms = 100\n");
     try (SocketWorld world = new SocketWorld(false)) {
       basaltlever.net.Router first = new basaltlever.net.Router();
       first.start(world.file, operator);
-      await("kept", () -> newest(folder) != null && newest(folder).endpoints().size() == 3);
+      awaitCondition(
+          "kept", () -> newest(folder) != null && newest(folder).endpoints().size() == 3);
       first.drain();
       first.awaitStop();
       String start = Files.readString(world.file).replaceAll("(?s)\"known\":.*?]\\},", "");
@@ -353,10 +361,10 @@
             client.ask(statement("early", "post", 400)).answer().startsWith("error:53300"),
             "held, not sent");
         world.refusesCalls = false;
-        long back = System.nanoTime();
+        long restoredAt = System.nanoTime();
         String answer = "";
         for (int i = 0;
-            !answer.startsWith("row:") && System.nanoTime() - back < 2_500_000_000L;
+            !answer.startsWith("row:") && System.nanoTime() - restoredAt < 2_500_000_000L;
             i++) {
           answer = client.ask(statement("f" + i, "view", 1_900)).answer();
         }
@@ -364,7 +372,7 @@
       }
       check(!world.ran.containsKey("early"), "nothing went to a node on the word of a file");
     } finally {
-      clear(folder);
+      deleteRecursively(folder);
     }
   }
 }
--- a/router/src/test/java/basaltlever/StateRestoreTest.java
+++ b/router/src/test/java/basaltlever/StateRestoreTest.java
@@ -25,14 +25,15 @@
 
 /** What of a view counts, for which node, and that it only ever makes for more care. */
 class StateRestoreTest {
-  private static final long HOUR = 3_600_000_000L;
+  private static final long HOUR_MICROS = 3_600_000_000L;
 
-  private static EndpointState bad(boolean silent, boolean down, double failing) {
+  private static EndpointState impairedState(
+      boolean unresponsive, boolean down, double failureRate) {
     return new EndpointStateBuilder()
         .listedStartMicros(77)
-        .unresponsive(silent)
+        .unresponsive(unresponsive)
         .downFor(down ? ms(3_000) : EndpointState.NEVER)
-        .failureRate(failing)
+        .failureRate(failureRate)
         .latencyStrain(0.4)
         .capacity(0.5)
         .consecutiveRejections(3)
@@ -42,20 +43,24 @@
   }
 
   /** One reason for care and no other. */
-  private static EndpointState only(
-      boolean drains, boolean silent, boolean down, double failing, double restsMillis) {
+  private static EndpointState stateWith(
+      boolean draining,
+      boolean unresponsive,
+      boolean down,
+      double failureRate,
+      double backoffMillis) {
     return new EndpointStateBuilder()
         .listedStartMicros(77)
-        .draining(drains)
-        .unresponsive(silent)
+        .draining(draining)
+        .unresponsive(unresponsive)
         .downFor(down ? ms(3_000) : EndpointState.NEVER)
-        .failureRate(failing)
+        .failureRate(failureRate)
         .capacity(9)
-        .remainingBackoff(ms(restsMillis))
+        .remainingBackoff(ms(backoffMillis))
         .build();
   }
 
-  private static EndpointState drained(boolean cold) {
+  private static EndpointState drainingOrColdState(boolean cold) {
     return new EndpointStateBuilder()
         .listedStartMicros(77)
         .draining(!cold)
@@ -66,113 +71,129 @@
         .build();
   }
 
-  private static LearnedState view(EndpointState node) {
+  private static LearnedState snapshotOf(EndpointState state) {
     return new LearnedState(
         "fleet",
         "n3",
         5,
-        1_000 * HOUR,
-        50 * HOUR,
+        1_000 * HOUR_MICROS,
+        50 * HOUR_MICROS,
         "b1",
         40,
-        List.of(new KnownEndpoint("s-1", "127.0.0.1:7001", node)),
+        List.of(new KnownEndpoint("s-1", "127.0.0.1:7001", state)),
         List.of());
   }
 
-  private static StateRestore after(LearnedState view, long age, long steadily, String boot) {
+  private static StateRestore restoreAfter(
+      LearnedState snapshot, long wallClockMicros, long monotonicMicros, String bootId) {
     return StateRestore.of(
-        view, "fleet", "n3", view.writtenAtMicros() + age, view.monotonicMicros() + steadily, boot);
+        snapshot,
+        "fleet",
+        "n3",
+        snapshot.writtenAtMicros() + wallClockMicros,
+        snapshot.monotonicMicros() + monotonicMicros,
+        bootId);
   }
 
-  private static EndpointState aged(EndpointState node, long age) {
-    return after(view(node), age, age, "b1").of("s-1", "127.0.0.1:7001", 77, 41, true);
+  private static EndpointState stateAfter(EndpointState state, long ageMicros) {
+    return restoreAfter(snapshotOf(state), ageMicros, ageMicros, "b1")
+        .of("s-1", "127.0.0.1:7001", 77, 41, true);
   }
 
   @Example
-  void whatWasLearnedFadesByItsCurveAndDaysOldIsNothing() {
-    EndpointState node = aged(bad(true, true, 0.8), 10_000_000);
+  void restoredStateDecaysWithAgeAndIsNegligibleAfterDays() {
+    EndpointState afterSeconds = stateAfter(impairedState(true, true, 0.8), 10_000_000);
     check(
-        node.unresponsive()
-            && node.downFor().equals(ms(13_000))
-            && Math.abs(node.failureRate() - Math.exp(-10 / 120.0)) < 1e-9,
+        afterSeconds.unresponsive()
+            && afterSeconds.downFor().equals(ms(13_000))
+            && Math.abs(afterSeconds.failureRate() - Math.exp(-10 / 120.0)) < 1e-9,
         "ten seconds: the states stand");
     check(
-        Math.abs(node.latencyStrain() - 0.4 * Math.exp(-10 / 15.0)) < 1e-9
-            && node.remainingBackoff().equals(Span.NONE),
+        Math.abs(afterSeconds.latencyStrain() - 0.4 * Math.exp(-10 / 15.0)) < 1e-9
+            && afterSeconds.remainingBackoff().equals(Span.NONE),
         "load");
-    EndpointState later = aged(bad(true, true, 0.8), 200_000_000);
+    EndpointState afterMinutes = stateAfter(impairedState(true, true, 0.8), 200_000_000);
     check(
-        !later.unresponsive()
-            && !later.isDown()
-            && later.failureRate() > 0.1
-            && later.failureRate() < 0.2,
+        !afterMinutes.unresponsive()
+            && !afterMinutes.isDown()
+            && afterMinutes.failureRate() > 0.1
+            && afterMinutes.failureRate() < 0.2,
         "minutes: a guess");
-    EndpointState days = aged(bad(true, true, 1), 48 * HOUR);
+    EndpointState afterDays = stateAfter(impairedState(true, true, 1), 48 * HOUR_MICROS);
     check(
-        days.failureRate() < 0.01
-            && days.latencyStrain() < 0.01
-            && days.lag().micros() < 10_000
-            && days.capacity() > 12,
+        afterDays.failureRate() < 0.01
+            && afterDays.latencyStrain() < 0.01
+            && afterDays.lag().micros() < 10_000
+            && afterDays.capacity() > 12,
         "days: nothing");
     check(
         StateDecay.weight(ms(553_000)) < 0.01
             && StateDecay.weight(ms(83_000)) > 0.5
             && StateDecay.weight(ms(-1)) == 0,
         "the curve");
-    check(aged(drained(false), 0).draining() == false, "a live list has the later word on a drain");
+    check(
+        stateAfter(drainingOrColdState(false), 0).draining() == false,
+        "a live list has the later word on a drain");
   }
 
   @Example
-  void aViewWithoutADateOrOfAnotherCountsForNothing() {
-    LearnedState view = view(bad(true, false, 1));
-    check(after(view, 5_000_000, 5_000_000, "b1").rejection().isEmpty(), "sound");
-    check(after(view, 5_000_000, 5_000_000, "b1").age().equals(ms(5_000)), "dated");
-    check(!after(view, -1, 5, "b1").rejection().isEmpty(), "the future");
+  void snapshotOfUnknownAgeOrAnotherRouterIsRejected() {
+    LearnedState snapshot = snapshotOf(impairedState(true, false, 1));
+    check(restoreAfter(snapshot, 5_000_000, 5_000_000, "b1").rejection().isEmpty(), "sound");
+    check(restoreAfter(snapshot, 5_000_000, 5_000_000, "b1").age().equals(ms(5_000)), "dated");
+    check(!restoreAfter(snapshot, -1, 5, "b1").rejection().isEmpty(), "the future");
     check(
-        !after(view, 5_000_000, HOUR, "b1").rejection().isEmpty(),
+        !restoreAfter(snapshot, 5_000_000, HOUR_MICROS, "b1").rejection().isEmpty(),
         "stepped back since, though not past it");
-    check(!after(view, HOUR, 5_000_000, "b1").rejection().isEmpty(), "stepped ahead");
     check(
-        after(view, HOUR, 5, "b2").age().micros() == HOUR,
+        !restoreAfter(snapshot, HOUR_MICROS, 5_000_000, "b1").rejection().isEmpty(),
+        "stepped ahead");
+    check(
+        restoreAfter(snapshot, HOUR_MICROS, 5, "b2").age().micros() == HOUR_MICROS,
         "another run of the machine: the system's clock");
     check(
-        !StateRestore.of(view, "other", "n3", 2_000 * HOUR, 0, "").rejection().isEmpty(),
+        !StateRestore.of(snapshot, "other", "n3", 2_000 * HOUR_MICROS, 0, "").rejection().isEmpty(),
         "deployment");
     check(
-        !StateRestore.of(view, "fleet", "n4", 2_000 * HOUR, 0, "").rejection().isEmpty(), "router");
+        !StateRestore.of(snapshot, "fleet", "n4", 2_000 * HOUR_MICROS, 0, "").rejection().isEmpty(),
+        "router");
   }
 
   @Example
-  void anotherStartIdOrAddressIsNewAndAnOlderListDoesNotUndoADrain() {
-    LearnedState view = view(drained(false));
-    check(after(view, 1, 1, "b1").of("s-2", "127.0.0.1:7001", 77, 40, false) == null, "id");
-    check(after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7002", 77, 40, false) == null, "address");
+  void otherStartIdOrAddressRestoresNothingAndAnOlderListDoesNotUndoADrain() {
+    LearnedState snapshot = snapshotOf(drainingOrColdState(false));
+    check(
+        restoreAfter(snapshot, 1, 1, "b1").of("s-2", "127.0.0.1:7001", 77, 40, false) == null,
+        "id");
+    check(
+        restoreAfter(snapshot, 1, 1, "b1").of("s-1", "127.0.0.1:7002", 77, 40, false) == null,
+        "address");
     check(
-        after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 78, 39, false) == null,
+        restoreAfter(snapshot, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 78, 39, false) == null,
         "a later start");
     check(
-        after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 76, 40, false) == null,
+        restoreAfter(snapshot, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 76, 40, false) == null,
         "an earlier one, as new");
     check(
-        after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 76, 39, false) != null,
+        restoreAfter(snapshot, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 76, 39, false) != null,
         "an older list");
-    StateRestore restore = after(view, 1, 1, "b1");
+    StateRestore restore = restoreAfter(snapshot, 1, 1, "b1");
     check(restore.of("s-1", "127.0.0.1:7001", 77, 39, false).draining(), "told since: binds");
     check(restore.of("s-1", "127.0.0.1:7001", 77, 39, false) == null, "once");
     check(
-        !after(view, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 77, 40, false).draining(),
+        !restoreAfter(snapshot, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 77, 40, false).draining(),
         "as new a list");
   }
 
   /** A fresh router of three members, before it has heard anything else. */
-  private static StandIn fresh(EndpointState... views) {
+  private static StandIn worldRestoredFrom(EndpointState... states) {
     StandIn world = StandIn.plain();
     world.balancer.onListStarted();
     for (int i = 0; i < 3; i++) {
       world.balancer.onEndpointListed(
           world.now, i, EndpointLifecycle.READY, 1, 0, 1, Moment.LONG_AGO);
-      if (i < views.length && views[i] != null) {
-        world.balancer.learnedState().restore(world.now, i, views[i]);
+      if (i < states.length && states[i] != null) {
+        world.balancer.learnedState().restore(world.now, i, states[i]);
       }
     }
     world.balancer.onListFinished(world.now, true, true);
@@ -180,9 +201,9 @@
   }
 
   @Example
-  void aPrimaryOfTheViewIsAskedFirstAndNotBelieved() {
-    EndpointState was = new EndpointStateBuilder().primary(true).capacity(1e9).build();
-    StandIn world = fresh(null, null, was);
+  void restoredPrimaryIsPolledFirstButNotTrusted() {
+    EndpointState formerPrimary = new EndpointStateBuilder().primary(true).capacity(1e9).build();
+    StandIn world = worldRestoredFrom(null, null, formerPrimary);
     check(world.polled.equals(List.of(2, 0, 1)), "asked first, and each once: " + world.polled);
     world.take(WRITE);
     check(world.sent.isEmpty(), "held: a role from a file is no proof");
@@ -193,34 +214,35 @@
   }
 
   @Example
-  void silentFailingAndDrainingMembersAreSparedFromTheStart() {
-    for (EndpointState view :
+  void unresponsiveFailingOrDrainingEndpointsAreAvoidedFromTheStart() {
+    for (EndpointState state :
         List.of(
-            only(true, false, false, 0, 0),
-            only(false, true, false, 0, 0),
-            only(false, false, true, 0, 0),
-            only(false, false, false, 0.9, 0),
-            only(false, false, false, 0, 300))) {
-      StandIn world = fresh(null, view, null);
+            stateWith(true, false, false, 0, 0),
+            stateWith(false, true, false, 0, 0),
+            stateWith(false, false, true, 0, 0),
+            stateWith(false, false, false, 0.9, 0),
+            stateWith(false, false, false, 0, 300))) {
+      StandIn world = worldRestoredFrom(null, state, null);
       world.poll(0, Role.PRIMARY, world.now);
       world.poll(2, Role.REPLICA, world.now);
-      if (!view.isDown()) {
+      if (!state.isDown()) {
         world.poll(1, Role.REPLICA, world.now);
       }
       for (int i = 0; i < 6; i++) {
         world.take(BOUNDED);
-        check(world.last().node() != 1, "sent to the bad one: " + view);
+        check(world.last().node() != 1, "sent to the bad one: " + state);
         world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
       }
     }
   }
 
   @Example
-  void aColdBudgetThatWasSpentIsNotSpentAgain() {
+  void spentSlowStartBudgetIsNotSpentAgain() {
     int[] sent = new int[2];
-    for (int with = 0; with < 2; with++) {
-      StandIn world = fresh(null, with == 1 ? drained(true) : null, null);
-      if (with == 0) {
+    for (int withSnapshot = 0; withSnapshot < 2; withSnapshot++) {
+      StandIn world =
+          worldRestoredFrom(null, withSnapshot == 1 ? drainingOrColdState(true) : null, null);
+      if (withSnapshot == 0) {
         world.relist(1, EndpointLifecycle.READY, world.now.minus(ms(500)));
       }
       world.poll(0, Role.REPLICA, Moment.LONG_AGO);
@@ -228,7 +250,7 @@
         world.later(10).poll(1, Role.REPLICA, world.now);
         world.take(BOUNDED);
         if (!world.sent.isEmpty() && world.ended.add(world.last())) {
-          sent[with] += world.last().node() == 1 ? 1 : 0;
+          sent[withSnapshot] += world.last().node() == 1 ? 1 : 0;
           world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
         }
       }
@@ -241,11 +263,11 @@
    * kept from it.
    */
   @Property(tries = 60, seed = "1207", shrinking = ShrinkingMode.OFF)
-  void theRulesHoldWithAnyView(
+  void rulesHoldWithAnyRestoredState(
       @ForAll boolean positions, @ForAll boolean tokens, @ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    StandIn world = new StandIn(chance.nextBoolean(), positions, tokens, true, true, 2, seed);
-    world.playWith(chance.split(), 4);
+    SplittableRandom random = new SplittableRandom(seed);
+    StandIn world = new StandIn(random.nextBoolean(), positions, tokens, true, true, 2, seed);
+    world.playWith(random.split(), 4);
     world.balancer.onListStarted();
     for (int i = 0; i < 4; i++) {
       world
@@ -255,11 +277,11 @@
     }
     world.listAll();
     for (int step = 0; step < 500; step++) {
-      world.run(chance.nextInt(1, 20));
+      world.run(random.nextInt(1, 20));
       world.take(
-          chance.nextInt(6), chance.nextInt(5), Moment.LONG_AGO, 100 + chance.nextInt(1_500));
-      if (chance.nextInt(25) == 0) {
-        RulesTest.upset(world, chance);
+          random.nextInt(6), random.nextInt(5), Moment.LONG_AGO, 100 + random.nextInt(1_500));
+      if (random.nextInt(25) == 0) {
+        RulesTest.injectRandomFault(world, random);
       }
     }
     world.run(4_000);
--- a/router/src/test/java/basaltlever/WireGoldenTest.java
+++ b/router/src/test/java/basaltlever/WireGoldenTest.java
@@ -18,10 +18,10 @@
 class WireGoldenTest {
   private static final int STARTUP_V3 = 196_608;
   private static final int SSL_REQUEST = 80_877_103;
-  private static final int PATIENCE_MS = 8_000;
-  private static final int TRIES = 40;
-  private static final int PAUSE_MS = 100;
-  private static final String FIRST = "first";
+  private static final int SOCKET_TIMEOUT_MS = 8_000;
+  private static final int MAX_ATTEMPTS = 40;
+  private static final int RETRY_DELAY_MS = 100;
+  private static final String PROBE_ID_PREFIX = "first";
 
   private static byte[] startup() {
     byte[] fields = "user\0app\0database\0shop\0\0".getBytes(StandardCharsets.UTF_8);
@@ -42,7 +42,7 @@
   }
 
   /** All messages up to ReadyForQuery or the end of the connection. */
-  private static byte[] answer(InputStream socket) throws IOException {
+  private static byte[] readResponse(InputStream socket) throws IOException {
     DataInputStream in = new DataInputStream(socket);
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (int type = in.read(); type >= 0; type = in.read()) {
@@ -60,7 +60,7 @@
     return all.toByteArray();
   }
 
-  private static String shown(byte[] bytes) {
+  private static String toPrintableText(byte[] bytes) {
     StringBuilder text = new StringBuilder();
     for (byte one : bytes) {
       boolean printable = one >= ' ' && one < 127 && one != '\\';
@@ -71,27 +71,32 @@
 
   /** A write is rejected until the router has found the primary. */
   private static void awaitPrimary(Socket client) throws IOException, InterruptedException {
-    for (int i = 0; i < TRIES; i++) {
-      client.getOutputStream().write(message('Q', SocketWorld.statement(FIRST + i, "post", 900)));
-      if (shown(answer(client.getInputStream())).contains(FIRST)) {
+    for (int i = 0; i < MAX_ATTEMPTS; i++) {
+      client
+          .getOutputStream()
+          .write(message('Q', SocketWorld.statement(PROBE_ID_PREFIX + i, "post", 900)));
+      if (toPrintableText(readResponse(client.getInputStream())).contains(PROBE_ID_PREFIX)) {
         return;
       }
-      Thread.sleep(PAUSE_MS);
+      Thread.sleep(RETRY_DELAY_MS);
     }
     throw new AssertionError("no primary was found");
   }
 
   @Example
-  void clientsAndServersGetTheRecordedBytes() throws Exception {
-    StringBuilder told = new StringBuilder();
-    TreeSet<String> atServers = new TreeSet<>();
+  void clientsAndServersReceiveTheRecordedBytes() throws Exception {
+    StringBuilder transcript = new StringBuilder();
+    TreeSet<String> receivedByServers = new TreeSet<>();
     try (SocketWorld world = new SocketWorld();
         Socket client = new Socket("127.0.0.1", world.port)) {
-      client.setSoTimeout(PATIENCE_MS);
+      client.setSoTimeout(SOCKET_TIMEOUT_MS);
       client.getOutputStream().write(ByteBuffer.allocate(8).putInt(8).putInt(SSL_REQUEST).array());
-      told.append("ssl: ").append((char) client.getInputStream().read()).append('\n');
+      transcript.append("ssl: ").append((char) client.getInputStream().read()).append('\n');
       client.getOutputStream().write(startup());
-      told.append("startup: ").append(shown(answer(client.getInputStream()))).append('\n');
+      transcript
+          .append("startup: ")
+          .append(toPrintableText(readResponse(client.getInputStream())))
+          .append('\n');
       awaitPrimary(client);
       for (String query :
           new String[] {
@@ -103,21 +108,34 @@
             SocketWorld.statement("g3", "unheard", 900)
           }) {
         client.getOutputStream().write(message('Q', query));
-        told.append(query).append(": ").append(shown(answer(client.getInputStream()))).append('\n');
+        transcript
+            .append(query)
+            .append(": ")
+            .append(toPrintableText(readResponse(client.getInputStream())))
+            .append('\n');
       }
       world.nodes.get(0).mode = SocketWorld.Mode.ERROR;
       client.getOutputStream().write(message('Q', SocketWorld.statement("g4", "post", 900)));
-      told.append("error: ").append(shown(answer(client.getInputStream()))).append('\n');
+      transcript
+          .append("error: ")
+          .append(toPrintableText(readResponse(client.getInputStream())))
+          .append('\n');
       client.getOutputStream().write(message('P', "unsupported"));
       client.getOutputStream().write(ByteBuffer.allocate(5).put((byte) 'S').putInt(4).array());
-      told.append("extended: ").append(shown(answer(client.getInputStream()))).append('\n');
+      transcript
+          .append("extended: ")
+          .append(toPrintableText(readResponse(client.getInputStream())))
+          .append('\n');
       world.seen.stream()
-          .filter(query -> !query.contains("id=" + FIRST))
-          .forEach(query -> atServers.add("query: " + query));
+          .filter(query -> !query.contains("id=" + PROBE_ID_PREFIX))
+          .forEach(query -> receivedByServers.add("query: " + query));
       world.nodes.forEach(
-          node -> node.startups.forEach(start -> atServers.add("startup: " + shown(start))));
+          server ->
+              server.startups.forEach(
+                  start -> receivedByServers.add("startup: " + toPrintableText(start))));
     }
-    atServers.forEach(line -> told.append(line.replaceAll("d=\\d+", "d=N")).append('\n'));
-    Golden.check("wire.txt", told.toString());
+    receivedByServers.forEach(
+        line -> transcript.append(line.replaceAll("d=\\d+", "d=N")).append('\n'));
+    Golden.check("wire.txt", transcript.toString());
   }
 }
