--- a/router/src/test/java/basaltlever/OperatorTest.java
+++ b/router/src/test/java/basaltlever/OperatorTest.java
@@ -16,8 +16,8 @@
 import net.jqwik.api.Example;
 
 /**
- * The operator's file: what is read, what is refused, and that its pages and its example tell the
- * truth.
+ * Tests the parsing and validation of the operator file, and that its documentation, its example
+ * and the event reference match the program.
  */
 class OperatorTest {
   static OperatorFile readOperatorFile(String text) throws IOException, InvalidSettingsException {
@@ -46,7 +46,7 @@
             && !empty.logsJson()
             && empty.snapshotPeriod().equals(Span.ofMillis(5_000))
             && empty.maxSnapshotBytes() == 4_096 * 1_024,
-        "defaults");
+        "an empty file yields the defaults");
     OperatorFile full =
         readOperatorFile(
             "; c\n[state]\nfolder = /var/lib/a.b, c\nperiod_ms=250\ndeployment = east\n[log]\nform = json\n");
@@ -55,10 +55,10 @@
             && full.snapshotPeriod().equals(Span.ofMillis(250))
             && full.deployment().equals("east")
             && full.logsJson(),
-        "values");
+        "the values of the file are read");
     check(
         full.changesNeedingRestart(empty).equals(List.of("log.form", "state.deployment")),
-        "what needs a restart");
+        "the log form and the deployment need a restart");
   }
 
   @Example
@@ -75,11 +75,15 @@
             && message.contains("log.form can't be read: xml"),
         message);
     check(message.contains("[limits] a.b is no key; the nearest is ["), message);
-    check(errorMessage("folder = x\n").contains("is no key"), "outside of any section");
+    check(
+        errorMessage("folder = x\n").contains("is no key"),
+        "a key outside any section is rejected");
     check(
         errorMessage("[state]\nperiod_ms = 200\nperiod_ms = 300\n").contains("more than once"),
-        "twice");
-    check(errorMessage("[state]\nfolder\n").contains("line 2 is neither"), "no value");
+        "a repeated key is rejected");
+    check(
+        errorMessage("[state]\nfolder\n").contains("line 2 is neither"),
+        "a line without a value is rejected");
   }
 
   private static Set<String> keys(String text, String pattern, String initialSection) {
@@ -115,12 +119,12 @@
         exampleFile.changesNeedingRestart(readOperatorFile("")).isEmpty()
             && exampleFile.snapshotPeriod().equals(readOperatorFile("").snapshotPeriod())
             && exampleFile.maxSnapshotBytes() == readOperatorFile("").maxSnapshotBytes(),
-        "the example shows the defaults");
+        "the example contains the defaults");
     for (String key : exampleKeys) {
       String[] parts = key.split("\\.");
       check(
           errorMessage("[" + parts[0] + "]\n" + parts[1] + "x = 1\n").contains(parts[1] + "?"),
-          "a key of the reader");
+          "the parser suggests the key of the example");
     }
   }
 
@@ -129,28 +133,29 @@
     String fleet =
         "[fleet]\nname = f\nfolder = /x\npeers = n1@127.0.0.1:1,n2@127.0.0.1:2,n3@127.0.0.1:3\n";
     String voters = "voters = n1@127.0.0.1:4\n";
-    check(errorMessage(fleet + voters).isEmpty(), "one voter is a fleet");
+    check(errorMessage(fleet + voters).isEmpty(), "a single voter is accepted");
     check(
         errorMessage(fleet + "voters = n1@127.0.0.1:4,n2@127.0.0.1:5\n").contains("half is no"),
-        "two voters");
+        "two voters are rejected");
     check(
         errorMessage(fleet + "voters = n9@127.0.0.1:4\n").contains("names n9"),
-        "a voter that is no peer");
+        "a voter that is not a peer is rejected");
     check(
         errorMessage(fleet + "voters = n1\n").contains("NAME@ADDRESS:PORT"),
-        "a voter without a place");
+        "a voter without an address is rejected");
     check(
         errorMessage(fleet + voters + "stated_ms = 5000\nassigned_ms = 4000\n")
             .contains("fleet.assigned_ms is 4000"),
-        "each cut would take all members");
+        "assigned_ms below stated_ms is rejected: a short interruption would remove all endpoints from a router");
     check(
         errorMessage(fleet + voters + "lease_ms = 800\n").contains("less than twice"),
-        "no time to be over");
+        "stated_ms below twice lease_ms is rejected: a lease could not end in time");
     check(
         errorMessage(fleet.replace("folder = /x", "folder =") + voters).contains("fleet.folder"),
-        "no folder");
+        "a missing folder is rejected");
     check(
-        errorMessage(fleet.replace("n2@", "n1@") + voters).contains("twice"), "a name given twice");
+        errorMessage(fleet.replace("n2@", "n1@") + voters).contains("twice"),
+        "a duplicate peer name is rejected");
   }
 
   @Example
@@ -162,6 +167,6 @@
     }
     check(
         page.lines().filter(line -> line.startsWith("| `")).count() == Event.values().length,
-        "no more");
+        "the page lists no other events");
   }
 }
--- a/router/src/test/java/basaltlever/ParserTest.java
+++ b/router/src/test/java/basaltlever/ParserTest.java
@@ -29,7 +29,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** Every parser on whole messages cut anywhere, on nonsense, and on what each page promises. */
+/**
+ * Tests each parser with valid input split at arbitrary positions, with malformed input, and
+ * against its documented format.
+ */
 class ParserTest {
   private static ByteBuf utf8Buffer(String text) {
     return Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
@@ -64,10 +67,10 @@
       }
     }
     decoder.release();
-    check(decoded.equals(sent), "the messages as they were sent");
+    check(decoded.equals(sent), "the messages decode as sent");
     check(
         budget.reservedBytes() == 0 && parts.stream().allMatch(p -> p.refCnt() == 0),
-        "all released");
+        "all buffers and budget are released");
   }
 
   @Property(tries = 500, seed = "98", shrinking = ShrinkingMode.OFF)
@@ -82,11 +85,11 @@
         response.add(m);
       }
     } catch (ProtocolException expected) {
-      check(expected.sqlState.length() == 5, "a fault has a code");
+      check(expected.sqlState.length() == 5, "the exception has an SQLSTATE");
     }
     check(
         (!response.isSingleRow() && response.takeRow().isEmpty()) || bytes.length > 20,
-        "no row out of nothing");
+        "a few random bytes yield no row");
     response.release();
     decoder.release();
     String validStatement = "/* id=1,c=basket,d=480,cluster=2 */ SELECT 'x'";
@@ -99,14 +102,14 @@
       Query query = Query.parse(utf8Buffer(corruptStatement));
       check(
           query.timeoutStart < query.timeoutEnd && query.timeoutMillis >= 0,
-          "the wait has a place");
+          "the timeout has a valid position and value");
     } catch (ProtocolException expected) {
-      check(!expected.getMessage().isEmpty(), "a fault says what");
+      check(!expected.getMessage().isEmpty(), "the exception has a message");
     }
     try {
       Json.read(corruptStatement.substring(random.nextInt(corruptStatement.length())));
     } catch (InvalidJsonException expected) {
-      check(expected.getMessage().contains("at character"), "a fault says where");
+      check(expected.getMessage().contains("at character"), "the exception names the position");
     }
     try {
       new ChunkedResponseReader(line -> {}).read(Unpooled.copiedBuffer(bytes));
@@ -116,7 +119,7 @@
                   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                       + new String(bytes, StandardCharsets.ISO_8859_1)));
     } catch (InvalidEndpointListException expected) {
-      check(!expected.getMessage().isEmpty(), "a fault says what");
+      check(!expected.getMessage().isEmpty(), "the exception has a message");
     }
   }
 
@@ -127,18 +130,20 @@
       decoder.add(Unpooled.buffer().writeByte('Q').writeInt(length).writeByte(0));
       try {
         decoder.nextMessage();
-        check(false, "a length of " + length);
+        check(false, "expected rejection of length " + length);
       } catch (ProtocolException exception) {
-        check(exception.getMessage().contains("" + length), "the length is named");
+        check(exception.getMessage().contains("" + length), "the exception names the length");
       }
       decoder.release();
     }
     MessageDecoder smallBudgetDecoder = new MessageDecoder(4_096, new MemoryBudget(8));
     try {
       smallBudgetDecoder.add(Unpooled.buffer(64).writeZero(64));
-      check(false, "more than the budget holds");
+      check(false, "expected rejection of data beyond the budget");
     } catch (ProtocolException exception) {
-      check(exception.sqlState.equals("53300"), "turned away as too much");
+      check(
+          exception.sqlState.equals("53300"),
+          "data beyond the budget is rejected with SQLSTATE 53300");
     }
     smallBudgetDecoder.release();
   }
@@ -156,14 +161,14 @@
             && query.group == 2
             && query.lastCommitMillis == 1_767_225_600_123L
             && query.sessionHash != 0,
-        "its fields");
+        "the fields are parsed");
     ByteBuf out = Unpooled.buffer();
     MessageEncoder.query(out, text, query.timeoutStart, query.timeoutEnd, 77);
     check(
         out.toString(5, out.readableBytes() - 6, StandardCharsets.UTF_8)
             .equals(statement.replace("d=480", "d=77")),
-        "unchanged but for the wait");
-    check(out.getInt(1) == out.readableBytes() - 1, "its length");
+        "only the timeout is rewritten");
+    check(out.getInt(1) == out.readableBytes() - 1, "the message length matches its content");
     for (String invalid :
         new String[] {
           "SELECT 1",
@@ -181,16 +186,18 @@
         }) {
       try {
         Query.parse(utf8Buffer(invalid));
-        check(false, "taken: " + invalid);
+        check(false, "expected rejection of: " + invalid);
       } catch (ProtocolException exception) {
-        check(exception.sqlState.equals("08P01"), "the protocol's own error");
+        check(exception.sqlState.equals("08P01"), "the SQLSTATE is that of a protocol violation");
       }
     }
-    check(Query.isBlank(utf8Buffer(" ;\n ")) && !Query.isBlank(utf8Buffer("/* */")), "blank");
+    check(
+        Query.isBlank(utf8Buffer(" ;\n ")) && !Query.isBlank(utf8Buffer("/* */")),
+        "only whitespace and semicolons are blank");
     check(
         "SET".equals(Query.sessionCommand(utf8Buffer(" set x = 1")))
             && Query.sessionCommand(utf8Buffer("SETTLE")) == null,
-        "commands that do nothing");
+        "SET is a session command and SETTLE is not");
   }
 
   private static QueryResponse decodeResponse(ByteBuf messages) throws ProtocolException {
@@ -204,7 +211,7 @@
     return response;
   }
 
-  /** A good row of one letter but for the byte at that place. */
+  /** Returns a valid single-row response with one byte replaced. */
   private static ByteBuf rowResponseWithByte(int index, int value) {
     return rowResponse("1").setByte(index, value);
   }
@@ -221,19 +228,21 @@
             && response.positionMillis() == 1_767_225_600_123L
             && response.role().equals("replica")
             && response.sqlState() == null,
-        "a row");
+        "a single row with its parameters is recognised");
     response.release();
-    check(row.refCnt() == 0, "the buffer it was read into is free");
+    check(row.refCnt() == 0, "the input buffer is released");
     ByteBuf error = Unpooled.buffer();
     MessageEncoder.errorResponse(error, "ERROR", "25006", "no primary", null);
     response = decodeResponse(error);
-    check(!response.isSingleRow() && response.sqlState().equals("25006"), "an error");
+    check(
+        !response.isSingleRow() && response.sqlState().equals("25006"),
+        "an error response is recognised");
     ByteBuf rowThenError = rowResponse("7");
     MessageEncoder.errorResponse(rowThenError, "ERROR", "25006", "too late", null);
     response = decodeResponse(rowThenError);
     check(
         !response.isSingleRow() && response.sqlState() == null,
-        "an error behind a row proves nothing");
+        "an error after a row counts as neither");
     response.release();
     for (ByteBuf unclassifiable :
         new ByteBuf[] {
@@ -253,7 +262,7 @@
           rowResponseWithByte(50, 1)
         }) {
       response = decodeResponse(unclassifiable);
-      check(!response.isSingleRow() && response.sqlState() == null, "neither");
+      check(!response.isSingleRow() && response.sqlState() == null, "neither a row nor an error");
       response.release();
     }
   }
@@ -267,13 +276,15 @@
     check(
         !position.isAfter(new Moment(1_767_225_600_123_000L))
             && position.isAfter(new Moment(1_767_225_600_122_900L)),
-        "never newer than told");
-    check(loadReport.valueAt(values, loadReport.utilizationIndex) == 0.61, "by name");
+        "the position is rounded down");
+    check(
+        loadReport.valueAt(values, loadReport.utilizationIndex) == 0.61,
+        "the utilization is read by its name");
     check(
         loadReport
             .positionAt(loadReport.valueAt(loadReport.parseValues("x0=soon"), 0))
             .equals(Moment.LONG_AGO),
-        "no number");
+        "a value that is not a number yields no position");
   }
 
   @Property(tries = 200, seed = "99", shrinking = ShrinkingMode.OFF)
@@ -323,12 +334,15 @@
     int lineBreaks = lines;
     check(
         delivered.stream().filter(String::isEmpty).count() == lineBreaks,
-        "each line between objects, none within");
+        "line breaks are reported between objects only");
     delivered.removeIf(String::isEmpty);
-    check(delivered.equals(sent) && reader.isComplete(), "the objects as they were sent");
+    check(delivered.equals(sent) && reader.isComplete(), "the objects are delivered as sent");
   }
 
-  /** An object over some lines, with strings that hold what ends one elsewhere. */
+  /**
+   * Appends a random multi-line JSON object whose strings contain braces, brackets and escaped
+   * quotes.
+   */
   private static void appendRandomObject(SplittableRandom random, StringBuilder out, int depth) {
     String[] strings = {"a", "}", "{", "]\\\"}", "\\\\", "q\\n\\\\\\\"{"};
     out.append('{');
@@ -355,12 +369,13 @@
     List<String> delivered = new ArrayList<>();
     ChunkedResponseReader reader = new ChunkedResponseReader(delivered::add);
     reader.read(utf8Buffer("HTTP/1.1 200 OK\r\n\r\n{\n \"a\": [\n  {}\n ]\n"));
-    check(delivered.isEmpty(), "lines within are no sign of life: " + delivered);
+    check(delivered.isEmpty(), "line breaks within an object are not reported: " + delivered);
     reader.read(utf8Buffer("}"));
     check(
-        delivered.equals(List.of("{\n \"a\": [\n  {}\n ]\n}")), "at once, with no line behind it");
+        delivered.equals(List.of("{\n \"a\": [\n  {}\n ]\n}")),
+        "the object is delivered without a following line break");
     reader.read(utf8Buffer("{\"a\":"));
-    check(delivered.size() == 1 && !reader.isComplete(), "half of one");
+    check(delivered.size() == 1 && !reader.isComplete(), "an incomplete object is not delivered");
   }
 
   @Example
@@ -379,9 +394,9 @@
         }) {
       try {
         new ChunkedResponseReader(line -> {}).read(utf8Buffer(malformed));
-        check(false, "taken: " + malformed);
+        check(false, "expected rejection of: " + malformed);
       } catch (InvalidEndpointListException exception) {
-        check(!exception.getMessage().isEmpty(), "it says what");
+        check(!exception.getMessage().isEmpty(), "the exception has a message");
       }
     }
   }
@@ -400,7 +415,8 @@
     String template = "{\"generation\":%s,\"reset\":%s,\"instances\":[%s]}";
     list.takeUpdate(
         new Moment(0), EndpointList.parse(template.formatted("7", "true", entry)), true);
-    check(list.generation() == 7 && effects.told.equals(List.of("n1")), "taken");
+    check(
+        list.generation() == 7 && effects.told.equals(List.of("n1")), "the valid list is applied");
     for (String invalid :
         new String[] {
           template.formatted("6", "false", entry),
@@ -413,13 +429,15 @@
         }) {
       try {
         list.takeUpdate(new Moment(0), EndpointList.parse(invalid), true);
-        check(false, "taken: " + invalid);
+        check(false, "expected rejection of: " + invalid);
       } catch (InvalidEndpointListException exception) {
-        check(list.generation() == 7 && effects.told.size() == 1, "nothing of it is taken");
+        check(
+            list.generation() == 7 && effects.told.size() == 1,
+            "no part of an invalid list is applied");
       }
     }
     list.takeUpdate(new Moment(0), EndpointList.parse(template.formatted("2", "true", "")), true);
-    check(list.generation() == 2, "a whole list may count anew");
+    check(list.generation() == 2, "a complete list may restart the generation");
   }
 
   @Example
@@ -438,7 +456,7 @@
     }
     check(
         endpointCounts.get(199) < 30 && effects.told.contains("forget n150"),
-        "as many as lately: " + endpointCounts);
+        "removed endpoints are discarded: " + endpointCounts);
   }
 
   @Example
@@ -447,10 +465,10 @@
     check(
         parsed instanceof Map<?, ?> map
             && map.get("a").toString().equals("[1, -2.5E+3, true, null, é\n]"),
-        "all kinds");
+        "all kinds of values are parsed");
     check(
         Json.read("1767225600123456789").toString().equals("1767225600123456789"),
-        "no digit is lost");
+        "no digit is lost in a large number");
     for (String malformed :
         new String[] {
           "",
@@ -469,9 +487,9 @@
         }) {
       try {
         Json.read(malformed);
-        check(false, "taken: " + malformed);
+        check(false, "expected rejection of: " + malformed);
       } catch (InvalidJsonException exception) {
-        check(exception.getMessage().contains("at character"), "a place");
+        check(exception.getMessage().contains("at character"), "the exception names the position");
       }
     }
   }
--- a/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
+++ b/router/src/test/java/basaltlever/PlannedSwitchoverTest.java
@@ -23,8 +23,8 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Planned changes: the phases by themselves, what they do to holds, and seeded runs in which all
- * goes wrong.
+ * Tests planned switchovers: the phase sequence, holding and releasing of statements, and seeded
+ * runs with random faults.
  */
 class PlannedSwitchoverTest {
   private static StandIn worldWithAnnouncement(double delayMillis) {
@@ -32,7 +32,7 @@
     check(
         world.balancer.onSwitchoverAnnounced(
             world.now, 2, 1, 1, world.now.plus(ms(delayMillis)), false),
-        "it stands");
+        "the announcement is accepted");
     return world;
   }
 
@@ -40,7 +40,7 @@
     return world.phases.get(world.phases.size() - 1);
   }
 
-  /** Lets time go by with all members answering as they are. */
+  /** Advances the time while all endpoints answer polls with their current role. */
   private static void pollFor(StandIn world, double millis, int primary) {
     for (Moment end = world.now.plus(ms(millis)); world.now.isBefore(end); ) {
       world.later(50);
@@ -54,25 +54,26 @@
   void statementsAreHeldAtTheAnnouncedTimeAndReleasedWhenTheTargetReportsPrimary() {
     StandIn world = worldWithAnnouncement(5_000);
     pollFor(world, 2_500, 0);
-    check(world.phases.equals(List.of(Phase.CREATED)), "not yet: " + world.phases);
+    check(
+        world.phases.equals(List.of(Phase.CREATED)), "no preparation this early: " + world.phases);
     pollFor(world, 1_000, 0);
     check(
         lastPhase(world) == Phase.PREPARATION && world.prepared >= 0,
-        "prepared before: " + world.phases);
+        "prepared before the announced time: " + world.phases);
     int earlyWrite = world.take(WRITE);
     check(
         world.last().statement() == earlyWrite && world.last().node() == 0,
-        "the old primary serves until then");
+        "the old primary serves until the announced time");
     world.end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
     pollFor(world, 1_600, 0);
-    check(lastPhase(world) == Phase.IN_PROGRESS, "" + world.phases);
+    check(lastPhase(world) == Phase.IN_PROGRESS, "expected IN_PROGRESS: " + world.phases);
     int sentBefore = world.sent.size();
     int heldWrite = world.take(WRITE);
     int heldRead = world.take(FRESH);
     world.poll(0, Role.PRIMARY, world.now);
-    check(world.sent.size() == sentBefore, "held, whatever the old primary still says");
+    check(world.sent.size() == sentBefore, "held although the old primary still reports its role");
     int read = world.take(ANY);
-    check(world.last().statement() == read, "other reads go on");
+    check(world.last().statement() == read, "other reads are still sent");
     world.later(100).poll(0, Role.REPLICA, world.now);
     world.poll(1, Role.PRIMARY, world.now);
     List<Integer> released =
@@ -81,11 +82,11 @@
             .toList();
     check(
         released.equals(List.of(heldWrite, heldRead)) && world.last().node() == 1,
-        "released in order: " + released);
+        "released in order to the target: " + released);
     pollFor(world, 100, 1);
-    check(lastPhase(world) == Phase.POST, "" + world.phases);
+    check(lastPhase(world) == Phase.POST, "expected POST: " + world.phases);
     pollFor(world, 5_500, 1);
-    check(lastPhase(world) == Phase.COMPLETED, "" + world.phases);
+    check(lastPhase(world) == Phase.COMPLETED, "expected COMPLETED: " + world.phases);
   }
 
   @Example
@@ -93,51 +94,53 @@
     for (boolean withdrawn : new boolean[] {true, false}) {
       StandIn world = worldWithAnnouncement(1_000);
       pollFor(world, 1_200, 0);
-      check(lastPhase(world) == Phase.IN_PROGRESS, "" + world.phases);
+      check(lastPhase(world) == Phase.IN_PROGRESS, "expected IN_PROGRESS: " + world.phases);
       int held = world.take(WRITE, 9, Moment.LONG_AGO, 9_000);
       int sentBefore = world.sent.size();
       if (withdrawn) {
         check(
             world.balancer.onSwitchoverAnnounced(world.now, 1, 1, 1, world.now, true),
-            "taken back");
+            "the withdrawal is accepted");
       }
       pollFor(world, withdrawn ? 100 : 3_200, 0);
-      check(lastPhase(world) == Phase.CALLED_OFF, "" + world.phases);
+      check(lastPhase(world) == Phase.CALLED_OFF, "expected CALLED_OFF: " + world.phases);
       check(
           world.sent.subList(sentBefore, world.sent.size()).stream()
               .anyMatch(sent -> sent.statement() == held && sent.node() == 0),
-          "released to who still is one");
+          "released to the old primary, which is still primary");
     }
   }
 
   /**
-   * The old primary's claim called the later change off: nobody remembered whom it was to replace.
+   * Guards against a replacing announcement being called off by a poll of the old primary. This
+   * happened because the replacement lost the record of which primary it replaces.
    */
   @Example
   void announcementReplacingOneInProgressContinuesTheHold() {
     StandIn world = worldWithAnnouncement(1_000);
     pollFor(world, 1_200, 0);
-    check(lastPhase(world) == Phase.IN_PROGRESS, "" + world.phases);
+    check(lastPhase(world) == Phase.IN_PROGRESS, "expected IN_PROGRESS: " + world.phases);
     check(
-        world.balancer.onSwitchoverAnnounced(world.now, 1, 2, 2, world.now, false), "a later one");
+        world.balancer.onSwitchoverAnnounced(world.now, 1, 2, 2, world.now, false),
+        "the replacing announcement is accepted");
     int held = world.take(WRITE);
     int sentBefore = world.sent.size();
     pollFor(world, 300, 0);
     check(
         lastPhase(world) == Phase.IN_PROGRESS && world.sent.size() == sentBefore,
-        "held: " + world.phases);
+        "statements are still held: " + world.phases);
     world.poll(0, Role.REPLICA, world.now);
     world.later(20).poll(2, Role.PRIMARY, world.now);
     check(
         world.last().statement() == held && world.last().node() == 2,
-        "released to the later target");
+        "released to the target of the replacing announcement");
   }
 
   @Example
   void switchoverIsCalledOffWhenItsTargetFailsOrDrainsAndHeldStatementsGoToTheNewPrimary() {
     StandIn world = worldWithAnnouncement(1_000);
     world.relist(1, EndpointLifecycle.DRAINING, Moment.LONG_AGO);
-    check(lastPhase(world) == Phase.CALLED_OFF, "the target drains");
+    check(lastPhase(world) == Phase.CALLED_OFF, "called off because the target drains");
     world = worldWithAnnouncement(1_000);
     pollFor(world, 1_200, 0);
     world.take(WRITE);
@@ -145,11 +148,11 @@
     int held = world.take(WRITE);
     world.balancer.onPollEnded(
         world.now, 1, AttemptOutcome.NO_CONNECTION, Role.UNKNOWN, Moment.LONG_AGO, 0, Double.NaN);
-    check(lastPhase(world) == Phase.CALLED_OFF, "the target died");
+    check(lastPhase(world) == Phase.CALLED_OFF, "called off because the target failed");
     world.later(20).poll(2, Role.PRIMARY, world.now);
     check(
         world.last().statement() == held && world.last().node() == 2,
-        "whoever proves it gets the held");
+        "held statements go to the endpoint that proves to be primary");
   }
 
   @Example
@@ -158,27 +161,27 @@
     Moment at = world.now.plus(ms(4_000));
     check(
         !world.balancer.onSwitchoverAnnounced(world.now, 1, 1, 2, at, false),
-        "the same number again");
+        "a repeated number is ignored");
     check(
         !world.balancer.onSwitchoverAnnounced(
             world.now, 1, 9, 2, world.now.minus(ms(9_000)), false),
-        "long past");
+        "a time far in the past is ignored");
     check(
         !world.balancer.onSwitchoverAnnounced(world.now, 1, 9, 2, world.now.plus(ms(1e9)), false),
-        "far ahead");
+        "a time far in the future is ignored");
     world.balancer.onListStarted();
     world.balancer.onEndpointListed(
         world.now, 7, EndpointLifecycle.READY, 2, 0, 1, Moment.LONG_AGO);
     world.balancer.onListFinished(world.now, false, true);
     check(
         !world.balancer.onSwitchoverAnnounced(world.now, 1, 9, 7, at, false),
-        "a member of another group");
+        "a target in another group is ignored");
     check(
         world.balancer.onSwitchoverAnnounced(world.now, 1, 9, 2, at, false),
-        "a later one takes its place");
+        "a higher number replaces the announcement");
     check(
         !world.balancer.onSwitchoverAnnounced(world.now, 1, 1, 1, at, true),
-        "an old one can't be taken back any more");
+        "a replaced announcement can't be withdrawn");
     for (String text :
         List.of(
             "",
@@ -187,16 +190,16 @@
             "number=1,target=a b,at=1," + "state=off",
             "number=1,target=a,at=1,state=gone",
             "number=99999999999999999999,target=a,at=1,state=off")) {
-      check(SwitchoverAnnouncement.parse(text) == null, "no note: " + text);
+      check(SwitchoverAnnouncement.parse(text) == null, "expected rejection of: " + text);
     }
     SwitchoverAnnouncement announcement =
         new SwitchoverAnnouncement(7, "db-2", 1_767_225_600_123L, true);
-    check(announcement.equals(SwitchoverAnnouncement.parse(announcement.toText())), "as written");
+    check(announcement.equals(SwitchoverAnnouncement.parse(announcement.toText())), "round trip");
   }
 
   /**
-   * Found with stand-ins: an old primary that hung woke up and went on claiming, and got what its
-   * successor should.
+   * Guards against statements going to a replaced primary. After a hang, the old primary resumed,
+   * still reported itself as primary, and received the statements meant for its successor.
    */
   @Example
   void primaryClaimOfAReplacedPrimaryIsIgnoredUntilItHasReportedReplica() {
@@ -207,24 +210,24 @@
     world.end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
     world.later(900).poll(0, Role.PRIMARY, world.now);
     world.take(WRITE);
-    check(world.last().node() == 1, "its successor stands");
+    check(world.last().node() == 1, "the successor remains primary");
     world.end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
     world.later(50).poll(0, Role.REPLICA, world.now);
     world.later(900).poll(0, Role.PRIMARY, world.now);
     world.take(WRITE);
-    check(world.last().node() == 0, "it was a replica since, and claims later");
+    check(world.last().node() == 0, "the claim counts after the endpoint has reported replica");
   }
 
   /**
-   * One that turns writes away and calls itself primary in the same answer got each of them again
-   * at once.
+   * Guards against an immediate retry at the same endpoint: an endpoint that rejected a write but
+   * reported the primary role in the same response received the write again.
    */
   @Example
   void rejectedWriteOverridesThePrimaryRoleInTheSameResponse() {
     StandIn world = StandIn.plain().steady(20);
     world.take(WRITE);
     world.later(5).end(world.last(), AttemptOutcome.MISS, Role.PRIMARY);
-    check(world.sent.size() == 1, "held until somebody proves to be primary");
+    check(world.sent.size() == 1, "held until an endpoint proves to be primary");
   }
 
   @Example
@@ -241,7 +244,7 @@
     world.later(20).end(world.last(), AttemptOutcome.COMPLETED, Role.PRIMARY, world.now);
     check(
         world.fates.get(write).answered && world.rejected.isEmpty() && world.aborted.isEmpty(),
-        "completed once");
+        "the statement completes exactly once");
   }
 
   @Example
@@ -251,13 +254,14 @@
     int connected = world.take(WRITE);
     world.fates.get(disconnected).answered = true;
     world.balancer.onClientDisconnected(world.now, disconnected);
-    check(world.holds.heldStatements() == 1, "its place is free at once");
+    check(world.holds.heldStatements() == 1, "its hold is freed immediately");
     world.poll(0, Role.PRIMARY, world.now);
     check(
-        world.sent.size() == 1 && world.last().statement() == connected, "nothing is sent for it");
+        world.sent.size() == 1 && world.last().statement() == connected,
+        "nothing is sent for the disconnected client");
   }
 
-  /** Every group at once, each with its own record. */
+  /** Each group tracks its own switchover. */
   @Example
   void allGroupsCanSwitchOverConcurrently() {
     StandIn world = StandIn.plain();
@@ -277,7 +281,7 @@
     world.later(100);
     check(
         world.phases.stream().filter(Phase.IN_PROGRESS::equals).count() == 10,
-        "all are held: " + world.phases);
+        "all groups hold: " + world.phases);
     for (int group = 0; group < 10; group++) {
       world.poll(3 * group, Role.REPLICA, world.now);
       world.poll(3 * group + 1, Role.PRIMARY, world.now);
@@ -285,7 +289,9 @@
     for (int endpoint = 0; endpoint < 30; endpoint++) {
       world.poll(endpoint, endpoint % 3 == 1 ? Role.PRIMARY : Role.REPLICA, world.now);
     }
-    check(world.phases.stream().filter(Phase.POST::equals).count() == 10, "" + world.phases);
+    check(
+        world.phases.stream().filter(Phase.POST::equals).count() == 10,
+        "all groups enter POST: " + world.phases);
   }
 
   @Property(tries = 120, seed = "99", shrinking = ShrinkingMode.OFF)
@@ -323,12 +329,12 @@
       }
     }
     world.run(4_000);
-    check(world.holds.heldStatements() <= 12, "held beyond its budget");
+    check(world.holds.heldStatements() <= 12, "held statements must stay within their budget");
   }
 
   /**
-   * However it is told and stepped: a phase never goes back, and the hold of one announcement is
-   * bounded.
+   * For any sequence of announcements and steps, phases never go back and one announcement holds
+   * statements for a bounded time.
    */
   @Property(tries = 300, seed = "7", shrinking = ShrinkingMode.OFF)
   void phasesNeverGoBackAndHoldDurationIsBounded(@ForAll long seed) {
@@ -356,15 +362,17 @@
         check(
             entered.get(i) == Phase.CREATED
                 || entered.get(i).ordinal() > entered.get(i - 1).ordinal(),
-            "it went back: " + entered);
+            "phases must not go back: " + entered);
       }
       heldSince = switchover.isHoldingStatements() ? heldSince.earlier(now) : Moment.NEVER;
-      check(!now.since(heldSince).isLongerThan(ms(3_000 + 400)), "held for longer than a bound");
+      check(
+          !now.since(heldSince).isLongerThan(ms(3_000 + 400)),
+          "the hold must end within its time limit");
       check(
           switchover.nextStepAt().isAfter(now)
               || switchover.nextStepAt().equals(now)
               || !switchover.isHoldingStatements(),
-          "it would not be woken");
+          "a future step must be scheduled while holding");
     }
   }
 }
--- a/router/src/test/java/basaltlever/ProcessTest.java
+++ b/router/src/test/java/basaltlever/ProcessTest.java
@@ -15,8 +15,8 @@
 import net.jqwik.api.Example;
 
 /**
- * The program as a process of its own: from the built jar where one is named, else from the
- * classes.
+ * Tests the program as a separate process, started from the jar in the property basaltlever.jar or
+ * else from the class path.
  */
 class ProcessTest {
   private static Process start(Path startFile, String... arguments) throws IOException {
@@ -38,7 +38,7 @@
     return builder.start();
   }
 
-  /** Until a line of the file says so. */
+  /** Waits until a line of the file contains the text. */
   private static void awaitLine(Path file, String text, Process process) throws Exception {
     while (process.isAlive()
         && Files.readAllLines(file).stream().noneMatch(line -> line.contains(text))) {
@@ -54,12 +54,12 @@
         Thread.sleep(50);
       }
     }
-    throw new AssertionError("it never listened");
+    throw new AssertionError("the router must start to listen");
   }
 
   /**
-   * Each is read, checked and linked on the loop, in the moment in which something happens for the
-   * first time.
+   * Guards against delays on the event loop: each generated class is loaded, verified and linked
+   * there when its code runs for the first time.
    */
   @Example
   void servingStatementsLoadsFewGeneratedClasses() throws Exception {
@@ -79,21 +79,22 @@
           client.ask(statement("d" + mode, "post", 900)).answer();
         }
         process.destroy();
-        check(process.waitFor(10, TimeUnit.SECONDS), "it ends");
+        check(process.waitFor(10, TimeUnit.SECONDS), "the process exits");
       } finally {
         process.destroyForcibly();
       }
       List<String> loaded = Files.readAllLines(log);
-      check(loaded.size() > 500, "what it loads is told");
+      check(loaded.size() > 500, "the class loading log has entries");
       check(
           countLinesContaining(loaded, "LambdaForm$MH") <= 20,
-          "texts and the like: " + countLinesContaining(loaded, "LambdaForm$MH"));
+          "expected at most 20 generated method handle classes: "
+              + countLinesContaining(loaded, "LambdaForm$MH"));
       check(
           countLinesContaining(loaded, "jdk.jfr.internal.handlers") == 0,
-          "events for recordings that nobody makes");
+          "no flight recorder event handlers are loaded");
       check(
           countLinesContaining(loaded, "jcommander.JCommander") == 0,
-          "a command line that says nothing");
+          "no command line parser is loaded without options");
     } finally {
       Files.delete(log);
     }
@@ -111,14 +112,14 @@
         try (Client client = connect(world.port, process)) {
           check(
               client.start().ask("").answer().isEmpty() && client.answer().equals("I"),
-              "it serves");
+              "the router serves");
           String answer = client.ask(statement("a" + i, "view", 1_800)).answer();
-          check(answer.equals("row:a" + i), "a statement: " + answer);
+          check(answer.equals("row:a" + i), "the statement is answered: " + answer);
           process.destroy();
-          check(client.answer().equals("closed"), "closed once idle");
+          check(client.answer().equals("closed"), "the idle connection is closed");
           check(
               process.waitFor(10, TimeUnit.SECONDS) && process.exitValue() == 0,
-              "exit 0, and the next start works at once");
+              "the process exits with 0");
         } finally {
           process.destroyForcibly();
         }
@@ -132,12 +133,18 @@
       Process process = start(world.file, "serve");
       try (Client client = connect(world.port, process)) {
         client.start().answer();
-        check(client.ask(statement("b1", "view", 1_800)).answer().equals("row:b1"), "at first");
+        check(
+            client.ask(statement("b1", "view", 1_800)).answer().equals("row:b1"),
+            "the first statement is answered");
         world.moveDiscovery();
         new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor();
         Thread.sleep(700);
-        check(process.isAlive() && world.calls.get() == 2, "it lives, and asks at the new address");
-        check(client.ask(statement("b2", "view", 1_800)).answer().equals("row:b2"), "it serves on");
+        check(
+            process.isAlive() && world.calls.get() == 2,
+            "the process stays alive and uses the new discovery address");
+        check(
+            client.ask(statement("b2", "view", 1_800)).answer().equals("row:b2"),
+            "the router still serves");
       } finally {
         process.destroyForcibly();
       }
@@ -145,8 +152,8 @@
   }
 
   /**
-   * Left to itself the runtime ends on it, at any time before a start has got so far as to listen
-   * to it.
+   * Guards against a SIGHUP that arrives before the handler is installed: by default the JVM then
+   * exits.
    */
   @Example
   void sighupDuringStartupDoesNotEndTheProcess() throws Exception {
@@ -158,7 +165,9 @@
         sendSignals(process, "HUP");
         try (Client client = connect(world.port, process)) {
           client.start().answer();
-          check(client.ask(statement("e1", "view", 1_800)).answer().equals("row:e1"), "it serves");
+          check(
+              client.ask(statement("e1", "view", 1_800)).answer().equals("row:e1"),
+              "the router serves");
         }
       } finally {
         process.destroyForcibly();
@@ -187,7 +196,12 @@
         try (Client client = connect(world.port, process)) {
           client.start().answer();
           boolean logged = Files.readString(log).contains("event=signal_ignored signal=HUP");
-          check(logged == sighupIgnored, "deaf " + sighupIgnored + ", said " + logged);
+          check(
+              logged == sighupIgnored,
+              "expected a log entry only if SIGHUP is ignored; ignored: "
+                  + sighupIgnored
+                  + ", logged: "
+                  + logged);
         } finally {
           process.destroyForcibly().waitFor();
         }
@@ -209,7 +223,9 @@
       Process process = start(world.file, "serve");
       try (Client client = connect(world.port, process)) {
         client.start().answer();
-        check(client.ask(statement("c1", "view", 1_800)).answer().equals("row:c1"), "at first");
+        check(
+            client.ask(statement("c1", "view", 1_800)).answer().equals("row:c1"),
+            "the first statement is answered");
         world.nodes.get(0).mode = SocketWorld.Mode.SILENT;
         client.ask(statement("c2", "post", 900));
         for (int i = 0; i < 100 && !world.ran.containsKey("c2"); i++) {
@@ -217,9 +233,13 @@
         }
         world.moveDiscovery();
         sendSignals(process, "HUP", "HUP", "TERM", "HUP", "TERM");
-        check(client.answer().startsWith("error:58000"), "what may have run is told as that");
-        check(client.answer().equals("closed"), "then its connection ends");
-        check(process.waitFor(10, TimeUnit.SECONDS) && process.exitValue() == 0, "exit 0");
+        check(
+            client.answer().startsWith("error:58000"),
+            "a write that may have run is reported as such");
+        check(client.answer().equals("closed"), "the connection is then closed");
+        check(
+            process.waitFor(10, TimeUnit.SECONDS) && process.exitValue() == 0,
+            "the process exits with 0");
       } finally {
         process.destroyForcibly();
       }
@@ -237,11 +257,13 @@
                   "\"discovery\":\"127.0.0.1:" + unresponsive.getLocalPort() + "\""));
       Process process = start(world.file, "serve");
       try (Socket discoveryRequest = unresponsive.accept()) {
-        // It waits for its first list now, and listens for nobody yet.
+        // The router now waits for its first list and accepts no clients yet.
         long signalledAt = System.nanoTime();
         sendSignals(process, "TERM");
-        check(process.waitFor(10, TimeUnit.SECONDS) && process.exitValue() == 0, "exit 0");
-        check(System.nanoTime() - signalledAt < 1_500_000_000L, "nothing is owed to anybody");
+        check(
+            process.waitFor(10, TimeUnit.SECONDS) && process.exitValue() == 0,
+            "the process exits with 0");
+        check(System.nanoTime() - signalledAt < 1_500_000_000L, "no drain period without clients");
       } finally {
         process.destroyForcibly();
       }
@@ -255,7 +277,7 @@
       Process process = start(Path.of("target/nowhere"), arguments);
       check(
           process.waitFor(20, TimeUnit.SECONDS) && process.exitValue() == 2,
-          List.of(arguments) + " ends with 2");
+          List.of(arguments) + " exits with 2");
     }
   }
 }
--- a/router/src/test/java/basaltlever/RouterTest.java
+++ b/router/src/test/java/basaltlever/RouterTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** A whole router on loopback between stand-ins of clients, nodes and discovery. */
+/** Tests a complete router on loopback with simulated clients, servers and discovery. */
 class RouterTest {
   private static boolean isRejected(String answer) {
     return answer.startsWith("error:53300") || answer.startsWith("error:57P03");
@@ -34,10 +34,11 @@
       client.ask(statement("a2", "post", 1_500));
       check(
           client.answer().isEmpty() && client.answer().equals("I"),
-          "the start, and an empty query");
+          "the startup and an empty query are answered");
       check(
-          client.answer().equals("row:a1") && client.answer().isEmpty(), "a read, then a command");
-      check(client.answer().equals("row:a2"), "a write, in its order");
+          client.answer().equals("row:a1") && client.answer().isEmpty(),
+          "a read and then a command are answered");
+      check(client.answer().equals("row:a2"), "the write is answered last");
       String sent =
           world.seen.stream().filter(text -> text.contains("id=a2")).findFirst().orElse("");
       int timeoutMillis = Integer.parseInt(sent.replaceAll("(?s).*,d=([0-9]+),.*", "$1"));
@@ -45,7 +46,7 @@
           timeoutMillis <= 1_500
               && timeoutMillis > 500
               && sent.equals(statement("a2", "post", timeoutMillis)),
-          "only d is new");
+          "only the timeout d is rewritten");
     }
   }
 
@@ -60,13 +61,15 @@
         long start = System.nanoTime();
         String answer = client.ask(statement(id, "post", 700)).answer();
         List<Mode> runs = world.ran.getOrDefault(id, List.of());
-        check(System.nanoTime() - start < 1_500_000_000L, mode + ": answered in time");
+        check(System.nanoTime() - start < 1_500_000_000L, mode + ": expected an answer in time");
         if (mode.completes()) {
           check(answer.startsWith("row:" + id) && runs.size() == 1, mode + ": " + answer);
         } else if (mode.provesNotRun()) {
-          check(isRejected(answer), mode + " is harmless: " + answer);
+          check(isRejected(answer), mode + " did not run, so a rejection is expected: " + answer);
         } else {
-          check(isAborted(answer) && runs.size() == 1, mode + " may have run: " + answer + runs);
+          check(
+              isAborted(answer) && runs.size() == 1,
+              mode + " may have run, so an abort is expected: " + answer + runs);
         }
         world.nodes.get(0).mode = Mode.ROW;
         String next = "";
@@ -83,17 +86,21 @@
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       client.start().answer();
-      check(client.ask(statement("c1", "post", 900)).answer().equals("row:c1"), "at first");
+      check(
+          client.ask(statement("c1", "post", 900)).answer().equals("row:c1"),
+          "the first statement is answered");
       world.nodes.get(0).dies();
-      // A write that crosses the end of an open connection may have run: this is about later ones.
+      // A write sent while the connection closes may have run; this test checks later writes.
       Thread.sleep(150);
       String answer = client.ask(statement("c2", "post", 600)).answer();
-      check(isRejected(answer), "refused, never sent: " + answer);
-      check(client.ask(statement("c3", "view", 900)).answer().equals("row:c3"), "replicas go on");
+      check(isRejected(answer), "an unsent write is rejected: " + answer);
+      check(
+          client.ask(statement("c3", "view", 900)).answer().equals("row:c3"),
+          "replicas still serve reads");
       world.nodes.get(1).mode = Mode.BREAKS;
       for (int i = 0; i < 6; i++) {
         answer = client.ask(statement("c4" + i, "view", 1_500)).answer();
-        check(answer.equals("row:c4" + i), "a read may run again: " + answer);
+        check(answer.equals("row:c4" + i), "the read is retried: " + answer);
       }
     }
   }
@@ -103,7 +110,9 @@
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       client.start().answer();
-      check(client.ask(statement("d1", "post", 900)).answer().equals("row:d1"), "at first");
+      check(
+          client.ask(statement("d1", "post", 900)).answer().equals("row:d1"),
+          "the first statement is answered");
       for (SocketWorld.Node server : world.nodes) {
         for (java.net.Socket socket : new ArrayList<>(server.open)) {
           socket.close();
@@ -112,10 +121,11 @@
       Thread.sleep(150);
       check(
           client.ask(statement("d2", "post", 900)).answer().equals("row:d2"),
-          "on a new connection");
+          "the statement runs on a new connection");
       Thread.sleep(2_300);
       check(
-          client.ask(statement("d3", "post", 900)).answer().equals("row:d3"), "past the idle time");
+          client.ask(statement("d3", "post", 900)).answer().equals("row:d3"),
+          "the statement is answered after the idle timeout");
     }
   }
 
@@ -128,16 +138,18 @@
       world.refusesCalls = true;
       world.breakWatch();
       Thread.sleep(700);
-      check(world.calls.get() >= 2, "asked again, and told no");
+      check(world.calls.get() >= 2, "the watch is retried while it is refused");
       world.refusesCalls = false;
       world.nodes.get(1).listed = "terminating";
       Thread.sleep(1_600);
       world.nodes.get(1).mode = Mode.ERROR;
       int before = world.seen.size();
       for (int i = 0; i < 12; i++) {
-        check(client.ask(statement("e2" + i, "view", 900)).answer().equals("row:e2" + i), "served");
+        check(
+            client.ask(statement("e2" + i, "view", 900)).answer().equals("row:e2" + i),
+            "the read is served");
       }
-      check(world.seen.size() == before + 12, "one execution each, none at the node that drains");
+      check(world.seen.size() == before + 12, "one attempt each, none to the draining endpoint");
     }
   }
 
@@ -146,7 +158,9 @@
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       client.start().answer();
-      check(client.ask(statement("j1", "post", 900)).answer().equals("row:j1"), "at first");
+      check(
+          client.ask(statement("j1", "post", 900)).answer().equals("row:j1"),
+          "the first statement is answered");
       SocketWorld.Node oldServer = world.nodes.get(0);
       oldServer.mode = Mode.ERROR;
       world.nodes.set(0, world.new Node("s-0", true));
@@ -154,11 +168,11 @@
       Thread.sleep(200);
       check(
           client.ask(statement("j2", "post", 900)).answer().equals("row:j2"),
-          "not on an old connection");
+          "the old connection is not used");
       oldServer.dies();
       check(
           client.ask(statement("j3", "post", 900)).answer().equals("row:j3"),
-          "the old one is not missed");
+          "the old server is not needed");
     }
   }
 
@@ -167,11 +181,13 @@
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       client.start().answer();
-      check(client.ask(statement("k1", "post", 900)).answer().equals("row:k1"), "at first");
+      check(
+          client.ask(statement("k1", "post", 900)).answer().equals("row:k1"),
+          "the first statement is answered");
       Files.writeString(world.file, "{\"discovery\":\"nowhere\"}");
       world.router.reload();
       Thread.sleep(200);
-      check(world.calls.get() == 1, "a faulty file is left alone");
+      check(world.calls.get() == 1, "an invalid file causes no new discovery request");
       world.nodes.get(0).mode = Mode.SILENT;
       client.ask(statement("k2", "post", 900));
       Thread.sleep(100);
@@ -182,23 +198,29 @@
       Thread.sleep(400);
       check(
           world.calls.get() == 2 && world.asked.contains("since=0 "),
-          "the whole list: " + world.asked);
-      check(isAborted(client.answer()), "what was open is answered");
+          "one request for the complete list: " + world.asked);
+      check(isAborted(client.answer()), "the open statement is answered");
       world.nodes.get(0).mode = Mode.ROW;
       world.nodes.get(1).mode = Mode.ERROR;
       client.ask(statement("k3", "view", 900)).answer();
       check(
-          client.ask(statement("k4", "view", 900)).answer().equals("row:k4"), "by the new member");
+          client.ask(statement("k4", "view", 900)).answer().equals("row:k4"),
+          "the new endpoint serves the read");
     }
   }
 
-  /** Found on sockets: every spoilt answer began a hold, and spoilt ones were passed on. */
+  /**
+   * Guards against two faults seen on sockets: each malformed response started a hold, and
+   * malformed responses were forwarded to the client.
+   */
   @Example
   void malformedResponseStartsNoHoldAndBytesBehindAResponseAreNeverForwarded() throws Exception {
     try (SocketWorld world = new SocketWorld();
         Client client = new Client(world.port)) {
       client.start().answer();
-      check(client.ask(statement("l1", "post", 900)).answer().equals("row:l1"), "at first");
+      check(
+          client.ask(statement("l1", "post", 900)).answer().equals("row:l1"),
+          "the first statement is answered");
       SocketWorld.Node primary = world.nodes.get(0);
       primary.ignoresPolls = true;
       for (Mode mode : List.of(Mode.GARBAGE, Mode.WRONG_LENGTH, Mode.TWICE, Mode.NOISE_BEHIND)) {
@@ -207,14 +229,15 @@
         check(mode.completes() ? answer.equals("row:l2") : isAborted(answer), mode + ": " + answer);
         primary.mode = Mode.ROW;
         check(
-            client.ask(statement("l3", "post", 900)).answer().equals("row:l3"), "no hold: " + mode);
+            client.ask(statement("l3", "post", 900)).answer().equals("row:l3"),
+            "no hold after " + mode);
       }
     }
   }
 
   @Example
   void silentOrIncompleteClientsAreClosedAndIdleClientsOnlyWhenManyAreConnected() throws Exception {
-    List<Client> many = new ArrayList<>();
+    List<Client> clients = new ArrayList<>();
     try (SocketWorld world = new SocketWorld();
         Client active = new Client(world.port);
         Client silent = new Client(world.port);
@@ -223,32 +246,36 @@
       long start = System.nanoTime();
       active.start().ask("").answer();
       withoutQuery.start().answer();
-      check(withPartialQuery.start().answer().isEmpty(), "the start");
+      check(withPartialQuery.start().answer().isEmpty(), "the startup is answered");
       SocketWorld.send(
           withPartialQuery.socket,
           io.netty.buffer.Unpooled.buffer().writeByte('Q').writeInt(90).writeByte('/'));
-      check(active.answer().equals("I"), "it serves");
-      check(silent.answer().equals("error:08P01:closed"), "no start");
-      check(withoutQuery.answer().equals("closed"), "no query");
-      check(withPartialQuery.answer().equals("error:08P01:closed"), "half a query");
-      check(System.nanoTime() - start < 3_000_000_000L, "within 3 s");
+      check(active.answer().equals("I"), "the router serves");
+      check(silent.answer().equals("error:08P01:closed"), "closed without a startup message");
+      check(withoutQuery.answer().equals("closed"), "closed without a query");
+      check(
+          withPartialQuery.answer().equals("error:08P01:closed"),
+          "closed after an incomplete query");
+      check(System.nanoTime() - start < 3_000_000_000L, "all are closed within 3 s");
       String firstAnswer = active.ask(statement("m1", "view", 900)).answer();
       check(
           firstAnswer.equals("row:m1"),
-          "few may stay: "
+          "expected an answer while few clients are connected: "
               + firstAnswer
               + "; descriptors: "
               + new java.io.File("/proc/self/fd").list().length);
       for (int i = 0; i < 20; i++) {
-        many.add(new Client(world.port).start().ask(statement("m2" + i, "view", 1_900)));
+        clients.add(new Client(world.port).start().ask(statement("m2" + i, "view", 1_900)));
       }
-      for (Client client : many) {
-        check(client.answer().isEmpty() && !client.answer().endsWith("closed"), "each asks once");
+      for (Client client : clients) {
+        check(
+            client.answer().isEmpty() && !client.answer().endsWith("closed"),
+            "each client gets an answer");
       }
       Thread.sleep(2_500);
-      check(many.get(0).answer().equals("closed"), "the longest idle");
+      check(clients.get(0).answer().equals("closed"), "the longest idle connection is closed");
     } finally {
-      for (Client client : many) {
+      for (Client client : clients) {
         client.close();
       }
     }
@@ -282,7 +309,7 @@
               io.netty.buffer.Unpooled.buffer().writeInt(starts[i][0]).writeInt(starts[i][1]));
           String received =
               expected[i].equals("N") ? "" + (char) client.in.read() : client.answer();
-          check(received.equals(expected[i]), "start " + i + " got " + received);
+          check(received.equals(expected[i]), "startup packet " + i + " received " + received);
         }
       }
       try (Client client = new Client(world.port)) {
@@ -291,7 +318,7 @@
             new String[] {"SELECT 1", "/* id=1 */", statement("1", "nowhere", 5)}) {
           check(
               client.ask(invalid).answer().equals("error:08P01:"),
-              "an error, and the connection lives");
+              "an error without closing the connection");
         }
         SocketWorld.send(
             client.socket,
@@ -302,19 +329,25 @@
                 .writeInt(4)
                 .writeByte('S')
                 .writeInt(4));
-        check(client.answer().equals("error:0A000:"), "one error up to the next Sync");
-        check(client.ask(statement("f1", "view", 900)).answer().equals("row:f1"), "and it serves");
+        check(client.answer().equals("error:0A000:"), "one error until the next Sync");
+        check(
+            client.ask(statement("f1", "view", 900)).answer().equals("row:f1"),
+            "the connection still serves");
         String large = statement("f2", "view", 900) + " /* " + "z".repeat(140_000) + " */";
-        check(client.ask(large).answer().equals("row:f2"), "a large one");
-        check(client.ask("z".repeat(300_000)).answer().equals("error:54000:closed"), "too large");
+        check(client.ask(large).answer().equals("row:f2"), "a large query is served");
+        check(
+            client.ask("z".repeat(300_000)).answer().equals("error:54000:closed"),
+            "an oversized query closes the connection");
       } catch (IOException reset) {
         check(
             reset.getMessage().contains("reset") || reset.getMessage().contains("Broken"),
-            "closed on it");
+            "the client sees its connection closed");
       }
       try (Client client = new Client(world.port)) {
-        check(client.start().answer().isEmpty(), "others are served as before");
-        check(client.ask(statement("f3", "post", 900)).answer().equals("row:f3"), "in full");
+        check(client.start().answer().isEmpty(), "other clients are still accepted");
+        check(
+            client.ask(statement("f3", "post", 900)).answer().equals("row:f3"),
+            "other clients are still served");
       }
     }
   }
@@ -330,36 +363,39 @@
       }
       Thread.sleep(500);
       int before = world.seen.size();
-      check(before < 120, "it stops taking statements while answers are not read: " + before);
+      check(before < 120, "no further statements are read while answers are unread: " + before);
       for (int i = 0; i < 120; i++) {
         String answer = client.answer();
         check(
             answer.startsWith("row:h" + i + "-") && answer.length() > 65_536,
-            "in its order, whole");
+            "each answer is complete and in order");
       }
     }
   }
 
   @Example
   void longestIdleClientsAreClosedWhenDescriptorsRunOut() throws Exception {
-    List<Client> many = new ArrayList<>();
+    List<Client> clients = new ArrayList<>();
     try (SocketWorld world = new SocketWorld()) {
       for (int i = 0; i < 150; i++) {
-        many.add(new Client(world.port).start());
-        check(many.get(i).answer().isEmpty(), "admitted: " + i);
+        clients.add(new Client(world.port).start());
+        check(clients.get(i).answer().isEmpty(), "expected admission of client " + i);
       }
-      check(many.get(0).answer().equals("error:53300:250closed"), "the longest idle is told to go");
-      String answer = many.get(149).ask(statement("i1", "view", 900)).answer();
-      check(answer.equals("row:i1"), "the latest is served: " + answer);
+      check(
+          clients.get(0).answer().equals("error:53300:250closed"),
+          "the longest idle client is closed with a retry delay");
+      String answer = clients.get(149).ask(statement("i1", "view", 900)).answer();
+      check(answer.equals("row:i1"), "the newest client is served: " + answer);
     } finally {
-      for (Client client : many) {
+      for (Client client : clients) {
         client.close();
       }
     }
   }
 
   /**
-   * Found on sockets (an incident): a new connection for each statement, all kept by their clients.
+   * Guards against running out of descriptors when clients open a connection for each statement and
+   * leave all of them open, as seen in an incident.
    */
   @Example
   void clientsIdleAfterOneStatementAreClosedForNewClientsWithoutLosingStatements()
@@ -367,17 +403,20 @@
     List<Client> idleClients = new ArrayList<>();
     try (SocketWorld world = new SocketWorld();
         Client active = new Client(world.port)) {
-      check(active.start().answer().isEmpty(), "the start");
+      check(active.start().answer().isEmpty(), "the startup is answered");
       for (int i = 0; i < 90; i++) {
         Client client = new Client(world.port).start().ask(statement("o" + i, "view", 900));
         idleClients.add(client);
-        check(client.answer().isEmpty() && client.answer().equals("row:o" + i), "each is answered");
         check(
-            active.ask(statement("p" + i, "view", 900)).answer().equals("row:p" + i), "used: kept");
+            client.answer().isEmpty() && client.answer().equals("row:o" + i),
+            "each new client is answered");
+        check(
+            active.ask(statement("p" + i, "view", 900)).answer().equals("row:p" + i),
+            "the active connection stays open");
       }
       long start = System.nanoTime();
-      check(idleClients.get(20).answer().equals("closed"), "the longest idle");
-      check(System.nanoTime() - start < 200_000_000L, "at once");
+      check(idleClients.get(20).answer().equals("closed"), "the longest idle connection is closed");
+      check(System.nanoTime() - start < 200_000_000L, "the close is not delayed");
     } finally {
       for (Client client : idleClients) {
         client.close();
@@ -385,21 +424,28 @@
     }
   }
 
-  /** Found on sockets (an incident): connections that say nothing pushed out those in use. */
+  /**
+   * Guards against closing active connections to admit connections that never send anything, as
+   * seen in an incident.
+   */
   @Example
   void connectionsThatSayNothingMakeRoomBeforeThoseThatAsked() throws Exception {
     List<Client> silent = new ArrayList<>();
     try (SocketWorld world = new SocketWorld();
         Client active = new Client(world.port)) {
-      check(active.start().answer().isEmpty(), "the start");
-      check(active.ask(statement("n1", "view", 900)).answer().equals("row:n1"), "in use");
+      check(active.start().answer().isEmpty(), "the startup is answered");
+      check(
+          active.ask(statement("n1", "view", 900)).answer().equals("row:n1"),
+          "the active connection is served");
       for (int i = 0; i < 300; i++) {
         silent.add(new Client(world.port));
       }
-      check(active.ask(statement("n2", "view", 900)).answer().equals("row:n2"), "still here");
+      check(
+          active.ask(statement("n2", "view", 900)).answer().equals("row:n2"),
+          "the active connection stays open");
       check(
           silent.get(0).answer().equals("error:53300:250closed"),
-          "the oldest that said nothing made room");
+          "the oldest silent connection is closed");
     } finally {
       for (Client client : silent) {
         client.close();
@@ -423,22 +469,25 @@
       Thread.sleep(100);
       world.nodes.forEach(server -> server.mode = Mode.ROW);
       try (Client late = new Client(world.port)) {
-        check(late.start().answer().isEmpty(), "new clients are still served for a while");
+        check(
+            late.start().answer().isEmpty(), "new clients are accepted at the start of the drain");
         String answer = late.ask(statement("g2", "view", 900)).answer();
-        check(answer.equals("row:g2"), "in full: " + answer);
+        check(
+            answer.equals("row:g2"), "new clients are served at the start of the drain: " + answer);
       }
-      check(idle.answer().equals("closed"), "an idle connection is closed");
-      check(isAborted(client.answer()), "what was taken gets its answer");
+      check(idle.answer().equals("closed"), "the idle connection is closed");
+      check(isAborted(client.answer()), "the accepted statement is answered");
       long start = System.nanoTime();
       world.router.awaitStop();
-      check(System.nanoTime() - start < 2_000_000_000L, "then it stops");
+      check(System.nanoTime() - start < 2_000_000_000L, "the router stops after the last answer");
     } finally {
       world.close();
     }
   }
 
   /**
-   * Rules 1 and 2 on sockets: one answer in time each, and no effect twice or behind a rejection.
+   * Checks rules 1 and 2 on sockets: each statement gets one answer in time, and no write takes
+   * effect twice or after a rejection.
    */
   @Property(tries = 3, seed = "271", shrinking = ShrinkingMode.OFF)
   void rulesHoldOnRealSockets(@ForAll long seed) throws Exception {
@@ -492,13 +541,18 @@
         continue;
       }
       String answer = client.answer();
-      check((System.nanoTime() - start) / 1_000_000 < timeoutMillis + 400, "rule 1: late");
-      check(answer.startsWith("row:" + id) || answer.startsWith("error:"), "no answer: " + answer);
+      check(
+          (System.nanoTime() - start) / 1_000_000 < timeoutMillis + 400,
+          "rule 1: the answer must be in time");
+      check(
+          answer.startsWith("row:" + id) || answer.startsWith("error:"),
+          "expected a row or an error: " + answer);
       long possibleRuns =
           world.ran.getOrDefault(id, List.of()).stream().filter(m -> !m.provesNotRun()).count();
-      check(!write || possibleRuns <= 1, "rule 2: run twice");
+      check(!write || possibleRuns <= 1, "rule 2: the write must run at most once");
       check(
-          !write || !isRejected(answer) || possibleRuns == 0, "rule 2: rejected what may have run");
+          !write || !isRejected(answer) || possibleRuns == 0,
+          "rule 2: a write that may have run must not be rejected");
     }
     client.close();
   }
--- a/router/src/test/java/basaltlever/RulesTest.java
+++ b/router/src/test/java/basaltlever/RulesTest.java
@@ -19,8 +19,8 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Seeded random runs over every mix of start values; {@link StandIn} checks the five rules at each
- * act.
+ * Seeded random runs over all combinations of start values; {@link StandIn} checks the five rules
+ * at each action.
  */
 class RulesTest {
   @Property(tries = 150, seed = "4711", shrinking = ShrinkingMode.OFF)
@@ -52,7 +52,7 @@
   }
 
   /**
-   * Settings that rename, add and remove workloads while statements of them are open, held and out.
+   * Settings rename, add and remove workloads while their statements are open, held or in flight.
    */
   @Property(tries = 80, seed = "3412", shrinking = ShrinkingMode.OFF)
   void openStatementsRetainTheirWorkloadWhenSettingsChangeTheWorkloads(
@@ -132,7 +132,8 @@
   }
 
   /**
-   * Found on kigali-cards at full size: each router's single execution at once toppled a cold node.
+   * Guards against overloading a cold endpoint: in a run at full size, one attempt at a time * from
+   * each router was enough to do so.
    */
   @Property(tries = 10, seed = "1729", shrinking = ShrinkingMode.OFF)
   void unevenRoutersTogetherDoNotOverloadAColdEndpoint(@ForAll long seed) {
@@ -163,25 +164,31 @@
       long inWindow = Arrays.stream(coldSends, from, from + 20).sum();
       StandIn.check(
           inWindow <= 2 * 0.2 * warmSends / 2.0,
-          "cold node got " + inWindow + " of " + warmSends / 2);
+          "expected a lower load of the cold endpoint: " + inWindow + " of " + warmSends / 2);
     }
-    StandIn.check(Arrays.stream(coldSends).sum() > 5, "it warms up by what it gets");
+    StandIn.check(
+        Arrays.stream(coldSends).sum() > 5, "the cold endpoint gets statements to warm up");
   }
 
   /**
-   * A node whose restart only the routers saw, no list: each starts anew half-way through its
-   * budget. Without the views they would take it for warm.
+   * An endpoint restarts without a new start time in the list, and all routers restart halfway
+   * through its slow-start budget. Without restored snapshots the routers treat the endpoint as
+   * warm and overload it.
    */
   @Property(tries = 6, seed = "1730", shrinking = ShrinkingMode.OFF)
   void routersRestartedTogetherDoNotOverloadAColdEndpoint(@ForAll long seed) {
     StandIn.check(
-        peakColdEndpointLoad(seed, true) <= 1, "with views the cold node was pushed over");
+        peakColdEndpointLoad(seed, true) <= 1,
+        "with snapshots the cold endpoint must not be overloaded");
     StandIn.check(
         peakColdEndpointLoad(seed, false) > 1,
-        "the case shows nothing: it was safe without views as well");
+        "without snapshots the endpoint must be overloaded, else the case proves nothing");
   }
 
-  /** The fullest window of a second on the cold node after the restart, over what topples it. */
+  /**
+   * Returns the peak load of the cold endpoint in any second after the restart, relative to the
+   * load that overloads it.
+   */
   private static double peakColdEndpointLoad(long seed, boolean withSnapshots) {
     SplittableRandom random = new SplittableRandom(seed);
     long[] coldSends = new long[60];
@@ -247,7 +254,8 @@
   }
 
   /**
-   * Nothing crashes on reports that no sound node gives, and each statement gets its one answer.
+   * Reports that no correct endpoint sends cause no failure, and each statement still gets its one
+   * answer.
    */
   @Property(tries = 100, seed = "815", shrinking = ShrinkingMode.OFF)
   void implausibleReportsCauseNoFailureAndNoMissingAnswer(
@@ -283,9 +291,10 @@
           if (!world.sent.isEmpty()) {
             int stepsBack = Math.min(world.sent.size(), 1 + random.nextInt(4));
             StandIn.Sent earlier = world.sent.get(world.sent.size() - stepsBack);
-            // Some of these ended before: a second outcome must be passed over.
+            // Some of these attempts ended before: a second outcome must be ignored.
             StandIn.check(
-                earlier.execution() < world.fates.get(earlier.statement()).executions, "unknown");
+                earlier.execution() < world.fates.get(earlier.statement()).executions,
+                "the attempt must belong to its statement");
             if (!world.ended.add(earlier)) {
               StandIn.check(
                   !world.balancer.onAttemptEnded(
@@ -296,7 +305,7 @@
                       Role.REPLICA,
                       time,
                       false),
-                  "an outcome counted twice");
+                  "a second outcome of an attempt must be ignored");
             } else {
               world.end(
                   earlier,
@@ -315,6 +324,6 @@
     }
     world.endThose(open -> true, AttemptOutcome.TIMED_OUT, Role.UNKNOWN);
     StandIn.check(
-        world.fates.stream().allMatch(fate -> fate.answered), "a statement without an answer");
+        world.fates.stream().allMatch(fate -> fate.answered), "each statement must have an answer");
   }
 }
--- a/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
+++ b/router/src/test/java/basaltlever/SnapshotStorePowerCutTest.java
@@ -20,8 +20,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Views on a disk whose power is cut between any two operations and at any byte, and files that are
- * no views.
+ * Tests snapshots on a disk whose power fails between any two operations or at any byte, and files
+ * that are not valid snapshots.
  */
 class SnapshotStorePowerCutTest {
   enum Bug {
@@ -37,8 +37,8 @@
   }
 
   /**
-   * What is written is in the cache; power cuts after a number of steps, and of each unsynced file
-   * any sectors have reached the disk, and of the names' unsynced changes any part, in any order.
+   * Simulates a disk with a write cache that loses power after a number of steps. Any sectors of
+   * each unsynced file and any subset of the unsynced directory changes may have reached the disk.
    */
   private static final class SimulatedDisk implements DirectoryOperations {
     private static final int SECTOR = 64;
@@ -65,7 +65,7 @@
       }
     }
 
-    /** The power comes back: what is there now is all there is. */
+    /** Restores power: only the durable part of the cached changes remains. */
     void restorePower() {
       for (Runnable change : pending) {
         if (random.nextBoolean()) {
@@ -97,7 +97,7 @@
       stepsUntilPowerCut = Long.MAX_VALUE;
     }
 
-    /** One bit of the newest file. */
+    /** Flips one random bit of the newest file. */
     void flipBitOfNewestFile() throws IOException {
       List<String> all = SnapshotStore.names(this);
       if (!all.isEmpty()) {
@@ -132,7 +132,7 @@
       countStep();
       int inode = names.computeIfAbsent(name, n -> ++inodes);
       pending.add(() -> durableNames.put(name, inode));
-      // Each byte is a step of its own.
+      // Each byte counts as one step.
       int length = (int) Math.min(bytes.length, stepsUntilPowerCut);
       cached.put(inode, Arrays.copyOf(bytes, length));
       steps += length;
@@ -180,7 +180,7 @@
     }
   }
 
-  /** Stores with one order of steps turned round. */
+  /** Stores a snapshot, with the wrong order of steps for {@link Bug#RENAME_FIRST}. */
   private static void storeWithBug(DirectoryOperations disk, LearnedState snapshot, Bug bug)
       throws IOException {
     if (bug == Bug.RENAME_FIRST) {
@@ -197,8 +197,8 @@
   }
 
   /**
-   * How many of the cuts left something else than a whole view, or one older than the last that was
-   * kept.
+   * Returns the number of power cuts after which the newest snapshot was invalid or older than the
+   * last one stored, or the next one was not found.
    */
   private static int countFailedRecoveries(Bug bug, int cuts) throws IOException {
     int failures = 0;
@@ -209,9 +209,8 @@
     for (int i = 0; i < cuts; i++) {
       SimulatedDisk disk = new SimulatedDisk(seeds.split(), bug);
       long durableSequence = 0;
-      // Each byte and each operation of one of four writes, in turn; between them the power may
-      // have
-      // gone too.
+      // Cuts the power at each byte and operation of one of four writes in turn,
+      // and also between the writes.
       int completeWrites = i % 4;
       for (long number = 1; number <= completeWrites; number++) {
         storeWithBug(disk, KeptViews.view(number, 3), bug);
@@ -222,7 +221,7 @@
         storeWithBug(disk, KeptViews.view(completeWrites + 1, 3), bug);
         durableSequence = completeWrites + 1L;
       } catch (PowerCut cut) {
-        // As planned.
+        // The planned power cut.
       }
       disk.restorePower();
       if (i % 8 >= 6) {
@@ -235,7 +234,7 @@
               ? durableSequence <= 0
               : found.state().equals(KeptViews.view(found.state().sequence(), 3))
                   && found.state().sequence() >= durableSequence;
-      // And the next one must be found again, whatever the cut left behind.
+      // The next snapshot must be found, whatever files the cut left.
       LearnedState next = KeptViews.view(found.highestSequence() + 1, 3);
       storeWithBug(disk, next, bug);
       recovered &= next.equals(new SnapshotStore(disk).newest().state());
@@ -246,14 +245,16 @@
 
   @Example
   void powerCutNeverLeavesACorruptOrOutdatedSnapshot() throws IOException {
-    check(countFailedRecoveries(Bug.NONE, 16_000) == 0, "a cut was not survived");
+    check(
+        countFailedRecoveries(Bug.NONE, 16_000) == 0,
+        "no power cut may lose or corrupt a snapshot");
   }
 
   @Example
   void eachPlantedBugIsDetected() throws IOException {
     for (Bug bug :
         new Bug[] {Bug.NO_SYNC, Bug.RENAME_FIRST, Bug.NO_DIRECTORY_SYNC, Bug.NO_CHECKSUM}) {
-      check(countFailedRecoveries(bug, 3_000) > 0, bug + " was not caught");
+      check(countFailedRecoveries(bug, 3_000) > 0, bug + " must be detected");
     }
   }
 
@@ -265,23 +266,23 @@
     check(
         SnapshotCodec.read(complete).groups().equals(snapshot.groups())
             && SnapshotCodec.read(complete).endpoints().containsAll(snapshot.endpoints()),
-        "all of it");
+        "all groups and endpoints are read back");
     byte[] truncated = SnapshotCodec.write(snapshot, 32 << 10);
     List<KnownEndpoint> endpoints = SnapshotCodec.read(truncated).endpoints();
     check(
         truncated.length <= 32 << 10 && endpoints.size() > 50 && endpoints.size() < 500,
-        "bounded: " + endpoints.size());
+        "the size limit omits only some endpoints: " + endpoints.size());
     check(
         endpoints.stream().noneMatch(endpoint -> endpoint.state().isUnremarkable())
             || snapshot.endpoints().stream()
                 .filter(endpoint -> !endpoint.state().isUnremarkable())
                 .allMatch(endpoints::contains),
-        "what says little goes first");
+        "unremarkable endpoints are omitted first");
   }
 
   /**
-   * What a later version adds is passed over, what an earlier one lacked takes its default; another
-   * format is refused.
+   * Fields added by a later version are skipped, fields that an earlier version lacks take their
+   * defaults, and another format is rejected.
    */
   @Example
   void unknownFieldsAreSkippedMissingFieldsDefaultAndOtherFormatsAreRejected() throws Exception {
@@ -298,8 +299,8 @@
       out.writeNumberField("huge", java.math.BigInteger.TEN.pow(40));
       out.writeEndObject();
     }
-    // In the place of the second record, the first node's, so that the count in the head still
-    // fits.
+    // Replaces the second record, the first endpoint, so that the count in the header
+    // still matches.
     java.nio.ByteBuffer in = java.nio.ByteBuffer.wrap(valid);
     int second = 16 + in.getInt(8);
     int third = second + 8 + in.getInt(second);
@@ -312,7 +313,9 @@
         .put(record.toByteArray())
         .put(valid, third, valid.length - third);
     LearnedState read = SnapshotCodec.read(Checksums.recompute(modified.array()));
-    check(read.endpoints().size() == 1 && read.groups().size() == 2, "as many records");
+    check(
+        read.endpoints().size() == 1 && read.groups().size() == 2,
+        "one endpoint and two groups are read");
     EndpointState endpoint = read.endpoints().get(0).state();
     check(
         read.endpoints().get(0).id().equals("later")
@@ -321,7 +324,7 @@
             && endpoint.failureRate() == 0
             && endpoint.capacity() > 1e9
             && endpoint.sinceStart().equals(EndpointState.NEVER),
-        "nothing of it makes for more care");
+        "the missing fields restrict nothing");
     modified.putInt(4, 2);
     check(
         errorMessage(modified.array()).equals("byte 4: format 2, where this program reads 1"),
@@ -338,8 +341,8 @@
   }
 
   /**
-   * A million, of sound bytes turned, cut, doubled or mixed; those that keep their sums are found
-   * by construction.
+   * Mutates valid files a million times by changing, truncating, extending or mixing bytes. Half of
+   * the files get recomputed checksums, so that the parser behind them is tested too.
    */
   @Example
   void eachOfAMillionMutatedFilesIsReadOrRejected() throws InvalidSnapshotException {
@@ -358,19 +361,19 @@
       if (Arrays.equals(bytes, valid)) {
         continue;
       }
-      // The reader behind the sums sees the same: these are laid anew over whatever is there.
+      // Recomputed checksums let half of the mutated files reach the parser.
       byte[] mutated = i % 4 < 2 ? bytes : Checksums.recompute(bytes);
       String message = errorMessage(mutated);
-      check(i % 4 >= 2 || !message.isEmpty(), "taken though mutated");
+      check(i % 4 >= 2 || !message.isEmpty(), "a mutated file must be rejected");
       check(
           message.isEmpty() || message.startsWith("byte ") || message.startsWith("it ends"),
-          "no place: " + message);
+          "expected a position in the message: " + message);
       rejected += message.isEmpty() ? 0 : 1;
     }
-    check(rejected > 700_000, "few were refused: " + rejected);
+    check(rejected > 700_000, "expected more rejections: " + rejected);
   }
 
-  /** Lays a mutated file's sums anew, so that what stands behind them is put to the test. */
+  /** Recomputes the checksums of a mutated file, so that the parser behind them is tested. */
   private static final class Checksums {
     static byte[] recompute(byte[] bytes) {
       if (bytes.length < 60) {
--- a/router/src/test/java/basaltlever/SnapshotWriterTest.java
+++ b/router/src/test/java/basaltlever/SnapshotWriterTest.java
@@ -28,7 +28,7 @@
 import java.util.stream.Stream;
 import net.jqwik.api.Example;
 
-/** A folder of the file system, with its keeper and with a whole router. */
+/** Tests the snapshot writer on a real directory, alone and with a complete router. */
 class SnapshotWriterTest {
   private static LearnedState snapshot(long writtenAt) {
     LearnedState example = KeptViews.view(1, 4);
@@ -86,19 +86,23 @@
                 snapshotRequests.incrementAndGet();
                 return snapshot(SystemClocks.unixMicros());
               });
-      check(snapshotWriter.awaitRestore() == StateRestore.NOTHING, "none at first");
+      check(snapshotWriter.awaitRestore() == StateRestore.NOTHING, "no snapshot exists at first");
       snapshotWriter.startWriting();
-      awaitCondition("it writes each period", () -> snapshotRequests.get() > 4);
+      awaitCondition("a snapshot is written each period", () -> snapshotRequests.get() > 4);
       SnapshotWriter competing = createWriter(folder, () -> snapshot(SystemClocks.unixMicros()));
-      check(competing.awaitRestore() == StateRestore.NOTHING, "held by another: left alone");
+      check(
+          competing.awaitRestore() == StateRestore.NOTHING,
+          "a directory locked by another writer is not used");
       competing.close(snapshot(SystemClocks.unixMicros()));
       competing.awaitClosed();
       snapshotWriter.close(snapshot(SystemClocks.unixMicros()));
       snapshotWriter.awaitClosed();
-      check(SnapshotStore.names(new LockedDirectory(folder)).size() == 2, "two generations");
+      check(SnapshotStore.names(new LockedDirectory(folder)).size() == 2, "two generations remain");
       SnapshotWriter next = createWriter(folder, () -> null);
       StateRestore restore = next.awaitRestore();
-      check(restore.rejection().isEmpty() && restore.pendingCount() == 4, "recalled");
+      check(
+          restore.rejection().isEmpty() && restore.pendingCount() == 4,
+          "all four endpoints are restored");
       next.close(null);
       next.awaitClosed();
     } finally {
@@ -110,18 +114,21 @@
   void writerResumesWhenAMissingDirectoryReturns() throws Exception {
     Path folder = Files.createTempDirectory("view").resolve("mount");
     SnapshotWriter snapshotWriter = createWriter(folder, () -> snapshot(SystemClocks.unixMicros()));
-    check(snapshotWriter.awaitRestore() == StateRestore.NOTHING, "no folder, no view");
+    check(
+        snapshotWriter.awaitRestore() == StateRestore.NOTHING,
+        "a missing directory yields no snapshot");
     snapshotWriter.startWriting();
     Thread.sleep(300);
     Files.createDirectory(folder);
-    awaitCondition("kept once it is there", () -> newest(folder) != null);
+    awaitCondition("expected a snapshot once the directory exists", () -> newest(folder) != null);
     deleteRecursively(folder);
     Thread.sleep(300);
     Files.writeString(folder, "no folder");
     Thread.sleep(300);
     Files.delete(folder);
     Files.createDirectory(folder);
-    awaitCondition("kept again", () -> newest(folder) != null);
+    awaitCondition(
+        "expected a snapshot after the directory returned", () -> newest(folder) != null);
     byte[] bytes =
         Files.readAllBytes(folder.resolve(SnapshotStore.names(new LockedDirectory(folder)).get(0)));
     snapshotWriter.close(null);
@@ -133,10 +140,10 @@
     SnapshotWriter next = createWriter(folder, () -> null);
     check(
         next.awaitRestore().pendingCount() == 4,
-        "past a broken one and a folder to the newest that is whole");
+        "a corrupt file and a directory are skipped for the newest valid snapshot");
     next.close(snapshot(SystemClocks.unixMicros()));
     next.awaitClosed();
-    check(newest(folder).sequence() == 902, "numbers go on");
+    check(newest(folder).sequence() == 902, "the sequence continues after the highest file name");
     deleteRecursively(folder.getParent());
   }
 
@@ -156,7 +163,7 @@
     long start = System.nanoTime();
     snapshotWriter.close(snapshot(SystemClocks.unixMicros()));
     snapshotWriter.awaitClosed();
-    check(System.nanoTime() - start < 1_500_000_000L, "bounded");
+    check(System.nanoTime() - start < 1_500_000_000L, "the close is bounded in time");
     deleteRecursively(folder);
   }
 
@@ -170,24 +177,29 @@
             folder.resolve("operator.ini"), "[state]\nfolder = " + a + "\nperiod_ms = 100\n");
     try (SocketWorld world = new SocketWorld(false)) {
       world.router.start(world.file, OperatorFile.read(ini));
-      awaitCondition("kept in a", () -> newest(a) != null);
+      awaitCondition("expected a snapshot in a", () -> newest(a) != null);
       Files.writeString(ini, "[state]\nfolder = " + b + "\nperiod_ms = 1\n");
       world.router.reload();
       long before = newest(a).sequence();
-      awaitCondition("still in a", () -> newest(a).sequence() > before);
-      check(newest(b) == null, "not yet in b");
+      awaitCondition("expected further snapshots in a", () -> newest(a).sequence() > before);
+      check(newest(b) == null, "no snapshot in b after an invalid file");
       Files.writeString(ini, "[state]\nfolder = " + b + "\nperiod_ms = 100\n");
       world.router.reload();
-      awaitCondition("now in b", () -> newest(b) != null);
+      awaitCondition("expected a snapshot in b", () -> newest(b) != null);
       long last = newest(a).sequence();
       Thread.sleep(300);
-      check(newest(a).sequence() == last && new LockedDirectory(a).tryLock(), "a is let go");
+      check(
+          newest(a).sequence() == last && new LockedDirectory(a).tryLock(),
+          "the writer has stopped in a and released its lock");
     } finally {
       deleteRecursively(folder);
     }
   }
 
-  /** The list has 20 of 2,000: they are known again, and the rest is not kept for anybody. */
+  /**
+   * The list has 20 of the 2,000 stored endpoints: only these are restored, and no state is created
+   * for the others.
+   */
   @Example
   void shortListRestoresOnlyItsEndpointsFromALargeSnapshot() {
     LearnedState snapshot = KeptViews.view(9, 2_000);
@@ -224,15 +236,15 @@
     } catch (basaltlever.discovery.InvalidEndpointListException exception) {
       throw new AssertionError(exception);
     }
-    check(core.endpointCount() == 20, "no node but the listed");
-    check(restore.pendingCount() == 1_980, "and those were known again");
+    check(core.endpointCount() == 20, "only the listed endpoints exist");
+    check(restore.pendingCount() == 1_980, "the listed endpoints are restored");
   }
 
   private static long countBrokenStatements(SocketWorld world) {
     return world.ran.values().stream().flatMap(List::stream).filter(Mode.BREAKS::equals).count();
   }
 
-  /** The nodes' own record of what reached them judges, not the router. */
+  /** The result is judged by the statements that the servers recorded, not by the router. */
   @Example
   void restartedRouterAvoidsTheEndpointThatWasFailing() throws Exception {
     Path folder = Files.createTempDirectory("view");
@@ -247,7 +259,7 @@
             basaltlever.net.Router router = run == 0 ? world.router : new basaltlever.net.Router();
             router.start(world.file, OperatorTest.readOperatorFile(ini));
             long before = countBrokenStatements(world);
-            // At once, so that each replica gets some, and no more than one of them has room for.
+            // Sent concurrently, so that each replica gets some: one replica has no room for all.
             List<Client> clients = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
               clients.add(new Client(world.port).start());
@@ -257,7 +269,9 @@
               clients.get(i).ask(statement("r" + run + i, "view", 900));
             }
             for (Client client : clients) {
-              check(client.answer().startsWith("row:"), "served by another");
+              check(
+                  client.answer().startsWith("row:"),
+                  "the statement is served by another endpoint");
               client.close();
             }
             reached[withSnapshot] = (int) (countBrokenStatements(world) - before);
@@ -268,11 +282,14 @@
       }
       check(
           reached[0] > 0 && reached[1] == 0,
-          "with a view " + reached[1] + ", without one " + reached[0]);
+          "expected failed attempts only without a snapshot; with: "
+              + reached[1]
+              + ", without: "
+              + reached[0]);
       List<KnownEndpoint> stored = newest(folder).endpoints();
       check(
           stored.size() == 3 && SnapshotCodec.write(newest(folder), 1 << 20).length < 1_500,
-          "three nodes, small");
+          "the snapshot holds three endpoints and is small");
     } finally {
       deleteRecursively(folder);
     }
@@ -282,14 +299,16 @@
     try (Client client = new Client(world.port).start()) {
       client.answer();
       long start = System.nanoTime();
-      check(client.ask(statement(id, "view", 1_500)).answer().equals("row:" + id), "served " + id);
-      check(System.nanoTime() - start < 700_000_000L, "without waiting for the disk");
+      check(
+          client.ask(statement(id, "view", 1_500)).answer().equals("row:" + id),
+          "expected a row for " + id);
+      check(System.nanoTime() - start < 700_000_000L, "the answer does not wait for the disk");
     }
   }
 
   /**
-   * The kernel itself fails or holds up each write: the name of the file aside is a full device,
-   * then a pipe.
+   * The kernel fails or blocks each write: the temporary file is a link to a full device, then a
+   * named pipe without a reader.
    */
   @Example
   void fullOrHangingDiskDoesNotDelayStatements() throws Exception {
@@ -302,16 +321,16 @@
           OperatorTest.readOperatorFile("[state]\nfolder = " + folder + "\nperiod_ms = 100\n"));
       Thread.sleep(400);
       checkServedPromptly(world, "full");
-      check(newest(folder) == null, "nothing is kept on a full disk");
+      check(newest(folder) == null, "no snapshot is stored on a full disk");
       Files.delete(temporaryFile);
-      awaitCondition("kept once there is room", () -> newest(folder) != null);
+      awaitCondition("expected a snapshot once there is space", () -> newest(folder) != null);
       boolean piped = false;
       while (!piped) {
-        // Between two writes, when the name is free.
+        // Succeeds between two writes, when the file name is free.
         piped = new ProcessBuilder("mkfifo", temporaryFile.toString()).start().waitFor() == 0;
       }
       awaitCondition(
-          "the next write hangs",
+          "expected the next write to hang",
           () -> {
             long before = newest(folder).sequence();
             Thread.sleep(300);
@@ -321,11 +340,9 @@
       long start = System.nanoTime();
       world.router.drain();
       world.router.awaitStop();
-      check(
-          System.nanoTime() - start < 3_000_000_000L,
-          "an end is not held up by more than its bound");
+      check(System.nanoTime() - start < 3_000_000_000L, "the stop is bounded in time");
       try (var reader = Files.newInputStream(temporaryFile)) {
-        check(reader.read() >= 0, "the writer was waiting on the pipe");
+        check(reader.read() >= 0, "the writer was blocked on the pipe");
       }
     } finally {
       deleteRecursively(folder);
@@ -333,8 +350,8 @@
   }
 
   /**
-   * Discovery says nothing yet: who was known is connected to and polled, and gets nothing until it
-   * is listed.
+   * While discovery refuses requests, restored endpoints are connected to and polled, but get no
+   * statements until they are listed.
    */
   @Example
   void restoredEndpointsArePolledButSentNothingBeforeTheFirstList() throws Exception {
@@ -345,21 +362,24 @@
       basaltlever.net.Router first = new basaltlever.net.Router();
       first.start(world.file, operator);
       awaitCondition(
-          "kept", () -> newest(folder) != null && newest(folder).endpoints().size() == 3);
+          "expected a snapshot of three endpoints",
+          () -> newest(folder) != null && newest(folder).endpoints().size() == 3);
       first.drain();
       first.awaitStop();
       String start = Files.readString(world.file).replaceAll("(?s)\"known\":.*?]\\},", "");
-      check(!start.contains("known"), "no list at start");
+      check(!start.contains("known"), "the start file has no endpoint list");
       Files.writeString(world.file, start);
       world.refusesCalls = true;
       int connections = world.nodes.get(0).open.size();
       world.router.start(world.file, operator);
-      check(world.nodes.get(0).open.size() > connections, "connected to before it is listed");
+      check(
+          world.nodes.get(0).open.size() > connections,
+          "the endpoint is connected to before it is listed");
       try (Client client = new Client(world.port).start()) {
         client.answer();
         check(
             client.ask(statement("early", "post", 400)).answer().startsWith("error:53300"),
-            "held, not sent");
+            "the write is held and not sent");
         world.refusesCalls = false;
         long restoredAt = System.nanoTime();
         String answer = "";
@@ -368,9 +388,12 @@
             i++) {
           answer = client.ask(statement("f" + i, "view", 1_900)).answer();
         }
-        check(answer.startsWith("row:"), "served once listed, a pause of 1.5 s later at most");
+        check(
+            answer.startsWith("row:"),
+            "expected an answer once listed, after a retry delay of at most 1.5 s");
       }
-      check(!world.ran.containsKey("early"), "nothing went to a node on the word of a file");
+      check(
+          !world.ran.containsKey("early"), "no statement is sent on the basis of a restored state");
     } finally {
       deleteRecursively(folder);
     }
--- a/router/src/test/java/basaltlever/StartFileTest.java
+++ b/router/src/test/java/basaltlever/StartFileTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** The start file: what is read, and one line for each faulty key. */
+/** Tests the parsing of the start file and its error report with one line for each invalid key. */
 class StartFileTest {
   private static final String VALID_START_FILE = SocketWorld.startFile(5432, 8500, "[]");
 
@@ -27,10 +27,16 @@
   @Example
   void validFileYieldsItsValues() throws InvalidSettingsException {
     StartFile file = StartFile.of(VALID_START_FILE);
-    check(file.listen().getPort() == 5432 && file.discovery().getPort() == 8500, "addresses");
-    check(file.seed() == 0x8c1f30d27a5be964L && file.maxDescriptors() == 200, "seed and limits");
-    check(file.startValues().workloadNames().get(1).equals("post"), "workloads");
-    check(file.startValues().idleClose().equals(Span.ofMillis(2_000)), "spans are microseconds");
+    check(
+        file.listen().getPort() == 5432 && file.discovery().getPort() == 8500,
+        "the addresses are read");
+    check(
+        file.seed() == 0x8c1f30d27a5be964L && file.maxDescriptors() == 200,
+        "the seed and the limits are read");
+    check(file.startValues().workloadNames().get(1).equals("post"), "the workloads are read");
+    check(
+        file.startValues().idleClose().equals(Span.ofMillis(2_000)),
+        "durations are read as microseconds");
   }
 
   @Example
@@ -44,30 +50,32 @@
                 .replace("\"listen\":\"127.0.0.1:5432\"", "\"listen\":\"localhost:5432\""));
     check(
         message.contains("settings.Balancers can't be read: two; it takes a number from 1"),
-        "a wrong type");
+        "a value of the wrong type is reported");
     check(
         message.contains("settings.Classes.1.Repeat can't be read: seldom; it takes idempotent"),
-        "a word");
-    check(message.contains("settings.Rules.Cold is missing"), "a missing key");
+        "an unknown word is reported with the allowed ones");
+    check(message.contains("settings.Rules.Cold is missing"), "a missing key is reported");
     check(
         message.contains("listen can't be read: localhost:5432; it takes ADDRESS:PORT"),
-        "an address");
+        "an invalid address is reported");
     check(
         errorMessage(VALID_START_FILE.replace("\"sockets\":200", "\"sockets\":3"))
             .contains("limits.sockets"),
-        "a range");
+        "a value out of range is reported");
     check(
         errorMessage(VALID_START_FILE.replace("8c1f", "xyz")).contains("seed can't be read"),
-        "a seed");
+        "an invalid seed is reported");
     check(
         errorMessage(VALID_START_FILE.replace("\"Checks\":\"wait\"", "\"Checks\":true"))
             .contains("settings.FamilyInfo.Checks can't be read: true"),
-        "a flag for a word");
-    check(errorMessage("{\"listen\":1}").contains("settings is missing"), "no settings");
+        "a boolean in place of a word is reported");
+    check(
+        errorMessage("{\"listen\":1}").contains("settings is missing"),
+        "missing settings are reported");
     check(
         errorMessage("[]").contains("no JSON object") && errorMessage("{").contains("no JSON"),
-        "no object");
-    check(errorMessage("").contains("no JSON"), "an empty file");
+        "a file that is not a JSON object is reported");
+    check(errorMessage("").contains("no JSON"), "an empty file is reported");
   }
 
   @Example
@@ -81,7 +89,7 @@
         new StatementRouter<>(
             effects, StartFile.of(pushed).startValues().loadBalancerFactory(1, new Moment(0)));
     core.onTimerFired(new Moment(0));
-    check(effects.told.equals(List.of("watch")), "asked for at once");
+    check(effects.told.equals(List.of("watch")), "the list is requested on the first timer");
   }
 
   @Example
@@ -89,9 +97,9 @@
     for (String path : new String[] {"target", "target/nowhere/file"}) {
       try {
         StartFile.read(Path.of(path));
-        check(false, "read: " + path);
+        check(false, "expected rejection of: " + path);
       } catch (InvalidSettingsException exception) {
-        check(exception.getMessage().contains(path), "the path");
+        check(exception.getMessage().contains(path), "the message names the path");
       }
     }
   }
--- a/router/src/test/java/basaltlever/StateRestoreTest.java
+++ b/router/src/test/java/basaltlever/StateRestoreTest.java
@@ -23,7 +23,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** What of a view counts, for which node, and that it only ever makes for more care. */
+/**
+ * Tests which parts of a snapshot are restored for which endpoint, and that restored state only
+ * ever restricts an endpoint.
+ */
 class StateRestoreTest {
   private static final long HOUR_MICROS = 3_600_000_000L;
 
@@ -42,7 +45,7 @@
         .build();
   }
 
-  /** One reason for care and no other. */
+  /** Returns a state with the given reasons to restrict the endpoint and no others. */
   private static EndpointState stateWith(
       boolean draining,
       boolean unresponsive,
@@ -107,56 +110,62 @@
         afterSeconds.unresponsive()
             && afterSeconds.downFor().equals(ms(13_000))
             && Math.abs(afterSeconds.failureRate() - Math.exp(-10 / 120.0)) < 1e-9,
-        "ten seconds: the states stand");
+        "after 10 s the states still apply");
     check(
         Math.abs(afterSeconds.latencyStrain() - 0.4 * Math.exp(-10 / 15.0)) < 1e-9
             && afterSeconds.remainingBackoff().equals(Span.NONE),
-        "load");
+        "the load decays faster and the backoff ends");
     EndpointState afterMinutes = stateAfter(impairedState(true, true, 0.8), 200_000_000);
     check(
         !afterMinutes.unresponsive()
             && !afterMinutes.isDown()
             && afterMinutes.failureRate() > 0.1
             && afterMinutes.failureRate() < 0.2,
-        "minutes: a guess");
+        "after minutes only a reduced failure rate remains");
     EndpointState afterDays = stateAfter(impairedState(true, true, 1), 48 * HOUR_MICROS);
     check(
         afterDays.failureRate() < 0.01
             && afterDays.latencyStrain() < 0.01
             && afterDays.lag().micros() < 10_000
             && afterDays.capacity() > 12,
-        "days: nothing");
+        "after days nothing significant remains");
     check(
         StateDecay.weight(ms(553_000)) < 0.01
             && StateDecay.weight(ms(83_000)) > 0.5
             && StateDecay.weight(ms(-1)) == 0,
-        "the curve");
+        "the weight decays exponentially and is 0 for a negative age");
     check(
         stateAfter(drainingOrColdState(false), 0).draining() == false,
-        "a live list has the later word on a drain");
+        "a requested list overrides the stored drain");
   }
 
   @Example
   void snapshotOfUnknownAgeOrAnotherRouterIsRejected() {
     LearnedState snapshot = snapshotOf(impairedState(true, false, 1));
-    check(restoreAfter(snapshot, 5_000_000, 5_000_000, "b1").rejection().isEmpty(), "sound");
-    check(restoreAfter(snapshot, 5_000_000, 5_000_000, "b1").age().equals(ms(5_000)), "dated");
-    check(!restoreAfter(snapshot, -1, 5, "b1").rejection().isEmpty(), "the future");
+    check(
+        restoreAfter(snapshot, 5_000_000, 5_000_000, "b1").rejection().isEmpty(),
+        "a valid snapshot is accepted");
+    check(
+        restoreAfter(snapshot, 5_000_000, 5_000_000, "b1").age().equals(ms(5_000)),
+        "the age is known");
+    check(
+        !restoreAfter(snapshot, -1, 5, "b1").rejection().isEmpty(),
+        "a snapshot from the future is rejected");
     check(
         !restoreAfter(snapshot, 5_000_000, HOUR_MICROS, "b1").rejection().isEmpty(),
-        "stepped back since, though not past it");
+        "a snapshot is rejected after the clock was set back");
     check(
         !restoreAfter(snapshot, HOUR_MICROS, 5_000_000, "b1").rejection().isEmpty(),
-        "stepped ahead");
+        "a snapshot is rejected after the clock was set forward");
     check(
         restoreAfter(snapshot, HOUR_MICROS, 5, "b2").age().micros() == HOUR_MICROS,
-        "another run of the machine: the system's clock");
+        "after a reboot the age follows the system clock");
     check(
         !StateRestore.of(snapshot, "other", "n3", 2_000 * HOUR_MICROS, 0, "").rejection().isEmpty(),
-        "deployment");
+        "a snapshot of another deployment is rejected");
     check(
         !StateRestore.of(snapshot, "fleet", "n4", 2_000 * HOUR_MICROS, 0, "").rejection().isEmpty(),
-        "router");
+        "a snapshot of another router is rejected");
   }
 
   @Example
@@ -164,28 +173,34 @@
     LearnedState snapshot = snapshotOf(drainingOrColdState(false));
     check(
         restoreAfter(snapshot, 1, 1, "b1").of("s-2", "127.0.0.1:7001", 77, 40, false) == null,
-        "id");
+        "another id restores nothing");
     check(
         restoreAfter(snapshot, 1, 1, "b1").of("s-1", "127.0.0.1:7002", 77, 40, false) == null,
-        "address");
+        "another address restores nothing");
     check(
         restoreAfter(snapshot, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 78, 39, false) == null,
-        "a later start");
+        "a later start restores nothing");
     check(
         restoreAfter(snapshot, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 76, 40, false) == null,
-        "an earlier one, as new");
+        "an earlier start in a list of the same version restores nothing");
     check(
         restoreAfter(snapshot, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 76, 39, false) != null,
-        "an older list");
+        "an earlier start in an older list is restored");
     StateRestore restore = restoreAfter(snapshot, 1, 1, "b1");
-    check(restore.of("s-1", "127.0.0.1:7001", 77, 39, false).draining(), "told since: binds");
-    check(restore.of("s-1", "127.0.0.1:7001", 77, 39, false) == null, "once");
+    check(
+        restore.of("s-1", "127.0.0.1:7001", 77, 39, false).draining(),
+        "an older list does not undo the drain");
+    check(
+        restore.of("s-1", "127.0.0.1:7001", 77, 39, false) == null, "the state is handed out once");
     check(
         !restoreAfter(snapshot, 1, 1, "b1").of("s-1", "127.0.0.1:7001", 77, 40, false).draining(),
-        "as new a list");
+        "a list of the same version undoes the drain");
   }
 
-  /** A fresh router of three members, before it has heard anything else. */
+  /**
+   * Creates a new router with three listed endpoints and restored states, before any poll has
+   * ended.
+   */
   private static StandIn worldRestoredFrom(EndpointState... states) {
     StandIn world = StandIn.plain();
     world.balancer.onListStarted();
@@ -204,13 +219,15 @@
   void restoredPrimaryIsPolledFirstButNotTrusted() {
     EndpointState formerPrimary = new EndpointStateBuilder().primary(true).capacity(1e9).build();
     StandIn world = worldRestoredFrom(null, null, formerPrimary);
-    check(world.polled.equals(List.of(2, 0, 1)), "asked first, and each once: " + world.polled);
+    check(
+        world.polled.equals(List.of(2, 0, 1)),
+        "the restored primary is polled first and each endpoint once: " + world.polled);
     world.take(WRITE);
-    check(world.sent.isEmpty(), "held: a role from a file is no proof");
+    check(world.sent.isEmpty(), "held: a restored role is no proof");
     world.poll(0, Role.PRIMARY, world.now);
     check(
         world.sent.size() == 1 && world.last().node() == 0,
-        "it has died since: another is believed");
+        "the endpoint that reports primary gets the statement");
   }
 
   @Example
@@ -230,7 +247,9 @@
       }
       for (int i = 0; i < 6; i++) {
         world.take(BOUNDED);
-        check(world.last().node() != 1, "sent to the bad one: " + state);
+        check(
+            world.last().node() != 1,
+            "expected no statement for the restricted endpoint: " + state);
         world.end(world.last(), AttemptOutcome.COMPLETED, Role.REPLICA, world.now);
       }
     }
@@ -255,12 +274,17 @@
         }
       }
     }
-    check(sent[0] > 0 && sent[1] == 0, "without a view " + sent[0] + ", with one " + sent[1]);
+    check(
+        sent[0] > 0 && sent[1] == 0,
+        "expected cold statements only without a snapshot; without: "
+            + sent[0]
+            + ", with: "
+            + sent[1]);
   }
 
   /**
-   * Whatever a view says, no rule breaks and no node is let have what a fresh router would have
-   * kept from it.
+   * With any restored snapshot, no rule is broken and no endpoint gets statements that a new router
+   * would not send to it.
    */
   @Property(tries = 60, seed = "1207", shrinking = ShrinkingMode.OFF)
   void rulesHoldWithAnyRestoredState(
@@ -288,7 +312,7 @@
     for (int i = 0; i < 4; i++) {
       check(
           world.balancer.learnedState().endpointState(world.now, i) != null,
-          "what was learned can be told");
+          "the learned state can be exported");
     }
   }
 }
--- a/router/src/test/java/basaltlever/WireGoldenTest.java
+++ b/router/src/test/java/basaltlever/WireGoldenTest.java
@@ -12,8 +12,8 @@
 import net.jqwik.api.Example;
 
 /**
- * The bytes that a router sends to clients and to servers, beside those recorded of an earlier
- * release.
+ * Compares the bytes that a router sends to clients and to servers with those recorded from an
+ * earlier release.
  */
 class WireGoldenTest {
   private static final int STARTUP_V3 = 196_608;
@@ -41,8 +41,11 @@
         .array();
   }
 
-  /** All messages up to ReadyForQuery or the end of the connection. */
-  private static byte[] readResponse(InputStream socket) throws IOException {
+  /**
+   * Reads all messages up to ReadyForQuery or the end of the connection, with the cancellation key
+   * zeroed.
+   */
+  private static byte[] read(InputStream socket) throws IOException {
     DataInputStream in = new DataInputStream(socket);
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (int type = in.read(); type >= 0; type = in.read()) {
@@ -60,7 +63,7 @@
     return all.toByteArray();
   }
 
-  private static String toPrintableText(byte[] bytes) {
+  private static String escape(byte[] bytes) {
     StringBuilder text = new StringBuilder();
     for (byte one : bytes) {
       boolean printable = one >= ' ' && one < 127 && one != '\\';
@@ -69,13 +72,15 @@
     return text.toString();
   }
 
-  /** A write is rejected until the router has found the primary. */
+  /**
+   * Repeats a write until it succeeds: the router rejects writes until it has found the primary.
+   */
   private static void awaitPrimary(Socket client) throws IOException, InterruptedException {
     for (int i = 0; i < MAX_ATTEMPTS; i++) {
       client
           .getOutputStream()
           .write(message('Q', SocketWorld.statement(PROBE_ID_PREFIX + i, "post", 900)));
-      if (toPrintableText(readResponse(client.getInputStream())).contains(PROBE_ID_PREFIX)) {
+      if (escape(read(client.getInputStream())).contains(PROBE_ID_PREFIX)) {
         return;
       }
       Thread.sleep(RETRY_DELAY_MS);
@@ -85,18 +90,15 @@
 
   @Example
   void clientsAndServersReceiveTheRecordedBytes() throws Exception {
-    StringBuilder transcript = new StringBuilder();
-    TreeSet<String> receivedByServers = new TreeSet<>();
+    StringBuilder out = new StringBuilder();
+    TreeSet<String> received = new TreeSet<>();
     try (SocketWorld world = new SocketWorld();
         Socket client = new Socket("127.0.0.1", world.port)) {
       client.setSoTimeout(SOCKET_TIMEOUT_MS);
       client.getOutputStream().write(ByteBuffer.allocate(8).putInt(8).putInt(SSL_REQUEST).array());
-      transcript.append("ssl: ").append((char) client.getInputStream().read()).append('\n');
+      out.append("ssl: ").append((char) client.getInputStream().read()).append('\n');
       client.getOutputStream().write(startup());
-      transcript
-          .append("startup: ")
-          .append(toPrintableText(readResponse(client.getInputStream())))
-          .append('\n');
+      out.append("startup: ").append(escape(read(client.getInputStream()))).append('\n');
       awaitPrimary(client);
       for (String query :
           new String[] {
@@ -108,34 +110,21 @@
             SocketWorld.statement("g3", "unheard", 900)
           }) {
         client.getOutputStream().write(message('Q', query));
-        transcript
-            .append(query)
-            .append(": ")
-            .append(toPrintableText(readResponse(client.getInputStream())))
-            .append('\n');
+        out.append(query).append(": ").append(escape(read(client.getInputStream()))).append('\n');
       }
       world.nodes.get(0).mode = SocketWorld.Mode.ERROR;
       client.getOutputStream().write(message('Q', SocketWorld.statement("g4", "post", 900)));
-      transcript
-          .append("error: ")
-          .append(toPrintableText(readResponse(client.getInputStream())))
-          .append('\n');
+      out.append("error: ").append(escape(read(client.getInputStream()))).append('\n');
       client.getOutputStream().write(message('P', "unsupported"));
       client.getOutputStream().write(ByteBuffer.allocate(5).put((byte) 'S').putInt(4).array());
-      transcript
-          .append("extended: ")
-          .append(toPrintableText(readResponse(client.getInputStream())))
-          .append('\n');
+      out.append("extended: ").append(escape(read(client.getInputStream()))).append('\n');
       world.seen.stream()
           .filter(query -> !query.contains("id=" + PROBE_ID_PREFIX))
-          .forEach(query -> receivedByServers.add("query: " + query));
+          .forEach(query -> received.add("query: " + query));
       world.nodes.forEach(
-          server ->
-              server.startups.forEach(
-                  start -> receivedByServers.add("startup: " + toPrintableText(start))));
+          server -> server.startups.forEach(start -> received.add("startup: " + escape(start))));
     }
-    receivedByServers.forEach(
-        line -> transcript.append(line.replaceAll("d=\\d+", "d=N")).append('\n'));
-    Golden.check("wire.txt", transcript.toString());
+    received.forEach(line -> out.append(line.replaceAll("d=\\d+", "d=N")).append('\n'));
+    Golden.check("wire.txt", out.toString());
   }
 }
