--- a/router/src/test/java/basaltlever/RouterTest.java
+++ b/router/src/test/java/basaltlever/RouterTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** A whole router on loopback between stand-ins of clients, nodes and discovery. */
+/** Tests a complete router on loopback with simulated clients, servers and discovery. */
 class RouterTest {
   private static boolean isRejected(String answer) {
     return answer.startsWith("error:53300") || answer.startsWith("error:57P03");
@@ -38,11 +38,11 @@
       client.sendQuery(statement("a2", "post", 1_500));
       check(
           client.readResponse().isEmpty() && client.readResponse().equals("I"),
-          "the start, and an empty query");
+          "the startup and an empty query are answered");
       check(
           client.readResponse().equals("row:a1") && client.readResponse().isEmpty(),
-          "a read, then a command");
-      check(client.readResponse().equals("row:a2"), "a write, in its order");
+          "a read and then a command are answered");
+      check(client.readResponse().equals("row:a2"), "the write is answered last");
       String sent =
           world.receivedQueries.stream()
               .filter(text -> text.contains("id=a2"))
@@ -53,7 +53,7 @@
           timeoutMillis <= 1_500
               && timeoutMillis > 500
               && sent.equals(statement("a2", "post", timeoutMillis)),
-          "only d is new");
+          "only the timeout d is rewritten");
     }
   }
 
@@ -68,13 +68,15 @@
         long start = System.nanoTime();
         String answer = client.sendQuery(statement(id, "post", 700)).readResponse();
         List<ResponseMode> runs = world.modesByStatement.getOrDefault(id, List.of());
-        check(System.nanoTime() - start < 1_500_000_000L, mode + ": answered in time");
+        check(System.nanoTime() - start < 1_500_000_000L, mode + ": expected an answer in time");
         if (mode.hasValidResponse()) {
           check(answer.startsWith("row:" + id) && runs.size() == 1, mode + ": " + answer);
         } else if (mode.provesNotExecuted()) {
-          check(isRejected(answer), mode + " is harmless: " + answer);
+          check(isRejected(answer), mode + " did not run, so a rejection is expected: " + answer);
         } else {
-          check(isAborted(answer) && runs.size() == 1, mode + " may have run: " + answer + runs);
+          check(
+              isAborted(answer) && runs.size() == 1,
+              mode + " may have run, so an abort is expected: " + answer + runs);
         }
         world.servers.get(0).responseMode = ResponseMode.ROW;
         String next = "";
@@ -93,19 +95,19 @@
       client.sendStartup().readResponse();
       check(
           client.sendQuery(statement("c1", "post", 900)).readResponse().equals("row:c1"),
-          "at first");
+          "the first statement is answered");
       world.servers.get(0).kill();
-      // A write that crosses the end of an open connection may have run: this is about later ones.
+      // A write sent while the connection closes may have run; this test checks later writes.
       Thread.sleep(150);
       String answer = client.sendQuery(statement("c2", "post", 600)).readResponse();
-      check(isRejected(answer), "refused, never sent: " + answer);
+      check(isRejected(answer), "an unsent write is rejected: " + answer);
       check(
           client.sendQuery(statement("c3", "view", 900)).readResponse().equals("row:c3"),
-          "replicas go on");
+          "replicas still serve reads");
       world.servers.get(1).responseMode = ResponseMode.DISCONNECT;
       for (int i = 0; i < 6; i++) {
         answer = client.sendQuery(statement("c4" + i, "view", 1_500)).readResponse();
-        check(answer.equals("row:c4" + i), "a read may run again: " + answer);
+        check(answer.equals("row:c4" + i), "the read is retried: " + answer);
       }
     }
   }
@@ -117,7 +119,7 @@
       client.sendStartup().readResponse();
       check(
           client.sendQuery(statement("d1", "post", 900)).readResponse().equals("row:d1"),
-          "at first");
+          "the first statement is answered");
       for (LoopbackCluster.DatabaseServer server : world.servers) {
         for (java.net.Socket socket : new ArrayList<>(server.openSockets)) {
           socket.close();
@@ -126,11 +128,11 @@
       Thread.sleep(150);
       check(
           client.sendQuery(statement("d2", "post", 900)).readResponse().equals("row:d2"),
-          "on a new connection");
+          "the statement runs on a new connection");
       Thread.sleep(2_300);
       check(
           client.sendQuery(statement("d3", "post", 900)).readResponse().equals("row:d3"),
-          "past the idle time");
+          "the statement is answered after the idle timeout");
     }
   }
 
@@ -143,7 +145,7 @@
       world.rejectsDiscoveryCalls = true;
       world.closeWatch();
       Thread.sleep(700);
-      check(world.discoveryCalls.get() >= 2, "asked again, and told no");
+      check(world.discoveryCalls.get() >= 2, "the watch is retried while it is refused");
       world.rejectsDiscoveryCalls = false;
       world.servers.get(1).listedLifecycle = "terminating";
       Thread.sleep(1_600);
@@ -152,11 +154,11 @@
       for (int i = 0; i < 12; i++) {
         check(
             client.sendQuery(statement("e2" + i, "view", 900)).readResponse().equals("row:e2" + i),
-            "served");
+            "the read is served");
       }
       check(
           world.receivedQueries.size() == before + 12,
-          "one execution each, none at the node that drains");
+          "one attempt each, none to the draining endpoint");
     }
   }
 
@@ -167,7 +169,7 @@
       client.sendStartup().readResponse();
       check(
           client.sendQuery(statement("j1", "post", 900)).readResponse().equals("row:j1"),
-          "at first");
+          "the first statement is answered");
       LoopbackCluster.DatabaseServer oldServer = world.servers.get(0);
       oldServer.responseMode = ResponseMode.ERROR;
       world.servers.set(0, world.new DatabaseServer("s-0", true));
@@ -175,11 +177,11 @@
       Thread.sleep(200);
       check(
           client.sendQuery(statement("j2", "post", 900)).readResponse().equals("row:j2"),
-          "not on an old connection");
+          "the old connection is not used");
       oldServer.kill();
       check(
           client.sendQuery(statement("j3", "post", 900)).readResponse().equals("row:j3"),
-          "the old one is not missed");
+          "the old server is not needed");
     }
   }
 
@@ -190,11 +192,11 @@
       client.sendStartup().readResponse();
       check(
           client.sendQuery(statement("k1", "post", 900)).readResponse().equals("row:k1"),
-          "at first");
+          "the first statement is answered");
       Files.writeString(world.startFilePath, "{\"discovery\":\"nowhere\"}");
       world.router.reload();
       Thread.sleep(200);
-      check(world.discoveryCalls.get() == 1, "a faulty file is left alone");
+      check(world.discoveryCalls.get() == 1, "an invalid file causes no new discovery request");
       world.servers.get(0).responseMode = ResponseMode.NO_RESPONSE;
       client.sendQuery(statement("k2", "post", 900));
       Thread.sleep(100);
@@ -205,18 +207,21 @@
       Thread.sleep(400);
       check(
           world.discoveryCalls.get() == 2 && world.discoveryRequest.contains("since=0 "),
-          "the whole list: " + world.discoveryRequest);
-      check(isAborted(client.readResponse()), "what was open is answered");
+          "one request for the complete list: " + world.discoveryRequest);
+      check(isAborted(client.readResponse()), "the open statement is answered");
       world.servers.get(0).responseMode = ResponseMode.ROW;
       world.servers.get(1).responseMode = ResponseMode.ERROR;
       client.sendQuery(statement("k3", "view", 900)).readResponse();
       check(
           client.sendQuery(statement("k4", "view", 900)).readResponse().equals("row:k4"),
-          "by the new member");
+          "the new endpoint serves the read");
     }
   }
 
-  /** Found on sockets: every spoilt answer began a hold, and spoilt ones were passed on. */
+  /**
+   * Guards against two faults seen on sockets: each malformed response started a hold, and
+   * malformed responses were forwarded to the client.
+   */
   @Example
   void malformedResponseStartsNoHoldAndBytesBehindAResponseAreNeverForwarded() throws Exception {
     try (LoopbackCluster world = new LoopbackCluster();
@@ -224,7 +229,7 @@
       client.sendStartup().readResponse();
       check(
           client.sendQuery(statement("l1", "post", 900)).readResponse().equals("row:l1"),
-          "at first");
+          "the first statement is answered");
       LoopbackCluster.DatabaseServer primary = world.servers.get(0);
       primary.ignoresPolls = true;
       for (ResponseMode mode :
@@ -241,14 +246,14 @@
         primary.responseMode = ResponseMode.ROW;
         check(
             client.sendQuery(statement("l3", "post", 900)).readResponse().equals("row:l3"),
-            "no hold: " + mode);
+            "no hold after " + mode);
       }
     }
   }
 
   @Example
   void silentOrIncompleteClientsAreClosedAndIdleClientsOnlyWhenManyAreConnected() throws Exception {
-    List<Client> many = new ArrayList<>();
+    List<Client> clients = new ArrayList<>();
     try (LoopbackCluster world = new LoopbackCluster();
         Client active = new Client(world.port);
         Client silent = new Client(world.port);
@@ -257,35 +262,38 @@
       long start = System.nanoTime();
       active.sendStartup().sendQuery("").readResponse();
       withoutQuery.sendStartup().readResponse();
-      check(withPartialQuery.sendStartup().readResponse().isEmpty(), "the start");
+      check(withPartialQuery.sendStartup().readResponse().isEmpty(), "the startup is answered");
       LoopbackCluster.send(
           withPartialQuery.socket,
           io.netty.buffer.Unpooled.buffer().writeByte('Q').writeInt(90).writeByte('/'));
-      check(active.readResponse().equals("I"), "it serves");
-      check(silent.readResponse().equals("error:08P01:closed"), "no start");
-      check(withoutQuery.readResponse().equals("closed"), "no query");
-      check(withPartialQuery.readResponse().equals("error:08P01:closed"), "half a query");
-      check(System.nanoTime() - start < 3_000_000_000L, "within 3 s");
+      check(active.readResponse().equals("I"), "the router serves");
+      check(silent.readResponse().equals("error:08P01:closed"), "closed without a startup message");
+      check(withoutQuery.readResponse().equals("closed"), "closed without a query");
+      check(
+          withPartialQuery.readResponse().equals("error:08P01:closed"),
+          "closed after an incomplete query");
+      check(System.nanoTime() - start < 3_000_000_000L, "all are closed within 3 s");
       String firstAnswer = active.sendQuery(statement("m1", "view", 900)).readResponse();
       check(
           firstAnswer.equals("row:m1"),
-          "few may stay: "
+          "expected an answer while few clients are connected: "
               + firstAnswer
               + "; descriptors: "
               + new java.io.File("/proc/self/fd").list().length);
       for (int i = 0; i < 20; i++) {
-        many.add(
+        clients.add(
             new Client(world.port).sendStartup().sendQuery(statement("m2" + i, "view", 1_900)));
       }
-      for (Client client : many) {
+      for (Client client : clients) {
         check(
             client.readResponse().isEmpty() && !client.readResponse().endsWith("closed"),
-            "each asks once");
+            "each client gets an answer");
       }
       Thread.sleep(2_500);
-      check(many.get(0).readResponse().equals("closed"), "the longest idle");
+      check(
+          clients.get(0).readResponse().equals("closed"), "the longest idle connection is closed");
     } finally {
-      for (Client client : many) {
+      for (Client client : clients) {
         client.close();
       }
     }
@@ -319,7 +327,7 @@
               io.netty.buffer.Unpooled.buffer().writeInt(starts[i][0]).writeInt(starts[i][1]));
           String received =
               expected[i].equals("N") ? "" + (char) client.in.read() : client.readResponse();
-          check(received.equals(expected[i]), "start " + i + " got " + received);
+          check(received.equals(expected[i]), "startup packet " + i + " received " + received);
         }
       }
       try (Client client = new Client(world.port)) {
@@ -328,7 +336,7 @@
             new String[] {"SELECT 1", "/* id=1 */", statement("1", "nowhere", 5)}) {
           check(
               client.sendQuery(invalid).readResponse().equals("error:08P01:"),
-              "an error, and the connection lives");
+              "an error without closing the connection");
         }
         LoopbackCluster.send(
             client.socket,
@@ -339,25 +347,25 @@
                 .writeInt(4)
                 .writeByte('S')
                 .writeInt(4));
-        check(client.readResponse().equals("error:0A000:"), "one error up to the next Sync");
+        check(client.readResponse().equals("error:0A000:"), "one error until the next Sync");
         check(
             client.sendQuery(statement("f1", "view", 900)).readResponse().equals("row:f1"),
-            "and it serves");
+            "the connection still serves");
         String large = statement("f2", "view", 900) + " /* " + "z".repeat(140_000) + " */";
-        check(client.sendQuery(large).readResponse().equals("row:f2"), "a large one");
+        check(client.sendQuery(large).readResponse().equals("row:f2"), "a large query is served");
         check(
             client.sendQuery("z".repeat(300_000)).readResponse().equals("error:54000:closed"),
-            "too large");
+            "an oversized query closes the connection");
       } catch (IOException reset) {
         check(
             reset.getMessage().contains("reset") || reset.getMessage().contains("Broken"),
-            "closed on it");
+            "the client sees its connection closed");
       }
       try (Client client = new Client(world.port)) {
-        check(client.sendStartup().readResponse().isEmpty(), "others are served as before");
+        check(client.sendStartup().readResponse().isEmpty(), "other clients are still accepted");
         check(
             client.sendQuery(statement("f3", "post", 900)).readResponse().equals("row:f3"),
-            "in full");
+            "other clients are still served");
       }
     }
   }
@@ -373,38 +381,39 @@
       }
       Thread.sleep(500);
       int before = world.receivedQueries.size();
-      check(before < 120, "it stops taking statements while answers are not read: " + before);
+      check(before < 120, "no further statements are read while answers are unread: " + before);
       for (int i = 0; i < 120; i++) {
         String answer = client.readResponse();
         check(
             answer.startsWith("row:h" + i + "-") && answer.length() > 65_536,
-            "in its order, whole");
+            "each answer is complete and in order");
       }
     }
   }
 
   @Example
   void longestIdleClientsAreClosedWhenDescriptorsRunOut() throws Exception {
-    List<Client> many = new ArrayList<>();
+    List<Client> clients = new ArrayList<>();
     try (LoopbackCluster world = new LoopbackCluster()) {
       for (int i = 0; i < 150; i++) {
-        many.add(new Client(world.port).sendStartup());
-        check(many.get(i).readResponse().isEmpty(), "admitted: " + i);
+        clients.add(new Client(world.port).sendStartup());
+        check(clients.get(i).readResponse().isEmpty(), "expected admission of client " + i);
       }
       check(
-          many.get(0).readResponse().equals("error:53300:250closed"),
-          "the longest idle is told to go");
-      String answer = many.get(149).sendQuery(statement("i1", "view", 900)).readResponse();
-      check(answer.equals("row:i1"), "the latest is served: " + answer);
+          clients.get(0).readResponse().equals("error:53300:250closed"),
+          "the longest idle client is closed with a retry delay");
+      String answer = clients.get(149).sendQuery(statement("i1", "view", 900)).readResponse();
+      check(answer.equals("row:i1"), "the newest client is served: " + answer);
     } finally {
-      for (Client client : many) {
+      for (Client client : clients) {
         client.close();
       }
     }
   }
 
   /**
-   * Found on sockets (an incident): a new connection for each statement, all kept by their clients.
+   * Guards against running out of descriptors when clients open a connection for each statement and
+   * leave all of them open, as seen in an incident.
    */
   @Example
   void clientsIdleAfterOneStatementAreClosedForNewClientsWithoutLosingStatements()
@@ -412,21 +421,23 @@
     List<Client> idleClients = new ArrayList<>();
     try (LoopbackCluster world = new LoopbackCluster();
         Client active = new Client(world.port)) {
-      check(active.sendStartup().readResponse().isEmpty(), "the start");
+      check(active.sendStartup().readResponse().isEmpty(), "the startup is answered");
       for (int i = 0; i < 90; i++) {
         Client client =
             new Client(world.port).sendStartup().sendQuery(statement("o" + i, "view", 900));
         idleClients.add(client);
         check(
             client.readResponse().isEmpty() && client.readResponse().equals("row:o" + i),
-            "each is answered");
+            "each new client is answered");
         check(
             active.sendQuery(statement("p" + i, "view", 900)).readResponse().equals("row:p" + i),
-            "used: kept");
+            "the active connection stays open");
       }
       long start = System.nanoTime();
-      check(idleClients.get(20).readResponse().equals("closed"), "the longest idle");
-      check(System.nanoTime() - start < 200_000_000L, "at once");
+      check(
+          idleClients.get(20).readResponse().equals("closed"),
+          "the longest idle connection is closed");
+      check(System.nanoTime() - start < 200_000_000L, "the close is not delayed");
     } finally {
       for (Client client : idleClients) {
         client.close();
@@ -434,24 +445,28 @@
     }
   }
 
-  /** Found on sockets (an incident): connections that say nothing pushed out those in use. */
+  /**
+   * Guards against closing active connections to admit connections that never send anything, as
+   * seen in an incident.
+   */
   @Example
   void connectionsThatSayNothingMakeRoomBeforeThoseThatAsked() throws Exception {
     List<Client> silent = new ArrayList<>();
     try (LoopbackCluster world = new LoopbackCluster();
         Client active = new Client(world.port)) {
-      check(active.sendStartup().readResponse().isEmpty(), "the start");
+      check(active.sendStartup().readResponse().isEmpty(), "the startup is answered");
       check(
-          active.sendQuery(statement("n1", "view", 900)).readResponse().equals("row:n1"), "in use");
+          active.sendQuery(statement("n1", "view", 900)).readResponse().equals("row:n1"),
+          "the active connection is served");
       for (int i = 0; i < 300; i++) {
         silent.add(new Client(world.port));
       }
       check(
           active.sendQuery(statement("n2", "view", 900)).readResponse().equals("row:n2"),
-          "still here");
+          "the active connection stays open");
       check(
           silent.get(0).readResponse().equals("error:53300:250closed"),
-          "the oldest that said nothing made room");
+          "the oldest silent connection is closed");
     } finally {
       for (Client client : silent) {
         client.close();
@@ -477,22 +492,24 @@
       try (Client late = new Client(world.port)) {
         check(
             late.sendStartup().readResponse().isEmpty(),
-            "new clients are still served for a while");
+            "new clients are accepted at the start of the drain");
         String answer = late.sendQuery(statement("g2", "view", 900)).readResponse();
-        check(answer.equals("row:g2"), "in full: " + answer);
+        check(
+            answer.equals("row:g2"), "new clients are served at the start of the drain: " + answer);
       }
-      check(idle.readResponse().equals("closed"), "an idle connection is closed");
-      check(isAborted(client.readResponse()), "what was taken gets its answer");
+      check(idle.readResponse().equals("closed"), "the idle connection is closed");
+      check(isAborted(client.readResponse()), "the accepted statement is answered");
       long start = System.nanoTime();
       world.router.awaitStop();
-      check(System.nanoTime() - start < 2_000_000_000L, "then it stops");
+      check(System.nanoTime() - start < 2_000_000_000L, "the router stops after the last answer");
     } finally {
       world.close();
     }
   }
 
   /**
-   * Rules 1 and 2 on sockets: one answer in time each, and no effect twice or behind a rejection.
+   * Checks rules 1 and 2 on sockets: each statement gets one answer in time, and no write takes
+   * effect twice or after a rejection.
    */
   @Property(tries = 3, seed = "271", shrinking = ShrinkingMode.OFF)
   void rulesHoldOnRealSockets(@ForAll long seed) throws Exception {
@@ -548,15 +565,20 @@
         continue;
       }
       String answer = client.readResponse();
-      check((System.nanoTime() - start) / 1_000_000 < timeoutMillis + 400, "rule 1: late");
-      check(answer.startsWith("row:" + id) || answer.startsWith("error:"), "no answer: " + answer);
+      check(
+          (System.nanoTime() - start) / 1_000_000 < timeoutMillis + 400,
+          "rule 1: the answer must be in time");
+      check(
+          answer.startsWith("row:" + id) || answer.startsWith("error:"),
+          "expected a row or an error: " + answer);
       long possibleRuns =
           world.modesByStatement.getOrDefault(id, List.of()).stream()
               .filter(m -> !m.provesNotExecuted())
               .count();
-      check(!write || possibleRuns <= 1, "rule 2: run twice");
+      check(!write || possibleRuns <= 1, "rule 2: the write must run at most once");
       check(
-          !write || !isRejected(answer) || possibleRuns == 0, "rule 2: rejected what may have run");
+          !write || !isRejected(answer) || possibleRuns == 0,
+          "rule 2: a write that may have run must not be rejected");
     }
     client.close();
   }
