--- a/router/src/main/java/basaltlever/storage/SnapshotDecoder.java
+++ b/router/src/main/java/basaltlever/storage/SnapshotDecoder.java
@@ -48,7 +48,7 @@
   private void checkHeader(ByteBuffer in) throws InvalidSnapshotException {
     if (file.length < SnapshotFormat.HEADER_BYTES + SnapshotFormat.DIGEST_BYTES) {
       throw InvalidSnapshotException.forFile(
-          "the file has " + file.length + " bytes, too few for its header and digest");
+          "it ends after " + file.length + " bytes, too short for its header and digest");
     }
     if (in.getInt() != SnapshotFormat.MAGIC) {
       throw InvalidSnapshotException.atOffset(
@@ -58,10 +58,7 @@
     if (format != SnapshotFormat.FORMAT_VERSION) {
       throw InvalidSnapshotException.atOffset(
           Integer.BYTES,
-          "format "
-              + format
-              + " is not supported; this program reads format "
-              + SnapshotFormat.FORMAT_VERSION);
+          "format " + format + ", where this program reads " + SnapshotFormat.FORMAT_VERSION);
     }
   }
 
