--- a/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
+++ b/router/src/test/java/basaltlever/settings/StricterSettingsTest.java
@@ -124,10 +124,7 @@
         check(
             !canRepeat(stricter, millis, sameZone, sameGroup)
                 || canRepeat(looser, millis, sameZone, sameGroup),
-            "a repeat is allowed only where both settings allow it: "
-                + stricter
-                + " and "
-                + looser);
+            "repeats only where both settings allow them: " + stricter + " and " + looser);
         // Neither of SESSION and BOUNDED is stricter than the other; FRESH is stricter than both.
         boolean isComparable =
             stricter.consistency() == ReadConsistency.FRESH
