--- a/lab/src/test/java/basaltlever/lab/ScenarioTest.java
+++ b/lab/src/test/java/basaltlever/lab/ScenarioTest.java
@@ -68,7 +68,7 @@
           text.contains("<svg") && text.contains("held.") && text.contains("doubled"),
           "a page with charts");
     } finally {
-      Files.delete(page.resolve("report.html"));
+      Files.deleteIfExists(page.resolve("report.html"));
       Files.delete(page);
     }
   }
