--- a/lab/src/main/java/basaltlever/lab/Archive.java
+++ b/lab/src/main/java/basaltlever/lab/ArchiveCommand.java
@@ -14,50 +14,50 @@
  * loop, in the very moment in which something rare happens for the first time.
  */
 @Parameters(commandDescription = "Records the classes that a router needs, for its starts")
-final class Archive {
+final class ArchiveCommand {
   @Parameter(description = "FILE (where the record goes)", required = true)
-  private String name;
+  private String archivePath;
 
   @Parameter(
       names = "--router-jar",
       description = "the router's jar, named as its command will name it")
-  private Path jar = Path.of("target/basaltlever.jar");
+  private Path routerJar = Path.of("target/basaltlever.jar");
 
   @Parameter(names = "--seconds", description = "how long statements arrive")
-  private int seconds = 4;
+  private int workloadSeconds = 4;
 
   int run() throws Exception {
-    if (seconds < 1 || seconds > 600) {
-      System.err.println("basaltlever-lab: --seconds takes 1 to 600, not " + seconds);
+    if (workloadSeconds < 1 || workloadSeconds > 600) {
+      System.err.println("basaltlever-lab: --seconds takes 1 to 600, not " + workloadSeconds);
       return 2;
     }
-    if (!Files.isReadable(jar)) {
-      System.err.println("basaltlever-lab: --router-jar: " + jar + " can't be read");
+    if (!Files.isReadable(routerJar)) {
+      System.err.println("basaltlever-lab: --router-jar: " + routerJar + " can't be read");
       return 2;
     }
-    Path file = Path.of(name);
-    Files.deleteIfExists(file);
+    Path archiveFile = Path.of(archivePath);
+    Files.deleteIfExists(archiveFile);
     Scenario scenario =
-        Scenario.read(
-            Scenario.text("primary-changes"),
+        Scenario.parse(
+            Scenario.readText("primary-changes"),
             List.of(
                 "routers=1",
                 "groups=1",
-                "seconds=" + seconds,
+                "seconds=" + workloadSeconds,
                 "faults_from_ms=200",
                 "faults_to_ms=500",
                 "faults.restart=0"));
-    List<String> flags = List.of("-XX:ArchiveClassesAtExit=" + file, "-Xlog:disable");
-    String log;
-    try (SocketRun run = new SocketRun(scenario, 1, jar, flags)) {
-      run.play();
-      log = run.routers().get(0).log();
+    List<String> jvmFlags = List.of("-XX:ArchiveClassesAtExit=" + archiveFile, "-Xlog:disable");
+    String routerLog;
+    try (SocketRun run = new SocketRun(scenario, 1, routerJar, jvmFlags)) {
+      run.runScenario();
+      routerLog = run.routers().get(0).readLog();
     }
-    if (!Files.isReadable(file)) {
-      System.err.println("basaltlever-lab: the router left no record:\n" + log);
+    if (!Files.isReadable(archiveFile)) {
+      System.err.println("basaltlever-lab: the router left no record:\n" + routerLog);
       return 1;
     }
-    System.out.println(file + ": " + Files.size(file) / 1_024 + " KB");
+    System.out.println(archiveFile + ": " + Files.size(archiveFile) / 1_024 + " KB");
     return 0;
   }
 }
--- a/lab/src/main/java/basaltlever/lab/Scenarios.java
+++ b/lab/src/main/java/basaltlever/lab/BuiltInScenarios.java
@@ -6,7 +6,7 @@
 
 /** The scenarios that come with the program. */
 @Parameters(commandDescription = "Names the scenarios that come with the program")
-final class Scenarios {
+final class BuiltInScenarios {
   static final List<String> NAMES =
       List.of(
           "primary-changes",
@@ -19,9 +19,10 @@
           "held-up",
           "majority-lost");
 
-  void run() throws Scenario.Fault {
+  void run() throws Scenario.InvalidScenarioException {
     for (String name : NAMES) {
-      System.out.printf("%-18s %s%n", name, Scenario.read(Scenario.text(name), List.of()).title);
+      System.out.printf(
+          "%-18s %s%n", name, Scenario.parse(Scenario.readText(name), List.of()).title);
     }
   }
 }
--- a/lab/src/main/java/basaltlever/lab/Compare.java
+++ b/lab/src/main/java/basaltlever/lab/CompareCommand.java
@@ -18,40 +18,42 @@
  * chance.
  */
 @Parameters(commandDescription = "Compares two files of figures, seed by seed")
-final class Compare {
+final class CompareCommand {
   @Parameter(description = "A.json B.json", required = true)
-  private List<String> files = new ArrayList<>();
+  private List<String> figureFiles = new ArrayList<>();
 
   int run() throws IOException {
-    if (files.size() != 2) {
+    if (figureFiles.size() != 2) {
       System.err.println("basaltlever-lab: compare takes two files");
       return 2;
     }
     try {
-      Map<Long, Map<?, ?>> a = runs(files.get(0));
-      Map<Long, Map<?, ?>> b = runs(files.get(1));
-      a.keySet().retainAll(b.keySet());
-      if (a.isEmpty()) {
+      Map<Long, Map<?, ?>> runsA = readRunsBySeed(figureFiles.get(0));
+      Map<Long, Map<?, ?>> runsB = readRunsBySeed(figureFiles.get(1));
+      runsA.keySet().retainAll(runsB.keySet());
+      if (runsA.isEmpty()) {
         System.err.println("basaltlever-lab: the files have no seed in common");
         return 2;
       }
       System.out.printf(
-          "%-22s %12s %12s %12s %10s   %d seeds%n", "figure", "A", "B", "B - A", "noise", a.size());
-      for (Object name : a.values().iterator().next().keySet()) {
-        tell(String.valueOf(name), a, b);
+          "%-22s %12s %12s %12s %10s   %d seeds%n",
+          "figure", "A", "B", "B - A", "noise", runsA.size());
+      for (Object name : runsA.values().iterator().next().keySet()) {
+        printDifference(String.valueOf(name), runsA, runsB);
       }
       return 0;
-    } catch (InvalidJsonException fault) {
-      System.err.println("basaltlever-lab: " + fault.getMessage());
+    } catch (InvalidJsonException e) {
+      System.err.println("basaltlever-lab: " + e.getMessage());
       return 2;
     }
   }
 
-  private static void tell(String name, Map<Long, Map<?, ?>> a, Map<Long, Map<?, ?>> b) {
-    Pairs pairs = new Pairs();
-    for (Long seed : a.keySet()) {
-      if (a.get(seed).get(name) instanceof BigDecimal one
-          && b.get(seed).get(name) instanceof BigDecimal other) {
+  private static void printDifference(
+      String name, Map<Long, Map<?, ?>> runsA, Map<Long, Map<?, ?>> runsB) {
+    PairedSamples pairs = new PairedSamples();
+    for (Long seed : runsA.keySet()) {
+      if (runsA.get(seed).get(name) instanceof BigDecimal one
+          && runsB.get(seed).get(name) instanceof BigDecimal other) {
         pairs.add(one.doubleValue(), other.doubleValue());
       }
     }
@@ -62,12 +64,13 @@
           name,
           pairs.meanA(),
           pairs.meanB(),
-          pairs.difference(),
-          pairs.noise());
+          pairs.meanDifference(),
+          pairs.standardError());
     }
   }
 
-  private static Map<Long, Map<?, ?>> runs(String file) throws IOException, InvalidJsonException {
+  private static Map<Long, Map<?, ?>> readRunsBySeed(String file)
+      throws IOException, InvalidJsonException {
     Map<Long, Map<?, ?>> runs = new TreeMap<>();
     if (Json.parse(Files.readString(Path.of(file))) instanceof Map<?, ?> whole) {
       for (Object run : whole.get("runs") instanceof List<?> all ? all : List.of(whole)) {
--- a/lab/src/main/java/basaltlever/lab/Demo.java
+++ b/lab/src/main/java/basaltlever/lab/DemoCommand.java
@@ -2,9 +2,9 @@
 
 import basaltlever.lab.scenario.Scenario;
 import basaltlever.lab.sockets.SocketRun;
-import basaltlever.lab.world.Faults;
+import basaltlever.lab.world.FaultInjector;
+import basaltlever.lab.world.ReplicaGroup;
 import basaltlever.lab.world.Server;
-import basaltlever.lab.world.Shard;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 import java.io.BufferedReader;
@@ -17,13 +17,13 @@
  * the keyboard upset them.
  */
 @Parameters(commandDescription = "Starts stand-ins and a router on loopback, to be tried by hand")
-final class Demo {
+final class DemoCommand {
   @Parameter(names = "--port", description = "where the router listens on 127.0.0.1")
   private int port = 15_432;
 
   int run() throws Exception {
     Scenario scenario =
-        Scenario.read(Scenario.text("quiet"), List.of("routers=1", "groups=1", "members=3"));
+        Scenario.parse(Scenario.readText("quiet"), List.of("routers=1", "groups=1", "members=3"));
     try (SocketRun run =
         new SocketRun(scenario, 1, null, "[change]\ntable = basaltlever_change\n", port)) {
       System.out.println(
@@ -34,30 +34,30 @@
                 Each statement takes a new id. Here: status, switch, die, hang, commit-hang, demote, drain, quit.
                 During a change a write waits at the router and is answered by the new primary."""
               .formatted(port));
-      BufferedReader keys =
+      BufferedReader input =
           new BufferedReader(new InputStreamReader(System.in, Charset.defaultCharset()));
-      for (String word = keys.readLine();
-          word != null && !word.trim().equals("quit");
-          word = keys.readLine()) {
-        String said = word.trim();
-        Faults.Kind kind = Faults.Kind.named(said);
-        Shard group = run.world().groups().get(0);
+      for (String line = input.readLine();
+          line != null && !line.trim().equals("quit");
+          line = input.readLine()) {
+        String command = line.trim();
+        FaultInjector.Kind kind = FaultInjector.Kind.findByName(command);
+        ReplicaGroup group = run.world().groups().get(0);
         run.loop()
             .submit(
                 () -> {
                   if (kind != null) {
-                    run.faults().act(kind, group);
+                    run.faults().inject(kind, group);
                   }
                   for (Server server : group.members()) {
                     System.out.printf(
                         "%-6s %-8s %-11s %s%n",
                         server.id,
-                        server.saysPrimary() ? "primary" : "replica",
-                        server.listed(),
+                        server.claimsPrimary() ? "primary" : "replica",
+                        server.listedState(),
                         !server.isUp() ? "down" : server.isHung() ? "hangs" : "up");
                   }
-                  if (group.note() != null) {
-                    System.out.println("table: " + group.note().toText());
+                  if (group.announcement() != null) {
+                    System.out.println("table: " + group.announcement().toText());
                   }
                 })
             .get();
--- a/lab/src/main/java/basaltlever/lab/Figures.java
+++ b/lab/src/main/java/basaltlever/lab/FiguresWriter.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 
 /** What an experiment found, as one line of JSON. */
-final class Figures {
-  private Figures() {}
+final class FiguresWriter {
+  private FiguresWriter() {}
 
   /** To standard output, and to the file where one is named. */
-  static void tell(Map<String, Object> figures, String file) throws IOException {
+  static void publish(Map<String, Object> figures, String file) throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
-      write(out, figures);
+      writeValue(out, figures);
     }
     System.out.println(text);
     if (file != null) {
@@ -25,18 +25,18 @@
     }
   }
 
-  private static void write(JsonGenerator out, Object value) throws IOException {
-    if (value instanceof Map<?, ?> members) {
+  private static void writeValue(JsonGenerator out, Object value) throws IOException {
+    if (value instanceof Map<?, ?> entries) {
       out.writeStartObject();
-      for (Map.Entry<?, ?> member : members.entrySet()) {
-        out.writeFieldName(String.valueOf(member.getKey()));
-        write(out, member.getValue());
+      for (Map.Entry<?, ?> entry : entries.entrySet()) {
+        out.writeFieldName(String.valueOf(entry.getKey()));
+        writeValue(out, entry.getValue());
       }
       out.writeEndObject();
     } else if (value instanceof List<?> items) {
       out.writeStartArray();
       for (Object item : items) {
-        write(out, item);
+        writeValue(out, item);
       }
       out.writeEndArray();
     } else if (value instanceof Integer || value instanceof Long) {
--- a/lab/src/main/java/basaltlever/lab/Main.java
+++ b/lab/src/main/java/basaltlever/lab/Main.java
@@ -1,7 +1,7 @@
 package basaltlever.lab;
 
 import basaltlever.lab.endtoend.Soak;
-import basaltlever.lab.fleet.FleetScale;
+import basaltlever.lab.fleet.FleetSimulation;
 import com.beust.jcommander.JCommander;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.ParameterException;
@@ -13,7 +13,7 @@
  * input.
  */
 public final class Main {
-  private static final int MISUSED = 2;
+  private static final int EXIT_USAGE = 2;
 
   private Main() {}
 
@@ -21,78 +21,78 @@
   private static final class Help {}
 
   @Parameters(hidden = true, commandDescription = "Passes bytes on, for run relay")
-  private static final class BareRelay {
+  private static final class ByteRelay {
     @Parameter(names = "--port", required = true)
     private int port;
 
     @Parameter(names = "--to", required = true)
-    private int to;
+    private int targetPort;
   }
 
   public static void main(String[] args) throws Exception {
-    KillState killState = new KillState();
-    KillState.Writer writer = new KillState.Writer();
-    RestartPaired restartPaired = new RestartPaired();
-    ViewCost viewCost = new ViewCost();
-    Run run = new Run();
-    Scenarios list = new Scenarios();
-    Compare compare = new Compare();
-    PairedPlays pairedPlays = new PairedPlays();
-    FleetScale fleetScale = new FleetScale();
-    Demo demo = new Demo();
-    Archive archive = new Archive();
+    KillStateCommand killState = new KillStateCommand();
+    KillStateCommand.StateWriter stateWriter = new KillStateCommand.StateWriter();
+    RestartPairedCommand restartPaired = new RestartPairedCommand();
+    ViewCostCommand viewCost = new ViewCostCommand();
+    RunCommand run = new RunCommand();
+    BuiltInScenarios scenarios = new BuiltInScenarios();
+    CompareCommand compare = new CompareCommand();
+    PairedPlaysCommand pairedPlays = new PairedPlaysCommand();
+    FleetSimulation fleetScale = new FleetSimulation();
+    DemoCommand demo = new DemoCommand();
+    ArchiveCommand archive = new ArchiveCommand();
     Soak soak = new Soak();
-    BareRelay bare = new BareRelay();
-    JCommander line =
+    ByteRelay byteRelay = new ByteRelay();
+    JCommander commandLine =
         JCommander.newBuilder()
             .programName("basaltlever-lab")
             .addCommand("kill-state", killState)
-            .addCommand("write-views", writer)
+            .addCommand("write-views", stateWriter)
             .addCommand("restart-paired", restartPaired)
             .addCommand("view-cost", viewCost)
             .addCommand("run", run)
-            .addCommand("list", list)
+            .addCommand("list", scenarios)
             .addCommand("compare", compare)
             .addCommand("paired-plays", pairedPlays)
             .addCommand("fleet-scale", fleetScale)
             .addCommand("demo", demo)
             .addCommand("archive", archive)
             .addCommand("soak", soak)
-            .addCommand("bare", bare)
+            .addCommand("bare", byteRelay)
             .addCommand("help", new Help())
             .build();
     try {
-      line.parse(args);
-    } catch (ParameterException fault) {
-      System.err.println("basaltlever-lab: " + fault.getMessage());
-      System.exit(MISUSED);
+      commandLine.parse(args);
+    } catch (ParameterException e) {
+      System.err.println("basaltlever-lab: " + e.getMessage());
+      System.exit(EXIT_USAGE);
     }
-    String command = line.getParsedCommand();
+    String command = commandLine.getParsedCommand();
     switch (command == null ? "" : command) {
       case "kill-state" -> System.exit(killState.run());
-      case "write-views" -> writer.run();
+      case "write-views" -> stateWriter.run();
       case "restart-paired" -> System.exit(restartPaired.run());
       case "view-cost" -> System.exit(viewCost.run());
       case "run" -> System.exit(run.run());
-      case "list" -> list.run();
+      case "list" -> scenarios.run();
       case "compare" -> System.exit(compare.run());
       case "paired-plays" -> System.exit(pairedPlays.run());
       case "fleet-scale" -> {
-        boolean kept = true;
-        for (Map<String, Object> told : fleetScale.play()) {
-          Figures.tell(told, null);
-          kept &= told.get("contradictions").equals(0);
+        boolean passed = true;
+        for (Map<String, Object> figures : fleetScale.run()) {
+          FiguresWriter.publish(figures, null);
+          passed &= figures.get("contradictions").equals(0);
         }
-        System.exit(kept ? 0 : 1);
+        System.exit(passed ? 0 : 1);
       }
-      case "bare" -> basaltlever.lab.sockets.Bare.run(bare.port, bare.to);
+      case "bare" -> basaltlever.lab.sockets.TcpForwarder.run(byteRelay.port, byteRelay.targetPort);
       case "demo" -> System.exit(demo.run());
-      case "soak" -> System.exit(soak.run(figures -> Figures.tell(figures, null)));
+      case "soak" -> System.exit(soak.run(figures -> FiguresWriter.publish(figures, null)));
       case "archive" -> System.exit(archive.run());
-      case "help" -> line.usage();
+      case "help" -> commandLine.usage();
       default -> {
-        line.usage();
-        System.exit(MISUSED);
+        commandLine.usage();
+        System.exit(EXIT_USAGE);
       }
     }
   }
--- a/lab/src/main/java/basaltlever/lab/PairedPlays.java
+++ b/lab/src/main/java/basaltlever/lab/PairedPlaysCommand.java
@@ -24,15 +24,15 @@
 @Parameters(
     commandDescription =
         "Plays two checkouts by turns on days of a bench, and tells the difference")
-final class PairedPlays {
-  private static final int MISUSED = 2;
-  private static final int BROKEN = 1;
+final class PairedPlaysCommand {
+  private static final int EXIT_USAGE = 2;
+  private static final int EXIT_RULES_BROKEN = 1;
 
   @Parameter(names = "--bench", required = true, description = "the bench's program")
-  private String bench;
+  private String benchProgram;
 
   @Parameter(names = "--site", required = true, description = "the site file that it takes first")
-  private String site;
+  private String siteFile;
 
   @Parameter(names = "--days", required = true, description = "names of days, with commas")
   private List<String> days = new ArrayList<>();
@@ -41,45 +41,45 @@
   private List<Long> seeds = List.of(1L, 2L, 3L);
 
   @Parameter(names = "--figure", description = "of the day's row")
-  private String figure = "score";
+  private String figureName = "score";
 
   @Parameter(names = "--why", description = "the note that the bench keeps")
-  private String why = "Two texts by turns";
+  private String note = "Two texts by turns";
 
   @Parameter(names = "--with", description = "further arguments of the bench, with blanks")
-  private String with = "";
+  private String benchArguments = "";
 
   @Parameter(names = "--limit-s", description = "seconds that one play may take")
-  private int limitSeconds = 1_800;
+  private int playTimeoutSeconds = 1_800;
 
   @Parameter(names = "--json", description = "file for the result")
-  private String json;
+  private String resultFile;
 
   @Parameter(description = "CHECKOUT-A CHECKOUT-B", required = true)
   private List<String> checkouts = new ArrayList<>();
 
   /** A play that could not be carried out tells nothing of the text. */
-  private static final class Unplayed extends Exception {
+  private static final class PlayFailedException extends Exception {
     private static final long serialVersionUID = 1;
 
-    Unplayed(String what) {
+    PlayFailedException(String what) {
       super(what);
     }
   }
 
   int run() throws IOException, InterruptedException {
-    String wrong = wrong();
-    if (wrong != null) {
-      System.err.println("basaltlever-lab: " + wrong);
-      return MISUSED;
+    String optionError = findOptionError();
+    if (optionError != null) {
+      System.err.println("basaltlever-lab: " + optionError);
+      return EXIT_USAGE;
     }
-    Map<String, Object> told = new LinkedHashMap<>();
-    Pairs all = new Pairs();
-    int broken = 0;
+    Map<String, Object> results = new LinkedHashMap<>();
+    PairedSamples allSamples = new PairedSamples();
+    int brokenPlays = 0;
     try {
       System.out.printf("%-24s %6s %9s %9s %9s %9s%n", "day", "plays", "A", "B", "B - A", "noise");
       for (String day : days) {
-        Pairs pairs = new Pairs();
+        PairedSamples samples = new PairedSamples();
         for (int i = 0; i < seeds.size(); i++) {
           // Who goes first changes, so that what a first play leaves warm favours neither.
           boolean swapped = i % 2 == 1;
@@ -87,25 +87,27 @@
           Map<?, ?> second = play(checkouts.get(swapped ? 0 : 1), day, seeds.get(i));
           Map<?, ?> a = swapped ? second : first;
           Map<?, ?> b = swapped ? first : second;
-          broken += breaks(a, checkouts.get(0), day) + breaks(b, checkouts.get(1), day);
-          pairs.add(value(a, day), value(b, day));
-          all.add(value(a, day), value(b, day));
+          brokenPlays +=
+              reportBrokenRules(a, checkouts.get(0), day)
+                  + reportBrokenRules(b, checkouts.get(1), day);
+          samples.add(figureValue(a, day), figureValue(b, day));
+          allSamples.add(figureValue(a, day), figureValue(b, day));
         }
-        tell(day, pairs);
-        told.put(day, pairs.figures());
+        printSummary(day, samples);
+        results.put(day, samples.toFigures());
       }
-    } catch (Unplayed fault) {
+    } catch (PlayFailedException fault) {
       System.err.println("basaltlever-lab: " + fault.getMessage());
-      return MISUSED;
+      return EXIT_USAGE;
     }
-    tell("all", all);
-    told.put("all", all.figures());
-    told.put("broken", broken);
-    Figures.tell(told, json);
-    return broken > 0 ? BROKEN : 0;
+    printSummary("all", allSamples);
+    results.put("all", allSamples.toFigures());
+    results.put("broken", brokenPlays);
+    FiguresWriter.publish(results, resultFile);
+    return brokenPlays > 0 ? EXIT_RULES_BROKEN : 0;
   }
 
-  private String wrong() {
+  private String findOptionError() {
     if (checkouts.size() != 2) {
       return "paired-plays takes two checkouts";
     }
@@ -114,24 +116,26 @@
         return checkout + " is no folder";
       }
     }
-    return !Files.isExecutable(Path.of(bench))
-        ? "--bench: " + bench + " can't be run"
-        : !Files.isReadable(Path.of(site))
-            ? "--site: " + site + " can't be read"
-            : limitSeconds < 1 ? "--limit-s takes a number from 1, not " + limitSeconds : null;
+    return !Files.isExecutable(Path.of(benchProgram))
+        ? "--bench: " + benchProgram + " can't be run"
+        : !Files.isReadable(Path.of(siteFile))
+            ? "--site: " + siteFile + " can't be read"
+            : playTimeoutSeconds < 1
+                ? "--limit-s takes a number from 1, not " + playTimeoutSeconds
+                : null;
   }
 
   private Map<?, ?> play(String checkout, String day, long seed)
-      throws IOException, InterruptedException, Unplayed {
+      throws IOException, InterruptedException, PlayFailedException {
     Path row = Files.createTempFile("play", ".json");
-    Path said = Files.createTempFile("play", ".out");
+    Path outputFile = Files.createTempFile("play", ".out");
     String what = checkout + ", " + day + ", seed " + seed;
     try {
       List<String> command =
           new ArrayList<>(
               List.of(
-                  absolute(bench),
-                  absolute(site),
+                  toAbsolutePath(benchProgram),
+                  toAbsolutePath(siteFile),
                   "--rough",
                   day,
                   "--seed",
@@ -139,53 +143,53 @@
                   "--json",
                   row.toString(),
                   "--why",
-                  why));
-      if (!with.isBlank()) {
-        command.addAll(List.of(with.trim().split(" +")));
+                  note));
+      if (!benchArguments.isBlank()) {
+        command.addAll(List.of(benchArguments.trim().split(" +")));
       }
       Process process =
           new ProcessBuilder(command)
               .directory(Path.of(checkout).toFile())
               .redirectErrorStream(true)
-              .redirectOutput(said.toFile())
+              .redirectOutput(outputFile.toFile())
               .start();
-      if (!process.waitFor(limitSeconds, TimeUnit.SECONDS)) {
+      if (!process.waitFor(playTimeoutSeconds, TimeUnit.SECONDS)) {
         process.descendants().forEach(ProcessHandle::destroy);
         process.destroy();
-        throw new Unplayed(what + " took longer than " + limitSeconds + " s");
+        throw new PlayFailedException(what + " took longer than " + playTimeoutSeconds + " s");
       }
       if (Files.size(row) > 0
           && Json.parse(Files.readString(row)) instanceof Map<?, ?> whole
-          && whole.get("row") instanceof Map<?, ?> told) {
-        return told;
+          && whole.get("row") instanceof Map<?, ?> results) {
+        return results;
       }
-      throw new Unplayed(what + " left no row:\n" + Files.readString(said));
+      throw new PlayFailedException(what + " left no row:\n" + Files.readString(outputFile));
     } catch (InvalidJsonException fault) {
-      throw new Unplayed(what + " left a row that can't be read: " + fault.getMessage());
+      throw new PlayFailedException(what + " left a row that can't be read: " + fault.getMessage());
     } finally {
       Files.delete(row);
-      Files.delete(said);
+      Files.delete(outputFile);
     }
   }
 
-  private static String absolute(String path) {
+  private static String toAbsolutePath(String path) {
     return Path.of(path).toAbsolutePath().normalize().toString();
   }
 
-  private double value(Map<?, ?> row, String day) throws Unplayed {
-    if (row.get(figure) instanceof BigDecimal number) {
+  private double figureValue(Map<?, ?> row, String day) throws PlayFailedException {
+    if (row.get(figureName) instanceof BigDecimal number) {
       return number.doubleValue();
     }
-    throw new Unplayed("the row of " + day + " has no number named " + figure);
+    throw new PlayFailedException("the row of " + day + " has no number named " + figureName);
   }
 
-  private static int breaks(Map<?, ?> row, String checkout, String day) {
-    boolean rules =
+  private static int reportBrokenRules(Map<?, ?> row, String checkout, String day) {
+    boolean hasBrokenRule =
         row.get("rules") instanceof Map<?, ?> counts
             && counts.values().stream()
                 .anyMatch(count -> count instanceof BigDecimal n && n.signum() > 0);
     boolean fault = row.get("fault") != null;
-    if (rules || fault) {
+    if (hasBrokenRule || fault) {
       System.out.println(
           "BROKEN: "
               + checkout
@@ -197,18 +201,18 @@
               + row.get("rules")
               + (fault ? " " + row.get("fault") : ""));
     }
-    return rules || fault ? 1 : 0;
+    return hasBrokenRule || fault ? 1 : 0;
   }
 
-  private static void tell(String name, Pairs pairs) {
+  private static void printSummary(String name, PairedSamples samples) {
     System.out.printf(
         Locale.ROOT,
         "%-24s %6d %9.3f %9.3f %+9.3f %9.3f%n",
         name,
-        pairs.count(),
-        pairs.meanA(),
-        pairs.meanB(),
-        pairs.difference(),
-        pairs.noise());
+        samples.count(),
+        samples.meanA(),
+        samples.meanB(),
+        samples.meanDifference(),
+        samples.standardError());
   }
 }
--- a/lab/src/main/java/basaltlever/lab/Pairs.java
+++ b/lab/src/main/java/basaltlever/lab/PairedSamples.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /** Figures of two texts under the same conditions, pair by pair. */
-final class Pairs {
+final class PairedSamples {
   private int count;
   private double sumA;
   private double sumB;
-  private double squares;
+  private double sumSquaredDifferences;
 
   void add(double a, double b) {
     count++;
     sumA += a;
     sumB += b;
-    squares += (b - a) * (b - a);
+    sumSquaredDifferences += (b - a) * (b - a);
   }
 
   int count() {
@@ -30,24 +30,26 @@
   }
 
   /** Of B over A, in the mean. */
-  double difference() {
+  double meanDifference() {
     return (sumB - sumA) / count;
   }
 
   /** The standard error of the mean of the paired differences; none can be told from one pair. */
-  double noise() {
+  double standardError() {
     return count < 2
         ? Double.NaN
-        : Math.sqrt(Math.max(0, squares / count - difference() * difference()) / (count - 1));
+        : Math.sqrt(
+            Math.max(0, sumSquaredDifferences / count - meanDifference() * meanDifference())
+                / (count - 1));
   }
 
-  Map<String, Object> figures() {
+  Map<String, Object> toFigures() {
     Map<String, Object> figures = new LinkedHashMap<>();
     figures.put("plays", count);
     figures.put("a", meanA());
     figures.put("b", meanB());
-    figures.put("difference", difference());
-    figures.put("noise", count < 2 ? "untold" : (Object) noise());
+    figures.put("difference", meanDifference());
+    figures.put("noise", count < 2 ? "untold" : (Object) standardError());
     return figures;
   }
 }
--- /dev/null
+++ b/lab/src/main/java/basaltlever/lab/RunCommand.java
@@ -0,0 +1,210 @@
+package basaltlever.lab;
+
+import basaltlever.config.InvalidSettingsException;
+import basaltlever.lab.endtoend.InvalidOptionException;
+import basaltlever.lab.endtoend.ManyServers;
+import basaltlever.lab.endtoend.NewClientsOptions;
+import basaltlever.lab.endtoend.NewClientsRun;
+import basaltlever.lab.endtoend.RunOptions;
+import basaltlever.lab.fleet.AgreementRun;
+import basaltlever.lab.report.HtmlReport;
+import basaltlever.lab.scenario.Scenario;
+import basaltlever.lab.sockets.SocketRun;
+import basaltlever.lab.virtual.VirtualRun;
+import basaltlever.lab.world.SimulatedCluster;
+import com.beust.jcommander.Parameter;
+import com.beust.jcommander.Parameters;
+import com.beust.jcommander.ParametersDelegate;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Plays scenarios: exit 0 where all that they expect held, 1 with what did not, 2 for bad input.
+ */
+@Parameters(commandDescription = "Plays a scenario and says whether all that it expects held")
+final class RunCommand {
+  @Parameter(description = "SCENARIO (a name that list tells, or a file.ini)", required = true)
+  private String name;
+
+  @Parameter(names = "--seed", description = "of all chance")
+  private long seed = 1;
+
+  @Parameter(names = "--seeds", description = "how many runs, each with the next seed")
+  private int runCount = 1;
+
+  @Parameter(names = "--seconds", description = "how long statements arrive")
+  private Integer seconds;
+
+  @Parameter(
+      names = "--set",
+      description = "KEY=VALUE of [run], or SECTION.KEY=VALUE; may be repeated")
+  private List<String> settings = new ArrayList<>();
+
+  @Parameter(names = "--json", description = "file for the figures")
+  private String figuresFile;
+
+  @Parameter(names = "--report", description = "folder for a page with charts")
+  private String reportFolder;
+
+  @Parameter(names = "--router-jar", description = "another build of the router, to compare with")
+  private Path jar;
+
+  @Parameter(
+      names = "--operator",
+      description =
+          "operator's file text for the routers, as KEY=VALUE of a section:"
+              + " SECTION.KEY=VALUE; may be repeated")
+  private List<String> operatorSettings = new ArrayList<>();
+
+  @Parameter(
+      names = "--logs",
+      description = "folder for the routers' logs (many-servers, new-clients)")
+  private Path logFolder;
+
+  @Parameter(
+      names = "--follow",
+      description = "milliseconds: lives of longer statements are logged (new-clients)")
+  private long followThresholdMillis;
+
+  @ParametersDelegate private final RelayBenchmark relayBenchmark = new RelayBenchmark();
+
+  int run() throws Exception {
+    if (name.equals("relay")) {
+      return relayBenchmark.run(jar, figuresFile);
+    }
+    if (name.equals("many-servers")) {
+      return runManyServers();
+    }
+    if (name.equals("new-clients")) {
+      return runNewClients();
+    }
+    Scenario scenario;
+    try {
+      List<String> overrides = new ArrayList<>(settings);
+      if (seconds != null) {
+        overrides.add("seconds=" + seconds);
+      }
+      scenario = Scenario.parse(Scenario.readText(name), overrides);
+    } catch (Scenario.InvalidScenarioException e) {
+      System.err.println("basaltlever-lab: " + e.getMessage().replace("\n", "\nbasaltlever-lab: "));
+      return 2;
+    }
+    List<Object> runs = new ArrayList<>();
+    boolean passed = true;
+    Map<String, Object> lastFigures = Map.of();
+    for (int i = 0; i < runCount; i++) {
+      lastFigures = playScenario(scenario, seed + i);
+      passed &= ((List<?>) lastFigures.get("broken")).isEmpty();
+      runs.add(lastFigures);
+    }
+    Map<String, Object> output =
+        runCount == 1 ? lastFigures : new LinkedHashMap<>(Map.of("scenario", name, "runs", runs));
+    FiguresWriter.publish(output, figuresFile);
+    return passed ? 0 : 1;
+  }
+
+  private int runManyServers() throws Exception {
+    try {
+      List<String> overrides = new ArrayList<>(settings);
+      if (seconds != null) {
+        overrides.add("seconds=" + seconds);
+      }
+      RunOptions day = RunOptions.parse(overrides);
+      Map<String, Object> figures = new LinkedHashMap<>();
+      figures.put("scenario", name);
+      figures.put("seed", seed);
+      figures.putAll(ManyServers.compareWithBaseline(day, seed, jar, logFolder));
+      FiguresWriter.publish(figures, figuresFile);
+      return ((List<?>) figures.get("broken")).isEmpty() ? 0 : 1;
+    } catch (InvalidOptionException e) {
+      System.err.println("basaltlever-lab: " + e.getMessage());
+      return 2;
+    }
+  }
+
+  private int runNewClients() throws Exception {
+    boolean passed = true;
+    for (int i = 0; i < runCount; i++) {
+      try (NewClientsRun day =
+          new NewClientsRun(NewClientsOptions.parse(settings), seed + i, jar)) {
+        if (followThresholdMillis > 0) {
+          day.traceStatementsLongerThan(followThresholdMillis);
+        }
+        Map<String, Object> figures = day.run();
+        figures.put("seed", seed + i);
+        FiguresWriter.publish(figures, figuresFile);
+        passed &= ((List<?>) figures.get("broken")).isEmpty();
+        if (logFolder != null) {
+          day.copyLogs(Files.createDirectories(logFolder.resolve("seed-" + (seed + i))));
+        }
+      } catch (InvalidOptionException e) {
+        System.err.println("basaltlever-lab: " + e.getMessage());
+        return 2;
+      }
+    }
+    return passed ? 0 : 1;
+  }
+
+  private Map<String, Object> playScenario(Scenario scenario, long runSeed) throws Exception {
+    Map<String, Object> figures = new LinkedHashMap<>();
+    figures.put("scenario", name);
+    figures.put("seed", runSeed);
+    SimulatedCluster world;
+    if (scenario.virtualTime) {
+      try {
+        VirtualRun run = new VirtualRun(scenario, runSeed);
+        figures.putAll(run.runScenario());
+        world = run.world();
+      } catch (InvalidSettingsException e) {
+        throw new IllegalStateException(e);
+      }
+    } else if (scenario.count("voters") > 0) {
+      try (AgreementRun run =
+          new AgreementRun(scenario, runSeed, jar, operatorText(scenario.usesChangeTable))) {
+        figures.putAll(run.run());
+        world = run.cluster();
+      }
+    } else {
+      try (SocketRun run =
+          new SocketRun(scenario, runSeed, jar, operatorText(scenario.usesChangeTable))) {
+        figures.putAll(run.runScenario());
+        world = run.world();
+        if (!run.routers().stream().allMatch(router -> router.process().isAlive())) {
+          System.err.println(run.routers().get(0).readLog());
+        }
+      }
+    }
+    List<String> brokenExpectations = scenario.violations(figures);
+    figures.put("broken", brokenExpectations);
+    figures.put("told", world.checker.findings());
+    if (reportFolder != null) {
+      HtmlReport.write(
+          Path.of(reportFolder), scenario.title.isEmpty() ? name : scenario.title, figures, world);
+    }
+    return figures;
+  }
+
+  private String operatorText(boolean usesChangeTable) {
+    // An older build knows nothing of the table.
+    StringBuilder text =
+        new StringBuilder(
+            usesChangeTable && jar == null
+                ? "[change]\ntable = " + SocketRun.ANNOUNCEMENT_TABLE + "\n"
+                : "");
+    // Each router has a folder of its own, for the days on which one is started again.
+    text.append(jar == null ? "[state]\nfolder = {folder}\nperiod_ms = 500\n" : "");
+    for (String setting : operatorSettings) {
+      int dot = setting.indexOf('.');
+      text.append('[')
+          .append(setting, 0, dot)
+          .append("]\n")
+          .append(setting.substring(dot + 1))
+          .append('\n');
+    }
+    return text.toString();
+  }
+}
--- a/lab/src/main/java/basaltlever/lab/Fleet.java
+++ b/lab/src/main/java/basaltlever/lab/SimulatedGroup.java
@@ -21,8 +21,8 @@
  * Stand-ins on loopback: one group of a primary and replicas, and discovery. Each node counts what
  * reached it.
  */
-final class Fleet implements AutoCloseable {
-  enum Manner {
+final class SimulatedGroup implements AutoCloseable {
+  enum Behavior {
     SOUND,
     FAILS,
     HANGS,
@@ -30,16 +30,16 @@
   }
 
   /** A primary or replica that speaks as much of the wire protocol as a router asks of it. */
-  final class Node {
-    final int number;
-    final Manner manner;
+  final class DatabaseServer {
+    final int index;
+    final Behavior behavior;
     final AtomicInteger executions = new AtomicInteger();
-    private final ServerSocket server = listen();
+    private final ServerSocket listener = listenOnLoopback();
 
-    Node(int number, Manner manner) {
-      this.number = number;
-      this.manner = manner;
-      accept(server, this::serve);
+    DatabaseServer(int index, Behavior behavior) {
+      this.index = index;
+      this.behavior = behavior;
+      acceptConnections(listener, this::serve);
     }
 
     private void serve(Socket socket) throws IOException {
@@ -51,26 +51,26 @@
       while (in.readByte() == 'Q') {
         byte[] text = new byte[in.readInt() - 4];
         in.readFully(text);
-        boolean poll = text.length < 20;
+        boolean isPoll = text.length < 20;
         out = Unpooled.buffer();
         long now = System.currentTimeMillis();
-        if (poll) {
-          row(
+        if (isPoll) {
+          writeRow(
               out,
               String.format(
                   "x0=%d.%03d,x1=%d,utilization=0.2",
-                  now / 1_000, now % 1_000, number == 0 ? 1 : 0));
+                  now / 1_000, now % 1_000, index == 0 ? 1 : 0));
         } else {
           executions.incrementAndGet();
-          pause(SERVICE_MILLIS);
-          if (manner == Manner.HANGS) {
+          sleep(SERVICE_TIME_MILLIS);
+          if (behavior == Behavior.HANGS) {
             continue;
-          } else if (manner == Manner.FAILS) {
+          } else if (behavior == Behavior.FAILS) {
             MessageEncoder.writeErrorResponse(out, "ERROR", "XX000", "as asked", null);
           } else {
-            row(out, "v");
+            writeRow(out, "v");
           }
-          MessageEncoder.writeParameterStatus(out, "part", number == 0 ? "master" : "replica");
+          MessageEncoder.writeParameterStatus(out, "part", index == 0 ? "master" : "replica");
           MessageEncoder.writeParameterStatus(out, "caught_up_to", "" + now);
         }
         MessageEncoder.writeReadyForQuery(out);
@@ -79,51 +79,51 @@
     }
   }
 
-  private interface Serving {
+  private interface ConnectionHandler {
     void handle(Socket socket) throws IOException;
   }
 
-  private static final int SERVICE_MILLIS = 4;
-  private final List<Socket> open = Collections.synchronizedList(new ArrayList<>());
-  private final ServerSocket discovery = listen();
-  private final long started = System.currentTimeMillis();
-  final List<Node> nodes = new ArrayList<>();
+  private static final int SERVICE_TIME_MILLIS = 4;
+  private final List<Socket> openSockets = Collections.synchronizedList(new ArrayList<>());
+  private final ServerSocket discoveryListener = listenOnLoopback();
+  private final long startedAtMillis = System.currentTimeMillis();
+  final List<DatabaseServer> servers = new ArrayList<>();
 
   /** Node 0 is primary. */
-  Fleet(List<Manner> manners) {
-    for (Manner manner : manners) {
-      nodes.add(new Node(nodes.size(), manner));
+  SimulatedGroup(List<Behavior> behaviors) {
+    for (Behavior behavior : behaviors) {
+      servers.add(new DatabaseServer(servers.size(), behavior));
     }
-    accept(discovery, this::follow);
+    acceptConnections(discoveryListener, this::streamEndpointList);
   }
 
   int discoveryPort() {
-    return discovery.getLocalPort();
+    return discoveryListener.getLocalPort();
   }
 
   /** The list of members in discovery's form. */
-  String list(int generation) {
+  String endpointListJson(int generation) {
     return "{\"generation\":"
         + generation
         + ",\"reset\":true,\"instances\":["
-        + nodes.stream()
+        + servers.stream()
             .map(
-                node ->
+                server ->
                     "{\"instanceId\":\"db-"
-                        + node.number
+                        + server.index
                         + "\",\"hostPort\":\"127.0.0.1:"
-                        + node.server.getLocalPort()
+                        + server.listener.getLocalPort()
                         + "\",\"zone\":\"a\",\"cell\":1,\"lifecycle\":\"in_service\",\"weight\":1,"
                         + "\"startedAtMs\":"
-                        + (node.manner == Manner.COLD ? started : 0)
+                        + (server.behavior == Behavior.COLD ? startedAtMillis : 0)
                         + "}")
             .collect(Collectors.joining(","))
         + "]}";
   }
 
-  private void follow(Socket socket) throws IOException {
+  private void streamEndpointList(Socket socket) throws IOException {
     socket.getInputStream().read(new byte[4_096]);
-    String line = list(2) + "\n";
+    String line = endpointListJson(2) + "\n";
     ByteBuf out =
         Unpooled.copiedBuffer(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -134,12 +134,12 @@
             StandardCharsets.US_ASCII);
     send(socket, out);
     while (!socket.isClosed()) {
-      pause(2_000);
+      sleep(2_000);
       send(socket, Unpooled.copiedBuffer("1\r\n\n\r\n", StandardCharsets.US_ASCII));
     }
   }
 
-  private static void row(ByteBuf out, String value) {
+  private static void writeRow(ByteBuf out, String value) {
     byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
     out.writeByte('T')
         .writeInt(28)
@@ -159,7 +159,7 @@
     MessageEncoder.writeCommandComplete(out, "SELECT 1");
   }
 
-  private static void pause(int millis) throws IOException {
+  private static void sleep(int millis) throws IOException {
     try {
       Thread.sleep(millis);
     } catch (InterruptedException e) {
@@ -171,7 +171,7 @@
     socket.getOutputStream().write(ByteBufUtil.getBytes(out));
   }
 
-  static ServerSocket listen() {
+  static ServerSocket listenOnLoopback() {
     try {
       return new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
     } catch (IOException e) {
@@ -179,35 +179,35 @@
     }
   }
 
-  private void accept(ServerSocket server, Serving with) {
-    thread(
+  private void acceptConnections(ServerSocket listener, ConnectionHandler handler) {
+    startDaemonThread(
         () -> {
           while (true) {
-            Socket socket = server.accept();
+            Socket socket = listener.accept();
             socket.setTcpNoDelay(true);
-            open.add(socket);
-            thread(() -> with.handle(socket));
+            openSockets.add(socket);
+            startDaemonThread(() -> handler.handle(socket));
           }
         });
   }
 
   /** Nothing that hangs keeps the program from ending. */
-  static Thread daemon(Runnable work) {
-    Thread thread = new Thread(work);
+  static Thread newDaemonThread(Runnable task) {
+    Thread thread = new Thread(task);
     thread.setDaemon(true);
     return thread;
   }
 
-  interface Step {
+  interface IoTask {
     void run() throws IOException;
   }
 
-  static Thread thread(Step step) {
+  static Thread startDaemonThread(IoTask task) {
     Thread thread =
-        daemon(
+        newDaemonThread(
             () -> {
               try {
-                step.run();
+                task.run();
               } catch (IOException e) {
                 // The other side has gone, or the fleet was closed.
               }
@@ -218,11 +218,11 @@
 
   @Override
   public void close() throws IOException {
-    discovery.close();
-    for (Node node : nodes) {
-      node.server.close();
+    discoveryListener.close();
+    for (DatabaseServer server : servers) {
+      server.listener.close();
     }
-    for (Socket socket : List.copyOf(open)) {
+    for (Socket socket : List.copyOf(openSockets)) {
       socket.close();
     }
   }
--- a/lab/src/main/java/basaltlever/lab/MadeViews.java
+++ b/lab/src/main/java/basaltlever/lab/SyntheticStates.java
@@ -13,51 +13,51 @@
  * Views of which the number gives all that was learned, so that a mixture of two, or a piece of
  * one, shows.
  */
-final class MadeViews {
+final class SyntheticStates {
   static final String DEPLOYMENT = "lab";
   static final String ROUTER = "made";
 
-  private MadeViews() {}
+  private SyntheticStates() {}
 
-  static List<StoredEndpoint> nodes(long number, int count) {
-    SplittableRandom chance = new SplittableRandom(number);
-    List<StoredEndpoint> nodes = new ArrayList<>(count);
-    for (int i = 0; i < count; i++) {
-      nodes.add(
+  static List<StoredEndpoint> storedEndpoints(long sequence, int endpointCount) {
+    SplittableRandom random = new SplittableRandom(sequence);
+    List<StoredEndpoint> endpoints = new ArrayList<>(endpointCount);
+    for (int i = 0; i < endpointCount; i++) {
+      endpoints.add(
           new StoredEndpoint(
-              "node-" + i + "-" + chance.nextInt(1_000_000),
+              "node-" + i + "-" + random.nextInt(1_000_000),
               "127.0.0.1:" + (1_024 + i),
               new EndpointState(
                   i / 9,
-                  1_000L * chance.nextInt(1_000_000),
+                  1_000L * random.nextInt(1_000_000),
                   false,
                   i % 9 == 0,
                   EndpointState.NEVER,
                   EndpointState.NEVER,
-                  chance.nextInt(9) == 0,
+                  random.nextInt(9) == 0,
                   EndpointState.NEVER,
-                  0.06 + 0.9 * chance.nextDouble(),
-                  chance.nextDouble(),
-                  12 * chance.nextDouble(),
-                  chance.nextInt(6),
+                  0.06 + 0.9 * random.nextDouble(),
+                  random.nextDouble(),
+                  12 * random.nextDouble(),
+                  random.nextInt(6),
                   Span.NONE,
-                  new Span(chance.nextInt(1_000_000)),
+                  new Span(random.nextInt(1_000_000)),
                   0,
                   EndpointState.NEVER)));
     }
-    return nodes;
+    return endpoints;
   }
 
-  static LearnedState view(long number, int count) {
+  static LearnedState learnedState(long sequence, int endpointCount) {
     return new LearnedState(
         DEPLOYMENT,
         ROUTER,
-        number,
+        sequence,
         SystemClocks.unixMicros(),
         SystemClocks.monotonicMicros(),
         SystemClocks.bootId(),
-        number,
-        nodes(number, count),
+        sequence,
+        storedEndpoints(sequence, endpointCount),
         List.of());
   }
 }
--- a/lab/src/main/java/basaltlever/lab/endtoend/ClientLoad.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/ClientLoad.java
@@ -1,7 +1,7 @@
 package basaltlever.lab.endtoend;
 
-import basaltlever.lab.endtoend.StatementLedger.Entry;
-import basaltlever.lab.endtoend.StatementLedger.Outcome;
+import basaltlever.lab.endtoend.StatementChecker.Outcome;
+import basaltlever.lab.endtoend.StatementChecker.TrackedStatement;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.pg.MessageDecoder;
 import basaltlever.pg.MessageEncoder;
@@ -28,266 +28,269 @@
  * connections, some in pairs without waiting, and some clients leave before their answer.
  */
 final class ClientLoad {
-  private static final double ON_NEW_CONNECTION = 1 / 3.0;
-  private static final double IN_PAIRS = 0.05;
-  private static final int LARGEST_ANSWER = 1 << 20;
+  private static final double NEW_CONNECTION_SHARE = 1 / 3.0;
+  private static final double PIPELINED_PAIR_SHARE = 0.05;
+  private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
   /**
    * A client waits this much longer than it said before it counts its statement as never answered.
    */
-  private static final long GIVES_UP_BEHIND_MILLIS = 700;
+  private static final long RESPONSE_GRACE_MILLIS = 700;
 
   private final EventLoop loop;
-  private final DayOptions day;
-  private final int router;
+  private final RunOptions options;
+  private final int routerIndex;
   private final InetSocketAddress address;
   private final DaySettings settings;
-  private final DayClock clock;
-  private final StatementLedger ledger;
+  private final MonotonicClock clock;
+  private final StatementChecker checker;
   private final SplittableRandom random;
-  private final LoopLateness lateness;
-  private final ArrayDeque<Connection> resting = new ArrayDeque<>();
-  private boolean over;
-  private boolean onlyOpen;
-  private int closesSideAfterMillis;
-  private int open;
+  private final EventLoopLagMonitor lagMonitor;
+  private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
+  private boolean stopped;
+  private boolean reuseConnectionsOnly;
+  private int closeDelayMillis;
+  private int openStatements;
   private long sequence;
 
   ClientLoad(
       EventLoop loop,
-      DayOptions day,
+      RunOptions options,
       DaySettings settings,
-      int router,
+      int routerIndex,
       InetSocketAddress address,
-      DayClock clock,
-      StatementLedger ledger,
+      MonotonicClock clock,
+      StatementChecker checker,
       SplittableRandom random) {
     this.loop = loop;
-    lateness = new LoopLateness(loop);
-    this.day = day;
-    this.router = router;
+    lagMonitor = new EventLoopLagMonitor(loop);
+    this.options = options;
+    this.routerIndex = routerIndex;
     this.address = address;
     this.settings = settings;
     this.clock = clock;
-    this.ledger = ledger;
+    this.checker = checker;
     this.random = random;
   }
 
-  void begin() {
-    next();
+  void start() {
+    scheduleNext();
   }
 
   void stop() {
-    over = true;
+    stopped = true;
   }
 
   /**
    * Its router has been told to end: clients go on where they are connected, and open no more
    * connections.
    */
-  void onlyOpenConnections(boolean only) {
-    onlyOpen = only;
+  void setReuseConnectionsOnly(boolean reuseOnly) {
+    reuseConnectionsOnly = reuseOnly;
   }
 
   /**
    * How long a client keeps its side of a connection open once the router has ended the other one.
    */
-  void closesSideAfter(int millis) {
-    closesSideAfterMillis = millis;
+  void setCloseDelayMillis(int millis) {
+    closeDelayMillis = millis;
   }
 
   /**
    * Statements on new connections within so many milliseconds; half of them are written apart from
    * the start.
    */
-  void burst(int statements, int withinMillis) {
-    for (int i = 0; i < statements; i++) {
+  void scheduleBurst(int statementCount, int durationMillis) {
+    for (int i = 0; i < statementCount; i++) {
       loop.schedule(
-          () -> new Connection(false, random.nextBoolean()).ask(statement()),
-          random.nextLong(Math.max(1, 1_000L * withinMillis)),
+          () -> new Connection(false, random.nextBoolean()).send(newStatement()),
+          random.nextLong(Math.max(1, 1_000L * durationMillis)),
           TimeUnit.MICROSECONDS);
     }
   }
 
   /** Takes over the numbering of a load whose router was replaced. */
-  void continues(ClientLoad former) {
-    sequence = former.sequence;
-    open += former.open;
-    former.open = 0;
+  void continueFrom(ClientLoad previous) {
+    sequence = previous.sequence;
+    openStatements += previous.openStatements;
+    previous.openStatements = 0;
   }
 
-  int open() {
-    return open;
+  int openStatements() {
+    return openStatements;
   }
 
   /** How late this load itself was at most: what it measured is no better than that. */
-  long lateMillisMost() {
-    return lateness.mostMillis();
+  long maxLagMillis() {
+    return lagMonitor.maxLagMillis();
   }
 
-  private void next() {
-    if (over) {
+  private void scheduleNext() {
+    if (stopped) {
       return;
     }
-    double pause = -Math.log(1 - random.nextDouble()) / day.rate() * 1_000;
+    double delayMillis = -Math.log(1 - random.nextDouble()) / options.statementsPerSecond() * 1_000;
     loop.schedule(
         () -> {
-          if (!over) {
-            send();
-            next();
+          if (!stopped) {
+            sendStatements();
+            scheduleNext();
           }
         },
-        (long) (pause * 1_000),
+        (long) (delayMillis * 1_000),
         TimeUnit.MICROSECONDS);
   }
 
-  private void send() {
-    Connection connection = random.nextDouble() < ON_NEW_CONNECTION ? null : resting.pollLast();
-    int count = random.nextDouble() < IN_PAIRS ? 2 : 1;
-    if (onlyOpen) {
-      connection = connection == null ? resting.pollLast() : connection;
+  private void sendStatements() {
+    Connection connection =
+        random.nextDouble() < NEW_CONNECTION_SHARE ? null : idleConnections.pollLast();
+    int count = random.nextDouble() < PIPELINED_PAIR_SHARE ? 2 : 1;
+    if (reuseConnectionsOnly) {
+      connection = connection == null ? idleConnections.pollLast() : connection;
       if (connection == null) {
         return;
       }
     }
     if (connection == null) {
-      connection = new Connection(random.nextDouble() < ON_NEW_CONNECTION, true);
+      connection = new Connection(random.nextDouble() < NEW_CONNECTION_SHARE, true);
     }
     for (int i = 0; i < count; i++) {
-      connection.ask(statement());
+      connection.send(newStatement());
     }
   }
 
-  private Entry statement() {
-    StatementClass workload = settings.draw(random);
-    String id = "r" + router + "x" + ++sequence;
-    open++;
-    return ledger.begins(id, workload, router, clock.nowMillis());
+  private TrackedStatement newStatement() {
+    StatementClass workload = settings.pickClass(random);
+    String id = "r" + routerIndex + "x" + ++sequence;
+    openStatements++;
+    return checker.recordStart(id, workload, routerIndex, clock.nowMillis());
   }
 
-  private String text(Entry entry) {
-    int group = random.nextInt(day.groups());
+  private String queryText(TrackedStatement statement) {
+    int group = random.nextInt(options.groups());
     return "/* id="
-        + entry.id
+        + statement.id
         + ",c="
-        + entry.workload.key()
+        + statement.workload.key()
         + ",d="
-        + entry.workload.deadlineMillis()
+        + statement.workload.deadlineMillis()
         + ",cluster="
         + group
-        + (entry.workload.read().equals("session") ? ",after=" + (clock.nowMillis() - 5_000) : "")
+        + (statement.workload.read().equals("session")
+            ? ",after=" + (clock.nowMillis() - 5_000)
+            : "")
         + " */ SELECT doc FROM items WHERE id = 'k'";
   }
 
-  private void ended(Entry entry, Outcome outcome) {
-    if (entry.outcome == null) {
-      open--;
-      ledger.ends(entry, outcome, clock.nowMillis());
+  private void finish(TrackedStatement statement, Outcome outcome) {
+    if (statement.outcome == null) {
+      openStatements--;
+      checker.recordOutcome(statement, outcome, clock.nowMillis());
     }
   }
 
   /** One connection of a client; answers come in the order of what was asked on it. */
   private final class Connection extends ChannelInboundHandlerAdapter {
-    private final boolean closesAfterAnswer;
-    private final boolean startsWhole;
-    private final ArrayDeque<Entry> asked = new ArrayDeque<>();
-    private final ArrayDeque<String> unsent = new ArrayDeque<>();
+    private final boolean closeAfterResponse;
+    private final boolean combineStartupAndQuery;
+    private final ArrayDeque<TrackedStatement> pending = new ArrayDeque<>();
+    private final ArrayDeque<String> unsentQueries = new ArrayDeque<>();
     private final MessageDecoder decoder =
-        new MessageDecoder(LARGEST_ANSWER, new MemoryBudget(Long.MAX_VALUE));
+        new MessageDecoder(MAX_RESPONSE_BYTES, new MemoryBudget(Long.MAX_VALUE));
     private Channel channel;
     private boolean connected;
-    private boolean welcomed;
-    private boolean answeredOnce;
-    private boolean gone;
-    private Outcome told;
+    private boolean startupComplete;
+    private boolean hasReceivedResponse;
+    private boolean closed;
+    private Outcome pendingOutcome;
 
     /** One that starts whole writes its start and its first statement in one piece. */
-    Connection(boolean closesAfterAnswer, boolean startsWhole) {
-      this.closesAfterAnswer = closesAfterAnswer;
-      this.startsWhole = startsWhole;
-      ChannelFuture connecting =
+    Connection(boolean closeAfterResponse, boolean combineStartupAndQuery) {
+      this.closeAfterResponse = closeAfterResponse;
+      this.combineStartupAndQuery = combineStartupAndQuery;
+      ChannelFuture connectFuture =
           new Bootstrap()
               .group(loop)
               .channel(NioSocketChannel.class)
               .option(ChannelOption.TCP_NODELAY, true)
-              .option(ChannelOption.ALLOW_HALF_CLOSURE, closesSideAfterMillis > 0)
+              .option(ChannelOption.ALLOW_HALF_CLOSURE, closeDelayMillis > 0)
               .handler(this)
               .connect(address);
-      channel = connecting.channel();
-      connecting.addListener(
-          done -> {
-            if (!done.isSuccess()) {
+      channel = connectFuture.channel();
+      connectFuture.addListener(
+          future -> {
+            if (!future.isSuccess()) {
               // Nobody took anything: the front goes to another router.
-              notTaken();
+              refusePending();
             }
           });
     }
 
-    private void notTaken() {
-      gone = true;
-      while (!asked.isEmpty()) {
-        ended(asked.poll(), Outcome.REFUSED);
+    private void refusePending() {
+      closed = true;
+      while (!pending.isEmpty()) {
+        finish(pending.poll(), Outcome.REFUSED);
       }
     }
 
-    void ask(Entry entry) {
-      asked.add(entry);
-      String text = text(entry);
+    void send(TrackedStatement statement) {
+      pending.add(statement);
+      String query = queryText(statement);
       if (channel.isActive()) {
         ByteBuf out = channel.alloc().buffer();
-        MessageEncoder.writeQuery(out, text);
+        MessageEncoder.writeQuery(out, query);
         channel.writeAndFlush(out);
       } else {
-        unsent.add(text);
+        unsentQueries.add(query);
       }
-      if (random.nextDouble() < day.leaveShare()) {
-        loop.schedule(this::leave, random.nextInt(60), TimeUnit.MILLISECONDS);
+      if (random.nextDouble() < options.disconnectShare()) {
+        loop.schedule(this::disconnect, random.nextInt(60), TimeUnit.MILLISECONDS);
       }
-      if (asked.peek() == entry && connected) {
-        counts(entry);
-      } else if (asked.peek() == entry) {
+      if (pending.peek() == statement && connected) {
+        startResponseTimer(statement);
+      } else if (pending.peek() == statement) {
         // No router owes anything to a client that it has not accepted; it gives up all the same.
         loop.schedule(
-            this::giveUpConnecting, entry.workload.deadlineMillis(), TimeUnit.MILLISECONDS);
+            this::onConnectTimeout, statement.workload.deadlineMillis(), TimeUnit.MILLISECONDS);
       }
     }
 
-    private void giveUpConnecting() {
-      if (!connected && !gone) {
-        notTaken();
+    private void onConnectTimeout() {
+      if (!connected && !closed) {
+        refusePending();
         channel.close();
       }
     }
 
     /** It is the first on this connection that is not answered: its time begins. */
-    private void counts(Entry entry) {
-      entry.countsFromMillis = clock.nowMillis();
-      entry.clientPort = ((InetSocketAddress) channel.localAddress()).getPort();
+    private void startResponseTimer(TrackedStatement statement) {
+      statement.timerStartMillis = clock.nowMillis();
+      statement.clientPort = ((InetSocketAddress) channel.localAddress()).getPort();
       loop.schedule(
-          () -> giveUp(entry),
-          entry.workload.deadlineMillis() + GIVES_UP_BEHIND_MILLIS,
+          () -> onResponseTimeout(statement),
+          statement.workload.deadlineMillis() + RESPONSE_GRACE_MILLIS,
           TimeUnit.MILLISECONDS);
     }
 
-    private void leave() {
-      if (gone || asked.isEmpty()) {
+    private void disconnect() {
+      if (closed || pending.isEmpty()) {
         return;
       }
-      gone = true;
-      for (Entry entry : asked) {
-        if (entry.outcome == null) {
-          open--;
-          ledger.leaves(entry, clock.nowMillis());
+      closed = true;
+      for (TrackedStatement statement : pending) {
+        if (statement.outcome == null) {
+          openStatements--;
+          checker.recordAbandoned(statement, clock.nowMillis());
         }
       }
-      asked.clear();
+      pending.clear();
       channel.close();
     }
 
-    private void giveUp(Entry entry) {
-      if (entry.outcome == null) {
-        ended(entry, Outcome.NEVER);
-        gone = true;
+    private void onResponseTimeout(TrackedStatement statement) {
+      if (statement.outcome == null) {
+        finish(statement, Outcome.NEVER);
+        closed = true;
         channel.close();
       }
     }
@@ -297,16 +300,16 @@
       connected = true;
       ByteBuf out = context.alloc().buffer();
       MessageEncoder.writeStartupMessage(out, "app", "shop");
-      if (!startsWhole) {
+      if (!combineStartupAndQuery) {
         context.writeAndFlush(out);
         out = context.alloc().buffer();
       }
-      while (!unsent.isEmpty()) {
-        MessageEncoder.writeQuery(out, unsent.poll());
+      while (!unsentQueries.isEmpty()) {
+        MessageEncoder.writeQuery(out, unsentQueries.poll());
       }
       context.writeAndFlush(out);
-      if (!asked.isEmpty()) {
-        counts(asked.peek());
+      if (!pending.isEmpty()) {
+        startResponseTimer(pending.peek());
       }
     }
 
@@ -314,86 +317,88 @@
     public void channelRead(ChannelHandlerContext context, Object in) throws ProtocolException {
       decoder.add((ByteBuf) in);
       for (ByteBuf message = decoder.nextMessage();
-          message != null && !gone;
+          message != null && !closed;
           message = decoder.nextMessage()) {
-        message(message);
+        handleMessage(message);
       }
     }
 
-    private void message(ByteBuf message) {
+    private void handleMessage(ByteBuf message) {
       byte type = message.getByte(message.readerIndex());
       if (type == ProtocolCodes.DATA_ROW) {
-        told = Outcome.SERVED;
+        pendingOutcome = Outcome.SERVED;
       } else if (type == ProtocolCodes.ERROR_RESPONSE) {
         String code = QueryResponse.errorField(message, 'C');
-        told = code.equals("53300") || code.equals("57P03") ? Outcome.REFUSED : Outcome.FAILED;
+        pendingOutcome =
+            code.equals("53300") || code.equals("57P03") ? Outcome.REFUSED : Outcome.FAILED;
         if (QueryResponse.errorField(message, 'S').equals("FATAL")) {
-          answered();
+          onResponseComplete();
         }
-      } else if (type == ProtocolCodes.READY_FOR_QUERY && !welcomed) {
-        welcomed = true;
+      } else if (type == ProtocolCodes.READY_FOR_QUERY && !startupComplete) {
+        startupComplete = true;
       } else if (type == ProtocolCodes.READY_FOR_QUERY) {
-        answered();
+        onResponseComplete();
       }
     }
 
-    private void answered() {
-      Entry entry = asked.poll();
-      if (entry == null) {
+    private void onResponseComplete() {
+      TrackedStatement statement = pending.poll();
+      if (statement == null) {
         return;
       }
-      ended(entry, told == null ? Outcome.FAILED : told);
-      told = null;
-      answeredOnce = true;
-      if (!asked.isEmpty()) {
-        counts(asked.peek());
+      finish(statement, pendingOutcome == null ? Outcome.FAILED : pendingOutcome);
+      pendingOutcome = null;
+      hasReceivedResponse = true;
+      if (!pending.isEmpty()) {
+        startResponseTimer(pending.peek());
       }
-      if (asked.isEmpty() && closesAfterAnswer) {
-        gone = true;
+      if (pending.isEmpty() && closeAfterResponse) {
+        closed = true;
         channel.close();
-      } else if (asked.isEmpty()) {
-        resting.add(this);
+      } else if (pending.isEmpty()) {
+        idleConnections.add(this);
       }
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
       if (event == ChannelInputShutdownEvent.INSTANCE) {
-        disconnected();
-        loop.schedule((Runnable) context::close, closesSideAfterMillis, TimeUnit.MILLISECONDS);
+        onDisconnected();
+        loop.schedule((Runnable) context::close, closeDelayMillis, TimeUnit.MILLISECONDS);
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
       decoder.release();
-      disconnected();
+      onDisconnected();
     }
 
     /** The router has ended it: what was asked and not answered goes elsewhere, or is lost. */
-    private void disconnected() {
-      resting.remove(this);
-      boolean rested = answeredOnce;
-      while (!asked.isEmpty()) {
-        Entry entry = asked.poll();
-        if (entry.outcome != null) {
+    private void onDisconnected() {
+      idleConnections.remove(this);
+      boolean wasReused = hasReceivedResponse;
+      while (!pending.isEmpty()) {
+        TrackedStatement statement = pending.poll();
+        if (statement.outcome != null) {
           continue;
         }
-        if (rested && entry.attempts == 0) {
-          ledger.crosses(entry, clock.nowMillis() - lateness.recentMillis());
+        if (wasReused && statement.attempts == 0) {
+          checker.recordResend(statement, clock.nowMillis() - lagMonitor.recentMaxLagMillis());
           // Sent once more on a new connection, as it was.
-          new Connection(true, true).askAgain(entry);
+          new Connection(true, true).resend(statement);
         } else {
-          ended(entry, rested ? Outcome.CLOSED_RESTING : Outcome.CLOSED_NEW);
+          finish(statement, wasReused ? Outcome.CLOSED_RESTING : Outcome.CLOSED_NEW);
         }
       }
-      gone = true;
+      closed = true;
     }
 
-    private void askAgain(Entry entry) {
-      asked.add(entry);
-      unsent.add(text(entry));
-      loop.schedule(this::giveUpConnecting, entry.workload.deadlineMillis(), TimeUnit.MILLISECONDS);
+    private void resend(TrackedStatement statement) {
+      pending.add(statement);
+      unsentQueries.add(queryText(statement));
+      loop.schedule(
+          this::onConnectTimeout, statement.workload.deadlineMillis(), TimeUnit.MILLISECONDS);
     }
 
     @Override
--- a/lab/src/main/java/basaltlever/lab/endtoend/DaySettings.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/DaySettings.java
@@ -18,11 +18,11 @@
     boolean secondCopies,
     boolean cancels,
     double pollPrice) {
-  static final long FALL_MILLIS = 1_000;
-  private static final int MICROS = 1_000;
+  static final long OVERLOAD_WINDOW_MILLIS = 1_000;
+  private static final int MICROS_PER_MILLI = 1_000;
 
   /** A deployment with reads of two kinds and writes that may run once. */
-  static DaySettings usual() {
+  static DaySettings defaults() {
     return new DaySettings(
         List.of(
             new StatementClass(
@@ -42,24 +42,25 @@
   }
 
   /** Other effects, shorter deadlines and windows, and other limits, by chance. */
-  static DaySettings drawn(SplittableRandom random) {
+  static DaySettings randomized(SplittableRandom random) {
     String[] reads = {"any", "bounded", "session", "fresh", "write"};
     List<StatementClass> classes = new ArrayList<>();
     int count = 2 + random.nextInt(4);
-    double left = 1;
+    double remainingShare = 1;
     for (int i = 0; i < count; i++) {
-      double share = i == count - 1 ? left : left * (0.2 + 0.4 * random.nextDouble());
-      left -= share;
+      double share =
+          i == count - 1 ? remainingShare : remainingShare * (0.2 + 0.4 * random.nextDouble());
+      remainingShare -= share;
       String read = i == count - 1 ? "write" : reads[random.nextInt(reads.length)];
-      long deadline = 300L + random.nextInt(2_500);
-      double work = 5 + 30 * random.nextDouble();
+      long deadlineMillis = 300L + random.nextInt(2_500);
+      double workMillis = 5 + 30 * random.nextDouble();
       classes.add(
           new StatementClass(
               "c" + i,
               share,
-              Math.max(100, deadline / 2),
-              deadline,
-              work,
+              Math.max(100, deadlineMillis / 2),
+              deadlineMillis,
+              workMillis,
               Effect.values()[random.nextInt(3)],
               100 + random.nextInt(1_500),
               read,
@@ -83,27 +84,27 @@
    * The same with servers that take so long for each statement in the mean; as it is where that is
    * 0.
    */
-  DaySettings withWork(int millis) {
-    List<StatementClass> changed =
+  DaySettings withMeanWorkMillis(int millis) {
+    List<StatementClass> newClasses =
         classes.stream()
             .map(
-                each ->
+                entry ->
                     millis == 0
-                        ? each
+                        ? entry
                         : new StatementClass(
-                            each.key(),
-                            each.share(),
-                            each.sloMillis(),
-                            each.deadlineMillis(),
+                            entry.key(),
+                            entry.share(),
+                            entry.sloMillis(),
+                            entry.deadlineMillis(),
                             millis,
-                            each.effect(),
-                            each.windowMillis(),
-                            each.read(),
-                            each.boundMillis(),
-                            each.worth()))
+                            entry.effect(),
+                            entry.windowMillis(),
+                            entry.read(),
+                            entry.boundMillis(),
+                            entry.worth()))
             .toList();
     return new DaySettings(
-        changed,
+        newClasses,
         drainGraceMillis,
         coldFrom,
         coldMillis,
@@ -115,12 +116,12 @@
         pollPrice);
   }
 
-  StatementClass draw(SplittableRandom random) {
-    double draw = random.nextDouble();
-    for (StatementClass each : classes) {
-      draw -= each.share();
-      if (draw < 0) {
-        return each;
+  StatementClass pickClass(SplittableRandom random) {
+    double remaining = random.nextDouble();
+    for (StatementClass entry : classes) {
+      remaining -= entry.share();
+      if (remaining < 0) {
+        return entry;
       }
     }
     return classes.get(classes.size() - 1);
@@ -131,7 +132,7 @@
   }
 
   /** The settings object of a router's start file. */
-  String text(int router, int routers) {
+  String toJson(int router, int routers) {
     return "{\"Balancers\":"
         + routers
         + ",\"Me\":"
@@ -141,33 +142,33 @@
         + ",\"Zones\":[\"east\",\"west\"],\"Discovery\":\"on_request\",\"Bounds\":{\"Cancel\":"
         + cancels
         + ",\"ConnectTimeout\":250000,\"IdleClose\":"
-        + idleCloseMillis * MICROS
+        + idleCloseMillis * MICROS_PER_MILLI
         + ",\"MaxAttempts\":"
         + maxAttempts
         + ",\"MaxOpen\":5000,\"MaxRetryAfter\":1000000,\"MayDuplicate\":"
         + secondCopies
         + ",\"MayProbe\":true,\"RetryAfter\":true,\"StreamsPerConn\":1},\"Classes\":["
-        + classes.stream().map(StatementClass::settings).collect(Collectors.joining(","))
+        + classes.stream().map(StatementClass::settingsJson).collect(Collectors.joining(","))
         + "],\"Costs\":{\"Probe\":"
         + pollPrice
         + ",\"CrossZone\":0.02},"
         + "\"Reporting\":{\"How\":\"probe\",\"Fields\":[\"x0\",\"x1\",\"utilization\"]},"
         + "\"FamilyInfo\":{\"Checks\":\"wait\",\"ClassRead\":["
-        + classes.stream().map(each -> '"' + each.read() + '"').collect(Collectors.joining(","))
+        + classes.stream().map(entry -> '"' + entry.read() + '"').collect(Collectors.joining(","))
         + "],\"LagAllowed\":["
         + classes.stream()
-            .map(each -> "" + each.boundMillis() * MICROS)
+            .map(entry -> "" + entry.boundMillis() * MICROS_PER_MILLI)
             .collect(Collectors.joining(","))
         + "],\"ProgressTold\":true,\"SessionMarks\":\"carried\"},\"Rules\":{\"AnswerSlack\":20000,\"Cold\":"
-        + coldMillis * MICROS
+        + coldMillis * MICROS_PER_MILLI
         + ",\"ColdFrom\":"
         + coldFrom
         + ",\"FallMultiple\":"
         + fallMultiple
         + ",\"Fall\":"
-        + FALL_MILLIS * MICROS
+        + OVERLOAD_WINDOW_MILLIS * MICROS_PER_MILLI
         + ",\"DrainGrace\":"
-        + drainGraceMillis * MICROS
+        + drainGraceMillis * MICROS_PER_MILLI
         + ",\"MustAskIn\":10000000}}";
   }
 }
--- a/lab/src/main/java/basaltlever/lab/endtoend/DiscoveryService.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/DiscoveryService.java
@@ -28,33 +28,34 @@
  * written at one time.
  */
 final class DiscoveryService {
-  private static final Pattern REQUEST =
+  private static final Pattern REQUEST_PATTERN =
       Pattern.compile("GET /discovery/hosts\\?follow=1&since=(\\d+) ");
-  private static final long KEEP_ALIVE_MILLIS = 2_000;
-  private static final int BACKLOG = 512;
+  private static final long KEEP_ALIVE_INTERVAL_MILLIS = 2_000;
+  private static final int LISTEN_BACKLOG = 512;
 
   private final EventLoop loop;
-  private final DayOptions day;
-  private final DayClock clock;
-  private final ServerFarm farm;
+  private final RunOptions options;
+  private final MonotonicClock clock;
+  private final ServerSimulator simulator;
   private final Set<Watch> watches = new LinkedHashSet<>();
-  private final ArrayDeque<Watch> crowd = new ArrayDeque<>();
+  private final ArrayDeque<Watch> queuedWatches = new ArrayDeque<>();
   private final long[] bytesWritten;
-  private final int[] calls;
-  private int writing;
-  private boolean down;
-  private int capacity;
+  private final int[] callCounts;
+  private int activeCalls;
+  private boolean unavailable;
+  private int maxConcurrentCalls;
   private long version = 1;
   private Channel listener;
 
-  DiscoveryService(EventLoop loop, DayOptions day, DayClock clock, ServerFarm farm) {
+  DiscoveryService(
+      EventLoop loop, RunOptions options, MonotonicClock clock, ServerSimulator simulator) {
     this.loop = loop;
-    this.day = day;
-    capacity = day.discoveryCapacity();
+    this.options = options;
+    maxConcurrentCalls = options.discoveryCapacity();
     this.clock = clock;
-    this.farm = farm;
-    bytesWritten = new long[day.routers()];
-    calls = new int[day.routers()];
+    this.simulator = simulator;
+    bytesWritten = new long[options.routers()];
+    callCounts = new int[options.routers()];
   }
 
   void listen() throws InterruptedException {
@@ -62,7 +63,7 @@
         new ServerBootstrap()
             .group(loop, loop)
             .channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+            .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(
                 new ChannelInitializer<Channel>() {
@@ -75,76 +76,77 @@
             .sync()
             .channel();
     loop.scheduleAtFixedRate(
-        () -> new ArrayList<>(watches).forEach(Watch::keepAlive),
-        KEEP_ALIVE_MILLIS,
-        KEEP_ALIVE_MILLIS,
+        () -> new ArrayList<>(watches).forEach(Watch::writeKeepAlive),
+        KEEP_ALIVE_INTERVAL_MILLIS,
+        KEEP_ALIVE_INTERVAL_MILLIS,
         TimeUnit.MILLISECONDS);
   }
 
   private void accept(Channel channel) {
-    int router =
+    int routerIndex =
         (((InetSocketAddress) channel.localAddress()).getAddress().getAddress()[1] & 0xff)
-            - ServerFarm.FIRST_NETWORK;
-    if (router < 0 || router >= calls.length || down) {
+            - ServerSimulator.FIRST_ROUTER_NETWORK;
+    if (routerIndex < 0 || routerIndex >= callCounts.length || unavailable) {
       channel.close();
     } else {
-      channel.pipeline().addLast(new Watch(router, channel));
+      channel.pipeline().addLast(new Watch(routerIndex, channel));
     }
   }
 
   /** Where a router reaches discovery. */
-  String address(int router) {
+  String address(int routerIndex) {
     return "127."
-        + (ServerFarm.FIRST_NETWORK + router)
+        + (ServerSimulator.FIRST_ROUTER_NETWORK + routerIndex)
         + ".255.1:"
         + ((InetSocketAddress) listener.localAddress()).getPort();
   }
 
-  String wholeList(int router) {
-    return list(router, listed(), true).text;
+  String fullList(int routerIndex) {
+    return encodeList(routerIndex, listedServers(), true).text;
   }
 
-  private List<SimulatedServer> listed() {
-    return farm.servers().stream()
+  private List<SimulatedServer> listedServers() {
+    return simulator.servers().stream()
         .filter(server -> server.lifecycle != SimulatedServer.Lifecycle.REMOVED)
         .toList();
   }
 
   /** The servers have changed already: all watches are told. */
-  void changed(Collection<SimulatedServer> changed) {
+  void publishChanges(Collection<SimulatedServer> changedServers) {
     version++;
-    changed.forEach(server -> server.changedIn = version);
-    new ArrayList<>(watches).forEach(watch -> watch.tellAfter(version - 1));
+    changedServers.forEach(server -> server.lastChangedVersion = version);
+    new ArrayList<>(watches).forEach(watch -> watch.sendChangesAfter(version - 1));
   }
 
   /** Ends all watches and answers none, for a while. */
-  void isDownFor(long millis) {
-    down = true;
+  void makeUnavailableFor(long millis) {
+    unavailable = true;
     new ArrayList<>(watches).forEach(watch -> watch.channel.close());
-    loop.schedule(() -> down = false, millis, TimeUnit.MILLISECONDS);
+    loop.schedule(() -> unavailable = false, millis, TimeUnit.MILLISECONDS);
   }
 
   /** Calls are answered one after the other for a while, and each takes its time. */
-  void isCrowdedFor(long millis) {
-    capacity = 1;
-    loop.schedule(() -> capacity = day.discoveryCapacity(), millis, TimeUnit.MILLISECONDS);
+  void serializeCallsFor(long millis) {
+    maxConcurrentCalls = 1;
+    loop.schedule(
+        () -> maxConcurrentCalls = options.discoveryCapacity(), millis, TimeUnit.MILLISECONDS);
   }
 
   /** Writes the whole list to all watches, so many times in a row. */
-  void repeatWholeList(int times) {
+  void repeatFullList(int times) {
     for (Watch watch : new ArrayList<>(watches)) {
       for (int i = 0; i < times; i++) {
-        watch.tell(listed(), true);
+        watch.enqueueList(listedServers(), true);
       }
     }
   }
 
-  long bytesWritten(int router) {
-    return bytesWritten[router];
+  long bytesWritten(int routerIndex) {
+    return bytesWritten[routerIndex];
   }
 
-  int calls(int router) {
-    return calls[router];
+  int callCount(int routerIndex) {
+    return callCounts[routerIndex];
   }
 
   void close() {
@@ -153,25 +155,25 @@
   }
 
   /** A list as it is written, and where in it each server's entry ends. */
-  private record ListText(String text, List<SimulatedServer> servers, int[] ends) {}
+  private record EncodedList(String text, List<SimulatedServer> servers, int[] endOffsets) {}
 
-  private ListText list(int router, List<SimulatedServer> servers, boolean whole) {
-    int[] ends = new int[servers.size()];
-    String apart = day.listIndented() ? ",\n    " : ",";
+  private EncodedList encodeList(int routerIndex, List<SimulatedServer> servers, boolean full) {
+    int[] endOffsets = new int[servers.size()];
+    String separator = options.listIndented() ? ",\n    " : ",";
     StringBuilder text = new StringBuilder(200 * servers.size() + 100);
     text.append("{\"generation\":")
         .append(version)
         .append(",\"reset\":")
-        .append(whole)
+        .append(full)
         .append(",\"instances\":[");
-    int farmPort = farm.port();
+    int serverPort = simulator.port();
     for (int i = 0; i < servers.size(); i++) {
       SimulatedServer server = servers.get(i);
-      text.append(i == 0 ? "" : apart)
+      text.append(i == 0 ? "" : separator)
           .append("{\"instanceId\":\"")
           .append(server.id())
           .append("\",\"hostPort\":\"")
-          .append(server.address(router, farmPort))
+          .append(server.address(routerIndex, serverPort))
           .append("\",\"zone\":\"")
           .append(server.zone == 0 ? "east" : "west")
           .append("\",\"machineType\":\"m2\",\"cell\":")
@@ -181,26 +183,26 @@
           .append("\",\"weight\":1.0,\"startedAtMs\":")
           .append(server.startedAtMillis)
           .append('}');
-      ends[i] = text.length();
+      endOffsets[i] = text.length();
     }
-    return new ListText(text.append("]}").toString(), servers, ends);
+    return new EncodedList(text.append("]}").toString(), servers, endOffsets);
   }
 
   private final class Watch extends ChannelInboundHandlerAdapter {
-    private final int router;
+    private final int routerIndex;
     private final Channel channel;
     private final StringBuilder request = new StringBuilder();
-    private boolean answered;
+    private boolean requestReceived;
 
     /** What it is to be told, in order; each only once the one before it is written. */
-    private final ArrayDeque<List<SimulatedServer>> waiting = new ArrayDeque<>();
+    private final ArrayDeque<List<SimulatedServer>> pendingLists = new ArrayDeque<>();
 
-    private final ArrayDeque<Boolean> waitingWhole = new ArrayDeque<>();
-    private boolean writes;
-    private long since;
+    private final ArrayDeque<Boolean> pendingFullFlags = new ArrayDeque<>();
+    private boolean writeInProgress;
+    private long sinceVersion;
 
-    Watch(int router, Channel channel) {
-      this.router = router;
+    Watch(int routerIndex, Channel channel) {
+      this.routerIndex = routerIndex;
       this.channel = channel;
     }
 
@@ -209,99 +211,106 @@
       ByteBuf bytes = (ByteBuf) in;
       request.append(bytes.toString(StandardCharsets.US_ASCII));
       bytes.release();
-      Matcher matcher = REQUEST.matcher(request);
-      if (answered || request.indexOf("\r\n\r\n") < 0 || !matcher.find()) {
+      Matcher matcher = REQUEST_PATTERN.matcher(request);
+      if (requestReceived || request.indexOf("\r\n\r\n") < 0 || !matcher.find()) {
         return;
       }
-      answered = true;
-      calls[router]++;
-      since = Long.parseLong(matcher.group(1));
-      if (writing < capacity) {
-        begin();
+      requestReceived = true;
+      callCounts[routerIndex]++;
+      sinceVersion = Long.parseLong(matcher.group(1));
+      if (activeCalls < maxConcurrentCalls) {
+        startResponse();
       } else {
-        crowd.add(this);
+        queuedWatches.add(this);
       }
     }
 
-    private void begin() {
-      writing++;
+    private void startResponse() {
+      activeCalls++;
       write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       watches.add(this);
-      if (since == 0) {
-        tell(listed(), true);
+      if (sinceVersion == 0) {
+        enqueueList(listedServers(), true);
       } else {
-        tellAfter(since);
+        sendChangesAfter(sinceVersion);
       }
-      loop.schedule(this::endsCall, 1, TimeUnit.MILLISECONDS);
+      loop.schedule(this::finishCall, 1, TimeUnit.MILLISECONDS);
     }
 
-    private void endsCall() {
-      if (writes && channel.isActive()) {
-        loop.schedule(this::endsCall, 1, TimeUnit.MILLISECONDS);
+    private void finishCall() {
+      if (writeInProgress && channel.isActive()) {
+        loop.schedule(this::finishCall, 1, TimeUnit.MILLISECONDS);
         return;
       }
-      writing--;
-      Watch next = crowd.poll();
+      activeCalls--;
+      Watch next = queuedWatches.poll();
       if (next != null) {
-        next.begin();
+        next.startResponse();
       }
     }
 
-    void tellAfter(long after) {
-      tell(farm.servers().stream().filter(server -> server.changedIn > after).toList(), false);
+    void sendChangesAfter(long afterVersion) {
+      enqueueList(
+          simulator.servers().stream()
+              .filter(server -> server.lastChangedVersion > afterVersion)
+              .toList(),
+          false);
     }
 
-    private void tell(List<SimulatedServer> servers, boolean whole) {
-      waiting.add(servers);
-      waitingWhole.add(whole);
-      writeNext();
+    private void enqueueList(List<SimulatedServer> servers, boolean full) {
+      pendingLists.add(servers);
+      pendingFullFlags.add(full);
+      writeNextList();
     }
 
-    private void writeNext() {
-      if (writes || waiting.isEmpty()) {
+    private void writeNextList() {
+      if (writeInProgress || pendingLists.isEmpty()) {
         return;
       }
-      writes = true;
-      ListText list = list(router, waiting.poll(), waitingWhole.poll());
+      writeInProgress = true;
+      EncodedList list = encodeList(routerIndex, pendingLists.poll(), pendingFullFlags.poll());
       byte[] text = (list.text + "\n").getBytes(StandardCharsets.US_ASCII);
       write(Integer.toHexString(text.length) + "\r\n");
-      piece(list, text, 0, 0);
+      writePiece(list, text, 0, 0);
     }
 
     /**
      * What an entry says counts as told once its last byte is written, though others are still to
      * come.
      */
-    private void piece(ListText list, byte[] text, int from, int toldBefore) {
-      int to = Math.min(text.length, from + day.listPieceBytes());
-      bytesWritten[router] += to - from;
-      int told = toldBefore;
-      while (told < list.ends.length && list.ends[told] <= to) {
-        told++;
+    private void writePiece(EncodedList list, byte[] text, int from, int previousCount) {
+      int to = Math.min(text.length, from + options.listChunkBytes());
+      bytesWritten[routerIndex] += to - from;
+      int completedCount = previousCount;
+      while (completedCount < list.endOffsets.length && list.endOffsets[completedCount] <= to) {
+        completedCount++;
       }
-      List<SimulatedServer> come = list.servers.subList(toldBefore, told);
+      List<SimulatedServer> completedServers = list.servers.subList(previousCount, completedCount);
       channel
           .writeAndFlush(Unpooled.wrappedBuffer(text, from, to - from))
           .addListener(
-              done -> {
+              future -> {
                 // Written once the system has taken it, not while it waits in this process for a
                 // peer that reads late.
                 long now = clock.nowMillis();
-                come.forEach(server -> farm.told(router, server, now));
+                completedServers.forEach(
+                    server -> simulator.recordNotified(routerIndex, server, now));
               });
       if (to < text.length) {
-        int next = told;
+        int next = completedCount;
         loop.schedule(
-            () -> piece(list, text, to, next), day.listPieceMillis(), TimeUnit.MILLISECONDS);
+            () -> writePiece(list, text, to, next),
+            options.listChunkMillis(),
+            TimeUnit.MILLISECONDS);
         return;
       }
       write("\r\n");
-      writes = false;
-      writeNext();
+      writeInProgress = false;
+      writeNextList();
     }
 
-    void keepAlive() {
-      if (!writes) {
+    void writeKeepAlive() {
+      if (!writeInProgress) {
         write("1\r\n\n\r\n");
       }
     }
@@ -313,7 +322,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
       watches.remove(this);
-      crowd.remove(this);
+      queuedWatches.remove(this);
     }
 
     @Override
--- a/lab/src/main/java/basaltlever/lab/endtoend/FaultShim.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/FaultShim.java
@@ -29,32 +29,33 @@
     FILE_SYNC
   }
 
-  private static final String SOURCE = "/native/fault_shim.c";
-  private static final int BYTES = 4_096;
-  private static final int CLOCK_AT = 0;
-  private static final int SEED_AT = 8;
-  private static final int RATES_AT = 16;
-  private static final long BUILDS_IN_SECONDS = 60;
+  private static final String SOURCE_RESOURCE = "/native/fault_shim.c";
+  private static final int CONTROL_BLOCK_BYTES = 4_096;
+  private static final int CLOCK_OFFSET_POSITION = 0;
+  private static final int SEED_POSITION = 8;
+  private static final int RATES_POSITION = 16;
+  private static final long BUILD_TIMEOUT_SECONDS = 60;
 
   private final Path library;
-  private final Path control;
-  private final Path folder;
-  private final MappedByteBuffer block;
+  private final Path controlFile;
+  private final Path watchedFolder;
+  private final MappedByteBuffer controlBlock;
 
-  private FaultShim(Path library, Path control, Path folder, MappedByteBuffer block) {
+  private FaultShim(
+      Path library, Path controlFile, Path watchedFolder, MappedByteBuffer controlBlock) {
     this.library = library;
-    this.control = control;
-    this.folder = folder;
-    this.block = block;
+    this.controlFile = controlFile;
+    this.watchedFolder = watchedFolder;
+    this.controlBlock = controlBlock;
   }
 
   /** Builds the library into the folder; null where this machine has no compiler. */
-  static Path build(Path into) throws IOException, InterruptedException {
-    Path source = into.resolve("fault_shim.c");
-    try (InputStream text = FaultShim.class.getResourceAsStream(SOURCE)) {
-      Files.copy(text, source);
+  static Path build(Path outputFolder) throws IOException, InterruptedException {
+    Path source = outputFolder.resolve("fault_shim.c");
+    try (InputStream resource = FaultShim.class.getResourceAsStream(SOURCE_RESOURCE)) {
+      Files.copy(resource, source);
     }
-    Path library = into.resolve("fault_shim.so");
+    Path library = outputFolder.resolve("fault_shim.so");
     try {
       Process compiler =
           new ProcessBuilder(
@@ -68,30 +69,32 @@
                   "-ldl")
               .redirectErrorStream(true)
               .start();
-      String said =
+      String output =
           new String(
               compiler.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
-      if (!compiler.waitFor(BUILDS_IN_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
-        throw new IOException("the fault shim can't be built: " + said);
+      if (!compiler.waitFor(BUILD_TIMEOUT_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
+        throw new IOException("the fault shim can't be built: " + output);
       }
       return library;
-    } catch (IOException noCompiler) {
+    } catch (IOException failure) {
       if (Files.exists(library)
-          || !String.valueOf(noCompiler.getMessage()).contains("Cannot run program")) {
-        throw noCompiler;
+          || !String.valueOf(failure.getMessage()).contains("Cannot run program")) {
+        throw failure;
       }
       return null;
     }
   }
 
   /** One router's control block; writes and syncs fail only below the watched folder. */
-  static FaultShim open(Path library, Path control, Path watched, long seed) throws IOException {
-    Files.write(control, new byte[BYTES]);
+  static FaultShim open(Path library, Path controlFile, Path watchedFolder, long seed)
+      throws IOException {
+    Files.write(controlFile, new byte[CONTROL_BLOCK_BYTES]);
     try (FileChannel channel =
-        FileChannel.open(control, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-      MappedByteBuffer block = channel.map(FileChannel.MapMode.READ_WRITE, 0, BYTES);
-      block.order(ByteOrder.nativeOrder()).putLong(SEED_AT, seed);
-      return new FaultShim(library, control, watched, block);
+        FileChannel.open(controlFile, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+      MappedByteBuffer controlBlock =
+          channel.map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_BLOCK_BYTES);
+      controlBlock.order(ByteOrder.nativeOrder()).putLong(SEED_POSITION, seed);
+      return new FaultShim(library, controlFile, watchedFolder, controlBlock);
     }
   }
 
@@ -101,23 +104,23 @@
         "LD_PRELOAD",
         library.toString(),
         "FAULT_CONTROL",
-        control.toString(),
+        controlFile.toString(),
         "FAULT_FOLDER",
-        folder.toString());
+        watchedFolder.toString());
   }
 
-  void wallClock(long offsetMillis) {
-    block.putLong(CLOCK_AT, offsetMillis);
+  void setWallClockOffset(long offsetMillis) {
+    controlBlock.putLong(CLOCK_OFFSET_POSITION, offsetMillis);
   }
 
   /** So many of a million calls fail from here on. */
-  void fails(Call call, int perMillion) {
-    block.putInt(RATES_AT + 4 * call.ordinal(), perMillion);
+  void setFailureRate(Call call, int perMillion) {
+    controlBlock.putInt(RATES_POSITION + 4 * call.ordinal(), perMillion);
   }
 
-  void allWell() {
+  void clearFailures() {
     for (Call call : Call.values()) {
-      fails(call, 0);
+      setFailureRate(call, 0);
     }
   }
 }
--- a/lab/src/main/java/basaltlever/lab/endtoend/Crowd.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/IdleClients.java
@@ -14,29 +14,29 @@
 /**
  * Connections that say nothing and come back as soon as they are sent away; on a loop of its own.
  */
-final class Crowd {
+final class IdleClients {
   private static final int RETRY_MILLIS = 20;
   private final EventLoop loop;
   private final InetSocketAddress address;
-  private final ChannelGroup open;
-  private boolean over;
-  private int made;
+  private final ChannelGroup channels;
+  private boolean stopped;
+  private int opened;
 
-  Crowd(EventLoop loop, InetSocketAddress address) {
+  IdleClients(EventLoop loop, InetSocketAddress address) {
     this.loop = loop;
     this.address = address;
-    open = new DefaultChannelGroup(loop);
+    channels = new DefaultChannelGroup(loop);
   }
 
   /** They come within so many milliseconds, in even steps. */
-  void come(int size, int withinMillis) {
-    for (int i = 0; i < size; i++) {
-      loop.schedule(this::connect, 1_000L * withinMillis * i / size, TimeUnit.MICROSECONDS);
+  void rampUp(int count, int withinMillis) {
+    for (int i = 0; i < count; i++) {
+      loop.schedule(this::connect, 1_000L * withinMillis * i / count, TimeUnit.MICROSECONDS);
     }
   }
 
   private void connect() {
-    if (over) {
+    if (stopped) {
       return;
     }
     ChannelFuture connecting =
@@ -47,8 +47,8 @@
                 new ChannelInboundHandlerAdapter() {
                   @Override
                   public void channelActive(ChannelHandlerContext context) {
-                    made++;
-                    open.add(context.channel());
+                    opened++;
+                    channels.add(context.channel());
                   }
 
                   @Override
@@ -63,20 +63,20 @@
                 })
             .connect(address);
     connecting.addListener(
-        done -> {
-          if (!done.isSuccess()) {
+        result -> {
+          if (!result.isSuccess()) {
             loop.schedule(this::connect, RETRY_MILLIS, TimeUnit.MILLISECONDS);
           }
         });
   }
 
   /** Connections made by now; on its loop only. */
-  int made() {
-    return made;
+  int opened() {
+    return opened;
   }
 
-  void leave() {
-    over = true;
-    open.close();
+  void close() {
+    stopped = true;
+    channels.close();
   }
 }
--- a/lab/src/main/java/basaltlever/lab/endtoend/ManyServers.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/ManyServers.java
@@ -12,10 +12,10 @@
  */
 public final class ManyServers {
   /** The size that the need of a router is held against. */
-  static final int USUAL_SERVERS = 120;
+  static final int BASELINE_SERVERS = 120;
 
   /** What one figure may be: a multiple of that of the usual day, and so much more. */
-  private record Limit(double times, double plus, double plusEachThousand) {}
+  private record Limit(double factor, double constant, double perThousandServers) {}
 
   private static final Map<String, Limit> LIMITS = limits();
 
@@ -31,35 +31,37 @@
     return limits;
   }
 
-  private static final double LEAST_SERVED = 0.85;
-  private static final List<String> RULES =
+  private static final double MIN_SERVED_RATIO = 0.85;
+  private static final List<String> VIOLATION_FIGURES =
       List.of("lost", "drain_late", "doubled", "cold_toppled", "crashed");
 
   /**
    * Plays the usual day, and the one with many servers; what is broken is named under its key. No
    * logs where null.
    */
-  public static Map<String, Object> compare(DayOptions day, long seed, Path jar, Path logs)
-      throws Exception {
+  public static Map<String, Object> compareWithBaseline(
+      RunOptions options, long seed, Path routerJar, Path logFolder) throws Exception {
     Map<String, Object> figures = new LinkedHashMap<>();
     // The same groups with more members, or more groups: what the day's group size says.
-    DayOptions usual =
-        day.withServers(
-            Math.min(USUAL_SERVERS, day.servers()),
+    RunOptions baseline =
+        options.withServers(
+            Math.min(BASELINE_SERVERS, options.servers()),
             Math.min(
-                day.members(),
+                options.groupSize(),
                 Math.max(
                     1,
-                    day.members()
-                        * USUAL_SERVERS
-                        / Math.max(USUAL_SERVERS, day.servers())
-                        * (day.members() > LARGE_GROUP ? 1 : day.servers() / USUAL_SERVERS + 1))));
-    Map<String, Object> before =
-        day.servers() > USUAL_SERVERS ? play(usual, seed, jar, logs) : Map.of();
-    Map<String, Object> told = play(day, seed, jar, logs);
-    figures.put("day", told);
-    figures.put("usual_day", before);
-    figures.put("broken", broken(day, before, told));
+                    options.groupSize()
+                        * BASELINE_SERVERS
+                        / Math.max(BASELINE_SERVERS, options.servers())
+                        * (options.groupSize() > MAX_FIXED_GROUP_SIZE
+                            ? 1
+                            : options.servers() / BASELINE_SERVERS + 1))));
+    Map<String, Object> baselineFigures =
+        options.servers() > BASELINE_SERVERS ? run(baseline, seed, routerJar, logFolder) : Map.of();
+    Map<String, Object> measured = run(options, seed, routerJar, logFolder);
+    figures.put("day", measured);
+    figures.put("usual_day", baselineFigures);
+    figures.put("broken", violations(options, baselineFigures, measured));
     return figures;
   }
 
@@ -67,50 +69,57 @@
    * Groups of more members than this are taken to have grown with the list; else the number of
    * groups has.
    */
-  private static final int LARGE_GROUP = 8;
+  private static final int MAX_FIXED_GROUP_SIZE = 8;
 
-  private static Map<String, Object> play(DayOptions day, long seed, Path jar, Path logs)
-      throws Exception {
-    try (ManyServersDay played = new ManyServersDay(day, seed, jar)) {
-      Map<String, Object> figures = played.play();
-      if (logs != null) {
-        played.copyLogs(Files.createDirectories(logs.resolve(day.servers() + "-servers")));
+  private static Map<String, Object> run(
+      RunOptions options, long seed, Path routerJar, Path logFolder) throws Exception {
+    try (ManyServersRun run = new ManyServersRun(options, seed, routerJar)) {
+      Map<String, Object> figures = run.run();
+      if (logFolder != null) {
+        run.copyLogs(Files.createDirectories(logFolder.resolve(options.servers() + "-servers")));
       }
       return figures;
     }
   }
 
-  static List<String> broken(DayOptions day, Map<String, Object> usual, Map<String, Object> told) {
-    List<String> broken = new ArrayList<>();
-    for (String rule : RULES) {
-      if (number(told, rule) > 0) {
-        broken.add(rule + " " + (int) number(told, rule));
+  static List<String> violations(
+      RunOptions options, Map<String, Object> baseline, Map<String, Object> measured) {
+    List<String> violations = new ArrayList<>();
+    for (String figure : VIOLATION_FIGURES) {
+      if (number(measured, figure) > 0) {
+        violations.add(figure + " " + (int) number(measured, figure));
       }
     }
-    if (number(told, "descriptors_most") > day.sockets()) {
-      broken.add(
-          "descriptors_most " + (int) number(told, "descriptors_most") + " of " + day.sockets());
+    if (number(measured, "descriptors_most") > options.sockets()) {
+      violations.add(
+          "descriptors_most "
+              + (int) number(measured, "descriptors_most")
+              + " of "
+              + options.sockets());
     }
-    if (usual.isEmpty()) {
-      return broken;
+    if (baseline.isEmpty()) {
+      return violations;
     }
     LIMITS.forEach(
         (key, limit) -> {
-          double most =
-              limit.times * number(usual, key)
-                  + limit.plus
-                  + limit.plusEachThousand * day.servers() / 1_000;
-          if (number(told, key) > most) {
-            broken.add(
+          double max =
+              limit.factor * number(baseline, key)
+                  + limit.constant
+                  + limit.perThousandServers * options.servers() / 1_000;
+          if (number(measured, key) > max) {
+            violations.add(
                 String.format(
-                    java.util.Locale.ROOT, "%s %.2f of %.2f", key, number(told, key), most));
+                    java.util.Locale.ROOT, "%s %.2f of %.2f", key, number(measured, key), max));
           }
         });
-    if (number(told, "served_share") < LEAST_SERVED * number(usual, "served_share")) {
-      broken.add(
-          "served_share " + told.get("served_share") + " beside " + usual.get("served_share"));
+    if (number(measured, "served_share") < MIN_SERVED_RATIO * number(baseline, "served_share")) {
+      violations.add(
+          "served_share "
+              + measured.get("served_share")
+              + " beside "
+              + baseline.get("served_share"));
     }
-    return broken;
+    return violations;
   }
 
   private static double number(Map<String, Object> figures, String key) {
--- a/lab/src/main/java/basaltlever/lab/endtoend/NewClientsOptions.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/NewClientsOptions.java
@@ -10,18 +10,18 @@
     int routers,
     int servers,
     int sockets,
-    double rate,
+    double statementsPerSecond,
     double seconds,
-    int burst,
+    int burstStatements,
     int burstMillis,
-    int crowd,
-    int heldUpMillis,
-    int heldUpTimes,
-    int slowMillis,
-    int acceptFailsMillis,
-    int closesAfterMillis) {
-  private static final NumberOptions OPTIONS =
-      new NumberOptions("new-clients")
+    int idleClients,
+    int pauseMillis,
+    int pauseCount,
+    int statementMillis,
+    int acceptFailureMillis,
+    int closeDelayMillis) {
+  private static final NumericOptions OPTIONS =
+      new NumericOptions("new-clients")
           .with("routers", 1, 8, 1)
           .with("servers", 2, 120, 10)
           .with("sockets", 64, 65_536, 512)
@@ -37,7 +37,7 @@
           .with("closes_after_ms", 0, 2_000, 0);
 
   /** Reads KEY=VALUE pairs; keys that are not given have their defaults. */
-  public static NewClientsOptions parse(List<String> pairs) throws InvalidOption {
+  public static NewClientsOptions parse(List<String> pairs) throws InvalidOptionException {
     Map<String, Double> values = OPTIONS.parse(pairs);
     return new NewClientsOptions(
         values.get("routers").intValue(),
@@ -56,12 +56,12 @@
   }
 
   /** The same deployment as a day of the others' kind: groups of five servers, nothing drains. */
-  DayOptions day() {
-    return new DayOptions(
+  RunOptions runOptions() {
+    return new RunOptions(
         servers,
         routers,
         Math.min(servers, 5),
-        rate,
+        statementsPerSecond,
         seconds,
         sockets,
         0,
--- a/lab/src/main/java/basaltlever/lab/endtoend/RouterUnderTest.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/RouterUnderTest.java
@@ -16,13 +16,13 @@
  * One router as a process of its own, with the memory options of the deploy file, and what it uses.
  */
 final class RouterUnderTest implements AutoCloseable {
-  private static final long READY_MILLIS = 60_000;
-  private static final String OVERDUE = "event=overdue ";
+  private static final long STARTUP_TIMEOUT_MILLIS = 60_000;
+  private static final String OVERDUE_EVENT = "event=overdue ";
 
   /** As the build of the deploy file leaves it beside the jar. */
-  private static final String CLASS_ARCHIVE = "basaltlever.jsa";
+  private static final String CLASS_DATA_ARCHIVE = "basaltlever.jsa";
 
-  private static final List<String> OPTIONS =
+  private static final List<String> JVM_OPTIONS =
       List.of(
           "-Xmx48m",
           "-Xms48m",
@@ -40,24 +40,23 @@
 
   private final List<String> command = new ArrayList<>();
   private final InetSocketAddress address;
-  private final Path log;
+  private final Path logFile;
   private final Path startFilePath;
   private FaultShim shim;
   private Process process;
-  private int descriptorsMost;
-  private long memoryMostKb;
-  private double cpuSecondsOfFormer;
-  private long readyMillis;
+  private int maxDescriptors;
+  private long maxMemoryKb;
+  private double previousCpuSeconds;
+  private long startupMillis;
 
-  RouterUnderTest(Path folder, int number, int port, Path jar, String startFile)
-      throws IOException {
+  RouterUnderTest(Path folder, int index, int port, Path jar, String startFile) throws IOException {
     address = new InetSocketAddress("127.0.0.1", port);
-    log = folder.resolve("n" + number + ".log");
-    Path file = Files.writeString(folder.resolve("n" + number + ".json"), startFile);
+    logFile = folder.resolve("n" + index + ".log");
+    Path file = Files.writeString(folder.resolve("n" + index + ".json"), startFile);
     command.add(System.getProperty("java.home") + "/bin/java");
-    command.addAll(OPTIONS);
-    if (jar != null && Files.exists(jar.resolveSibling(CLASS_ARCHIVE))) {
-      command.add("-XX:SharedArchiveFile=" + jar.resolveSibling(CLASS_ARCHIVE));
+    command.addAll(JVM_OPTIONS);
+    if (jar != null && Files.exists(jar.resolveSibling(CLASS_DATA_ARCHIVE))) {
+      command.add("-XX:SharedArchiveFile=" + jar.resolveSibling(CLASS_DATA_ARCHIVE));
     }
     command.addAll(
         jar != null
@@ -68,7 +67,7 @@
   }
 
   /** Runs under a shim from its next start on. */
-  void runUnder(FaultShim next) {
+  void setShim(FaultShim next) {
     shim = next;
   }
 
@@ -77,12 +76,12 @@
   }
 
   /** Logs the life of each statement that takes longer, from its next start on. */
-  void follow(long millis) {
+  void logStatementsSlowerThan(long millis) {
     command.addAll(List.of("--follow", "" + millis));
   }
 
   /** Keeps what it learns in the folder from its next start on. */
-  void keepsIn(Path folder) throws IOException {
+  void keepStateIn(Path folder) throws IOException {
     Path operator =
         Files.writeString(
             startFilePath.resolveSibling(startFilePath.getFileName() + ".ini"),
@@ -91,17 +90,17 @@
   }
 
   /** In one piece, as an operator would replace it. */
-  void startFile(String text) throws IOException {
+  void replaceStartFile(String text) throws IOException {
     Path next =
         Files.writeString(startFilePath.resolveSibling(startFilePath.getFileName() + ".new"), text);
     Files.move(next, startFilePath, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  void signal(String name) throws IOException, InterruptedException {
+  void sendSignal(String name) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-" + name, "" + process.pid()).start().waitFor();
   }
 
-  boolean endsWithin(long millis) throws InterruptedException {
+  boolean waitForExit(long millis) throws InterruptedException {
     return process.waitFor(millis, TimeUnit.MILLISECONDS);
   }
 
@@ -115,7 +114,7 @@
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile.toFile()));
     if (shim != null) {
       builder.environment().putAll(shim.environment());
     }
@@ -130,32 +129,33 @@
   }
 
   void awaitReady(long sinceNanos) throws IOException, InterruptedException {
-    while (process.isAlive() && System.nanoTime() < sinceNanos + READY_MILLIS * 1_000_000) {
+    while (process.isAlive()
+        && System.nanoTime() < sinceNanos + STARTUP_TIMEOUT_MILLIS * 1_000_000) {
       try (Socket socket = new Socket()) {
         socket.connect(address, 500);
-        readyMillis = (System.nanoTime() - sinceNanos) / 1_000_000;
+        startupMillis = (System.nanoTime() - sinceNanos) / 1_000_000;
         return;
       } catch (IOException notYet) {
         Thread.sleep(10);
       }
     }
-    throw new IOException("a router did not begin to serve:\n" + Files.readString(log));
+    throw new IOException("a router did not begin to serve:\n" + Files.readString(logFile));
   }
 
-  long readyMillis() {
-    return readyMillis;
+  long startupMillis() {
+    return startupMillis;
   }
 
   /** Reads what the process uses by now. */
-  void sample() {
+  void sampleUsage() {
     String[] descriptors = new File("/proc/" + process.pid() + "/fd").list();
     if (descriptors != null) {
-      descriptorsMost = Math.max(descriptorsMost, descriptors.length);
+      maxDescriptors = Math.max(maxDescriptors, descriptors.length);
     }
     try {
       for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
         if (line.startsWith("VmHWM:")) {
-          memoryMostKb = Math.max(memoryMostKb, Long.parseLong(line.replaceAll("[^0-9]", "")));
+          maxMemoryKb = Math.max(maxMemoryKb, Long.parseLong(line.replaceAll("[^0-9]", "")));
         }
       }
     } catch (IOException ended) {
@@ -163,16 +163,16 @@
     }
   }
 
-  int descriptorsMost() {
-    return descriptorsMost;
+  int maxDescriptors() {
+    return maxDescriptors;
   }
 
-  double memoryMegabytes() {
-    return memoryMostKb / 1_024.0;
+  double maxMemoryMegabytes() {
+    return maxMemoryKb / 1_024.0;
   }
 
   double cpuSeconds() {
-    return cpuSecondsOfFormer
+    return previousCpuSeconds
         + process.info().totalCpuDuration().map(used -> used.toNanos() / 1e9).orElse(0.0);
   }
 
@@ -181,14 +181,14 @@
   }
 
   /** Statements that its decisions had forgotten, by its log. */
-  int overdue() {
-    return log().split(OVERDUE, -1).length - 1;
+  int overdueStatements() {
+    return readLog().split(OVERDUE_EVENT, -1).length - 1;
   }
 
   /** All that its processes have logged so far. */
-  String log() {
+  String readLog() {
     try {
-      return Files.exists(log) ? Files.readString(log) : "";
+      return Files.exists(logFile) ? Files.readString(logFile) : "";
     } catch (IOException unreadable) {
       throw new UncheckedIOException(unreadable);
     }
@@ -197,12 +197,12 @@
   /** SIGTERM, its end, and a new process in its place. */
   void restart() throws IOException, InterruptedException {
     double used = cpuSeconds();
-    end();
-    cpuSecondsOfFormer = used;
+    stop();
+    previousCpuSeconds = used;
     start();
   }
 
-  private void end() throws InterruptedException {
+  private void stop() throws InterruptedException {
     process.destroy();
     if (!process.waitFor(8, TimeUnit.SECONDS)) {
       process.destroyForcibly();
@@ -212,7 +212,7 @@
   @Override
   public void close() {
     try {
-      end();
+      stop();
     } catch (InterruptedException e) {
       process.destroyForcibly();
       Thread.currentThread().interrupt();
--- a/lab/src/main/java/basaltlever/lab/endtoend/DayOptions.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/RunOptions.java
@@ -4,27 +4,27 @@
 import java.util.Map;
 
 /** The options of one day with many servers; every value is checked before anything is started. */
-public record DayOptions(
+public record RunOptions(
     int servers,
     int routers,
-    int members,
-    double rate,
+    int groupSize,
+    double statementsPerSecond,
     double seconds,
     int sockets,
     double drainShare,
     double removeShare,
-    double coldShare,
-    double cutShare,
-    double leaveShare,
-    int restarts,
-    int listPieceBytes,
-    int listPieceMillis,
+    double coldStartShare,
+    double cutConnectionShare,
+    double disconnectShare,
+    int routerRestarts,
+    int listChunkBytes,
+    int listChunkMillis,
     boolean listIndented,
     int discoveryCapacity,
-    int wholeLists) {
+    int fullListRepeats) {
 
-  private static final NumberOptions OPTIONS =
-      new NumberOptions("many-servers")
+  private static final NumericOptions OPTIONS =
+      new NumericOptions("many-servers")
           .with("servers", 2, 3_200, 120)
           .with("routers", 1, 200, 1)
           .with("members", 1, 400, 4)
@@ -44,12 +44,12 @@
           .with("whole_lists", 0, 100, 0);
 
   /** Reads KEY=VALUE pairs; keys that are not given have their defaults. */
-  public static DayOptions parse(List<String> pairs) throws InvalidOption {
+  public static RunOptions parse(List<String> pairs) throws InvalidOptionException {
     return of(OPTIONS.parse(pairs));
   }
 
-  private static DayOptions of(Map<String, Double> values) {
-    return new DayOptions(
+  private static RunOptions of(Map<String, Double> values) {
+    return new RunOptions(
         values.get("servers").intValue(),
         values.get("routers").intValue(),
         values.get("members").intValue(),
@@ -70,28 +70,28 @@
   }
 
   /** The same day with another number of servers; larger groups where the group count is kept. */
-  public DayOptions withServers(int count, int groupSize) {
-    return new DayOptions(
-        count,
+  public RunOptions withServers(int newServers, int newGroupSize) {
+    return new RunOptions(
+        newServers,
         routers,
-        groupSize,
-        rate,
+        newGroupSize,
+        statementsPerSecond,
         seconds,
         sockets,
         drainShare,
         removeShare,
-        coldShare,
-        cutShare,
-        leaveShare,
-        restarts,
-        listPieceBytes,
-        listPieceMillis,
+        coldStartShare,
+        cutConnectionShare,
+        disconnectShare,
+        routerRestarts,
+        listChunkBytes,
+        listChunkMillis,
         listIndented,
         discoveryCapacity,
-        wholeLists);
+        fullListRepeats);
   }
 
   int groups() {
-    return Math.max(1, servers / members);
+    return Math.max(1, servers / groupSize);
   }
 }
--- a/lab/src/main/java/basaltlever/lab/endtoend/ServerFarm.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/ServerSimulator.java
@@ -1,6 +1,6 @@
 package basaltlever.lab.endtoend;
 
-import basaltlever.lab.sockets.Rows;
+import basaltlever.lab.sockets.RowEncoder;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.pg.MessageDecoder;
 import basaltlever.pg.MessageEncoder;
@@ -30,62 +30,62 @@
  * Thousands of simulated database servers behind one listener: every loopback address reaches it,
  * and the address that a connection was made to tells which router asks which server.
  */
-final class ServerFarm {
+final class ServerSimulator {
   /** Router 0 reaches its servers in 127.16.0.0/16, router 1 in 127.17.0.0/16 and so on. */
-  static final int FIRST_NETWORK = 16;
+  static final int FIRST_ROUTER_NETWORK = 16;
 
-  private static final Pattern ID = Pattern.compile("[ *,]id=([a-z0-9]+)");
-  private static final Pattern DEADLINE = Pattern.compile("[ *,]d=(\\d+)");
-  private static final int LARGEST_QUERY = 1 << 18;
-  private static final int BACKLOG = 4_096;
+  private static final Pattern STATEMENT_ID_PATTERN = Pattern.compile("[ *,]id=([a-z0-9]+)");
+  private static final Pattern DEADLINE_PATTERN = Pattern.compile("[ *,]d=(\\d+)");
+  private static final int MAX_QUERY_BYTES = 1 << 18;
+  private static final int LISTEN_BACKLOG = 4_096;
 
   /** What the list says is told once it is written, with what the rules leave for clocks. */
-  private static final long CLOCK_SLACK_MILLIS = 50;
+  private static final long CLOCK_TOLERANCE_MILLIS = 50;
 
   private final EventLoop loop;
   private final DaySettings settings;
-  private final DayClock clock;
-  private final StatementLedger ledger;
-  private final LoopLateness lateness;
+  private final MonotonicClock clock;
+  private final StatementChecker checker;
+  private final EventLoopLagMonitor lagMonitor;
   private final SplittableRandom random;
   private final List<SimulatedServer> servers;
   private final double capacityPerSecond;
-  private final ChannelGroup open;
-  private final int[] connectionsMade;
-  private final int[] polls;
+  private final ChannelGroup openChannels;
+  private final int[] connectionCounts;
+  private final int[] pollCounts;
 
   /**
    * When each router was told that a server drains or is gone; by router, then server; 0 for never.
    */
-  private final long[][] toldGoneAtMillis;
+  private final long[][] drainNotifiedAtMillis;
 
   private Channel listener;
 
-  ServerFarm(
+  ServerSimulator(
       EventLoop loop,
-      DayOptions day,
+      RunOptions options,
       DaySettings settings,
-      DayClock clock,
-      StatementLedger ledger,
+      MonotonicClock clock,
+      StatementChecker checker,
       SplittableRandom random) {
     this.loop = loop;
     this.settings = settings;
     this.clock = clock;
-    this.ledger = ledger;
-    lateness = new LoopLateness(loop);
+    this.checker = checker;
+    lagMonitor = new EventLoopLagMonitor(loop);
     this.random = random;
-    servers = new ArrayList<>(day.servers());
-    for (int i = 0; i < day.servers(); i++) {
-      int group = Math.min(i / day.members(), day.groups() - 1);
+    servers = new ArrayList<>(options.servers());
+    for (int i = 0; i < options.servers(); i++) {
+      int group = Math.min(i / options.groupSize(), options.groups() - 1);
       servers.add(
           new SimulatedServer(
-              i, group, i % day.members() == 0 && i / day.members() == group, i % 2));
+              i, group, i % options.groupSize() == 0 && i / options.groupSize() == group, i % 2));
     }
-    capacityPerSecond = 1.6 * day.rate() * day.routers() / day.servers();
-    open = new DefaultChannelGroup(loop);
-    connectionsMade = new int[day.routers()];
-    polls = new int[day.routers()];
-    toldGoneAtMillis = new long[day.routers()][day.servers()];
+    capacityPerSecond = 1.6 * options.statementsPerSecond() * options.routers() / options.servers();
+    openChannels = new DefaultChannelGroup(loop);
+    connectionCounts = new int[options.routers()];
+    pollCounts = new int[options.routers()];
+    drainNotifiedAtMillis = new long[options.routers()][options.servers()];
   }
 
   void listen() throws InterruptedException {
@@ -93,7 +93,7 @@
         new ServerBootstrap()
             .group(loop, loop)
             .channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+            .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(
                 new ChannelInitializer<Channel>() {
@@ -108,18 +108,22 @@
   }
 
   private void accept(Channel channel) {
-    byte[] at = ((InetSocketAddress) channel.localAddress()).getAddress().getAddress();
+    byte[] localAddress = ((InetSocketAddress) channel.localAddress()).getAddress().getAddress();
     boolean loopback =
         ((InetSocketAddress) channel.remoteAddress()).getAddress().isLoopbackAddress();
-    int router = (at[1] & 0xff) - FIRST_NETWORK;
-    int index = SimulatedServer.indexOf(at[2] & 0xff, at[3] & 0xff);
-    if (!loopback || router < 0 || router >= polls.length || index < 0 || index >= servers.size()) {
+    int routerIndex = (localAddress[1] & 0xff) - FIRST_ROUTER_NETWORK;
+    int serverIndex = SimulatedServer.indexOf(localAddress[2] & 0xff, localAddress[3] & 0xff);
+    if (!loopback
+        || routerIndex < 0
+        || routerIndex >= pollCounts.length
+        || serverIndex < 0
+        || serverIndex >= servers.size()) {
       channel.close();
       return;
     }
-    connectionsMade[router]++;
-    open.add(channel);
-    channel.pipeline().addLast(new Connection(router, servers.get(index)));
+    connectionCounts[routerIndex]++;
+    openChannels.add(channel);
+    channel.pipeline().addLast(new Connection(routerIndex, servers.get(serverIndex)));
   }
 
   int port() {
@@ -130,34 +134,34 @@
     return servers;
   }
 
-  int connectionsMade(int router) {
-    return connectionsMade[router];
+  int connectionCount(int routerIndex) {
+    return connectionCounts[routerIndex];
   }
 
-  int polls(int router) {
-    return polls[router];
+  int pollCount(int routerIndex) {
+    return pollCounts[routerIndex];
   }
 
-  int mostPollsInASecond() {
-    return servers.stream().mapToInt(server -> server.mostPollsInSecond).max().orElse(0);
+  int maxPollsPerSecond() {
+    return servers.stream().mapToInt(server -> server.maxPollsPerSecond).max().orElse(0);
   }
 
-  void told(int router, SimulatedServer server, long nowMillis) {
+  void recordNotified(int routerIndex, SimulatedServer server, long nowMillis) {
     if (server.lifecycle == SimulatedServer.Lifecycle.IN_SERVICE) {
-      toldGoneAtMillis[router][server.index] = 0;
-    } else if (toldGoneAtMillis[router][server.index] == 0) {
-      toldGoneAtMillis[router][server.index] = nowMillis;
+      drainNotifiedAtMillis[routerIndex][server.index] = 0;
+    } else if (drainNotifiedAtMillis[routerIndex][server.index] == 0) {
+      drainNotifiedAtMillis[routerIndex][server.index] = nowMillis;
     }
   }
 
   /** A router that starts anew has been told nothing yet. */
-  void forgetsWhatWasTold(int router) {
-    toldGoneAtMillis[router] = new long[servers.size()];
+  void clearNotifications(int routerIndex) {
+    drainNotifiedAtMillis[routerIndex] = new long[servers.size()];
   }
 
   /** Resets a share of all connections, in use or not. */
-  void cutConnections(double share) {
-    for (Channel channel : new ArrayList<>(open)) {
+  void resetConnections(double share) {
+    for (Channel channel : new ArrayList<>(openChannels)) {
       if (random.nextDouble() < share) {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         channel.close();
@@ -167,7 +171,7 @@
 
   void close() {
     listener.close();
-    open.close();
+    openChannels.close();
   }
 
   private long nowMillis() {
@@ -175,28 +179,28 @@
   }
 
   private final class Connection extends ChannelInboundHandlerAdapter {
-    private final int router;
+    private final int routerIndex;
     private final SimulatedServer server;
     private final MessageDecoder decoder =
-        new MessageDecoder(LARGEST_QUERY, new MemoryBudget(Long.MAX_VALUE));
+        new MessageDecoder(MAX_QUERY_BYTES, new MemoryBudget(Long.MAX_VALUE));
     private boolean started;
 
-    Connection(int router, SimulatedServer server) {
-      this.router = router;
+    Connection(int routerIndex, SimulatedServer server) {
+      this.routerIndex = routerIndex;
       this.server = server;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object in) throws ProtocolException {
       decoder.add((ByteBuf) in);
-      for (ByteBuf message = next(); message != null; message = next()) {
+      for (ByteBuf message = nextMessage(); message != null; message = nextMessage()) {
         if (!started) {
           started = true;
           ByteBuf out = context.alloc().buffer();
           MessageEncoder.writeStartupResponse(out);
           context.writeAndFlush(out);
         } else if (message.getByte(message.readerIndex()) == 'Q') {
-          query(
+          handleQuery(
               context,
               message.toString(
                   message.readerIndex() + MessageDecoder.HEADER_BYTES,
@@ -208,93 +212,99 @@
       }
     }
 
-    private ByteBuf next() throws ProtocolException {
+    private ByteBuf nextMessage() throws ProtocolException {
       return started ? decoder.nextMessage() : decoder.nextStartupMessage();
     }
 
-    private void query(ChannelHandlerContext context, String text) {
-      Matcher id = ID.matcher(text);
-      if (server.hangsUntilMillis > nowMillis() && text.equals("SHOW gauges")) {
-        polls[router]++;
-      } else if (text.equals("SHOW gauges")) {
-        polls[router]++;
-        server.polled(nowMillis());
-        reply(
+    private void handleQuery(ChannelHandlerContext context, String queryText) {
+      Matcher idMatcher = STATEMENT_ID_PATTERN.matcher(queryText);
+      if (server.hangUntilMillis > nowMillis() && queryText.equals("SHOW gauges")) {
+        pollCounts[routerIndex]++;
+      } else if (queryText.equals("SHOW gauges")) {
+        pollCounts[routerIndex]++;
+        server.recordPoll(nowMillis());
+        writeResponse(
             context,
             out ->
-                Rows.row(
+                RowEncoder.writeSingleRow(
                     out,
                     String.format(
                         Locale.ROOT,
                         "x0=%.3f,x1=%d,utilization=0.3",
                         nowMillis() / 1e3,
                         server.primary ? 1 : 0)));
-      } else if (text.startsWith("/*") && id.find()) {
-        statement(context, ledger.find(id.group(1)), text);
+      } else if (queryText.startsWith("/*") && idMatcher.find()) {
+        handleStatement(context, checker.find(idMatcher.group(1)), queryText);
       } else {
-        reply(context, MessageEncoder::writeEmptyQueryResponse);
+        writeResponse(context, MessageEncoder::writeEmptyQueryResponse);
       }
     }
 
-    private void statement(
-        ChannelHandlerContext context, StatementLedger.Entry entry, String text) {
+    private void handleStatement(
+        ChannelHandlerContext context,
+        StatementChecker.TrackedStatement statement,
+        String queryText) {
       long now = nowMillis();
       // A router is judged by when it came, which is no earlier than this.
-      long cameAt = now - lateness.unreadMillisAtMost();
-      if (entry == null) {
-        reply(
+      long arrivedAtMillis = now - lagMonitor.maxUnreadMillis();
+      if (statement == null) {
+        writeResponse(
             context,
             out ->
                 MessageEncoder.writeErrorResponse(
                     out, "ERROR", "53300", "nobody waits for this", null));
         return;
       }
-      ledger.attempt(entry, cameAt);
-      Matcher told = DEADLINE.matcher(text);
-      if (told.find()) {
-        ledger.deadline(entry, Long.parseLong(told.group(1)), cameAt);
+      checker.recordAttempt(statement, arrivedAtMillis);
+      Matcher deadlineMatcher = DEADLINE_PATTERN.matcher(queryText);
+      if (deadlineMatcher.find()) {
+        checker.checkDeadline(statement, Long.parseLong(deadlineMatcher.group(1)), arrivedAtMillis);
       }
-      server.statements++;
-      judgeDrain(entry, cameAt);
-      if (server.takesWhileCold(now, capacityPerSecond, settings)) {
-        ledger.coldToppled();
+      server.statementCount++;
+      checkDrain(statement, arrivedAtMillis);
+      if (server.recordSlowStartStatement(now, capacityPerSecond, settings)) {
+        checker.recordSlowStartOverload();
       }
-      if (entry.workload.isWrite() && !server.primary) {
-        reply(
+      if (statement.workload.isWrite() && !server.primary) {
+        writeResponse(
             context,
             out -> MessageEncoder.writeErrorResponse(out, "ERROR", "25006", "no primary", null));
         return;
       }
       // What a closed connection carried may run all the same.
-      ledger.runs(entry, now);
-      double work = -Math.log(1 - random.nextDouble()) * entry.workload.workMillis();
-      loop.schedule(() -> serve(context, entry), (long) work, TimeUnit.MILLISECONDS);
+      checker.recordExecution(statement, now);
+      double work = -Math.log(1 - random.nextDouble()) * statement.workload.workMillis();
+      loop.schedule(() -> respond(context, statement), (long) work, TimeUnit.MILLISECONDS);
     }
 
-    private void judgeDrain(StatementLedger.Entry entry, long cameAt) {
-      long toldAt = toldGoneAtMillis[router][server.index];
-      if (toldAt > 0 && cameAt > toldAt + settings.drainGraceMillis() + CLOCK_SLACK_MILLIS) {
-        ledger.breaks(
+    private void checkDrain(StatementChecker.TrackedStatement statement, long arrivedAtMillis) {
+      long notifiedAtMillis = drainNotifiedAtMillis[routerIndex][server.index];
+      if (notifiedAtMillis > 0
+          && arrivedAtMillis
+              > notifiedAtMillis + settings.drainGraceMillis() + CLOCK_TOLERANCE_MILLIS) {
+        checker.recordViolation(
             "drain_late",
-            entry,
+            statement,
             server.id()
                 + " got an attempt "
-                + (cameAt - toldAt)
+                + (arrivedAtMillis - notifiedAtMillis)
                 + " ms after its router was told that it is "
                 + server.lifecycle.key);
       }
     }
 
-    private void serve(ChannelHandlerContext context, StatementLedger.Entry entry) {
-      long hangs = server.hangsUntilMillis - nowMillis();
-      if (hangs > 0) {
-        loop.schedule(() -> serve(context, entry), hangs, TimeUnit.MILLISECONDS);
+    private void respond(
+        ChannelHandlerContext context, StatementChecker.TrackedStatement statement) {
+      long remainingHangMillis = server.hangUntilMillis - nowMillis();
+      if (remainingHangMillis > 0) {
+        loop.schedule(
+            () -> respond(context, statement), remainingHangMillis, TimeUnit.MILLISECONDS);
         return;
       }
-      reply(context, out -> Rows.row(out, entry.id));
+      writeResponse(context, out -> RowEncoder.writeSingleRow(out, statement.id));
     }
 
-    private void reply(
+    private void writeResponse(
         ChannelHandlerContext context, java.util.function.Consumer<ByteBuf> content) {
       ByteBuf out = context.alloc().buffer();
       content.accept(out);
--- a/lab/src/main/java/basaltlever/lab/endtoend/SimulatedServer.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/SimulatedServer.java
@@ -15,7 +15,7 @@
     }
   }
 
-  private static final int PER_BLOCK = 250;
+  private static final int SERVERS_PER_SUBNET = 250;
 
   final int index;
   final int group;
@@ -27,26 +27,26 @@
   Lifecycle lifecycle = Lifecycle.IN_SERVICE;
 
   /** The version of the list that last changed this server. */
-  long changedIn = 1;
+  long lastChangedVersion = 1;
 
   /** Unix milliseconds of its last start; 0 for long ago. */
   long startedAtMillis;
 
   /** Since its last start. */
-  private double coldLevel;
+  private double slowStartLevel;
 
-  private long coldLevelAtMillis;
-  boolean toppled;
+  private long slowStartLevelAtMillis;
+  boolean overloaded;
 
   /** Takes statements and answers none, up to then. */
-  long hangsUntilMillis;
+  long hangUntilMillis;
 
   /** Polls and statements that it got in the second under way, and the most in any second. */
-  private long second;
+  private long currentSecond;
 
-  private int pollsInSecond;
-  int mostPollsInSecond;
-  int statements;
+  private int pollsInCurrentSecond;
+  int maxPollsPerSecond;
+  int statementCount;
 
   SimulatedServer(int index, int group, boolean primary, int zone) {
     this.index = index;
@@ -60,55 +60,68 @@
   }
 
   /** The loopback address at which one router reaches this server: so it is known who asks. */
-  String address(int router, int port) {
+  String address(int routerIndex, int port) {
     return "127."
-        + (ServerFarm.FIRST_NETWORK + router)
+        + (ServerSimulator.FIRST_ROUTER_NETWORK + routerIndex)
         + "."
-        + index / PER_BLOCK
+        + index / SERVERS_PER_SUBNET
         + "."
-        + (index % PER_BLOCK + 1)
+        + (index % SERVERS_PER_SUBNET + 1)
         + ":"
         + port;
   }
 
-  static int indexOf(int block, int last) {
-    return block * PER_BLOCK + last - 1;
+  static int indexOf(int subnet, int host) {
+    return subnet * SERVERS_PER_SUBNET + host - 1;
   }
 
-  void polled(long nowMillis) {
-    if (nowMillis / 1_000 != second) {
-      second = nowMillis / 1_000;
-      pollsInSecond = 0;
+  void recordPoll(long nowMillis) {
+    if (nowMillis / 1_000 != currentSecond) {
+      currentSecond = nowMillis / 1_000;
+      pollsInCurrentSecond = 0;
     }
-    mostPollsInSecond = Math.max(mostPollsInSecond, ++pollsInSecond);
+    maxPollsPerSecond = Math.max(maxPollsPerSecond, ++pollsInCurrentSecond);
   }
 
   /**
    * Counts one statement against the budget of a server in slow start; true where this one topples
    * it. The level drains at the rate that the rule allows.
    */
-  boolean takesWhileCold(long nowMillis, double capacityPerSecond, DaySettings settings) {
-    long age = nowMillis - startedAtMillis;
-    if (startedAtMillis == 0 || age >= settings.coldMillis() || toppled) {
+  boolean recordSlowStartStatement(long nowMillis, double capacityPerSecond, DaySettings settings) {
+    long ageMillis = nowMillis - startedAtMillis;
+    if (startedAtMillis == 0 || ageMillis >= settings.coldMillis() || overloaded) {
       return false;
     }
-    double warmth = settings.coldFrom() + (1 - settings.coldFrom()) * age / settings.coldMillis();
-    double allowed =
-        settings.fallMultiple() * warmth * capacityPerSecond * DaySettings.FALL_MILLIS / 1_000;
-    coldLevel =
-        Math.max(0, coldLevel - allowed * (nowMillis - coldLevelAtMillis) / DaySettings.FALL_MILLIS)
+    double capacityShare =
+        settings.coldFrom() + (1 - settings.coldFrom()) * ageMillis / settings.coldMillis();
+    double allowedStatements =
+        settings.fallMultiple()
+            * capacityShare
+            * capacityPerSecond
+            * DaySettings.OVERLOAD_WINDOW_MILLIS
+            / 1_000;
+    slowStartLevel =
+        Math.max(
+                0,
+                slowStartLevel
+                    - allowedStatements
+                        * (nowMillis - slowStartLevelAtMillis)
+                        / DaySettings.OVERLOAD_WINDOW_MILLIS)
             + 1;
-    coldLevelAtMillis = nowMillis;
-    double root = Math.sqrt(allowed);
-    double budget = allowed < 30 ? allowed + 3 * root + 3 : allowed + 2 * root + 2;
-    toppled = coldLevel > budget;
-    return toppled;
+    slowStartLevelAtMillis = nowMillis;
+    double deviation = Math.sqrt(allowedStatements);
+    double budget =
+        allowedStatements < 30
+            ? allowedStatements + 3 * deviation + 3
+            : allowedStatements + 2 * deviation + 2;
+    overloaded = slowStartLevel > budget;
+    return overloaded;
   }
 
-  void restarts(long nowMillis) {
+  void restart(long nowMillis) {
     startedAtMillis = nowMillis;
-    coldLevel = 0;
-    coldLevelAtMillis = nowMillis;
-    toppled = false;
+    slowStartLevel = 0;
+    slowStartLevelAtMillis = nowMillis;
+    overloaded = false;
   }
 }
--- a/lab/src/main/java/basaltlever/lab/endtoend/Soak.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/Soak.java
@@ -16,8 +16,8 @@
     commandDescription =
         "Router processes among seeded faults of clocks, system calls, folders, servers and clients")
 public final class Soak {
-  private static final int MISUSED = 2;
-  private static final List<String> RULES =
+  private static final int EXIT_BAD_INPUT = 2;
+  private static final List<String> VIOLATION_FIGURES =
       List.of(
           "lost",
           "lost_resting",
@@ -38,66 +38,67 @@
   private double minutes = 1;
 
   @Parameter(names = "--router-jar", description = "a build of the router; else this program's own")
-  private Path jar;
+  private Path routerJar;
 
   @Parameter(
       names = "--follow",
       description = "milliseconds: the life of each statement that takes longer is logged")
-  private long follow;
+  private long traceMillis;
 
   @Parameter(names = "--logs", description = "folder for the routers' logs of days that failed")
-  private Path logs;
+  private Path logFolder;
 
   /** Plays them, one line of JSON each on standard output, and a table at the end. */
-  public int run(Teller teller) throws Exception {
+  public int run(FiguresWriter writer) throws Exception {
     if (!(minutes > 0 && minutes <= 600)) {
-      return refuse("--minutes is " + minutes + "; it takes a number above 0 up to 600");
+      return reportBadInput("--minutes is " + minutes + "; it takes a number above 0 up to 600");
     }
     if (seeds < 1 || seeds > 10_000) {
-      return refuse("--seeds is " + seeds + "; it takes a number from 1 to 10000");
+      return reportBadInput("--seeds is " + seeds + "; it takes a number from 1 to 10000");
     }
-    if (jar != null && !Files.exists(jar)) {
-      return refuse("--router-jar is " + jar + ", which is not there");
+    if (routerJar != null && !Files.exists(routerJar)) {
+      return reportBadInput("--router-jar is " + routerJar + ", which is not there");
     }
-    Path built = Files.createTempDirectory("shim");
-    Path library = FaultShim.build(built);
+    Path buildFolder = Files.createTempDirectory("shim");
+    Path library = FaultShim.build(buildFolder);
     if (library == null) {
       System.err.println(
           "basaltlever-lab: skipped: no compiler (cc) here, so no clock is stepped and no system call"
               + " or write fails; all other faults are played");
     }
     List<String> table = new ArrayList<>();
-    boolean held = true;
+    boolean passed = true;
     for (int i = 0; i < seeds; i++) {
-      held &= play(seed + i, library, teller, table);
+      passed &= runSeed(seed + i, library, writer, table);
     }
     System.err.println(String.join("\n", table));
-    return held ? 0 : 1;
+    return passed ? 0 : 1;
   }
 
-  private static int refuse(String why) {
-    System.err.println("basaltlever-lab: " + why);
-    return MISUSED;
+  private static int reportBadInput(String message) {
+    System.err.println("basaltlever-lab: " + message);
+    return EXIT_BAD_INPUT;
   }
 
   /** Tells what one day came to. */
-  public interface Teller {
-    void tell(Map<String, Object> figures) throws Exception;
+  public interface FiguresWriter {
+    void write(Map<String, Object> figures) throws Exception;
   }
 
-  private boolean play(long one, Path library, Teller teller, List<String> table) throws Exception {
-    try (SoakDay day = new SoakDay(one, minutes * 60, jar, library)) {
-      if (follow > 0) {
-        day.follow(follow);
+  private boolean runSeed(long runSeed, Path library, FiguresWriter writer, List<String> table)
+      throws Exception {
+    try (SoakRun run = new SoakRun(runSeed, minutes * 60, routerJar, library)) {
+      if (traceMillis > 0) {
+        run.traceStatementsLongerThan(traceMillis);
       }
-      Map<String, Object> figures = day.play();
-      figures.put("seed", one);
-      List<String> broken = broken(figures);
-      figures.put("broken", broken);
-      teller.tell(figures);
+      Map<String, Object> figures = run.run();
+      figures.put("seed", runSeed);
+      List<String> violations = violations(figures);
+      figures.put("broken", violations);
+      writer.write(figures);
       table.add(
           "seed "
-              + one
+              + runSeed
               + " | "
               + figures.get("faults")
               + " | "
@@ -105,26 +106,26 @@
               + " statements, "
               + Math.round(100 * (double) figures.get("served_share"))
               + " % served | "
-              + (broken.isEmpty() ? "kept" : String.join(", ", broken)));
-      if (!broken.isEmpty()) {
+              + (violations.isEmpty() ? "kept" : String.join(", ", violations)));
+      if (!violations.isEmpty()) {
         System.err.println(
             "again: java -jar target/basaltlever-lab.jar soak --seed "
-                + one
+                + runSeed
                 + " --minutes "
                 + minutes);
         ((List<?>) figures.get("failures")).forEach(System.err::println);
-        if (logs != null) {
-          day.copyLogs(Files.createDirectories(logs.resolve("seed-" + one)));
+        if (logFolder != null) {
+          run.copyLogs(Files.createDirectories(logFolder.resolve("seed-" + runSeed)));
         }
       }
-      return broken.isEmpty();
+      return violations.isEmpty();
     }
   }
 
-  private static List<String> broken(Map<String, Object> figures) {
-    return RULES.stream()
-        .filter(rule -> ((Number) figures.get(rule)).intValue() > 0)
-        .map(rule -> rule + " " + figures.get(rule))
+  private static List<String> violations(Map<String, Object> figures) {
+    return VIOLATION_FIGURES.stream()
+        .filter(figure -> ((Number) figures.get(figure)).intValue() > 0)
+        .map(figure -> figure + " " + figures.get(figure))
         .toList();
   }
 }
--- a/lab/src/main/java/basaltlever/lab/endtoend/SoakDay.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/SoakRun.java
@@ -1,6 +1,6 @@
 package basaltlever.lab.endtoend;
 
-import basaltlever.lab.sockets.Ports;
+import basaltlever.lab.sockets.PortAllocator;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -22,7 +22,7 @@
  * clients and operators do the wrong thing, all drawn from one seed: the settings as well. The
  * ledger judges.
  */
-final class SoakDay implements AutoCloseable {
+final class SoakRun implements AutoCloseable {
   /** What goes wrong; each is drawn as often as any other. */
   enum Fault {
     WALL_CLOCK,
@@ -47,53 +47,53 @@
    * SIGKILL comes no sooner than the longest deadline, counted as this at most, and so much more
    * after SIGTERM.
    */
-  private static final long LONGEST_COUNTED_MILLIS = 3_000;
+  private static final long MAX_DEADLINE_WAIT_MILLIS = 3_000;
 
-  private static final long KILL_BEHIND_MILLIS = 700;
-  private static final long NEW_CONNECTIONS_MILLIS = 300;
+  private static final long KILL_DELAY_MILLIS = 700;
+  private static final long MAX_CONNECTING_AFTER_TERM_MILLIS = 300;
   private static final long HOUR_MILLIS = 3_600_000;
-  private static final long SETTLES_MILLIS = 5_000;
-  private static final long LEAST_PAUSE_MILLIS = 200;
-  private static final long MOST_PAUSE_MILLIS = 1_500;
-  private static final int CROWD_COMES_IN_MILLIS = 200;
+  private static final long SETTLE_TIMEOUT_MILLIS = 5_000;
+  private static final long MIN_PAUSE_MILLIS = 200;
+  private static final long MAX_PAUSE_MILLIS = 1_500;
+  private static final int IDLE_RAMP_MILLIS = 200;
   private static final int MILLION = 1_000_000;
 
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
-  private final EventLoop crowdLoop = group.next();
+  private final EventLoop idleLoop = group.next();
   private final SplittableRandom random;
   private final Path folder = Files.createTempDirectory("soak");
-  private final DayClock clock = new DayClock();
-  private final StatementLedger ledger = new StatementLedger();
+  private final MonotonicClock clock = new MonotonicClock();
+  private final StatementChecker ledger = new StatementChecker();
   private final DaySettings settings;
-  private final DayOptions day;
-  private final ServerFarm farm;
+  private final RunOptions options;
+  private final ServerSimulator farm;
   private final DiscoveryService discovery;
   private final List<RouterUnderTest> routers = new ArrayList<>();
-  private final List<ClientLoad> clients = new ArrayList<>();
-  private final Map<Fault, Integer> done = new TreeMap<>();
+  private final List<ClientLoad> loads = new ArrayList<>();
+  private final Map<Fault, Integer> faultCounts = new TreeMap<>();
   private final double seconds;
-  private final boolean shimmed;
+  private final boolean hasShim;
   private int crashed;
 
   /**
    * Without the library no clock is stepped and no system call fails; the jar is null for this
    * program's class path.
    */
-  SoakDay(long seed, double seconds, Path jar, Path library) throws Exception {
+  SoakRun(long seed, double seconds, Path jar, Path library) throws Exception {
     random = new SplittableRandom(seed);
     this.seconds = seconds;
-    shimmed = library != null;
-    settings = DaySettings.drawn(random);
+    hasShim = library != null;
+    settings = DaySettings.randomized(random);
     int routerCount = 1 + random.nextInt(3);
-    int members = 2 + random.nextInt(6);
-    int servers = members * (1 + random.nextInt(random.nextInt(4) == 0 ? 60 : 6));
-    day =
-        new DayOptions(
+    int groupSize = 2 + random.nextInt(6);
+    int servers = groupSize * (1 + random.nextInt(random.nextInt(4) == 0 ? 60 : 6));
+    options =
+        new RunOptions(
             servers,
             routerCount,
-            members,
+            groupSize,
             10 + 40 * random.nextDouble(),
             seconds,
             150 + random.nextInt(500),
@@ -108,26 +108,27 @@
             random.nextBoolean(),
             100,
             2);
-    farm = new ServerFarm(loop, day, settings, clock, ledger, random.split());
+    farm = new ServerSimulator(loop, options, settings, clock, ledger, random.split());
     farm.listen();
-    discovery = new DiscoveryService(loop, day, clock, farm);
+    discovery = new DiscoveryService(loop, options, clock, farm);
     discovery.listen();
-    Ports ports = new Ports();
+    PortAllocator ports = new PortAllocator();
     for (int r = 0; r < routerCount; r++) {
-      RouterUnderTest router = new RouterUnderTest(folder, r, ports.next(), jar, "");
-      Path keeps = Files.createDirectory(folder.resolve("state" + r));
+      RouterUnderTest router = new RouterUnderTest(folder, r, ports.allocate(), jar, "");
+      Path stateFolder = Files.createDirectory(folder.resolve("state" + r));
       if (random.nextBoolean()) {
-        router.keepsIn(keeps);
+        router.keepStateIn(stateFolder);
       }
-      if (shimmed) {
-        router.runUnder(FaultShim.open(library, folder.resolve("control" + r), keeps, seed + r));
+      if (hasShim) {
+        router.setShim(
+            FaultShim.open(library, folder.resolve("control" + r), stateFolder, seed + r));
       }
       routers.add(router);
-      router.startFile(startFile(r));
+      router.replaceStartFile(startFileText(r));
     }
   }
 
-  private String startFile(int router) {
+  private String startFileText(int router) {
     return "{\"name\":\"n"
         + router
         + "\",\"listen\":\"127.0.0.1:"
@@ -137,45 +138,45 @@
         + "\",\"seed\":\""
         + Long.toHexString(random.nextLong())
         + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":"
-        + day.sockets()
+        + options.sockets()
         + "},\"known\":"
-        + discovery.wholeList(router)
+        + discovery.fullList(router)
         + ",\"settings\":"
-        + settings.text(router, day.routers())
+        + settings.toJson(router, options.routers())
         + "}";
   }
 
   /** The life of each statement that takes longer goes to its router's log. */
-  void follow(long millis) {
-    routers.forEach(router -> router.follow(millis));
+  void traceStatementsLongerThan(long millis) {
+    routers.forEach(router -> router.logStatementsSlowerThan(millis));
   }
 
   /** Plays it to its end. */
-  Map<String, Object> play() throws Exception {
-    long since = System.nanoTime();
+  Map<String, Object> run() throws Exception {
+    long startNanos = System.nanoTime();
     for (RouterUnderTest router : routers) {
       router.start();
     }
     for (int r = 0; r < routers.size(); r++) {
-      routers.get(r).awaitReady(since);
-      clients.add(newLoad(r));
+      routers.get(r).awaitReady(startNanos);
+      loads.add(newLoad(r));
     }
-    loop.submit(() -> clients.forEach(ClientLoad::begin)).sync();
+    loop.submit(() -> loads.forEach(ClientLoad::start)).sync();
     long until = System.nanoTime() + (long) (seconds * 1e9);
     while (System.nanoTime() < until) {
-      Thread.sleep(LEAST_PAUSE_MILLIS + random.nextLong(MOST_PAUSE_MILLIS - LEAST_PAUSE_MILLIS));
+      Thread.sleep(MIN_PAUSE_MILLIS + random.nextLong(MAX_PAUSE_MILLIS - MIN_PAUSE_MILLIS));
       Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
-      if (cause(fault)) {
-        done.merge(fault, 1, Integer::sum);
+      if (inject(fault)) {
+        faultCounts.merge(fault, 1, Integer::sum);
       }
     }
     routers.stream()
         .filter(router -> router.shim() != null)
-        .forEach(router -> router.shim().allWell());
-    loop.submit(() -> clients.forEach(ClientLoad::stop)).sync();
-    long settled = System.nanoTime() + SETTLES_MILLIS * MILLION;
-    while (System.nanoTime() < settled
-        && loop.submit(() -> clients.stream().anyMatch(c -> c.open() > 0)).get()) {
+        .forEach(router -> router.shim().clearFailures());
+    loop.submit(() -> loads.forEach(ClientLoad::stop)).sync();
+    long settleDeadline = System.nanoTime() + SETTLE_TIMEOUT_MILLIS * MILLION;
+    while (System.nanoTime() < settleDeadline
+        && loop.submit(() -> loads.stream().anyMatch(c -> c.openStatements() > 0)).get()) {
       Thread.sleep(20);
     }
     crashed += (int) routers.stream().filter(router -> !router.isAlive()).count();
@@ -184,71 +185,82 @@
 
   private ClientLoad newLoad(int router) {
     return new ClientLoad(
-        loop, day, settings, router, routers.get(router).address(), clock, ledger, random.split());
+        loop,
+        options,
+        settings,
+        router,
+        routers.get(router).address(),
+        clock,
+        ledger,
+        random.split());
   }
 
   /** False where there is nothing that it could be done to. */
-  private boolean cause(Fault fault) throws Exception {
+  private boolean inject(Fault fault) throws Exception {
     int r = random.nextInt(routers.size());
     RouterUnderTest router = routers.get(r);
     switch (fault) {
       case WALL_CLOCK -> {
-        if (!shimmed) {
+        if (!hasShim) {
           return false;
         }
         long seconds = random.nextBoolean() ? 10_000 : HOUR_MILLIS;
-        router.shim().wallClock(random.nextInt(4) == 0 ? 0 : random.nextLong(-seconds, seconds));
+        router
+            .shim()
+            .setWallClockOffset(random.nextInt(4) == 0 ? 0 : random.nextLong(-seconds, seconds));
       }
       case SYSTEM_CALLS -> {
-        if (!shimmed) {
+        if (!hasShim) {
           return false;
         }
         failSystemCalls(router);
       }
       case FOLDER -> {
-        if (!shimmed) {
+        if (!hasShim) {
           return false;
         }
-        router.shim().fails(FaultShim.Call.FILE_WRITE, random.nextInt(MILLION));
-        router.shim().fails(FaultShim.Call.FILE_SYNC, random.nextInt(MILLION));
-        later(router, 1_000 + random.nextInt(3_000));
+        router.shim().setFailureRate(FaultShim.Call.FILE_WRITE, random.nextInt(MILLION));
+        router.shim().setFailureRate(FaultShim.Call.FILE_SYNC, random.nextInt(MILLION));
+        scheduleShimReset(router, 1_000 + random.nextInt(3_000));
       }
-      case CUT_CONNECTIONS -> loop.submit(() -> farm.cutConnections(day.cutShare())).sync();
+      case CUT_CONNECTIONS ->
+          loop.submit(() -> farm.resetConnections(options.cutConnectionShare())).sync();
       case DRAIN ->
-          change(
+          changeLifecycle(
               SimulatedServer.Lifecycle.IN_SERVICE,
               SimulatedServer.Lifecycle.DRAINING,
-              day.drainShare());
+              options.drainShare());
       case REMOVE ->
-          change(
+          changeLifecycle(
               SimulatedServer.Lifecycle.DRAINING,
               SimulatedServer.Lifecycle.REMOVED,
-              day.removeShare());
-      case COLD_START -> coldStart();
-      case HANG -> hang();
-      case RELOAD_SERIES -> reloads(r);
+              options.removeShare());
+      case COLD_START -> coldStartServers();
+      case HANG -> hangServers();
+      case RELOAD_SERIES -> reloadRepeatedly(r);
       case DISCOVERY_DOWN -> {
         long millis = 500L + random.nextInt(6_000);
-        loop.submit(() -> discovery.isDownFor(millis)).sync();
+        loop.submit(() -> discovery.makeUnavailableFor(millis)).sync();
       }
       case DISCOVERY_CROWDED -> {
         long millis = 500L + random.nextInt(6_000);
-        loop.submit(() -> discovery.isCrowdedFor(millis)).sync();
+        loop.submit(() -> discovery.serializeCallsFor(millis)).sync();
       }
-      case SIGNAL_SERIES -> signals(r);
+      case SIGNAL_SERIES -> terminateAndRestart(r);
       case CROWD -> {
-        int idle = random.nextInt(day.sockets());
-        Crowd crowd = new Crowd(crowdLoop, router.address());
-        crowdLoop.submit(() -> crowd.come(idle, CROWD_COMES_IN_MILLIS)).sync();
-        crowdLoop.schedule(crowd::leave, 500 + random.nextInt(2_500), TimeUnit.MILLISECONDS);
+        int idleCount = random.nextInt(options.sockets());
+        IdleClients idleConnections = new IdleClients(idleLoop, router.address());
+        idleLoop.submit(() -> idleConnections.rampUp(idleCount, IDLE_RAMP_MILLIS)).sync();
+        idleLoop.schedule(
+            idleConnections::close, 500 + random.nextInt(2_500), TimeUnit.MILLISECONDS);
       }
       case BURST -> {
         int statements = 20 + random.nextInt(280);
-        int within = 100 + random.nextInt(900);
-        loop.submit(() -> clients.get(r).burst(statements, within)).sync();
+        int withinMillis = 100 + random.nextInt(900);
+        loop.submit(() -> loads.get(r).scheduleBurst(statements, withinMillis)).sync();
       }
-      case HELD_UP -> holdUp(router);
-      default -> loop.submit(() -> discovery.repeatWholeList(1 + random.nextInt(3))).sync();
+      case HELD_UP -> pauseRepeatedly(router);
+      default -> loop.submit(() -> discovery.repeatFullList(1 + random.nextInt(3))).sync();
     }
     return true;
   }
@@ -264,80 +276,83 @@
       FaultShim.Call.SHORT_WRITE
     };
     for (int i = 1 + random.nextInt(3); i > 0; i--) {
-      router.shim().fails(network[random.nextInt(network.length)], random.nextInt(MILLION / 3));
+      router
+          .shim()
+          .setFailureRate(network[random.nextInt(network.length)], random.nextInt(MILLION / 3));
     }
-    later(router, 300 + random.nextInt(2_000));
+    scheduleShimReset(router, 300 + random.nextInt(2_000));
   }
 
-  private void later(RouterUnderTest router, long millis) {
-    loop.schedule(() -> router.shim().allWell(), millis, TimeUnit.MILLISECONDS);
+  private void scheduleShimReset(RouterUnderTest router, long millis) {
+    loop.schedule(() -> router.shim().clearFailures(), millis, TimeUnit.MILLISECONDS);
   }
 
-  private void change(SimulatedServer.Lifecycle from, SimulatedServer.Lifecycle to, double share)
-      throws Exception {
+  private void changeLifecycle(
+      SimulatedServer.Lifecycle from, SimulatedServer.Lifecycle to, double share) throws Exception {
     loop.submit(
             () -> {
-              List<SimulatedServer> chosen = chosen(from, share);
+              List<SimulatedServer> chosen = pickReplicas(from, share);
               chosen.forEach(server -> server.lifecycle = to);
               if (!chosen.isEmpty()) {
-                discovery.changed(chosen);
+                discovery.publishChanges(chosen);
               }
             })
         .sync();
   }
 
   /** Those that were removed come back cold, beside others that restart. */
-  private void coldStart() throws Exception {
+  private void coldStartServers() throws Exception {
     loop.submit(
             () -> {
               List<SimulatedServer> chosen =
-                  new ArrayList<>(chosen(SimulatedServer.Lifecycle.IN_SERVICE, day.coldShare()));
-              chosen.addAll(chosen(SimulatedServer.Lifecycle.REMOVED, 1));
-              chosen.addAll(chosen(SimulatedServer.Lifecycle.DRAINING, 0.5));
+                  new ArrayList<>(
+                      pickReplicas(SimulatedServer.Lifecycle.IN_SERVICE, options.coldStartShare()));
+              chosen.addAll(pickReplicas(SimulatedServer.Lifecycle.REMOVED, 1));
+              chosen.addAll(pickReplicas(SimulatedServer.Lifecycle.DRAINING, 0.5));
               for (SimulatedServer server : chosen) {
                 server.lifecycle = SimulatedServer.Lifecycle.IN_SERVICE;
-                server.restarts(clock.nowMillis());
+                server.restart(clock.nowMillis());
               }
               if (!chosen.isEmpty()) {
-                discovery.changed(chosen);
+                discovery.publishChanges(chosen);
               }
             })
         .sync();
   }
 
-  private List<SimulatedServer> chosen(SimulatedServer.Lifecycle from, double share) {
+  private List<SimulatedServer> pickReplicas(SimulatedServer.Lifecycle from, double share) {
     return farm.servers().stream()
         .filter(
             server -> !server.primary && server.lifecycle == from && random.nextDouble() < share)
         .toList();
   }
 
-  private void hang() throws Exception {
+  private void hangServers() throws Exception {
     loop.submit(
             () -> {
               long until = clock.nowMillis() + 300 + random.nextInt(3_000);
               farm.servers().stream()
                   .filter(server -> random.nextInt(5) == 0)
-                  .forEach(server -> server.hangsUntilMillis = until);
+                  .forEach(server -> server.hangUntilMillis = until);
             })
         .sync();
   }
 
   /** Stopped and continued, once or several times in a row. */
-  private void holdUp(RouterUnderTest router) throws Exception {
+  private void pauseRepeatedly(RouterUnderTest router) throws Exception {
     for (int i = 1 + random.nextInt(4); i > 0; i--) {
-      router.signal("STOP");
+      router.sendSignal("STOP");
       Thread.sleep(20 + random.nextInt(130));
-      router.signal("CONT");
+      router.sendSignal("CONT");
       Thread.sleep(10 + random.nextInt(200));
     }
   }
 
-  private void reloads(int r) throws Exception {
+  private void reloadRepeatedly(int r) throws Exception {
     for (int i = 1 + random.nextInt(4); i > 0; i--) {
-      String text = loop.submit(() -> startFile(r)).get();
-      routers.get(r).startFile(text);
-      routers.get(r).signal("HUP");
+      String text = loop.submit(() -> startFileText(r)).get();
+      routers.get(r).replaceStartFile(text);
+      routers.get(r).sendSignal("HUP");
       Thread.sleep(random.nextInt(150));
     }
   }
@@ -346,59 +361,60 @@
    * Told to end, perhaps among other signals; killed at the earliest; and started anew, once or
    * twice.
    */
-  private void signals(int r) throws Exception {
+  private void terminateAndRestart(int r) throws Exception {
     RouterUnderTest router = routers.get(r);
-    ClientLoad load = clients.get(r);
+    ClientLoad load = loads.get(r);
     for (int i = random.nextInt(3); i > 0; i--) {
-      router.signal(random.nextBoolean() ? "HUP" : "TERM");
+      router.sendSignal(random.nextBoolean() ? "HUP" : "TERM");
       Thread.sleep(random.nextInt(30));
     }
-    router.signal("TERM");
-    long told = System.nanoTime();
-    Thread.sleep(random.nextLong(NEW_CONNECTIONS_MILLIS));
-    loop.submit(() -> load.onlyOpenConnections(true)).sync();
+    router.sendSignal("TERM");
+    long termSentNanos = System.nanoTime();
+    Thread.sleep(random.nextLong(MAX_CONNECTING_AFTER_TERM_MILLIS));
+    loop.submit(() -> load.setReuseConnectionsOnly(true)).sync();
     if (random.nextBoolean()) {
-      router.signal(random.nextBoolean() ? "HUP" : "TERM");
+      router.sendSignal(random.nextBoolean() ? "HUP" : "TERM");
     }
     long killMillis =
-        Math.min(LONGEST_COUNTED_MILLIS, settings.longestDeadlineMillis()) + KILL_BEHIND_MILLIS;
-    if (!router.endsWithin(Math.max(1, killMillis - (System.nanoTime() - told) / MILLION))) {
+        Math.min(MAX_DEADLINE_WAIT_MILLIS, settings.longestDeadlineMillis()) + KILL_DELAY_MILLIS;
+    if (!router.waitForExit(
+        Math.max(1, killMillis - (System.nanoTime() - termSentNanos) / MILLION))) {
       router.kill();
     }
     loop.submit(
             () -> {
               load.stop();
-              farm.forgetsWhatWasTold(r);
+              farm.clearNotifications(r);
             })
         .sync();
     if (router.shim() != null) {
-      router.shim().allWell();
+      router.shim().clearFailures();
     }
-    router.startFile(loop.submit(() -> startFile(r)).get());
-    long since = System.nanoTime();
+    router.replaceStartFile(loop.submit(() -> startFileText(r)).get());
+    long startNanos = System.nanoTime();
     router.start();
-    router.awaitReady(since);
-    ClientLoad next = newLoad(r);
+    router.awaitReady(startNanos);
+    ClientLoad newLoad = newLoad(r);
     loop.submit(
             () -> {
-              next.continues(load);
-              clients.set(r, next);
-              next.begin();
+              newLoad.continueFrom(load);
+              loads.set(r, newLoad);
+              newLoad.start();
             })
         .sync();
   }
 
   private Map<String, Object> figures() {
     Map<String, Object> figures = new LinkedHashMap<>();
-    figures.put("routers", day.routers());
-    figures.put("servers", day.servers());
-    figures.put("sockets", day.sockets());
+    figures.put("routers", options.routers());
+    figures.put("servers", options.servers());
+    figures.put("sockets", options.sockets());
     figures.put("settings", settings.toString());
-    figures.put("shim", shimmed ? "preloaded" : "none: no compiler on this machine");
-    figures.put("faults", new TreeMap<>(done).toString());
+    figures.put("shim", hasShim ? "preloaded" : "none: no compiler on this machine");
+    figures.put("faults", new TreeMap<>(faultCounts).toString());
     figures.putAll(ledger.figures());
     figures.put("crashed", crashed);
-    figures.put("overdue", routers.stream().mapToInt(RouterUnderTest::overdue).sum());
+    figures.put("overdue", routers.stream().mapToInt(RouterUnderTest::overdueStatements).sum());
     figures.put("failures", ledger.failures());
     return figures;
   }
@@ -407,7 +423,7 @@
   void copyLogs(Path to) throws IOException {
     routers.parallelStream().forEach(RouterUnderTest::close);
     for (int r = 0; r < routers.size(); r++) {
-      Files.writeString(to.resolve("n" + r + ".log"), routers.get(r).log());
+      Files.writeString(to.resolve("n" + r + ".log"), routers.get(r).readLog());
     }
   }
 
--- a/lab/src/main/java/basaltlever/lab/endtoend/StatementClass.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/StatementClass.java
@@ -32,7 +32,7 @@
     return read.equals("write");
   }
 
-  String settings() {
+  String settingsJson() {
     String window =
         effect == Effect.DEDUPLICATED
             ? ",\"Window\":" + windowMillis * 1_000 + ",\"Group\":\"cell\""
--- a/lab/src/main/java/basaltlever/lab/fleet/AgreementRun.java
+++ b/lab/src/main/java/basaltlever/lab/fleet/AgreementRun.java
@@ -3,11 +3,11 @@
 import basaltlever.fleet.AdminClient;
 import basaltlever.fleet.MessageCodec;
 import basaltlever.lab.scenario.Scenario;
-import basaltlever.lab.sockets.Ports;
+import basaltlever.lab.sockets.PortAllocator;
 import basaltlever.lab.sockets.RouterProcess;
 import basaltlever.lab.sockets.SocketRun;
-import basaltlever.lab.world.Ask;
-import basaltlever.lab.world.World;
+import basaltlever.lab.world.SimulatedCluster;
+import basaltlever.lab.world.Statement;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -37,102 +37,106 @@
  */
 public final class AgreementRun implements AutoCloseable {
   private static final String FLEET = "lab";
-  private static final Map<String, Object> STATUS = Map.of("do", "status", "fleet", FLEET);
-  private static final int BAD_EVERY = 4;
-  private static final int MOST_LOG = 4_000;
+  private static final Map<String, Object> STATUS_REQUEST = Map.of("do", "status", "fleet", FLEET);
+  private static final int INVALID_VERSION_PERIOD = 4;
+  private static final int MAX_LOG_CHARS = 4_000;
 
   /** After a stop a process first does what had come meanwhile. */
-  private static final Span WAKES = Span.ofMillis(250);
+  private static final Span RESUME_GRACE = Span.ofMillis(250);
 
   /**
    * While one by which nothing runs twice was in force, and no other proposed; or a process
    * stopped.
    */
-  private record Strict(Moment from, Moment to) {}
+  private record Interval(Moment start, Moment end) {}
 
   private final Scenario scenario;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
 
   /** On the world's loop. */
-  private final SplittableRandom listChance;
+  private final SplittableRandom listRandom;
 
-  private final MultiThreadIoEventLoopGroup group =
+  private final MultiThreadIoEventLoopGroup eventLoops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final int voters;
-  private final List<InetSocketAddress> places = new ArrayList<>();
-  private final List<Integer> engines = new ArrayList<>();
-  private final List<List<Bridge>> bridges = new ArrayList<>();
-  private final Map<Integer, List<Strict>> stopped = new ConcurrentHashMap<>();
-  private final List<Strict> stricts = new ArrayList<>();
+  private final int voterCount;
+  private final List<InetSocketAddress> fleetAddresses = new ArrayList<>();
+  private final List<Integer> raftPorts = new ArrayList<>();
+  private final List<List<FaultProxy>> proxies = new ArrayList<>();
+  private final Map<Integer, List<Interval>> stopIntervals = new ConcurrentHashMap<>();
+  private final List<Interval> strictIntervals = new ArrayList<>();
   private final SocketRun run;
-  private final String operator;
+  private final String operatorFile;
   private final Span lease;
-  private final Span stated;
+  private final Span fencingTime;
 
   /** Between routers and voters, both ways, but for those of a voter with itself. */
-  private final LongAdder bytes = new LongAdder();
-
-  private volatile boolean over;
-  private int inForce;
-  private int refused;
-  private int wronglyTaken;
-  private int undecided;
-  private int stops;
-  private int cuts;
-  private long slowestMillis;
-  private String unnamed = "";
+  private final LongAdder proxiedBytes = new LongAdder();
+
+  private volatile boolean finished;
+  private int inForceCount;
+  private int refusedCount;
+  private int wronglyAcceptedCount;
+  private int undecidedCount;
+  private int stopCount;
+  private int cutCount;
+  private long slowestVersionMillis;
+  private String unnamedRefusal = "";
   private volatile int recovered;
-  private volatile int inForceAtLoss;
-  private volatile Moment played = Moment.LONG_AGO;
-  private final List<String> recovery = new CopyOnWriteArrayList<>();
+  private volatile int inForceCountAtLoss;
+  private volatile Moment startedAt = Moment.LONG_AGO;
+  private final List<String> recoverySteps = new CopyOnWriteArrayList<>();
 
   public AgreementRun(Scenario scenario, long seed, Path jar, String operator) throws Exception {
     this.scenario = scenario;
-    this.operator = operator;
-    chance = new SplittableRandom(seed ^ 0x5DEECE66DL);
-    listChance = chance.split();
-    voters = scenario.count("voters");
+    this.operatorFile = operator;
+    random = new SplittableRandom(seed ^ 0x5DEECE66DL);
+    listRandom = random.split();
+    voterCount = scenario.count("voters");
     lease = scenario.span("lease_ms");
-    stated = scenario.span("stated_ms");
-    Ports ports = new Ports();
+    fencingTime = scenario.span("stated_ms");
+    PortAllocator ports = new PortAllocator();
     for (int r = 0; r < scenario.count("routers"); r++) {
-      places.add(new InetSocketAddress("127.0.0.1", ports.next()));
+      fleetAddresses.add(new InetSocketAddress("127.0.0.1", ports.allocate()));
     }
-    for (int r = 0; r < places.size(); r++) {
-      engines.add(ports.next());
+    for (int r = 0; r < fleetAddresses.size(); r++) {
+      raftPorts.add(ports.allocate());
     }
-    for (int r = 0; r < places.size(); r++) {
-      bridges.add(new ArrayList<>());
-      for (int v = 0; v < voters; v++) {
-        bridges.get(r).add(new Bridge(group.next(), places.get(v), bytes));
+    for (int r = 0; r < fleetAddresses.size(); r++) {
+      proxies.add(new ArrayList<>());
+      for (int v = 0; v < voterCount; v++) {
+        proxies.get(r).add(new FaultProxy(eventLoops.next(), fleetAddresses.get(v), proxiedBytes));
       }
     }
     try {
-      run = new SocketRun(scenario, seed, jar, router -> operator + text(router), 0, ports);
+      run =
+          new SocketRun(
+              scenario, seed, jar, router -> operator + formatFleetSection(router), 0, ports);
     } catch (Exception fault) {
-      group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+      eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
       throw fault;
     }
   }
 
   /** A router meets the voters over its own bridges; a voter listens at its own place. */
-  private String text(int router) {
-    return text(router, IntStream.range(0, voters).boxed().toList());
+  private String formatFleetSection(int router) {
+    return formatFleetSection(router, IntStream.range(0, voterCount).boxed().toList());
   }
 
-  private String text(int router, List<Integer> vote) {
+  private String formatFleetSection(int router, List<Integer> vote) {
     if (scenario.number("agrees") < 1) {
       // The same troubles, and each router for itself: what the fleet's word is worth.
       return "";
     }
     List<String> peers = new ArrayList<>();
     List<String> voting = new ArrayList<>();
-    for (int r = 0; r < places.size(); r++) {
+    for (int r = 0; r < fleetAddresses.size(); r++) {
       InetSocketAddress at =
-          r < voters && r != router ? bridges.get(router).get(r).address() : places.get(r);
+          r < voterCount && r != router
+              ? proxies.get(router).get(r).address()
+              : fleetAddresses.get(r);
       peers.add("n" + (r + 1) + "@127.0.0.1:" + at.getPort());
       if (vote.contains(r)) {
-        voting.add("n" + (r + 1) + "@127.0.0.1:" + engines.get(r));
+        voting.add("n" + (r + 1) + "@127.0.0.1:" + raftPorts.get(r));
       }
     }
     return "[fleet]\nname = "
@@ -144,13 +148,13 @@
         + "\nfolder = {folder}/vote\nlease_ms = "
         + lease.micros() / 1_000
         + "\nstated_ms = "
-        + stated.micros() / 1_000
+        + fencingTime.micros() / 1_000
         + "\nassigned_ms = "
         + scenario.count("assigned_ms")
         + "\n";
   }
 
-  public World world() {
+  public SimulatedCluster cluster() {
     return run.world();
   }
 
@@ -159,110 +163,114 @@
   }
 
   /** Plays it to its end; the figures hold those of any run, and what became of the versions. */
-  public Map<String, Object> play() throws Exception {
+  public Map<String, Object> run() throws Exception {
     run.loop()
         .submit(
             () -> {
-              run.world().ledger.excuses(this::wasStopped);
-              run.world().ledger.agreesWithin(stated.plus(scenario.span("grace_ms")));
-              oddLists();
-              lateLists();
+              run.world().checker.setRouterStopEnd(this::findStopEnd);
+              run.world()
+                  .checker
+                  .setFleetAgreementBound(fencingTime.plus(scenario.span("grace_ms")));
+              sendFaultyLists();
+              delayLists();
             })
         .get();
-    Thread operator = new Thread(this::operate, "operator");
-    Thread trouble = new Thread(this::trouble, "trouble");
+    Thread operator = new Thread(this::proposeVersions, "operator");
+    Thread trouble = new Thread(this::injectFaults, "trouble");
     operator.setDaemon(true);
     trouble.setDaemon(true);
     operator.start();
     trouble.start();
-    played = now();
+    startedAt = now();
     Thread disaster = new Thread(this::loseMajority, "disaster");
     disaster.setDaemon(true);
     disaster.start();
-    long before = bytes.sum();
+    long before = proxiedBytes.sum();
     long since = System.nanoTime();
-    Map<String, Object> figures = run.play();
-    long perRouter = (bytes.sum() - before) / places.size();
+    Map<String, Object> figures = run.runScenario();
+    long perRouter = (proxiedBytes.sum() - before) / fleetAddresses.size();
     figures.put("fleet_bytes_a_router_s", perRouter / ((System.nanoTime() - since) / 1e9));
-    over = true;
+    finished = true;
     for (RouterProcess router : run.routers()) {
       if (!router.process().isAlive()) {
-        String log = router.log();
+        String log = router.readLog();
         System.err.println(
-            "a router died:\n" + log.substring(Math.max(0, log.length() - MOST_LOG)));
+            "a router died:\n" + log.substring(Math.max(0, log.length() - MAX_LOG_CHARS)));
       }
     }
     operator.join(20_000);
     trouble.join(5_000);
     disaster.join(20_000);
-    List<Moment> repeats = run.loop().submit(() -> List.copyOf(run.world().ledger.repeats())).get();
+    List<Moment> repeats =
+        run.loop().submit(() -> List.copyOf(run.world().checker.repeatArrivals())).get();
     long longest = 0;
     int beyond = 0;
     int within = 0;
     for (Moment repeat : repeats) {
-      for (Strict strict : stricts) {
-        if (repeat.isAfter(strict.from) && repeat.isBefore(strict.to)) {
-          Span late = repeat.since(strict.from);
+      for (Interval strict : strictIntervals) {
+        if (repeat.isAfter(strict.start) && repeat.isBefore(strict.end)) {
+          Span late = repeat.since(strict.start);
           longest = Math.max(longest, late.micros() / 1_000);
-          beyond += late.isLongerThan(stated) ? 1 : 0;
+          beyond += late.isLongerThan(fencingTime) ? 1 : 0;
           within++;
         }
       }
     }
-    figures.put("versions", inForce);
-    figures.put("refused", refused);
-    figures.put("wrongly_taken", wronglyTaken);
-    figures.put("undecided", undecided);
-    figures.put("bad_unnamed", unnamed.isEmpty() ? 0 : 1);
-    figures.put("in_force_ms_most", slowestMillis);
+    figures.put("versions", inForceCount);
+    figures.put("refused", refusedCount);
+    figures.put("wrongly_taken", wronglyAcceptedCount);
+    figures.put("undecided", undecidedCount);
+    figures.put("bad_unnamed", unnamedRefusal.isEmpty() ? 0 : 1);
+    figures.put("in_force_ms_most", slowestVersionMillis);
     figures.put("repeats", repeats.size());
     figures.put("contradictions", within);
     figures.put("contradictions_beyond", beyond);
     figures.put("contradiction_max_ms", longest);
     figures.put("recovered", recovered);
-    figures.put("versions_since", inForce - inForceAtLoss);
-    figures.put("recovery", recovery);
-    figures.put("stops", stops);
-    figures.put("cuts", cuts);
+    figures.put("versions_since", inForceCount - inForceCountAtLoss);
+    figures.put("recovery", recoverySteps);
+    figures.put("stops", stopCount);
+    figures.put("cuts", cutCount);
     return figures;
   }
 
   /** Now and then one router's discovery tells what is not so. */
-  private void oddLists() {
+  private void sendFaultyLists() {
     Span pause = scenario.span("odd_lists_ms");
-    if (pause.micros() > 0 && !over) {
+    if (pause.micros() > 0 && !finished) {
       run.world()
-          .time()
-          .after(
-              pause.times(0.5 + listChance.nextDouble()),
+          .scheduler()
+          .runAfter(
+              pause.times(0.5 + listRandom.nextDouble()),
               () -> {
-                run.lists(listChance.nextInt(places.size()), listChance, null);
-                oddLists();
+                run.injectDiscoveryFault(
+                    listRandom.nextInt(fleetAddresses.size()), listRandom, null);
+                sendFaultyLists();
               });
     }
   }
 
   /** Fewer than half hear of changes late, others after a while. */
-  private void lateLists() {
+  private void delayLists() {
     Span late = scenario.span("late_lists_ms");
-    if (late.micros() > 0 && !over) {
-      for (int r = 0; r < places.size(); r++) {
-        run.lists(r, listChance, Span.NONE);
+    if (late.micros() > 0 && !finished) {
+      for (int r = 0; r < fleetAddresses.size(); r++) {
+        run.injectDiscoveryFault(r, listRandom, Span.NONE);
       }
-      for (int n = (places.size() - 1) / 2; n > 0; n--) {
-        run.lists(
-            listChance.nextInt(places.size()),
-            listChance,
-            late.times(0.5 + listChance.nextDouble()));
+      for (int n = (fleetAddresses.size() - 1) / 2; n > 0; n--) {
+        run.injectDiscoveryFault(
+            listRandom.nextInt(fleetAddresses.size()),
+            listRandom,
+            late.times(0.5 + listRandom.nextDouble()));
       }
-      run.world().time().after(late.times(2), this::lateLists);
+      run.world().scheduler().runAfter(late.times(2), this::delayLists);
     }
   }
 
-  private Moment wasStopped(Ask ask) {
-    return stopped.getOrDefault(ask.router, List.of()).stream()
-        .filter(stop -> !ask.leaves.isBefore(stop.from) && !ask.due.isAfter(stop.to))
-        .map(Strict::to)
+  private Moment findStopEnd(Statement ask) {
+    return stopIntervals.getOrDefault(ask.router, List.of()).stream()
+        .filter(stop -> !ask.deadline.isBefore(stop.start) && !ask.dueAt.isAfter(stop.end))
+        .map(Interval::end)
         .reduce(Moment.LONG_AGO, Moment::later);
   }
 
@@ -272,48 +280,49 @@
 
   // ---- The operator.
 
-  private void operate() {
+  private void proposeVersions() {
     boolean strict = true;
     Moment strictFrom = null;
     try {
-      awaitStart();
-      for (int n = 1; !over; n++) {
+      awaitLeader();
+      for (int n = 1; !finished; n++) {
         Thread.sleep((long) scenario.number("version_ms"));
-        if (n % BAD_EVERY == 0) {
-          bad(n);
+        if (n % INVALID_VERSION_PERIOD == 0) {
+          proposeInvalidVersion(n);
           continue;
         }
         long since = System.nanoTime();
         if (strictFrom != null) {
-          stricts.add(new Strict(strictFrom, now()));
+          strictIntervals.add(new Interval(strictFrom, now()));
           strictFrom = null;
         }
-        String end = propose(content(strict), "version " + n);
-        slowestMillis = Math.max(slowestMillis, (System.nanoTime() - since) / 1_000_000);
+        String end = propose(formatSettings(strict), "version " + n);
+        slowestVersionMillis =
+            Math.max(slowestVersionMillis, (System.nanoTime() - since) / 1_000_000);
         if (end.equals("IN_FORCE")) {
-          inForce++;
+          inForceCount++;
           strictFrom = strict ? now() : null;
           strict = !strict;
         } else {
-          undecided++;
+          undecidedCount++;
         }
       }
       if (strictFrom != null) {
-        stricts.add(new Strict(strictFrom, now()));
+        strictIntervals.add(new Interval(strictFrom, now()));
       }
     } catch (InterruptedException ended) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void awaitStart() throws InterruptedException {
-    while (!over && leader() == null) {
+  private void awaitLeader() throws InterruptedException {
+    while (!finished && findLeader() == null) {
       Thread.sleep(100);
     }
   }
 
-  private String content(boolean strict) {
-    String text = scenario.settings();
+  private String formatSettings(boolean strict) {
+    String text = scenario.routerSettings();
     return strict
         ? text.replaceFirst("\"MaxAttempts\":[0-9]+", "\"MaxAttempts\":1")
             .replaceFirst("\"MayDuplicate\":true", "\"MayDuplicate\":false")
@@ -324,37 +333,39 @@
    * One that must be refused by name: writes as reads, repeats of what runs once, weights of
    * nothing.
    */
-  private void bad(int n) throws InterruptedException {
+  private void proposeInvalidVersion(int n) throws InterruptedException {
     String[][] wrongs = {
       {"\"Worth\":[0-9.]+", "\"Worth\":0", "Worth"},
       {"\"Repeat\":\"at_most_once\"", "\"Repeat\":\"idempotent\"", "Repeat"},
       {"\"ClassRead\":\\[\"write\"", "\"ClassRead\":[\"any\"", "ClassRead"},
       {"\"MaxAttempts\":[0-9]+", "\"MaxAttempts\":0", "MaxAttempts"},
     };
-    String[] wrong = wrongs[n / BAD_EVERY % wrongs.length];
-    String end = propose(content(false).replaceAll(wrong[0], wrong[1]), "bad " + n);
+    String[] wrong = wrongs[n / INVALID_VERSION_PERIOD % wrongs.length];
+    String end = propose(formatSettings(false).replaceAll(wrong[0], wrong[1]), "bad " + n);
     if (end.equals("IN_FORCE")) {
-      wronglyTaken++;
+      wronglyAcceptedCount++;
     } else if (end.contains(wrong[2])) {
-      refused++;
+      refusedCount++;
     } else if (end.startsWith("WITHDRAWN")) {
-      unnamed = end;
+      unnamedRefusal = end;
     } else {
-      undecided++;
+      undecidedCount++;
     }
   }
 
-  private Map<String, Object> ask(int voter, Map<String, Object> message) {
+  private Map<String, Object> sendRequest(int voter, Map<String, Object> message) {
     try {
-      return AdminClient.sendFields(places.get(voter), message);
+      return AdminClient.sendFields(fleetAddresses.get(voter), message);
     } catch (IOException silent) {
       return Map.of();
     }
   }
 
-  private Integer leader() {
-    for (int v = 0; v < (scenario.number("lose_majority_s") > 0 ? places.size() : voters); v++) {
-      if (MessageCodec.getFlag(ask(v, STATUS), "leads")) {
+  private Integer findLeader() {
+    for (int v = 0;
+        v < (scenario.number("lose_majority_s") > 0 ? fleetAddresses.size() : voterCount);
+        v++) {
+      if (MessageCodec.getFlag(sendRequest(v, STATUS_REQUEST), "leads")) {
         return v;
       }
     }
@@ -366,10 +377,10 @@
     long until = System.nanoTime() + 12_000_000_000L;
     String last = "nobody leads";
     while (System.nanoTime() < until) {
-      Integer leader = leader();
+      Integer leader = findLeader();
       Map<String, Object> told =
-          leader == null ? Map.of() : ask(leader, Map.of("do", "status", "fleet", FLEET));
-      String end = end(told, why);
+          leader == null ? Map.of() : sendRequest(leader, Map.of("do", "status", "fleet", FLEET));
+      String end = findOutcome(told, why);
       if (!end.isEmpty()) {
         return end;
       }
@@ -379,14 +390,14 @@
                 Map.of(
                     "do", "propose", "fleet", FLEET, "text", text, "who", "operator", "why", why));
         command.put("number", MessageCodec.getNumber(force, "number"));
-        last = MessageCodec.getText(ask(leader, command), "why");
+        last = MessageCodec.getText(sendRequest(leader, command), "why");
       }
       Thread.sleep(15);
     }
     return last;
   }
 
-  private static String end(Map<String, Object> told, String why) {
+  private static String findOutcome(Map<String, Object> told, String why) {
     if (told.get("history") instanceof List<?> lines) {
       for (Object line : lines) {
         Map<?, ?> chapter = (Map<?, ?>) line;
@@ -416,27 +427,27 @@
       }
       Thread.sleep((long) (scenario.number("lose_majority_s") * 1_000));
       List<String> lost = new ArrayList<>();
-      for (int v = 1; v < voters; v++) {
-        run.ends(v);
+      for (int v = 1; v < voterCount; v++) {
+        run.killRouter(v);
         lost.add("n" + (v + 1));
       }
-      inForceAtLoss = inForce;
+      inForceCountAtLoss = inForceCount;
       RouterProcess first = run.routers().get(0);
-      told(
+      recordStep(
           "too soon",
-          first.command(
+          first.runCommand(
               "fleet",
               "recover",
               "--charter",
               "1",
               "--ended",
-              "n" + places.size(),
+              "n" + fleetAddresses.size(),
               "--why",
               "too soon"));
-      Thread.sleep(3 * stated.micros() / 1_000);
-      told(
+      Thread.sleep(3 * fencingTime.micros() / 1_000);
+      recordStep(
           "recover",
-          first.command(
+          first.runCommand(
               "fleet",
               "recover",
               "--charter",
@@ -445,26 +456,26 @@
               String.join(",", lost),
               "--why",
               "two machines burnt"));
-      List<Integer> vote = List.of(0, places.size() - 2, places.size() - 1);
+      List<Integer> vote = List.of(0, fleetAddresses.size() - 2, fleetAddresses.size() - 1);
       for (int v : vote.subList(1, 3)) {
-        told("add n" + (v + 1), first.command("fleet", "voters", "--add", "n" + (v + 1)));
-        run.ends(v);
+        recordStep("add n" + (v + 1), first.runCommand("fleet", "voters", "--add", "n" + (v + 1)));
+        run.killRouter(v);
         run.routers()
             .get(v)
-            .operatorFile(
-                operator.replace("{folder}", run.folder(v))
-                    + text(v, vote).replace("{folder}", run.folder(v)));
-        run.starts(v);
-        awaitVoters(v - vote.get(1) + 2);
+            .writeOperatorFile(
+                operatorFile.replace("{folder}", run.routerFolder(v))
+                    + formatFleetSection(v, vote).replace("{folder}", run.routerFolder(v)));
+        run.startRouter(v);
+        awaitVoterCount(v - vote.get(1) + 2);
       }
-      run.starts(1);
+      run.startRouter(1);
       Thread.sleep(1_500);
-      Map<String, Object> back = ask(1, STATUS);
-      told("n2 comes back", MessageCodec.getText(back, "standing"));
-      run.ends(0);
+      Map<String, Object> back = sendRequest(1, STATUS_REQUEST);
+      recordStep("n2 comes back", MessageCodec.getText(back, "standing"));
+      run.killRouter(0);
       Thread.sleep(4_000);
-      Integer leader = leader();
-      Map<String, Object> end = leader == null ? Map.of() : ask(leader, STATUS);
+      Integer leader = findLeader();
+      Map<String, Object> end = leader == null ? Map.of() : sendRequest(leader, STATUS_REQUEST);
       Set<String> leased = new TreeSet<>();
       if (end.get("peers") instanceof List<?> peers) {
         peers.forEach(
@@ -474,8 +485,8 @@
               }
             });
       }
-      told("leased", "" + leased);
-      told(
+      recordStep("leased", "" + leased);
+      recordStep(
           "without n1",
           "charter "
               + MessageCodec.getNumber(end, "charter")
@@ -486,39 +497,41 @@
         // In service, by the one that leads: n2 votes in the place of n1, which comes back and may
         // not.
         RouterProcess leads = run.routers().get(leader);
-        told("remove n1", leads.command("fleet", "voters", "--remove", "n1"));
-        told("add n2", leads.command("fleet", "voters", "--add", "n2"));
-        run.starts(0);
+        recordStep("remove n1", leads.runCommand("fleet", "voters", "--remove", "n1"));
+        recordStep("add n2", leads.runCommand("fleet", "voters", "--add", "n2"));
+        run.startRouter(0);
         for (int i = 0; i < 80 && !changed; i++) {
           Thread.sleep(100);
           changed =
-              MessageCodec.getTexts(ask(1, STATUS), "members").contains("n2")
-                  && MessageCodec.getText(ask(0, STATUS), "standing").startsWith("does not vote");
+              MessageCodec.getTexts(sendRequest(1, STATUS_REQUEST), "members").contains("n2")
+                  && MessageCodec.getText(sendRequest(0, STATUS_REQUEST), "standing")
+                      .startsWith("does not vote");
         }
-        told("n1 comes back", MessageCodec.getText(ask(0, STATUS), "standing"));
-        told("n2", MessageCodec.getText(ask(1, STATUS), "standing"));
+        recordStep(
+            "n1 comes back", MessageCodec.getText(sendRequest(0, STATUS_REQUEST), "standing"));
+        recordStep("n2", MessageCodec.getText(sendRequest(1, STATUS_REQUEST), "standing"));
       }
       // All but those that were ended and not started again.
       recovered =
           changed
-                  && leased.size() == places.size() - voters + 1
+                  && leased.size() == fleetAddresses.size() - voterCount + 1
                   && MessageCodec.getNumber(end, "charter") == 1
                   && MessageCodec.getTexts(back, "members").isEmpty()
                   && MessageCodec.getText(back, "standing").contains("charter 1")
               ? 1
               : 0;
     } catch (IOException | InterruptedException fault) {
-      told("fault", "" + fault);
+      recordStep("fault", "" + fault);
     }
   }
 
-  private void told(String step, String what) {
-    recovery.add(now().since(played).micros() / 1_000 + " ms " + step + ": " + what);
+  private void recordStep(String step, String what) {
+    recoverySteps.add(now().since(startedAt).micros() / 1_000 + " ms " + step + ": " + what);
   }
 
-  private void awaitVoters(int many) throws InterruptedException {
+  private void awaitVoterCount(int many) throws InterruptedException {
     for (int i = 0; i < 40; i++) {
-      Map<String, Object> told = ask(0, STATUS);
+      Map<String, Object> told = sendRequest(0, STATUS_REQUEST);
       if (MessageCodec.getFlag(told, "leads")
           && MessageCodec.getTexts(told, "members").size() == many) {
         return;
@@ -529,33 +542,35 @@
 
   // ---- What goes wrong among the processes.
 
-  private void trouble() {
+  private void injectFaults() {
     long pause = (long) scenario.number("stops_ms");
     try {
-      while (!over && pause > 0) {
-        Thread.sleep((long) (pause * (0.5 + chance.nextDouble())));
-        int router = chance.nextInt(places.size());
-        long lasts = lease.micros() / 1_000 / 2 + chance.nextInt((int) (lease.micros() / 250));
-        if (chance.nextInt(2) == 0) {
-          stops++;
+      while (!finished && pause > 0) {
+        Thread.sleep((long) (pause * (0.5 + random.nextDouble())));
+        int router = random.nextInt(fleetAddresses.size());
+        long lasts = lease.micros() / 1_000 / 2 + random.nextInt((int) (lease.micros() / 250));
+        if (random.nextInt(2) == 0) {
+          stopCount++;
           Moment from = now();
-          List<Strict> of = stopped.computeIfAbsent(router, r -> new CopyOnWriteArrayList<>());
-          of.add(new Strict(from, Moment.NEVER));
-          signal(router, "STOP");
+          List<Interval> of =
+              stopIntervals.computeIfAbsent(router, r -> new CopyOnWriteArrayList<>());
+          of.add(new Interval(from, Moment.NEVER));
+          sendSignal(router, "STOP");
           Thread.sleep(lasts);
-          signal(router, "CONT");
+          sendSignal(router, "CONT");
           // Until it was let go on, not until it was meant to be: on a busy machine the signal
           // comes late.
-          of.set(of.size() - 1, new Strict(from, now().plus(WAKES)));
+          of.set(of.size() - 1, new Interval(from, now().plus(RESUME_GRACE)));
         } else {
-          cuts++;
-          Bridge.State[] states = Bridge.State.values();
-          Bridge.State state = states[1 + chance.nextInt(states.length - 1)];
-          bridges.get(router).forEach(bridge -> bridge.is(state));
-          group
+          cutCount++;
+          FaultProxy.State[] states = FaultProxy.State.values();
+          FaultProxy.State state = states[1 + random.nextInt(states.length - 1)];
+          proxies.get(router).forEach(bridge -> bridge.setState(state));
+          eventLoops
               .next()
               .schedule(
-                  () -> bridges.get(router).forEach(bridge -> bridge.is(Bridge.State.OPEN)),
+                  () ->
+                      proxies.get(router).forEach(bridge -> bridge.setState(FaultProxy.State.OPEN)),
                   2 * lasts,
                   TimeUnit.MILLISECONDS);
         }
@@ -567,18 +582,18 @@
     }
   }
 
-  private void signal(int router, String name) throws IOException, InterruptedException {
+  private void sendSignal(int router, String name) throws IOException, InterruptedException {
     long pid = run.routers().get(router).process().pid();
     new ProcessBuilder("kill", "-" + name, "" + pid).start().waitFor();
   }
 
   @Override
   public void close() throws Exception {
-    over = true;
-    for (int r = 0; r < places.size(); r++) {
-      signal(r, "CONT");
+    finished = true;
+    for (int r = 0; r < fleetAddresses.size(); r++) {
+      sendSignal(r, "CONT");
     }
     run.close();
-    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await();
+    eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).await();
   }
 }
