--- a/lab/src/main/java/basaltlever/lab/fleet/Bridge.java
+++ b/lab/src/main/java/basaltlever/lab/fleet/FaultProxy.java
@@ -19,7 +19,7 @@
  * pass a byte at a time. A cut is silent: connections stay open, as they do where a machine is cut
  * off.
  */
-final class Bridge {
+final class FaultProxy {
   /** Each way by itself; what is held back in a cut is lost. */
   enum State {
     OPEN,
@@ -30,18 +30,19 @@
     DRIPS
   }
 
-  private static final long SLOW_MILLIS = 300;
-  private static final int QUEUED = 1 << 16;
+  private static final long SLOW_DELAY_MILLIS = 300;
+  private static final int MAX_DRIPPED_BYTES = 1 << 16;
 
   private final EventLoop loop;
   private final Channel listener;
-  private final LongAdder bytes;
+  private final LongAdder byteCounter;
   private volatile State state = State.OPEN;
 
   /** What is read from either side is added to the bytes. */
-  Bridge(EventLoop loop, InetSocketAddress to, LongAdder bytes) throws InterruptedException {
+  FaultProxy(EventLoop loop, InetSocketAddress target, LongAdder byteCounter)
+      throws InterruptedException {
     this.loop = loop;
-    this.bytes = bytes;
+    this.byteCounter = byteCounter;
     listener =
         new ServerBootstrap()
             .group(loop, loop)
@@ -49,27 +50,27 @@
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
-                  protected void initChannel(Channel from) {
-                    from.config().setAutoRead(false);
-                    Pass there = new Pass(true);
-                    Pass back = new Pass(false);
-                    from.pipeline().addLast(there);
-                    there.peer =
+                  protected void initChannel(Channel inbound) {
+                    inbound.config().setAutoRead(false);
+                    Forwarder forward = new Forwarder(true);
+                    Forwarder backward = new Forwarder(false);
+                    inbound.pipeline().addLast(forward);
+                    forward.peer =
                         new Bootstrap()
                             .group(loop)
                             .channel(NioSocketChannel.class)
-                            .handler(back)
-                            .connect(to)
+                            .handler(backward)
+                            .connect(target)
                             .addListener(
                                 done -> {
                                   if (done.isSuccess()) {
-                                    from.config().setAutoRead(true);
+                                    inbound.config().setAutoRead(true);
                                   } else {
-                                    from.close();
+                                    inbound.close();
                                   }
                                 })
                             .channel();
-                    back.peer = from;
+                    backward.peer = inbound;
                   }
                 })
             .bind("127.0.0.1", 0)
@@ -81,46 +82,48 @@
     return (InetSocketAddress) listener.localAddress();
   }
 
-  void is(State now) {
-    state = now;
+  void setState(State newState) {
+    state = newState;
   }
 
-  private final class Pass extends ChannelInboundHandlerAdapter {
-    private final boolean there;
+  private final class Forwarder extends ChannelInboundHandlerAdapter {
+    private final boolean towardsTarget;
     private Channel peer;
-    private boolean lost;
+    private boolean dataLost;
 
-    Pass(boolean there) {
-      this.there = there;
+    Forwarder(boolean towardsTarget) {
+      this.towardsTarget = towardsTarget;
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object read) {
-      ByteBuf in = (ByteBuf) read;
-      bytes.add(in.readableBytes());
-      State now = state;
-      lost |= now == State.CUT || now == (there ? State.CUT_THERE : State.CUT_BACK);
-      if (lost) {
+    public void channelRead(ChannelHandlerContext context, Object message) {
+      ByteBuf data = (ByteBuf) message;
+      byteCounter.add(data.readableBytes());
+      State currentState = state;
+      dataLost |=
+          currentState == State.CUT
+              || currentState == (towardsTarget ? State.CUT_THERE : State.CUT_BACK);
+      if (dataLost) {
         // Part of a stream is gone: from here on this connection can pass nothing on.
-        in.release();
-        if (now == State.OPEN) {
+        data.release();
+        if (currentState == State.OPEN) {
           context.close();
         }
-      } else if (now == State.SLOW) {
-        loop.schedule(() -> peer.writeAndFlush(in), SLOW_MILLIS, TimeUnit.MILLISECONDS);
-      } else if (now == State.DRIPS && in.readableBytes() < QUEUED) {
-        drip(in);
+      } else if (currentState == State.SLOW) {
+        loop.schedule(() -> peer.writeAndFlush(data), SLOW_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+      } else if (currentState == State.DRIPS && data.readableBytes() < MAX_DRIPPED_BYTES) {
+        drip(data);
       } else {
-        peer.writeAndFlush(in);
+        peer.writeAndFlush(data);
       }
     }
 
-    private void drip(ByteBuf in) {
-      peer.writeAndFlush(in.readRetainedSlice(1));
-      if (in.isReadable()) {
-        loop.schedule(() -> drip(in), 100, TimeUnit.MILLISECONDS);
+    private void drip(ByteBuf data) {
+      peer.writeAndFlush(data.readRetainedSlice(1));
+      if (data.isReadable()) {
+        loop.schedule(() -> drip(data), 100, TimeUnit.MILLISECONDS);
       } else {
-        in.release();
+        data.release();
       }
     }
 
--- a/lab/src/main/java/basaltlever/lab/fleet/FleetScale.java
+++ b/lab/src/main/java/basaltlever/lab/fleet/FleetSimulation.java
@@ -40,99 +40,99 @@
 @Parameters(
     commandDescription =
         "Plays the talk of large fleets in virtual time: times, messages, the leader's load")
-public final class FleetScale {
+public final class FleetSimulation {
   private static final Span LEASE = Span.ofMillis(400);
-  private static final Span STATED = Span.ofMillis(1_000);
-  private static final Span ASSIGNED = Span.ofMillis(30_000);
-  private static final double DRIFT = 0.02;
-  private static final int GROUPS = 20;
-  private static final long LOG_MICROS = 3_000;
-  private static final double LOST = 0.01;
+  private static final Span FENCING_TIME = Span.ofMillis(1_000);
+  private static final Span ASSIGNMENT_LIFETIME = Span.ofMillis(30_000);
+  private static final double MAX_CLOCK_DRIFT = 0.02;
+  private static final int GROUP_COUNT = 20;
+  private static final long LOG_WRITE_MICROS = 3_000;
+  private static final double MESSAGE_LOSS = 0.01;
 
   @Parameter(names = "--routers", description = "sizes of fleets, with commas")
-  private List<Integer> sizes = List.of(50, 100, 200, 500);
+  private List<Integer> fleetSizes = List.of(50, 100, 200, 500);
 
   @Parameter(names = "--members", description = "of the list")
   private int memberCount = 200;
 
   @Parameter(names = "--seconds", description = "of virtual time for each fleet")
-  private int seconds = 30;
+  private int durationSeconds = 30;
 
   @Parameter(names = "--seeds", description = "how many runs of each size")
-  private int seeds = 1;
+  private int seedCount = 1;
 
-  private record Due(long dueAt, long sequence, Runnable what) {}
+  private record Event(long time, long sequence, Runnable action) {}
 
   /** What is waited for until every router has it. */
-  private record Awaited(long since, Histogram into, BooleanSupplier holds) {}
+  private record Expectation(long start, Histogram histogram, BooleanSupplier condition) {}
 
-  private final class Instance {
+  private final class SimulatedRouter {
     final LeaseHolder leaseHolder = new LeaseHolder();
-    final MembershipView membership = new MembershipView(STATED, ASSIGNED);
-    final double speed = 1 + DRIFT / 2 * (2 * chance.nextDouble() - 1);
-    final long offset = chance.nextInt(1_000_000);
+    final MembershipView membership = new MembershipView(FENCING_TIME, ASSIGNMENT_LIFETIME);
+    final double clockSpeed = 1 + MAX_CLOCK_DRIFT / 2 * (2 * random.nextDouble() - 1);
+    final long clockOffset = random.nextInt(1_000_000);
     final String name;
     long stoppedUntil;
 
-    Instance(String name) {
+    SimulatedRouter(String name) {
       this.name = name;
     }
 
     Moment clock() {
-      return new Moment(offset + (long) (now * speed));
+      return new Moment(clockOffset + (long) (nowMicros * clockSpeed));
     }
   }
 
-  private SplittableRandom chance;
-  private final PriorityQueue<Due> due =
-      new PriorityQueue<>(Comparator.comparingLong(Due::dueAt).thenComparingLong(Due::sequence));
-  private final List<Instance> routers = new ArrayList<>();
-  private final List<Awaited> awaited = new ArrayList<>();
+  private SplittableRandom random;
+  private final PriorityQueue<Event> events =
+      new PriorityQueue<>(Comparator.comparingLong(Event::time).thenComparingLong(Event::sequence));
+  private final List<SimulatedRouter> routers = new ArrayList<>();
+  private final List<Expectation> expectations = new ArrayList<>();
   private VersionRegister register;
   private LeaseTable leases;
   private MembershipCoordinator coordinator;
-  private TreeMap<String, ListedEndpoint> list;
-  private final Histogram inForce = new Histogram(600_000_000L, 3);
-  private final Histogram everywhere = new Histogram(600_000_000L, 3);
-  private final Histogram drained = new Histogram(600_000_000L, 3);
-  private final Histogram moved = new Histogram(600_000_000L, 3);
-  private long generation;
-  private long now;
-  private long orders;
-  private long beats;
+  private TreeMap<String, ListedEndpoint> endpoints;
+  private final Histogram inForceMicros = new Histogram(600_000_000L, 3);
+  private final Histogram knownEverywhereMicros = new Histogram(600_000_000L, 3);
+  private final Histogram drainKnownMicros = new Histogram(600_000_000L, 3);
+  private final Histogram moveMicros = new Histogram(600_000_000L, 3);
+  private long listGeneration;
+  private long nowMicros;
+  private long eventCount;
+  private long heartbeatCount;
   private long leaderNanos;
-  private int contradictions;
-  private boolean stepping;
+  private int contradictionCount;
+  private boolean stepInProgress;
 
   /**
    * The figures of each size; contradictions count pairs that acted on versions neither of which
    * keeps.
    */
-  public List<Map<String, Object>> play() {
+  public List<Map<String, Object>> run() {
     List<Map<String, Object>> all = new ArrayList<>();
-    for (int size : sizes) {
-      inForce.reset();
-      everywhere.reset();
-      drained.reset();
-      moved.reset();
-      beats = 0;
+    for (int size : fleetSizes) {
+      inForceMicros.reset();
+      knownEverywhereMicros.reset();
+      drainKnownMicros.reset();
+      moveMicros.reset();
+      heartbeatCount = 0;
       leaderNanos = 0;
-      contradictions = 0;
-      for (int seed = 1; seed <= seeds; seed++) {
-        play(size, seed);
+      contradictionCount = 0;
+      for (int seed = 1; seed <= seedCount; seed++) {
+        run(size, seed);
       }
       Map<String, Object> told = new LinkedHashMap<>();
-      double virtual = (double) seconds * seeds;
+      double virtual = (double) durationSeconds * seedCount;
       told.put("routers", size);
       told.put("members", memberCount);
-      told.put("contradictions", contradictions);
-      tell(told, "in_force_ms", inForce);
-      tell(told, "known_everywhere_ms", everywhere);
-      tell(told, "drain_known_ms", drained);
-      tell(told, "moved_ms", moved);
-      told.put("beats_a_router_s", beats / virtual / size);
-      told.put("messages_at_leader_s", 2 * beats / virtual);
-      told.put("leader_us_a_beat", leaderNanos / 1e3 / Math.max(1, beats));
+      told.put("contradictions", contradictionCount);
+      tell(told, "in_force_ms", inForceMicros);
+      tell(told, "known_everywhere_ms", knownEverywhereMicros);
+      tell(told, "drain_known_ms", drainKnownMicros);
+      tell(told, "moved_ms", moveMicros);
+      told.put("beats_a_router_s", heartbeatCount / virtual / size);
+      told.put("messages_at_leader_s", 2 * heartbeatCount / virtual);
+      told.put("leader_us_a_beat", leaderNanos / 1e3 / Math.max(1, heartbeatCount));
       told.put("leader_share_of_a_core", leaderNanos / 1e9 / virtual);
       all.add(told);
     }
@@ -145,58 +145,58 @@
     told.put(name + "_count", times.getTotalCount());
   }
 
-  private void play(int size, long seed) {
-    chance = new SplittableRandom(seed);
-    due.clear();
+  private void run(int size, long seed) {
+    random = new SplittableRandom(seed);
+    events.clear();
     routers.clear();
-    awaited.clear();
-    now = 0;
-    stepping = false;
-    generation = 1;
+    expectations.clear();
+    nowMicros = 0;
+    stepInProgress = false;
+    listGeneration = 1;
     register = new VersionRegister();
-    leases = new LeaseTable(LEASE, DRIFT);
+    leases = new LeaseTable(LEASE, MAX_CLOCK_DRIFT);
     List<String> names = new ArrayList<>();
     for (int i = 0; i < size; i++) {
       names.add("n" + i);
-      routers.add(new Instance("n" + i));
+      routers.add(new SimulatedRouter("n" + i));
     }
-    coordinator = new MembershipCoordinator(leases, names, ASSIGNED);
-    list = new TreeMap<>();
+    coordinator = new MembershipCoordinator(leases, names, ASSIGNMENT_LIFETIME);
+    endpoints = new TreeMap<>();
     for (int i = 0; i < memberCount; i++) {
-      list.put("db-" + i, new ListedEndpoint(EndpointLifecycle.READY, 1 + i % GROUPS));
+      endpoints.put("db-" + i, new ListedEndpoint(EndpointLifecycle.READY, 1 + i % GROUP_COUNT));
     }
     leases.startLeading(new Moment(0));
     coordinator.startLeading(new Moment(0), seed);
-    for (Instance router : routers) {
-      tell(router, generation, list);
-      after(chance.nextInt(100_000), () -> beat(router));
+    for (SimulatedRouter router : routers) {
+      tell(router, listGeneration, endpoints);
+      schedule(random.nextInt(100_000), () -> sendHeartbeat(router));
     }
-    after(1_000, this::pulse);
-    after(3_000_000, this::propose);
-    after(3_500_000, this::drain);
-    after(4_000_000, this::move);
-    after(2_000_000, this::trouble);
-    long ends = seconds * 1_000_000L;
-    while (!due.isEmpty() && due.peek().dueAt <= ends) {
-      Due next = due.poll();
-      now = next.dueAt;
-      next.what.run();
+    schedule(1_000, this::runLeaderStep);
+    schedule(3_000_000, this::proposeVersion);
+    schedule(3_500_000, this::drainEndpoint);
+    schedule(4_000_000, this::moveEndpoint);
+    schedule(2_000_000, this::stopRouter);
+    long ends = durationSeconds * 1_000_000L;
+    while (!events.isEmpty() && events.peek().time <= ends) {
+      Event next = events.poll();
+      nowMicros = next.time;
+      next.action.run();
     }
   }
 
-  private void after(long micros, Runnable what) {
-    due.add(new Due(now + micros, orders++, what));
+  private void schedule(long micros, Runnable what) {
+    events.add(new Event(nowMicros + micros, eventCount++, what));
   }
 
-  private void sends(Runnable what) {
-    if (chance.nextDouble() >= LOST) {
-      after(200 + chance.nextInt(2_000), what);
+  private void sendMessage(Runnable what) {
+    if (random.nextDouble() >= MESSAGE_LOSS) {
+      schedule(200 + random.nextInt(2_000), what);
     }
   }
 
-  private void beat(Instance router) {
-    after(80_000 + chance.nextInt(40_000), () -> beat(router));
-    if (now < router.stoppedUntil) {
+  private void sendHeartbeat(SimulatedRouter router) {
+    schedule(80_000 + random.nextInt(40_000), () -> sendHeartbeat(router));
+    if (nowMicros < router.stoppedUntil) {
       return;
     }
     LeaseHolder leaseHolder = router.leaseHolder;
@@ -206,21 +206,21 @@
     long keeps = leaseHolder.acknowledgedVersion();
     boolean holds = !leaseHolder.isRestricted();
     HeartbeatReport report = router.membership.createReport(router.clock(), member -> true);
-    sends(
+    sendMessage(
         () -> {
-          beats++;
+          heartbeatCount++;
           long started = System.nanoTime();
           LeaseGrant grant =
               leases.answerHeartbeat(
-                  new Moment(now),
+                  new Moment(nowMicros),
                   new RouterHeartbeat(router.name, 1, number, force, keeps, 0, "", holds),
                   register);
           MembershipUpdate update =
-              coordinator.answerHeartbeat(new Moment(now), router.name, report, register);
+              coordinator.answerHeartbeat(new Moment(nowMicros), router.name, report, register);
           leaderNanos += System.nanoTime() - started;
-          sends(
+          sendMessage(
               () -> {
-                if (now >= router.stoppedUntil) {
+                if (nowMicros >= router.stoppedUntil) {
                   router.membership.receiveUpdate(router.clock(), update);
                   leaseHolder.acceptGrant(router.clock(), grant);
                   if (grant.duration().micros() > 0) {
@@ -232,29 +232,29 @@
   }
 
   /** The leader's own: what a majority has confirmed, and the step that follows. */
-  private void pulse() {
-    after(LEASE.micros() / 4, this::pulse);
-    Moment sent = new Moment(now);
-    after(
-        LOG_MICROS,
+  private void runLeaderStep() {
+    schedule(LEASE.micros() / 4, this::runLeaderStep);
+    Moment sent = new Moment(nowMicros);
+    schedule(
+        LOG_WRITE_MICROS,
         () -> {
           leases.confirmLeadership(sent);
-          if (stepping) {
+          if (stepInProgress) {
             return;
           }
           long started = System.nanoTime();
-          LeaseTable.Step step = leases.nextStep(new Moment(now), register);
-          MembershipCoordinator.Step lists = coordinator.nextStep(new Moment(now), register);
+          LeaseTable.Step step = leases.nextStep(new Moment(nowMicros), register);
+          MembershipCoordinator.Step lists = coordinator.nextStep(new Moment(nowMicros), register);
           leaderNanos += System.nanoTime() - started;
-          stepping = true;
-          after(
-              LOG_MICROS,
+          stepInProgress = true;
+          schedule(
+              LOG_WRITE_MICROS,
               () -> {
-                stepping = false;
+                stepInProgress = false;
                 carryOut(step, lists);
               });
         });
-    check();
+    checkRouters();
   }
 
   private void carryOut(LeaseTable.Step step, MembershipCoordinator.Step lists) {
@@ -284,25 +284,25 @@
     }
   }
 
-  private void await(Histogram into, BooleanSupplier holds) {
-    awaited.add(new Awaited(now, into, holds));
+  private void expect(Histogram into, BooleanSupplier holds) {
+    expectations.add(new Expectation(nowMicros, into, holds));
   }
 
-  private boolean isActing(Instance router) {
-    return now >= router.stoppedUntil && !router.leaseHolder.isRestricted();
+  private boolean isActing(SimulatedRouter router) {
+    return nowMicros >= router.stoppedUntil && !router.leaseHolder.isRestricted();
   }
 
-  private void check() {
-    awaited.removeIf(
+  private void checkRouters() {
+    expectations.removeIf(
         one -> {
-          boolean holds = one.holds.getAsBoolean();
+          boolean holds = one.condition.getAsBoolean();
           if (holds) {
-            one.into.recordValue(Math.max(1, now - one.since));
+            one.histogram.recordValue(Math.max(1, nowMicros - one.start));
           }
           return holds;
         });
     Set<List<Long>> acted = new HashSet<>();
-    for (Instance router : routers) {
+    for (SimulatedRouter router : routers) {
       router.leaseHolder.restrictIfExpired(router.clock());
       if (isActing(router)) {
         SettingsVersion prepared = router.leaseHolder.prepared();
@@ -317,26 +317,26 @@
             one.get(0).equals(other.get(0))
                 || one.get(1).equals(other.get(0))
                 || other.get(1).equals(one.get(0));
-        contradictions += kept ? 0 : 1;
+        contradictionCount += kept ? 0 : 1;
       }
     }
   }
 
-  private void propose() {
-    after(2_000_000, this::propose);
+  private void proposeVersion() {
+    schedule(2_000_000, this::proposeVersion);
     if (register
         .propose(
             register.inForce().number(),
-            "v" + orders,
+            "v" + eventCount,
             register.inForce().routers(),
             "operator",
             "",
             0)
         .isEmpty()) {
       long number = register.lastNumber();
-      await(inForce, () -> register.inForce().number() >= number);
-      await(
-          everywhere,
+      expect(inForceMicros, () -> register.inForce().number() >= number);
+      expect(
+          knownEverywhereMicros,
           () ->
               routers.stream()
                   .allMatch(
@@ -345,43 +345,45 @@
     }
   }
 
-  private void tell(Instance router, long of, SortedMap<String, ListedEndpoint> told) {
-    router.membership.receiveList(router.clock(), true, of, told);
+  private void tell(
+      SimulatedRouter router, long generation, SortedMap<String, ListedEndpoint> told) {
+    router.membership.receiveList(router.clock(), true, generation, told);
   }
 
-  private void change(String member, ListedEndpoint listed) {
-    list = new TreeMap<>(list);
-    list.put(member, listed);
-    generation++;
+  private void changeEndpoint(String member, ListedEndpoint listed) {
+    endpoints = new TreeMap<>(endpoints);
+    endpoints.put(member, listed);
+    listGeneration++;
   }
 
-  private String ready() {
+  private String chooseReadyEndpoint() {
     List<String> ready =
-        list.entrySet().stream()
+        endpoints.entrySet().stream()
             .filter(entry -> entry.getValue().lifecycle() == EndpointLifecycle.READY)
             .map(Map.Entry::getKey)
             .toList();
-    return ready.get(chance.nextInt(ready.size()));
+    return ready.get(random.nextInt(ready.size()));
   }
 
   /** One router hears of a drain at once, the others seconds later. */
-  private void drain() {
-    after(3_000_000, this::drain);
-    String member = ready();
-    change(member, new ListedEndpoint(EndpointLifecycle.DRAINING, list.get(member).group()));
-    long of = generation;
-    TreeMap<String, ListedEndpoint> told = list;
+  private void drainEndpoint() {
+    schedule(3_000_000, this::drainEndpoint);
+    String member = chooseReadyEndpoint();
+    changeEndpoint(
+        member, new ListedEndpoint(EndpointLifecycle.DRAINING, endpoints.get(member).group()));
+    long generation = listGeneration;
+    TreeMap<String, ListedEndpoint> told = endpoints;
     boolean first = true;
-    for (Instance router : routers) {
+    for (SimulatedRouter router : routers) {
       if (first && isActing(router)) {
         first = false;
-        tell(router, of, told);
+        tell(router, generation, told);
       } else {
-        after(1_500_000, () -> tell(router, of, told));
+        schedule(1_500_000, () -> tell(router, generation, told));
       }
     }
-    await(
-        drained,
+    expect(
+        drainKnownMicros,
         () ->
             routers.stream()
                 .noneMatch(
@@ -391,16 +393,17 @@
                                 == EndpointLifecycle.READY));
   }
 
-  private void move() {
-    after(6_000_000, this::move);
-    String member = ready();
-    int group = 1 + list.get(member).group() % GROUPS;
-    change(member, new ListedEndpoint(EndpointLifecycle.READY, group));
-    long of = generation;
-    TreeMap<String, ListedEndpoint> told = list;
-    routers.forEach(router -> after(chance.nextInt(50_000), () -> tell(router, of, told)));
-    await(
-        moved,
+  private void moveEndpoint() {
+    schedule(6_000_000, this::moveEndpoint);
+    String member = chooseReadyEndpoint();
+    int group = 1 + endpoints.get(member).group() % GROUP_COUNT;
+    changeEndpoint(member, new ListedEndpoint(EndpointLifecycle.READY, group));
+    long generation = listGeneration;
+    TreeMap<String, ListedEndpoint> told = endpoints;
+    routers.forEach(
+        router -> schedule(random.nextInt(50_000), () -> tell(router, generation, told)));
+    expect(
+        moveMicros,
         () -> {
           GroupAssignment assignment = register.groupAssignment(member);
           return assignment.cleared()
@@ -418,9 +421,9 @@
         });
   }
 
-  private void trouble() {
-    after(1_000_000, this::trouble);
-    routers.get(chance.nextInt(routers.size())).stoppedUntil =
-        now + 200_000 + chance.nextInt(600_000);
+  private void stopRouter() {
+    schedule(1_000_000, this::stopRouter);
+    routers.get(random.nextInt(routers.size())).stoppedUntil =
+        nowMicros + 200_000 + random.nextInt(600_000);
   }
 }
--- a/lab/src/main/java/basaltlever/lab/load/Front.java
+++ b/lab/src/main/java/basaltlever/lab/load/StatementTransport.java
@@ -1,30 +1,30 @@
 package basaltlever.lab.load;
 
-import basaltlever.lab.world.Ask;
+import basaltlever.lab.world.Statement;
 import basaltlever.time.Span;
 
 /** The way of a client's statement to its router and of the answer back. */
-public interface Front {
+public interface StatementTransport {
   /** What a client hears of its statement, once at most. */
-  interface Told {
-    void completed(String value);
+  interface ResponseListener {
+    void onCompleted(String value);
 
     /** The span is how long the router asks it to wait. */
-    void rejected(Span comeBackAfter);
+    void onRejected(Span retryAfter);
 
-    void aborted();
+    void onAborted();
 
     /** Its router was ended by force: nobody owes an answer any more. */
-    void lost();
+    void onRouterKilled();
   }
 
-  void ask(Ask ask, Told told);
+  void submit(Statement statement, ResponseListener listener);
 
   /** Whether clients can reach the router; those that can't go to the next. */
-  default boolean serves(int router) {
+  default boolean isReachable(int routerIndex) {
     return true;
   }
 
   /** Its client waits no longer. */
-  void leave(Ask ask);
+  void abandon(Statement statement);
 }
--- a/lab/src/main/java/basaltlever/lab/report/Report.java
+++ b/lab/src/main/java/basaltlever/lab/report/HtmlReport.java
@@ -1,7 +1,7 @@
 package basaltlever.lab.report;
 
-import basaltlever.lab.world.Series;
-import basaltlever.lab.world.World;
+import basaltlever.lab.world.SimulatedCluster;
+import basaltlever.lab.world.TimeSeries;
 import com.github.mustachejava.DefaultMustacheFactory;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -27,13 +27,14 @@
  * One page that tells a run at a glance: what was answered over time with the faults marked, times,
  * executions.
  */
-public final class Report {
-  private static final int WIDTH = 1_000;
-  private static final int HEIGHT = 340;
+public final class HtmlReport {
+  private static final int CHART_WIDTH = 1_000;
+  private static final int CHART_HEIGHT = 340;
 
-  private Report() {}
+  private HtmlReport() {}
 
-  public static Path write(Path folder, String title, Map<String, Object> figures, World world)
+  public static Path write(
+      Path folder, String title, Map<String, Object> figures, SimulatedCluster world)
       throws IOException {
     Files.createDirectories(folder);
     Map<String, Object> page = new HashMap<>();
@@ -60,7 +61,7 @@
     page.put("figures", rows);
     List<Map<String, Object>> marks = new ArrayList<>();
     world
-        .series()
+        .timeSeries()
         .marks()
         .forEach(
             (at, what) ->
@@ -70,9 +71,9 @@
     page.put(
         "charts",
         List.of(
-            svg(overTime(world.series())),
-            svg(times(world.ledger.times())),
-            svg(executions(world.series().executions()))));
+            toSvg(outcomesChart(world.timeSeries())),
+            toSvg(latencyChart(world.checker.latencies())),
+            toSvg(executionsChart(world.timeSeries().executionCounts()))));
     Path file = folder.resolve("report.html");
     try (Writer out = Files.newBufferedWriter(file)) {
       new DefaultMustacheFactory("report").compile("report.mustache").execute(out, page);
@@ -80,8 +81,8 @@
     return file;
   }
 
-  private static XYChart overTime(Series series) {
-    XYChart chart = new XYChart(WIDTH, HEIGHT);
+  private static XYChart outcomesChart(TimeSeries series) {
+    XYChart chart = new XYChart(CHART_WIDTH, CHART_HEIGHT);
     chart.setTitle("Answers a second and open statements over time; lines mark faults");
     chart.setXAxisTitle("seconds");
     List<int[]> steps = series.steps();
@@ -89,9 +90,9 @@
     double[][] values = new double[4][steps.size()];
     double top = 1;
     for (int i = 0; i < steps.size(); i++) {
-      at[i] = i * Series.stepSeconds();
+      at[i] = i * TimeSeries.stepSeconds();
       for (int k = 0; k < 4; k++) {
-        values[k][i] = steps.get(i)[k] / (k < 3 ? Series.stepSeconds() : 1);
+        values[k][i] = steps.get(i)[k] / (k < 3 ? TimeSeries.stepSeconds() : 1);
         top = Math.max(top, values[k][i]);
       }
     }
@@ -111,8 +112,8 @@
     return chart;
   }
 
-  private static XYChart times(Histogram histogram) {
-    XYChart chart = new XYChart(WIDTH, HEIGHT);
+  private static XYChart latencyChart(Histogram histogram) {
+    XYChart chart = new XYChart(CHART_WIDTH, CHART_HEIGHT);
     chart.setTitle("Response time by percentile, from when a statement should have been sent");
     chart.setXAxisTitle("1 / (1 - percentile): 10 is p90, 1000 is p99.9");
     chart.setYAxisTitle("ms");
@@ -134,8 +135,8 @@
     return chart;
   }
 
-  private static CategoryChart executions(Map<String, Integer> counts) {
-    CategoryChart chart = new CategoryChart(WIDTH, HEIGHT);
+  private static CategoryChart executionsChart(Map<String, Integer> counts) {
+    CategoryChart chart = new CategoryChart(CHART_WIDTH, CHART_HEIGHT);
     chart.setTitle("Executions that reached each node");
     List<String> names = counts.isEmpty() ? List.of("none") : List.copyOf(counts.keySet());
     chart.addSeries(
@@ -145,7 +146,7 @@
     return chart;
   }
 
-  private static String svg(Chart<?, ?> chart) throws IOException {
+  private static String toSvg(Chart<?, ?> chart) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     VectorGraphicsEncoder.saveVectorGraphic(chart, out, VectorGraphicsFormat.SVG);
     String text = out.toString(StandardCharsets.UTF_8);
--- a/lab/src/main/java/basaltlever/lab/scenario/Scenario.java
+++ b/lab/src/main/java/basaltlever/lab/scenario/Scenario.java
@@ -1,7 +1,7 @@
 package basaltlever.lab.scenario;
 
-import basaltlever.lab.world.Faults;
-import basaltlever.lab.world.Kind;
+import basaltlever.lab.world.FaultInjector;
+import basaltlever.lab.world.Workload;
 import basaltlever.time.Span;
 import java.io.IOException;
 import java.io.StringReader;
@@ -23,45 +23,45 @@
  */
 public final class Scenario {
   /** What is wrong with it, a line each. */
-  public static final class Fault extends Exception {
+  public static final class InvalidScenarioException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Fault(List<String> faults) {
-      super(String.join("\n", faults));
+    InvalidScenarioException(List<String> errors) {
+      super(String.join("\n", errors));
     }
   }
 
   /** Every key of [run] with its default and its bounds. */
-  private static final Map<String, double[]> RUN = new LinkedHashMap<>();
+  private static final Map<String, double[]> RUN_KEYS = new LinkedHashMap<>();
 
   static {
-    RUN.put("seconds", new double[] {20, 1, 7_200});
-    RUN.put("routers", new double[] {2, 1, 1_000});
-    RUN.put("groups", new double[] {3, 1, 200});
-    RUN.put("members", new double[] {5, 2, 50});
-    RUN.put("cores", new double[] {3, 1, 64});
-    RUN.put("grace_ms", new double[] {250, 10, 10_000});
-    RUN.put("faults_from_ms", new double[] {2_000, 20, 600_000});
-    RUN.put("faults_to_ms", new double[] {5_000, 20, 600_000});
-    RUN.put("warm_ms", new double[] {3_000, 0, 60_000});
-    RUN.put("poll_price", new double[] {0.01, 0, 1});
-    RUN.put("load", new double[] {1, 0.01, 100});
-    RUN.put("switch_ms", new double[] {0, 0, 600_000});
-    RUN.put("lose_majority_s", new double[] {0, 0, 86_400});
-    RUN.put("voters", new double[] {0, 0, 7});
-    RUN.put("version_ms", new double[] {1_500, 50, 600_000});
-    RUN.put("lease_ms", new double[] {400, 100, 60_000});
-    RUN.put("stated_ms", new double[] {1_000, 200, 600_000});
-    RUN.put("agrees", new double[] {1, 0, 1});
-    RUN.put("odd_lists_ms", new double[] {0, 0, 600_000});
-    RUN.put("late_lists_ms", new double[] {0, 0, 600_000});
-    RUN.put("assigned_ms", new double[] {30_000, 1_000, 600_000});
-    RUN.put("stops_ms", new double[] {0, 0, 600_000});
-    RUN.put("all_at_once_s", new double[] {0, 0, 7_200});
-    RUN.put("all_share", new double[] {1, 0, 1});
+    RUN_KEYS.put("seconds", new double[] {20, 1, 7_200});
+    RUN_KEYS.put("routers", new double[] {2, 1, 1_000});
+    RUN_KEYS.put("groups", new double[] {3, 1, 200});
+    RUN_KEYS.put("members", new double[] {5, 2, 50});
+    RUN_KEYS.put("cores", new double[] {3, 1, 64});
+    RUN_KEYS.put("grace_ms", new double[] {250, 10, 10_000});
+    RUN_KEYS.put("faults_from_ms", new double[] {2_000, 20, 600_000});
+    RUN_KEYS.put("faults_to_ms", new double[] {5_000, 20, 600_000});
+    RUN_KEYS.put("warm_ms", new double[] {3_000, 0, 60_000});
+    RUN_KEYS.put("poll_price", new double[] {0.01, 0, 1});
+    RUN_KEYS.put("load", new double[] {1, 0.01, 100});
+    RUN_KEYS.put("switch_ms", new double[] {0, 0, 600_000});
+    RUN_KEYS.put("lose_majority_s", new double[] {0, 0, 86_400});
+    RUN_KEYS.put("voters", new double[] {0, 0, 7});
+    RUN_KEYS.put("version_ms", new double[] {1_500, 50, 600_000});
+    RUN_KEYS.put("lease_ms", new double[] {400, 100, 60_000});
+    RUN_KEYS.put("stated_ms", new double[] {1_000, 200, 600_000});
+    RUN_KEYS.put("agrees", new double[] {1, 0, 1});
+    RUN_KEYS.put("odd_lists_ms", new double[] {0, 0, 600_000});
+    RUN_KEYS.put("late_lists_ms", new double[] {0, 0, 600_000});
+    RUN_KEYS.put("assigned_ms", new double[] {30_000, 1_000, 600_000});
+    RUN_KEYS.put("stops_ms", new double[] {0, 0, 600_000});
+    RUN_KEYS.put("all_at_once_s", new double[] {0, 0, 7_200});
+    RUN_KEYS.put("all_share", new double[] {1, 0, 1});
   }
 
-  private static final List<String> KIND_KEYS =
+  private static final List<String> WORKLOAD_KEYS =
       List.of(
           "needs",
           "repeat",
@@ -74,20 +74,20 @@
           "late");
 
   public final String title;
-  public final List<Kind> kinds = new ArrayList<>();
-  public final Map<Faults.Kind, Double> faults = new TreeMap<>();
-  public final Map<String, Double> expected = new LinkedHashMap<>();
-  public final Faults.Kind allAtOnce;
-  public final boolean replicasCheck;
-  public final boolean virtual;
-  public final boolean changes;
-  public final boolean abrupt;
-  private final Map<String, Double> run = new LinkedHashMap<>();
-  private final List<String> wrong = new ArrayList<>();
+  public final List<Workload> workloads = new ArrayList<>();
+  public final Map<FaultInjector.Kind, Double> faultWeights = new TreeMap<>();
+  public final Map<String, Double> expectations = new LinkedHashMap<>();
+  public final FaultInjector.Kind simultaneousFault;
+  public final boolean replicasRefuseStaleReads;
+  public final boolean virtualTime;
+  public final boolean usesChangeTable;
+  public final boolean abruptHandover;
+  private final Map<String, Double> runValues = new LinkedHashMap<>();
+  private final List<String> errors = new ArrayList<>();
 
-  private Scenario(INIConfiguration ini) throws Fault {
-    RUN.forEach((key, bounds) -> run.put(key, bounds[0]));
-    Map<String, String> words =
+  private Scenario(INIConfiguration ini) throws InvalidScenarioException {
+    RUN_KEYS.forEach((key, bounds) -> runValues.put(key, bounds[0]));
+    Map<String, String> textValues =
         new LinkedHashMap<>(
             Map.of(
                 "title",
@@ -113,95 +113,102 @@
       if (section.equals("run")) {
         values.forEach(
             (key, value) -> {
-              if (RUN.containsKey(key)) {
-                run.put(key, number(section, key, value, RUN.get(key)[1], RUN.get(key)[2]));
-              } else if (words.replace(key, value) == null) {
-                wrong.add("[run] " + key + " is no key");
+              if (RUN_KEYS.containsKey(key)) {
+                runValues.put(
+                    key, number(section, key, value, RUN_KEYS.get(key)[1], RUN_KEYS.get(key)[2]));
+              } else if (textValues.replace(key, value) == null) {
+                errors.add("[run] " + key + " is no key");
               }
             });
       } else if (section.startsWith("kind ")) {
-        kind(section, values);
+        parseWorkload(section, values);
       } else if (section.equals("faults")) {
         values.forEach(
             (key, value) -> {
-              Faults.Kind kind = Faults.Kind.named(key);
+              FaultInjector.Kind kind = FaultInjector.Kind.findByName(key);
               if (kind == null) {
-                wrong.add("[faults] " + key + " is no fault");
+                errors.add("[faults] " + key + " is no fault");
               } else if (number(section, key, value, 0, 1e6) > 0) {
-                faults.put(kind, number(section, key, value, 0, 1e6));
+                faultWeights.put(kind, number(section, key, value, 0, 1e6));
               }
             });
       } else if (section.equals("expect")) {
-        values.forEach((key, value) -> expected.put(key, number(section, key, value, -1e9, 1e9)));
+        values.forEach(
+            (key, value) -> expectations.put(key, number(section, key, value, -1e9, 1e9)));
       } else {
-        wrong.add("[" + section + "] is no section");
+        errors.add("[" + section + "] is no section");
       }
     }
-    title = words.get("title");
-    virtual = words.get("mode").equals("virtual");
-    replicasCheck = words.get("checks").equals("true");
-    abrupt = words.get("abrupt").equals("true");
-    changes = words.get("change_table").equals("true");
-    allAtOnce =
-        words.get("all_at_once").isEmpty() ? null : Faults.Kind.named(words.get("all_at_once"));
-    if (kinds.isEmpty()) {
-      wrong.add("there is no [kind NAME]");
+    title = textValues.get("title");
+    virtualTime = textValues.get("mode").equals("virtual");
+    replicasRefuseStaleReads = textValues.get("checks").equals("true");
+    abruptHandover = textValues.get("abrupt").equals("true");
+    usesChangeTable = textValues.get("change_table").equals("true");
+    simultaneousFault =
+        textValues.get("all_at_once").isEmpty()
+            ? null
+            : FaultInjector.Kind.findByName(textValues.get("all_at_once"));
+    if (workloads.isEmpty()) {
+      errors.add("there is no [kind NAME]");
     }
-    if (!List.of("sockets", "virtual").contains(words.get("mode"))) {
-      wrong.add("[run] mode takes sockets or virtual");
+    if (!List.of("sockets", "virtual").contains(textValues.get("mode"))) {
+      errors.add("[run] mode takes sockets or virtual");
     }
-    if (allAtOnce == null && !words.get("all_at_once").isEmpty()) {
-      wrong.add("[run] all_at_once names no fault");
+    if (simultaneousFault == null && !textValues.get("all_at_once").isEmpty()) {
+      errors.add("[run] all_at_once names no fault");
     }
     if (number("faults_from_ms") > number("faults_to_ms")) {
-      wrong.add("[run] faults_from_ms is above faults_to_ms");
+      errors.add("[run] faults_from_ms is above faults_to_ms");
     }
-    if (!wrong.isEmpty()) {
-      throw new Fault(wrong);
+    if (!errors.isEmpty()) {
+      throw new InvalidScenarioException(errors);
     }
   }
 
-  private void kind(String section, Map<String, String> values) {
+  private void parseWorkload(String section, Map<String, String> values) {
     for (String key : values.keySet()) {
-      if (!KIND_KEYS.contains(key)) {
-        wrong.add("[" + section + "] " + key + " is no key");
+      if (!WORKLOAD_KEYS.contains(key)) {
+        errors.add("[" + section + "] " + key + " is no key");
       }
     }
     String needs = values.getOrDefault("needs", "any");
     String repeat = values.getOrDefault("repeat", "idempotent");
     if (!List.of("write", "fresh", "session", "bounded", "any").contains(needs)) {
-      wrong.add("[" + section + "] needs takes write, fresh, session, bounded or any");
+      errors.add("[" + section + "] needs takes write, fresh, session, bounded or any");
     }
     if (!List.of("idempotent", "at_most_once").contains(repeat)) {
-      wrong.add("[" + section + "] repeat takes idempotent or at_most_once");
+      errors.add("[" + section + "] repeat takes idempotent or at_most_once");
     }
-    kinds.add(
-        new Kind(
-            kinds.size(),
+    workloads.add(
+        new Workload(
+            workloads.size(),
             section.substring(5).trim(),
             needs,
             repeat,
-            of(section, values, "rate", 10, 0.001, 1e5),
-            millis(section, values, "work_ms", 5),
-            millis(section, values, "bound_ms", 200),
-            millis(section, values, "slo_ms", 600),
-            millis(section, values, "timeout_ms", 2_000),
-            of(section, values, "importance", 1, 0, 1e6),
-            of(section, values, "late", 0, 0, 1)));
+            parseOptional(section, values, "rate", 10, 0.001, 1e5),
+            parseMillis(section, values, "work_ms", 5),
+            parseMillis(section, values, "bound_ms", 200),
+            parseMillis(section, values, "slo_ms", 600),
+            parseMillis(section, values, "timeout_ms", 2_000),
+            parseOptional(section, values, "importance", 1, 0, 1e6),
+            parseOptional(section, values, "late", 0, 0, 1)));
   }
 
-  private Span millis(String section, Map<String, String> values, String key, double otherwise) {
-    return Span.ofMillis(of(section, values, key, otherwise, 0.001, 600_000));
+  private Span parseMillis(
+      String section, Map<String, String> values, String key, double defaultValue) {
+    return Span.ofMillis(parseOptional(section, values, key, defaultValue, 0.001, 600_000));
   }
 
-  private double of(
+  private double parseOptional(
       String section,
       Map<String, String> values,
       String key,
-      double otherwise,
+      double defaultValue,
       double least,
       double most) {
-    return values.containsKey(key) ? number(section, key, values.get(key), least, most) : otherwise;
+    return values.containsKey(key)
+        ? number(section, key, values.get(key), least, most)
+        : defaultValue;
   }
 
   private double number(String section, String key, String value, double least, double most) {
@@ -213,7 +220,7 @@
     } catch (NumberFormatException e) {
       // Told below, with what is out of range.
     }
-    wrong.add(
+    errors.add(
         "["
             + section
             + "] "
@@ -228,14 +235,14 @@
   }
 
   /** A setting is SECTION.KEY=VALUE, or KEY=VALUE for the run. */
-  public static Scenario read(String text, List<String> settings) throws Fault {
+  public static Scenario parse(String text, List<String> settings) throws InvalidScenarioException {
     try {
       INIConfiguration ini = new INIConfiguration();
       ini.read(new StringReader(text));
       for (String setting : settings) {
         int equals = setting.indexOf('=');
         if (equals <= 0) {
-          throw new Fault(List.of("--set takes KEY=VALUE, not " + setting));
+          throw new InvalidScenarioException(List.of("--set takes KEY=VALUE, not " + setting));
         }
         String key = setting.substring(0, equals);
         int dot = key.lastIndexOf('.');
@@ -244,12 +251,12 @@
       }
       return new Scenario(ini);
     } catch (ConfigurationException | IOException cause) {
-      throw new Fault(List.of("it is no INI file: " + cause.getMessage()));
+      throw new InvalidScenarioException(List.of("it is no INI file: " + cause.getMessage()));
     }
   }
 
   /** Those that come with the program, by name; and any file. */
-  public static String text(String name) throws Fault {
+  public static String readText(String name) throws InvalidScenarioException {
     try {
       if (name.endsWith(".ini")) {
         return Files.readString(Path.of(name));
@@ -260,13 +267,14 @@
         }
       }
     } catch (IOException cause) {
-      throw new Fault(List.of(name + " can't be read: " + cause));
+      throw new InvalidScenarioException(List.of(name + " can't be read: " + cause));
     }
-    throw new Fault(List.of("there is no scenario " + name + "; list names them"));
+    throw new InvalidScenarioException(
+        List.of("there is no scenario " + name + "; list names them"));
   }
 
   public double number(String key) {
-    return run.get(key);
+    return runValues.get(key);
   }
 
   public int count(String key) {
@@ -278,44 +286,44 @@
   }
 
   /** The kinds with the run's load. */
-  public List<Kind> loaded() {
+  public List<Workload> scaledWorkloads() {
     double load = number("load");
-    return kinds.stream()
+    return workloads.stream()
         .map(
             kind ->
-                new Kind(
-                    kind.number(),
+                new Workload(
+                    kind.index(),
                     kind.name(),
-                    kind.needs(),
-                    kind.repeat(),
-                    kind.rate() * load,
-                    kind.work(),
-                    kind.bound(),
+                    kind.consistency(),
+                    kind.repeatPolicy(),
+                    kind.ratePerSecond() * load,
+                    kind.serviceTime(),
+                    kind.stalenessBound(),
                     kind.slo(),
                     kind.timeout(),
                     kind.importance(),
-                    kind.late()))
+                    kind.lateImportance()))
         .toList();
   }
 
   /** The settings of a router's start file. */
-  public String settings() {
-    return settings(false);
+  public String routerSettings() {
+    return routerSettings(false);
   }
 
   /**
    * Of this shape, or of another: one execution out, only drains bind, a queue in place of busy
    * cores.
    */
-  public String settings(boolean another) {
+  public String routerSettings(boolean alternative) {
     String classes =
-        kinds.stream()
+        workloads.stream()
             .map(
                 kind ->
                     "{\"Name\":\""
                         + kind.name()
                         + "\",\"Repeat\":\""
-                        + kind.repeat()
+                        + kind.repeatPolicy()
                         + "\",\"Slo\":"
                         + kind.slo().micros()
                         + ",\"HardLimit\":"
@@ -323,24 +331,31 @@
                         + ",\"Worth\":"
                         + kind.importance()
                         + ",\"LateWorth\":"
-                        + kind.late()
+                        + kind.lateImportance()
                         + "}")
             .collect(Collectors.joining(","));
     String needs =
-        kinds.stream().map(kind -> "\"" + kind.needs() + "\"").collect(Collectors.joining(","));
+        workloads.stream()
+            .map(kind -> "\"" + kind.consistency() + "\"")
+            .collect(Collectors.joining(","));
     String bounds =
-        kinds.stream()
-            .map(kind -> "" + (kind.needs().equals("bounded") ? kind.bound().micros() : 0))
+        workloads.stream()
+            .map(
+                kind ->
+                    ""
+                        + (kind.consistency().equals("bounded")
+                            ? kind.stalenessBound().micros()
+                            : 0))
             .collect(Collectors.joining(","));
     return "{\"Balancers\":"
         + count("routers")
         + ",\"Zone\":0,\"Zones\":[\"a\"],\"Discovery\":\"on_request\","
         + "\"Bounds\":{\"Cancel\":true,\"ConnectTimeout\":250000,\"IdleClose\":15000000,"
         + "\"MaxAttempts\":"
-        + (another ? 6 : 4)
+        + (alternative ? 6 : 4)
         + ","
         + "\"MaxOpen\":5000,\"MaxRetryAfter\":1000000,\"MayDuplicate\":"
-        + !another
+        + !alternative
         + ",\"MayProbe\":true,\"RetryAfter\":true,"
         + "\"StreamsPerConn\":1},\"Classes\":["
         + classes
@@ -348,17 +363,17 @@
         + number("poll_price")
         + "},"
         + "\"Reporting\":{\"How\":\"probe\",\"Fields\":[\"x0\",\"x1\",\""
-        + (another ? "backlog" : "utilization")
+        + (alternative ? "backlog" : "utilization")
         + "\"]},"
         + "\"FamilyInfo\":{\"Checks\":\""
-        + (replicasCheck ? "refuse" : "none")
+        + (replicasRefuseStaleReads ? "refuse" : "none")
         + "\",\"ClassRead\":["
         + needs
         + "],\"LagAllowed\":["
         + bounds
         + "],\"ProgressTold\":true,\"SessionMarks\":\"carried\"},"
         + "\"Rules\":{\"RemovalNotBinding\":"
-        + another
+        + alternative
         + ",\"AnswerSlack\":20000,\"Cold\":10000000,\"ColdFrom\":0.3,\"FallMultiple\":3.0,"
         + "\"Fall\":1000000,\"DrainGrace\":"
         + span("grace_ms").micros()
@@ -369,18 +384,19 @@
    * Where a figure is not what the scenario expects: at most that, or at least where the name ends
    * in _least.
    */
-  public List<String> broken(Map<String, Object> figures) {
-    List<String> broken = new ArrayList<>();
-    expected.forEach(
+  public List<String> violations(Map<String, Object> figures) {
+    List<String> violations = new ArrayList<>();
+    expectations.forEach(
         (key, bound) -> {
           boolean least = key.endsWith("_least");
           String name = least ? key.substring(0, key.length() - 6) : key;
-          double found =
+          double actual =
               figures.get(name) instanceof Number number ? number.doubleValue() : Double.NaN;
-          if (!(least ? found >= bound : found <= bound)) {
-            broken.add(name + " is " + found + ", not at " + (least ? "least " : "most ") + bound);
+          if (!(least ? actual >= bound : actual <= bound)) {
+            violations.add(
+                name + " is " + actual + ", not at " + (least ? "least " : "most ") + bound);
           }
         });
-    return broken;
+    return violations;
   }
 }
--- a/lab/src/main/java/basaltlever/lab/sockets/ListFront.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/DiscoveryServer.java
@@ -1,7 +1,7 @@
 package basaltlever.lab.sockets;
 
 import basaltlever.lab.world.Server;
-import basaltlever.lab.world.World;
+import basaltlever.lab.world.SimulatedCluster;
 import basaltlever.time.Span;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -20,34 +20,35 @@
 import java.util.function.Function;
 
 /** Discovery for one router: the whole list at each change, on a watch that stays open. */
-final class ListFront {
+final class DiscoveryServer {
   /** What a discovery may tell that is not so. */
-  enum Odd {
+  enum ListFault {
     EMPTY,
     SHORT,
     BACK,
     FORKED
   }
 
-  private static final int FORMER = 4;
-  private static final Span STILL = Span.ofMillis(2_000);
-  private final World world;
+  private static final int MAX_PREVIOUS_LISTS = 4;
+  private static final Span KEEP_ALIVE_INTERVAL = Span.ofMillis(2_000);
+  private final SimulatedCluster world;
   private final int router;
-  private final Function<Server, String> addresses;
-  private final ChannelGroup watches;
-  private final Channel listening;
-  private Span late = Span.NONE;
+  private final Function<Server, String> addressOf;
+  private final ChannelGroup watchChannels;
+  private final Channel serverChannel;
+  private Span notificationDelay = Span.NONE;
 
   /** Lists of former generations, for one that goes back. */
-  private final ArrayDeque<String> former = new ArrayDeque<>();
+  private final ArrayDeque<String> previousLists = new ArrayDeque<>();
 
-  ListFront(World world, int router, EventLoop loop, Function<Server, String> addresses)
+  DiscoveryServer(
+      SimulatedCluster world, int router, EventLoop loop, Function<Server, String> addressOf)
       throws InterruptedException {
     this.world = world;
     this.router = router;
-    this.addresses = addresses;
-    watches = new DefaultChannelGroup(loop);
-    listening =
+    this.addressOf = addressOf;
+    watchChannels = new DefaultChannelGroup(loop);
+    serverChannel =
         new ServerBootstrap()
             .group(loop, loop)
             .channel(NioServerSocketChannel.class)
@@ -55,79 +56,79 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new Watch());
+                    channel.pipeline().addLast(new WatchConnection());
                   }
                 })
             .bind("127.0.0.1", 0)
             .sync()
             .channel();
-    world.onListChange(this::tell);
-    still();
+    world.addListChangeListener(this::publishList);
+    scheduleKeepAlive();
   }
 
   String address() {
-    return "127.0.0.1:" + ((InetSocketAddress) listening.localAddress()).getPort();
+    return "127.0.0.1:" + ((InetSocketAddress) serverChannel.localAddress()).getPort();
   }
 
-  String list() {
-    return world.listText(addresses);
+  String endpointList() {
+    return world.formatEndpointList(addressOf);
   }
 
-  private void still() {
+  private void scheduleKeepAlive() {
     world
-        .time()
-        .after(
-            STILL,
+        .scheduler()
+        .runAfter(
+            KEEP_ALIVE_INTERVAL,
             () -> {
-              watches.writeAndFlush(chunk("\n"));
-              still();
+              watchChannels.writeAndFlush(chunk("\n"));
+              scheduleKeepAlive();
             });
   }
 
-  private void tell() {
-    String list = list();
-    former.addLast(list);
-    if (former.size() > FORMER) {
-      former.removeFirst();
+  private void publishList() {
+    String list = endpointList();
+    previousLists.addLast(list);
+    if (previousLists.size() > MAX_PREVIOUS_LISTS) {
+      previousLists.removeFirst();
     }
-    Runnable says =
+    Runnable send =
         () -> {
-          if (!watches.isEmpty()) {
-            watches.writeAndFlush(chunk(list + "\n"));
-            told();
+          if (!watchChannels.isEmpty()) {
+            watchChannels.writeAndFlush(chunk(list + "\n"));
+            recordDrainNotifications();
           }
         };
-    if (late.micros() > 0) {
-      world.time().after(late, says);
+    if (notificationDelay.micros() > 0) {
+      world.scheduler().runAfter(notificationDelay, send);
     } else {
-      says.run();
+      send.run();
     }
   }
 
   /** From here on this router hears of each change so much later; what was on its way goes on. */
-  void isLate(Span by) {
-    late = by;
+  void setNotificationDelay(Span delay) {
+    notificationDelay = delay;
   }
 
   /** Something that is not so, once; the next change is told as it is. */
-  void tells(Odd what) {
-    String list = list();
-    String odd =
-        switch (what) {
+  void sendFaultyList(ListFault fault) {
+    String list = endpointList();
+    String faultyList =
+        switch (fault) {
           case EMPTY -> list.substring(0, list.indexOf('[') + 1) + "]}";
           case SHORT -> list.substring(0, list.indexOf("},{", list.indexOf('[')) + 1) + "]}";
-          case BACK -> former.isEmpty() ? list : former.peekFirst();
+          case BACK -> previousLists.isEmpty() ? list : previousLists.peekFirst();
           // Under the generation that the others hold: nobody drains, and members are of other
           // groups.
           case FORKED ->
               list.replace("terminating", "in_service").replaceAll("\"cell\":1,", "\"cell\":2,");
         };
-    watches.writeAndFlush(chunk(odd + "\n"));
+    watchChannels.writeAndFlush(chunk(faultyList + "\n"));
   }
 
-  private void told() {
+  private void recordDrainNotifications() {
     for (Server server : world.servers()) {
-      server.drainWasTold(router, world.now());
+      server.onListReceived(router, world.now());
     }
   }
 
@@ -136,21 +137,21 @@
         Integer.toHexString(line.length()) + "\r\n" + line + "\r\n", StandardCharsets.US_ASCII);
   }
 
-  private final class Watch extends ChannelInboundHandlerAdapter {
+  private final class WatchConnection extends ChannelInboundHandlerAdapter {
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) {
-      String head = ((ByteBuf) in).toString(StandardCharsets.US_ASCII);
-      ((ByteBuf) in).release();
-      if (head.contains("follow=1")) {
+    public void channelRead(ChannelHandlerContext context, Object bytes) {
+      String requestHead = ((ByteBuf) bytes).toString(StandardCharsets.US_ASCII);
+      ((ByteBuf) bytes).release();
+      if (requestHead.contains("follow=1")) {
         context.write(
             Unpooled.copiedBuffer(
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
                 StandardCharsets.US_ASCII));
-        context.writeAndFlush(chunk(list() + "\n"));
-        watches.add(context.channel());
-        told();
+        context.writeAndFlush(chunk(endpointList() + "\n"));
+        watchChannels.add(context.channel());
+        recordDrainNotifications();
       } else {
-        String list = list();
+        String list = endpointList();
         context.writeAndFlush(
             Unpooled.copiedBuffer(
                 "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list,
--- a/lab/src/main/java/basaltlever/lab/sockets/LoopTime.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/EventLoopTimeline.java
@@ -1,6 +1,6 @@
 package basaltlever.lab.sockets;
 
-import basaltlever.lab.world.Timeline;
+import basaltlever.lab.world.Scheduler;
 import basaltlever.time.Moment;
 import io.netty.channel.EventLoop;
 import java.time.Instant;
@@ -10,30 +10,30 @@
 import org.slf4j.LoggerFactory;
 
 /** Real time on one event loop: stand-ins and clients need no locks. Microseconds of Unix time. */
-final class LoopTime implements Timeline {
-  private static final Logger LOG = LoggerFactory.getLogger(LoopTime.class);
+final class EventLoopTimeline implements Scheduler {
+  private static final Logger LOG = LoggerFactory.getLogger(EventLoopTimeline.class);
 
   private final EventLoop loop;
-  private final long start = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
-  private final long steady = System.nanoTime();
+  private final long startMicros = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
+  private final long startNanos = System.nanoTime();
 
-  LoopTime(EventLoop loop) {
+  EventLoopTimeline(EventLoop loop) {
     this.loop = loop;
   }
 
   @Override
   public Moment now() {
-    return new Moment(start + (System.nanoTime() - steady) / 1_000);
+    return new Moment(startMicros + (System.nanoTime() - startNanos) / 1_000);
   }
 
   @Override
-  public void at(Moment when, Runnable act) {
+  public void runAt(Moment when, Runnable task) {
     loop.schedule(
         () -> {
           try {
-            act.run();
-          } catch (RuntimeException fault) {
-            LOG.error("what was scheduled failed", fault);
+            task.run();
+          } catch (RuntimeException e) {
+            LOG.error("what was scheduled failed", e);
           }
         },
         Math.max(0, when.since(now()).micros()),
--- a/lab/src/main/java/basaltlever/lab/sockets/Echo.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/ImmediateBackend.java
@@ -23,7 +23,7 @@
  * One primary that answers every statement at once, and discovery that lists it: what is left is
  * what a router costs.
  */
-public final class Echo implements AutoCloseable {
+public final class ImmediateBackend implements AutoCloseable {
   public static final String SETTINGS =
       "{\"Balancers\":1,\"Zone\":0,\"Zones\":[\"a\"],\"Discovery\":\"on_request\","
           + "\"Bounds\":{\"Cancel\":true,\"ConnectTimeout\":250000,\"IdleClose\":15000000,\"MaxAttempts\":4,"
@@ -36,14 +36,14 @@
 
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final Channel node = listen(Node::new);
-  private final Channel discovery = listen(List::new);
+  private final Channel serverChannel = listen(ServerConnection::new);
+  private final Channel discoveryChannel = listen(DiscoveryConnection::new);
 
-  private interface Made {
-    ChannelInboundHandlerAdapter by(Echo echo);
+  private interface HandlerFactory {
+    ChannelInboundHandlerAdapter create(ImmediateBackend backend);
   }
 
-  private Channel listen(Made made) {
+  private Channel listen(HandlerFactory factory) {
     return new ServerBootstrap()
         .group(group)
         .channel(NioServerSocketChannel.class)
@@ -52,7 +52,7 @@
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(made.by(Echo.this));
+                channel.pipeline().addLast(factory.create(ImmediateBackend.this));
               }
             })
         .bind("127.0.0.1", 0)
@@ -60,42 +60,42 @@
         .channel();
   }
 
-  public InetSocketAddress address() {
-    return (InetSocketAddress) node.localAddress();
+  public InetSocketAddress serverAddress() {
+    return (InetSocketAddress) serverChannel.localAddress();
   }
 
-  public int listPort() {
-    return ((InetSocketAddress) discovery.localAddress()).getPort();
+  public int discoveryPort() {
+    return ((InetSocketAddress) discoveryChannel.localAddress()).getPort();
   }
 
-  public String list() {
+  public String endpointList() {
     return "{\"generation\":1,\"reset\":true,\"instances\":[{\"instanceId\":\"db-1\",\"hostPort\":\"127.0.0.1:"
-        + address().getPort()
+        + serverAddress().getPort()
         + "\",\"zone\":\"a\",\"cell\":1,\"lifecycle\":\"in_service\",\"weight\":1,"
         + "\"startedAtMs\":0}]}";
   }
 
-  private static final class Node extends ChannelInboundHandlerAdapter {
+  private static final class ServerConnection extends ChannelInboundHandlerAdapter {
     private final MessageDecoder decoder =
         new MessageDecoder(1 << 18, new MemoryBudget(Long.MAX_VALUE));
     private boolean started;
 
-    Node(Echo echo) {}
+    ServerConnection(ImmediateBackend backend) {}
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) throws ProtocolException {
-      decoder.add((ByteBuf) in);
+    public void channelRead(ChannelHandlerContext context, Object bytes) throws ProtocolException {
+      decoder.add((ByteBuf) bytes);
       ByteBuf out = context.alloc().buffer();
-      for (ByteBuf m = next(); m != null; m = next()) {
+      for (ByteBuf m = nextMessage(); m != null; m = nextMessage()) {
         if (!started) {
           started = true;
           MessageEncoder.writeStartupResponse(out);
         } else {
           long now = System.currentTimeMillis();
-          boolean poll = m.getByte(m.readerIndex() + MessageDecoder.HEADER_BYTES) == 'S';
-          Rows.row(
+          boolean isPoll = m.getByte(m.readerIndex() + MessageDecoder.HEADER_BYTES) == 'S';
+          RowEncoder.writeSingleRow(
               out,
-              poll
+              isPoll
                   ? "x0="
                       + now / 1_000
                       + "."
@@ -109,7 +109,7 @@
       context.writeAndFlush(out);
     }
 
-    private ByteBuf next() throws ProtocolException {
+    private ByteBuf nextMessage() throws ProtocolException {
       return started ? decoder.nextMessage() : decoder.nextStartupMessage();
     }
 
@@ -124,17 +124,17 @@
     }
   }
 
-  private static final class List extends ChannelInboundHandlerAdapter {
-    private final Echo echo;
+  private static final class DiscoveryConnection extends ChannelInboundHandlerAdapter {
+    private final ImmediateBackend backend;
 
-    List(Echo echo) {
-      this.echo = echo;
+    DiscoveryConnection(ImmediateBackend backend) {
+      this.backend = backend;
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) {
-      ((ByteBuf) in).release();
-      String line = echo.list() + "\n";
+    public void channelRead(ChannelHandlerContext context, Object bytes) {
+      ((ByteBuf) bytes).release();
+      String line = backend.endpointList() + "\n";
       context.writeAndFlush(
           Unpooled.copiedBuffer(
               "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -143,10 +143,10 @@
                   + line
                   + "\r\n",
               StandardCharsets.US_ASCII));
-      still(context);
+      scheduleKeepAlive(context);
     }
 
-    private void still(ChannelHandlerContext context) {
+    private void scheduleKeepAlive(ChannelHandlerContext context) {
       context
           .executor()
           .schedule(
@@ -154,7 +154,7 @@
                 if (context.channel().isActive()) {
                   context.writeAndFlush(
                       Unpooled.copiedBuffer("1\r\n\n\r\n", StandardCharsets.US_ASCII));
-                  still(context);
+                  scheduleKeepAlive(context);
                 }
               },
               2,
--- a/lab/src/main/java/basaltlever/lab/sockets/RouterProcess.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/RouterProcess.java
@@ -15,17 +15,17 @@
  * One router as a process of its own, from a jar or from the class path that this program runs on.
  */
 public final class RouterProcess implements AutoCloseable {
-  private static final int READY_MILLIS = 15_000;
+  private static final int READY_TIMEOUT_MILLIS = 15_000;
   private final Path startFile;
 
   /** Of its start file, up to the settings. */
-  private final String head;
+  private final String startFilePrefix;
 
   private final List<String> command = new ArrayList<>();
-  private final List<String> program;
+  private final List<String> programCommand;
   private final Path operatorFile;
   private final InetSocketAddress address;
-  private final Path log;
+  private final Path logFile;
   private Process process;
 
   /** The jar is null for the class path; the operator's file is empty for none. */
@@ -33,17 +33,17 @@
       String name,
       Path folder,
       Path jar,
-      List<String> flags,
+      List<String> jvmFlags,
       int port,
       String discovery,
       long seed,
-      String known,
+      String endpointList,
       String settings,
-      String operator)
+      String operatorText)
       throws IOException {
     address = new InetSocketAddress("127.0.0.1", port);
-    log = folder.resolve(name + ".log");
-    head =
+    logFile = folder.resolve(name + ".log");
+    startFilePrefix =
         "{\"name\":\""
             + name
             + "\",\"listen\":\""
@@ -54,9 +54,9 @@
             + "\",\"seed\":\""
             + Long.toHexString(seed)
             + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},\"known\":"
-            + known
+            + endpointList
             + ",\"settings\":";
-    startFile = Files.writeString(folder.resolve(name + ".json"), head + settings + "}");
+    startFile = Files.writeString(folder.resolve(name + ".json"), startFilePrefix + settings + "}");
     command.addAll(
         List.of(
             System.getProperty("java.home") + "/bin/java",
@@ -64,35 +64,37 @@
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
             "-Xshare:auto"));
-    command.addAll(flags);
+    command.addAll(jvmFlags);
     command.addAll(
         jar != null
             ? List.of("-jar", jar.toString())
             : List.of("-cp", System.getProperty("java.class.path"), "basaltlever.cli.Main"));
-    program = List.copyOf(command);
+    programCommand = List.copyOf(command);
     command.addAll(List.of("serve", "--file", startFile.toString()));
     operatorFile = folder.resolve(name + ".ini");
-    if (!operator.isEmpty()) {
-      command.addAll(List.of("--operator", Files.writeString(operatorFile, operator).toString()));
+    if (!operatorText.isEmpty()) {
+      command.addAll(
+          List.of("--operator", Files.writeString(operatorFile, operatorText).toString()));
     }
     start();
   }
 
   /** Not a router: bytes passed on and nothing else, by a process with the same flags. */
-  public RouterProcess(Path folder, List<String> flags, int port, int to) throws IOException {
+  public RouterProcess(Path folder, List<String> jvmFlags, int port, int targetPort)
+      throws IOException {
     address = new InetSocketAddress("127.0.0.1", port);
-    log = folder.resolve("bare.log");
+    logFile = folder.resolve("bare.log");
     startFile = null;
     operatorFile = null;
-    program = List.of();
-    head = "";
+    programCommand = List.of();
+    startFilePrefix = "";
     command.addAll(
         List.of(
             System.getProperty("java.home") + "/bin/java",
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
             "-Xshare:auto"));
-    command.addAll(flags);
+    command.addAll(jvmFlags);
     command.addAll(
         List.of(
             "-cp",
@@ -102,7 +104,7 @@
             "--port",
             "" + port,
             "--to",
-            "" + to));
+            "" + targetPort));
     start();
   }
 
@@ -110,12 +112,12 @@
     process =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile.toFile()))
             .start();
   }
 
   /** Takes effect at its next start. */
-  public void operatorFile(String text) throws IOException {
+  public void writeOperatorFile(String text) throws IOException {
     Files.writeString(operatorFile, text);
   }
 
@@ -123,21 +125,23 @@
    * One command of the program by this router's operator's file: what it prints, behind its exit
    * code.
    */
-  public String command(String... arguments) throws IOException, InterruptedException {
-    List<String> line = new ArrayList<>(program);
-    line.addAll(List.of(arguments));
-    line.addAll(List.of("--operator", operatorFile.toString()));
-    Process run = new ProcessBuilder(line).redirectErrorStream(true).start();
-    String printed = new String(run.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    return run.waitFor() + " " + printed.strip();
+  public String runCommand(String... arguments) throws IOException, InterruptedException {
+    List<String> commandLine = new ArrayList<>(programCommand);
+    commandLine.addAll(List.of(arguments));
+    commandLine.addAll(List.of("--operator", operatorFile.toString()));
+    Process commandProcess = new ProcessBuilder(commandLine).redirectErrorStream(true).start();
+    String output =
+        new String(commandProcess.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    return commandProcess.waitFor() + " " + output.strip();
   }
 
   /** The operator's step: the file is replaced in one piece, then SIGHUP. */
-  public void takes(String settings) throws IOException, InterruptedException {
-    Path next =
+  public void reloadSettings(String settings) throws IOException, InterruptedException {
+    Path newFile =
         Files.writeString(
-            startFile.resolveSibling(startFile.getFileName() + ".new"), head + settings + "}");
-    Files.move(next, startFile, StandardCopyOption.ATOMIC_MOVE);
+            startFile.resolveSibling(startFile.getFileName() + ".new"),
+            startFilePrefix + settings + "}");
+    Files.move(newFile, startFile, StandardCopyOption.ATOMIC_MOVE);
     new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
   }
 
@@ -154,20 +158,20 @@
   }
 
   public void awaitReady() throws IOException, InterruptedException {
-    long until = System.nanoTime() + READY_MILLIS * 1_000_000L;
-    while (process.isAlive() && System.nanoTime() < until) {
+    long deadlineNanos = System.nanoTime() + READY_TIMEOUT_MILLIS * 1_000_000L;
+    while (process.isAlive() && System.nanoTime() < deadlineNanos) {
       try (Socket socket = new Socket()) {
         socket.connect(address, 500);
         return;
-      } catch (IOException notYet) {
+      } catch (IOException e) {
         Thread.sleep(20);
       }
     }
-    throw new IOException("a router did not begin to serve:\n" + log());
+    throw new IOException("a router did not begin to serve:\n" + readLog());
   }
 
-  public String log() throws IOException {
-    return Files.exists(log) ? Files.readString(log) : "";
+  public String readLog() throws IOException {
+    return Files.exists(logFile) ? Files.readString(logFile) : "";
   }
 
   /** Processor time that it has used so far, in microseconds. */
--- a/lab/src/main/java/basaltlever/lab/sockets/Rows.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/RowEncoder.java
@@ -5,17 +5,17 @@
 import java.nio.charset.StandardCharsets;
 
 /** What a server says that a router never does: a row of one column. */
-public final class Rows {
-  private static final byte[] COLUMN = "doc\0".getBytes(StandardCharsets.US_ASCII);
+public final class RowEncoder {
+  private static final byte[] COLUMN_NAME = "doc\0".getBytes(StandardCharsets.US_ASCII);
 
-  private Rows() {}
+  private RowEncoder() {}
 
-  public static void row(ByteBuf out, String value) {
+  public static void writeSingleRow(ByteBuf out, String value) {
     byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
     out.writeByte('T')
         .writeInt(28)
         .writeShort(1)
-        .writeBytes(COLUMN)
+        .writeBytes(COLUMN_NAME)
         .writeInt(0)
         .writeShort(0)
         .writeInt(17)
--- a/lab/src/main/java/basaltlever/lab/sockets/NodeFront.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/ServerSocketAdapter.java
@@ -1,8 +1,8 @@
 package basaltlever.lab.sockets;
 
-import basaltlever.lab.world.Ask;
 import basaltlever.lab.world.Server;
-import basaltlever.lab.world.World;
+import basaltlever.lab.world.SimulatedCluster;
+import basaltlever.lab.world.Statement;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.pg.MessageDecoder;
 import basaltlever.pg.MessageEncoder;
@@ -29,44 +29,49 @@
  * One server's sockets towards one router, at an address of that router's own: so it is known who
  * asks.
  */
-final class NodeFront implements Server.Listener {
+final class ServerSocketAdapter implements Server.Listener {
   /** Makes a statement of one that no client of this run has sent. */
-  interface Strangers {
-    Ask apply(ByteBuf message, String id, int router) throws ProtocolException;
+  interface ExternalStatementFactory {
+    Statement create(ByteBuf message, String id, int router) throws ProtocolException;
   }
 
-  private static final Pattern ID = Pattern.compile("[ *,]id=([a-z0-9]+)");
-  private static final Pattern INSERT =
+  private static final Pattern STATEMENT_ID = Pattern.compile("[ *,]id=([a-z0-9]+)");
+  private static final Pattern ANNOUNCEMENT_INSERT =
       Pattern.compile(
           "INSERT INTO \\w+ \\(number, target, at, state\\)"
               + " VALUES \\((\\d+), '([\\w-]+)', (\\d+), '(announced|off)'\\)");
-  private static final Span SETTLES = Span.ofMillis(60);
+  private static final Span HANDOVER_DELAY = Span.ofMillis(60);
 
-  private final World world;
+  private final SimulatedCluster world;
   private final Server server;
   private final int router;
   private final EventLoop loop;
-  private final String table;
+  private final String announcementTable;
 
   /** Null where all who ask are clients of this run. */
-  private final Strangers strangers;
+  private final ExternalStatementFactory externalStatements;
 
-  private final ChannelGroup open;
-  private Channel listening;
+  private final ChannelGroup connections;
+  private Channel serverChannel;
   private int port;
 
-  NodeFront(
-      World world, Server server, int router, EventLoop loop, String table, Strangers strangers)
+  ServerSocketAdapter(
+      SimulatedCluster world,
+      Server server,
+      int router,
+      EventLoop loop,
+      String announcementTable,
+      ExternalStatementFactory externalStatements)
       throws InterruptedException {
-    this.strangers = strangers;
+    this.externalStatements = externalStatements;
     this.world = world;
     this.server = server;
     this.router = router;
     this.loop = loop;
-    this.table = table;
-    open = new DefaultChannelGroup(loop);
-    listening = bootstrap().bind("127.0.0.1", 0).sync().channel();
-    port = ((InetSocketAddress) listening.localAddress()).getPort();
+    this.announcementTable = announcementTable;
+    connections = new DefaultChannelGroup(loop);
+    serverChannel = bootstrap().bind("127.0.0.1", 0).sync().channel();
+    port = ((InetSocketAddress) serverChannel.localAddress()).getPort();
   }
 
   String address() {
@@ -84,30 +89,30 @@
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {
-                open.add(channel);
-                channel.pipeline().addLast(new Connection());
+                connections.add(channel);
+                channel.pipeline().addLast(new RouterConnection());
               }
             });
   }
 
   @Override
-  public void died() {
-    listening.close();
-    for (Channel channel : open) {
+  public void onCrashed() {
+    serverChannel.close();
+    for (Channel channel : connections) {
       reset(channel);
     }
   }
 
   @Override
-  public void refuses() {
-    listening.close();
+  public void onRefusing() {
+    serverChannel.close();
   }
 
   @Override
-  public void cameBack() {
+  public void onAccepting() {
     bootstrap()
         .bind("127.0.0.1", port)
-        .addListener(done -> listening = ((io.netty.channel.ChannelFuture) done).channel());
+        .addListener(done -> serverChannel = ((io.netty.channel.ChannelFuture) done).channel());
   }
 
   private static void reset(Channel channel) {
@@ -115,25 +120,26 @@
     channel.close();
   }
 
-  private final class Connection extends ChannelInboundHandlerAdapter {
+  private final class RouterConnection extends ChannelInboundHandlerAdapter {
     private final MessageDecoder decoder =
         new MessageDecoder(1 << 18, new MemoryBudget(Long.MAX_VALUE));
     private boolean started;
-    private Runnable takeBack = () -> {};
+    private Runnable cancelPending = () -> {};
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) throws ProtocolException {
-      decoder.add((ByteBuf) in);
-      for (ByteBuf m = next(); m != null; m = next()) {
-        message(context, m);
+    public void channelRead(ChannelHandlerContext context, Object bytes) throws ProtocolException {
+      decoder.add((ByteBuf) bytes);
+      for (ByteBuf m = nextMessage(); m != null; m = nextMessage()) {
+        handleMessage(context, m);
       }
     }
 
-    private ByteBuf next() throws ProtocolException {
+    private ByteBuf nextMessage() throws ProtocolException {
       return started ? decoder.nextMessage() : decoder.nextStartupMessage();
     }
 
-    private void message(ChannelHandlerContext context, ByteBuf message) throws ProtocolException {
+    private void handleMessage(ChannelHandlerContext context, ByteBuf message)
+        throws ProtocolException {
       if (!started) {
         started = true;
         if (!server.isHung() && !world.isCut(router, server)) {
@@ -147,46 +153,46 @@
         context.close();
         return;
       }
-      int from = message.readerIndex() + MessageDecoder.HEADER_BYTES;
+      int queryStart = message.readerIndex() + MessageDecoder.HEADER_BYTES;
       String query =
           message.toString(
-              from,
+              queryStart,
               message.readableBytes() - MessageDecoder.HEADER_BYTES - 1,
               StandardCharsets.UTF_8);
-      Matcher id = ID.matcher(query);
+      Matcher id = STATEMENT_ID.matcher(query);
       if (world.isCut(router, server)) {
         return;
       }
       if (query.startsWith("/*") && id.find()) {
-        Ask ask =
-            strangers != null
-                ? strangers.apply(message, id.group(1), router)
-                : world.ledger.ask(id.group(1));
+        Statement ask =
+            externalStatements != null
+                ? externalStatements.create(message, id.group(1), router)
+                : world.checker.findStatement(id.group(1));
         if (ask == null) {
-          error(context, "53300", "its client has gone");
+          writeError(context, "53300", "its client has gone");
           return;
         }
-        takeBack = server.ask(ask, new Answering(context));
+        cancelPending = server.execute(ask, new ConnectionReply(context));
       } else if (!server.isHung()) {
-        context.writeAndFlush(plain(context, query));
+        context.writeAndFlush(internalQueryResponse(context, query));
       }
     }
 
-    private ByteBuf plain(ChannelHandlerContext context, String query) {
+    private ByteBuf internalQueryResponse(ChannelHandlerContext context, String query) {
       ByteBuf out = context.alloc().buffer();
-      Matcher insert = INSERT.matcher(query);
+      Matcher insert = ANNOUNCEMENT_INSERT.matcher(query);
       if (query.equals("SHOW gauges")) {
-        Rows.row(
+        RowEncoder.writeSingleRow(
             out,
             String.format(
                 java.util.Locale.ROOT,
                 "x0=%.6f,x1=%d,utilization=%.3f",
-                server.position(world.now()),
-                server.saysPrimary() ? 1 : 0,
-                server.util()));
-      } else if (query.equals(SwitchoverAnnouncement.latestQuery(table))) {
-        SwitchoverAnnouncement announcement = server.group().note();
-        Rows.row(out, announcement == null ? "" : announcement.toText());
+                server.positionSeconds(world.now()),
+                server.claimsPrimary() ? 1 : 0,
+                server.utilization()));
+      } else if (query.equals(SwitchoverAnnouncement.latestQuery(announcementTable))) {
+        SwitchoverAnnouncement announcement = server.group().announcement();
+        RowEncoder.writeSingleRow(out, announcement == null ? "" : announcement.toText());
       } else if (insert.matches()) {
         SwitchoverAnnouncement announcement =
             new SwitchoverAnnouncement(
@@ -194,9 +200,9 @@
                 insert.group(2),
                 Long.parseLong(insert.group(3)),
                 insert.group(4).equals("off"));
-        if (!server.saysPrimary() || !write(announcement)) {
+        if (!server.claimsPrimary() || !applyAnnouncement(announcement)) {
           MessageEncoder.writeErrorResponse(
-              out, "ERROR", server.saysPrimary() ? "23514" : "25006", "not taken", null);
+              out, "ERROR", server.claimsPrimary() ? "23514" : "25006", "not taken", null);
         } else {
           MessageEncoder.writeCommandComplete(out, "INSERT 0 1");
         }
@@ -206,20 +212,21 @@
         MessageEncoder.writeErrorResponse(
             out, "ERROR", "08P01", "no statement of this world", null);
       }
-      MessageEncoder.writeParameterStatus(out, "part", server.saysPrimary() ? "master" : "replica");
+      MessageEncoder.writeParameterStatus(
+          out, "part", server.claimsPrimary() ? "master" : "replica");
       MessageEncoder.writeReadyForQuery(out);
       return out;
     }
 
-    private boolean write(SwitchoverAnnouncement announcement) {
+    private boolean applyAnnouncement(SwitchoverAnnouncement announcement) {
       if (announcement.cancelled()) {
-        server.group().callOff();
+        server.group().cancelSwitchover();
         return true;
       }
-      return server.group().announce(announcement, SETTLES);
+      return server.group().announce(announcement, HANDOVER_DELAY);
     }
 
-    private void error(ChannelHandlerContext context, String code, String text) {
+    private void writeError(ChannelHandlerContext context, String code, String text) {
       ByteBuf out = context.alloc().buffer();
       MessageEncoder.writeErrorResponse(out, "ERROR", code, text, null);
       MessageEncoder.writeReadyForQuery(out);
@@ -228,7 +235,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      takeBack.run();
+      cancelPending.run();
       decoder.release();
     }
 
@@ -237,16 +244,16 @@
       context.close();
     }
 
-    private final class Answering implements Server.Reply {
+    private final class ConnectionReply implements Server.Reply {
       private final ChannelHandlerContext context;
 
-      Answering(ChannelHandlerContext context) {
+      ConnectionReply(ChannelHandlerContext context) {
         this.context = context;
       }
 
       @Override
-      public void answer(String code, String value, boolean primary, long position) {
-        takeBack = () -> {};
+      public void sendAnswer(String code, String value, boolean primary, long position) {
+        cancelPending = () -> {};
         if (world.isCut(router, server)) {
           return;
         }
@@ -258,7 +265,7 @@
           context.writeAndFlush(out);
           return;
         } else {
-          Rows.row(out, value);
+          RowEncoder.writeSingleRow(out, value);
         }
         MessageEncoder.writeParameterStatus(out, "part", primary ? "master" : "replica");
         if (position > 0) {
@@ -270,11 +277,11 @@
 
       /** After a few bytes of a good answer, at any of them. */
       @Override
-      public void breaks() {
+      public void breakConnection() {
         ByteBuf out = context.alloc().buffer();
-        Rows.row(out, "cut");
+        RowEncoder.writeSingleRow(out, "cut");
         MessageEncoder.writeReadyForQuery(out);
-        out.writerIndex(world.chance.nextInt(out.writerIndex()));
+        out.writerIndex(world.random.nextInt(out.writerIndex()));
         context.writeAndFlush(out).addListener(done -> reset(context.channel()));
       }
     }
--- a/lab/src/main/java/basaltlever/lab/sockets/ClientFront.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/SocketClients.java
@@ -1,8 +1,8 @@
 package basaltlever.lab.sockets;
 
-import basaltlever.lab.load.Front;
-import basaltlever.lab.world.Ask;
-import basaltlever.lab.world.World;
+import basaltlever.lab.load.StatementTransport;
+import basaltlever.lab.world.SimulatedCluster;
+import basaltlever.lab.world.Statement;
 import basaltlever.pg.MemoryBudget;
 import basaltlever.pg.MessageDecoder;
 import basaltlever.pg.MessageEncoder;
@@ -26,15 +26,15 @@
 /**
  * Clients on sockets: each router's are kept and used again, and more are opened when all are busy.
  */
-final class ClientFront implements Front {
-  private final World world;
+final class SocketClients implements StatementTransport {
+  private final SimulatedCluster world;
   private final List<InetSocketAddress> routers;
   private final Bootstrap bootstrap;
-  private final List<ArrayDeque<Client>> idle;
-  private final Map<Ask, Client> busy = new LinkedHashMap<>();
+  private final List<ArrayDeque<ClientConnection>> idleConnections;
+  private final Map<Statement, ClientConnection> busyConnections = new LinkedHashMap<>();
   private final boolean[] down;
 
-  ClientFront(World world, List<InetSocketAddress> routers, EventLoop loop) {
+  SocketClients(SimulatedCluster world, List<InetSocketAddress> routers, EventLoop loop) {
     this.world = world;
     this.routers = routers;
     down = new boolean[routers.size()];
@@ -43,15 +43,15 @@
             .group(loop)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true);
-    idle = routers.stream().map(router -> new ArrayDeque<Client>()).toList();
+    idleConnections = routers.stream().map(router -> new ArrayDeque<ClientConnection>()).toList();
   }
 
   @Override
-  public void ask(Ask ask, Told told) {
-    Client client = idle.get(ask.router).pollLast();
+  public void submit(Statement ask, ResponseListener callback) {
+    ClientConnection client = idleConnections.get(ask.router).pollLast();
     if (client == null) {
-      client = new Client(ask.router);
-      Client opened = client;
+      client = new ClientConnection(ask.router);
+      ClientConnection opened = client;
       bootstrap
           .clone()
           .handler(client)
@@ -59,85 +59,85 @@
           .addListener(
               done -> {
                 if (!done.isSuccess()) {
-                  opened.gone();
+                  opened.onConnectionClosed();
                 }
               });
     }
-    busy.put(ask, client);
-    client.ask(ask, told);
+    busyConnections.put(ask, client);
+    client.start(ask, callback);
   }
 
   @Override
-  public boolean serves(int router) {
+  public boolean isReachable(int router) {
     return !down[router];
   }
 
   /** It was ended by force, or is back. */
-  void isDown(int router, boolean now) {
-    down[router] = now;
-    if (now) {
-      for (Client client : List.copyOf(busy.values())) {
-        client.lostRouter(router);
+  void setRouterDown(int router, boolean isDown) {
+    down[router] = isDown;
+    if (isDown) {
+      for (ClientConnection client : List.copyOf(busyConnections.values())) {
+        client.onRouterStopped(router);
       }
     }
   }
 
   @Override
-  public void leave(Ask ask) {
-    Client client = busy.remove(ask);
+  public void abandon(Statement ask) {
+    ClientConnection client = busyConnections.remove(ask);
     if (client != null) {
-      client.leaves();
+      client.abandonStatement();
     }
   }
 
-  private final class Client extends ChannelInboundHandlerAdapter {
+  private final class ClientConnection extends ChannelInboundHandlerAdapter {
     private final int router;
     private final MessageDecoder decoder =
         new MessageDecoder(1 << 21, new MemoryBudget(Long.MAX_VALUE));
     private Channel channel;
-    private Ask ask;
-    private Told told;
+    private Statement ask;
+    private ResponseListener callback;
     private QueryResponse response;
     private boolean ready;
-    private String error;
-    private String detail;
+    private String errorCode;
+    private String errorDetail;
 
     /**
      * A connection that a router closed between statements costs a client one more try on a new
      * one.
      */
-    private boolean used;
+    private boolean hasServedStatement;
 
-    Client(int router) {
+    ClientConnection(int router) {
       this.router = router;
     }
 
-    void ask(Ask next, Told of) {
+    void start(Statement next, ResponseListener current) {
       ask = next;
-      told = of;
+      callback = current;
       response = new QueryResponse();
-      error = null;
+      errorCode = null;
       if (ready) {
-        send();
+        sendQuery();
       }
     }
 
-    private void send() {
+    private void sendQuery() {
       ByteBuf out = channel.alloc().buffer();
-      long left = Math.max(1, ask.leaves.since(world.now()).micros() / 1_000);
+      long remainingMillis = Math.max(1, ask.deadline.since(world.now()).micros() / 1_000);
       MessageEncoder.writeQuery(
           out,
           "/* id="
               + ask.id
               + ",c="
-              + ask.kind.name()
+              + ask.workload.name()
               + ",d="
-              + left
+              + remainingMillis
               + ",cluster="
               + ask.group
-              + (ask.after > 0 ? ",after=" + ask.after : "")
+              + (ask.requiredCommitMillis > 0 ? ",after=" + ask.requiredCommitMillis : "")
               + " */ "
-              + (ask.kind.isWrite()
+              + (ask.workload.isWrite()
                   ? "INSERT INTO items (id, doc) VALUES ('s"
                       + ask.session
                       + "', '\\x9f') RETURNING doc"
@@ -154,67 +154,68 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) throws ProtocolException {
-      decoder.add((ByteBuf) in);
+    public void channelRead(ChannelHandlerContext context, Object bytes) throws ProtocolException {
+      decoder.add((ByteBuf) bytes);
       for (ByteBuf m = decoder.nextMessage(); m != null; m = decoder.nextMessage()) {
-        message(m);
+        handleMessage(m);
       }
     }
 
-    private void message(ByteBuf message) throws ProtocolException {
+    private void handleMessage(ByteBuf message) throws ProtocolException {
       byte type = message.getByte(message.readerIndex());
       if (!ready) {
         if (type == 'Z') {
           ready = true;
           if (ask != null) {
-            send();
+            sendQuery();
           }
         }
         return;
       }
       if (type == 'E') {
-        error = QueryResponse.errorField(message, 'C');
-        detail = QueryResponse.errorField(message, 'D');
+        errorCode = QueryResponse.errorField(message, 'C');
+        errorDetail = QueryResponse.errorField(message, 'D');
       }
       if (response != null && response.add(message)) {
-        ended();
+        completeStatement();
       }
     }
 
-    private void ended() {
-      Ask of = ask;
-      Told to = told;
-      QueryResponse whole = response;
+    private void completeStatement() {
+      Statement current = ask;
+      ResponseListener completedCallback = callback;
+      QueryResponse finishedResponse = response;
       ask = null;
       response = null;
-      used = true;
-      if (of == null) {
-        whole.release();
+      hasServedStatement = true;
+      if (current == null) {
+        finishedResponse.release();
         return;
       }
-      busy.remove(of);
-      idle.get(router).add(this);
-      if (whole.isSingleRow()) {
-        to.completed(whole.value());
-      } else if ("53300".equals(error) || "57P03".equals(error)) {
-        to.rejected(Span.ofMillis(detail.matches("\\d{1,6}") ? Integer.parseInt(detail) : 0));
+      busyConnections.remove(current);
+      idleConnections.get(router).add(this);
+      if (finishedResponse.isSingleRow()) {
+        completedCallback.onCompleted(finishedResponse.value());
+      } else if ("53300".equals(errorCode) || "57P03".equals(errorCode)) {
+        completedCallback.onRejected(
+            Span.ofMillis(errorDetail.matches("\\d{1,6}") ? Integer.parseInt(errorDetail) : 0));
       } else {
-        to.aborted();
+        completedCallback.onAborted();
       }
-      whole.release();
+      finishedResponse.release();
     }
 
-    void lostRouter(int which) {
-      Ask of = ask;
-      if (which == router && of != null) {
+    void onRouterStopped(int stoppedRouter) {
+      Statement current = ask;
+      if (stoppedRouter == router && current != null) {
         ask = null;
-        busy.remove(of);
-        told.lost();
-        leaves();
+        busyConnections.remove(current);
+        callback.onRouterKilled();
+        abandonStatement();
       }
     }
 
-    void leaves() {
+    void abandonStatement() {
       ask = null;
       if (channel != null) {
         channel.close();
@@ -223,17 +224,17 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      gone();
+      onConnectionClosed();
     }
 
-    void gone() {
-      idle.get(router).remove(this);
+    void onConnectionClosed() {
+      idleConnections.get(router).remove(this);
       decoder.release();
-      Ask of = ask;
+      Statement current = ask;
       ask = null;
-      if (of != null && busy.remove(of, this) && used) {
+      if (current != null && busyConnections.remove(current, this) && hasServedStatement) {
         // Closed between two statements, which crossed: it is asked once more on a new one.
-        ClientFront.this.ask(of, told);
+        SocketClients.this.submit(current, callback);
       }
     }
 
--- a/lab/src/main/java/basaltlever/lab/sockets/SocketRun.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/SocketRun.java
@@ -1,12 +1,12 @@
 package basaltlever.lab.sockets;
 
-import basaltlever.lab.load.Load;
+import basaltlever.lab.load.LoadGenerator;
 import basaltlever.lab.scenario.Scenario;
-import basaltlever.lab.world.Ask;
-import basaltlever.lab.world.Faults;
-import basaltlever.lab.world.Kind;
+import basaltlever.lab.world.FaultInjector;
 import basaltlever.lab.world.Server;
-import basaltlever.lab.world.World;
+import basaltlever.lab.world.SimulatedCluster;
+import basaltlever.lab.world.Statement;
+import basaltlever.lab.world.Workload;
 import basaltlever.pg.MessageDecoder;
 import basaltlever.pg.ProtocolException;
 import basaltlever.pg.Query;
@@ -34,14 +34,14 @@
  * process.
  */
 public final class SocketRun implements AutoCloseable {
-  public static final String TABLE = "basaltlever_change";
+  public static final String ANNOUNCEMENT_TABLE = "basaltlever_change";
 
   /** Within which the routers are up. */
-  private static final long STARTS_MILLIS = 4_000;
+  private static final long STARTUP_ALLOWANCE_MILLIS = 4_000;
 
-  private static final long SETTLES_MILLIS = 4_000;
-  private static final Span TICKS = Span.ofMillis(10);
-  private static final Span HELD_UP = Span.ofMillis(40);
+  private static final long COMPLETION_TIMEOUT_MILLIS = 4_000;
+  private static final Span LOOP_CHECK_INTERVAL = Span.ofMillis(10);
+  private static final Span LOOP_DELAY_THRESHOLD = Span.ofMillis(40);
 
   private final Scenario scenario;
   private final MultiThreadIoEventLoopGroup group =
@@ -49,98 +49,111 @@
   private final EventLoop loop = group.next();
   private final Path folder = Files.createTempDirectory("lab");
   private final List<RouterProcess> routers = new ArrayList<>();
-  private final List<ListFront> lists = new ArrayList<>();
-  private int oddLists;
+  private final List<DiscoveryServer> discoveryServers = new ArrayList<>();
+  private int faultyLists;
 
   /** From the start of the load on. */
-  private volatile ClientFront clients;
+  private volatile SocketClients clients;
 
   private boolean restarting;
   private int restarts;
-  private volatile long slowestStart;
-  private final World world;
-  private final Faults faults;
+  private volatile long longestRestartMillis;
+  private final SimulatedCluster world;
+  private final FaultInjector faults;
 
   /** The jar is null where routers run on this program's class path. */
-  public SocketRun(Scenario scenario, long seed, Path jar, String operator) throws Exception {
-    this(scenario, seed, jar, router -> operator, 0, new Ports());
+  public SocketRun(Scenario scenario, long seed, Path jar, String operatorText) throws Exception {
+    this(scenario, seed, jar, router -> operatorText, 0, new PortAllocator());
   }
 
   /** With flags for the runtime of each router, and no operator's file. */
-  public SocketRun(Scenario scenario, long seed, Path jar, List<String> flags) throws Exception {
-    this(scenario, seed, jar, flags, router -> "", 0, new Ports());
+  public SocketRun(Scenario scenario, long seed, Path jar, List<String> jvmFlags) throws Exception {
+    this(scenario, seed, jar, jvmFlags, router -> "", 0, new PortAllocator());
   }
 
   /** With a port the first router listens there, and anybody may ask. */
-  public SocketRun(Scenario scenario, long seed, Path jar, String operator, int port)
+  public SocketRun(Scenario scenario, long seed, Path jar, String operatorText, int port)
       throws Exception {
-    this(scenario, seed, jar, router -> operator, port, new Ports());
+    this(scenario, seed, jar, router -> operatorText, port, new PortAllocator());
   }
 
   /**
    * With an operator's file for each router, by its number, and ports that are not in those files.
    */
   public SocketRun(
-      Scenario scenario, long seed, Path jar, IntFunction<String> operator, int port, Ports ports)
+      Scenario scenario,
+      long seed,
+      Path jar,
+      IntFunction<String> operatorText,
+      int port,
+      PortAllocator ports)
       throws Exception {
-    this(scenario, seed, jar, List.of(), operator, port, ports);
+    this(scenario, seed, jar, List.of(), operatorText, port, ports);
   }
 
   private SocketRun(
       Scenario scenario,
       long seed,
       Path jar,
-      List<String> flags,
-      IntFunction<String> operator,
+      List<String> jvmFlags,
+      IntFunction<String> operatorText,
       int port,
-      Ports ports)
+      PortAllocator ports)
       throws Exception {
     this.scenario = scenario;
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     int count = scenario.count("routers");
     world =
         loop.submit(
                 () ->
-                    new World(
-                        new LoopTime(loop),
-                        chance.split(),
+                    new SimulatedCluster(
+                        new EventLoopTimeline(loop),
+                        random.split(),
                         scenario.span("grace_ms"),
-                        Span.ofMillis(STARTS_MILLIS).plus(scenario.span("warm_ms")),
-                        scenario.replicasCheck,
+                        Span.ofMillis(STARTUP_ALLOWANCE_MILLIS).plus(scenario.span("warm_ms")),
+                        scenario.replicasRefuseStaleReads,
                         scenario.count("groups"),
                         scenario.count("members"),
                         scenario.count("cores"),
                         count))
             .get();
-    world.abrupt(scenario.abrupt);
+    world.setAbruptSwitchovers(scenario.abruptHandover);
     faults =
-        new Faults(
+        new FaultInjector(
             world,
-            scenario.faults,
+            scenario.faultWeights,
             scenario.span("faults_from_ms"),
             scenario.span("faults_to_ms"),
             count);
     for (int r = 0; r < count; r++) {
-      Map<Server, NodeFront> fronts = new HashMap<>();
+      Map<Server, ServerSocketAdapter> adapters = new HashMap<>();
       for (Server server : world.servers()) {
-        fronts.put(
-            server, new NodeFront(world, server, r, loop, TABLE, port > 0 ? this::stranger : null));
+        adapters.put(
+            server,
+            new ServerSocketAdapter(
+                world,
+                server,
+                r,
+                loop,
+                ANNOUNCEMENT_TABLE,
+                port > 0 ? this::externalStatement : null));
       }
-      loop.submit(() -> fronts.forEach(Server::listens)).get();
-      ListFront list = new ListFront(world, r, loop, server -> fronts.get(server).address());
-      lists.add(list);
+      loop.submit(() -> adapters.forEach(Server::addListener)).get();
+      DiscoveryServer discoveryServer =
+          new DiscoveryServer(world, r, loop, server -> adapters.get(server).address());
+      discoveryServers.add(discoveryServer);
       routers.add(
           new RouterProcess(
               "n" + (r + 1),
               folder,
               jar,
-              flags,
-              r == 0 && port > 0 ? port : ports.next(),
-              list.address(),
-              chance.nextLong(),
-              list.list(),
+              jvmFlags,
+              r == 0 && port > 0 ? port : ports.allocate(),
+              discoveryServer.address(),
+              random.nextLong(),
+              discoveryServer.endpointList(),
               settings(r, false),
-              operator
+              operatorText
                   .apply(r)
                   .replace(
                       "{folder}", Files.createDirectory(folder.resolve("view" + r)).toString())));
@@ -150,23 +163,24 @@
     }
   }
 
-  private Ask stranger(ByteBuf message, String id, int router) throws ProtocolException {
+  private Statement externalStatement(ByteBuf message, String id, int router)
+      throws ProtocolException {
     Query query =
         Query.parse(
             message.slice(
                 message.readerIndex() + MessageDecoder.HEADER_BYTES,
                 message.readableBytes() - MessageDecoder.HEADER_BYTES - 1));
-    Kind kind =
-        scenario.kinds.stream()
-            .filter(one -> one.name().equals(query.workload))
+    Workload kind =
+        scenario.workloads.stream()
+            .filter(candidate -> candidate.name().equals(query.workload))
             .findAny()
             .orElseThrow(() -> new ProtocolException("08P01", "no such workload"));
-    Ask known = world.ledger.ask(id);
-    if (known != null) {
-      return known;
+    Statement existing = world.checker.findStatement(id);
+    if (existing != null) {
+      return existing;
     }
-    Ask ask =
-        new Ask(
+    Statement ask =
+        new Statement(
             id,
             id,
             kind,
@@ -177,22 +191,23 @@
             world.now().plus(Span.ofMillis((double) query.timeoutMillis)),
             query.lastCommitMillis,
             1);
-    world.ledger.begins(ask);
+    world.checker.onStatementStarted(ask);
     world
-        .time()
-        .after(Span.ofMillis((double) query.timeoutMillis), () -> world.ledger.forgets(ask));
+        .scheduler()
+        .runAfter(
+            Span.ofMillis((double) query.timeoutMillis), () -> world.checker.removeStatement(ask));
     return ask;
   }
 
-  private String settings(int router, boolean another) {
-    return scenario.settings(another).replaceFirst("\\{", "{\"Me\":" + router + ",");
+  private String settings(int router, boolean alternative) {
+    return scenario.routerSettings(alternative).replaceFirst("\\{", "{\"Me\":" + router + ",");
   }
 
-  public World world() {
+  public SimulatedCluster world() {
     return world;
   }
 
-  public Faults faults() {
+  public FaultInjector faults() {
     return faults;
   }
 
@@ -208,72 +223,79 @@
    * A router's discovery tells something that is not so, or all that it tells comes late from here
    * on.
    */
-  public void lists(int router, SplittableRandom chance, Span late) {
-    ListFront list = lists.get(router);
-    if (late == null) {
-      oddLists++;
-      list.tells(ListFront.Odd.values()[chance.nextInt(ListFront.Odd.values().length)]);
+  public void injectDiscoveryFault(int router, SplittableRandom random, Span notificationDelay) {
+    DiscoveryServer discoveryServer = discoveryServers.get(router);
+    if (notificationDelay == null) {
+      faultyLists++;
+      discoveryServer.sendFaultyList(
+          DiscoveryServer.ListFault.values()[
+              random.nextInt(DiscoveryServer.ListFault.values().length)]);
     } else {
-      list.isLate(late);
+      discoveryServer.setNotificationDelay(notificationDelay);
     }
   }
 
   /** Plays it to its end, and some seconds more, in which what is late may still come. */
-  public Map<String, Object> play() throws Exception {
+  public Map<String, Object> runScenario() throws Exception {
     List<InetSocketAddress> addresses = routers.stream().map(RouterProcess::address).toList();
-    Span warm = scenario.span("warm_ms");
-    Span seconds = Span.ofMillis(scenario.number("seconds") * 1_000).plus(warm);
+    Span warmUp = scenario.span("warm_ms");
+    Span duration = Span.ofMillis(scenario.number("seconds") * 1_000).plus(warmUp);
     Thread.sleep(
-        Math.max(0, loop.submit(() -> world.startsIn().minus(warm).micros() / 1_000).get()));
-    double cpu = routers.stream().mapToDouble(RouterProcess::cpuMicros).sum();
-    clients = new ClientFront(world, addresses, loop);
-    world.onRestart(router -> restart(router, clients));
-    Load load =
+        Math.max(0, loop.submit(() -> world.timeToStart().minus(warmUp).micros() / 1_000).get()));
+    double cpuMicrosBefore = routers.stream().mapToDouble(RouterProcess::cpuMicros).sum();
+    clients = new SocketClients(world, addresses, loop);
+    world.setRestartHandler(router -> restartRouter(router, clients));
+    LoadGenerator load =
         loop.submit(
                 () -> {
-                  looksAtItself(world.now());
-                  Load made = new Load(world, clients, faults, scenario.loaded(), routers.size());
-                  made.runFor(seconds);
+                  monitorLoopDelay(world.now());
+                  LoadGenerator newLoad =
+                      new LoadGenerator(
+                          world, clients, faults, scenario.scaledWorkloads(), routers.size());
+                  newLoad.runFor(duration);
                   world
-                      .time()
-                      .after(
-                          warm, () -> faults.runFor(seconds.minus(warm).minus(Span.ofMillis(500))));
-                  if (scenario.allAtOnce != null) {
+                      .scheduler()
+                      .runAfter(
+                          warmUp,
+                          () -> faults.runFor(duration.minus(warmUp).minus(Span.ofMillis(500))));
+                  if (scenario.simultaneousFault != null) {
                     world
-                        .time()
-                        .after(
-                            warm.plus(scenario.span("all_at_once_s").times(1_000)),
-                            () -> faults.all(scenario.allAtOnce, scenario.number("all_share")));
+                        .scheduler()
+                        .runAfter(
+                            warmUp.plus(scenario.span("all_at_once_s").times(1_000)),
+                            () ->
+                                faults.injectIntoGroups(
+                                    scenario.simultaneousFault, scenario.number("all_share")));
                   }
-                  return made;
+                  return newLoad;
                 })
             .get();
-    long ends = System.nanoTime() + seconds.micros() * 1_000;
+    long endNanos = System.nanoTime() + duration.micros() * 1_000;
     int switches = 0;
-    for (long step = (long) scenario.number("switch_ms");
-        step > 0 && System.nanoTime() + step * 1_000_000 < ends;
+    for (long switchMillis = (long) scenario.number("switch_ms");
+        switchMillis > 0 && System.nanoTime() + switchMillis * 1_000_000 < endNanos;
         switches++) {
-      Thread.sleep(step);
+      Thread.sleep(switchMillis);
       for (int r = 0; r < routers.size(); r++) {
-        routers.get(r).takes(settings(r, switches % 2 == 0));
+        routers.get(r).reloadSettings(settings(r, switches % 2 == 0));
       }
     }
-    Thread.sleep(Math.max(0, (ends - System.nanoTime()) / 1_000_000));
-    long until = System.nanoTime() + SETTLES_MILLIS * 1_000_000;
-    while (!loop.submit(load::isOver).get() && System.nanoTime() < until) {
+    Thread.sleep(Math.max(0, (endNanos - System.nanoTime()) / 1_000_000));
+    long deadlineNanos = System.nanoTime() + COMPLETION_TIMEOUT_MILLIS * 1_000_000;
+    while (!loop.submit(load::isFinished).get() && System.nanoTime() < deadlineNanos) {
       Thread.sleep(50);
     }
     Thread.sleep(500);
-    Map<String, Object> figures = loop.submit(() -> world.ledger.figures()).get();
-    figures.put("faults", faults.done());
-    figures.put("promotion_ms", world.promotionMillis());
+    Map<String, Object> figures = loop.submit(() -> world.checker.figures()).get();
+    figures.put("faults", faults.injectionCounts());
+    figures.put("promotion_ms", world.meanPromotionMillis());
     figures.put(
         "cpu_us_a_statement",
-        (routers.stream().mapToDouble(RouterProcess::cpuMicros).sum() - cpu)
+        (routers.stream().mapToDouble(RouterProcess::cpuMicros).sum() - cpuMicrosBefore)
             / Math.max(1, ((Number) figures.get("statements")).doubleValue()));
     figures.put("routers_restarted", restarts);
-    figures.put("restart_ms_most", slowestStart);
-    figures.put("odd_lists", oddLists);
+    figures.put("restart_ms_most", longestRestartMillis);
+    figures.put("odd_lists", faultyLists);
     figures.put("switches", switches);
     figures.put(
         "routers_died", routers.stream().filter(router -> !router.process().isAlive()).count());
@@ -281,57 +303,61 @@
   }
 
   /** Servers and clients share this loop: what it is late with, no router is. */
-  private void looksAtItself(Moment due) {
+  private void monitorLoopDelay(Moment dueAt) {
     Moment now = world.now();
-    if (now.since(due).isLongerThan(HELD_UP)) {
-      world.ledger.wasHeldUp(due, now);
+    if (now.since(dueAt).isLongerThan(LOOP_DELAY_THRESHOLD)) {
+      world.checker.onStall(dueAt, now);
     }
-    loop.schedule(() -> looksAtItself(now.plus(TICKS)), TICKS.micros(), TimeUnit.MICROSECONDS);
+    loop.schedule(
+        () -> monitorLoopDelay(now.plus(LOOP_CHECK_INTERVAL)),
+        LOOP_CHECK_INTERVAL.micros(),
+        TimeUnit.MICROSECONDS);
   }
 
   /** Of a router's own, which lasts over its restarts. */
-  public String folder(int number) {
-    return folder.resolve("view" + number).toString();
+  public String routerFolder(int routerIndex) {
+    return folder.resolve("view" + routerIndex).toString();
   }
 
   /** By force, and not again until it is started; its clients go elsewhere. Not on the loop. */
-  public void ends(int number) throws InterruptedException {
-    loop.submit(() -> clients.isDown(number, true)).sync();
-    routers.get(number).process().destroyForcibly().waitFor();
+  public void killRouter(int routerIndex) throws InterruptedException {
+    loop.submit(() -> clients.setRouterDown(routerIndex, true)).sync();
+    routers.get(routerIndex).process().destroyForcibly().waitFor();
   }
 
   /** One that was ended. */
-  public void starts(int number) throws IOException, InterruptedException {
-    routers.get(number).start();
-    routers.get(number).awaitReady();
-    loop.submit(() -> clients.isDown(number, false)).sync();
+  public void startRouter(int routerIndex) throws IOException, InterruptedException {
+    routers.get(routerIndex).start();
+    routers.get(routerIndex).awaitReady();
+    loop.submit(() -> clients.setRouterDown(routerIndex, false)).sync();
   }
 
   /** By force, as a machine would end; what its clients had asked is nobody's any more. */
-  private void restart(int number, ClientFront clients) {
-    RouterProcess router = routers.get(number);
+  private void restartRouter(int routerIndex, SocketClients clients) {
+    RouterProcess router = routers.get(routerIndex);
     if (restarting) {
       return;
     }
     restarting = true;
     restarts++;
-    clients.isDown(number, true);
+    clients.setRouterDown(routerIndex, true);
     Thread thread =
         new Thread(
             () -> {
               try {
                 router.process().destroyForcibly().waitFor();
-                long since = System.nanoTime();
+                long startNanos = System.nanoTime();
                 router.start();
                 router.awaitReady();
-                slowestStart = Math.max(slowestStart, (System.nanoTime() - since) / 1_000_000);
-              } catch (IOException | InterruptedException fault) {
-                throw new IllegalStateException("the router did not come back", fault);
+                longestRestartMillis =
+                    Math.max(longestRestartMillis, (System.nanoTime() - startNanos) / 1_000_000);
+              } catch (IOException | InterruptedException e) {
+                throw new IllegalStateException("the router did not come back", e);
               }
               loop.execute(
                   () -> {
                     restarting = false;
-                    clients.isDown(number, false);
+                    clients.setRouterDown(routerIndex, false);
                   });
             });
     thread.setDaemon(true);
--- a/lab/src/main/java/basaltlever/lab/sockets/Bare.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/TcpForwarder.java
@@ -16,11 +16,11 @@
  * Bytes from one connection to another on one loop and nothing else: what is left of a router
  * without its work.
  */
-public final class Bare {
-  private Bare() {}
+public final class TcpForwarder {
+  private TcpForwarder() {}
 
   /** Until the process is ended. */
-  public static void run(int port, int to) throws InterruptedException {
+  public static void run(int port, int targetPort) throws InterruptedException {
     MultiThreadIoEventLoopGroup loop =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     new ServerBootstrap()
@@ -32,18 +32,18 @@
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel client) {
-                Bootstrap onwards =
+                Bootstrap targetBootstrap =
                     new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        .handler(new Pipe(client));
-                Channel node =
-                    onwards
-                        .connect("127.0.0.1", to)
+                        .handler(new ForwardingHandler(client));
+                Channel target =
+                    targetBootstrap
+                        .connect("127.0.0.1", targetPort)
                         .addListener(done -> client.config().setAutoRead(done.isSuccess()))
                         .channel();
-                client.pipeline().addLast(new Pipe(node));
+                client.pipeline().addLast(new ForwardingHandler(target));
               }
             })
         .bind("127.0.0.1", port)
@@ -53,21 +53,21 @@
         .sync();
   }
 
-  private static final class Pipe extends ChannelInboundHandlerAdapter {
-    private final Channel to;
+  private static final class ForwardingHandler extends ChannelInboundHandlerAdapter {
+    private final Channel target;
 
-    Pipe(Channel to) {
-      this.to = to;
+    ForwardingHandler(Channel target) {
+      this.target = target;
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object in) {
-      to.writeAndFlush(in);
+    public void channelRead(ChannelHandlerContext context, Object message) {
+      target.writeAndFlush(message);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      to.close();
+      target.close();
     }
 
     @Override
--- a/lab/src/main/java/basaltlever/lab/virtual/VirtualRouter.java
+++ b/lab/src/main/java/basaltlever/lab/virtual/VirtualRouter.java
@@ -8,10 +8,10 @@
 import basaltlever.gateway.RejectReason;
 import basaltlever.gateway.Role;
 import basaltlever.gateway.StatementRequest;
-import basaltlever.lab.load.Front;
-import basaltlever.lab.world.Ask;
+import basaltlever.lab.load.StatementTransport;
 import basaltlever.lab.world.Server;
-import basaltlever.lab.world.World;
+import basaltlever.lab.world.SimulatedCluster;
+import basaltlever.lab.world.Statement;
 import basaltlever.switchover.PlannedSwitchover;
 import basaltlever.switchover.SwitchoverAnnouncement;
 import basaltlever.time.Moment;
@@ -27,71 +27,75 @@
  * time.
  */
 final class VirtualRouter implements Effects<String> {
-  private static final Span OPENING = Span.ofMillis(0.4);
-  private static final Span READS = Span.ofMillis(1_000);
+  private static final Span CONNECT_TIME = Span.ofMillis(0.4);
+  private static final Span ANNOUNCEMENT_READ_INTERVAL = Span.ofMillis(1_000);
   private static final Span POLL_TIMEOUT = Span.ofMillis(250);
   private final int number;
-  private final World world;
+  private final SimulatedCluster world;
   private final SplittableRandom chance;
   private final Map<String, Server> servers = new HashMap<>();
-  private final Map<Long, Taken> taken = new HashMap<>();
+  private final Map<Long, PendingStatement> statements = new HashMap<>();
   private final Bug bug;
-  private final java.util.Set<String> wasPrimary = new java.util.HashSet<>();
-  private boolean onlyOne;
-  private int answers;
-  private int reads;
+  private final java.util.Set<String> formerPrimaries = new java.util.HashSet<>();
+  private boolean duplicatesForbidden;
+  private int answerCount;
+  private int announcementReads;
   private final StatementRouter<String> core;
-  private long tickets;
+  private long lastTicket;
 
   /** What the core wants is done after it has decided, as on sockets. */
-  private final List<Runnable> acts = new ArrayList<>();
-
-  private static final class Taken {
-    final Ask ask;
-    final Front.Told told;
-    final Moment leaves;
-    final List<Out> out = new ArrayList<>(1);
-    int open;
+  private final List<Runnable> pendingEffects = new ArrayList<>();
+
+  private static final class PendingStatement {
+    final Statement ask;
+    final StatementTransport.ResponseListener callback;
+    final Moment deadline;
+    final List<Attempt> attempts = new ArrayList<>(1);
+    int openAttempts;
     boolean answered;
-    boolean mute;
+    boolean answerDropped;
 
-    Taken(Ask ask, Front.Told told, Moment leaves) {
+    PendingStatement(Statement ask, StatementTransport.ResponseListener callback, Moment deadline) {
       this.ask = ask;
-      this.told = told;
-      this.leaves = leaves;
+      this.callback = callback;
+      this.deadline = deadline;
     }
   }
 
-  private static final class Out {
-    boolean over;
-    Runnable takeBack = () -> {};
+  private static final class Attempt {
+    boolean ended;
+    Runnable cancelOnServer = () -> {};
   }
 
-  VirtualRouter(int number, World world, StartValues values, boolean tellsChanges, Bug bug) {
+  VirtualRouter(
+      int number, SimulatedCluster world, StartValues values, boolean readsAnnouncements, Bug bug) {
     this.bug = bug;
     this.number = number;
     this.world = world;
-    chance = world.chance.split();
+    chance = world.random.split();
     world.servers().forEach(server -> servers.put(server.id, server));
     core = new StatementRouter<>(this, values.loadBalancerFactory(chance.nextLong(), world.now()));
-    world.onListChange(() -> world.time().after(hop().times(20), this::list));
-    turn(() -> core.onTimerFired(world.now()));
-    if (tellsChanges) {
-      world.time().after(READS.times(chance.nextDouble()), this::readTables);
+    world.addListChangeListener(
+        () -> world.scheduler().runAfter(networkDelay().times(20), this::deliverEndpointList));
+    processInput(() -> core.onTimerFired(world.now()));
+    if (readsAnnouncements) {
+      world
+          .scheduler()
+          .runAfter(ANNOUNCEMENT_READ_INTERVAL.times(chance.nextDouble()), this::readAnnouncements);
     }
   }
 
   /** Other settings, as after a reload. */
-  void agree(StartValues values, boolean oneOut) {
-    onlyOne = oneOut;
-    for (Map.Entry<Long, Taken> entry : Map.copyOf(taken).entrySet()) {
-      Taken of = entry.getValue();
-      of.mute |= bug == Bug.SWITCH_FORGETS;
-      for (int i = 0; bug == Bug.SWITCH_REPEATS && i < of.out.size(); i++) {
-        ends(
+  void applySettings(StartValues values, boolean forbidsDuplicates) {
+    duplicatesForbidden = forbidsDuplicates;
+    for (Map.Entry<Long, PendingStatement> entry : Map.copyOf(statements).entrySet()) {
+      PendingStatement statement = entry.getValue();
+      statement.answerDropped |= bug == Bug.SWITCH_FORGETS;
+      for (int i = 0; bug == Bug.SWITCH_REPEATS && i < statement.attempts.size(); i++) {
+        endAttempt(
             entry.getKey(),
-            of,
-            of.out.get(i),
+            statement,
+            statement.attempts.get(i),
             i,
             AttemptOutcome.NO_CONNECTION,
             Role.UNKNOWN,
@@ -99,41 +103,41 @@
             null);
       }
     }
-    turn(() -> core.applySettings(world.now(), values.settingsUpdate(world.now())));
+    processInput(() -> core.applySettings(world.now(), values.settingsUpdate(world.now())));
   }
 
-  private Span hop() {
+  private Span networkDelay() {
     return Span.ofMillis(0.15 + 0.3 * chance.nextDouble());
   }
 
-  private void turn(Runnable input) {
+  private void processInput(Runnable input) {
     input.run();
-    while (!acts.isEmpty()) {
-      List<Runnable> due = new ArrayList<>(acts);
-      acts.clear();
-      due.forEach(Runnable::run);
+    while (!pendingEffects.isEmpty()) {
+      List<Runnable> effects = new ArrayList<>(pendingEffects);
+      pendingEffects.clear();
+      effects.forEach(Runnable::run);
     }
   }
 
-  private void list() {
-    turn(
+  private void deliverEndpointList() {
+    processInput(
         () -> {
           Moment now = world.now();
           core.onListStarted();
           for (Server server : world.servers()) {
-            server.drainWasTold(number, now);
+            server.onListReceived(number, now);
             core.onEndpointListed(
                 now,
                 server.id,
-                server.listed().equals("in_service") || bug == Bug.IGNORES_DRAINS
+                server.listedState().equals("in_service") || bug == Bug.IGNORES_DRAINS
                     ? EndpointLifecycle.READY
                     : EndpointLifecycle.DRAINING,
                 server.group().number,
                 0,
                 1,
-                server.startedMillis() == 0
+                server.startedAtMillis() == 0
                     ? Moment.LONG_AGO
-                    : new Moment(server.startedMillis() * 1_000));
+                    : new Moment(server.startedAtMillis() * 1_000));
           }
           core.onListFinished(now, true, true);
         });
@@ -141,84 +145,88 @@
 
   // ---- Clients.
 
-  void ask(Ask ask, Front.Told told) {
-    long ticket = ++tickets;
-    taken.put(ticket, new Taken(ask, told, ask.leaves));
-    turn(
+  void onStatementReceived(Statement ask, StatementTransport.ResponseListener callback) {
+    long ticket = ++lastTicket;
+    statements.put(ticket, new PendingStatement(ask, callback, ask.deadline));
+    processInput(
         () ->
             core.onStatementReceived(
                 world.now(),
                 ticket,
                 new StatementRequest(
-                    ask.kind.number(),
+                    ask.workload.index(),
                     ask.group,
                     ask.session + 1,
-                    ask.leaves,
-                    ask.after == 0 ? Moment.LONG_AGO : new Moment(ask.after * 1_000),
+                    ask.deadline,
+                    ask.requiredCommitMillis == 0
+                        ? Moment.LONG_AGO
+                        : new Moment(ask.requiredCommitMillis * 1_000),
                     100)));
   }
 
-  void leave(Ask ask) {
-    for (Map.Entry<Long, Taken> entry : Map.copyOf(taken).entrySet()) {
+  void onClientDisconnected(Statement ask) {
+    for (Map.Entry<Long, PendingStatement> entry : Map.copyOf(statements).entrySet()) {
       if (entry.getValue().ask == ask) {
         entry.getValue().answered = true;
-        turn(() -> core.onClientDisconnected(world.now(), entry.getKey()));
-        forget(entry.getKey(), entry.getValue());
+        processInput(() -> core.onClientDisconnected(world.now(), entry.getKey()));
+        removeIfFinished(entry.getKey(), entry.getValue());
       }
     }
   }
 
-  private void forget(long ticket, Taken of) {
-    if (of.answered && of.open == 0) {
-      taken.remove(ticket);
+  private void removeIfFinished(long ticket, PendingStatement statement) {
+    if (statement.answered && statement.openAttempts == 0) {
+      statements.remove(ticket);
     }
   }
 
-  private void answer(long ticket, java.util.function.Consumer<Front.Told> what) {
-    Taken of = taken.get(ticket);
-    if (of != null && !of.answered) {
-      of.answered = true;
+  private void deliverAnswer(
+      long ticket, java.util.function.Consumer<StatementTransport.ResponseListener> delivery) {
+    PendingStatement statement = statements.get(ticket);
+    if (statement != null && !statement.answered) {
+      statement.answered = true;
       world
-          .time()
-          .after(
-              hop(),
+          .scheduler()
+          .runAfter(
+              networkDelay(),
               () -> {
-                if (of.mute
-                    || of.ask.isLeft()
-                    || (++answers % 100 == 0 && bug == Bug.DROPS_ANSWERS)) {
+                if (statement.answerDropped
+                    || statement.ask.isAbandoned()
+                    || (++answerCount % 100 == 0 && bug == Bug.DROPS_ANSWERS)) {
                   return;
                 }
-                what.accept(of.told);
-                if (answers % 100 == 0 && bug == Bug.ANSWERS_TWICE) {
-                  what.accept(of.told);
+                delivery.accept(statement.callback);
+                if (answerCount % 100 == 0 && bug == Bug.ANSWERS_TWICE) {
+                  delivery.accept(statement.callback);
                 }
               });
-      forget(ticket, of);
+      removeIfFinished(ticket, statement);
     }
   }
 
   // ---- What the decisions want.
 
   @Override
-  public void startAttempt(long ticket, int execution, String node, Span timeout, Moment sendBy) {
-    Taken of = taken.get(ticket);
-    Out out = new Out();
-    of.out.add(out);
-    of.open++;
-    if (onlyOne && of.open > 1) {
-      world.ledger.copied(of.ask);
+  public void startAttempt(
+      long ticket, int attemptNumber, String endpoint, Span timeout, Moment sendBy) {
+    PendingStatement statement = statements.get(ticket);
+    Attempt attempt = new Attempt();
+    statement.attempts.add(attempt);
+    statement.openAttempts++;
+    if (duplicatesForbidden && statement.openAttempts > 1) {
+      world.checker.onParallelAttempt(statement.ask);
     }
-    Server server = servers.get(node);
-    Span left = of.leaves.since(world.now());
-    Span limit = timeout.micros() == 0 ? left : timeout.shorter(left);
-    acts.add(
+    Server server = servers.get(endpoint);
+    Span remaining = statement.deadline.since(world.now());
+    Span limit = timeout.micros() == 0 ? remaining : timeout.shorter(remaining);
+    pendingEffects.add(
         () -> {
-          if (of.answered || limit.micros() <= 0) {
-            ends(
+          if (statement.answered || limit.micros() <= 0) {
+            endAttempt(
                 ticket,
-                of,
-                out,
-                execution,
+                statement,
+                attempt,
+                attemptNumber,
                 AttemptOutcome.NEVER_SENT,
                 Role.UNKNOWN,
                 Moment.LONG_AGO,
@@ -226,71 +234,76 @@
             return;
           }
           world
-              .time()
-              .after(
+              .scheduler()
+              .runAfter(
                   limit,
                   () -> {
-                    out.takeBack.run();
-                    ends(
+                    attempt.cancelOnServer.run();
+                    endAttempt(
                         ticket,
-                        of,
-                        out,
-                        execution,
+                        statement,
+                        attempt,
+                        attemptNumber,
                         AttemptOutcome.TIMED_OUT,
                         Role.UNKNOWN,
                         Moment.LONG_AGO,
                         null);
                   });
-          world.time().after(hop().plus(OPENING), () -> reach(ticket, of, out, execution, server));
+          world
+              .scheduler()
+              .runAfter(
+                  networkDelay().plus(CONNECT_TIME),
+                  () -> executeOnServer(ticket, statement, attempt, attemptNumber, server));
         });
   }
 
-  private void reach(long ticket, Taken of, Out out, int execution, Server server) {
-    if (out.over || world.isCut(number, server)) {
+  private void executeOnServer(
+      long ticket, PendingStatement statement, Attempt attempt, int attemptNumber, Server server) {
+    if (attempt.ended || world.isCut(number, server)) {
       return;
     }
     if (!server.isUp() || (server.isRefusing() && chance.nextInt(4) == 0)) {
       // Most have a connection that is open.
       world
-          .time()
-          .after(
-              hop(),
+          .scheduler()
+          .runAfter(
+              networkDelay(),
               () ->
-                  ends(
+                  endAttempt(
                       ticket,
-                      of,
-                      out,
-                      execution,
+                      statement,
+                      attempt,
+                      attemptNumber,
                       AttemptOutcome.NO_CONNECTION,
                       Role.UNKNOWN,
                       Moment.LONG_AGO,
                       null));
       return;
     }
-    int life = server.life();
-    out.takeBack =
-        server.ask(
-            of.ask,
+    int initialLife = server.incarnation();
+    attempt.cancelOnServer =
+        server.execute(
+            statement.ask,
             new Server.Reply() {
               @Override
-              public void answer(String code, String value, boolean primary, long position) {
+              public void sendAnswer(String code, String value, boolean primary, long position) {
                 if (!world.isCut(number, server)) {
                   AttemptOutcome outcome =
                       code == null
                           ? value == null ? AttemptOutcome.UNKNOWN : AttemptOutcome.COMPLETED
                           : code.equals("53300") ? AttemptOutcome.FULL : AttemptOutcome.MISS;
                   world
-                      .time()
-                      .after(
-                          hop(),
+                      .scheduler()
+                      .runAfter(
+                          networkDelay(),
                           () ->
-                              ends(
+                              endAttempt(
                                   ticket,
-                                  of,
-                                  out,
-                                  execution,
+                                  statement,
+                                  attempt,
+                                  attemptNumber,
                                   outcome,
-                                  primary || wasPrimary.contains(server.id)
+                                  primary || formerPrimaries.contains(server.id)
                                       ? Role.PRIMARY
                                       : Role.REPLICA,
                                   position == 0 ? Moment.LONG_AGO : new Moment(position * 1_000),
@@ -299,38 +312,38 @@
               }
 
               @Override
-              public void breaks() {
+              public void breakConnection() {
                 world
-                    .time()
-                    .after(
-                        hop(),
+                    .scheduler()
+                    .runAfter(
+                        networkDelay(),
                         () ->
-                            ends(
+                            endAttempt(
                                 ticket,
-                                of,
-                                out,
-                                execution,
+                                statement,
+                                attempt,
+                                attemptNumber,
                                 AttemptOutcome.RESET,
                                 Role.UNKNOWN,
                                 Moment.LONG_AGO,
                                 null));
               }
             });
-    server.listens(
+    server.addListener(
         new Server.Listener() {
           @Override
-          public void died() {
-            if (!out.over && server.life() == life + 1) {
+          public void onCrashed() {
+            if (!attempt.ended && server.incarnation() == initialLife + 1) {
               world
-                  .time()
-                  .after(
-                      hop(),
+                  .scheduler()
+                  .runAfter(
+                      networkDelay(),
                       () ->
-                          ends(
+                          endAttempt(
                               ticket,
-                              of,
-                              out,
-                              execution,
+                              statement,
+                              attempt,
+                              attemptNumber,
                               AttemptOutcome.RESET,
                               Role.UNKNOWN,
                               Moment.LONG_AGO,
@@ -339,51 +352,52 @@
           }
 
           @Override
-          public boolean isOver() {
-            return out.over;
+          public boolean isFinished() {
+            return attempt.ended;
           }
         });
   }
 
-  private void ends(
+  private void endAttempt(
       long ticket,
-      Taken of,
-      Out out,
-      int execution,
+      PendingStatement statement,
+      Attempt attempt,
+      int attemptNumber,
       AttemptOutcome outcome,
       Role role,
       Moment position,
       String value) {
-    if (out.over) {
+    if (attempt.ended) {
       return;
     }
-    out.over = true;
-    of.open--;
-    AttemptOutcome heard =
+    attempt.ended = true;
+    statement.openAttempts--;
+    AttemptOutcome reportedOutcome =
         outcome == AttemptOutcome.RESET && bug == Bug.RESET_PROVES_NOT_RUN
             ? AttemptOutcome.NEVER_SENT
             : outcome;
-    turn(
+    processInput(
         () -> {
-          if (core.onAttemptEnded(world.now(), ticket, execution, heard, role, position, false)) {
-            answer(ticket, told -> told.completed(value));
+          if (core.onAttemptEnded(
+              world.now(), ticket, attemptNumber, reportedOutcome, role, position, false)) {
+            deliverAnswer(ticket, callback -> callback.onCompleted(value));
           }
         });
-    forget(ticket, of);
+    removeIfFinished(ticket, statement);
   }
 
   @Override
-  public void cancel(long ticket, int execution) {
-    Taken of = taken.get(ticket);
-    Out out = of.out.get(execution);
-    acts.add(
+  public void cancel(long ticket, int attemptNumber) {
+    PendingStatement statement = statements.get(ticket);
+    Attempt attempt = statement.attempts.get(attemptNumber);
+    pendingEffects.add(
         () -> {
-          out.takeBack.run();
-          ends(
+          attempt.cancelOnServer.run();
+          endAttempt(
               ticket,
-              of,
-              out,
-              execution,
+              statement,
+              attempt,
+              attemptNumber,
               AttemptOutcome.CANCELLED,
               Role.UNKNOWN,
               Moment.LONG_AGO,
@@ -392,70 +406,72 @@
   }
 
   @Override
-  public void reject(long ticket, Span comeBackAfter, RejectReason reason) {
-    acts.add(() -> answer(ticket, told -> told.rejected(comeBackAfter)));
+  public void reject(long ticket, Span retryAfter, RejectReason reason) {
+    pendingEffects.add(() -> deliverAnswer(ticket, callback -> callback.onRejected(retryAfter)));
   }
 
   @Override
   public void abort(long ticket) {
-    acts.add(() -> answer(ticket, Front.Told::aborted));
+    pendingEffects.add(() -> deliverAnswer(ticket, StatementTransport.ResponseListener::onAborted));
   }
 
   @Override
-  public void poll(String node) {
-    Server server = servers.get(node);
-    polls++;
-    boolean[] over = new boolean[1];
+  public void poll(String endpoint) {
+    Server server = servers.get(endpoint);
+    pollCount++;
+    boolean[] ended = new boolean[1];
     world
-        .time()
-        .after(
+        .scheduler()
+        .runAfter(
             POLL_TIMEOUT,
-            () -> polled(over, node, AttemptOutcome.TIMED_OUT, Role.UNKNOWN, Moment.LONG_AGO, 0));
+            () ->
+                endPoll(
+                    ended, endpoint, AttemptOutcome.TIMED_OUT, Role.UNKNOWN, Moment.LONG_AGO, 0));
     world
-        .time()
-        .after(
-            hop(),
+        .scheduler()
+        .runAfter(
+            networkDelay(),
             () -> {
               if (world.isCut(number, server) || server.isHung()) {
                 return;
               }
               boolean up = server.isUp();
-              if (server.saysPrimary() && bug == Bug.OLD_PRIMARY_CLAIMS) {
-                wasPrimary.add(server.id);
+              if (server.claimsPrimary() && bug == Bug.OLD_PRIMARY_CLAIMS) {
+                formerPrimaries.add(server.id);
               }
-              boolean stillClaims = wasPrimary.contains(server.id);
-              Role role = server.saysPrimary() || stillClaims ? Role.PRIMARY : Role.REPLICA;
+              boolean wasPrimary = formerPrimaries.contains(server.id);
+              Role role = server.claimsPrimary() || wasPrimary ? Role.PRIMARY : Role.REPLICA;
               Moment position =
-                  stillClaims
+                  wasPrimary
                       ? world.now()
-                      : new Moment((long) (server.position(world.now()) * 1e6) - 1);
-              double util = server.util();
+                      : new Moment((long) (server.positionSeconds(world.now()) * 1e6) - 1);
+              double utilization = server.utilization();
               world
-                  .time()
-                  .after(
-                      hop(),
+                  .scheduler()
+                  .runAfter(
+                      networkDelay(),
                       () -> {
-                        polled(
-                            over,
-                            node,
+                        endPoll(
+                            ended,
+                            endpoint,
                             up ? AttemptOutcome.COMPLETED : AttemptOutcome.NO_CONNECTION,
                             up ? role : Role.UNKNOWN,
                             up ? position : Moment.LONG_AGO,
-                            util);
+                            utilization);
                       });
             });
   }
 
   /** Every member's table within 3 s, as on sockets. */
-  private void readTables() {
+  private void readAnnouncements() {
     for (Server server : world.servers()) {
-      if ((server.number + reads) % 3 == 0
+      if ((server.number + announcementReads) % 3 == 0
           && server.isUp()
           && !server.isHung()
           && !world.isCut(number, server)) {
-        SwitchoverAnnouncement announcement = server.group().note();
+        SwitchoverAnnouncement announcement = server.group().announcement();
         if (announcement != null) {
-          turn(
+          processInput(
               () ->
                   core.onSwitchoverAnnounced(
                       world.now(),
@@ -467,53 +483,57 @@
         }
       }
     }
-    reads++;
-    world.time().after(READS, this::readTables);
+    announcementReads++;
+    world.scheduler().runAfter(ANNOUNCEMENT_READ_INTERVAL, this::readAnnouncements);
   }
 
-  private void polled(
-      boolean[] over,
-      String node,
+  private void endPoll(
+      boolean[] ended,
+      String endpoint,
       AttemptOutcome outcome,
       Role role,
       Moment position,
-      double util) {
-    if (!over[0]) {
-      over[0] = true;
-      turn(() -> core.onPollEnded(world.now(), node, outcome, role, position, util, Double.NaN));
+      double utilization) {
+    if (!ended[0]) {
+      ended[0] = true;
+      processInput(
+          () ->
+              core.onPollEnded(
+                  world.now(), endpoint, outcome, role, position, utilization, Double.NaN));
     }
   }
 
-  private long polls;
+  private long pollCount;
 
-  long polls() {
-    return polls;
+  long pollCount() {
+    return pollCount;
   }
 
   @Override
-  public void closeIdleConnections(String node) {
+  public void closeIdleConnections(String endpoint) {
     // Connections cost nothing here.
   }
 
   @Override
-  public void onEndpointRemoved(String node) {
+  public void onEndpointRemoved(String endpoint) {
     // Names stay.
   }
 
   @Override
   public void watchEndpointList() {
-    world.time().after(hop().times(4), this::list);
+    world.scheduler().runAfter(networkDelay().times(4), this::deliverEndpointList);
   }
 
   @Override
-  public void setTimer(Span fromNow) {
+  public void setTimer(Span delay) {
     world
-        .time()
-        .after(fromNow.longer(new Span(1)), () -> turn(() -> core.onTimerFired(world.now())));
+        .scheduler()
+        .runAfter(
+            delay.longer(new Span(1)), () -> processInput(() -> core.onTimerFired(world.now())));
   }
 
   @Override
-  public void openConnections(String node, int connections) {
+  public void openConnections(String endpoint, int connections) {
     // As above.
   }
 
@@ -523,7 +543,7 @@
   }
 
   @Override
-  public void onPrimaryChanged(int group, String node, boolean found) {
+  public void onPrimaryChanged(int group, String endpoint, boolean found) {
     // The world knows better.
   }
 }
--- a/lab/src/main/java/basaltlever/lab/virtual/VirtualRun.java
+++ b/lab/src/main/java/basaltlever/lab/virtual/VirtualRun.java
@@ -3,12 +3,12 @@
 import basaltlever.config.InvalidSettingsException;
 import basaltlever.config.StartFile;
 import basaltlever.config.StartValues;
-import basaltlever.lab.load.Front;
-import basaltlever.lab.load.Load;
+import basaltlever.lab.load.LoadGenerator;
+import basaltlever.lab.load.StatementTransport;
 import basaltlever.lab.scenario.Scenario;
-import basaltlever.lab.world.Ask;
-import basaltlever.lab.world.Faults;
-import basaltlever.lab.world.World;
+import basaltlever.lab.world.FaultInjector;
+import basaltlever.lab.world.SimulatedCluster;
+import basaltlever.lab.world.Statement;
 import basaltlever.time.Span;
 import java.util.ArrayList;
 import java.util.List;
@@ -20,14 +20,14 @@
  * same.
  */
 public final class VirtualRun {
-  private static final Span LOOKS = Span.ofMillis(1_000);
-  private static final Span SETTLES = Span.ofMillis(4_000);
+  private static final Span STARTUP_DURATION = Span.ofMillis(1_000);
+  private static final Span COMPLETION_TIME = Span.ofMillis(4_000);
   private final Scenario scenario;
-  private final VirtualTime time = new VirtualTime();
-  private final World world;
-  private final Faults faults;
+  private final VirtualTimeline time = new VirtualTimeline();
+  private final SimulatedCluster world;
+  private final FaultInjector faults;
   private final List<VirtualRouter> routers = new ArrayList<>();
-  private final List<StartValues> shapes;
+  private final List<StartValues> alternatingSettings;
   private int switches;
 
   public VirtualRun(Scenario scenario, long seed) throws InvalidSettingsException {
@@ -38,92 +38,95 @@
     this.scenario = scenario;
     int count = scenario.count("routers");
     world =
-        new World(
+        new SimulatedCluster(
             time,
             new SplittableRandom(seed),
             scenario.span("grace_ms"),
-            LOOKS,
-            scenario.replicasCheck,
+            STARTUP_DURATION,
+            scenario.replicasRefuseStaleReads,
             scenario.count("groups"),
             scenario.count("members"),
             scenario.count("cores"),
             count);
-    world.abrupt(scenario.abrupt);
+    world.setAbruptSwitchovers(scenario.abruptHandover);
     faults =
-        new Faults(
+        new FaultInjector(
             world,
-            scenario.faults,
+            scenario.faultWeights,
             scenario.span("faults_from_ms"),
             scenario.span("faults_to_ms"),
             count);
-    shapes = List.of(values(false), values(true));
+    alternatingSettings = List.of(startValues(false), startValues(true));
     for (int r = 0; r < count; r++) {
-      routers.add(new VirtualRouter(r, world, shapes.get(0), scenario.changes, bug));
+      routers.add(
+          new VirtualRouter(r, world, alternatingSettings.get(0), scenario.usesChangeTable, bug));
     }
-    time.runUntil(time.now().plus(LOOKS));
+    time.runUntil(time.now().plus(STARTUP_DURATION));
   }
 
-  private StartValues values(boolean another) throws InvalidSettingsException {
+  private StartValues startValues(boolean alternative) throws InvalidSettingsException {
     return StartFile.parse(
             "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":"
-                + scenario.settings(another)
+                + scenario.routerSettings(alternative)
                 + "}")
         .startValues();
   }
 
   /** All routers to the other shape, and with the next step back. */
-  private void switchOn(Span every) {
-    time.after(
-        every,
+  private void scheduleSettingsSwitch(Span interval) {
+    time.runAfter(
+        interval,
         () -> {
           switches++;
-          routers.forEach(router -> router.agree(shapes.get(switches % 2), switches % 2 == 1));
-          switchOn(every);
+          routers.forEach(
+              router ->
+                  router.applySettings(alternatingSettings.get(switches % 2), switches % 2 == 1));
+          scheduleSettingsSwitch(interval);
         });
   }
 
-  public World world() {
+  public SimulatedCluster world() {
     return world;
   }
 
-  public Map<String, Object> play() {
-    Span seconds = Span.ofMillis(scenario.number("seconds") * 1_000);
-    Load load =
-        new Load(
+  public Map<String, Object> runScenario() {
+    Span duration = Span.ofMillis(scenario.number("seconds") * 1_000);
+    LoadGenerator load =
+        new LoadGenerator(
             world,
-            new Front() {
+            new StatementTransport() {
               @Override
-              public void ask(Ask ask, Told told) {
-                routers.get(ask.router).ask(ask, told);
+              public void submit(Statement ask, ResponseListener callback) {
+                routers.get(ask.router).onStatementReceived(ask, callback);
               }
 
               @Override
-              public void leave(Ask ask) {
-                routers.get(ask.router).leave(ask);
+              public void abandon(Statement ask) {
+                routers.get(ask.router).onClientDisconnected(ask);
               }
             },
             faults,
-            scenario.loaded(),
+            scenario.scaledWorkloads(),
             routers.size());
-    load.runFor(seconds);
+    load.runFor(duration);
     if (scenario.number("switch_ms") > 0) {
-      switchOn(scenario.span("switch_ms"));
+      scheduleSettingsSwitch(scenario.span("switch_ms"));
     }
-    faults.runFor(seconds.minus(Span.ofMillis(500)));
-    if (scenario.allAtOnce != null) {
-      time.after(
+    faults.runFor(duration.minus(Span.ofMillis(500)));
+    if (scenario.simultaneousFault != null) {
+      time.runAfter(
           scenario.span("all_at_once_s").times(1_000),
-          () -> faults.all(scenario.allAtOnce, scenario.number("all_share")));
+          () -> faults.injectIntoGroups(scenario.simultaneousFault, scenario.number("all_share")));
     }
-    time.runUntil(time.now().plus(seconds).plus(SETTLES));
-    Map<String, Object> figures = world.ledger.figures();
-    figures.put("faults", faults.done());
+    time.runUntil(time.now().plus(duration).plus(COMPLETION_TIME));
+    Map<String, Object> figures = world.checker.figures();
+    figures.put("faults", faults.injectionCounts());
     figures.put("switches", switches);
-    figures.put("promotion_ms", world.promotionMillis());
-    if (scenario.allAtOnce != null) {
-      figures.put("recovered_95_s", world.series().recovery(scenario.number("seconds")));
+    figures.put("promotion_ms", world.meanPromotionMillis());
+    if (scenario.simultaneousFault != null) {
+      figures.put("recovered_95_s", world.timeSeries().recoverySeconds(scenario.number("seconds")));
     }
-    figures.put("polls", routers.stream().mapToLong(VirtualRouter::polls).sum());
+    figures.put("polls", routers.stream().mapToLong(VirtualRouter::pollCount).sum());
     return figures;
   }
 }
--- /dev/null
+++ b/lab/src/main/java/basaltlever/lab/world/HistoryChecker.java
@@ -0,0 +1,388 @@
+package basaltlever.lab.world;
+
+import basaltlever.lab.world.Statement.Execution;
+import basaltlever.lab.world.Statement.Outcome;
+import basaltlever.time.Moment;
+import basaltlever.time.Span;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+import org.HdrHistogram.Histogram;
+
+/**
+ * What really happened, written by the servers and the clients as it happens. It judges; no router
+ * is asked. The properties are those of the five rules, as far as they can be seen from outside.
+ */
+public final class HistoryChecker {
+  /**
+   * What an answer may take beyond its client's patience before it is late: a busy machine's own
+   * delays.
+   */
+  private static final Span LATENESS_TOLERANCE = Span.ofMillis(70);
+
+  private static final int MAX_FINDINGS = 20;
+
+  /** Longer than any statement is waited for. */
+  private static final Span STALL_RETENTION = Span.ofMillis(20_000);
+
+  private static final int MAX_RECORDED_REPEATS = 1_000_000;
+
+  private final Span drainGrace;
+
+  /** What is due before is judged by the rules, but not timed: runtimes begin slowly. */
+  private final Moment measureFrom;
+
+  private final Map<String, Integer> effectCounts = new HashMap<>();
+
+  /** When a member of a group was last lost, or a connection to one. */
+  private final Map<Integer, Moment> lastDisruptions = new HashMap<>();
+
+  private final Map<String, Statement> openStatements = new HashMap<>();
+  private final Map<String, Integer> counts = new LinkedHashMap<>();
+  private final Histogram latencies = new Histogram(60_000_000L, 3);
+  private final Map<String, Histogram> latenciesByWorkload = new LinkedHashMap<>();
+  private final List<String> findings = new ArrayList<>();
+
+  /** When executions of statements reached a server that were not their first. */
+  private final List<Moment> repeatArrivals = new ArrayList<>();
+
+  /** Up to when a statement's router was stopped during its time: nobody can answer then. */
+  private Function<Statement, Moment> routerStopEnd = statement -> Moment.LONG_AGO;
+
+  /** When this ledger's own process was held up: it can't tell then who was late. */
+  private final ArrayDeque<Moment[]> stalls = new ArrayDeque<>();
+
+  private Span longestStall = Span.NONE;
+  private final TimeSeries timeSeries;
+  private Span longestWrite = Span.NONE;
+  private Span longestDrainDelay = Span.NONE;
+
+  /** Null where routers agree on nothing. */
+  private Span fleetAgreementBound;
+
+  public HistoryChecker(Span drainGrace, Moment measureFrom, TimeSeries timeSeries) {
+    this.measureFrom = measureFrom;
+    this.drainGrace = drainGrace;
+    this.timeSeries = timeSeries;
+    for (String name :
+        List.of(
+            "statements",
+            "completed",
+            "rejected",
+            "aborted",
+            "left",
+            "unanswered",
+            "lost",
+            "doubled",
+            "rejected_ran",
+            "aborts_unjustified",
+            "stale",
+            "late_to_draining",
+            "cold_toppled",
+            "copied",
+            "drained_beyond",
+            "two_groups",
+            "answered_late",
+            "at_stopped",
+            "late_after_stop",
+            "at_late_judge",
+            "in_time")) {
+      counts.put(name, 0);
+    }
+  }
+
+  private void increment(String figure) {
+    counts.merge(figure, 1, Integer::sum);
+  }
+
+  private void recordViolation(String figure, String description) {
+    increment(figure);
+    if (findings.size() < MAX_FINDINGS) {
+      findings.add(figure + ": " + description);
+    }
+  }
+
+  // ---- What servers write.
+
+  /** Null where no client asked for it, or not any more. */
+  public Statement findStatement(String id) {
+    return openStatements.get(id);
+  }
+
+  Execution onArrival(
+      Statement statement,
+      Server server,
+      Moment now,
+      Moment drainNoticeTime,
+      Moment[] allDrainNoticeTimes) {
+    Execution execution = new Execution(statement, statement.executions.size(), server, now);
+    statement.executions.add(execution);
+    if (execution.number > 0 && repeatArrivals.size() < MAX_RECORDED_REPEATS) {
+      repeatArrivals.add(now);
+    }
+    timeSeries.onExecution(server, now);
+    if (now.since(drainNoticeTime).isLongerThan(drainGrace)) {
+      recordViolation(
+          "late_to_draining",
+          statement.id
+              + " reached "
+              + server.id
+              + " "
+              + now.since(drainNoticeTime).micros() / 1_000
+              + " ms after its drain was told");
+    }
+    // Of all routers: most have been told by then.
+    Moment[] sorted = allDrainNoticeTimes.clone();
+    Arrays.sort(sorted, Comparator.comparingLong(Moment::micros));
+    Span delay = now.since(sorted[sorted.length / 2]);
+    if (delay.micros() > 0) {
+      longestDrainDelay = longestDrainDelay.longer(delay);
+      if (fleetAgreementBound != null && delay.isLongerThan(fleetAgreementBound)) {
+        recordViolation(
+            "drained_beyond",
+            statement.id
+                + " of router "
+                + statement.router
+                + " reached "
+                + server.id
+                + " "
+                + delay.micros() / 1_000
+                + " ms after most routers were told of its drain");
+      }
+    }
+    return execution;
+  }
+
+  void onTwoGroupsServed(Statement statement, Server server) {
+    recordViolation(
+        "two_groups",
+        statement.id
+            + " of router "
+            + statement.router
+            + " reached "
+            + server.id
+            + " for group "
+            + statement.group
+            + " beside another's");
+  }
+
+  /** Routers are held to know within so long what most were told; judged only from here on. */
+  public void setFleetAgreementBound(Span span) {
+    fleetAgreementBound = span;
+  }
+
+  void onEffect(Execution execution) {
+    execution.tookEffect = true;
+    int earlierEffects =
+        effectCounts.merge(execution.statement.idempotencyKey, 1, Integer::sum) - 1;
+    if (earlierEffects > 0) {
+      recordViolation(
+          "doubled",
+          execution.statement.idempotencyKey
+              + " took effect again, at "
+              + execution.server.id
+              + " for "
+              + execution.statement.id);
+    }
+    if (execution.statement.outcome == Outcome.REJECTED) {
+      recordViolation(
+          "rejected_ran",
+          execution.statement.id
+              + " took effect at "
+              + execution.server.id
+              + " after it was rejected");
+    }
+  }
+
+  public void onParallelAttempt(Statement statement) {
+    recordViolation("copied", statement.id + " was out twice where that is not allowed");
+  }
+
+  void onDisruption(ReplicaGroup group, Moment now) {
+    lastDisruptions.put(group.number, now);
+  }
+
+  void onColdOverload(Server server) {
+    recordViolation("cold_toppled", server.id + " got more than a cold node can bear");
+  }
+
+  private boolean isMeasured(Statement statement) {
+    return !statement.dueAt.isBefore(measureFrom);
+  }
+
+  // ---- What clients write.
+
+  public void onStatementStarted(Statement statement) {
+    if (isMeasured(statement)) {
+      increment("statements");
+    }
+    openStatements.put(statement.id, statement);
+    timeSeries.onStatementStarted(statement.dueAt);
+  }
+
+  /** The value is what its client was given, null where none. */
+  public void onStatementEnded(Statement statement, Outcome outcome, Moment now, String value) {
+    if (!statement.isOpen()) {
+      recordViolation("lost", statement.id + " was answered twice");
+      return;
+    }
+    statement.outcome = outcome;
+    timeSeries.onStatementEnded(statement, now);
+    Span latency = now.since(statement.dueAt);
+    if (isMeasured(statement)) {
+      recordTiming(statement, outcome, now, latency);
+    }
+    switch (outcome) {
+      case COMPLETED -> checkResult(statement, value);
+      case REJECTED -> {
+        if (statement.executions.stream().anyMatch(execution -> execution.tookEffect)) {
+          recordViolation("rejected_ran", statement.id + " took effect and was rejected");
+        }
+      }
+      case ABORTED -> {
+        // What was written to a node that was lost in the same moment reached nobody, or its answer
+        // did not.
+        boolean disrupted =
+            !lastDisruptions
+                .getOrDefault(statement.group, Moment.LONG_AGO)
+                .isBefore(statement.dueAt);
+        if (!disrupted
+            && statement.executions.stream().allMatch(execution -> execution.reportedNotRun)) {
+          recordViolation(
+              "aborts_unjustified",
+              statement.id + " was aborted, though nothing of it can have run");
+        }
+      }
+      default -> {}
+    }
+  }
+
+  private void recordTiming(Statement statement, Outcome outcome, Moment now, Span latency) {
+    boolean late =
+        outcome != Outcome.UNANSWERED
+            && outcome != Outcome.LEFT
+            && now.isAfter(statement.deadline.plus(LATENESS_TOLERANCE));
+    if ((late || outcome == Outcome.UNANSWERED)
+        && stalls.stream()
+            .anyMatch(span -> !span[1].isBefore(statement.dueAt) && !span[0].isAfter(now))) {
+      increment("at_late_judge");
+      return;
+    }
+    Moment stopEnd =
+        late || outcome == Outcome.UNANSWERED ? routerStopEnd.apply(statement) : Moment.LONG_AGO;
+    if (stopEnd.isAfter(statement.dueAt)) {
+      increment("at_stopped");
+      if (outcome == Outcome.UNANSWERED
+          ? stopEnd.isBefore(statement.deadline)
+          : now.isAfter(stopEnd.later(statement.deadline).plus(LATENESS_TOLERANCE))) {
+        recordViolation(
+            "late_after_stop",
+            statement.id
+                + " of router "
+                + statement.router
+                + " "
+                + now.since(stopEnd).micros() / 1_000
+                + " ms after its router went on");
+      }
+      return;
+    }
+    increment(outcome.name().toLowerCase(java.util.Locale.ROOT));
+    if (late) {
+      recordViolation("answered_late", statement.id + " after " + latency.micros() / 1_000 + " ms");
+    }
+    if (outcome == Outcome.UNANSWERED) {
+      findings.add(
+          "unanswered: "
+              + statement.id
+              + " "
+              + statement.workload.name()
+              + " of router "
+              + statement.router);
+    } else if (statement.workload.isWrite() && outcome != Outcome.LEFT) {
+      longestWrite = longestWrite.longer(latency);
+    }
+    if (outcome == Outcome.COMPLETED) {
+      latencies.recordValue(Math.max(1, latency.micros()));
+      latenciesByWorkload
+          .computeIfAbsent(statement.workload.name(), name -> new Histogram(60_000_000L, 3))
+          .recordValue(Math.max(1, latency.micros()));
+      if (!latency.isLongerThan(statement.workload.slo())) {
+        increment("in_time");
+      }
+    }
+  }
+
+  private void checkResult(Statement statement, String value) {
+    for (Execution execution : statement.executions) {
+      if (execution.resultValue().equals(value)) {
+        if (!execution.completed || (statement.workload.isWrite() && !execution.tookEffect)) {
+          recordViolation("lost", statement.id + " completed without an effect");
+        } else if (execution.stale) {
+          recordViolation("stale", statement.id + " at " + execution.server.id);
+        }
+        return;
+      }
+    }
+    recordViolation("lost", statement.id + " completed with what no server made for it: " + value);
+  }
+
+  /** Late effects still count against it; long after, nothing of it can come any more. */
+  public void removeStatement(Statement statement) {
+    openStatements.remove(statement.id);
+  }
+
+  // ---- The verdict.
+
+  public List<String> findings() {
+    return findings;
+  }
+
+  public Map<String, Object> figures() {
+    Map<String, Object> figures = new LinkedHashMap<>(counts);
+    figures.put("p50_ms", latencies.getValueAtPercentile(50) / 1e3);
+    figures.put("p99_ms", latencies.getValueAtPercentile(99) / 1e3);
+    figures.put("p999_ms", latencies.getValueAtPercentile(99.9) / 1e3);
+    latenciesByWorkload.forEach(
+        (name, histogram) -> {
+          figures.put("p50_ms." + name, histogram.getValueAtPercentile(50) / 1e3);
+          figures.put("p99_ms." + name, histogram.getValueAtPercentile(99) / 1e3);
+        });
+    figures.put("judge_late_ms_most", longestStall.micros() / 1e3);
+    figures.put("drain_known_ms_most", longestDrainDelay.micros() / 1e3);
+    figures.put("longest_write_ms", longestWrite.micros() / 1e3);
+    figures.put("write_pause_p99_ms", timeSeries.pausePercentileMillis(99));
+    figures.put("write_pauses", timeSeries.pauseCount());
+    return figures;
+  }
+
+  /**
+   * From here on these count apart: what a stopped process owes is owed by whoever stopped it, up
+   * to some time after it went on. Long ago for those that are not excused.
+   */
+  public void setRouterStopEnd(Function<Statement, Moment> stopEndOf) {
+    routerStopEnd = stopEndOf;
+  }
+
+  /** The loop on which servers and clients run was held up between these; in order of time. */
+  public void onStall(Moment start, Moment end) {
+    longestStall = longestStall.longer(end.since(start));
+    stalls.add(new Moment[] {start, end});
+    while (end.since(stalls.peekFirst()[1]).isLongerThan(STALL_RETENTION)) {
+      stalls.removeFirst();
+    }
+  }
+
+  public List<Moment> repeatArrivals() {
+    return repeatArrivals;
+  }
+
+  public Histogram latencies() {
+    return latencies;
+  }
+}
--- a/lab/src/main/java/basaltlever/lab/world/Timeline.java
+++ b/lab/src/main/java/basaltlever/lab/world/Scheduler.java
@@ -4,12 +4,12 @@
 import basaltlever.time.Span;
 
 /** The clock that stand-ins live by: the machine's own, or one that jumps from act to act. */
-public interface Timeline {
+public interface Scheduler {
   Moment now();
 
-  void at(Moment when, Runnable act);
+  void runAt(Moment time, Runnable action);
 
-  default void after(Span wait, Runnable act) {
-    at(now().plus(wait), act);
+  default void runAfter(Span delay, Runnable action) {
+    runAt(now().plus(delay), action);
   }
 }
--- a/lab/src/main/java/basaltlever/lab/world/Server.java
+++ b/lab/src/main/java/basaltlever/lab/world/Server.java
@@ -1,6 +1,6 @@
 package basaltlever.lab.world;
 
-import basaltlever.lab.world.Ask.Execution;
+import basaltlever.lab.world.Statement.Execution;
 import basaltlever.time.Moment;
 import basaltlever.time.Span;
 import java.util.ArrayDeque;
@@ -20,41 +20,41 @@
     /**
      * The code is null for a row with the value; the position is in Unix milliseconds, 0 for none.
      */
-    void answer(String code, String value, boolean primary, long position);
+    void sendAnswer(String code, String value, boolean primary, long position);
 
     /** The connection breaks off without an answer. */
-    void breaks();
+    void breakConnection();
   }
 
   /** What its connections do, as fronts with sockets hear of it. */
   public interface Listener {
-    void died();
+    void onCrashed();
 
-    default void cameBack() {}
+    default void onAccepting() {}
 
     /** It takes no new connections, and goes on with those it has. */
-    default void refuses() {}
+    default void onRefusing() {}
 
     /** What needs to hear no more is forgotten. */
-    default boolean isOver() {
+    default boolean isFinished() {
       return false;
     }
   }
 
-  private static final String NOT_PRIMARY = "25006";
-  private static final String BEHIND = "72000";
-  private static final String FULL = "53300";
-  private static final int QUEUE_FOR_CORE = 40;
-  private static final Span FALLS_FOR = Span.ofMillis(2_000);
-  private static final double COLD_FROM = 0.3;
-  private static final double FALL_MULTIPLE = 3;
+  private static final String SQLSTATE_NOT_PRIMARY = "25006";
+  private static final String SQLSTATE_BEHIND = "72000";
+  private static final String SQLSTATE_FULL = "53300";
+  private static final int MAX_QUEUED_PER_CORE = 40;
+  private static final Span OVERLOAD_DOWN_TIME = Span.ofMillis(2_000);
+  private static final double INITIAL_WARMTH = 0.3;
+  private static final double OVERLOAD_FACTOR = 3;
 
-  private static final class Work {
+  private static final class Request {
     final Execution execution;
     final Reply reply;
-    boolean dropped;
+    boolean abandoned;
 
-    Work(Execution execution, Reply reply) {
+    Request(Execution execution, Reply reply) {
       this.execution = execution;
       this.reply = reply;
     }
@@ -62,79 +62,79 @@
 
   public final String id;
   public final int number;
-  Shard group;
+  ReplicaGroup group;
 
   /** The group whose statement came last, and how often that was another than before. */
   private int lastGroup;
 
-  private int turns;
-  private int moves;
-  private final World world;
+  private int groupChanges;
+  private int moveCount;
+  private final SimulatedCluster cluster;
   private final int cores;
-  private final ArrayDeque<Work> queue = new ArrayDeque<>();
-  private final List<Work> stuck = new ArrayList<>();
-  private final Set<Work> running = new HashSet<>();
-  private final ArrayDeque<Moment> coldWork = new ArrayDeque<>();
+  private final ArrayDeque<Request> queue = new ArrayDeque<>();
+  private final List<Request> stalled = new ArrayList<>();
+  private final Set<Request> running = new HashSet<>();
+  private final ArrayDeque<Moment> coldArrivals = new ArrayDeque<>();
 
   /** One for each router that can reach it. */
   private final List<Listener> listeners = new ArrayList<>();
 
-  private int forgetsAt = 64;
+  private int listenerCleanupSize = 64;
   private boolean up = true;
   private boolean hung;
   private boolean refusing;
-  private int life;
+  private int incarnation;
 
   /** It says that it is primary, whether or not its group agrees. */
-  boolean claims;
+  boolean claimsPrimary;
 
   boolean refusesWrites;
-  Span lag = Span.NONE;
-  double slow = 1;
-  boolean hangsAtCommit;
-  int breaksAnswers;
-  int spoilsAnswers;
-  String listed = "in_service";
+  Span extraLag = Span.NONE;
+  double slowdown = 1;
+  boolean hangsAtNextCommit;
+  int answersToBreak;
+  int answersToCorrupt;
+  String listedState = "in_service";
   Moment startedAt = Moment.LONG_AGO;
-  private Moment frozenAt = Moment.LONG_AGO;
-  private Moment catchesUpAt = Moment.LONG_AGO;
-  private final Moment[] drainTold;
+  private Moment frozenPosition = Moment.LONG_AGO;
+  private Moment catchUpEnd = Moment.LONG_AGO;
+  private final Moment[] drainNoticeTimes;
 
-  Server(World world, Shard group, int number, int cores, int routers) {
-    this.world = world;
+  Server(SimulatedCluster cluster, ReplicaGroup group, int number, int cores, int routerCount) {
+    this.cluster = cluster;
     this.group = group;
     this.number = number;
     this.cores = cores;
     id = "db-" + number;
-    drainTold = new Moment[routers];
-    java.util.Arrays.fill(drainTold, Moment.NEVER);
+    drainNoticeTimes = new Moment[routerCount];
+    java.util.Arrays.fill(drainNoticeTimes, Moment.NEVER);
   }
 
-  public Shard group() {
+  public ReplicaGroup group() {
     return group;
   }
 
   /** It has the data of both until its routers have let go of it. */
-  void moves(Shard to) {
-    group = to;
-    moves++;
+  void moveTo(ReplicaGroup newGroup) {
+    group = newGroup;
+    moveCount++;
   }
 
-  public void listens(Listener more) {
-    if (listeners.size() >= forgetsAt) {
-      listeners.removeIf(Listener::isOver);
-      forgetsAt = Math.max(64, 2 * listeners.size());
+  public void addListener(Listener listener) {
+    if (listeners.size() >= listenerCleanupSize) {
+      listeners.removeIf(Listener::isFinished);
+      listenerCleanupSize = Math.max(64, 2 * listeners.size());
     }
-    listeners.add(more);
+    listeners.add(listener);
   }
 
   /** Counts its deaths. */
-  public int life() {
-    return life;
+  public int incarnation() {
+    return incarnation;
   }
 
-  public String listed() {
-    return listed;
+  public String listedState() {
+    return listedState;
   }
 
   public boolean isUp() {
@@ -145,207 +145,224 @@
     return hung;
   }
 
-  boolean isSound() {
-    return up && !hung && listed.equals("in_service");
+  boolean isHealthy() {
+    return up && !hung && listedState.equals("in_service");
   }
 
-  public long startedMillis() {
+  public long startedAtMillis() {
     return startedAt.isAfter(Moment.LONG_AGO) ? startedAt.micros() / 1_000 : 0;
   }
 
   // ---- The log.
 
   /** All commits up to here are in its data. */
-  Moment applied(Moment now) {
-    if (group.leader == this && up && !hung) {
+  Moment appliedPosition(Moment now) {
+    if (group.primary == this && up && !hung) {
       return now;
     }
-    Moment told =
-        now.isBefore(catchesUpAt) || !up || hung
-            ? frozenAt
-            : group.aliveUntil(now).earlier(now.minus(world.lag(this)).minus(lag));
-    frozenAt = frozenAt.later(told);
-    return frozenAt;
+    Moment position =
+        now.isBefore(catchUpEnd) || !up || hung
+            ? frozenPosition
+            : group.logEnd(now).earlier(now.minus(cluster.replicationLag(this)).minus(extraLag));
+    frozenPosition = frozenPosition.later(position);
+    return frozenPosition;
   }
 
-  private void freeze(Moment now) {
-    frozenAt = frozenAt.later(applied(now));
+  private void freezePosition(Moment now) {
+    frozenPosition = frozenPosition.later(appliedPosition(now));
   }
 
   /** A primary that has lost its lease stands where it lost it, whatever it still calls itself. */
-  public double position(Moment now) {
-    return applied(now).micros() / 1e6;
+  public double positionSeconds(Moment now) {
+    return appliedPosition(now).micros() / 1e6;
   }
 
-  private long millis(Moment now) {
-    return Math.floorDiv(applied(now).micros(), 1_000L);
+  private long positionMillis(Moment now) {
+    return Math.floorDiv(appliedPosition(now).micros(), 1_000L);
   }
 
-  public double util() {
+  public double utilization() {
     return Math.min(1, running.size() / (double) cores);
   }
 
   /** Read by polls. */
-  public boolean saysPrimary() {
-    return claims;
+  public boolean claimsPrimary() {
+    return claimsPrimary;
   }
 
   // ---- Statements.
 
-  public void drainWasTold(int router, Moment now) {
-    drainTold[router] = listed.equals("in_service") ? Moment.NEVER : drainTold[router].earlier(now);
+  public void onListReceived(int router, Moment now) {
+    drainNoticeTimes[router] =
+        listedState.equals("in_service") ? Moment.NEVER : drainNoticeTimes[router].earlier(now);
   }
 
   /**
    * A statement whose last byte has come. Returns what takes back its waiting work when its client
    * is gone.
    */
-  public Runnable ask(Ask ask, Reply reply) {
-    Moment now = world.now();
-    Work work =
-        new Work(world.ledger.reached(ask, this, now, drainTold[ask.router], drainTold), reply);
-    if (lastGroup != ask.group) {
-      turns += lastGroup == 0 ? 0 : 1;
-      lastGroup = ask.group;
+  public Runnable execute(Statement statement, Reply reply) {
+    Moment now = cluster.now();
+    Request request =
+        new Request(
+            cluster.checker.onArrival(
+                statement, this, now, drainNoticeTimes[statement.router], drainNoticeTimes),
+            reply);
+    if (lastGroup != statement.group) {
+      groupChanges += lastGroup == 0 ? 0 : 1;
+      lastGroup = statement.group;
     }
-    if (turns > moves
+    if (groupChanges > moveCount
         || running.stream()
-            .anyMatch(other -> other.execution.of.group != ask.group && !other.dropped)) {
-      turns = Math.min(turns, moves);
-      world.ledger.servedTwo(ask, this);
+            .anyMatch(
+                other -> other.execution.statement.group != statement.group && !other.abandoned)) {
+      groupChanges = Math.min(groupChanges, moveCount);
+      cluster.checker.onTwoGroupsServed(statement, this);
     }
     if (hung) {
-      stuck.add(work);
+      stalled.add(request);
     } else {
-      admit(work, now);
+      admit(request, now);
     }
     return () -> {
-      work.dropped = true;
-      queue.remove(work);
+      request.abandoned = true;
+      queue.remove(request);
     };
   }
 
-  private void notRun(Work work, String code) {
-    work.execution.toldNotRun = true;
-    work.reply.answer(code, null, claims, 0);
-  }
-
-  private void admit(Work work, Moment now) {
-    Ask ask = work.execution.of;
-    if (ask.kind.isWrite()
-        && (!claims || refusesWrites || group.leader != this || ask.group != group.number)) {
-      notRun(work, NOT_PRIMARY);
-    } else if ((!listed.equals("in_service") && !ask.kind.isWrite())
-        || queue.size() >= QUEUE_FOR_CORE * cores) {
-      notRun(work, FULL);
-    } else if (isBehind(ask, now)) {
-      notRun(work, BEHIND);
+  private void rejectUnexecuted(Request request, String code) {
+    request.execution.reportedNotRun = true;
+    request.reply.sendAnswer(code, null, claimsPrimary, 0);
+  }
+
+  private void admit(Request request, Moment now) {
+    Statement statement = request.execution.statement;
+    if (statement.workload.isWrite()
+        && (!claimsPrimary
+            || refusesWrites
+            || group.primary != this
+            || statement.group != group.number)) {
+      rejectUnexecuted(request, SQLSTATE_NOT_PRIMARY);
+    } else if ((!listedState.equals("in_service") && !statement.workload.isWrite())
+        || queue.size() >= MAX_QUEUED_PER_CORE * cores) {
+      rejectUnexecuted(request, SQLSTATE_FULL);
+    } else if (isBehind(statement, now)) {
+      rejectUnexecuted(request, SQLSTATE_BEHIND);
     } else if (running.size() < cores) {
-      begin(work, now);
+      start(request, now);
     } else {
-      queue.add(work);
+      queue.add(request);
     }
-    if (warmth(now) < 1) {
-      coldWork.add(now);
-      while (now.since(coldWork.peek()).isLongerThan(world.fallWindow)) {
-        coldWork.remove();
+    if (computeWarmth(now) < 1) {
+      coldArrivals.add(now);
+      while (now.since(coldArrivals.peek()).isLongerThan(cluster.overloadWindow)) {
+        coldArrivals.remove();
       }
-      double able = cores * warmth(now) * world.fallWindow.ratioTo(ask.kind.work());
-      if (coldWork.size() > Math.max(3, FALL_MULTIPLE * able)) {
-        world.ledger.toppled(this);
-        die(FALLS_FOR);
+      double capacity =
+          cores
+              * computeWarmth(now)
+              * cluster.overloadWindow.ratioTo(statement.workload.serviceTime());
+      if (coldArrivals.size() > Math.max(3, OVERLOAD_FACTOR * capacity)) {
+        cluster.checker.onColdOverload(this);
+        crash(OVERLOAD_DOWN_TIME);
       }
     }
   }
 
-  private boolean isBehind(Ask ask, Moment now) {
-    if (!world.replicasCheck) {
+  private boolean isBehind(Statement statement, Moment now) {
+    if (!cluster.replicasCheckPosition) {
       return false;
     }
-    Moment has = applied(now);
-    return switch (ask.kind.needs()) {
-      case "session" -> ask.after * 1_000 > has.micros();
-      case "bounded" -> now.since(has).isLongerThan(ask.kind.bound());
-      case "fresh" -> group.leader != this || ask.group != group.number;
+    Moment position = appliedPosition(now);
+    return switch (statement.workload.consistency()) {
+      case "session" -> statement.requiredCommitMillis * 1_000 > position.micros();
+      case "bounded" -> now.since(position).isLongerThan(statement.workload.stalenessBound());
+      case "fresh" -> group.primary != this || statement.group != group.number;
       default -> false;
     };
   }
 
   /** From the cold share up to 1. */
-  private double warmth(Moment now) {
+  private double computeWarmth(Moment now) {
     Span age = now.since(startedAt);
-    return age.isShorterThan(world.warmAfter)
-        ? COLD_FROM + (1 - COLD_FROM) * Math.max(0, age.ratioTo(world.warmAfter))
+    return age.isShorterThan(cluster.warmUpTime)
+        ? INITIAL_WARMTH + (1 - INITIAL_WARMTH) * Math.max(0, age.ratioTo(cluster.warmUpTime))
         : 1;
   }
 
-  private void begin(Work work, Moment now) {
-    running.add(work);
-    Moment has = applied(now);
-    int began = life;
-    Span takes = work.execution.of.kind.work().times(world.spread() * slow / warmth(now));
-    world.time.after(
-        takes,
+  private void start(Request request, Moment now) {
+    running.add(request);
+    Moment position = appliedPosition(now);
+    int startIncarnation = incarnation;
+    Span duration =
+        request
+            .execution
+            .statement
+            .workload
+            .serviceTime()
+            .times(cluster.drawServiceTimeFactor() * slowdown / computeWarmth(now));
+    cluster.scheduler.runAfter(
+        duration,
         () -> {
-          if (life == began && running.contains(work)) {
+          if (incarnation == startIncarnation && running.contains(request)) {
             if (hung) {
-              running.remove(work);
-              stuck.add(work);
+              running.remove(request);
+              stalled.add(request);
             } else {
-              done(work, has);
+              finish(request, position);
             }
           }
         });
   }
 
-  private void done(Work work, Moment has) {
-    running.remove(work);
-    Moment now = world.now();
-    Execution execution = work.execution;
-    if (execution.of.kind.isWrite()) {
-      if (group.leader != this) {
+  private void finish(Request request, Moment position) {
+    running.remove(request);
+    Moment now = cluster.now();
+    Execution execution = request.execution;
+    if (execution.statement.workload.isWrite()) {
+      if (group.primary != this) {
         // Its group has a new primary: the log takes nothing from this one.
-        notRun(work, NOT_PRIMARY);
+        rejectUnexecuted(request, SQLSTATE_NOT_PRIMARY);
       } else {
-        long commit = group.commits(now);
-        execution.of.commit = commit;
-        execution.served = true;
-        world.ledger.ran(execution);
-        if (hangsAtCommit) {
-          hangsAtCommit = false;
-          stuck.add(work);
-          hang(world.hangsFor());
+        long commitMillis = group.appendCommit(now);
+        execution.statement.commitMillis = commitMillis;
+        execution.completed = true;
+        cluster.checker.onEffect(execution);
+        if (hangsAtNextCommit) {
+          hangsAtNextCommit = false;
+          stalled.add(request);
+          hang(cluster.drawHangDuration());
           return;
         }
-        answer(work, commit);
+        sendAnswer(request, commitMillis);
       }
     } else {
-      execution.served = true;
-      execution.stale = world.shard(execution.of.group).isStale(execution, has);
-      answer(work, millis(now));
+      execution.completed = true;
+      execution.stale = cluster.group(execution.statement.group).isStale(execution, position);
+      sendAnswer(request, positionMillis(now));
     }
-    next(now);
+    startQueued(now);
   }
 
-  private void answer(Work work, long position) {
-    if (work.dropped) {
+  private void sendAnswer(Request request, long position) {
+    if (request.abandoned) {
       return;
     }
-    if (breaksAnswers > 0) {
-      breaksAnswers--;
-      world.ledger.troubled(group, world.now());
-      work.reply.breaks();
-    } else if (spoilsAnswers > 0) {
-      spoilsAnswers--;
-      work.reply.answer(null, null, claims, position);
+    if (answersToBreak > 0) {
+      answersToBreak--;
+      cluster.checker.onDisruption(group, cluster.now());
+      request.reply.breakConnection();
+    } else if (answersToCorrupt > 0) {
+      answersToCorrupt--;
+      request.reply.sendAnswer(null, null, claimsPrimary, position);
     } else {
-      work.reply.answer(null, work.execution.value(), claims, position);
+      request.reply.sendAnswer(null, request.execution.resultValue(), claimsPrimary, position);
     }
   }
 
-  private void next(Moment now) {
+  private void startQueued(Moment now) {
     while (running.size() < cores && !queue.isEmpty()) {
-      begin(queue.poll(), now);
+      start(queue.poll(), now);
     }
   }
 
@@ -353,69 +370,71 @@
    * Its connections with writes are cut, as a switch does that waits for nobody; some of them have
    * taken effect.
    */
-  void cutWrites() {
-    List<Work> writes = new ArrayList<>(running);
+  void abortWrites() {
+    List<Request> writes = new ArrayList<>(running);
     writes.addAll(queue);
-    for (Work work : writes) {
-      if (work.execution.of.kind.isWrite()) {
-        if (running.remove(work) && world.chance.nextBoolean()) {
-          work.execution.of.commit = group.commits(world.now());
-          work.execution.served = true;
-          world.ledger.ran(work.execution);
+    for (Request request : writes) {
+      if (request.execution.statement.workload.isWrite()) {
+        if (running.remove(request) && cluster.random.nextBoolean()) {
+          request.execution.statement.commitMillis = group.appendCommit(cluster.now());
+          request.execution.completed = true;
+          cluster.checker.onEffect(request.execution);
         }
-        queue.remove(work);
-        work.reply.breaks();
-        world.ledger.troubled(group, world.now());
+        queue.remove(request);
+        request.reply.breakConnection();
+        cluster.checker.onDisruption(group, cluster.now());
       }
     }
-    next(world.now());
+    startQueued(cluster.now());
   }
 
-  int writesRunning() {
+  int pendingWriteCount() {
     return (int)
-        (running.stream().filter(work -> work.execution.of.kind.isWrite()).count()
-            + queue.stream().filter(work -> work.execution.of.kind.isWrite()).count());
+        (running.stream().filter(request -> request.execution.statement.workload.isWrite()).count()
+            + queue.stream()
+                .filter(request -> request.execution.statement.workload.isWrite())
+                .count());
   }
 
   // ---- What befalls it.
 
-  void die(Span lasts) {
+  void crash(Span duration) {
     if (!up) {
       return;
     }
-    freeze(world.now());
-    world.ledger.troubled(group, world.now());
+    freezePosition(cluster.now());
+    cluster.checker.onDisruption(group, cluster.now());
     up = false;
     hung = false;
-    claims = false;
+    claimsPrimary = false;
     refusesWrites = false;
-    life++;
+    incarnation++;
     queue.clear();
-    stuck.clear();
+    stalled.clear();
     running.clear();
-    coldWork.clear();
-    group.lost(this);
-    List.copyOf(listeners).forEach(Listener::died);
-    world.time.after(
-        lasts,
+    coldArrivals.clear();
+    group.onServerLost(this);
+    List.copyOf(listeners).forEach(Listener::onCrashed);
+    cluster.scheduler.runAfter(
+        duration,
         () -> {
           up = true;
-          startedAt = world.now();
-          catchesUpAt = world.now().plus(Span.ofMillis(300));
-          listeners.forEach(Listener::cameBack);
+          startedAt = cluster.now();
+          catchUpEnd = cluster.now().plus(Span.ofMillis(300));
+          listeners.forEach(Listener::onAccepting);
         });
   }
 
-  void refuse(Span lasts) {
-    int now = life;
+  void refuseConnections(Span duration) {
+    int now = incarnation;
     refusing = true;
-    List.copyOf(listeners).forEach(Listener::refuses);
-    world.time.after(
-        lasts,
+    List.copyOf(listeners).forEach(Listener::onRefusing);
+    cluster.scheduler.runAfter(
+        duration,
         () -> {
           refusing = false;
-          if (life == now) {
-            listeners.forEach(Listener::cameBack);
+          if (incarnation == now) {
+            listeners.forEach(Listener::onAccepting);
           }
         });
   }
@@ -424,40 +443,41 @@
     return refusing;
   }
 
-  void hang(Span lasts) {
+  void hang(Span duration) {
     if (!up || hung) {
       return;
     }
-    freeze(world.now());
-    world.ledger.troubled(group, world.now());
+    freezePosition(cluster.now());
+    cluster.checker.onDisruption(group, cluster.now());
     hung = true;
-    group.lost(this);
-    int now = life;
-    world.time.after(
-        lasts,
+    group.onServerLost(this);
+    int now = incarnation;
+    cluster.scheduler.runAfter(
+        duration,
         () -> {
-          if (life == now) {
-            wake();
+          if (incarnation == now) {
+            resume();
           }
         });
   }
 
-  private void wake() {
+  private void resume() {
     hung = false;
-    catchesUpAt = world.now().plus(Span.ofMillis(300));
-    List<Work> waited = new ArrayList<>(stuck);
-    stuck.clear();
-    for (Work work : waited) {
-      if (work.execution.effect) {
-        answer(work, millis(world.now()));
-      } else if (!work.dropped) {
-        admit(work, world.now());
+    catchUpEnd = cluster.now().plus(Span.ofMillis(300));
+    List<Request> resumed = new ArrayList<>(stalled);
+    stalled.clear();
+    for (Request request : resumed) {
+      if (request.execution.tookEffect) {
+        sendAnswer(request, positionMillis(cluster.now()));
+      } else if (!request.abandoned) {
+        admit(request, cluster.now());
       }
     }
-    next(world.now());
-    if (group.leader != this && claims) {
+    startQueued(cluster.now());
+    if (group.primary != this && claimsPrimary) {
       // It learns only now that another has taken its place.
-      world.time.after(world.zombieFor(), () -> claims = group.leader == this);
+      cluster.scheduler.runAfter(
+          cluster.drawStaleClaimDuration(), () -> claimsPrimary = group.primary == this);
     }
   }
 }
--- a/lab/src/main/java/basaltlever/lab/world/Ask.java
+++ b/lab/src/main/java/basaltlever/lab/world/Statement.java
@@ -7,9 +7,9 @@
 /**
  * One statement as its client sent it, and what became of it: a client that tries again asks anew.
  */
-public final class Ask {
+public final class Statement {
   /** What its client was told; OPEN while nothing. */
-  public enum End {
+  public enum Outcome {
     OPEN,
     COMPLETED,
     REJECTED,
@@ -20,91 +20,91 @@
 
   /** One time that it reached a server. */
   public static final class Execution {
-    public final Ask of;
+    public final Statement statement;
     public final int number;
     final Server server;
 
     /** The server told the router that nothing ran. */
-    boolean toldNotRun;
+    boolean reportedNotRun;
 
-    boolean effect;
-    boolean served;
+    boolean tookEffect;
+    boolean completed;
     boolean stale;
 
-    final Moment reachedAt;
+    final Moment arrivedAt;
 
-    Execution(Ask of, int number, Server server, Moment reachedAt) {
-      this.reachedAt = reachedAt;
-      this.of = of;
+    Execution(Statement statement, int number, Server server, Moment arrivedAt) {
+      this.arrivedAt = arrivedAt;
+      this.statement = statement;
       this.number = number;
       this.server = server;
     }
 
     /** What a router has to pass on for it to count as completed. */
-    public String value() {
-      return of.id + "#" + number;
+    public String resultValue() {
+      return statement.id + "#" + number;
     }
   }
 
   public final String id;
 
   /** What is meant to happen once, however often it is asked for. */
-  public final String key;
+  public final String idempotencyKey;
 
-  public final Kind kind;
+  public final Workload workload;
   public final int group;
   public final int router;
   public final long session;
 
   /** When it should have been sent: what a busy client adds counts against the router. */
-  public final Moment due;
+  public final Moment dueAt;
 
-  public final Moment leaves;
+  public final Moment deadline;
 
   /** The commit that a session's read has to see, in Unix milliseconds; 0 where none. */
-  public final long after;
+  public final long requiredCommitMillis;
 
-  public final int tries;
+  public final int clientAttempt;
   final List<Execution> executions = new ArrayList<>(1);
 
   /** Of a write that took effect, in Unix milliseconds: what its session's reads have to see. */
-  long commit;
+  long commitMillis;
 
-  End end = End.OPEN;
+  Outcome outcome = Outcome.OPEN;
 
-  public Ask(
+  public Statement(
       String id,
-      String key,
-      Kind kind,
+      String idempotencyKey,
+      Workload workload,
       int group,
       int router,
       long session,
-      Moment due,
-      Moment leaves,
-      long after,
-      int tries) {
+      Moment dueAt,
+      Moment deadline,
+      long requiredCommitMillis,
+      int clientAttempt) {
     this.id = id;
-    this.key = key;
-    this.kind = kind;
+    this.idempotencyKey = idempotencyKey;
+    this.workload = workload;
     this.group = group;
     this.router = router;
     this.session = session;
-    this.due = due;
-    this.leaves = leaves;
-    this.after = after;
-    this.tries = tries;
+    this.dueAt = dueAt;
+    this.deadline = deadline;
+    this.requiredCommitMillis = requiredCommitMillis;
+    this.clientAttempt = clientAttempt;
   }
 
-  public long commit() {
-    return commit;
+  public long commitMillis() {
+    return commitMillis;
   }
 
   /** Its client waits no longer: what comes now is heard by nobody. */
-  public boolean isLeft() {
-    return end == End.LEFT || end == End.UNANSWERED;
+  public boolean isAbandoned() {
+    return outcome == Outcome.LEFT || outcome == Outcome.UNANSWERED;
   }
 
   public boolean isOpen() {
-    return end == End.OPEN;
+    return outcome == Outcome.OPEN;
   }
 }
--- a/lab/src/main/java/basaltlever/lab/world/Kind.java
+++ b/lab/src/main/java/basaltlever/lab/world/Workload.java
@@ -11,19 +11,19 @@
  * @param work what one takes of a core
  * @param bound how old its data may be, where it is bounded
  */
-public record Kind(
-    int number,
+public record Workload(
+    int index,
     String name,
-    String needs,
-    String repeat,
-    double rate,
-    Span work,
-    Span bound,
+    String consistency,
+    String repeatPolicy,
+    double ratePerSecond,
+    Span serviceTime,
+    Span stalenessBound,
     Span slo,
     Span timeout,
     double importance,
-    double late) {
+    double lateImportance) {
   public boolean isWrite() {
-    return needs.equals("write");
+    return consistency.equals("write");
   }
 }
--- a/lab/src/test/java/basaltlever/lab/AgreementRunTest.java
+++ b/lab/src/test/java/basaltlever/lab/AgreementRunTest.java
@@ -17,8 +17,8 @@
     // How many versions come to an end depends on the machine; that some do, and what they do, must
     // not.
     Scenario scenario =
-        Scenario.read(
-            Scenario.text("agreement"),
+        Scenario.parse(
+            Scenario.readText("agreement"),
             List.of(
                 "seconds=16",
                 "routers=5",
@@ -35,10 +35,10 @@
 
   private static List<String> broken(Scenario scenario, long seed) throws Exception {
     try (AgreementRun run = new AgreementRun(scenario, seed, null, "")) {
-      Map<String, Object> figures = run.play();
-      List<String> broken = new ArrayList<>(scenario.broken(figures));
+      Map<String, Object> figures = run.run();
+      List<String> broken = new ArrayList<>(scenario.violations(figures));
       if (!broken.isEmpty()) {
-        broken.addAll(run.world().ledger.told());
+        broken.addAll(run.cluster().checker.findings());
         broken.add(figures.toString());
       }
       return broken;
@@ -47,7 +47,8 @@
 
   @Example
   void routersThatStoodStillSendNothingToWhoDrainedMeanwhile() throws Exception {
-    List<String> broken = broken(Scenario.read(Scenario.text("held-up"), List.of("seconds=12")), 5);
+    List<String> broken =
+        broken(Scenario.parse(Scenario.readText("held-up"), List.of("seconds=12")), 5);
     if (!broken.isEmpty()) {
       throw new AssertionError(broken);
     }
@@ -61,8 +62,8 @@
   void aLostMajorityIsGivenUpAndReplacedWhileClientsAreServed() throws Exception {
     List<String> broken =
         broken(
-            Scenario.read(
-                Scenario.text("majority-lost"),
+            Scenario.parse(
+                Scenario.readText("majority-lost"),
                 List.of("seconds=32", "load=0.5", "expect.repeats_least=1")),
             3);
     if (!broken.isEmpty()) {
@@ -70,13 +71,13 @@
     }
   }
 
-  private static Scenario lists(String... more) throws Scenario.Fault {
+  private static Scenario lists(String... more) throws Scenario.InvalidScenarioException {
     List<String> settings =
         new ArrayList<>(
             List.of(
                 "seconds=12", "routers=5", "load=0.4", "warm_ms=1500", "expect.odd_lists_least=5"));
     settings.addAll(List.of(more));
-    return Scenario.read(Scenario.text("lists"), settings);
+    return Scenario.parse(Scenario.readText("lists"), settings);
   }
 
   @Example
--- a/lab/src/test/java/basaltlever/lab/ArchiveTest.java
+++ b/lab/src/test/java/basaltlever/lab/ArchiveTest.java
@@ -8,7 +8,7 @@
 /** What the recording of classes refuses, before it touches the record that is there. */
 class ArchiveTest {
   private static int run(Path record, String... options) throws Exception {
-    Archive archive = new Archive();
+    ArchiveCommand archive = new ArchiveCommand();
     JCommander line = JCommander.newBuilder().addObject(archive).build();
     String[] words = new String[options.length + 1];
     words[0] = record.toString();
