--- a/lab/src/test/java/basaltlever/lab/KillStateTest.java
+++ b/lab/src/test/java/basaltlever/lab/KillStateTest.java
@@ -14,15 +14,18 @@
 class KillStateTest {
   @Example
   void twoHundredKillsLoseAndSpoilNothing() throws Exception {
-    Map<KillState.Left, Integer> expected = new EnumMap<>(Map.of(KillState.Left.NEWEST, 200));
-    Map<KillState.Left, Integer> found = KillState.kills(200, 17);
+    Map<KillStateCommand.RestoreOutcome, Integer> expected =
+        new EnumMap<>(Map.of(KillStateCommand.RestoreOutcome.NEWEST, 200));
+    Map<KillStateCommand.RestoreOutcome, Integer> found = KillStateCommand.runKills(200, 17);
     if (!found.equals(expected)) {
       throw new AssertionError("" + found);
     }
   }
 
-  private static void expect(KillState.Left left, Path folder, long told) throws Exception {
-    KillState.Left found = KillState.judge(folder, told, 1_000_000);
+  private static void expect(KillStateCommand.RestoreOutcome left, Path folder, long told)
+      throws Exception {
+    KillStateCommand.RestoreOutcome found =
+        KillStateCommand.checkStoredState(folder, told, 1_000_000);
     if (found != left) {
       throw new AssertionError(found + " where " + left + " was planted");
     }
@@ -31,12 +34,12 @@
   @Example
   void theJudgeFindsWhatIsPlanted() throws Exception {
     Path folder = Files.createTempDirectory("judged");
-    expect(KillState.Left.LOST, folder, 0);
+    expect(KillStateCommand.RestoreOutcome.LOST, folder, 0);
     SnapshotStore generations = new SnapshotStore(new LockedDirectory(folder));
-    generations.store(MadeViews.view(1, KillState.NODES), 1 << 20);
-    expect(KillState.Left.NEWEST, folder, 1);
-    expect(KillState.Left.OLDER, folder, 2);
-    LearnedState mixed = MadeViews.view(2, KillState.NODES);
+    generations.store(SyntheticStates.learnedState(1, KillStateCommand.ENDPOINT_COUNT), 1 << 20);
+    expect(KillStateCommand.RestoreOutcome.NEWEST, folder, 1);
+    expect(KillStateCommand.RestoreOutcome.OLDER, folder, 2);
+    LearnedState mixed = SyntheticStates.learnedState(2, KillStateCommand.ENDPOINT_COUNT);
     generations.store(
         new LearnedState(
             mixed.deployment(),
@@ -49,9 +52,9 @@
             mixed.endpoints(),
             List.of()),
         1 << 20);
-    expect(KillState.Left.CORRUPT, folder, 1);
+    expect(KillStateCommand.RestoreOutcome.CORRUPT, folder, 1);
     // Another router's counts for nothing, so its weights are not those of the curve.
-    LearnedState today = MadeViews.view(4, KillState.NODES);
+    LearnedState today = SyntheticStates.learnedState(4, KillStateCommand.ENDPOINT_COUNT);
     generations.store(
         new LearnedState(
             today.deployment(),
@@ -64,6 +67,6 @@
             today.endpoints(),
             List.of()),
         1 << 20);
-    expect(KillState.Left.UNAGED, folder, 4);
+    expect(KillStateCommand.RestoreOutcome.UNAGED, folder, 4);
   }
 }
--- a/lab/src/test/java/basaltlever/lab/PairedPlaysTest.java
+++ b/lab/src/test/java/basaltlever/lab/PairedPlaysTest.java
@@ -31,7 +31,7 @@
         Files.writeString(checkout.resolve("row"), row);
       }
     }
-    PairedPlays plays = new PairedPlays();
+    PairedPlaysCommand plays = new PairedPlaysCommand();
     JCommander.newBuilder()
         .addObject(plays)
         .build()
--- a/lab/src/test/java/basaltlever/lab/ScenarioTest.java
+++ b/lab/src/test/java/basaltlever/lab/ScenarioTest.java
@@ -1,6 +1,6 @@
 package basaltlever.lab;
 
-import basaltlever.lab.report.Report;
+import basaltlever.lab.report.HtmlReport;
 import basaltlever.lab.scenario.Scenario;
 import basaltlever.lab.sockets.SocketRun;
 import basaltlever.lab.virtual.Bug;
@@ -17,27 +17,29 @@
  * Scenarios on sockets and in virtual time, and proof that their ledger can find against a router.
  */
 class ScenarioTest {
-  private static void check(boolean holds, String what) {
-    if (!holds) {
-      throw new AssertionError(what);
+  private static void check(boolean condition, String message) {
+    if (!condition) {
+      throw new AssertionError(message);
     }
   }
 
-  private static Scenario scenario(String name, String... settings) throws Scenario.Fault {
-    return Scenario.read(Scenario.text(name), List.of(settings));
+  private static Scenario scenario(String name, String... settings)
+      throws Scenario.InvalidScenarioException {
+    return Scenario.parse(Scenario.readText(name), List.of(settings));
   }
 
-  private static Map<String, Object> virtual(Bug bug, long seed, String... more) throws Exception {
+  private static Map<String, Object> runVirtual(Bug bug, long seed, String... extraSettings)
+      throws Exception {
     List<String> settings =
         new ArrayList<>(List.of("mode=virtual", "routers=6", "groups=4", "seconds=20"));
-    settings.addAll(List.of(more));
+    settings.addAll(List.of(extraSettings));
     return new VirtualRun(scenario("primary-changes", settings.toArray(String[]::new)), seed, bug)
-        .play();
+        .runScenario();
   }
 
   /** A run by processes and sockets, judged by the servers' own ledger. */
   @Example
-  void primariesChangeUnderLoadAndNothingIsLostOrDoubled() throws Exception {
+  void primaryChangesUnderLoadLoseAndRepeatNoStatement() throws Exception {
     Scenario scenario = scenario("primary-changes", "seconds=12", "routers=2", "faults_to_ms=3000");
     Path page = Files.createTempDirectory("report");
     try (SocketRun run =
@@ -46,24 +48,24 @@
             5,
             null,
             "[change]\ntable = "
-                + SocketRun.TABLE
+                + SocketRun.ANNOUNCEMENT_TABLE
                 + "\n[state]\nfolder = {folder}\nperiod_ms = 500\n")) {
-      Map<String, Object> figures = run.play();
+      Map<String, Object> figures = run.runScenario();
       // What the machine's own pauses could break is measured outside of the tests.
       List<String> broken =
-          scenario.broken(figures).stream()
+          scenario.violations(figures).stream()
               .filter(
                   line -> !line.startsWith("longest_write") && !line.startsWith("answered_late"))
               .toList();
-      check(broken.isEmpty(), broken + " " + run.world().ledger.told());
+      check(broken.isEmpty(), broken + " " + run.world().checker.findings());
       check(
           ((Map<?, ?>) figures.get("faults")).size() > 2
               && ((Number) figures.get("statements")).intValue() > 2_000,
           "it shows nothing: " + figures);
       figures.put("seed", 5);
       figures.put("broken", broken);
-      figures.put("told", run.world().ledger.told());
-      String text = Files.readString(Report.write(page, "A run", figures, run.world()));
+      figures.put("told", run.world().checker.findings());
+      String text = Files.readString(HtmlReport.write(page, "A run", figures, run.world()));
       check(
           text.contains("<svg") && text.contains("held.") && text.contains("doubled"),
           "a page with charts");
@@ -75,12 +77,14 @@
 
   /** Settings of another shape and back, again and again, with writes held and executions out. */
   @Example
-  void aSwitchOfSettingsAndItsWayBackLoseAndRepeatNothing() throws Exception {
+  void repeatedSettingsSwitchesLoseAndRepeatNoStatement() throws Exception {
     for (long seed = 1; seed <= 3; seed++) {
       Scenario scenario =
           scenario("settings-switch", "mode=virtual", "seconds=15", "switch_ms=300");
-      Map<String, Object> figures = new VirtualRun(scenario, seed).play();
-      check(scenario.broken(figures).isEmpty(), "seed " + seed + ": " + scenario.broken(figures));
+      Map<String, Object> figures = new VirtualRun(scenario, seed).runScenario();
+      check(
+          scenario.violations(figures).isEmpty(),
+          "seed " + seed + ": " + scenario.violations(figures));
       check(((Number) figures.get("switches")).intValue() > 40, "it shows nothing: " + figures);
     }
     Map<Bug, String> found = new LinkedHashMap<>();
@@ -89,7 +93,7 @@
     for (Map.Entry<Bug, String> each : found.entrySet()) {
       Scenario scenario =
           scenario("settings-switch", "mode=virtual", "seconds=10", "switch_ms=300");
-      Map<String, Object> figures = new VirtualRun(scenario, 1, each.getKey()).play();
+      Map<String, Object> figures = new VirtualRun(scenario, 1, each.getKey()).runScenario();
       check(
           ((Number) figures.get(each.getValue())).intValue() > 0,
           each.getKey() + " is not found: " + figures);
@@ -98,31 +102,31 @@
 
   /** By the operator's own step, on sockets; and what a reload must leave alone. */
   @Example
-  void settingsAreSwitchedInARunningProcessAndFaultyOnesAreLeft() throws Exception {
+  void reloadAppliesValidSettingsAndRejectsInvalidOnes() throws Exception {
     Scenario scenario =
         scenario(
             "settings-switch", "seconds=7", "routers=2", "switch_ms=1000", "faults_to_ms=3000");
     try (SocketRun run = new SocketRun(scenario, 5, null, "")) {
-      Map<String, Object> figures = run.play();
+      Map<String, Object> figures = run.runScenario();
       List<String> broken =
-          scenario.broken(figures).stream()
+          scenario.violations(figures).stream()
               .filter(
                   line -> !line.startsWith("longest_write") && !line.startsWith("answered_late"))
               .toList();
-      check(broken.isEmpty(), broken + " " + run.world().ledger.told());
+      check(broken.isEmpty(), broken + " " + run.world().checker.findings());
       var router = run.routers().get(0);
       int switches = ((Number) figures.get("switches")).intValue();
       check(switches >= 4 && ((Number) figures.get("statements")).intValue() > 1_000, "" + figures);
       awaitLog(router, "settings_taken", switches);
-      String known = scenario.settings(switches % 2 == 1);
-      router.takes(
-          known
+      String settings = scenario.routerSettings(switches % 2 == 1);
+      router.reloadSettings(
+          settings
               .replace("\"Checks\":\"refuse\"", "\"Checks\":\"maybe\"")
               .replace("\"AnswerSlack\":20000", "\"AnswerSlack\":-1"));
       awaitLog(router, "reload_refused", 1);
-      check(router.log().contains("FamilyInfo.Checks can't be read: maybe"), router.log());
-      router.takes(
-          known
+      check(router.readLog().contains("FamilyInfo.Checks can't be read: maybe"), router.readLog());
+      router.reloadSettings(
+          settings
               .replace("\"Zones\":[\"a\"]", "\"Zones\":[\"a\",\"b\"]")
               .replace("\"MayDuplicate\":true", "\"MayDuplicate\":false"));
       awaitLog(router, "settings_left keys=settings.Zones", 1);
@@ -135,40 +139,42 @@
     int found = -1;
     for (int i = 0; i < 100 && found != times; i++) {
       Thread.sleep(i == 0 ? 300 : 50);
-      found = router.log().split("event=" + event, -1).length - 1;
+      found = router.readLog().split("event=" + event, -1).length - 1;
     }
     check(
-        found == times, event + " stands " + found + " times, not " + times + ": " + router.log());
+        found == times,
+        event + " stands " + found + " times, not " + times + ": " + router.readLog());
   }
 
   @Example
-  void virtualRunsHoldAndAreTheSameFromOneSeed() throws Exception {
+  void virtualRunMeetsExpectationsAndIsReproducibleFromItsSeed() throws Exception {
     for (long seed = 1; seed <= 4; seed++) {
-      Map<String, Object> figures = virtual(Bug.NONE, seed);
-      List<String> broken = scenario("primary-changes").broken(figures);
+      Map<String, Object> figures = runVirtual(Bug.NONE, seed);
+      List<String> broken = scenario("primary-changes").violations(figures);
       check(broken.isEmpty(), "seed " + seed + ": " + broken);
-      check(figures.equals(virtual(Bug.NONE, seed)), "seed " + seed + " gives two runs");
+      check(figures.equals(runVirtual(Bug.NONE, seed)), "seed " + seed + " gives two runs");
     }
   }
 
   @Example
-  void aThirdOfThePrimariesLostAtOnceTopplesNobody() throws Exception {
+  void losingAThirdOfThePrimariesAtOnceOverloadsNoServer() throws Exception {
     Scenario scenario = scenario("third-lost", "routers=200", "seconds=10");
-    Map<String, Object> figures = new VirtualRun(scenario, 3).play();
-    check(scenario.broken(figures).isEmpty(), "" + scenario.broken(figures));
+    Map<String, Object> figures = new VirtualRun(scenario, 3).runScenario();
+    check(scenario.violations(figures).isEmpty(), "" + scenario.violations(figures));
     check(((Number) figures.get("recovered_95_s")).doubleValue() < 3, "" + figures);
   }
 
   /** Without these nobody would know whether the ledger can find anything. */
   @Example
-  void eachPlantedBugIsFoundByItsProperty() throws Exception {
+  void eachInjectedBugIsDetectedByItsFigure() throws Exception {
     Map<Bug, String> found = new LinkedHashMap<>();
     found.put(Bug.RESET_PROVES_NOT_RUN, "doubled");
     found.put(Bug.ANSWERS_TWICE, "lost");
     found.put(Bug.DROPS_ANSWERS, "unanswered");
     found.put(Bug.IGNORES_DRAINS, "late_to_draining");
     for (Map.Entry<Bug, String> each : found.entrySet()) {
-      Map<String, Object> figures = virtual(each.getKey(), 1, "faults.reset=30", "faults.drain=10");
+      Map<String, Object> figures =
+          runVirtual(each.getKey(), 1, "faults.reset=30", "faults.drain=10");
       check(
           ((Number) figures.get(each.getValue())).intValue() > 0,
           each.getKey() + " is not found: " + figures);
@@ -184,15 +190,15 @@
       "faults.die=0"
     };
     check(
-        ((Number) virtual(Bug.NONE, 1, fresh).get("stale")).intValue() == 0,
+        ((Number) runVirtual(Bug.NONE, 1, fresh).get("stale")).intValue() == 0,
         "a fresh read that a replica answered was passed on");
     check(
-        ((Number) virtual(Bug.OLD_PRIMARY_CLAIMS, 1, fresh).get("stale")).intValue() > 0,
+        ((Number) runVirtual(Bug.OLD_PRIMARY_CLAIMS, 1, fresh).get("stale")).intValue() > 0,
         "reads of an old primary are not found");
   }
 
   @Example
-  void aFaultyScenarioIsNamedByItsKeys() throws Exception {
+  void invalidScenarioIsRejectedWithKeyAndReason() throws Exception {
     String[][] wrong = {
       {"routers=0", "routers takes a number"},
       {"nonsense=1", "nonsense is no key"},
@@ -207,16 +213,17 @@
       try {
         scenario("quiet", each[0]);
         throw new AssertionError(each[0] + " was taken");
-      } catch (Scenario.Fault fault) {
+      } catch (Scenario.InvalidScenarioException fault) {
         check(fault.getMessage().contains(each[1]), fault.getMessage());
       }
     }
-    for (String name : Scenarios.NAMES) {
+    for (String name : BuiltInScenarios.NAMES) {
       check(!scenario(name).title.isEmpty(), name);
     }
   }
 
-  private static String command(Path start, int expected, String... words) throws Exception {
+  private static String runSwitchCommand(Path startFile, int expectedExit, String... arguments)
+      throws Exception {
     List<String> command =
         new ArrayList<>(
             List.of(
@@ -225,20 +232,20 @@
                 System.getProperty("java.class.path"),
                 "basaltlever.cli.Main",
                 "switch",
-                words[0],
+                arguments[0],
                 "--file",
-                start.toString(),
+                startFile.toString(),
                 "--group",
-                words[1]));
-    command.addAll(List.of(words).subList(2, words.length));
+                arguments[1]));
+    command.addAll(List.of(arguments).subList(2, arguments.length));
     Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
-    String told =
+    String output =
         new String(
             process.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
     check(
-        process.waitFor() == expected,
-        String.join(" ", words) + " ended with " + process.exitValue() + ": " + told);
-    return told;
+        process.waitFor() == expectedExit,
+        String.join(" ", arguments) + " ended with " + process.exitValue() + ": " + output);
+    return output;
   }
 
   /**
@@ -246,63 +253,70 @@
    * anything is written.
    */
   @Example
-  void anOperatorAnnouncesShowsAndTakesBackAChange() throws Exception {
+  void operatorAnnouncesShowsAndCancelsASwitchover() throws Exception {
     Scenario scenario = scenario("quiet", "routers=1", "groups=1", "members=3");
     try (SocketRun run =
-        new SocketRun(scenario, 3, null, "[change]\ntable = " + SocketRun.TABLE + "\n")) {
-      Path start = run.routers().get(0).startFile();
+        new SocketRun(
+            scenario, 3, null, "[change]\ntable = " + SocketRun.ANNOUNCEMENT_TABLE + "\n")) {
+      Path startFile = run.routers().get(0).startFile();
       var group = run.world().groups().get(0);
-      String primary = group.leader().id;
+      String primary = group.primary().id;
       String target = group.members().get(primary.equals("db-1") ? 1 : 0).id;
-      check(command(start, 0, "status", "1").contains(primary), "members are shown");
+      check(runSwitchCommand(startFile, 0, "status", "1").contains(primary), "members are shown");
       check(
-          command(start, 1, "announce", "1", "--target", "db-9").contains("no member"),
+          runSwitchCommand(startFile, 1, "announce", "1", "--target", "db-9").contains("no member"),
           "unknown target");
       check(
-          command(start, 1, "announce", "7", "--target", target).contains("no member"),
+          runSwitchCommand(startFile, 1, "announce", "7", "--target", target).contains("no member"),
           "unknown group");
       check(
-          command(start, 1, "announce", "1", "--target", primary).contains("already"),
+          runSwitchCommand(startFile, 1, "announce", "1", "--target", primary).contains("already"),
           "the primary itself");
       check(
-          command(start, 1, "announce", "1", "--target", target, "--in-ms", "0")
+          runSwitchCommand(startFile, 1, "announce", "1", "--target", target, "--in-ms", "0")
               .contains("takes 4000"),
           "past");
-      check(command(start, 1, "cancel", "1").contains("no announcement"), "nothing to take back");
       check(
-          command(start, 1, "status", "1", "--table", "other").contains("does not tell"),
+          runSwitchCommand(startFile, 1, "cancel", "1").contains("no announcement"),
+          "nothing to take back");
+      check(
+          runSwitchCommand(startFile, 1, "status", "1", "--table", "other")
+              .contains("does not tell"),
           "no such table");
       check(
-          command(start, 0, "announce", "1", "--target", target, "--in-ms", "60000")
+          runSwitchCommand(startFile, 0, "announce", "1", "--target", target, "--in-ms", "60000")
               .contains("announced"),
           "");
       check(
-          command(start, 1, "announce", "1", "--target", target).contains("open already"),
+          runSwitchCommand(startFile, 1, "announce", "1", "--target", target)
+              .contains("open already"),
           "two at once");
       // A router asks a group about once a second: what is taken back before that it never hears
       // of.
       awaitLog(run, "phase=CREATED");
-      check(command(start, 0, "cancel", "1").contains("taken back"), "taken back");
+      check(runSwitchCommand(startFile, 0, "cancel", "1").contains("taken back"), "taken back");
       awaitLog(run, "phase=CALLED_OFF");
       check(
-          command(start, 0, "announce", "1", "--target", target, "--in-ms", "4500")
+          runSwitchCommand(startFile, 0, "announce", "1", "--target", target, "--in-ms", "4500")
               .contains("number=2"),
           "again");
-      for (int i = 0; i < 100 && !group.leader().id.equals(target); i++) {
+      for (int i = 0; i < 100 && !group.primary().id.equals(target); i++) {
         Thread.sleep(100);
       }
-      check(group.leader().id.equals(target), "the group changed as announced");
+      check(group.primary().id.equals(target), "the group changed as announced");
       awaitLog(run, "phase=POST");
-      check(run.routers().get(0).log().contains("phase=IN_PROGRESS"), run.routers().get(0).log());
+      check(
+          run.routers().get(0).readLog().contains("phase=IN_PROGRESS"),
+          run.routers().get(0).readLog());
     }
   }
 
-  private static void awaitLog(SocketRun run, String what) throws Exception {
-    for (int i = 0; i < 100 && !run.routers().get(0).log().contains(what); i++) {
+  private static void awaitLog(SocketRun run, String message) throws Exception {
+    for (int i = 0; i < 100 && !run.routers().get(0).readLog().contains(message); i++) {
       Thread.sleep(100);
     }
     check(
-        run.routers().get(0).log().contains(what),
-        what + " is missing: " + run.routers().get(0).log());
+        run.routers().get(0).readLog().contains(message),
+        message + " is missing: " + run.routers().get(0).readLog());
   }
 }
--- a/lab/src/test/java/basaltlever/lab/endtoend/LateJudgeTest.java
+++ b/lab/src/test/java/basaltlever/lab/endtoend/LateJudgeTest.java
@@ -16,36 +16,40 @@
 
 /** A judge whose own loop is late blames no router for it, and still finds what routers do. */
 class LateJudgeTest {
-  private static final String SERVER = "127.16.0.1";
-  private static final int HELD_UP_MILLIS = 500;
-  private static final int TOO_LONG_BY_MILLIS = 1_000;
+  private static final String SERVER_ADDRESS = "127.16.0.1";
+  private static final int LOOP_BLOCK_MILLIS = 500;
+  private static final int EXCESS_MILLIS = 1_000;
 
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
-  private final DayClock clock = new DayClock();
-  private final StatementLedger ledger = new StatementLedger();
-  private final DaySettings settings = DaySettings.usual();
-  private final StatementClass view = settings.draw(new SplittableRandom(1));
+  private final MonotonicClock clock = new MonotonicClock();
+  private final StatementChecker ledger = new StatementChecker();
+  private final DaySettings settings = DaySettings.defaults();
+  private final StatementClass statementClass = settings.pickClass(new SplittableRandom(1));
 
-  private int deadlinesBroken(long writtenBeforeMillis, boolean heldUp) throws Exception {
-    DayOptions day = DayOptions.parse(List.of("servers=10", "members=5"));
-    ServerFarm farm = new ServerFarm(loop, day, settings, clock, ledger, new SplittableRandom(1));
+  private int deadlineViolations(long writtenBeforeMillis, boolean blockLoop) throws Exception {
+    RunOptions options = RunOptions.parse(List.of("servers=10", "members=5"));
+    ServerSimulator farm =
+        new ServerSimulator(loop, options, settings, clock, ledger, new SplittableRandom(1));
     farm.listen();
-    try (Socket router = new Socket(InetAddress.getByName(SERVER), farm.port())) {
+    try (Socket router = new Socket(InetAddress.getByName(SERVER_ADDRESS), farm.port())) {
       ByteBuf startup = Unpooled.buffer();
       MessageEncoder.writeStartupMessage(startup, "app", "shop");
       router.getOutputStream().write(ByteBufUtil.getBytes(startup));
       router.getInputStream().read(new byte[512]);
-      long deadlineMillis = view.deadlineMillis();
-      loop.submit(() -> ledger.begins("r0x1", view, 0, clock.nowMillis() - writtenBeforeMillis))
+      long deadlineMillis = statementClass.deadlineMillis();
+      loop.submit(
+              () ->
+                  ledger.recordStart(
+                      "r0x1", statementClass, 0, clock.nowMillis() - writtenBeforeMillis))
           .sync();
-      if (heldUp) {
-        loop.execute(LateJudgeTest::holdUp);
+      if (blockLoop) {
+        loop.execute(LateJudgeTest::blockLoop);
       }
       ByteBuf query = Unpooled.buffer();
       MessageEncoder.writeQuery(
-          query, "/* id=r0x1,c=" + view.key() + ",d=" + deadlineMillis + " */ SELECT 1");
+          query, "/* id=r0x1,c=" + statementClass.key() + ",d=" + deadlineMillis + " */ SELECT 1");
       router.getOutputStream().write(ByteBufUtil.getBytes(query));
       router.getInputStream().read(new byte[512]);
       return loop.submit(() -> (int) ledger.figures().get("deadline")).get();
@@ -55,17 +59,17 @@
     }
   }
 
-  private static void holdUp() {
+  private static void blockLoop() {
     try {
-      Thread.sleep(HELD_UP_MILLIS);
+      Thread.sleep(LOOP_BLOCK_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static void check(boolean holds, String what) {
-    if (!holds) {
-      throw new AssertionError(what);
+  private static void check(boolean condition, String message) {
+    if (!condition) {
+      throw new AssertionError(message);
     }
   }
 
@@ -74,12 +78,12 @@
    * the judge had read it late.
    */
   @Example
-  void aDeadlineIsJudgedByWhenItCameAndNotByWhenItWasRead() throws Exception {
-    check(deadlinesBroken(0, true) == 0, "told in time, read late");
+  void deadlineReceivedInTimeButReadLateIsNoViolation() throws Exception {
+    check(deadlineViolations(0, true) == 0, "told in time, read late");
   }
 
   @Example
-  void aDeadlineThatIsTooLongIsFound() throws Exception {
-    check(deadlinesBroken(TOO_LONG_BY_MILLIS, false) == 1, "told too late");
+  void excessiveDeadlineIsAViolation() throws Exception {
+    check(deadlineViolations(EXCESS_MILLIS, false) == 1, "told too late");
   }
 }
--- a/lab/src/test/java/basaltlever/lab/endtoend/ManyServersTest.java
+++ b/lab/src/test/java/basaltlever/lab/endtoend/ManyServersTest.java
@@ -10,16 +10,16 @@
 class ManyServersTest {
   private static final long SEED = 38;
 
-  private static void check(boolean holds, String what) {
-    if (!holds) {
-      throw new AssertionError(what);
+  private static void check(boolean condition, String message) {
+    if (!condition) {
+      throw new AssertionError(message);
     }
   }
 
-  private static Map<String, Object> play(String... options) throws Exception {
-    DayOptions day = DayOptions.parse(List.of(options));
-    try (ManyServersDay played = new ManyServersDay(day, SEED, null)) {
-      return played.play();
+  private static Map<String, Object> runWith(String... options) throws Exception {
+    RunOptions parsed = RunOptions.parse(List.of(options));
+    try (ManyServersRun run = new ManyServersRun(parsed, SEED, null)) {
+      return run.run();
     }
   }
 
@@ -28,17 +28,18 @@
   }
 
   @Example
-  void statementsAreAnsweredWhereServersOutnumberDescriptors() throws Exception {
-    Map<String, Object> told = play("servers=720", "sockets=160", "seconds=5");
-    check(number(told, "statements") > 80, "there was traffic: " + told);
-    check(number(told, "lost") == 0, "nothing is lost: " + told);
-    check(number(told, "descriptors_most") <= 160, "no more descriptors than allowed: " + told);
+  void statementsAreAnsweredWhenServersOutnumberDescriptors() throws Exception {
+    Map<String, Object> figures = runWith("servers=720", "sockets=160", "seconds=5");
+    check(number(figures, "statements") > 80, "there was traffic: " + figures);
+    check(number(figures, "lost") == 0, "nothing is lost: " + figures);
+    check(
+        number(figures, "descriptors_most") <= 160, "no more descriptors than allowed: " + figures);
   }
 
   @Example
-  void connectionsAndPollsFollowTheTrafficAndNotTheList() throws Exception {
-    Map<String, Object> few = play("servers=120", "seconds=5", "drain_share=0");
-    Map<String, Object> many = play("servers=1200", "seconds=5", "drain_share=0");
+  void connectionsAndDescriptorsScaleWithTrafficNotListSize() throws Exception {
+    Map<String, Object> few = runWith("servers=120", "seconds=5", "drain_share=0");
+    Map<String, Object> many = runWith("servers=1200", "seconds=5", "drain_share=0");
     check(
         number(many, "connections") <= 2.5 * number(few, "connections") + 40,
         "connections: " + few + many);
@@ -51,11 +52,11 @@
   }
 
   @Example
-  void drainsBindWhileTheRestOfTheirListIsStillToCome() throws Exception {
+  void drainsTakeEffectBeforeTheirListIsComplete() throws Exception {
     // A change of 600 entries takes 1.2 s to be written; what each says binds from its own last
     // byte on.
-    Map<String, Object> told =
-        play(
+    Map<String, Object> figures =
+        runWith(
             "servers=720",
             "sockets=1024",
             "seconds=6",
@@ -64,7 +65,8 @@
             "remove_share=0",
             "list_piece_bytes=1000",
             "list_piece_ms=10");
-    check(number(told, "statements") > 300, "there was traffic: " + told);
-    check(number(told, "drain_late") == 0, "nothing goes to a server past the grace: " + told);
+    check(number(figures, "statements") > 300, "there was traffic: " + figures);
+    check(
+        number(figures, "drain_late") == 0, "nothing goes to a server past the grace: " + figures);
   }
 }
--- a/lab/src/test/java/basaltlever/lab/endtoend/NewClientsTest.java
+++ b/lab/src/test/java/basaltlever/lab/endtoend/NewClientsTest.java
@@ -17,38 +17,38 @@
   private static final long SEED = 61;
 
   /** Share of the clients that ask once and are served, of the stated target. */
-  private static final double LEAST_SERVED = 0.8;
+  private static final double MIN_SERVED_SHARE = 0.8;
 
-  private static void check(boolean holds, String what) {
-    if (!holds) {
-      throw new AssertionError(what);
+  private static void check(boolean condition, String message) {
+    if (!condition) {
+      throw new AssertionError(message);
     }
   }
 
-  private static Map<String, Object> play(String... options) throws Exception {
-    try (NewClientsDay day =
-        new NewClientsDay(NewClientsOptions.parse(List.of(options)), SEED, null)) {
-      return day.play();
+  private static Map<String, Object> runWith(String... options) throws Exception {
+    try (NewClientsRun run =
+        new NewClientsRun(NewClientsOptions.parse(List.of(options)), SEED, null)) {
+      return run.run();
     }
   }
 
-  private static void nothingBroke(Map<String, Object> told) {
-    check((int) told.get("statements") > 100, "there was traffic: " + told);
-    check(((List<?>) told.get("broken")).isEmpty(), "nothing broke: " + told);
+  private static void checkNoViolations(Map<String, Object> figures) {
+    check((int) figures.get("statements") > 100, "there was traffic: " + figures);
+    check(((List<?>) figures.get("broken")).isEmpty(), "nothing broke: " + figures);
   }
 
   @Example
-  void eachNewClientIsAnsweredWhereDescriptorsAreFew() throws Exception {
-    nothingBroke(
-        play("sockets=120", "slow_ms=60", "burst_ms=300", "closes_after_ms=20", "seconds=2"));
-    nothingBroke(
-        play("sockets=64", "burst=150", "burst_ms=300", "closes_after_ms=300", "seconds=2"));
+  void newClientsAreAnsweredWhenDescriptorsAreScarce() throws Exception {
+    checkNoViolations(
+        runWith("sockets=120", "slow_ms=60", "burst_ms=300", "closes_after_ms=20", "seconds=2"));
+    checkNoViolations(
+        runWith("sockets=64", "burst=150", "burst_ms=300", "closes_after_ms=300", "seconds=2"));
   }
 
   @Example
-  void aCrowdThatComesBackAtOnceCostsNobodyAnAnswer() throws Exception {
-    Map<String, Object> told =
-        play(
+  void immediatelyReconnectingIdleClientsCostNoAnswers() throws Exception {
+    Map<String, Object> figures =
+        runWith(
             "sockets=512",
             "crowd=1500",
             "slow_ms=30",
@@ -56,23 +56,25 @@
             "burst=200",
             "closes_after_ms=20",
             "seconds=2");
-    nothingBroke(told);
-    check((double) told.get("served_share") > LEAST_SERVED, "those who ask are served: " + told);
+    checkNoViolations(figures);
+    check(
+        (double) figures.get("served_share") > MIN_SERVED_SHARE,
+        "those who ask are served: " + figures);
   }
 
   @Example
-  void badInputIsRefusedWithItsKeyAndReason() {
-    for (String[] bad :
+  void invalidOptionIsRejectedWithKeyAndReason() {
+    for (String[] invalid :
         new String[][] {
           {"sockets=3", "sockets can't be read: 3; it takes a number from 64"},
           {"crowd=many", "crowd can't be read: many"},
           {"crowds=1", "crowds is unknown; new-clients takes routers"}
         }) {
       try {
-        NewClientsOptions.parse(List.of(bad[0]));
-        check(false, "taken: " + bad[0]);
-      } catch (InvalidOption fault) {
-        check(fault.getMessage().startsWith(bad[1]), fault.getMessage());
+        NewClientsOptions.parse(List.of(invalid[0]));
+        check(false, "taken: " + invalid[0]);
+      } catch (InvalidOptionException fault) {
+        check(fault.getMessage().startsWith(invalid[1]), fault.getMessage());
       }
     }
   }
--- a/lab/src/test/java/basaltlever/lab/endtoend/SoakTest.java
+++ b/lab/src/test/java/basaltlever/lab/endtoend/SoakTest.java
@@ -18,14 +18,14 @@
   private static final double SECONDS = 40;
   private static final long HOUR_MILLIS = 3_600_000;
 
-  private static void check(boolean holds, String what) {
-    if (!holds) {
-      throw new AssertionError(what);
+  private static void check(boolean condition, String message) {
+    if (!condition) {
+      throw new AssertionError(message);
     }
   }
 
   /** Printed, so that a run without the faults of the shim is never taken for a whole one. */
-  private static Path library() throws IOException, InterruptedException {
+  private static Path buildShim() throws IOException, InterruptedException {
     Path library = FaultShim.build(Files.createTempDirectory("shim"));
     if (library == null) {
       System.out.println(
@@ -35,10 +35,10 @@
   }
 
   @Example
-  void noRuleBreaksUnderSeededFaults() throws Exception {
-    try (SoakDay day = new SoakDay(SEED, SECONDS, null, library())) {
-      Map<String, Object> told = day.play();
-      for (String rule :
+  void seededFaultsCauseNoViolations() throws Exception {
+    try (SoakRun run = new SoakRun(SEED, SECONDS, null, buildShim())) {
+      Map<String, Object> figures = run.run();
+      for (String figure :
           List.of(
               "lost",
               "lost_resting",
@@ -48,16 +48,16 @@
               "cold_toppled",
               "deadline",
               "crashed")) {
-        check(told.get(rule).equals(0), rule + ": " + told);
+        check(figures.get(figure).equals(0), figure + ": " + figures);
       }
-      check((int) told.get("statements") > 300, "there was traffic: " + told);
-      check((double) told.get("served_share") > 0.3, "and it was served: " + told);
+      check((int) figures.get("statements") > 300, "there was traffic: " + figures);
+      check((double) figures.get("served_share") > 0.3, "and it was served: " + figures);
     }
   }
 
   /** Says what the wall clock is and whether a file below a folder can be written. */
-  public static final class Child {
-    private Child() {}
+  public static final class Probe {
+    private Probe() {}
 
     public static void main(String[] args) throws Exception {
       System.out.println(System.currentTimeMillis());
@@ -72,69 +72,73 @@
   }
 
   @Example
-  void theShimStepsTheWallClockAloneAndFailsWritesBelowItsFolderAlone() throws Exception {
-    Path library = library();
+  void shimStepsOnlyTheWallClockAndFailsOnlyWritesInItsFolder() throws Exception {
+    Path library = buildShim();
     if (library == null) {
       return;
     }
     Path folder = Files.createTempDirectory("watched");
     Path other = Files.createTempDirectory("other");
     FaultShim shim = FaultShim.open(library, folder.resolve("control"), folder, SEED);
-    shim.wallClock(HOUR_MILLIS);
-    shim.fails(FaultShim.Call.FILE_WRITE, 1_000_000);
-    List<String> below = child(shim, folder);
-    long off = Long.parseLong(below.get(0)) - Instant.now().toEpochMilli();
-    check(off > HOUR_MILLIS - 20_000 && off <= HOUR_MILLIS, "an hour ahead: " + off);
+    shim.setWallClockOffset(HOUR_MILLIS);
+    shim.setFailureRate(FaultShim.Call.FILE_WRITE, 1_000_000);
+    List<String> insideFolder = runProbe(shim, folder);
+    long offsetMillis = Long.parseLong(insideFolder.get(0)) - Instant.now().toEpochMilli();
     check(
-        Math.abs(Long.parseLong(below.get(1)) - System.nanoTime()) < 20_000_000_000L,
+        offsetMillis > HOUR_MILLIS - 20_000 && offsetMillis <= HOUR_MILLIS,
+        "an hour ahead: " + offsetMillis);
+    check(
+        Math.abs(Long.parseLong(insideFolder.get(1)) - System.nanoTime()) < 20_000_000_000L,
         "the monotonic clock is as it was");
-    check(below.get(2).equals("not written"), "below the folder: " + below);
-    check(child(shim, other).get(2).equals("written"), "elsewhere");
-    shim.allWell();
-    check(child(shim, folder).get(2).equals("written"), "and again");
+    check(insideFolder.get(2).equals("not written"), "below the folder: " + insideFolder);
+    check(runProbe(shim, other).get(2).equals("written"), "elsewhere");
+    shim.clearFailures();
+    check(runProbe(shim, folder).get(2).equals("written"), "and again");
   }
 
-  private static List<String> child(FaultShim shim, Path folder)
+  private static List<String> runProbe(FaultShim shim, Path folder)
       throws IOException, InterruptedException {
     ProcessBuilder builder =
         new ProcessBuilder(
             System.getProperty("java.home") + "/bin/java",
             "-cp",
             System.getProperty("java.class.path"),
-            Child.class.getName(),
+            Probe.class.getName(),
             folder.toString());
     builder.environment().putAll(shim.environment());
     Process process = builder.start();
-    String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     check(
         process.waitFor() == 0,
         new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8));
-    return said.lines().toList();
+    return output.lines().toList();
   }
 
-  private static String refused(String... arguments) throws Exception {
+  private static String errorOutput(String... arguments) throws Exception {
     Soak soak = new Soak();
     JCommander.newBuilder().addObject(soak).build().parse(arguments);
-    PrintStream before = System.err;
-    ByteArrayOutputStream said = new ByteArrayOutputStream();
-    System.setErr(new PrintStream(said, true, StandardCharsets.UTF_8));
+    PrintStream originalErr = System.err;
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    System.setErr(new PrintStream(output, true, StandardCharsets.UTF_8));
     try {
       check(soak.run(figures -> check(false, "nothing is played")) == 2, "bad input");
     } finally {
-      System.setErr(before);
+      System.setErr(originalErr);
     }
-    return said.toString(StandardCharsets.UTF_8);
+    return output.toString(StandardCharsets.UTF_8);
   }
 
   @Example
-  void badInputIsRefusedWithItsKeyAndReason() throws Exception {
+  void invalidInputIsRejectedWithKeyAndReason() throws Exception {
     check(
-        refused("--minutes", "0").contains("--minutes is 0.0; it takes a number above 0"),
+        errorOutput("--minutes", "0").contains("--minutes is 0.0; it takes a number above 0"),
         "no time");
-    check(refused("--seeds", "0").contains("--seeds is 0; it takes a number from 1"), "no seed");
     check(
-        refused("--router-jar", "/nowhere.jar").contains("--router-jar is /nowhere.jar"), "no jar");
-    for (String[] bad :
+        errorOutput("--seeds", "0").contains("--seeds is 0; it takes a number from 1"), "no seed");
+    check(
+        errorOutput("--router-jar", "/nowhere.jar").contains("--router-jar is /nowhere.jar"),
+        "no jar");
+    for (String[] invalid :
         new String[][] {
           {"servers=0", "servers can't be read: 0"},
           {"servers=many", "many"},
@@ -142,10 +146,10 @@
           {"rate", "rate can't be read"}
         }) {
       try {
-        DayOptions.parse(List.of(bad[0]));
-        check(false, "taken: " + bad[0]);
-      } catch (InvalidOption fault) {
-        check(fault.getMessage().contains(bad[1]), fault.getMessage());
+        RunOptions.parse(List.of(invalid[0]));
+        check(false, "taken: " + invalid[0]);
+      } catch (InvalidOptionException fault) {
+        check(fault.getMessage().contains(invalid[1]), fault.getMessage());
       }
     }
   }
