--- a/lab/src/main/java/basaltlever/lab/endtoend/ClientLoad.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/ClientLoad.java
@@ -24,17 +24,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The clients of one router: statements arrive by chance at a steady rate, a third of them on new
- * connections, some in pairs without waiting, and some clients leave before their answer.
+ * Simulates the clients of one router. Statements arrive as a Poisson process at a constant rate, a
+ * third of them on new connections. Some are pipelined in pairs, and some clients disconnect before
+ * the response arrives.
  */
 final class ClientLoad {
   private static final double NEW_CONNECTION_SHARE = 1 / 3.0;
   private static final double PIPELINED_PAIR_SHARE = 0.05;
   private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
-  /**
-   * A client waits this much longer than it said before it counts its statement as never answered.
-   */
+  /** Time that a client waits beyond its deadline before the statement counts as unanswered. */
   private static final long RESPONSE_GRACE_MILLIS = 700;
 
   private final EventLoop loop;
@@ -82,23 +81,21 @@
   }
 
   /**
-   * Its router has been told to end: clients go on where they are connected, and open no more
-   * connections.
+   * Sets whether clients only reuse open connections, as they do once their router has been asked
+   * to shut down.
    */
   void setReuseConnectionsOnly(boolean reuseOnly) {
     reuseConnectionsOnly = reuseOnly;
   }
 
-  /**
-   * How long a client keeps its side of a connection open once the router has ended the other one.
-   */
+  /** Sets how long a client keeps its side of a connection open after the router's half-close. */
   void setCloseDelayMillis(int millis) {
     closeDelayMillis = millis;
   }
 
   /**
-   * Statements on new connections within so many milliseconds; half of them are written apart from
-   * the start.
+   * Schedules statements on new connections, spread randomly over the duration. About half of them
+   * are sent in the same write as the startup message, the others in a separate one.
    */
   void scheduleBurst(int statementCount, int durationMillis) {
     for (int i = 0; i < statementCount; i++) {
@@ -109,7 +106,7 @@
     }
   }
 
-  /** Takes over the numbering of a load whose router was replaced. */
+  /** Continues the statement ids and open statements of the load on the replaced router process. */
   void continueFrom(ClientLoad previous) {
     sequence = previous.sequence;
     openStatements += previous.openStatements;
@@ -120,7 +117,7 @@
     return openStatements;
   }
 
-  /** How late this load itself was at most: what it measured is no better than that. */
+  /** Returns the maximum event loop lag, which bounds the accuracy of this load's measurements. */
   long maxLagMillis() {
     return lagMonitor.maxLagMillis();
   }
@@ -189,7 +186,7 @@
     }
   }
 
-  /** One connection of a client; answers come in the order of what was asked on it. */
+  /** One client connection. Responses arrive in the order of the statements sent on it. */
   private final class Connection extends ChannelInboundHandlerAdapter {
     private final boolean closeAfterResponse;
     private final boolean combineStartupAndQuery;
@@ -204,7 +201,12 @@
     private boolean closed;
     private Outcome pendingOutcome;
 
-    /** One that starts whole writes its start and its first statement in one piece. */
+    /**
+     * Opens a connection.
+     *
+     * @param combineStartupAndQuery whether the startup message and the first statement are sent in
+     *     one write
+     */
     Connection(boolean closeAfterResponse, boolean combineStartupAndQuery) {
       this.closeAfterResponse = closeAfterResponse;
       this.combineStartupAndQuery = combineStartupAndQuery;
@@ -220,7 +222,7 @@
       connectFuture.addListener(
           future -> {
             if (!future.isSuccess()) {
-              // Nobody took anything: the front goes to another router.
+              // No statement reached the router; the client would try another router.
               refusePending();
             }
           });
@@ -249,7 +251,8 @@
       if (pending.peek() == statement && connected) {
         startResponseTimer(statement);
       } else if (pending.peek() == statement) {
-        // No router owes anything to a client that it has not accepted; it gives up all the same.
+        // Without an accepted connection the router owes no response, but the client still times
+        // out.
         loop.schedule(
             this::onConnectTimeout, statement.workload.deadlineMillis(), TimeUnit.MILLISECONDS);
       }
@@ -262,7 +265,10 @@
       }
     }
 
-    /** It is the first on this connection that is not answered: its time begins. */
+    /**
+     * Starts the response timer of the first unanswered statement on this connection. Statements
+     * pipelined behind it are timed once it is answered.
+     */
     private void startResponseTimer(TrackedStatement statement) {
       statement.timerStartMillis = clock.nowMillis();
       statement.clientPort = ((InetSocketAddress) channel.localAddress()).getPort();
@@ -374,7 +380,10 @@
       onDisconnected();
     }
 
-    /** The router has ended it: what was asked and not answered goes elsewhere, or is lost. */
+    /**
+     * Handles a close by the router. On a connection that was used before, an unanswered statement
+     * that no server has received is resent on a new connection; all others end unanswered.
+     */
     private void onDisconnected() {
       idleConnections.remove(this);
       boolean wasReused = hasReceivedResponse;
@@ -385,7 +394,7 @@
         }
         if (wasReused && statement.attempts == 0) {
           checker.recordResend(statement, clock.nowMillis() - lagMonitor.recentMaxLagMillis());
-          // Sent once more on a new connection, as it was.
+          // The close crossed the statement; it is resent under the same id.
           new Connection(true, true).resend(statement);
         } else {
           finish(statement, wasReused ? Outcome.CLOSED_RESTING : Outcome.CLOSED_NEW);
--- a/lab/src/main/java/basaltlever/lab/endtoend/DiscoveryService.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/DiscoveryService.java
@@ -23,9 +23,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Discovery for all routers: the whole list or what changed after a version, on a watch that stays
- * open. Lists may be indented and written in pieces with pauses between them; only so many are
- * written at one time.
+ * Simulated discovery service of all routers. A watch receives the full endpoint list or the
+ * changes since a version and then stays open for further changes. Lists may be indented and
+ * written in pieces with pauses between them; the number of calls answered concurrently is limited.
  */
 final class DiscoveryService {
   private static final Pattern REQUEST_PATTERN =
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Where a router reaches discovery. */
+  /** Returns the address at which a router connects to discovery. */
   String address(int routerIndex) {
     return "127."
         + (ServerSimulator.FIRST_ROUTER_NETWORK + routerIndex)
@@ -111,28 +111,28 @@
         .toList();
   }
 
-  /** The servers have changed already: all watches are told. */
+  /** Publishes servers that have already been changed to all watches, under a new version. */
   void publishChanges(Collection<SimulatedServer> changedServers) {
     version++;
     changedServers.forEach(server -> server.lastChangedVersion = version);
     new ArrayList<>(watches).forEach(watch -> watch.sendChangesAfter(version - 1));
   }
 
-  /** Ends all watches and answers none, for a while. */
+  /** Closes all watches and rejects new connections for a period. */
   void makeUnavailableFor(long millis) {
     unavailable = true;
     new ArrayList<>(watches).forEach(watch -> watch.channel.close());
     loop.schedule(() -> unavailable = false, millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Calls are answered one after the other for a while, and each takes its time. */
+  /** Answers only one call at a time for a period; each call lasts until its list is written. */
   void serializeCallsFor(long millis) {
     maxConcurrentCalls = 1;
     loop.schedule(
         () -> maxConcurrentCalls = options.discoveryCapacity(), millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Writes the whole list to all watches, so many times in a row. */
+  /** Writes the full list to all watches several times in a row. */
   void repeatFullList(int times) {
     for (Watch watch : new ArrayList<>(watches)) {
       for (int i = 0; i < times; i++) {
@@ -154,7 +154,7 @@
     new ArrayList<>(watches).forEach(watch -> watch.channel.close());
   }
 
-  /** A list as it is written, and where in it each server's entry ends. */
+  /** An encoded list with the offset at which the entry of each server ends. */
   private record EncodedList(String text, List<SimulatedServer> servers, int[] endOffsets) {}
 
   private EncodedList encodeList(int routerIndex, List<SimulatedServer> servers, boolean full) {
@@ -188,13 +188,14 @@
     return new EncodedList(text.append("]}").toString(), servers, endOffsets);
   }
 
+  /** One connection of a router to discovery and the lists queued on it. */
   private final class Watch extends ChannelInboundHandlerAdapter {
     private final int routerIndex;
     private final Channel channel;
     private final StringBuilder request = new StringBuilder();
     private boolean requestReceived;
 
-    /** What it is to be told, in order; each only once the one before it is written. */
+    /** Lists to be written, in order; each is written after the previous one is complete. */
     private final ArrayDeque<List<SimulatedServer>> pendingLists = new ArrayDeque<>();
 
     private final ArrayDeque<Boolean> pendingFullFlags = new ArrayDeque<>();
@@ -275,8 +276,8 @@
     }
 
     /**
-     * What an entry says counts as told once its last byte is written, though others are still to
-     * come.
+     * Writes the next piece of a list. A server counts as notified once the last byte of its entry
+     * is written, even if later entries of the list are still pending.
      */
     private void writePiece(EncodedList list, byte[] text, int from, int previousCount) {
       int to = Math.min(text.length, from + options.listChunkBytes());
@@ -290,8 +291,8 @@
           .writeAndFlush(Unpooled.wrappedBuffer(text, from, to - from))
           .addListener(
               future -> {
-                // Written once the system has taken it, not while it waits in this process for a
-                // peer that reads late.
+                // The write completes when the operating system has accepted the bytes, not while
+                // they are buffered in this process for a peer that reads slowly.
                 long now = clock.nowMillis();
                 completedServers.forEach(
                     server -> simulator.recordNotified(routerIndex, server, now));
--- a/lab/src/main/java/basaltlever/lab/endtoend/EventLoopLagMonitor.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/EventLoopLagMonitor.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How late an event loop of the laboratory runs its timers: what is measured on it can't be blamed
- * on a router.
+ * Measures how late an event loop of the laboratory runs its timers, so that delays of the
+ * laboratory itself are not attributed to a router.
  */
 final class EventLoopLagMonitor {
   private static final long TICK_PERIOD_NANOS = 5_000_000;
@@ -48,16 +48,17 @@
   }
 
   /**
-   * The latest that it was in the last fifth of a second, with what it is right now; on the loop
-   * only.
+   * Returns the maximum lag of the last 200 ms, including the lag of a timer that is overdue now.
+   * Must be called on the event loop.
    */
   long recentMaxLagMillis() {
     return Math.max(recentMaxLagNanos, System.nanoTime() - nextTickNanos) / NANOS_PER_MILLI;
   }
 
   /**
-   * For how long what is read right now may have lain unread, at most: the loop has looked at its
-   * sockets between any two of its timers. On the loop only.
+   * Returns the maximum time for which data read now can have been waiting in a socket buffer. The
+   * loop polls its sockets between any two timers, so this is the time since the tick before the
+   * last one. Must be called on the event loop.
    */
   long maxUnreadMillis() {
     return (System.nanoTime() - previousTickNanos) / NANOS_PER_MILLI;
--- a/lab/src/main/java/basaltlever/lab/endtoend/FaultShim.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/FaultShim.java
@@ -12,11 +12,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A library of this project's, built with the system's compiler and preloaded into a router, that
- * steps its wall clock and makes its system calls fail by rates set from here while it runs.
+ * Controls a native library that is preloaded into a router process. The library is compiled with
+ * the system's C compiler; it steps the wall clock of the process and makes its system calls fail
+ * at rates that can be changed while the process runs.
  */
 final class FaultShim {
-  /** The calls that can be made to fail, in the order of the control block. */
+  /** System call failures that can be injected, in the order of the control block. */
   enum Call {
     ACCEPT,
     SOCKET,
@@ -49,7 +50,7 @@
     this.controlBlock = controlBlock;
   }
 
-  /** Builds the library into the folder; null where this machine has no compiler. */
+  /** Compiles the library into the folder; returns null if this machine has no C compiler. */
   static Path build(Path outputFolder) throws IOException, InterruptedException {
     Path source = outputFolder.resolve("fault_shim.c");
     try (InputStream resource = FaultShim.class.getResourceAsStream(SOURCE_RESOURCE)) {
@@ -73,7 +74,7 @@
           new String(
               compiler.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
       if (!compiler.waitFor(BUILD_TIMEOUT_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
-        throw new IOException("the fault shim can't be built: " + output);
+        throw new IOException("compiling the fault shim failed: " + output);
       }
       return library;
     } catch (IOException failure) {
@@ -85,7 +86,7 @@
     }
   }
 
-  /** One router's control block; writes and syncs fail only below the watched folder. */
+  /** Creates the control block of one router; file failures affect only the watched folder. */
   static FaultShim open(Path library, Path controlFile, Path watchedFolder, long seed)
       throws IOException {
     Files.write(controlFile, new byte[CONTROL_BLOCK_BYTES]);
@@ -98,7 +99,7 @@
     }
   }
 
-  /** What the process under test is started with. */
+  /** Returns the environment variables with which the process under test is started. */
   Map<String, String> environment() {
     return Map.of(
         "LD_PRELOAD",
@@ -113,7 +114,7 @@
     controlBlock.putLong(CLOCK_OFFSET_POSITION, offsetMillis);
   }
 
-  /** So many of a million calls fail from here on. */
+  /** Sets how many of a million calls fail from now on. */
   void setFailureRate(Call call, int perMillion) {
     controlBlock.putInt(RATES_POSITION + 4 * call.ordinal(), perMillion);
   }
--- a/lab/src/main/java/basaltlever/lab/endtoend/InvalidOptionException.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/InvalidOptionException.java
@@ -1,6 +1,6 @@
 package basaltlever.lab.endtoend;
 
-/** An option that can't be used; the message names the key, the value and what the key takes. */
+/** Thrown for an invalid option; the message states the key, its value and the valid values. */
 public final class InvalidOptionException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/lab/src/main/java/basaltlever/lab/endtoend/MonotonicClock.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/MonotonicClock.java
@@ -1,8 +1,8 @@
 package basaltlever.lab.endtoend;
 
 /**
- * Unix milliseconds as of the start of a day, moved on by the monotonic clock: steps of the wall
- * clock change nothing.
+ * Clock in Unix milliseconds that reads the wall clock once and then advances with the monotonic
+ * clock, so steps of the wall clock have no effect.
  */
 final class MonotonicClock {
   private static final long NANOS_PER_MILLI = 1_000_000;
--- a/lab/src/main/java/basaltlever/lab/endtoend/NumericOptions.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/NumericOptions.java
@@ -6,8 +6,7 @@
 import java.util.Map;
 
 /**
- * The numeric options of one kind of run: their ranges and defaults, and the reader of KEY=VALUE
- * pairs.
+ * Defines the numeric options of a scenario, with ranges and defaults, and parses KEY=VALUE pairs.
  */
 final class NumericOptions {
   private record Option(double min, double max, double defaultValue) {}
@@ -15,7 +14,7 @@
   private final String scenario;
   private final Map<String, Option> options = new LinkedHashMap<>();
 
-  /** The scenario is named in the message about an unknown key. */
+  /** Creates an empty set of options; the message about an unknown key names the scenario. */
   NumericOptions(String scenario) {
     this.scenario = scenario;
   }
@@ -25,7 +24,7 @@
     return this;
   }
 
-  /** Every key with its value; keys that are not given have their defaults. */
+  /** Returns the value of every key; keys that are not given have their defaults. */
   Map<String, Double> parse(List<String> pairs) throws InvalidOptionException {
     Map<String, Double> values = new LinkedHashMap<>();
     options.forEach((key, option) -> values.put(key, option.defaultValue));
@@ -53,7 +52,7 @@
       if (value >= option.min && value <= option.max) {
         return value;
       }
-    } catch (NumberFormatException notANumber) {
+    } catch (NumberFormatException ignored) {
       // Reported below, together with values that are out of range.
     }
     throw new InvalidOptionException(
--- a/lab/src/main/java/basaltlever/lab/endtoend/RouterUnderTest.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/RouterUnderTest.java
@@ -13,13 +13,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One router as a process of its own, with the memory options of the deploy file, and what it uses.
+ * Runs one router as a separate process with the memory options of deploy/balancer.toml and
+ * measures its resource usage.
  */
 final class RouterUnderTest implements AutoCloseable {
   private static final long STARTUP_TIMEOUT_MILLIS = 60_000;
   private static final String OVERDUE_EVENT = "event=overdue ";
 
-  /** As the build of the deploy file leaves it beside the jar. */
+  /** Class data sharing archive that the build of deploy/balancer.toml creates beside the jar. */
   private static final String CLASS_DATA_ARCHIVE = "basaltlever.jsa";
 
   private static final List<String> JVM_OPTIONS =
@@ -66,34 +67,34 @@
     startFilePath = file;
   }
 
-  /** Runs under a shim from its next start on. */
-  void setShim(FaultShim next) {
-    shim = next;
+  /** Preloads a fault shim from the next start on. */
+  void setShim(FaultShim newShim) {
+    shim = newShim;
   }
 
   FaultShim shim() {
     return shim;
   }
 
-  /** Logs the life of each statement that takes longer, from its next start on. */
+  /** Traces each statement that takes longer in the router's log, from the next start on. */
   void logStatementsSlowerThan(long millis) {
     command.addAll(List.of("--follow", "" + millis));
   }
 
-  /** Keeps what it learns in the folder from its next start on. */
+  /** Makes the router store its learned state in the folder, from the next start on. */
   void keepStateIn(Path folder) throws IOException {
-    Path operator =
+    Path operatorFile =
         Files.writeString(
             startFilePath.resolveSibling(startFilePath.getFileName() + ".ini"),
             "[state]\nfolder = " + folder + "\nperiod_ms = 500\n");
-    command.addAll(List.of("--operator", operator.toString()));
+    command.addAll(List.of("--operator", operatorFile.toString()));
   }
 
-  /** In one piece, as an operator would replace it. */
+  /** Replaces the start file atomically, as an operator would. */
   void replaceStartFile(String text) throws IOException {
-    Path next =
+    Path newFile =
         Files.writeString(startFilePath.resolveSibling(startFilePath.getFileName() + ".new"), text);
-    Files.move(next, startFilePath, StandardCopyOption.ATOMIC_MOVE);
+    Files.move(newFile, startFilePath, StandardCopyOption.ATOMIC_MOVE);
   }
 
   void sendSignal(String name) throws IOException, InterruptedException {
@@ -104,7 +105,7 @@
     return process.waitFor(millis, TimeUnit.MILLISECONDS);
   }
 
-  /** SIGKILL, if it still runs. */
+  /** Ends the process with SIGKILL if it is still running. */
   void kill() throws InterruptedException {
     process.destroyForcibly();
     process.waitFor();
@@ -120,7 +121,7 @@
     }
     Process started = builder.start();
     process = started;
-    // A laboratory that is ended in the middle of a day leaves no routers behind.
+    // No router process remains if the laboratory exits during a run.
     Runtime.getRuntime().addShutdownHook(new Thread(started::destroyForcibly));
   }
 
@@ -135,18 +136,19 @@
         socket.connect(address, 500);
         startupMillis = (System.nanoTime() - sinceNanos) / 1_000_000;
         return;
-      } catch (IOException notYet) {
+      } catch (IOException ignored) {
         Thread.sleep(10);
       }
     }
-    throw new IOException("a router did not begin to serve:\n" + Files.readString(logFile));
+    throw new IOException(
+        "the router did not start serving; its log:\n" + Files.readString(logFile));
   }
 
   long startupMillis() {
     return startupMillis;
   }
 
-  /** Reads what the process uses by now. */
+  /** Samples the open descriptors and the peak memory of the process. */
   void sampleUsage() {
     String[] descriptors = new File("/proc/" + process.pid() + "/fd").list();
     if (descriptors != null) {
@@ -158,8 +160,8 @@
           maxMemoryKb = Math.max(maxMemoryKb, Long.parseLong(line.replaceAll("[^0-9]", "")));
         }
       }
-    } catch (IOException ended) {
-      // What was read before stands.
+    } catch (IOException ignored) {
+      // The process has ended; earlier samples are kept.
     }
   }
 
@@ -180,21 +182,21 @@
     return process.isAlive();
   }
 
-  /** Statements that its decisions had forgotten, by its log. */
+  /** Returns the number of statements that the router's core left unanswered at their deadline. */
   int overdueStatements() {
     return readLog().split(OVERDUE_EVENT, -1).length - 1;
   }
 
-  /** All that its processes have logged so far. */
+  /** Returns the log output of all processes of this router so far. */
   String readLog() {
     try {
       return Files.exists(logFile) ? Files.readString(logFile) : "";
-    } catch (IOException unreadable) {
-      throw new UncheckedIOException(unreadable);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
   }
 
-  /** SIGTERM, its end, and a new process in its place. */
+  /** Stops the process with SIGTERM and starts a new one. */
   void restart() throws IOException, InterruptedException {
     double used = cpuSeconds();
     stop();
--- a/lab/src/main/java/basaltlever/lab/endtoend/ServerSimulator.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/ServerSimulator.java
@@ -27,11 +27,12 @@
 import java.util.regex.Pattern;
 
 /**
- * Thousands of simulated database servers behind one listener: every loopback address reaches it,
- * and the address that a connection was made to tells which router asks which server.
+ * Simulates thousands of database servers behind one listening socket. The socket accepts on every
+ * loopback address; the destination address of a connection identifies both the router and the
+ * server.
  */
 final class ServerSimulator {
-  /** Router 0 reaches its servers in 127.16.0.0/16, router 1 in 127.17.0.0/16 and so on. */
+  /** Router 0 connects to its servers in 127.16.0.0/16, router 1 in 127.17.0.0/16, and so on. */
   static final int FIRST_ROUTER_NETWORK = 16;
 
   private static final Pattern STATEMENT_ID_PATTERN = Pattern.compile("[ *,]id=([a-z0-9]+)");
@@ -39,7 +40,10 @@
   private static final int MAX_QUERY_BYTES = 1 << 18;
   private static final int LISTEN_BACKLOG = 4_096;
 
-  /** What the list says is told once it is written, with what the rules leave for clocks. */
+  /**
+   * Clock tolerance of the drain rule, which applies once the descriptor has been written to the
+   * router.
+   */
   private static final long CLOCK_TOLERANCE_MILLIS = 50;
 
   private final EventLoop loop;
@@ -55,7 +59,8 @@
   private final int[] pollCounts;
 
   /**
-   * When each router was told that a server drains or is gone; by router, then server; 0 for never.
+   * When each router was notified that a server is draining or removed, by router and then server;
+   * 0 if it was not.
    */
   private final long[][] drainNotifiedAtMillis;
 
@@ -146,6 +151,7 @@
     return servers.stream().mapToInt(server -> server.maxPollsPerSecond).max().orElse(0);
   }
 
+  /** Records that the descriptor of a server has been written to a router in full. */
   void recordNotified(int routerIndex, SimulatedServer server, long nowMillis) {
     if (server.lifecycle == SimulatedServer.Lifecycle.IN_SERVICE) {
       drainNotifiedAtMillis[routerIndex][server.index] = 0;
@@ -154,12 +160,12 @@
     }
   }
 
-  /** A router that starts anew has been told nothing yet. */
+  /** Forgets the notifications to a router whose process is restarted. */
   void clearNotifications(int routerIndex) {
     drainNotifiedAtMillis[routerIndex] = new long[servers.size()];
   }
 
-  /** Resets a share of all connections, in use or not. */
+  /** Resets a share of all connections, idle or busy. */
   void resetConnections(double share) {
     for (Channel channel : new ArrayList<>(openChannels)) {
       if (random.nextDouble() < share) {
@@ -178,6 +184,7 @@
     return clock.nowMillis();
   }
 
+  /** One connection of a router to a simulated server. */
   private final class Connection extends ChannelInboundHandlerAdapter {
     private final int routerIndex;
     private final SimulatedServer server;
@@ -245,7 +252,8 @@
         StatementChecker.TrackedStatement statement,
         String queryText) {
       long now = nowMillis();
-      // A router is judged by when it came, which is no earlier than this.
+      // The router is judged by the arrival time. This is its lower bound, so a late read by this
+      // event loop is not blamed on the router.
       long arrivedAtMillis = now - lagMonitor.maxUnreadMillis();
       if (statement == null) {
         writeResponse(
@@ -271,7 +279,7 @@
             out -> MessageEncoder.writeErrorResponse(out, "ERROR", "25006", "no primary", null));
         return;
       }
-      // What a closed connection carried may run all the same.
+      // A received statement may execute even if its connection is closed afterwards.
       checker.recordExecution(statement, now);
       double work = -Math.log(1 - random.nextDouble()) * statement.workload.workMillis();
       loop.schedule(() -> respond(context, statement), (long) work, TimeUnit.MILLISECONDS);
@@ -286,9 +294,9 @@
             "drain_late",
             statement,
             server.id()
-                + " got an attempt "
+                + " received an attempt "
                 + (arrivedAtMillis - notifiedAtMillis)
-                + " ms after its router was told that it is "
+                + " ms after its router was notified that it is "
                 + server.lifecycle.key);
       }
     }
--- a/lab/src/main/java/basaltlever/lab/endtoend/SimulatedServer.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/SimulatedServer.java
@@ -1,8 +1,8 @@
 package basaltlever.lab.endtoend;
 
-/** One database server of the day: its place in a group, its role and what the list says of it. */
+/** State of one simulated database server: group, role, discovery descriptor and load. */
 final class SimulatedServer {
-  /** As the list of members names it. */
+  /** Lifecycle state as it is written in the discovery list. */
   enum Lifecycle {
     IN_SERVICE("in_service"),
     DRAINING("terminating"),
@@ -21,27 +21,27 @@
   final int group;
   final boolean primary;
 
-  /** Two zones in turn, so that each group has members in both. */
+  /** Zone 0 or 1, assigned alternately so that each group has servers in both. */
   final int zone;
 
   Lifecycle lifecycle = Lifecycle.IN_SERVICE;
 
-  /** The version of the list that last changed this server. */
+  /** Version of the discovery list in which this server last changed. */
   long lastChangedVersion = 1;
 
-  /** Unix milliseconds of its last start; 0 for long ago. */
+  /** Unix milliseconds of the last restart; 0 if the server has not been restarted. */
   long startedAtMillis;
 
-  /** Since its last start. */
+  /** Level of the leaky bucket that counts statements during slow start. */
   private double slowStartLevel;
 
   private long slowStartLevelAtMillis;
   boolean overloaded;
 
-  /** Takes statements and answers none, up to then. */
+  /** Unix milliseconds until which the server accepts statements but does not respond. */
   long hangUntilMillis;
 
-  /** Polls and statements that it got in the second under way, and the most in any second. */
+  /** Second in which the current polls are counted. */
   private long currentSecond;
 
   private int pollsInCurrentSecond;
@@ -59,7 +59,10 @@
     return "s-" + index;
   }
 
-  /** The loopback address at which one router reaches this server: so it is known who asks. */
+  /**
+   * Returns the loopback address at which one router connects to this server. Each router has its
+   * own, so the address identifies the router.
+   */
   String address(int routerIndex, int port) {
     return "127."
         + (ServerSimulator.FIRST_ROUTER_NETWORK + routerIndex)
@@ -84,8 +87,11 @@
   }
 
   /**
-   * Counts one statement against the budget of a server in slow start; true where this one topples
-   * it. The level drains at the rate that the rule allows.
+   * Counts one statement against the budget of a server in slow start, a leaky bucket that drains
+   * at the rate allowed by the rule. The budget has a margin of a few standard deviations for
+   * random arrivals.
+   *
+   * @return whether this statement overloads the server
    */
   boolean recordSlowStartStatement(long nowMillis, double capacityPerSecond, DaySettings settings) {
     long ageMillis = nowMillis - startedAtMillis;
--- a/lab/src/main/java/basaltlever/lab/endtoend/StatementChecker.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/StatementChecker.java
@@ -5,11 +5,12 @@
 import java.util.Map;
 
 /**
- * What clients and servers saw of each statement, and the verdict on it. Everything is called on
- * the one loop of the day. A router's own word counts for nothing here.
+ * Records what clients and servers observe of each statement and checks it against the rules.
+ * Reports by the routers themselves are not used. Not thread-safe: all methods are called on the
+ * event loop of the run.
  */
 final class StatementChecker {
-  /** How a client saw its statement end. */
+  /** Outcome of a statement as its client observed it. */
   enum Outcome {
     SERVED,
     REFUSED,
@@ -20,36 +21,40 @@
     NEVER
   }
 
-  /** After its client has gone, an attempt may be on its way for so long. */
+  /** Time for which an attempt may still be in transit after its client disconnected. */
   private static final long ABANDONED_ATTEMPT_GRACE_MILLIS = 100;
 
-  /** An answer this much behind the deadline earns nothing; one still later is lost. */
+  /** A response up to this long after the deadline counts as late, a later one as lost. */
   private static final long LATE_RESPONSE_GRACE_MILLIS = 500;
 
   private static final long CLOCK_TOLERANCE_MILLIS = 50;
   private static final long DEADLINE_TOLERANCE_MILLIS = 150;
 
   /**
-   * A statement that lay on a resting connection for longer when that was ended had been received.
+   * Maximum time for which a statement and the router's close of an idle connection can cross. A
+   * statement written earlier than this before the close had been received by the router.
    */
   private static final long CLOSE_RACE_MILLIS = 20;
 
   private static final int MAX_FAILURES = 20;
 
-  /** One statement from when its client wrote it. */
+  /** State of one statement from the time its client wrote it. */
   static final class TrackedStatement {
     final String id;
     final StatementClass workload;
     final int routerIndex;
 
-    /** Since when its time counts: not while one before it on the same connection is unanswered. */
+    /**
+     * Start of its response time. A pipelined statement is timed only once the statement before it
+     * on the same connection is answered.
+     */
     long timerStartMillis;
 
     Outcome outcome;
     long abandonedAtMillis = Long.MAX_VALUE;
     long endedAtMillis;
 
-    /** From which it was written last, as the router's log names its clients. */
+    /** Local port of the connection it was last written on, which identifies it in router logs. */
     int clientPort;
 
     int attempts;
@@ -101,53 +106,59 @@
     return statementsById.get(id);
   }
 
-  /** A server took the whole text of an attempt; its client may have gone long before. */
+  /** Records that a server received an attempt, possibly after its client disconnected. */
   void recordAttempt(TrackedStatement statement, long nowMillis) {
     statement.attempts++;
     if (nowMillis - ABANDONED_ATTEMPT_GRACE_MILLIS > statement.abandonedAtMillis) {
       recordViolation(
           "lost",
           statement,
-          "an attempt "
+          "received an attempt "
               + (nowMillis - statement.abandonedAtMillis)
-              + " ms after its client had gone");
+              + " ms after its client disconnected");
     } else if (statement.outcome != null
         && statement.outcome != Outcome.LEFT
         && nowMillis > statement.endedAtMillis + CLOCK_TOLERANCE_MILLIS) {
       recordViolation(
           "lost",
           statement,
-          "an attempt " + (nowMillis - statement.endedAtMillis) + " ms after its final answer");
+          "received an attempt "
+              + (nowMillis - statement.endedAtMillis)
+              + " ms after its final response");
     }
   }
 
-  /** The time that an attempt tells its server, against what its client has left. */
+  /** Checks the deadline sent with an attempt against the time remaining for its client. */
   void checkDeadline(TrackedStatement statement, long sentMillis, long nowMillis) {
     long remainingMillis = statement.deadlineAtMillis() - nowMillis;
     if (sentMillis > remainingMillis + DEADLINE_TOLERANCE_MILLIS) {
       recordViolation(
           "deadline",
           statement,
-          "an attempt was given " + sentMillis + " ms where " + remainingMillis + " were left");
+          "an attempt was sent with a deadline of "
+              + sentMillis
+              + " ms when "
+              + remainingMillis
+              + " ms remained");
     }
   }
 
-  /** A server has begun an attempt: from here on it may have an effect. */
+  /** Records that a server started executing an attempt, which may have an effect from now on. */
   void recordExecution(TrackedStatement statement, long nowMillis) {
     statement.startedExecutions++;
     if (statement.startedExecutions == 1) {
       statement.firstExecutionMillis = nowMillis;
     } else if (statement.workload.effect() == StatementClass.Effect.AT_MOST_ONCE) {
-      recordViolation("doubled", statement, "run by two attempts");
+      recordViolation("doubled", statement, "executed by two attempts");
     } else if (statement.workload.effect() == StatementClass.Effect.DEDUPLICATED
         && nowMillis - statement.firstExecutionMillis
             > statement.workload.windowMillis() + CLOCK_TOLERANCE_MILLIS) {
       recordViolation(
           "doubled",
           statement,
-          "run again "
+          "executed again "
               + (nowMillis - statement.firstExecutionMillis)
-              + " ms later, outside its window of "
+              + " ms later; deduplication window in ms: "
               + statement.workload.windowMillis());
     }
   }
@@ -171,24 +182,29 @@
       recordViolation(
           "lost",
           statement,
-          "answered " + (nowMillis - statement.deadlineAtMillis()) + " ms behind its deadline");
+          "answered " + (nowMillis - statement.deadlineAtMillis()) + " ms after its deadline");
     } else if (outcome == Outcome.CLOSED_NEW || outcome == Outcome.NEVER) {
       recordViolation(
           "lost",
           statement,
-          outcome == Outcome.NEVER ? "never answered" : "a new connection closed with no answer");
+          outcome == Outcome.NEVER
+              ? "never answered"
+              : "a new connection was closed without a response");
     } else if (outcome == Outcome.CLOSED_RESTING && statement.attempts > 0) {
-      recordViolation("lost", statement, "read, then its connection closed with no answer");
+      recordViolation(
+          "lost",
+          statement,
+          "received by a server, but its connection was closed without a response");
     } else if (outcome == Outcome.REFUSED
         && statement.startedExecutions > 0
         && statement.workload.effect() != StatementClass.Effect.IDEMPOTENT) {
-      recordViolation("doubled", statement, "refused though it may have run");
+      recordViolation("doubled", statement, "refused although it may have been executed");
     }
   }
 
   /**
-   * Its resting connection was ended with no answer; no server has seen it, and its client sends it
-   * once more.
+   * Records that a router closed an idle connection on which the statement had been written. No
+   * server has received the statement, and its client resends it.
    */
   void recordResend(TrackedStatement statement, long nowMillis) {
     long unansweredMillis = nowMillis - statement.timerStartMillis;
@@ -197,7 +213,9 @@
       recordViolation(
           "lost_resting",
           statement,
-          "a resting connection was closed " + unansweredMillis + " ms after it was written");
+          "its idle connection was closed "
+              + unansweredMillis
+              + " ms after the statement was written");
     }
   }
 
@@ -216,7 +234,7 @@
               + statement.attempts
               + ", client port "
               + statement.clientPort
-              + ", counted from "
+              + ", timed from "
               + java.time.Instant.ofEpochMilli(statement.timerStartMillis));
     }
   }
@@ -253,7 +271,7 @@
             (int) Math.min(servedLatenciesMillis.size() - 1, share * servedLatenciesMillis.size()));
   }
 
-  /** One line for each of the first statements that broke a rule. */
+  /** Returns one line for each of the first statements that violated a rule. */
   java.util.List<String> failures() {
     return failures.entrySet().stream()
         .map(failure -> failure.getKey() + ": " + failure.getValue())
--- a/lab/src/main/java/basaltlever/lab/endtoend/StatementClass.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/StatementClass.java
@@ -1,9 +1,6 @@
 package basaltlever.lab.endtoend;
 
-/**
- * One class of statements as the settings tell routers of it, with the work that servers have with
- * it.
- */
+/** One class of statements: its settings for routers and the mean work of servers for it. */
 record StatementClass(
     String key,
     double share,
@@ -15,7 +12,7 @@
     String read,
     long boundMillis,
     double worth) {
-  /** What running a statement twice does, in the words of the settings. */
+  /** Effect of executing a statement twice, with the value used in the settings. */
   enum Effect {
     IDEMPOTENT("idempotent"),
     DEDUPLICATED("deduplicated"),
@@ -32,6 +29,7 @@
     return read.equals("write");
   }
 
+  /** Returns the JSON object of this class in a router's settings; durations in microseconds. */
   String settingsJson() {
     String window =
         effect == Effect.DEDUPLICATED
--- a/lab/src/main/java/basaltlever/lab/endtoend/package-info.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/package-info.java
@@ -1,2 +1,2 @@
-/** Days with router processes, many servers and seeded faults, judged by the rules. */
+/** Tests router processes end to end against simulated servers, clients and seeded faults. */
 package basaltlever.lab.endtoend;
--- a/lab/src/main/java/basaltlever/lab/load/LoadGenerator.java
+++ b/lab/src/main/java/basaltlever/lab/load/LoadGenerator.java
@@ -13,9 +13,10 @@
 import java.util.SplittableRandom;
 
 /**
- * Statements that arrive by the clock, whatever the answers do. Each is timed from when it should
- * have been sent. Clients that are rejected come back when they are told to, a few times; some
- * leave early; sessions read what they wrote.
+ * Open-loop load generator: statements arrive on schedule, independent of the responses, and are
+ * timed from their scheduled send time. Rejected clients retry a limited number of times after the
+ * delay that the router returned, some clients disconnect early, and sessions read their own
+ * writes.
  */
 public final class LoadGenerator {
   private static final int SESSIONS_PER_GROUP = 64;
@@ -24,8 +25,9 @@
   private static final double OTHER_ROUTER_SHARE = 0.1;
 
   /**
-   * An answer that comes up to this much after its client's time is late; later it is none. The
-   * standing test's own half second: less was a busy machine's own delay at times, and no router's.
+   * A response up to this long after the client's deadline is late; beyond it, the statement counts
+   * as unanswered. This is the half second of the standing test. With less time, delays of a busy
+   * machine were at times counted against the router.
    */
   private static final Span RESPONSE_GRACE = Span.ofMillis(500);
 
@@ -44,6 +46,7 @@
   private long statementCount;
   private int openStatements;
 
+  /** Creates a generator; each workload runs in every group of the world. */
   public LoadGenerator(
       SimulatedCluster world,
       StatementTransport transport,
@@ -60,16 +63,18 @@
     lastCommits = new long[SESSIONS_PER_GROUP * (world.groups().size() + 1)];
   }
 
+  /** Schedules the arrivals of all workloads for the duration. */
   public void runFor(Span duration) {
     endTime = world.now().plus(duration);
     for (ReplicaGroup group : world.groups()) {
       for (Workload workload : workloads) {
-        // Each with its own source of chance: arrivals are the same whatever is answered.
+        // A separate random generator for each workload makes arrivals independent of responses.
         scheduleNext(group.number, workload, world.now(), random.split());
       }
     }
   }
 
+  /** Returns whether the duration has passed and no statement is open. */
   public boolean isFinished() {
     return openStatements == 0 && !world.now().isBefore(endTime);
   }
@@ -77,7 +82,7 @@
   private void scheduleNext(
       int group, Workload workload, Moment previousTime, SplittableRandom workloadRandom) {
     double rate = workload.ratePerSecond() * faults.loadFactor(group);
-    // Arrivals of many clients that know nothing of each other.
+    // Exponential intervals, as from many independent clients.
     Moment dueTime =
         previousTime.plus(Span.ofMillis(-Math.log(1 - workloadRandom.nextDouble()) * 1e3 / rate));
     if (dueTime.isBefore(endTime)) {
@@ -98,10 +103,10 @@
     int otherRouter = workloadRandom.nextInt(routerCount);
     int routerIndex =
         workloadRandom.nextDouble() < OTHER_ROUTER_SHARE ? otherRouter : session % routerCount;
-    for (int next = 1; next < routerCount && !transport.isReachable(routerIndex); next++) {
+    for (int tried = 1; tried < routerCount && !transport.isReachable(routerIndex); tried++) {
       routerIndex = (routerIndex + 1) % routerCount;
     }
-    double early =
+    double patienceShare =
         workloadRandom.nextDouble() < EARLY_DISCONNECT_SHARE ? workloadRandom.nextDouble() : 1;
     long minCommit = workload.consistency().equals("session") ? lastCommits[session] : 0;
     send(
@@ -114,7 +119,7 @@
         dueTime.plus(workload.timeout()),
         minCommit,
         1,
-        early);
+        patienceShare);
   }
 
   private void send(
@@ -127,7 +132,7 @@
       Moment deadline,
       long minCommit,
       int tryNumber,
-      double share) {
+      double patienceShare) {
     Statement statement =
         new Statement(
             "t" + statementCount++,
@@ -143,9 +148,11 @@
     checker.onStatementStarted(statement);
     openStatements++;
     transport.submit(statement, new StatementListener(statement, session));
-    boolean early = share < 1;
+    boolean disconnectsEarly = patienceShare < 1;
     Moment giveUpTime =
-        early ? dueTime.plus(deadline.since(dueTime).times(share)) : deadline.plus(RESPONSE_GRACE);
+        disconnectsEarly
+            ? dueTime.plus(deadline.since(dueTime).times(patienceShare))
+            : deadline.plus(RESPONSE_GRACE);
     world
         .scheduler()
         .runAt(
@@ -153,7 +160,7 @@
             () -> {
               if (statement.isOpen()) {
                 transport.abandon(statement);
-                finish(statement, early ? Outcome.LEFT : Outcome.UNANSWERED, null);
+                finish(statement, disconnectsEarly ? Outcome.LEFT : Outcome.UNANSWERED, null);
               }
             });
   }
@@ -161,12 +168,13 @@
   private void finish(Statement statement, Outcome outcome, String value) {
     if (statement.isOpen()) {
       openStatements--;
-      // What may still run for it is written down a while longer.
+      // Executions that finish after the response are still recorded for a while.
       world.scheduler().runAfter(RETENTION_PERIOD, () -> checker.removeStatement(statement));
     }
     checker.onStatementEnded(statement, outcome, world.now(), value);
   }
 
+  /** Records the result of one statement and schedules the retry of a rejected one. */
   private final class StatementListener implements StatementTransport.ResponseListener {
     private final Statement statement;
     private final int session;
--- a/lab/src/main/java/basaltlever/lab/load/StatementTransport.java
+++ b/lab/src/main/java/basaltlever/lab/load/StatementTransport.java
@@ -3,28 +3,31 @@
 import basaltlever.lab.world.Statement;
 import basaltlever.time.Span;
 
-/** The way of a client's statement to its router and of the answer back. */
+/** Carries client statements to the routers and reports the responses. */
 public interface StatementTransport {
-  /** What a client hears of its statement, once at most. */
+  /** Receives the result of one statement; at most one method is called, at most once. */
   interface ResponseListener {
+    /** Called if the statement completed with the value. */
     void onCompleted(String value);
 
-    /** The span is how long the router asks it to wait. */
+    /** Called if the router rejected the statement and asks for a retry after the given time. */
     void onRejected(Span retryAfter);
 
+    /** Called if the router aborted the statement. */
     void onAborted();
 
-    /** Its router was ended by force: nobody owes an answer any more. */
+    /** Called if the router was killed, after which no response is owed. */
     void onRouterKilled();
   }
 
+  /** Sends a statement to its router. */
   void submit(Statement statement, ResponseListener listener);
 
-  /** Whether clients can reach the router; those that can't go to the next. */
+  /** Returns whether clients can connect to the router; otherwise they use the next one. */
   default boolean isReachable(int routerIndex) {
     return true;
   }
 
-  /** Its client waits no longer. */
+  /** Notifies the transport that the client no longer waits for the statement. */
   void abandon(Statement statement);
 }
--- a/lab/src/main/java/basaltlever/lab/load/package-info.java
+++ b/lab/src/main/java/basaltlever/lab/load/package-info.java
@@ -1,2 +1,2 @@
-/** Generators of client load. */
+/** Client load generation. */
 package basaltlever.lab.load;
--- a/lab/src/main/java/basaltlever/lab/report/HtmlReport.java
+++ b/lab/src/main/java/basaltlever/lab/report/HtmlReport.java
@@ -24,8 +24,8 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * One page that tells a run at a glance: what was answered over time with the faults marked, times,
- * executions.
+ * HTML page that summarizes a run: responses over time with the faults marked, response times, and
+ * executions by server.
  */
 public final class HtmlReport {
   private static final int CHART_WIDTH = 1_000;
@@ -33,17 +33,18 @@
 
   private HtmlReport() {}
 
+  /** Writes the report of a run to the folder and returns its path. */
   public static Path write(
       Path folder, String title, Map<String, Object> figures, SimulatedCluster world)
       throws IOException {
     Files.createDirectories(folder);
-    Map<String, Object> page = new HashMap<>();
-    page.put("title", title);
-    page.put("seed", figures.get("seed"));
+    Map<String, Object> model = new HashMap<>();
+    model.put("title", title);
+    model.put("seed", figures.get("seed"));
     List<?> broken = (List<?>) figures.get("broken");
-    page.put("held", broken.isEmpty());
-    page.put("broken", broken);
-    page.put("told", figures.get("told"));
+    model.put("held", broken.isEmpty());
+    model.put("broken", broken);
+    model.put("told", figures.get("told"));
     List<Map<String, Object>> rows = new ArrayList<>();
     figures.forEach(
         (name, value) -> {
@@ -58,17 +59,21 @@
                         : number.toString()));
           }
         });
-    page.put("figures", rows);
+    model.put("figures", rows);
     List<Map<String, Object>> marks = new ArrayList<>();
     world
         .timeSeries()
         .marks()
         .forEach(
-            (at, what) ->
+            (seconds, description) ->
                 marks.add(
-                    Map.of("at", String.format(java.util.Locale.ROOT, "%.2f", at), "what", what)));
-    page.put("marks", marks);
-    page.put(
+                    Map.of(
+                        "at",
+                        String.format(java.util.Locale.ROOT, "%.2f", seconds),
+                        "what",
+                        description)));
+    model.put("marks", marks);
+    model.put(
         "charts",
         List.of(
             toSvg(outcomesChart(world.timeSeries())),
@@ -76,34 +81,36 @@
             toSvg(executionsChart(world.timeSeries().executionCounts()))));
     Path file = folder.resolve("report.html");
     try (Writer out = Files.newBufferedWriter(file)) {
-      new DefaultMustacheFactory("report").compile("report.mustache").execute(out, page);
+      new DefaultMustacheFactory("report").compile("report.mustache").execute(out, model);
     }
     return file;
   }
 
   private static XYChart outcomesChart(TimeSeries series) {
     XYChart chart = new XYChart(CHART_WIDTH, CHART_HEIGHT);
-    chart.setTitle("Answers a second and open statements over time; lines mark faults");
+    chart.setTitle(
+        "Responses per second and open statements over time; vertical lines mark faults");
     chart.setXAxisTitle("seconds");
     List<int[]> steps = series.steps();
-    double[] at = new double[steps.size()];
+    double[] seconds = new double[steps.size()];
     double[][] values = new double[4][steps.size()];
-    double top = 1;
+    double maxValue = 1;
     for (int i = 0; i < steps.size(); i++) {
-      at[i] = i * TimeSeries.stepSeconds();
+      seconds[i] = i * TimeSeries.stepSeconds();
       for (int k = 0; k < 4; k++) {
         values[k][i] = steps.get(i)[k] / (k < 3 ? TimeSeries.stepSeconds() : 1);
-        top = Math.max(top, values[k][i]);
+        maxValue = Math.max(maxValue, values[k][i]);
       }
     }
     String[] names = {"completed", "rejected", "aborted or unanswered", "open"};
     for (int k = 0; k < 4; k++) {
-      chart.addSeries(names[k], at, values[k]).setMarker(SeriesMarkers.NONE);
+      chart.addSeries(names[k], seconds, values[k]).setMarker(SeriesMarkers.NONE);
     }
-    int number = 0;
+    int markCount = 0;
     for (double mark : series.marks().keySet()) {
-      if (number++ < 200) {
-        var line = chart.addSeries("m" + number, new double[] {mark, mark}, new double[] {0, top});
+      if (markCount++ < 200) {
+        var line =
+            chart.addSeries("m" + markCount, new double[] {mark, mark}, new double[] {0, maxValue});
         line.setMarker(SeriesMarkers.NONE).setShowInLegend(false);
         line.setLineColor(new java.awt.Color(0xcc, 0x44, 0x44, 70)).setLineWidth(1);
       }
@@ -114,22 +121,22 @@
 
   private static XYChart latencyChart(Histogram histogram) {
     XYChart chart = new XYChart(CHART_WIDTH, CHART_HEIGHT);
-    chart.setTitle("Response time by percentile, from when a statement should have been sent");
+    chart.setTitle("Response time by percentile, measured from the scheduled send time");
     chart.setXAxisTitle("1 / (1 - percentile): 10 is p90, 1000 is p99.9");
     chart.setYAxisTitle("ms");
-    List<Double> at = new ArrayList<>();
+    List<Double> inverseTails = new ArrayList<>();
     List<Double> millis = new ArrayList<>();
     for (HistogramIterationValue value : histogram.percentiles(5)) {
       if (value.getPercentileLevelIteratedTo() < 99.999) {
-        at.add(1 / (1 - value.getPercentileLevelIteratedTo() / 100));
+        inverseTails.add(1 / (1 - value.getPercentileLevelIteratedTo() / 100));
         millis.add(Math.max(0.01, value.getValueIteratedTo() / 1e3));
       }
     }
-    if (at.isEmpty()) {
-      at.add(1.0);
+    if (inverseTails.isEmpty()) {
+      inverseTails.add(1.0);
       millis.add(0.01);
     }
-    chart.addSeries("all completed", at, millis).setMarker(SeriesMarkers.NONE);
+    chart.addSeries("all completed", inverseTails, millis).setMarker(SeriesMarkers.NONE);
     chart.getStyler().setXAxisLogarithmic(true);
     chart.getStyler().setYAxisLogarithmic(true);
     return chart;
@@ -137,7 +144,7 @@
 
   private static CategoryChart executionsChart(Map<String, Integer> counts) {
     CategoryChart chart = new CategoryChart(CHART_WIDTH, CHART_HEIGHT);
-    chart.setTitle("Executions that reached each node");
+    chart.setTitle("Executions by server");
     List<String> names = counts.isEmpty() ? List.of("none") : List.copyOf(counts.keySet());
     chart.addSeries(
         "executions", names, names.stream().map(name -> counts.getOrDefault(name, 0)).toList());
@@ -150,7 +157,7 @@
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     VectorGraphicsEncoder.saveVectorGraphic(chart, out, VectorGraphicsFormat.SVG);
     String text = out.toString(StandardCharsets.UTF_8);
-    // Into the page itself, so that one file is all there is.
+    // Without the XML prolog, to embed the chart in the page and keep the report a single file.
     return text.substring(text.indexOf("<svg"));
   }
 }
--- a/lab/src/main/java/basaltlever/lab/report/package-info.java
+++ b/lab/src/main/java/basaltlever/lab/report/package-info.java
@@ -1,2 +1,2 @@
-/** Reports of runs as JSON and as a page with charts. */
+/** HTML reports of runs with charts. */
 package basaltlever.lab.report;
--- a/lab/src/main/resources/native/fault_shim.c
+++ b/lab/src/main/resources/native/fault_shim.c
@@ -1,10 +1,11 @@
 /*
- * Preloaded into a process under test: steps its wall clock, and makes system calls fail or come up short, by a control
- * block that the test changes while the process runs. Only the laboratory uses it.
+ * Preloaded into a process under test to step its wall clock and to inject system call failures and short reads and
+ * writes, as set in a control block that the test changes while the process runs. Used by the laboratory only.
  *
- * FAULT_CONTROL names a file of 64 bytes: int64 clock offset in ms, int64 seed, then uint32 rates per million calls:
- * accept, socket, connect, wait interrupted, short read, short write, broken read, file write, file sync.
- * FAULT_FOLDER names the folder whose files the last two are about.
+ * FAULT_CONTROL is the path of the control file, of which 64 bytes are used: int64 clock offset in ms, int64 seed, then
+ * uint32 rates per million calls: accept, socket, connect, wait interrupted, short read, short write, broken read,
+ * file write, file sync.
+ * FAULT_FOLDER is the folder whose files the last two rates apply to.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -53,7 +54,7 @@
 
 #define REAL(name) ({ static __typeof__(&name) real; if (!real) real = (__typeof__(&name)) dlsym(RTLD_NEXT, #name); real; })
 
-/* xorshift64*, seeded by the run and the thread's own stack. */
+/* xorshift64*, seeded from the seed of the run and a thread-local address. */
 static int happens(uint32_t per_million) {
     if (per_million == 0) {
         return 0;
