--- a/lab/src/main/java/basaltlever/lab/DemoCommand.java
+++ b/lab/src/main/java/basaltlever/lab/DemoCommand.java
@@ -42,7 +42,7 @@
           line = input.readLine()) {
         String command = line.trim();
         FaultInjector.Kind kind = FaultInjector.Kind.findByName(command);
-        ReplicaGroup group = run.world().groups().get(0);
+        ReplicaGroup group = run.cluster().groups().get(0);
         run.loop()
             .submit(
                 () -> {
--- a/lab/src/main/java/basaltlever/lab/PairedPlaysCommand.java
+++ b/lab/src/main/java/basaltlever/lab/PairedPlaysCommand.java
@@ -16,15 +16,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Compares two checkouts of the program on the same days of an external benchmark. Both are
+ * Compares two checkouts of the program on the same scenarios of an external benchmark. Both are
  * measured alternately, so that changes in the load of the machine affect both alike and the mean
  * difference, compared with its standard error, is due to the code. The benchmark is a program that
- * takes a site file and {@code --rough DAY --seed N --json FILE --why TEXT}, and writes the day's
- * row into the file.
+ * takes a site file and {@code --rough DAY --seed N --json FILE --why TEXT}, and writes the
+ * scenario's row into the file.
  */
 @Parameters(
     commandDescription =
-        "Measures two checkouts alternately on days of a benchmark, and compares them")
+        "Measures two checkouts alternately on scenarios of a benchmark, and compares them")
 final class PairedPlaysCommand {
   private static final int EXIT_USAGE = 2;
   private static final int EXIT_RULES_BROKEN = 1;
@@ -38,13 +38,13 @@
       description = "site file, passed as the first argument")
   private String siteFile;
 
-  @Parameter(names = "--days", required = true, description = "comma-separated names of days")
-  private List<String> days = new ArrayList<>();
+  @Parameter(names = "--days", required = true, description = "comma-separated names of scenarios")
+  private List<String> scenarios = new ArrayList<>();
 
   @Parameter(names = "--seeds", description = "comma-separated; one play of each checkout per seed")
   private List<Long> seeds = List.of(1L, 2L, 3L);
 
-  @Parameter(names = "--figure", description = "name of the compared figure in the day's row")
+  @Parameter(names = "--figure", description = "name of the compared figure in a scenario's row")
   private String figureName = "score";
 
   @Parameter(names = "--why", description = "note that the benchmark records")
@@ -64,7 +64,7 @@
   @Parameter(description = "CHECKOUT-A CHECKOUT-B", required = true)
   private List<String> checkouts = new ArrayList<>();
 
-  /** A play failed to run, so that it says nothing about the code. */
+  /** A play that failed to run, so that it has no result to compare. */
   private static final class PlayFailedException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -84,23 +84,23 @@
     int brokenPlays = 0;
     try {
       System.out.printf("%-24s %6s %9s %9s %9s %9s%n", "day", "plays", "A", "B", "B - A", "noise");
-      for (String day : days) {
+      for (String scenario : scenarios) {
         PairedSamples samples = new PairedSamples();
         for (int i = 0; i < seeds.size(); i++) {
           // The order alternates, so that caches warmed by the first play favor neither checkout.
           boolean swapped = i % 2 == 1;
-          Map<?, ?> first = play(checkouts.get(swapped ? 1 : 0), day, seeds.get(i));
-          Map<?, ?> second = play(checkouts.get(swapped ? 0 : 1), day, seeds.get(i));
+          Map<?, ?> first = play(checkouts.get(swapped ? 1 : 0), scenario, seeds.get(i));
+          Map<?, ?> second = play(checkouts.get(swapped ? 0 : 1), scenario, seeds.get(i));
           Map<?, ?> a = swapped ? second : first;
           Map<?, ?> b = swapped ? first : second;
           brokenPlays +=
-              reportBrokenRules(a, checkouts.get(0), day)
-                  + reportBrokenRules(b, checkouts.get(1), day);
-          samples.add(figureValue(a, day), figureValue(b, day));
-          allSamples.add(figureValue(a, day), figureValue(b, day));
+              reportBrokenRules(a, checkouts.get(0), scenario)
+                  + reportBrokenRules(b, checkouts.get(1), scenario);
+          samples.add(figureValue(a, scenario), figureValue(b, scenario));
+          allSamples.add(figureValue(a, scenario), figureValue(b, scenario));
         }
-        printSummary(day, samples);
-        results.put(day, samples.toFigures());
+        printSummary(scenario, samples);
+        results.put(scenario, samples.toFigures());
       }
     } catch (PlayFailedException e) {
       System.err.println("basaltlever-lab: " + e.getMessage());
@@ -131,11 +131,11 @@
                 : null;
   }
 
-  private Map<?, ?> play(String checkout, String day, long seed)
+  private Map<?, ?> play(String checkout, String scenario, long seed)
       throws IOException, InterruptedException, PlayFailedException {
     Path rowFile = Files.createTempFile("play", ".json");
     Path outputFile = Files.createTempFile("play", ".out");
-    String play = checkout + ", " + day + ", seed " + seed;
+    String play = checkout + ", " + scenario + ", seed " + seed;
     try {
       List<String> command =
           new ArrayList<>(
@@ -143,7 +143,7 @@
                   toAbsolutePath(benchProgram),
                   toAbsolutePath(siteFile),
                   "--rough",
-                  day,
+                  scenario,
                   "--seed",
                   "" + seed,
                   "--json",
@@ -182,14 +182,14 @@
     return Path.of(path).toAbsolutePath().normalize().toString();
   }
 
-  private double figureValue(Map<?, ?> row, String day) throws PlayFailedException {
+  private double figureValue(Map<?, ?> row, String scenario) throws PlayFailedException {
     if (row.get(figureName) instanceof BigDecimal number) {
       return number.doubleValue();
     }
-    throw new PlayFailedException("the row of " + day + " has no number named " + figureName);
+    throw new PlayFailedException("the row of " + scenario + " has no number named " + figureName);
   }
 
-  private static int reportBrokenRules(Map<?, ?> row, String checkout, String day) {
+  private static int reportBrokenRules(Map<?, ?> row, String checkout, String scenario) {
     boolean hasBrokenRule =
         row.get("rules") instanceof Map<?, ?> counts
             && counts.values().stream()
@@ -200,7 +200,7 @@
           "BROKEN: "
               + checkout
               + ", "
-              + day
+              + scenario
               + ", seed "
               + row.get("seed")
               + ": "
--- a/lab/src/main/java/basaltlever/lab/RunCommand.java
+++ b/lab/src/main/java/basaltlever/lab/RunCommand.java
@@ -49,7 +49,7 @@
   private String figuresFile;
 
   @Parameter(names = "--report", description = "output folder for a page with charts")
-  private String reportFolder;
+  private String reportPath;
 
   @Parameter(names = "--router-jar", description = "another build of the router, for comparison")
   private Path jar;
@@ -69,7 +69,7 @@
       names = "--follow",
       description =
           "milliseconds: the course of statements that take longer is logged (new-clients)")
-  private long followThresholdMillis;
+  private long traceMillis;
 
   @ParametersDelegate private final RelayBenchmark relayBenchmark = new RelayBenchmark();
 
@@ -114,11 +114,11 @@
       if (seconds != null) {
         overrides.add("seconds=" + seconds);
       }
-      RunOptions day = RunOptions.parse(overrides);
+      RunOptions options = RunOptions.parse(overrides);
       Map<String, Object> figures = new LinkedHashMap<>();
       figures.put("scenario", name);
       figures.put("seed", seed);
-      figures.putAll(ManyServers.compareWithBaseline(day, seed, jar, logFolder));
+      figures.putAll(ManyServers.compareWithBaseline(options, seed, jar, logFolder));
       FiguresWriter.publish(figures, figuresFile);
       return ((List<?>) figures.get("broken")).isEmpty() ? 0 : 1;
     } catch (InvalidOptionException e) {
@@ -130,17 +130,17 @@
   private int runNewClients() throws Exception {
     boolean passed = true;
     for (int i = 0; i < runCount; i++) {
-      try (NewClientsRun day =
+      try (NewClientsRun run =
           new NewClientsRun(NewClientsOptions.parse(settings), seed + i, jar)) {
-        if (followThresholdMillis > 0) {
-          day.traceStatementsLongerThan(followThresholdMillis);
+        if (traceMillis > 0) {
+          run.traceStatementsLongerThan(traceMillis);
         }
-        Map<String, Object> figures = day.run();
+        Map<String, Object> figures = run.run();
         figures.put("seed", seed + i);
         FiguresWriter.publish(figures, figuresFile);
         passed &= ((List<?>) figures.get("broken")).isEmpty();
         if (logFolder != null) {
-          day.copyLogs(Files.createDirectories(logFolder.resolve("seed-" + (seed + i))));
+          run.copyLogs(Files.createDirectories(logFolder.resolve("seed-" + (seed + i))));
         }
       } catch (InvalidOptionException e) {
         System.err.println("basaltlever-lab: " + e.getMessage());
@@ -154,12 +154,12 @@
     Map<String, Object> figures = new LinkedHashMap<>();
     figures.put("scenario", name);
     figures.put("seed", runSeed);
-    SimulatedCluster world;
+    SimulatedCluster cluster;
     if (scenario.virtualTime) {
       try {
         VirtualRun run = new VirtualRun(scenario, runSeed);
         figures.putAll(run.runScenario());
-        world = run.world();
+        cluster = run.cluster();
       } catch (InvalidSettingsException e) {
         throw new IllegalStateException(e);
       }
@@ -167,24 +167,24 @@
       try (AgreementRun run =
           new AgreementRun(scenario, runSeed, jar, operatorText(scenario.usesChangeTable))) {
         figures.putAll(run.run());
-        world = run.cluster();
+        cluster = run.cluster();
       }
     } else {
       try (SocketRun run =
           new SocketRun(scenario, runSeed, jar, operatorText(scenario.usesChangeTable))) {
         figures.putAll(run.runScenario());
-        world = run.world();
+        cluster = run.cluster();
         if (!run.routers().stream().allMatch(router -> router.process().isAlive())) {
           System.err.println(run.routers().get(0).readLog());
         }
       }
     }
-    List<String> brokenExpectations = scenario.violations(figures);
-    figures.put("broken", brokenExpectations);
-    figures.put("told", world.checker.findings());
-    if (reportFolder != null) {
+    List<String> violations = scenario.violations(figures);
+    figures.put("broken", violations);
+    figures.put("told", cluster.checker.findings());
+    if (reportPath != null) {
       HtmlReport.write(
-          Path.of(reportFolder), scenario.title.isEmpty() ? name : scenario.title, figures, world);
+          Path.of(reportPath), scenario.title.isEmpty() ? name : scenario.title, figures, cluster);
     }
     return figures;
   }
--- a/lab/src/main/java/basaltlever/lab/endtoend/ClientLoad.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/ClientLoad.java
@@ -251,8 +251,8 @@
       if (pending.peek() == statement && connected) {
         startResponseTimer(statement);
       } else if (pending.peek() == statement) {
-        // Without an accepted connection the router owes no response, but the client still times
-        // out.
+        // Without an accepted connection no response of the router is required, but the client
+        // still times out.
         loop.schedule(
             this::onConnectTimeout, statement.workload.deadlineMillis(), TimeUnit.MILLISECONDS);
       }
--- a/lab/src/main/java/basaltlever/lab/endtoend/DaySettings.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/DaySettings.java
@@ -88,20 +88,20 @@
     List<StatementClass> newClasses =
         classes.stream()
             .map(
-                statementClass ->
+                workload ->
                     millis == 0
-                        ? statementClass
+                        ? workload
                         : new StatementClass(
-                            statementClass.key(),
-                            statementClass.share(),
-                            statementClass.sloMillis(),
-                            statementClass.deadlineMillis(),
+                            workload.key(),
+                            workload.share(),
+                            workload.sloMillis(),
+                            workload.deadlineMillis(),
                             millis,
-                            statementClass.effect(),
-                            statementClass.windowMillis(),
-                            statementClass.read(),
-                            statementClass.boundMillis(),
-                            statementClass.worth()))
+                            workload.effect(),
+                            workload.windowMillis(),
+                            workload.read(),
+                            workload.boundMillis(),
+                            workload.worth()))
             .toList();
     return new DaySettings(
         newClasses,
@@ -118,10 +118,10 @@
 
   StatementClass pickClass(SplittableRandom random) {
     double remaining = random.nextDouble();
-    for (StatementClass statementClass : classes) {
-      remaining -= statementClass.share();
+    for (StatementClass workload : classes) {
+      remaining -= workload.share();
       if (remaining < 0) {
-        return statementClass;
+        return workload;
       }
     }
     return classes.get(classes.size() - 1);
--- a/lab/src/main/java/basaltlever/lab/endtoend/DiscoveryService.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/DiscoveryService.java
@@ -36,7 +36,7 @@
   private final EventLoop loop;
   private final RunOptions options;
   private final MonotonicClock clock;
-  private final ServerSimulator simulator;
+  private final ServerSimulator serverSimulator;
   private final Set<Watch> watches = new LinkedHashSet<>();
   private final ArrayDeque<Watch> queuedWatches = new ArrayDeque<>();
   private final long[] bytesWritten;
@@ -48,12 +48,12 @@
   private Channel listener;
 
   DiscoveryService(
-      EventLoop loop, RunOptions options, MonotonicClock clock, ServerSimulator simulator) {
+      EventLoop loop, RunOptions options, MonotonicClock clock, ServerSimulator serverSimulator) {
     this.loop = loop;
     this.options = options;
     maxConcurrentCalls = options.discoveryCapacity();
     this.clock = clock;
-    this.simulator = simulator;
+    this.serverSimulator = serverSimulator;
     bytesWritten = new long[options.routers()];
     callCounts = new int[options.routers()];
   }
@@ -106,7 +106,7 @@
   }
 
   private List<SimulatedServer> listedServers() {
-    return simulator.servers().stream()
+    return serverSimulator.servers().stream()
         .filter(server -> server.lifecycle != SimulatedServer.Lifecycle.REMOVED)
         .toList();
   }
@@ -166,7 +166,7 @@
         .append(",\"reset\":")
         .append(full)
         .append(",\"instances\":[");
-    int serverPort = simulator.port();
+    int serverPort = serverSimulator.port();
     for (int i = 0; i < servers.size(); i++) {
       SimulatedServer server = servers.get(i);
       text.append(i == 0 ? "" : separator)
@@ -252,7 +252,7 @@
 
     void sendChangesAfter(long afterVersion) {
       enqueueList(
-          simulator.servers().stream()
+          serverSimulator.servers().stream()
               .filter(server -> server.lastChangedVersion > afterVersion)
               .toList(),
           false);
@@ -295,7 +295,7 @@
                 // they are buffered in this process for a peer that reads slowly.
                 long now = clock.nowMillis();
                 completedServers.forEach(
-                    server -> simulator.recordNotified(routerIndex, server, now));
+                    server -> serverSimulator.recordNotified(routerIndex, server, now));
               });
       if (to < text.length) {
         int next = completedCount;
--- a/lab/src/main/java/basaltlever/lab/endtoend/ManyServersRun.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/ManyServersRun.java
@@ -21,7 +21,7 @@
 
 /**
  * Runs router processes against thousands of simulated servers on loopback. A {@link
- * StatementLedger} checks the outcome of each statement.
+ * StatementChecker} checks the outcome of each statement.
  */
 public final class ManyServersRun implements AutoCloseable {
   private static final long SAMPLE_INTERVAL_MILLIS = 50;
@@ -43,8 +43,8 @@
   private final SplittableRandom random;
   private final Path folder = Files.createTempDirectory("many-servers");
   private final MonotonicClock clock = new MonotonicClock();
-  private final StatementChecker ledger = new StatementChecker();
-  private final ServerSimulator farm;
+  private final StatementChecker checker = new StatementChecker();
+  private final ServerSimulator serverSimulator;
   private final DiscoveryService discovery;
   private final List<RouterUnderTest> routers = new ArrayList<>();
   private final List<ClientLoad> loads = new ArrayList<>();
@@ -57,9 +57,9 @@
   public ManyServersRun(RunOptions options, long seed, Path jar) throws Exception {
     this.options = options;
     random = new SplittableRandom(seed);
-    farm = new ServerSimulator(loop, options, settings, clock, ledger, random.split());
-    farm.listen();
-    discovery = new DiscoveryService(loop, options, clock, farm);
+    serverSimulator = new ServerSimulator(loop, options, settings, clock, checker, random.split());
+    serverSimulator.listen();
+    discovery = new DiscoveryService(loop, options, clock, serverSimulator);
     discovery.listen();
     PortAllocator ports = new PortAllocator();
     for (int r = 0; r < options.routers(); r++) {
@@ -125,7 +125,14 @@
       routers.get(r).awaitReady(startNanos);
       loads.add(
           new ClientLoad(
-              loop, options, settings, r, routers.get(r).address(), clock, ledger, random.split()));
+              loop,
+              options,
+              settings,
+              r,
+              routers.get(r).address(),
+              clock,
+              checker,
+              random.split()));
     }
   }
 
@@ -135,7 +142,7 @@
     scheduleAt(FULL_LISTS_AT_SHARE, () -> discovery.repeatFullList(options.fullListRepeats()));
     if (options.cutConnectionShare() > 0) {
       for (double share = 0.1; share < 1; share += 0.1) {
-        scheduleAt(share, () -> farm.resetConnections(options.cutConnectionShare()));
+        scheduleAt(share, () -> serverSimulator.resetConnections(options.cutConnectionShare()));
       }
     }
     if (options.coldStartShare() > 0) {
@@ -170,7 +177,7 @@
   }
 
   private List<SimulatedServer> pickReplicas(double share, SimulatedServer.Lifecycle lifecycle) {
-    return farm.servers().stream()
+    return serverSimulator.servers().stream()
         .filter(
             server ->
                 !server.primary && server.lifecycle == lifecycle && random.nextDouble() < share)
@@ -183,14 +190,14 @@
       ClientLoad load = loads.get(r);
       loop.submit(load::stop).sync();
       Thread.sleep(300);
-      loop.submit(() -> farm.clearNotifications(router)).sync();
+      loop.submit(() -> serverSimulator.clearNotifications(router)).sync();
       writeStartFile(r);
       long startNanos = System.nanoTime();
       routers.get(r).restart();
       routers.get(r).awaitReady(startNanos);
       ClientLoad newLoad =
           new ClientLoad(
-              loop, options, settings, r, routers.get(r).address(), clock, ledger, random.split());
+              loop, options, settings, r, routers.get(r).address(), clock, checker, random.split());
       // Continues the id sequence of the previous load, as ids must be unique per router.
       loop.submit(
               () -> {
@@ -217,16 +224,16 @@
     Map<String, Object> figures = new LinkedHashMap<>();
     figures.put("servers", options.servers());
     figures.put("routers", options.routers());
-    figures.putAll(ledger.figures());
+    figures.putAll(checker.figures());
     figures.put("cpu_s", meanOverRouters(RouterUnderTest::cpuSeconds));
     figures.put("memory_mb", meanOverRouters(RouterUnderTest::maxMemoryMegabytes));
     figures.put("descriptors_max", meanOverRouters(RouterUnderTest::maxDescriptors));
     figures.put(
         "descriptors_most",
         routers.stream().mapToInt(RouterUnderTest::maxDescriptors).max().orElse(0));
-    figures.put("connections", meanByRouterIndex(farm::connectionCount));
-    figures.put("polls", meanByRouterIndex(farm::pollCount));
-    figures.put("polls_most_s", farm.maxPollsPerSecond());
+    figures.put("connections", meanByRouterIndex(serverSimulator::connectionCount));
+    figures.put("polls", meanByRouterIndex(serverSimulator::pollCount));
+    figures.put("polls_most_s", serverSimulator.maxPollsPerSecond());
     figures.put("list_bytes", meanByRouterIndex(router -> discovery.bytesWritten(router)));
     figures.put("list_calls", meanByRouterIndex(discovery::callCount));
     figures.put(
@@ -234,7 +241,7 @@
         routers.stream().mapToLong(RouterUnderTest::startupMillis).max().orElse(0));
     figures.put("turn_most_ms", longestLoopTurnMillis());
     figures.put("crashed", (int) routers.stream().filter(router -> !router.isAlive()).count());
-    figures.put("failures", ledger.failures());
+    figures.put("failures", checker.failures());
     return figures;
   }
 
@@ -278,7 +285,7 @@
   public void close() throws IOException {
     finished = true;
     routers.parallelStream().forEach(RouterUnderTest::close);
-    farm.close();
+    serverSimulator.close();
     discovery.close();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     try (Stream<Path> files = Files.walk(folder)) {
--- a/lab/src/main/java/basaltlever/lab/endtoend/NewClientsRun.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/NewClientsRun.java
@@ -19,7 +19,7 @@
 /**
  * Opens a burst of new client connections to routers that have just started, next to a steady load
  * and optional idle clients. Meanwhile the router processes may be suspended, servers may be slow
- * and accept calls may fail. The outcome is judged by what clients and servers observe.
+ * and accept calls may fail. The outcome is derived from what clients and servers observe.
  */
 public final class NewClientsRun implements AutoCloseable {
   private static final long SETTLE_TIMEOUT_MILLIS = 5_000;
@@ -38,8 +38,8 @@
   private final SplittableRandom random;
   private final Path folder = Files.createTempDirectory("new-clients");
   private final MonotonicClock clock = new MonotonicClock();
-  private final StatementChecker ledger = new StatementChecker();
-  private final ServerSimulator farm;
+  private final StatementChecker checker = new StatementChecker();
+  private final ServerSimulator serverSimulator;
   private final DiscoveryService discovery;
   private final List<RouterUnderTest> routers = new ArrayList<>();
   private final List<ClientLoad> loads = new ArrayList<>();
@@ -54,9 +54,9 @@
     setup = options.runOptions();
     settings = DaySettings.defaults().withMeanWorkMillis(options.statementMillis());
     random = new SplittableRandom(seed);
-    farm = new ServerSimulator(loop, setup, settings, clock, ledger, random.split());
-    farm.listen();
-    discovery = new DiscoveryService(loop, setup, clock, farm);
+    serverSimulator = new ServerSimulator(loop, setup, settings, clock, checker, random.split());
+    serverSimulator.listen();
+    discovery = new DiscoveryService(loop, setup, clock, serverSimulator);
     discovery.listen();
     Path library = options.acceptFailureMillis() > 0 ? FaultShim.build(folder) : null;
     if (options.acceptFailureMillis() > 0 && library == null) {
@@ -109,7 +109,7 @@
       routers.get(r).awaitReady(startNanos);
       loads.add(
           new ClientLoad(
-              loop, setup, settings, r, routers.get(r).address(), clock, ledger, random.split()));
+              loop, setup, settings, r, routers.get(r).address(), clock, checker, random.split()));
       idle.add(new IdleClients(idleLoop, routers.get(r).address()));
     }
     cpuSecondsAtStart = cpuSeconds();
@@ -174,13 +174,13 @@
     Map<String, Object> figures = new LinkedHashMap<>();
     figures.put("routers", setup.routers());
     figures.put("sockets", setup.sockets());
-    figures.putAll(ledger.figures());
-    figures.put("lost_new", ledger.count(StatementChecker.Outcome.CLOSED_NEW));
+    figures.putAll(checker.figures());
+    figures.put("lost_new", checker.count(StatementChecker.Outcome.CLOSED_NEW));
     figures.put("overdue", routers.stream().mapToInt(RouterUnderTest::overdueStatements).sum());
     figures.put("crashed", (int) routers.stream().filter(router -> !router.isAlive()).count());
     figures.put(
         "judge_late_ms_most", loads.stream().mapToLong(ClientLoad::maxLagMillis).max().orElse(0));
-    figures.put("failures", ledger.failures());
+    figures.put("failures", checker.failures());
     figures.put(
         "broken",
         VIOLATION_FIGURES.stream()
@@ -203,7 +203,7 @@
   @Override
   public void close() throws IOException {
     routers.parallelStream().forEach(RouterUnderTest::close);
-    farm.close();
+    serverSimulator.close();
     discovery.close();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     try (Stream<Path> files = Files.walk(folder)) {
--- a/lab/src/main/java/basaltlever/lab/endtoend/RouterUnderTest.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/RouterUnderTest.java
@@ -161,7 +161,7 @@
         }
       }
     } catch (IOException ignored) {
-      // The process has ended; earlier samples are kept.
+      // The process has ended; the earlier samples remain valid.
     }
   }
 
--- a/lab/src/main/java/basaltlever/lab/endtoend/ServerSimulator.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/ServerSimulator.java
@@ -160,7 +160,7 @@
     }
   }
 
-  /** Forgets the notifications to a router whose process is restarted. */
+  /** Clears the recorded notifications of a router whose process is restarted. */
   void clearNotifications(int routerIndex) {
     drainNotifiedAtMillis[routerIndex] = new long[servers.size()];
   }
@@ -252,15 +252,15 @@
         StatementChecker.TrackedStatement statement,
         String queryText) {
       long now = nowMillis();
-      // The router is judged by the arrival time. This is its lower bound, so a late read by this
-      // event loop is not blamed on the router.
+      // The rules apply to the arrival time. This is its lower bound, so that a late read by this
+      // event loop is not attributed to the router.
       long arrivedAtMillis = now - lagMonitor.maxUnreadMillis();
       if (statement == null) {
         writeResponse(
             context,
             out ->
                 MessageEncoder.writeErrorResponse(
-                    out, "ERROR", "53300", "nobody waits for this", null));
+                    out, "ERROR", "53300", "unknown statement", null));
         return;
       }
       checker.recordAttempt(statement, arrivedAtMillis);
--- a/lab/src/main/java/basaltlever/lab/endtoend/SoakRun.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/SoakRun.java
@@ -65,10 +65,10 @@
   private final SplittableRandom random;
   private final Path folder = Files.createTempDirectory("soak");
   private final MonotonicClock clock = new MonotonicClock();
-  private final StatementChecker ledger = new StatementChecker();
+  private final StatementChecker checker = new StatementChecker();
   private final DaySettings settings;
   private final RunOptions options;
-  private final ServerSimulator farm;
+  private final ServerSimulator serverSimulator;
   private final DiscoveryService discovery;
   private final List<RouterUnderTest> routers = new ArrayList<>();
   private final List<ClientLoad> loads = new ArrayList<>();
@@ -108,9 +108,9 @@
             random.nextBoolean(),
             100,
             2);
-    farm = new ServerSimulator(loop, options, settings, clock, ledger, random.split());
-    farm.listen();
-    discovery = new DiscoveryService(loop, options, clock, farm);
+    serverSimulator = new ServerSimulator(loop, options, settings, clock, checker, random.split());
+    serverSimulator.listen();
+    discovery = new DiscoveryService(loop, options, clock, serverSimulator);
     discovery.listen();
     PortAllocator ports = new PortAllocator();
     for (int r = 0; r < routerCount; r++) {
@@ -191,7 +191,7 @@
         router,
         routers.get(router).address(),
         clock,
-        ledger,
+        checker,
         random.split());
   }
 
@@ -224,7 +224,7 @@
         scheduleShimReset(router, 1_000 + random.nextInt(3_000));
       }
       case CUT_CONNECTIONS ->
-          loop.submit(() -> farm.resetConnections(options.cutConnectionShare())).sync();
+          loop.submit(() -> serverSimulator.resetConnections(options.cutConnectionShare())).sync();
       case DRAIN ->
           changeLifecycle(
               SimulatedServer.Lifecycle.IN_SERVICE,
@@ -320,7 +320,7 @@
   }
 
   private List<SimulatedServer> pickReplicas(SimulatedServer.Lifecycle from, double share) {
-    return farm.servers().stream()
+    return serverSimulator.servers().stream()
         .filter(
             server -> !server.primary && server.lifecycle == from && random.nextDouble() < share)
         .toList();
@@ -330,7 +330,7 @@
     loop.submit(
             () -> {
               long hangEndMillis = clock.nowMillis() + 300 + random.nextInt(3_000);
-              farm.servers().stream()
+              serverSimulator.servers().stream()
                   .filter(server -> random.nextInt(5) == 0)
                   .forEach(server -> server.hangUntilMillis = hangEndMillis);
             })
@@ -383,7 +383,7 @@
     loop.submit(
             () -> {
               load.stop();
-              farm.clearNotifications(r);
+              serverSimulator.clearNotifications(r);
             })
         .sync();
     if (router.shim() != null) {
@@ -411,10 +411,10 @@
     figures.put("settings", settings.toString());
     figures.put("shim", hasShim ? "preloaded" : "none: no compiler on this machine");
     figures.put("faults", new TreeMap<>(faultCounts).toString());
-    figures.putAll(ledger.figures());
+    figures.putAll(checker.figures());
     figures.put("crashed", crashed);
     figures.put("overdue", routers.stream().mapToInt(RouterUnderTest::overdueStatements).sum());
-    figures.put("failures", ledger.failures());
+    figures.put("failures", checker.failures());
     return figures;
   }
 
@@ -429,7 +429,7 @@
   @Override
   public void close() throws IOException {
     routers.parallelStream().forEach(RouterUnderTest::close);
-    farm.close();
+    serverSimulator.close();
     discovery.close();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     try (Stream<Path> files = Files.walk(folder)) {
--- a/lab/src/main/java/basaltlever/lab/fleet/AgreementRun.java
+++ b/lab/src/main/java/basaltlever/lab/fleet/AgreementRun.java
@@ -163,7 +163,7 @@
 
   /** Returns the simulated cluster behind the routers. */
   public SimulatedCluster cluster() {
-    return run.world();
+    return run.cluster();
   }
 
   public List<RouterProcess> routers() {
@@ -175,8 +175,8 @@
     run.loop()
         .submit(
             () -> {
-              run.world().checker.setRouterStopEnd(this::findStopEnd);
-              run.world()
+              run.cluster().checker.setRouterStopEnd(this::findStopEnd);
+              run.cluster()
                   .checker
                   .setFleetAgreementBound(fencingTime.plus(scenario.span("grace_ms")));
               sendFaultyLists();
@@ -211,7 +211,7 @@
     faultThread.join(5_000);
     majorityLossThread.join(20_000);
     List<Moment> repeats =
-        run.loop().submit(() -> List.copyOf(run.world().checker.repeatArrivals())).get();
+        run.loop().submit(() -> List.copyOf(run.cluster().checker.repeatArrivals())).get();
     long longest = 0;
     int afterFencing = 0;
     int contradictions = 0;
@@ -247,7 +247,7 @@
   private void sendFaultyLists() {
     Span interval = scenario.span("odd_lists_ms");
     if (interval.micros() > 0 && !finished) {
-      run.world()
+      run.cluster()
           .scheduler()
           .runAfter(
               interval.times(0.5 + listRandom.nextDouble()),
@@ -272,7 +272,7 @@
             listRandom,
             delay.times(0.5 + listRandom.nextDouble()));
       }
-      run.world().scheduler().runAfter(delay.times(2), this::delayLists);
+      run.cluster().scheduler().runAfter(delay.times(2), this::delayLists);
     }
   }
 
@@ -285,7 +285,7 @@
   }
 
   private Moment now() {
-    return run.world().now();
+    return run.cluster().now();
   }
 
   // ---- Proposals of the operator
--- a/lab/src/main/java/basaltlever/lab/load/LoadGenerator.java
+++ b/lab/src/main/java/basaltlever/lab/load/LoadGenerator.java
@@ -34,7 +34,7 @@
   private static final Span RETENTION_PERIOD = Span.ofMillis(12_000);
   private static final Span MIN_REMAINING_TIME = Span.ofMillis(150);
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final HistoryChecker checker;
   private final StatementTransport transport;
   private final FaultInjector faults;
@@ -46,37 +46,37 @@
   private long statementCount;
   private int openStatements;
 
-  /** Creates a generator; each workload runs in every group of the world. */
+  /** Creates a generator; each workload runs in every group of the cluster. */
   public LoadGenerator(
-      SimulatedCluster world,
+      SimulatedCluster cluster,
       StatementTransport transport,
       FaultInjector faults,
       List<Workload> workloads,
       int routerCount) {
-    this.world = world;
-    this.checker = world.checker;
+    this.cluster = cluster;
+    this.checker = cluster.checker;
     this.transport = transport;
     this.faults = faults;
     this.workloads = workloads;
     this.routerCount = routerCount;
-    random = world.random.split();
-    lastCommits = new long[SESSIONS_PER_GROUP * (world.groups().size() + 1)];
+    random = cluster.random.split();
+    lastCommits = new long[SESSIONS_PER_GROUP * (cluster.groups().size() + 1)];
   }
 
   /** Schedules the arrivals of all workloads for the duration. */
   public void runFor(Span duration) {
-    endTime = world.now().plus(duration);
-    for (ReplicaGroup group : world.groups()) {
+    endTime = cluster.now().plus(duration);
+    for (ReplicaGroup group : cluster.groups()) {
       for (Workload workload : workloads) {
         // A separate random generator for each workload makes arrivals independent of responses.
-        scheduleNext(group.number, workload, world.now(), random.split());
+        scheduleNext(group.number, workload, cluster.now(), random.split());
       }
     }
   }
 
   /** Returns whether the duration has passed and no statement is open. */
   public boolean isFinished() {
-    return openStatements == 0 && !world.now().isBefore(endTime);
+    return openStatements == 0 && !cluster.now().isBefore(endTime);
   }
 
   private void scheduleNext(
@@ -86,7 +86,7 @@
     Moment dueTime =
         previousTime.plus(Span.ofMillis(-Math.log(1 - workloadRandom.nextDouble()) * 1e3 / rate));
     if (dueTime.isBefore(endTime)) {
-      world
+      cluster
           .scheduler()
           .runAt(
               dueTime,
@@ -106,7 +106,7 @@
     for (int tried = 1; tried < routerCount && !transport.isReachable(routerIndex); tried++) {
       routerIndex = (routerIndex + 1) % routerCount;
     }
-    double patienceShare =
+    double waitShare =
         workloadRandom.nextDouble() < EARLY_DISCONNECT_SHARE ? workloadRandom.nextDouble() : 1;
     long minCommit = workload.consistency().equals("session") ? lastCommits[session] : 0;
     send(
@@ -119,7 +119,7 @@
         dueTime.plus(workload.timeout()),
         minCommit,
         1,
-        patienceShare);
+        waitShare);
   }
 
   private void send(
@@ -132,7 +132,7 @@
       Moment deadline,
       long minCommit,
       int tryNumber,
-      double patienceShare) {
+      double waitShare) {
     Statement statement =
         new Statement(
             "t" + statementCount++,
@@ -148,12 +148,12 @@
     checker.onStatementStarted(statement);
     openStatements++;
     transport.submit(statement, new StatementListener(statement, session));
-    boolean disconnectsEarly = patienceShare < 1;
+    boolean disconnectsEarly = waitShare < 1;
     Moment giveUpTime =
         disconnectsEarly
-            ? dueTime.plus(deadline.since(dueTime).times(patienceShare))
+            ? dueTime.plus(deadline.since(dueTime).times(waitShare))
             : deadline.plus(RESPONSE_GRACE);
-    world
+    cluster
         .scheduler()
         .runAt(
             giveUpTime,
@@ -169,9 +169,9 @@
     if (statement.isOpen()) {
       openStatements--;
       // Executions that finish after the response are still recorded for a while.
-      world.scheduler().runAfter(RETENTION_PERIOD, () -> checker.removeStatement(statement));
+      cluster.scheduler().runAfter(RETENTION_PERIOD, () -> checker.removeStatement(statement));
     }
-    checker.onStatementEnded(statement, outcome, world.now(), value);
+    checker.onStatementEnded(statement, outcome, cluster.now(), value);
   }
 
   /** Records the result of one statement and schedules the retry of a rejected one. */
@@ -195,10 +195,10 @@
     @Override
     public void onRejected(Span retryAfter) {
       finish(statement, Outcome.REJECTED, null);
-      Moment retryTime = world.now().plus(retryAfter);
+      Moment retryTime = cluster.now().plus(retryAfter);
       if (statement.clientAttempt < MAX_TRIES
           && statement.deadline.since(retryTime).isLongerThan(MIN_REMAINING_TIME)) {
-        world
+        cluster
             .scheduler()
             .runAt(
                 retryTime,
@@ -209,7 +209,7 @@
                         statement.group,
                         statement.router,
                         session,
-                        world.now(),
+                        cluster.now(),
                         statement.deadline,
                         statement.requiredCommitMillis,
                         statement.clientAttempt + 1,
--- a/lab/src/main/java/basaltlever/lab/load/StatementTransport.java
+++ b/lab/src/main/java/basaltlever/lab/load/StatementTransport.java
@@ -16,7 +16,7 @@
     /** Called if the router aborted the statement. */
     void onAborted();
 
-    /** Called if the router was killed, after which no response is owed. */
+    /** Called if the router was killed; no response is expected any more. */
     void onRouterKilled();
   }
 
--- a/lab/src/main/java/basaltlever/lab/report/HtmlReport.java
+++ b/lab/src/main/java/basaltlever/lab/report/HtmlReport.java
@@ -35,7 +35,7 @@
 
   /** Writes the report of a run to the folder and returns its path. */
   public static Path write(
-      Path folder, String title, Map<String, Object> figures, SimulatedCluster world)
+      Path folder, String title, Map<String, Object> figures, SimulatedCluster cluster)
       throws IOException {
     Files.createDirectories(folder);
     Map<String, Object> model = new HashMap<>();
@@ -61,7 +61,7 @@
         });
     model.put("figures", rows);
     List<Map<String, Object>> marks = new ArrayList<>();
-    world
+    cluster
         .timeSeries()
         .marks()
         .forEach(
@@ -76,9 +76,9 @@
     model.put(
         "charts",
         List.of(
-            toSvg(outcomesChart(world.timeSeries())),
-            toSvg(latencyChart(world.checker.latencies())),
-            toSvg(executionsChart(world.timeSeries().executionCounts()))));
+            toSvg(outcomesChart(cluster.timeSeries())),
+            toSvg(latencyChart(cluster.checker.latencies())),
+            toSvg(executionsChart(cluster.timeSeries().executionCounts()))));
     Path file = folder.resolve("report.html");
     try (Writer out = Files.newBufferedWriter(file)) {
       new DefaultMustacheFactory("report").compile("report.mustache").execute(out, model);
--- a/lab/src/main/java/basaltlever/lab/sockets/DiscoveryServer.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/DiscoveryServer.java
@@ -38,7 +38,7 @@
 
   private static final int MAX_PREVIOUS_LISTS = 4;
   private static final Span KEEP_ALIVE_INTERVAL = Span.ofMillis(2_000);
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final int router;
   private final Function<Server, String> addressOf;
   private final ChannelGroup watchChannels;
@@ -49,9 +49,9 @@
   private final ArrayDeque<String> previousLists = new ArrayDeque<>();
 
   DiscoveryServer(
-      SimulatedCluster world, int router, EventLoop loop, Function<Server, String> addressOf)
+      SimulatedCluster cluster, int router, EventLoop loop, Function<Server, String> addressOf)
       throws InterruptedException {
-    this.world = world;
+    this.cluster = cluster;
     this.router = router;
     this.addressOf = addressOf;
     watchChannels = new DefaultChannelGroup(loop);
@@ -69,7 +69,7 @@
             .bind("127.0.0.1", 0)
             .sync()
             .channel();
-    world.addListChangeListener(this::publishList);
+    cluster.addListChangeListener(this::publishList);
     scheduleKeepAlive();
   }
 
@@ -78,11 +78,11 @@
   }
 
   String endpointList() {
-    return world.formatEndpointList(addressOf);
+    return cluster.formatEndpointList(addressOf);
   }
 
   private void scheduleKeepAlive() {
-    world
+    cluster
         .scheduler()
         .runAfter(
             KEEP_ALIVE_INTERVAL,
@@ -106,7 +106,7 @@
           }
         };
     if (notificationDelay.micros() > 0) {
-      world.scheduler().runAfter(notificationDelay, send);
+      cluster.scheduler().runAfter(notificationDelay, send);
     } else {
       send.run();
     }
@@ -135,8 +135,8 @@
 
   /** Records that this router has been notified of the current drains. */
   private void recordDrainNotifications() {
-    for (Server server : world.servers()) {
-      server.onListReceived(router, world.now());
+    for (Server server : cluster.servers()) {
+      server.onListReceived(router, cluster.now());
     }
   }
 
--- a/lab/src/main/java/basaltlever/lab/sockets/ImmediateBackend.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/ImmediateBackend.java
@@ -89,13 +89,14 @@
     public void channelRead(ChannelHandlerContext context, Object bytes) throws ProtocolException {
       decoder.add((ByteBuf) bytes);
       ByteBuf out = context.alloc().buffer();
-      for (ByteBuf m = nextMessage(); m != null; m = nextMessage()) {
+      for (ByteBuf message = nextMessage(); message != null; message = nextMessage()) {
         if (!started) {
           started = true;
           MessageEncoder.writeStartupResponse(out);
         } else {
           long now = System.currentTimeMillis();
-          boolean isPoll = m.getByte(m.readerIndex() + MessageDecoder.HEADER_BYTES) == 'S';
+          boolean isPoll =
+              message.getByte(message.readerIndex() + MessageDecoder.HEADER_BYTES) == 'S';
           RowEncoder.writeSingleRow(
               out,
               isPoll
--- a/lab/src/main/java/basaltlever/lab/sockets/ServerSocketAdapter.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/ServerSocketAdapter.java
@@ -44,7 +44,7 @@
   /** The time between the announced time of a switchover and the handover. */
   private static final Span HANDOVER_DELAY = Span.ofMillis(60);
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Server server;
   private final int router;
   private final EventLoop loop;
@@ -58,7 +58,7 @@
   private int port;
 
   ServerSocketAdapter(
-      SimulatedCluster world,
+      SimulatedCluster cluster,
       Server server,
       int router,
       EventLoop loop,
@@ -66,7 +66,7 @@
       ExternalStatementFactory externalStatements)
       throws InterruptedException {
     this.externalStatements = externalStatements;
-    this.world = world;
+    this.cluster = cluster;
     this.server = server;
     this.router = router;
     this.loop = loop;
@@ -134,8 +134,8 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object bytes) throws ProtocolException {
       decoder.add((ByteBuf) bytes);
-      for (ByteBuf m = nextMessage(); m != null; m = nextMessage()) {
-        handleMessage(context, m);
+      for (ByteBuf message = nextMessage(); message != null; message = nextMessage()) {
+        handleMessage(context, message);
       }
     }
 
@@ -147,7 +147,7 @@
         throws ProtocolException {
       if (!started) {
         started = true;
-        if (!server.isHung() && !world.isCut(router, server)) {
+        if (!server.isHung() && !cluster.isCut(router, server)) {
           ByteBuf out = context.alloc().buffer();
           MessageEncoder.writeStartupResponse(out);
           context.writeAndFlush(out);
@@ -165,19 +165,19 @@
               message.readableBytes() - MessageDecoder.HEADER_BYTES - 1,
               StandardCharsets.UTF_8);
       Matcher id = STATEMENT_ID.matcher(query);
-      if (world.isCut(router, server)) {
+      if (cluster.isCut(router, server)) {
         return;
       }
       if (query.startsWith("/*") && id.find()) {
-        Statement ask =
+        Statement statement =
             externalStatements != null
                 ? externalStatements.create(message, id.group(1), router)
-                : world.checker.findStatement(id.group(1));
-        if (ask == null) {
+                : cluster.checker.findStatement(id.group(1));
+        if (statement == null) {
           writeError(context, "53300", "the client of the statement has disconnected");
           return;
         }
-        cancelPending = server.execute(ask, new ConnectionReply(context));
+        cancelPending = server.execute(statement, new ConnectionReply(context));
       } else if (!server.isHung()) {
         context.writeAndFlush(internalQueryResponse(context, query));
       }
@@ -193,7 +193,7 @@
             String.format(
                 java.util.Locale.ROOT,
                 "x0=%.6f,x1=%d,utilization=%.3f",
-                server.positionSeconds(world.now()),
+                server.positionSeconds(cluster.now()),
                 server.claimsPrimary() ? 1 : 0,
                 server.utilization()));
       } else if (query.equals(SwitchoverAnnouncement.latestQuery(announcementTable))) {
@@ -260,7 +260,7 @@
       @Override
       public void sendAnswer(String code, String value, boolean primary, long position) {
         cancelPending = () -> {};
-        if (world.isCut(router, server)) {
+        if (cluster.isCut(router, server)) {
           return;
         }
         ByteBuf out = context.alloc().buffer();
@@ -288,7 +288,7 @@
         ByteBuf out = context.alloc().buffer();
         RowEncoder.writeSingleRow(out, "cut");
         MessageEncoder.writeReadyForQuery(out);
-        out.writerIndex(world.random.nextInt(out.writerIndex()));
+        out.writerIndex(cluster.random.nextInt(out.writerIndex()));
         context.writeAndFlush(out).addListener(done -> reset(context.channel()));
       }
     }
--- a/lab/src/main/java/basaltlever/lab/sockets/SocketClients.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/SocketClients.java
@@ -27,15 +27,15 @@
  * Clients on sockets. Connections to each router are reused; a new one is opened when all are busy.
  */
 final class SocketClients implements StatementTransport {
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final List<InetSocketAddress> routers;
   private final Bootstrap bootstrap;
   private final List<ArrayDeque<ClientConnection>> idleConnections;
   private final Map<Statement, ClientConnection> busyConnections = new LinkedHashMap<>();
   private final boolean[] down;
 
-  SocketClients(SimulatedCluster world, List<InetSocketAddress> routers, EventLoop loop) {
-    this.world = world;
+  SocketClients(SimulatedCluster cluster, List<InetSocketAddress> routers, EventLoop loop) {
+    this.cluster = cluster;
     this.routers = routers;
     down = new boolean[routers.size()];
     bootstrap =
@@ -47,15 +47,15 @@
   }
 
   @Override
-  public void submit(Statement ask, ResponseListener callback) {
-    ClientConnection client = idleConnections.get(ask.router).pollLast();
+  public void submit(Statement statement, ResponseListener listener) {
+    ClientConnection client = idleConnections.get(statement.router).pollLast();
     if (client == null) {
-      client = new ClientConnection(ask.router);
+      client = new ClientConnection(statement.router);
       ClientConnection opened = client;
       bootstrap
           .clone()
           .handler(client)
-          .connect(routers.get(ask.router))
+          .connect(routers.get(statement.router))
           .addListener(
               done -> {
                 if (!done.isSuccess()) {
@@ -63,8 +63,8 @@
                 }
               });
     }
-    busyConnections.put(ask, client);
-    client.start(ask, callback);
+    busyConnections.put(statement, client);
+    client.start(statement, listener);
   }
 
   @Override
@@ -83,8 +83,8 @@
   }
 
   @Override
-  public void abandon(Statement ask) {
-    ClientConnection client = busyConnections.remove(ask);
+  public void abandon(Statement statement) {
+    ClientConnection client = busyConnections.remove(statement);
     if (client != null) {
       client.abandonStatement();
     }
@@ -96,8 +96,8 @@
     private final MessageDecoder decoder =
         new MessageDecoder(1 << 21, new MemoryBudget(Long.MAX_VALUE));
     private Channel channel;
-    private Statement ask;
-    private ResponseListener callback;
+    private Statement statement;
+    private ResponseListener listener;
     private QueryResponse response;
     private boolean ready;
     private String errorCode;
@@ -113,9 +113,9 @@
       this.router = router;
     }
 
-    void start(Statement newAsk, ResponseListener newCallback) {
-      ask = newAsk;
-      callback = newCallback;
+    void start(Statement newStatement, ResponseListener newListener) {
+      statement = newStatement;
+      listener = newListener;
       response = new QueryResponse();
       errorCode = null;
       if (ready) {
@@ -125,24 +125,26 @@
 
     private void sendQuery() {
       ByteBuf out = channel.alloc().buffer();
-      long remainingMillis = Math.max(1, ask.deadline.since(world.now()).micros() / 1_000);
+      long remainingMillis = Math.max(1, statement.deadline.since(cluster.now()).micros() / 1_000);
       MessageEncoder.writeQuery(
           out,
           "/* id="
-              + ask.id
+              + statement.id
               + ",c="
-              + ask.workload.name()
+              + statement.workload.name()
               + ",d="
               + remainingMillis
               + ",cluster="
-              + ask.group
-              + (ask.requiredCommitMillis > 0 ? ",after=" + ask.requiredCommitMillis : "")
+              + statement.group
+              + (statement.requiredCommitMillis > 0
+                  ? ",after=" + statement.requiredCommitMillis
+                  : "")
               + " */ "
-              + (ask.workload.isWrite()
+              + (statement.workload.isWrite()
                   ? "INSERT INTO items (id, doc) VALUES ('s"
-                      + ask.session
+                      + statement.session
                       + "', '\\x9f') RETURNING doc"
-                  : "SELECT doc FROM items WHERE id = 's" + ask.session + "'"));
+                  : "SELECT doc FROM items WHERE id = 's" + statement.session + "'"));
       channel.writeAndFlush(out);
     }
 
@@ -157,8 +159,10 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object bytes) throws ProtocolException {
       decoder.add((ByteBuf) bytes);
-      for (ByteBuf m = decoder.nextMessage(); m != null; m = decoder.nextMessage()) {
-        handleMessage(m);
+      for (ByteBuf message = decoder.nextMessage();
+          message != null;
+          message = decoder.nextMessage()) {
+        handleMessage(message);
       }
     }
 
@@ -167,7 +171,7 @@
       if (!ready) {
         if (type == 'Z') {
           ready = true;
-          if (ask != null) {
+          if (statement != null) {
             sendQuery();
           }
         }
@@ -183,10 +187,10 @@
     }
 
     private void completeStatement() {
-      Statement completed = ask;
-      ResponseListener completedCallback = callback;
+      Statement completed = statement;
+      ResponseListener completedListener = listener;
       QueryResponse finishedResponse = response;
-      ask = null;
+      statement = null;
       response = null;
       hasServedStatement = true;
       if (completed == null) {
@@ -196,28 +200,28 @@
       busyConnections.remove(completed);
       idleConnections.get(router).add(this);
       if (finishedResponse.isSingleRow()) {
-        completedCallback.onCompleted(finishedResponse.value());
+        completedListener.onCompleted(finishedResponse.value());
       } else if ("53300".equals(errorCode) || "57P03".equals(errorCode)) {
-        completedCallback.onRejected(
+        completedListener.onRejected(
             Span.ofMillis(errorDetail.matches("\\d{1,6}") ? Integer.parseInt(errorDetail) : 0));
       } else {
-        completedCallback.onAborted();
+        completedListener.onAborted();
       }
       finishedResponse.release();
     }
 
     void onRouterStopped(int stoppedRouter) {
-      Statement interrupted = ask;
+      Statement interrupted = statement;
       if (stoppedRouter == router && interrupted != null) {
-        ask = null;
+        statement = null;
         busyConnections.remove(interrupted);
-        callback.onRouterKilled();
+        listener.onRouterKilled();
         abandonStatement();
       }
     }
 
     void abandonStatement() {
-      ask = null;
+      statement = null;
       if (channel != null) {
         channel.close();
       }
@@ -231,11 +235,11 @@
     void onConnectionClosed() {
       idleConnections.get(router).remove(this);
       decoder.release();
-      Statement interrupted = ask;
-      ask = null;
+      Statement interrupted = statement;
+      statement = null;
       if (interrupted != null && busyConnections.remove(interrupted, this) && hasServedStatement) {
         // The router closed the idle connection while this statement was on its way.
-        SocketClients.this.submit(interrupted, callback);
+        SocketClients.this.submit(interrupted, listener);
       }
     }
 
--- a/lab/src/main/java/basaltlever/lab/sockets/SocketRun.java
+++ b/lab/src/main/java/basaltlever/lab/sockets/SocketRun.java
@@ -58,7 +58,7 @@
   private boolean restarting;
   private int restarts;
   private volatile long longestRestartMillis;
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final FaultInjector faults;
 
   /** Uses one operator file for all routers. Without a jar they run on the class path. */
@@ -104,7 +104,7 @@
     this.scenario = scenario;
     SplittableRandom random = new SplittableRandom(seed);
     int count = scenario.count("routers");
-    world =
+    cluster =
         loop.submit(
                 () ->
                     new SimulatedCluster(
@@ -118,21 +118,21 @@
                         scenario.count("cores"),
                         count))
             .get();
-    world.setAbruptSwitchovers(scenario.abruptHandover);
+    cluster.setAbruptSwitchovers(scenario.abruptHandover);
     faults =
         new FaultInjector(
-            world,
+            cluster,
             scenario.faultWeights,
             scenario.span("faults_from_ms"),
             scenario.span("faults_to_ms"),
             count);
     for (int r = 0; r < count; r++) {
       Map<Server, ServerSocketAdapter> adapters = new HashMap<>();
-      for (Server server : world.servers()) {
+      for (Server server : cluster.servers()) {
         adapters.put(
             server,
             new ServerSocketAdapter(
-                world,
+                cluster,
                 server,
                 r,
                 loop,
@@ -141,7 +141,7 @@
       }
       loop.submit(() -> adapters.forEach(Server::addListener)).get();
       DiscoveryServer discoveryServer =
-          new DiscoveryServer(world, r, loop, server -> adapters.get(server).address());
+          new DiscoveryServer(cluster, r, loop, server -> adapters.get(server).address());
       discoveryServers.add(discoveryServer);
       routers.add(
           new RouterProcess(
@@ -175,41 +175,42 @@
             message.slice(
                 message.readerIndex() + MessageDecoder.HEADER_BYTES,
                 message.readableBytes() - MessageDecoder.HEADER_BYTES - 1));
-    Workload kind =
+    Workload workload =
         scenario.workloads.stream()
             .filter(candidate -> candidate.name().equals(query.workload))
             .findAny()
             .orElseThrow(() -> new ProtocolException("08P01", "unknown workload"));
-    Statement existing = world.checker.findStatement(id);
+    Statement existing = cluster.checker.findStatement(id);
     if (existing != null) {
       return existing;
     }
-    Statement ask =
+    Statement statement =
         new Statement(
             id,
             id,
-            kind,
+            workload,
             query.group,
             router,
             query.sessionHash,
-            world.now(),
-            world.now().plus(Span.ofMillis((double) query.timeoutMillis)),
+            cluster.now(),
+            cluster.now().plus(Span.ofMillis((double) query.timeoutMillis)),
             query.lastCommitMillis,
             1);
-    world.checker.onStatementStarted(ask);
-    world
+    cluster.checker.onStatementStarted(statement);
+    cluster
         .scheduler()
         .runAfter(
-            Span.ofMillis((double) query.timeoutMillis), () -> world.checker.removeStatement(ask));
-    return ask;
+            Span.ofMillis((double) query.timeoutMillis),
+            () -> cluster.checker.removeStatement(statement));
+    return statement;
   }
 
   private String settings(int router, boolean alternative) {
     return scenario.routerSettings(alternative).replaceFirst("\\{", "{\"Me\":" + router + ",");
   }
 
-  public SimulatedCluster world() {
-    return world;
+  public SimulatedCluster cluster() {
+    return cluster;
   }
 
   public FaultInjector faults() {
@@ -248,25 +249,25 @@
     Span warmUp = scenario.span("warm_ms");
     Span duration = Span.ofMillis(scenario.number("seconds") * 1_000).plus(warmUp);
     Thread.sleep(
-        Math.max(0, loop.submit(() -> world.timeToStart().minus(warmUp).micros() / 1_000).get()));
+        Math.max(0, loop.submit(() -> cluster.timeToStart().minus(warmUp).micros() / 1_000).get()));
     double cpuMicrosBefore = routers.stream().mapToDouble(RouterProcess::cpuMicros).sum();
-    clients = new SocketClients(world, addresses, loop);
-    world.setRestartHandler(router -> restartRouter(router, clients));
+    clients = new SocketClients(cluster, addresses, loop);
+    cluster.setRestartHandler(router -> restartRouter(router, clients));
     LoadGenerator load =
         loop.submit(
                 () -> {
-                  monitorLoopDelay(world.now());
+                  monitorLoopDelay(cluster.now());
                   LoadGenerator newLoad =
                       new LoadGenerator(
-                          world, clients, faults, scenario.scaledWorkloads(), routers.size());
+                          cluster, clients, faults, scenario.scaledWorkloads(), routers.size());
                   newLoad.runFor(duration);
-                  world
+                  cluster
                       .scheduler()
                       .runAfter(
                           warmUp,
                           () -> faults.runFor(duration.minus(warmUp).minus(Span.ofMillis(500))));
                   if (scenario.simultaneousFault != null) {
-                    world
+                    cluster
                         .scheduler()
                         .runAfter(
                             warmUp.plus(scenario.span("all_at_once_s").times(1_000)),
@@ -293,9 +294,9 @@
       Thread.sleep(50);
     }
     Thread.sleep(500);
-    Map<String, Object> figures = loop.submit(() -> world.checker.figures()).get();
+    Map<String, Object> figures = loop.submit(() -> cluster.checker.figures()).get();
     figures.put("faults", faults.injectionCounts());
-    figures.put("promotion_ms", world.meanPromotionMillis());
+    figures.put("promotion_ms", cluster.meanPromotionMillis());
     figures.put(
         "cpu_us_a_statement",
         (routers.stream().mapToDouble(RouterProcess::cpuMicros).sum() - cpuMicrosBefore)
@@ -314,9 +315,9 @@
    * attributed to the routers.
    */
   private void monitorLoopDelay(Moment dueAt) {
-    Moment now = world.now();
+    Moment now = cluster.now();
     if (now.since(dueAt).isLongerThan(LOOP_DELAY_THRESHOLD)) {
-      world.checker.onStall(dueAt, now);
+      cluster.checker.onStall(dueAt, now);
     }
     loop.schedule(
         () -> monitorLoopDelay(now.plus(LOOP_CHECK_INTERVAL)),
@@ -324,7 +325,7 @@
         TimeUnit.MICROSECONDS);
   }
 
-  /** The folder of one router, which is kept over its restarts. */
+  /** Returns the state folder of one router, which remains the same over its restarts. */
   public String routerFolder(int routerIndex) {
     return folder.resolve("view" + routerIndex).toString();
   }
--- a/lab/src/main/java/basaltlever/lab/virtual/Bug.java
+++ b/lab/src/main/java/basaltlever/lab/virtual/Bug.java
@@ -1,8 +1,8 @@
 package basaltlever.lab.virtual;
 
 /**
- * A defect injected between a router and its network, to show that the ledger detects the violation
- * that results from it.
+ * A defect injected between a router and its network, to show that the history checker detects the
+ * violation that results from it.
  */
 public enum Bug {
   NONE,
--- a/lab/src/main/java/basaltlever/lab/virtual/VirtualRouter.java
+++ b/lab/src/main/java/basaltlever/lab/virtual/VirtualRouter.java
@@ -31,10 +31,10 @@
   private static final Span ANNOUNCEMENT_READ_INTERVAL = Span.ofMillis(1_000);
   private static final Span POLL_TIMEOUT = Span.ofMillis(250);
   private final int number;
-  private final SimulatedCluster world;
-  private final SplittableRandom chance;
+  private final SimulatedCluster cluster;
+  private final SplittableRandom random;
   private final Map<String, Server> servers = new HashMap<>();
-  private final Map<Long, PendingStatement> statements = new HashMap<>();
+  private final Map<Long, PendingStatement> pendingStatements = new HashMap<>();
   private final Bug bug;
 
   /** Servers that have once claimed to be primary, for {@link Bug#OLD_PRIMARY_CLAIMS}. */
@@ -53,17 +53,18 @@
 
   /** A statement without a final response, or with attempts that have not ended. */
   private static final class PendingStatement {
-    final Statement ask;
-    final StatementTransport.ResponseListener callback;
+    final Statement statement;
+    final StatementTransport.ResponseListener listener;
     final Moment deadline;
     final List<Attempt> attempts = new ArrayList<>(1);
     int openAttempts;
     boolean answered;
     boolean answerDropped;
 
-    PendingStatement(Statement ask, StatementTransport.ResponseListener callback, Moment deadline) {
-      this.ask = ask;
-      this.callback = callback;
+    PendingStatement(
+        Statement statement, StatementTransport.ResponseListener listener, Moment deadline) {
+      this.statement = statement;
+      this.listener = listener;
       this.deadline = deadline;
     }
   }
@@ -75,34 +76,39 @@
   }
 
   VirtualRouter(
-      int number, SimulatedCluster world, StartValues values, boolean readsAnnouncements, Bug bug) {
+      int number,
+      SimulatedCluster cluster,
+      StartValues values,
+      boolean readsAnnouncements,
+      Bug bug) {
     this.bug = bug;
     this.number = number;
-    this.world = world;
-    chance = world.random.split();
-    world.servers().forEach(server -> servers.put(server.id, server));
-    core = new StatementRouter<>(this, values.loadBalancerFactory(chance.nextLong(), world.now()));
-    world.addListChangeListener(
-        () -> world.scheduler().runAfter(networkDelay().times(20), this::deliverEndpointList));
-    processInput(() -> core.onTimerFired(world.now()));
+    this.cluster = cluster;
+    random = cluster.random.split();
+    cluster.servers().forEach(server -> servers.put(server.id, server));
+    core =
+        new StatementRouter<>(this, values.loadBalancerFactory(random.nextLong(), cluster.now()));
+    cluster.addListChangeListener(
+        () -> cluster.scheduler().runAfter(networkDelay().times(20), this::deliverEndpointList));
+    processInput(() -> core.onTimerFired(cluster.now()));
     if (readsAnnouncements) {
-      world
+      cluster
           .scheduler()
-          .runAfter(ANNOUNCEMENT_READ_INTERVAL.times(chance.nextDouble()), this::readAnnouncements);
+          .runAfter(ANNOUNCEMENT_READ_INTERVAL.times(random.nextDouble()), this::readAnnouncements);
     }
   }
 
   /** Applies other settings, as a reload does. */
   void applySettings(StartValues values, boolean forbidsDuplicates) {
     duplicatesForbidden = forbidsDuplicates;
-    for (Map.Entry<Long, PendingStatement> entry : Map.copyOf(statements).entrySet()) {
-      PendingStatement statement = entry.getValue();
-      statement.answerDropped |= bug == Bug.SWITCH_FORGETS;
-      for (int i = 0; bug == Bug.SWITCH_REPEATS && i < statement.attempts.size(); i++) {
+    for (Map.Entry<Long, PendingStatement> entry : Map.copyOf(pendingStatements).entrySet()) {
+      PendingStatement pending = entry.getValue();
+      pending.answerDropped |= bug == Bug.SWITCH_FORGETS;
+      for (int i = 0; bug == Bug.SWITCH_REPEATS && i < pending.attempts.size(); i++) {
         endAttempt(
             entry.getKey(),
-            statement,
-            statement.attempts.get(i),
+            pending,
+            pending.attempts.get(i),
             i,
             AttemptOutcome.NO_CONNECTION,
             Role.UNKNOWN,
@@ -110,11 +116,11 @@
             null);
       }
     }
-    processInput(() -> core.applySettings(world.now(), values.settingsUpdate(world.now())));
+    processInput(() -> core.applySettings(cluster.now(), values.settingsUpdate(cluster.now())));
   }
 
   private Span networkDelay() {
-    return Span.ofMillis(0.15 + 0.3 * chance.nextDouble());
+    return Span.ofMillis(0.15 + 0.3 * random.nextDouble());
   }
 
   /** Passes an input to the core and runs the effects that it requests. */
@@ -130,9 +136,9 @@
   private void deliverEndpointList() {
     processInput(
         () -> {
-          Moment now = world.now();
+          Moment now = cluster.now();
           core.onListStarted();
-          for (Server server : world.servers()) {
+          for (Server server : cluster.servers()) {
             server.onListReceived(number, now);
             core.onEndpointListed(
                 now,
@@ -153,62 +159,62 @@
 
   // Clients.
 
-  void onStatementReceived(Statement ask, StatementTransport.ResponseListener callback) {
+  void onStatementReceived(Statement statement, StatementTransport.ResponseListener listener) {
     long ticket = ++lastTicket;
-    statements.put(ticket, new PendingStatement(ask, callback, ask.deadline));
+    pendingStatements.put(ticket, new PendingStatement(statement, listener, statement.deadline));
     processInput(
         () ->
             core.onStatementReceived(
-                world.now(),
+                cluster.now(),
                 ticket,
                 new StatementRequest(
-                    ask.workload.index(),
-                    ask.group,
-                    ask.session + 1,
-                    ask.deadline,
-                    ask.requiredCommitMillis == 0
+                    statement.workload.index(),
+                    statement.group,
+                    statement.session + 1,
+                    statement.deadline,
+                    statement.requiredCommitMillis == 0
                         ? Moment.LONG_AGO
-                        : new Moment(ask.requiredCommitMillis * 1_000),
+                        : new Moment(statement.requiredCommitMillis * 1_000),
                     100)));
   }
 
-  void onClientDisconnected(Statement ask) {
-    for (Map.Entry<Long, PendingStatement> entry : Map.copyOf(statements).entrySet()) {
-      if (entry.getValue().ask == ask) {
+  void onClientDisconnected(Statement statement) {
+    for (Map.Entry<Long, PendingStatement> entry : Map.copyOf(pendingStatements).entrySet()) {
+      if (entry.getValue().statement == statement) {
         entry.getValue().answered = true;
-        processInput(() -> core.onClientDisconnected(world.now(), entry.getKey()));
+        processInput(() -> core.onClientDisconnected(cluster.now(), entry.getKey()));
         removeIfFinished(entry.getKey(), entry.getValue());
       }
     }
   }
 
-  private void removeIfFinished(long ticket, PendingStatement statement) {
-    if (statement.answered && statement.openAttempts == 0) {
-      statements.remove(ticket);
+  private void removeIfFinished(long ticket, PendingStatement pending) {
+    if (pending.answered && pending.openAttempts == 0) {
+      pendingStatements.remove(ticket);
     }
   }
 
   private void deliverAnswer(
       long ticket, java.util.function.Consumer<StatementTransport.ResponseListener> delivery) {
-    PendingStatement statement = statements.get(ticket);
-    if (statement != null && !statement.answered) {
-      statement.answered = true;
-      world
+    PendingStatement pending = pendingStatements.get(ticket);
+    if (pending != null && !pending.answered) {
+      pending.answered = true;
+      cluster
           .scheduler()
           .runAfter(
               networkDelay(),
               () -> {
-                if (statement.answerDropped
-                    || statement.ask.isAbandoned()
+                if (pending.answerDropped
+                    || pending.statement.isAbandoned()
                     || (++answerCount % 100 == 0 && bug == Bug.DROPS_ANSWERS)) {
                   return;
                 }
-                delivery.accept(statement.callback);
+                delivery.accept(pending.listener);
                 if (answerCount % 100 == 0 && bug == Bug.ANSWERS_TWICE) {
-                  delivery.accept(statement.callback);
+                  delivery.accept(pending.listener);
                 }
               });
-      removeIfFinished(ticket, statement);
+      removeIfFinished(ticket, pending);
     }
   }
 
@@ -217,22 +223,22 @@
   @Override
   public void startAttempt(
       long ticket, int attemptNumber, String endpoint, Span timeout, Moment sendBy) {
-    PendingStatement statement = statements.get(ticket);
+    PendingStatement pending = pendingStatements.get(ticket);
     Attempt attempt = new Attempt();
-    statement.attempts.add(attempt);
-    statement.openAttempts++;
-    if (duplicatesForbidden && statement.openAttempts > 1) {
-      world.checker.onParallelAttempt(statement.ask);
+    pending.attempts.add(attempt);
+    pending.openAttempts++;
+    if (duplicatesForbidden && pending.openAttempts > 1) {
+      cluster.checker.onParallelAttempt(pending.statement);
     }
     Server server = servers.get(endpoint);
-    Span remaining = statement.deadline.since(world.now());
+    Span remaining = pending.deadline.since(cluster.now());
     Span limit = timeout.micros() == 0 ? remaining : timeout.shorter(remaining);
     pendingEffects.add(
         () -> {
-          if (statement.answered || limit.micros() <= 0) {
+          if (pending.answered || limit.micros() <= 0) {
             endAttempt(
                 ticket,
-                statement,
+                pending,
                 attempt,
                 attemptNumber,
                 AttemptOutcome.NEVER_SENT,
@@ -241,7 +247,7 @@
                 null);
             return;
           }
-          world
+          cluster
               .scheduler()
               .runAfter(
                   limit,
@@ -249,7 +255,7 @@
                     attempt.cancelOnServer.run();
                     endAttempt(
                         ticket,
-                        statement,
+                        pending,
                         attempt,
                         attemptNumber,
                         AttemptOutcome.TIMED_OUT,
@@ -257,29 +263,29 @@
                         Moment.LONG_AGO,
                         null);
                   });
-          world
+          cluster
               .scheduler()
               .runAfter(
                   networkDelay().plus(CONNECT_TIME),
-                  () -> executeOnServer(ticket, statement, attempt, attemptNumber, server));
+                  () -> executeOnServer(ticket, pending, attempt, attemptNumber, server));
         });
   }
 
   private void executeOnServer(
-      long ticket, PendingStatement statement, Attempt attempt, int attemptNumber, Server server) {
-    if (attempt.ended || world.isCut(number, server)) {
+      long ticket, PendingStatement pending, Attempt attempt, int attemptNumber, Server server) {
+    if (attempt.ended || cluster.isCut(number, server)) {
       return;
     }
-    if (!server.isUp() || (server.isRefusing() && chance.nextInt(4) == 0)) {
+    if (!server.isUp() || (server.isRefusing() && random.nextInt(4) == 0)) {
       // Most attempts on a server that refuses new connections use one that is already open.
-      world
+      cluster
           .scheduler()
           .runAfter(
               networkDelay(),
               () ->
                   endAttempt(
                       ticket,
-                      statement,
+                      pending,
                       attempt,
                       attemptNumber,
                       AttemptOutcome.NO_CONNECTION,
@@ -291,23 +297,23 @@
     int initialLife = server.incarnation();
     attempt.cancelOnServer =
         server.execute(
-            statement.ask,
+            pending.statement,
             new Server.Reply() {
               @Override
               public void sendAnswer(String code, String value, boolean primary, long position) {
-                if (!world.isCut(number, server)) {
+                if (!cluster.isCut(number, server)) {
                   AttemptOutcome outcome =
                       code == null
                           ? value == null ? AttemptOutcome.UNKNOWN : AttemptOutcome.COMPLETED
                           : code.equals("53300") ? AttemptOutcome.FULL : AttemptOutcome.MISS;
-                  world
+                  cluster
                       .scheduler()
                       .runAfter(
                           networkDelay(),
                           () ->
                               endAttempt(
                                   ticket,
-                                  statement,
+                                  pending,
                                   attempt,
                                   attemptNumber,
                                   outcome,
@@ -321,14 +327,14 @@
 
               @Override
               public void breakConnection() {
-                world
+                cluster
                     .scheduler()
                     .runAfter(
                         networkDelay(),
                         () ->
                             endAttempt(
                                 ticket,
-                                statement,
+                                pending,
                                 attempt,
                                 attemptNumber,
                                 AttemptOutcome.RESET,
@@ -342,14 +348,14 @@
           @Override
           public void onCrashed() {
             if (!attempt.ended && server.incarnation() == initialLife + 1) {
-              world
+              cluster
                   .scheduler()
                   .runAfter(
                       networkDelay(),
                       () ->
                           endAttempt(
                               ticket,
-                              statement,
+                              pending,
                               attempt,
                               attemptNumber,
                               AttemptOutcome.RESET,
@@ -368,7 +374,7 @@
 
   private void endAttempt(
       long ticket,
-      PendingStatement statement,
+      PendingStatement pending,
       Attempt attempt,
       int attemptNumber,
       AttemptOutcome outcome,
@@ -379,7 +385,7 @@
       return;
     }
     attempt.ended = true;
-    statement.openAttempts--;
+    pending.openAttempts--;
     AttemptOutcome reportedOutcome =
         outcome == AttemptOutcome.RESET && bug == Bug.RESET_PROVES_NOT_RUN
             ? AttemptOutcome.NEVER_SENT
@@ -387,23 +393,23 @@
     processInput(
         () -> {
           if (core.onAttemptEnded(
-              world.now(), ticket, attemptNumber, reportedOutcome, role, position, false)) {
-            deliverAnswer(ticket, callback -> callback.onCompleted(value));
+              cluster.now(), ticket, attemptNumber, reportedOutcome, role, position, false)) {
+            deliverAnswer(ticket, listener -> listener.onCompleted(value));
           }
         });
-    removeIfFinished(ticket, statement);
+    removeIfFinished(ticket, pending);
   }
 
   @Override
   public void cancel(long ticket, int attemptNumber) {
-    PendingStatement statement = statements.get(ticket);
-    Attempt attempt = statement.attempts.get(attemptNumber);
+    PendingStatement pending = pendingStatements.get(ticket);
+    Attempt attempt = pending.attempts.get(attemptNumber);
     pendingEffects.add(
         () -> {
           attempt.cancelOnServer.run();
           endAttempt(
               ticket,
-              statement,
+              pending,
               attempt,
               attemptNumber,
               AttemptOutcome.CANCELLED,
@@ -415,7 +421,7 @@
 
   @Override
   public void reject(long ticket, Span retryAfter, RejectReason reason) {
-    pendingEffects.add(() -> deliverAnswer(ticket, callback -> callback.onRejected(retryAfter)));
+    pendingEffects.add(() -> deliverAnswer(ticket, listener -> listener.onRejected(retryAfter)));
   }
 
   @Override
@@ -428,19 +434,19 @@
     Server server = servers.get(endpoint);
     pollCount++;
     boolean[] ended = new boolean[1];
-    world
+    cluster
         .scheduler()
         .runAfter(
             POLL_TIMEOUT,
             () ->
                 endPoll(
                     ended, endpoint, AttemptOutcome.TIMED_OUT, Role.UNKNOWN, Moment.LONG_AGO, 0));
-    world
+    cluster
         .scheduler()
         .runAfter(
             networkDelay(),
             () -> {
-              if (world.isCut(number, server) || server.isHung()) {
+              if (cluster.isCut(number, server) || server.isHung()) {
                 return;
               }
               boolean up = server.isUp();
@@ -451,10 +457,10 @@
               Role role = server.claimsPrimary() || wasPrimary ? Role.PRIMARY : Role.REPLICA;
               Moment position =
                   wasPrimary
-                      ? world.now()
-                      : new Moment((long) (server.positionSeconds(world.now()) * 1e6) - 1);
+                      ? cluster.now()
+                      : new Moment((long) (server.positionSeconds(cluster.now()) * 1e6) - 1);
               double utilization = server.utilization();
-              world
+              cluster
                   .scheduler()
                   .runAfter(
                       networkDelay(),
@@ -472,17 +478,17 @@
 
   /** Reads a third of the announcement tables, so that each is read within 3 s, as on sockets. */
   private void readAnnouncements() {
-    for (Server server : world.servers()) {
+    for (Server server : cluster.servers()) {
       if ((server.number + announcementReads) % 3 == 0
           && server.isUp()
           && !server.isHung()
-          && !world.isCut(number, server)) {
+          && !cluster.isCut(number, server)) {
         SwitchoverAnnouncement announcement = server.group().announcement();
         if (announcement != null) {
           processInput(
               () ->
                   core.onSwitchoverAnnounced(
-                      world.now(),
+                      cluster.now(),
                       server.id,
                       announcement.number(),
                       announcement.target(),
@@ -492,7 +498,7 @@
       }
     }
     announcementReads++;
-    world.scheduler().runAfter(ANNOUNCEMENT_READ_INTERVAL, this::readAnnouncements);
+    cluster.scheduler().runAfter(ANNOUNCEMENT_READ_INTERVAL, this::readAnnouncements);
   }
 
   private void endPoll(
@@ -507,7 +513,7 @@
       processInput(
           () ->
               core.onPollEnded(
-                  world.now(), endpoint, outcome, role, position, utilization, Double.NaN));
+                  cluster.now(), endpoint, outcome, role, position, utilization, Double.NaN));
     }
   }
 
@@ -529,15 +535,15 @@
 
   @Override
   public void watchEndpointList() {
-    world.scheduler().runAfter(networkDelay().times(4), this::deliverEndpointList);
+    cluster.scheduler().runAfter(networkDelay().times(4), this::deliverEndpointList);
   }
 
   @Override
   public void setTimer(Span delay) {
-    world
+    cluster
         .scheduler()
         .runAfter(
-            delay.longer(new Span(1)), () -> processInput(() -> core.onTimerFired(world.now())));
+            delay.longer(new Span(1)), () -> processInput(() -> core.onTimerFired(cluster.now())));
   }
 
   @Override
@@ -547,11 +553,11 @@
 
   @Override
   public void onSwitchoverPhaseChanged(int group, PlannedSwitchover.Phase phase, String target) {
-    // The world records changes of the primary itself.
+    // The simulated cluster records changes of the primary itself.
   }
 
   @Override
   public void onPrimaryChanged(int group, String endpoint, boolean found) {
-    // The world records changes of the primary itself.
+    // The simulated cluster records changes of the primary itself.
   }
 }
--- a/lab/src/main/java/basaltlever/lab/virtual/VirtualRun.java
+++ b/lab/src/main/java/basaltlever/lab/virtual/VirtualRun.java
@@ -27,8 +27,8 @@
   private static final Span COMPLETION_TIME = Span.ofMillis(4_000);
 
   private final Scenario scenario;
-  private final VirtualScheduler time = new VirtualScheduler();
-  private final SimulatedCluster world;
+  private final VirtualScheduler scheduler = new VirtualScheduler();
+  private final SimulatedCluster cluster;
   private final FaultInjector faults;
   private final List<VirtualRouter> routers = new ArrayList<>();
   private final List<StartValues> alternatingSettings;
@@ -41,9 +41,9 @@
   public VirtualRun(Scenario scenario, long seed, Bug bug) throws InvalidSettingsException {
     this.scenario = scenario;
     int count = scenario.count("routers");
-    world =
+    cluster =
         new SimulatedCluster(
-            time,
+            scheduler,
             new SplittableRandom(seed),
             scenario.span("grace_ms"),
             STARTUP_DURATION,
@@ -52,10 +52,10 @@
             scenario.count("members"),
             scenario.count("cores"),
             count);
-    world.setAbruptSwitchovers(scenario.abruptHandover);
+    cluster.setAbruptSwitchovers(scenario.abruptHandover);
     faults =
         new FaultInjector(
-            world,
+            cluster,
             scenario.faultWeights,
             scenario.span("faults_from_ms"),
             scenario.span("faults_to_ms"),
@@ -63,9 +63,9 @@
     alternatingSettings = List.of(startValues(false), startValues(true));
     for (int r = 0; r < count; r++) {
       routers.add(
-          new VirtualRouter(r, world, alternatingSettings.get(0), scenario.usesChangeTable, bug));
+          new VirtualRouter(r, cluster, alternatingSettings.get(0), scenario.usesChangeTable, bug));
     }
-    time.runUntil(time.now().plus(STARTUP_DURATION));
+    scheduler.runUntil(scheduler.now().plus(STARTUP_DURATION));
   }
 
   private StartValues startValues(boolean alternative) throws InvalidSettingsException {
@@ -78,7 +78,7 @@
 
   /** Switches all routers between the two settings, once per interval. */
   private void scheduleSettingsSwitch(Span interval) {
-    time.runAfter(
+    scheduler.runAfter(
         interval,
         () -> {
           switches++;
@@ -89,8 +89,8 @@
         });
   }
 
-  public SimulatedCluster world() {
-    return world;
+  public SimulatedCluster cluster() {
+    return cluster;
   }
 
   /** Runs the scenario to its end and returns the figures. */
@@ -98,16 +98,16 @@
     Span duration = Span.ofMillis(scenario.number("seconds") * 1_000);
     LoadGenerator load =
         new LoadGenerator(
-            world,
+            cluster,
             new StatementTransport() {
               @Override
-              public void submit(Statement ask, ResponseListener callback) {
-                routers.get(ask.router).onStatementReceived(ask, callback);
+              public void submit(Statement statement, ResponseListener listener) {
+                routers.get(statement.router).onStatementReceived(statement, listener);
               }
 
               @Override
-              public void abandon(Statement ask) {
-                routers.get(ask.router).onClientDisconnected(ask);
+              public void abandon(Statement statement) {
+                routers.get(statement.router).onClientDisconnected(statement);
               }
             },
             faults,
@@ -119,19 +119,19 @@
     }
     faults.runFor(duration.minus(Span.ofMillis(500)));
     if (scenario.simultaneousFault != null) {
-      time.runAfter(
+      scheduler.runAfter(
           scenario.span("all_at_once_s").times(1_000),
           () -> faults.injectIntoGroups(scenario.simultaneousFault, scenario.number("all_share")));
     }
-    time.runUntil(time.now().plus(duration).plus(COMPLETION_TIME));
-    Map<String, Object> figures = world.checker.figures();
-    figures.put("faults", faults.injectionCounts());
-    figures.put("switches", switches);
-    figures.put("promotion_ms", world.meanPromotionMillis());
+    scheduler.runUntil(scheduler.now().plus(duration).plus(COMPLETION_TIME));
+    Map<String, Object> stats = cluster.checker.figures();
+    stats.put("faults", faults.injectionCounts());
+    stats.put("switches", switches);
+    stats.put("promotion_ms", cluster.meanPromotionMillis());
     if (scenario.simultaneousFault != null) {
-      figures.put("recovered_95_s", world.timeSeries().recoverySeconds(scenario.number("seconds")));
+      stats.put("recovered_95_s", cluster.timeSeries().recoverySeconds(scenario.number("seconds")));
     }
-    figures.put("polls", routers.stream().mapToLong(VirtualRouter::pollCount).sum());
-    return figures;
+    stats.put("polls", routers.stream().mapToLong(VirtualRouter::pollCount).sum());
+    return stats;
   }
 }
--- a/lab/src/test/java/basaltlever/lab/PairedPlaysTest.java
+++ b/lab/src/test/java/basaltlever/lab/PairedPlaysTest.java
@@ -70,7 +70,7 @@
     check(exitCode == 0 && summaryRow.matcher(output).find(), exitCode + output);
     check(
         Files.readString(folder.resolve("a/order")).equals("1\n2\n3\n1\n2\n3\n"),
-        "one play for each seed and day");
+        "one play for each seed and scenario");
 
     folder = Files.createTempDirectory("paired");
     output = play(folder, row.formatted("0.5", 0), row.formatted("0.5", 2));
--- a/lab/src/test/java/basaltlever/lab/ScenarioTest.java
+++ b/lab/src/test/java/basaltlever/lab/ScenarioTest.java
@@ -13,7 +13,10 @@
 import java.util.Map;
 import net.jqwik.api.Example;
 
-/** Scenarios over sockets and in virtual time, and injected bugs that the ledger must detect. */
+/**
+ * Scenarios over sockets and in virtual time, and injected bugs that the history checker must
+ * detect.
+ */
 class ScenarioTest {
   private static void check(boolean condition, String message) {
     if (!condition) {
@@ -35,7 +38,7 @@
         .runScenario();
   }
 
-  /** Router processes on sockets; the simulated servers keep the ledger that is checked. */
+  /** Router processes on sockets; the history checker verifies what clients and servers observe. */
   @Example
   void primaryChangesUnderLoadLoseAndRepeatNoStatement() throws Exception {
     Scenario scenario = scenario("primary-changes", "seconds=12", "routers=2", "faults_to_ms=3000");
@@ -55,15 +58,15 @@
               .filter(
                   line -> !line.startsWith("longest_write") && !line.startsWith("answered_late"))
               .toList();
-      check(violations.isEmpty(), violations + " " + run.world().checker.findings());
+      check(violations.isEmpty(), violations + " " + run.cluster().checker.findings());
       check(
           ((Map<?, ?>) figures.get("faults")).size() > 2
               && ((Number) figures.get("statements")).intValue() > 2_000,
           "too few faults or statements for a meaningful run: " + figures);
       figures.put("seed", 5);
       figures.put("broken", violations);
-      figures.put("told", run.world().checker.findings());
-      String text = Files.readString(HtmlReport.write(page, "A run", figures, run.world()));
+      figures.put("told", run.cluster().checker.findings());
+      String text = Files.readString(HtmlReport.write(page, "A run", figures, run.cluster()));
       check(
           text.contains("<svg") && text.contains("held.") && text.contains("doubled"),
           "the report has charts and figures");
@@ -113,7 +116,7 @@
               .filter(
                   line -> !line.startsWith("longest_write") && !line.startsWith("answered_late"))
               .toList();
-      check(violations.isEmpty(), violations + " " + run.world().checker.findings());
+      check(violations.isEmpty(), violations + " " + run.cluster().checker.findings());
       var router = run.routers().get(0);
       int switches = ((Number) figures.get("switches")).intValue();
       check(switches >= 4 && ((Number) figures.get("statements")).intValue() > 1_000, "" + figures);
@@ -164,7 +167,7 @@
     check(((Number) figures.get("recovered_95_s")).doubleValue() < 3, "" + figures);
   }
 
-  /** Guards against a ledger that can no longer detect a violation. */
+  /** Guards against a history checker that can no longer detect a violation. */
   @Example
   void eachInjectedBugIsDetectedByItsFigure() throws Exception {
     Map<Bug, String> expectedFigures = new LinkedHashMap<>();
@@ -259,7 +262,7 @@
         new SocketRun(
             scenario, 3, null, "[change]\ntable = " + SocketRun.ANNOUNCEMENT_TABLE + "\n")) {
       Path startFile = run.routers().get(0).startFile();
-      var group = run.world().groups().get(0);
+      var group = run.cluster().groups().get(0);
       String primary = group.primary().id;
       String target = group.members().get(primary.equals("db-1") ? 1 : 0).id;
       check(
--- a/lab/src/test/java/basaltlever/lab/endtoend/LateJudgeTest.java
+++ b/lab/src/test/java/basaltlever/lab/endtoend/LateJudgeTest.java
@@ -24,37 +24,37 @@
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
   private final MonotonicClock clock = new MonotonicClock();
-  private final StatementChecker ledger = new StatementChecker();
+  private final StatementChecker checker = new StatementChecker();
   private final DaySettings settings = DaySettings.defaults();
-  private final StatementClass statementClass = settings.pickClass(new SplittableRandom(1));
+  private final StatementClass workload = settings.pickClass(new SplittableRandom(1));
 
   private int deadlineViolations(long writtenBeforeMillis, boolean blockLoop) throws Exception {
     RunOptions options = RunOptions.parse(List.of("servers=10", "members=5"));
-    ServerSimulator farm =
-        new ServerSimulator(loop, options, settings, clock, ledger, new SplittableRandom(1));
-    farm.listen();
-    try (Socket router = new Socket(InetAddress.getByName(SERVER_ADDRESS), farm.port())) {
+    ServerSimulator serverSimulator =
+        new ServerSimulator(loop, options, settings, clock, checker, new SplittableRandom(1));
+    serverSimulator.listen();
+    try (Socket router =
+        new Socket(InetAddress.getByName(SERVER_ADDRESS), serverSimulator.port())) {
       ByteBuf startup = Unpooled.buffer();
       MessageEncoder.writeStartupMessage(startup, "app", "shop");
       router.getOutputStream().write(ByteBufUtil.getBytes(startup));
       router.getInputStream().read(new byte[512]);
-      long deadlineMillis = statementClass.deadlineMillis();
+      long deadlineMillis = workload.deadlineMillis();
       loop.submit(
               () ->
-                  ledger.recordStart(
-                      "r0x1", statementClass, 0, clock.nowMillis() - writtenBeforeMillis))
+                  checker.recordStart("r0x1", workload, 0, clock.nowMillis() - writtenBeforeMillis))
           .sync();
       if (blockLoop) {
         loop.execute(LateJudgeTest::blockLoop);
       }
       ByteBuf query = Unpooled.buffer();
       MessageEncoder.writeQuery(
-          query, "/* id=r0x1,c=" + statementClass.key() + ",d=" + deadlineMillis + " */ SELECT 1");
+          query, "/* id=r0x1,c=" + workload.key() + ",d=" + deadlineMillis + " */ SELECT 1");
       router.getOutputStream().write(ByteBufUtil.getBytes(query));
       router.getInputStream().read(new byte[512]);
-      return loop.submit(() -> (int) ledger.figures().get("deadline")).get();
+      return loop.submit(() -> (int) checker.figures().get("deadline")).get();
     } finally {
-      farm.close();
+      serverSimulator.close();
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
   }
--- a/lab/src/test/java/basaltlever/lab/endtoend/ManyServersTest.java
+++ b/lab/src/test/java/basaltlever/lab/endtoend/ManyServersTest.java
@@ -30,7 +30,9 @@
     Map<String, Object> figures = runWith("servers=720", "sockets=160", "seconds=5");
     check(number(figures, "statements") > 80, "more than 80 statements: " + figures);
     check(number(figures, "lost") == 0, "no statement is lost: " + figures);
-    check(number(figures, "descriptors_most") <= 160, "the descriptor limit is kept: " + figures);
+    check(
+        number(figures, "descriptors_most") <= 160,
+        "the descriptor limit is not exceeded: " + figures);
   }
 
   @Example
@@ -45,7 +47,7 @@
         "descriptors do not grow with the list: " + few + many);
     check(
         number(many, "served_share") >= 0.85 * number(few, "served_share"),
-        "the served share is kept: " + few + many);
+        "the served share is at least 85 % of that with few servers: " + few + many);
   }
 
   @Example
