--- a/lab/src/main/java/basaltlever/lab/endtoend/NewClientsRun.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/NewClientsRun.java
@@ -96,7 +96,7 @@
 
   /** Makes the routers log the stages of each statement that takes longer than this. */
   public void traceStatementsLongerThan(long millis) {
-    routers.forEach(router -> router.logStatementsSlowerThan(millis));
+    routers.forEach(router -> router.traceStatementsLongerThan(millis));
   }
 
   /** Runs to the end and returns the figures, with the violations under {@code broken}. */
--- a/lab/src/main/java/basaltlever/lab/endtoend/RouterUnderTest.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/RouterUnderTest.java
@@ -77,7 +77,7 @@
   }
 
   /** Traces each statement that takes longer in the router's log, from the next start on. */
-  void logStatementsSlowerThan(long millis) {
+  void traceStatementsLongerThan(long millis) {
     command.addAll(List.of("--follow", "" + millis));
   }
 
--- a/lab/src/main/java/basaltlever/lab/endtoend/SoakRun.java
+++ b/lab/src/main/java/basaltlever/lab/endtoend/SoakRun.java
@@ -148,7 +148,7 @@
 
   /** Makes the routers log the stages of each statement that takes longer than this. */
   void traceStatementsLongerThan(long millis) {
-    routers.forEach(router -> router.logStatementsSlowerThan(millis));
+    routers.forEach(router -> router.traceStatementsLongerThan(millis));
   }
 
   /** Runs until the time is over and returns the figures. */
--- a/lab/src/main/java/basaltlever/lab/fleet/AgreementRun.java
+++ b/lab/src/main/java/basaltlever/lab/fleet/AgreementRun.java
@@ -203,7 +203,7 @@
       if (!router.process().isAlive()) {
         String log = router.readLog();
         System.err.println(
-            "a router process exited unexpectedly; the end of its log:\n"
+            "router process is not running at the end of the run; the end of its log:\n"
                 + log.substring(Math.max(0, log.length() - MAX_LOG_CHARS)));
       }
     }
