--- a/router/src/test/java/basaltlever/ProcessTest.java
+++ b/router/src/test/java/basaltlever/ProcessTest.java
@@ -38,10 +38,11 @@
     return builder.start();
   }
 
-  /** Waits until a line of the file contains the text. */
+  /** Waits until the file exists and one of its lines contains the text. */
   private static void awaitLine(Path file, String text, Process process) throws Exception {
     while (process.isAlive()
-        && Files.readAllLines(file).stream().noneMatch(line -> line.contains(text))) {
+        && (Files.notExists(file)
+            || Files.readAllLines(file).stream().noneMatch(line -> line.contains(text)))) {
       Thread.sleep(1);
     }
   }
@@ -159,7 +160,9 @@
    */
   @Example
   void sighupDuringStartupDoesNotEndTheProcess() throws Exception {
-    Path log = Files.createTempFile("classes", ".log");
+    // The JVM renames a log file that already exists, so it must create this one itself.
+    Path folder = Files.createTempDirectory("classes");
+    Path log = folder.resolve("classes.log");
     try (LoopbackCluster world = new LoopbackCluster(false)) {
       Process process =
           start(List.of("-Xlog:class+load:file=" + log), world.startFilePath, "serve");
@@ -176,7 +179,8 @@
         process.destroyForcibly();
       }
     } finally {
-      Files.delete(log);
+      Files.deleteIfExists(log);
+      Files.delete(folder);
     }
   }
 
